--- a/drill/src/events.rs
+++ b/drill/src/events.rs
@@ -1,6 +1,6 @@
 //! Event records as typed values. Fields that can be wrong are checked by whoever knows what they refer to.
 use crate::frame::{seconds, Malformed, Record, ADDRESS_BYTES};
-use quillramp::types::{Counted, Ending, Standing};
+use quillramp::types::{AttemptResult, CounterResult, EndpointStatus};
 
 /// Bytes of an entry of a list.
 const LIST_ENTRY_BYTES: usize = 23;
@@ -69,7 +69,7 @@
     }
 
     /// How the delivery ended.
-    pub fn ending(record: &Record) -> Result<Ending, Malformed> {
+    pub fn ending(record: &Record) -> Result<AttemptResult, Malformed> {
         ending(record, 13)
     }
 
@@ -84,16 +84,16 @@
     ending(record, 7).map(drop)
 }
 
-fn ending(record: &Record, offset: usize) -> Result<Ending, Malformed> {
+fn ending(record: &Record, offset: usize) -> Result<AttemptResult, Malformed> {
     match record.u16(offset) {
-        1 => Ok(Ending::Succeeded),
-        2 => Ok(Ending::Errored),
-        3 => Ok(Ending::TurnedAway),
-        4 => Ok(Ending::TimedOut),
-        5 => Ok(Ending::NotConnected),
-        6 => Ok(Ending::Broken),
-        7 => Ok(Ending::Cancelled),
-        8 => Ok(Ending::NotSent),
+        1 => Ok(AttemptResult::Succeeded),
+        2 => Ok(AttemptResult::Errored),
+        3 => Ok(AttemptResult::Rejected),
+        4 => Ok(AttemptResult::TimedOut),
+        5 => Ok(AttemptResult::NotConnected),
+        6 => Ok(AttemptResult::Broken),
+        7 => Ok(AttemptResult::Cancelled),
+        8 => Ok(AttemptResult::NotSent),
         other => Err(record.malformed(format!("unknown outcome {other}"))),
     }
 }
@@ -114,21 +114,21 @@
 }
 
 /// A counter call has ended.
-pub(crate) struct CounterResult {
+pub(crate) struct CounterReply {
     /// The name of the count.
     pub name: u64,
-    pub result: Counted,
+    pub result: CounterResult,
 }
 
-impl CounterResult {
-    pub fn decode(record: &Record) -> Result<CounterResult, Malformed> {
+impl CounterReply {
+    pub fn decode(record: &Record) -> Result<CounterReply, Malformed> {
         let result = match record.u16(13) {
-            1 => Counted::Total(record.f32(15)),
-            3 | 5 => Counted::Unreached,
-            4 => Counted::Unanswered,
+            1 => CounterResult::Total(record.f32(15)),
+            3 | 5 => CounterResult::NotApplied,
+            4 => CounterResult::Unanswered,
             other => return Err(record.malformed(format!("unknown outcome {other}"))),
         };
-        Ok(CounterResult { name: record.u64(5), result })
+        Ok(CounterReply { name: record.u64(5), result })
     }
 }
 
@@ -157,7 +157,7 @@
     pub cell: usize,
     pub zone: usize,
     pub address: Address,
-    pub standing: Standing,
+    pub standing: EndpointStatus,
     /// When it started, seconds on the simulator's clock, where that is known.
     pub started: Option<f64>,
     pub size: f64,
@@ -175,9 +175,9 @@
 
     fn decode(record: &Record, index: usize, bytes: &[u8]) -> Result<ListEntry, Malformed> {
         let standing = match bytes[9] {
-            0 => Standing::Gone,
-            1 => Standing::Ready,
-            2 => Standing::Draining,
+            0 => EndpointStatus::Removed,
+            1 => EndpointStatus::Ready,
+            2 => EndpointStatus::Draining,
             other => return Err(record.malformed(format!("entry {index}: unknown state {other}"))),
         };
         let started = u64::from_le_bytes(bytes[10..18].try_into().expect("eight bytes"));
--- a/drill/src/host.rs
+++ b/drill/src/host.rs
@@ -2,7 +2,7 @@
 use crate::codes::EventCode;
 use crate::frame::{Batch, Malformed, Record, Reply};
 use crate::instance::Instance;
-use quillramp::facts;
+use quillramp::settings;
 use std::collections::BTreeMap;
 
 /// All instances that have started and not stopped, by their number.
@@ -71,7 +71,7 @@
     fn start(&mut self, number: u32, record: &Record) -> Result<(), Malformed> {
         let seed = record.u64(1);
         let settings = record.tail(9, 1)?;
-        let start = facts::start(seed, settings).map_err(|error| record.malformed(error))?;
+        let start = settings::load(seed, settings).map_err(|error| record.malformed(error))?;
         self.instances.insert(number, Instance::new(start));
         Ok(())
     }
--- a/drill/src/instance.rs
+++ b/drill/src/instance.rs
@@ -2,13 +2,13 @@
 //! here.
 use crate::actions;
 use crate::codes::EventCode;
-use crate::events::{self, Address, Completed, CounterResult, ListEntry, ListResult, RequestId, Submitted};
+use crate::events::{self, Address, Completed, CounterReply, ListEntry, ListResult, RequestId, Submitted};
 use crate::frame::{microseconds, Malformed, Record, Reply};
-use quillramp::decide::Door;
-use quillramp::facts;
-use quillramp::ids::{Ids, Slots};
+use quillramp::gossip::{self, WireMessage};
+use quillramp::interner::{Interner, Slab};
+use quillramp::policy::PolicyEngine;
+use quillramp::settings;
 use quillramp::types::*;
-use quillramp::word::{self, Said};
 use std::collections::HashMap;
 
 /// The lower bits of a count's name are its customer, the others its series.
@@ -20,7 +20,7 @@
 /// A request without its answer, or with deliveries that are out.
 struct Request {
     id: RequestId,
-    ask: Ask,
+    ask: RequestAttributes,
     /// Deliveries that are out.
     outstanding: usize,
     /// Deliveries that were ever sent.
@@ -39,7 +39,7 @@
 }
 
 pub(crate) struct Instance {
-    decisions: Door,
+    decisions: PolicyEngine,
     /// Number of all instances.
     instances: usize,
     /// This instance.
@@ -50,26 +50,26 @@
     plans: usize,
     /// Names of the figures of a backend's report.
     report: Vec<String>,
-    requests: Slots<Request>,
-    by_id: HashMap<RequestId, Inv>,
-    backends: Ids<Address>,
-    customers: Ids<u64>,
+    requests: Slab<Request>,
+    by_id: HashMap<RequestId, RequestIndex>,
+    backends: Interner<Address>,
+    customers: Interner<u64>,
     timer: Timer,
 }
 
 impl Instance {
-    pub fn new(start: facts::Start) -> Instance {
+    pub fn new(start: settings::Loaded) -> Instance {
         Instance {
-            decisions: start.door,
-            instances: start.about.doors,
-            own: start.about.slot,
-            operations: start.about.operations.len(),
-            plans: start.about.plans.len(),
-            report: start.about.report,
-            requests: Slots::default(),
+            decisions: start.engine,
+            instances: start.instance.instances,
+            own: start.instance.instance_index,
+            operations: start.instance.operations.len(),
+            plans: start.instance.plans.len(),
+            report: start.instance.load_report_fields,
+            requests: Slab::default(),
             by_id: HashMap::new(),
-            backends: Ids::default(),
-            customers: Ids::default(),
+            backends: Interner::default(),
+            customers: Interner::default(),
             timer: Timer::default(),
         }
     }
@@ -105,15 +105,15 @@
     /// After a batch of events: decides on requests again, and sets the next timer.
     pub fn settle(&mut self, now: f64, reply: &mut Reply) {
         loop {
-            let wait = self.decisions.wait(now);
-            self.carry_out_errands(wait.errands, reply);
-            for customer in wait.idle {
+            let wait = self.decisions.poll(now);
+            self.carry_out_errands(wait.effects, reply);
+            for customer in wait.evicted_customers {
                 self.customers.release(customer);
             }
-            if wait.again.is_empty() {
-                return self.set_timer(now, wait.seconds, reply);
+            if wait.reconsider.is_empty() {
+                return self.set_timer(now, wait.next_poll_in, reply);
             }
-            for request in wait.again {
+            for request in wait.reconsider {
                 self.decide_again(now, request, reply);
             }
         }
@@ -122,7 +122,7 @@
     fn listed(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
         let is_whole = match ListResult::decode(record)? {
             ListResult::Failed => {
-                self.decisions.unlisted(now);
+                self.decisions.endpoint_fetch_failed(now);
                 return Ok(());
             }
             ListResult::Changes => false,
@@ -131,10 +131,17 @@
         let mut listed = Vec::new();
         for entry in ListEntry::decode_all(record)? {
             let ListEntry { cell, zone, address, standing, started, size } = entry?;
-            let tgt = self.backends.index(&address);
-            listed.push(Listed { tgt, standing, zone, cell, size, started });
+            let tgt = self.backends.intern(&address);
+            listed.push(Endpoint {
+                backend: tgt,
+                status: standing,
+                zone,
+                cell,
+                weight: size,
+                started_at: started,
+            });
         }
-        self.decisions.listed(now, is_whole, &listed);
+        self.decisions.update_endpoints(now, is_whole, &listed);
         Ok(())
     }
 
@@ -150,19 +157,27 @@
         if !units.is_finite() || units < 0.0 {
             return Err(record.malformed(format!("{units} units")));
         }
-        let customer = self.customers.index(&event.customer);
-        let of = Doors { first: event.first_instance, number: event.instances };
-        let ask = Ask { operation, plan, customer, units, of, until: now + event.wait, ..Ask::default() };
-        let request = self.requests.put(Request { id, ask, outstanding: 0, sent: 0, is_closed: false });
+        let customer = self.customers.intern(&event.customer);
+        let of = InstanceRange { first: event.first_instance, count: event.instances };
+        let ask = RequestAttributes {
+            operation,
+            plan,
+            customer,
+            units,
+            instances: of,
+            deadline: now + event.wait,
+            ..RequestAttributes::default()
+        };
+        let request = self.requests.insert(Request { id, ask, outstanding: 0, sent: 0, is_closed: false });
         self.by_id.insert(id, request);
-        let answer = self.decisions.place(now, request, &ask);
+        let answer = self.decisions.route(now, request, &ask);
         self.carry_out(request, answer, reply);
         Ok(())
     }
 
     fn streaming(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
         let request = self.request(record)?;
-        self.decisions.streaming(now, request);
+        self.decisions.response_started(now, request);
         Ok(())
     }
 
@@ -170,7 +185,7 @@
         let event = Completed::decode(record);
         let index = self.request(record)?;
         let address = event.address;
-        let Some(tgt) = self.backends.find(&address) else {
+        let Some(tgt) = self.backends.get(&address) else {
             return Err(record.malformed(format!("backend {address:?} was never listed")));
         };
         let ending = Completed::ending(record)?;
@@ -181,23 +196,25 @@
         request.outstanding = request.outstanding.saturating_sub(1);
         request.is_closed |= event.is_closed;
         let reported = &self.report[..self.report.len().min(event.report_length)];
-        let outcome = Outcome {
-            delivery: event.delivery,
-            tgt,
-            ending,
-            took: event.took,
-            closed: event.is_closed,
-            true_units: event.units,
-            report: facts::report(reported, |place, _| Some(Completed::report_figure(record, place))),
+        let outcome = AttemptOutcome {
+            attempt: event.delivery,
+            backend: tgt,
+            result: ending,
+            duration: event.took,
+            request_closed: event.is_closed,
+            billed_units: event.units,
+            load_report: settings::load_report(reported, |place, _| {
+                Some(Completed::report_figure(record, place))
+            }),
         };
-        let answer = self.decisions.after(now, index, &outcome);
+        let answer = self.decisions.attempt_ended(now, index, &outcome);
         self.carry_out(index, answer, reply);
         Ok(())
     }
 
     fn aborted(&mut self, now: f64, record: &Record) {
         let Some(&index) = self.by_id.get(&events::request_id(record)) else { return };
-        self.decisions.gone(now, index);
+        self.decisions.request_closed(now, index);
         if let Some(request) = self.requests[index].as_mut() {
             request.is_closed = true;
         }
@@ -211,24 +228,29 @@
     }
 
     fn counted(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
-        let CounterResult { name, result } = CounterResult::decode(record)?;
-        if let Some(customer) = self.customers.find(&(name & CUSTOMER_MASK)) {
+        let CounterReply { name, result } = CounterReply::decode(record)?;
+        if let Some(customer) = self.customers.get(&(name & CUSTOMER_MASK)) {
             let series = (name >> CUSTOMER_BITS) as u32;
-            self.decisions.counted(now, CountName { customer, series }, result);
+            self.decisions.counter_answered(now, CounterKey { customer, series }, result);
         }
         Ok(())
     }
 
     fn peer_message(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
-        match word::decode(events::message_body(record)?) {
-            Some(Said::Backend(address)) => {
-                if let Some(tgt) = self.backends.find(&address[..]) {
-                    self.decisions.peer_word(now, Word::Backend { tgt });
+        match gossip::decode(events::message_body(record)?) {
+            Some(WireMessage::BackendRecovered(address)) => {
+                if let Some(tgt) = self.backends.get(&address[..]) {
+                    self.decisions.gossip_received(now, GossipMessage::BackendRecovered { backend: tgt });
                 }
             }
-            Some(Said::Count { customer, plan, of, series, total }) if plan < self.plans => {
-                let name = CountName { customer: self.customers.index(&customer), series };
-                self.decisions.peer_word(now, Word::Count { name, plan, of, total });
+            Some(WireMessage::CounterTotal { customer, plan, instances: of, series, total })
+                if plan < self.plans =>
+            {
+                let name = CounterKey { customer: self.customers.intern(&customer), series };
+                self.decisions.gossip_received(
+                    now,
+                    GossipMessage::CounterTotal { key: name, plan, instances: of, total },
+                );
             }
             Some(_) => {}
             None => return Err(record.malformed("no word of ours")),
@@ -236,52 +258,52 @@
         Ok(())
     }
 
-    fn decide_again(&mut self, now: f64, index: Inv, reply: &mut Reply) {
+    fn decide_again(&mut self, now: f64, index: RequestIndex, reply: &mut Reply) {
         let open = self.requests[index].as_ref().filter(|request| !request.is_closed);
         if let Some(ask) = open.map(|request| request.ask) {
-            let answer = self.decisions.place(now, index, &ask);
+            let answer = self.decisions.route(now, index, &ask);
             self.carry_out(index, answer, reply);
         }
     }
 
-    fn carry_out(&mut self, index: Inv, answer: Answer, reply: &mut Reply) {
+    fn carry_out(&mut self, index: RequestIndex, answer: PolicyOutput, reply: &mut Reply) {
         let request = self.requests[index].as_mut().expect("decided on a held request");
-        match answer.verdict {
-            Verdict::Deliver { tgt } => {
+        match answer.decision {
+            Decision::Forward { backend: tgt } => {
                 request.outstanding += 1;
                 request.sent += 1;
-                let address = self.backends.name(tgt).expect("the decisions name listed backends");
+                let address = self.backends.resolve(tgt).expect("the decisions name listed backends");
                 actions::deliver(reply, request.id, address);
             }
-            Verdict::NotYet => {}
-            Verdict::Throttle { retry_after } => {
+            Decision::Pending => {}
+            Decision::Throttle { retry_after } => {
                 request.is_closed = true;
                 actions::throttle(reply, request.id, retry_after);
             }
-            Verdict::Error => {
+            Decision::Error => {
                 request.is_closed = true;
                 actions::error(reply, request.id);
             }
         }
-        self.carry_out_errands(answer.errands, reply);
+        self.carry_out_errands(answer.effects, reply);
         self.release_if_over(index);
     }
 
-    fn carry_out_errands(&self, errands: Errands, reply: &mut Reply) {
-        for call in errands.counter {
-            let series = u64::from(call.name.series) << CUSTOMER_BITS;
-            let name = self.customer_key(call.name.customer) | series;
-            actions::counter_call(reply, name, call.add, call.lives);
+    fn carry_out_errands(&self, errands: Effects, reply: &mut Reply) {
+        for call in errands.counter_calls {
+            let series = u64::from(call.key.series) << CUSTOMER_BITS;
+            let name = self.customer_key(call.key.customer) | series;
+            actions::counter_call(reply, name, call.delta, call.lifetime);
         }
-        for word in errands.words {
+        for word in errands.gossip {
             self.send_word(word, reply);
         }
-        for (index, delivery) in errands.cancels {
+        for (index, delivery) in errands.cancellations {
             if let Some(request) = self.requests[index].as_ref() {
                 actions::cancel(reply, request.id, delivery);
             }
         }
-        if errands.ask_for_list {
+        if errands.fetch_endpoints {
             actions::fetch_list(reply);
         }
         for line in errands.log {
@@ -289,16 +311,22 @@
         }
     }
 
-    fn send_word(&self, word: Word, reply: &mut Reply) {
+    fn send_word(&self, word: GossipMessage, reply: &mut Reply) {
         match word {
-            Word::Backend { tgt } => {
-                let address = self.backends.name(tgt).expect("the decisions name listed backends");
-                actions::broadcast(reply, &word::encode(&Said::Backend(address.to_vec())));
+            GossipMessage::BackendRecovered { backend: tgt } => {
+                let address = self.backends.resolve(tgt).expect("the decisions name listed backends");
+                actions::broadcast(reply, &gossip::encode(&WireMessage::BackendRecovered(address.to_vec())));
             }
-            Word::Count { name, plan, of, total } => {
+            GossipMessage::CounterTotal { key: name, plan, instances: of, total } => {
                 let customer = self.customer_key(name.customer);
-                let body = word::encode(&Said::Count { customer, plan, of, series: name.series, total });
-                let sharing = (of.first..of.first + of.number).map(|instance| instance % self.instances);
+                let body = gossip::encode(&WireMessage::CounterTotal {
+                    customer,
+                    plan,
+                    instances: of,
+                    series: name.series,
+                    total,
+                });
+                let sharing = (of.first..of.first + of.count).map(|instance| instance % self.instances);
                 for peer in sharing.filter(|peer| *peer != self.own) {
                     actions::send(reply, peer, &body);
                 }
@@ -319,14 +347,14 @@
     }
 
     /// The request that an event is about.
-    fn request(&self, record: &Record) -> Result<Inv, Malformed> {
+    fn request(&self, record: &Record) -> Result<RequestIndex, Malformed> {
         let id = events::request_id(record);
         let index = self.by_id.get(&id).copied();
         index.ok_or_else(|| record.malformed(format!("invocation {id} is not held")))
     }
 
     /// Forgets a request once it is closed and no delivery of it is out.
-    fn release_if_over(&mut self, index: Inv) {
+    fn release_if_over(&mut self, index: RequestIndex) {
         let is_over = |request: &Request| request.is_closed && request.outstanding == 0;
         if self.requests[index].as_ref().is_some_and(is_over) {
             let request = self.requests.release(index).expect("it is held");
@@ -334,7 +362,7 @@
         }
     }
 
-    fn customer_key(&self, customer: Customer) -> u64 {
-        *self.customers.name(customer).expect("the decisions name customers in hand")
+    fn customer_key(&self, customer: CustomerIndex) -> u64 {
+        *self.customers.resolve(customer).expect("the decisions name customers in hand")
     }
 }
--- a/emulator/src/backends.rs
+++ b/emulator/src/backends.rs
@@ -121,8 +121,8 @@
         link.got.extend_from_slice(bytes);
         loop {
             let Some(link) = self.links.get_mut(&wire) else { return };
-            match resp::command(&link.got) {
-                Ok(Some((resp::Command::Call(call), n))) => {
+            match resp::decode_command(&link.got) {
+                Ok(Some((resp::ClientCommand::Request(call), n))) => {
                     link.got.drain(..n);
                     self.take(ctx, wire, &call);
                 }
@@ -132,7 +132,7 @@
         }
     }
 
-    fn take(&mut self, ctx: &mut Ctx, wire: WireId, call: &resp::Call) {
+    fn take(&mut self, ctx: &mut Ctx, wire: WireId, call: &resp::RequestCommand) {
         ctx.rules.arrived(ctx.now, self.index, call.units);
         self.given += 1;
         let no = self.given;
@@ -141,9 +141,9 @@
         if self.drains || self.waits.len() >= QUEUE || ctx.chance(self.ills.turn_away) {
             return self.ready(ctx, wire, no, Some(b"-BUSY\r\n".to_vec()));
         }
-        let long = call.get && ctx.chance(ctx.world.long);
+        let long = call.idempotent && ctx.chance(ctx.world.long);
         let (id, customer, units) = (call.id, call.customer, call.units);
-        let job = Job { wire, id, customer, units, until: ctx.now + call.wait / 1e3, long };
+        let job = Job { wire, id, customer, units, until: ctx.now + call.timeout_ms / 1e3, long };
         self.jobs.insert(no, job);
         self.waits.push_back(no);
         self.begin(ctx);
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -2,7 +2,7 @@
 //! rude ones, and those that leave early or come in herds.
 use crate::net::{Ctx, Item, Party, WireId};
 use crate::rules::{self, Said};
-use quillramp_gateway::memory::event::Conn;
+use quillramp_gateway::state::event::ConnectionId;
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -153,7 +153,7 @@
         rude: bool,
         silent: bool,
     ) -> WireId {
-        let wire = ctx.open(process, Conn::Client(0), Party::Client);
+        let wire = ctx.open(process, ConnectionId::Client(0), Party::Client);
         let opened = ctx.wires.get_mut(&wire).expect("just opened");
         (opened.party_open, opened.rude, opened.known) = (true, rude, !silent);
         opened.from = if silent { Ipv4Addr::new(127, 0, 10, 1) } else { Ipv4Addr::new(127, 0, 9, 1) }.into();
--- a/emulator/src/declared.rs
+++ b/emulator/src/declared.rs
@@ -1,7 +1,7 @@
 //! Operators' files for runs: drawn as text, read as the front door reads them. One that is refused is drawn again; so the checks that a
 //! file goes through are at work here too.
-use quillramp_gateway::life::operator;
-use quillramp_gateway::memory::event::Declares;
+use quillramp_gateway::process::operator;
+use quillramp_gateway::state::event::OperatorUpdate;
 use quillramp_operator::routes::Platform;
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -53,7 +53,7 @@
 const TRIES: usize = 20;
 
 /// What an operator's file of this platform declares; nothing where all that were drawn are wrong.
-pub fn draw(r: &mut ChaCha8Rng, platform: &Platform) -> Declares {
+pub fn draw(r: &mut ChaCha8Rng, platform: &Platform) -> OperatorUpdate {
     let good = (0..TRIES).find_map(|_| quillramp_operator::read(&text(r, platform), Some(platform)).ok());
-    operator::declares(good.unwrap_or_default(), platform)
+    operator::operator_update(good.unwrap_or_default(), platform)
 }
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The list service: a log of changes, and at each front door an agent that knows it up to some version.
 use crate::counter::{asked, request};
 use crate::net::{Ctx, Item, WireId};
-use quillramp_gateway::wire::listing::{self, Listing};
+use quillramp_gateway::wire::endpoints::{self, EndpointList};
 use rand::Rng;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -114,9 +114,9 @@
     }
 
     /// The whole list as an agent knows it.
-    pub fn known(&self, door: usize) -> Listing {
+    pub fn known(&self, door: usize) -> EndpointList {
         let text = self.whole(self.agents[door].version, self.agents[door].version).to_string();
-        listing::decode(text.as_bytes()).expect("our own list")
+        endpoints::decode(text.as_bytes()).expect("our own list")
     }
 
     fn whole(&self, of: usize, index: usize) -> Value {
--- a/emulator/src/door.rs
+++ b/emulator/src/door.rs
@@ -1,14 +1,16 @@
 //! A front door's process: the real reducer with the real decisions in it, the real codecs, and in place of sockets the
 //! emulated network. What the socket layer does with events and effects is done here in the same order.
 use crate::net::{Ctx, Item, Party, WireId};
-use quillramp::facts;
-use quillramp::types::Effect as Repeats;
-use quillramp_gateway::memory::event::{Change, Conn, Declares, Effect, Event, Shared, Why};
-use quillramp_gateway::memory::intake::{Hears, Intake};
-use quillramp_gateway::memory::outgoing::Outgoing;
-use quillramp_gateway::memory::reducer::{Parties, Reducer};
-use quillramp_gateway::wire::listing::Listing;
-use quillramp_gateway::wire::resp::{Answer, Call};
+use quillramp::settings;
+use quillramp::types::Idempotency as Repeats;
+use quillramp_gateway::state::event::{
+    AdminChange, CloseReason, ConnectionId, Effect, Event, OperatorUpdate, SharedState,
+};
+use quillramp_gateway::state::framing::{MessageReader, MessageSink};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::state::write_buffer::WriteBuffer;
+use quillramp_gateway::wire::endpoints::EndpointList;
+use quillramp_gateway::wire::resp::{ClientReply, RequestCommand};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -41,7 +43,7 @@
 
 /// What a process asks of those outside the network.
 pub enum Outside {
-    Keep { call: u64, change: Change },
+    Keep { call: u64, change: AdminChange },
     Holds(usize),
     Exit,
 }
@@ -49,11 +51,11 @@
 struct Open {
     wire: WireId,
     up: bool,
-    intake: Intake,
+    intake: MessageReader,
     got: Vec<u8>,
-    out: Outgoing,
+    out: WriteBuffer,
     /// A backend's: the client that a value passes to.
-    passes_to: Option<Conn>,
+    passes_to: Option<ConnectionId>,
     muted: bool,
     /// When something of a value last passed.
     moved: f64,
@@ -62,12 +64,12 @@
 }
 
 impl Open {
-    fn new(wire: WireId, conn: Conn, up: bool) -> Open {
-        let (got, out) = (vec![], Outgoing::default());
+    fn new(wire: WireId, conn: ConnectionId, up: bool) -> Open {
+        let (got, out) = (vec![], WriteBuffer::default());
         Open {
             wire,
             up,
-            intake: Intake::new(conn),
+            intake: MessageReader::new(conn),
             got,
             out,
             passes_to: None,
@@ -83,7 +85,7 @@
     pub door: usize,
     own: SocketAddr,
     reducer: Reducer,
-    conns: BTreeMap<Conn, Open>,
+    conns: BTreeMap<ConnectionId, Open>,
     inbox: Vec<Event>,
     /// Connections that wait to be accepted.
     backlog: VecDeque<WireId>,
@@ -108,11 +110,11 @@
     whole: bool,
 }
 
-impl Hears for Heard {
+impl MessageSink for Heard {
     fn event(&mut self, event: Event, _long: usize) {
         self.events.push(event);
     }
-    fn piece(&mut self, bytes: &[u8], end: bool) {
+    fn body_chunk(&mut self, bytes: &[u8], end: bool) {
         self.pieces.extend_from_slice(bytes);
         if end {
             self.pieces.extend_from_slice(b"\r\n");
@@ -128,12 +130,12 @@
     pub fn boot(
         ctx: &mut Ctx,
         (index, door, own): (usize, usize, SocketAddr),
-        (start, effects): (facts::Start, HashMap<Vec<u8>, Repeats>),
-        (parties, known, shared, declares): (Parties, &Listing, Shared, Declares),
+        (start, effects): (settings::Loaded, HashMap<Vec<u8>, Repeats>),
+        (parties, known, shared, declares): (ReducerConfig, &EndpointList, SharedState, OperatorUpdate),
         broken: Option<Sabotage>,
     ) -> Process {
         let known = doctored(known, broken);
-        let sockets = parties.sockets;
+        let sockets = parties.max_descriptors;
         let mut reducer = Reducer::new(ctx.now, start, parties, &known);
         reducer.share_is(ctx.now, shared);
         reducer.declares(ctx.now, declares);
@@ -209,8 +211,8 @@
             };
             let (operator, rude, from) = (w.party == Party::Operator, w.rude, w.from);
             if !operator && self.conns.len() + OTHERS >= self.sockets {
-                if !self.inbox.iter().any(|e| matches!(e, Event::Crowded)) {
-                    self.tell(ctx, Event::Crowded);
+                if !self.inbox.iter().any(|e| matches!(e, Event::DescriptorsExhausted)) {
+                    self.tell(ctx, Event::DescriptorsExhausted);
                 }
                 return;
             }
@@ -220,9 +222,9 @@
                 ctx.rules.client(ctx.now, wire, self.index, true);
             }
             let (conn, event) = if operator {
-                (Conn::Operator(self.accepted), Event::Called(self.accepted))
+                (ConnectionId::Admin(self.accepted), Event::AdminConnected(self.accepted))
             } else {
-                (Conn::Client(self.accepted), Event::Accepted(self.accepted, from))
+                (ConnectionId::Client(self.accepted), Event::ClientAccepted(self.accepted, from))
             };
             if let Some(w) = ctx.wires.get_mut(&wire) {
                 w.conn = conn;
@@ -235,7 +237,7 @@
         }
     }
 
-    fn conn_of(&self, ctx: &Ctx, wire: WireId) -> Option<Conn> {
+    fn conn_of(&self, ctx: &Ctx, wire: WireId) -> Option<ConnectionId> {
         let conn = ctx.wires.get(&wire)?.conn;
         self.conns.get(&conn).filter(|o| o.wire == wire).map(|_| conn)
     }
@@ -245,9 +247,9 @@
         let Some(conn) = self.conn_of(ctx, wire) else { return };
         if taken {
             self.conns.get_mut(&conn).expect("just found").up = true;
-            return self.tell(ctx, Event::Up(conn));
+            return self.tell(ctx, Event::Connected(conn));
         }
-        self.over(ctx, conn, Why::Refused, true);
+        self.over(ctx, conn, CloseReason::Refused, true);
     }
 
     pub fn bytes(&mut self, ctx: &mut Ctx, wire: WireId, bytes: &[u8]) {
@@ -265,26 +267,26 @@
         }
         let Some(conn) = self.conn_of(ctx, wire) else { return };
         match conn {
-            Conn::Backend(_) => ctx.rules.replied(ctx.now, wire, bytes),
-            Conn::List(_) => ctx.rules.list_says(ctx.now, wire, bytes),
+            ConnectionId::Backend(_) => ctx.rules.replied(ctx.now, wire, bytes),
+            ConnectionId::Discovery(_) => ctx.rules.list_says(ctx.now, wire, bytes),
             _ => {}
         }
         self.conns.get_mut(&conn).expect("just found").got.extend_from_slice(bytes);
         self.decode(ctx, conn);
     }
 
-    fn decode(&mut self, ctx: &mut Ctx, conn: Conn) {
+    fn decode(&mut self, ctx: &mut Ctx, conn: ConnectionId) {
         let Some(open) = self.conns.get_mut(&conn).filter(|o| !o.muted) else { return };
         let mut heard = Heard::default();
         let done =
-            if open.intake.deaf { Ok(open.got.len()) } else { open.intake.decode(&open.got, &mut heard) };
+            if open.intake.discard { Ok(open.got.len()) } else { open.intake.decode(&open.got, &mut heard) };
         let mut unsent = false;
         if let Ok(done) = done {
             open.got.drain(..done);
         } else {
             unsent = !open.out.is_empty();
         }
-        let begun = heard.events.iter().any(|e| matches!(e, Event::Begun(_)));
+        let begun = heard.events.iter().any(|e| matches!(e, Event::StreamStarted(_)));
         if begun || !heard.pieces.is_empty() {
             open.moved = ctx.now;
         }
@@ -311,9 +313,9 @@
     pub fn ended(&mut self, ctx: &mut Ctx, wire: WireId, reset: bool) {
         self.backlog.retain(|w| *w != wire);
         let conn = self.conn_of(ctx, wire);
-        let waits = |conn: &Conn| {
+        let waits = |conn: &ConnectionId| {
             let open = &self.conns[conn];
-            !reset && open.intake.waits() && !open.got.is_empty()
+            !reset && open.intake.is_stream_pending() && !open.got.is_empty()
         };
         if let Some(conn) = conn.filter(waits) {
             // What it wrote before its end passes first.
@@ -321,9 +323,9 @@
         } else if let Some(conn) = conn {
             let open = &self.conns[&conn];
             let why = match (open.up, reset) {
-                (false, _) => Why::Refused,
-                (true, true) => Why::Reset,
-                (true, false) => Why::Closed,
+                (false, _) => CloseReason::Refused,
+                (true, true) => CloseReason::Reset,
+                (true, false) => CloseReason::Closed,
             };
             let unsent = !open.out.is_empty();
             self.over(ctx, conn, why, unsent);
@@ -332,17 +334,17 @@
     }
 
     /// A connection is over, and the reducer is to hear of it.
-    fn over(&mut self, ctx: &mut Ctx, conn: Conn, why: Why, unsent: bool) {
+    fn over(&mut self, ctx: &mut Ctx, conn: ConnectionId, why: CloseReason, unsent: bool) {
         let Some(open) = self.conns.remove(&conn) else { return };
         self.tap_end(ctx, conn, open.wire, false);
         ctx.end(open.wire, true, false);
-        self.tell(ctx, Event::Ended { conn, why, unsent });
+        self.tell(ctx, Event::ConnectionEnded { connection: conn, reason: why, unsent });
     }
 
-    fn tap_end(&self, ctx: &mut Ctx, conn: Conn, wire: WireId, by_door: bool) {
+    fn tap_end(&self, ctx: &mut Ctx, conn: ConnectionId, wire: WireId, by_door: bool) {
         match conn {
-            Conn::Client(_) => ctx.rules.client_ended(ctx.now, wire, by_door),
-            Conn::Backend(_) => ctx.rules.backend_ended(ctx.now, wire),
+            ConnectionId::Client(_) => ctx.rules.client_ended(ctx.now, wire, by_door),
+            ConnectionId::Backend(_) => ctx.rules.backend_ended(ctx.now, wire),
             _ => {}
         }
     }
@@ -362,13 +364,13 @@
         self.step_at = f64::INFINITY;
         let now = ctx.now;
         let mut events = std::mem::take(&mut self.inbox);
-        self.reducer.batch(now, &mut events);
-        let (next, effects) = self.reducer.settle(now);
+        self.reducer.handle_batch(now, &mut events);
+        let (next, effects) = self.reducer.poll(now);
         let mut outside = vec![];
         for effect in effects {
             self.carry_out(ctx, places, effect, &mut outside);
         }
-        let dirty: Vec<Conn> =
+        let dirty: Vec<ConnectionId> =
             self.conns.iter().filter(|(_, o)| !o.out.is_empty()).map(|(c, _)| *c).collect();
         for conn in dirty {
             self.flush(ctx, conn);
@@ -385,55 +387,55 @@
 
     fn carry_out(&mut self, ctx: &mut Ctx, places: &Places, effect: Effect, outside: &mut Vec<Outside>) {
         match effect {
-            Effect::Answer(id, answer) => self.answer(ctx, Conn::Client(id), answer),
-            Effect::TurnAway(id, why) => {
-                let conn = Conn::Client(id);
+            Effect::Reply(id, answer) => self.answer(ctx, ConnectionId::Client(id), answer),
+            Effect::Reject(id, why) => {
+                let conn = ConnectionId::Client(id);
                 let Some(open) = self.conns.get_mut(&conn) else { return };
                 let known = ctx.wires.get(&open.wire).is_some_and(|w| w.known);
                 ctx.rules.turned_away(ctx.now, open.wire, known, why);
-                Answer::Error(why.into()).encode(open.out.buffer());
+                ClientReply::Error(why.into()).encode(open.out.buffer());
             }
-            Effect::Deliver { connection, delivery, call, wait_ms } => {
-                self.deliver(ctx, (Conn::Backend(connection), delivery), &call, wait_ms)
+            Effect::SendAttempt { connection, delivery, call, timeout_ms: wait_ms } => {
+                self.deliver(ctx, (ConnectionId::Backend(connection), delivery), &call, wait_ms)
             }
             Effect::Withdraw { connection, delivery } => {
-                let open = self.conns.get_mut(&Conn::Backend(connection));
+                let open = self.conns.get_mut(&ConnectionId::Backend(connection));
                 if open.is_some_and(|o| o.out.withdraw(delivery)) {
-                    self.tell(ctx, Event::Withdrawn { connection, delivery });
+                    self.tell(ctx, Event::Withdrawn { connection, attempt: delivery });
                 }
             }
-            Effect::Respond(id, response) => {
-                if let Some(open) = self.conns.get_mut(&Conn::Operator(id)) {
+            Effect::AdminRespond(id, response) => {
+                if let Some(open) = self.conns.get_mut(&ConnectionId::Admin(id)) {
                     response.encode(open.out.buffer());
                 }
             }
-            Effect::Keep(call, change) => outside.push(Outside::Keep { call, change }),
-            Effect::Holds(most) => outside.push(Outside::Holds(most)),
-            Effect::Part(id, why) => {
-                let conn = Conn::Client(id);
+            Effect::SaveChange(call, change) => outside.push(Outside::Keep { call, change }),
+            Effect::AnnounceDescriptorLimit(most) => outside.push(Outside::Holds(most)),
+            Effect::CloseIfIdle(id, why) => {
+                let conn = ConnectionId::Client(id);
                 let quiet = self.conns.get(&conn).is_some_and(|o| o.got.is_empty());
-                if quiet && !self.inbox.iter().any(|e| matches!(e, Event::Command(c, _) if *c == id)) {
+                if quiet && !self.inbox.iter().any(|e| matches!(e, Event::ClientCommand(c, _) if *c == id)) {
                     self.close(ctx, conn);
-                    self.tell(ctx, Event::Parted(id, why));
+                    self.tell(ctx, Event::IdleClientClosed(id, why));
                 }
             }
-            Effect::Mute(id) => {
-                if let Some(open) = self.conns.get_mut(&Conn::Client(id)) {
+            Effect::StopReading(id) => {
+                if let Some(open) = self.conns.get_mut(&ConnectionId::Client(id)) {
                     open.muted = true;
                 }
             }
-            Effect::Pass(id, to) => self.pass(ctx, Conn::Backend(id), to.map(Conn::Client)),
-            Effect::EndIfStalled { connection, silent_for, still_for } => {
-                let conn = Conn::Backend(connection);
+            Effect::Stream(id, to) => self.pass(ctx, ConnectionId::Backend(id), to.map(ConnectionId::Client)),
+            Effect::CloseIfStalled { connection, unresponsive_for: silent_for, stalled_for: still_for } => {
+                let conn = ConnectionId::Backend(connection);
                 let stalled = |open: &Open| {
                     let still = ctx.now - open.moved;
-                    still >= still_for || still >= silent_for && open.intake.is_passing()
+                    still >= still_for || still >= silent_for && open.intake.is_streaming()
                 };
                 if self.conns.get(&conn).is_some_and(stalled) {
-                    self.over(ctx, conn, Why::Stalled, false);
+                    self.over(ctx, conn, CloseReason::StreamStalled, false);
                 }
             }
-            Effect::Request(conn, request) => {
+            Effect::HttpRequest(conn, request) => {
                 if let Some(open) = self.conns.get_mut(&conn) {
                     request.encode(self.own, open.out.buffer());
                 }
@@ -442,8 +444,8 @@
                 let party = places.parties.get(&to).copied().unwrap_or(Party::Nobody);
                 let wire = ctx.open(self.index, conn, party);
                 match (conn, party) {
-                    (Conn::Backend(_), Party::Backend(b)) => ctx.rules.backend(wire, b),
-                    (Conn::List(_), _) => ctx.rules.list_wire(wire, self.index),
+                    (ConnectionId::Backend(_), Party::Backend(b)) => ctx.rules.backend(wire, b),
+                    (ConnectionId::Discovery(_), _) => ctx.rules.list_wire(wire, self.index),
                     _ => {}
                 }
                 self.conns.insert(conn, Open::new(wire, conn, false));
@@ -451,7 +453,7 @@
                 ctx.later(delay, Item::Dial(wire));
             }
             Effect::Close(conn) => self.close(ctx, conn),
-            Effect::Datagram(to, body) => {
+            Effect::SendDatagram(to, body) => {
                 let all = places.words_all == Some(to);
                 let doors: BTreeSet<usize> =
                     places.words.iter().filter(|(at, _)| all || **at == to).map(|(_, d)| *d).collect();
@@ -463,13 +465,13 @@
                 }
             }
             Effect::Log(line) => self.says(ctx, &line),
-            Effect::LogEnd(end) => self.says(ctx, &end.to_string()),
+            Effect::LogClosed(end) => self.says(ctx, &end.to_string()),
             Effect::StopAccepting => self.accepts = false,
             Effect::Exit => {
                 self.exits = true;
                 self.wake(ctx, ctx.now + 0.01);
             }
-            Effect::ExitNow => outside.push(Outside::Exit),
+            Effect::ExitImmediately => outside.push(Outside::Exit),
         }
     }
 
@@ -478,14 +480,14 @@
         ctx.trace.line(ctx.now, &says);
     }
 
-    fn answer(&mut self, ctx: &mut Ctx, conn: Conn, answer: Answer) {
+    fn answer(&mut self, ctx: &mut Ctx, conn: ConnectionId, answer: ClientReply) {
         let (swallows, twice) = (
             self.broken == Some(Sabotage::SwallowsAnswers) && ctx.chance(0.02),
             self.broken == Some(Sabotage::AnswersTwice) && ctx.chance(0.02),
         );
         let answer = match answer {
-            Answer::Error(why) if why == "failed" && self.broken == Some(Sabotage::ThrottlesAnyway) => {
-                Answer::Busy { retry_after_ms: None }
+            ClientReply::Error(why) if why == "failed" && self.broken == Some(Sabotage::ThrottlesAnyway) => {
+                ClientReply::Busy { retry_after_ms: None }
             }
             answer => answer,
         };
@@ -496,7 +498,13 @@
         }
     }
 
-    fn deliver(&mut self, ctx: &mut Ctx, (conn, number): (Conn, u64), call: &Call, wait_ms: u64) {
+    fn deliver(
+        &mut self,
+        ctx: &mut Ctx,
+        (conn, number): (ConnectionId, u64),
+        call: &RequestCommand,
+        wait_ms: u64,
+    ) {
         let once = self.effects.get(call.operation()) == Some(&Repeats::NonIdempotent);
         let twice = once && self.broken == Some(Sabotage::RepeatsOrders) && ctx.chance(0.05);
         let Some(open) = self.conns.get_mut(&conn) else { return };
@@ -508,8 +516,8 @@
         });
     }
 
-    fn pass(&mut self, ctx: &mut Ctx, conn: Conn, to: Option<Conn>) {
-        let Some(left) = self.conns.get_mut(&conn).and_then(|o| o.intake.passes()) else { return };
+    fn pass(&mut self, ctx: &mut Ctx, conn: ConnectionId, to: Option<ConnectionId>) {
+        let Some(left) = self.conns.get_mut(&conn).and_then(|o| o.intake.start_streaming()) else { return };
         let to = to.filter(|to| self.conns.contains_key(to));
         if let Some(client) = to.and_then(|to| self.conns.get_mut(&to)) {
             client.out.buffer().extend_from_slice(format!("${left}\r\n").as_bytes());
@@ -517,19 +525,19 @@
         let open = self.conns.get_mut(&conn).expect("just found");
         (open.passes_to, open.moved) = (to, ctx.now);
         self.decode(ctx, conn);
-        if self.conns.get(&conn).is_some_and(|o| o.ends && !o.intake.waits()) {
-            self.over(ctx, conn, Why::Closed, false);
+        if self.conns.get(&conn).is_some_and(|o| o.ends && !o.intake.is_stream_pending()) {
+            self.over(ctx, conn, CloseReason::Closed, false);
         }
     }
 
     /// Writes as far as the network takes it.
-    fn flush(&mut self, ctx: &mut Ctx, conn: Conn) {
+    fn flush(&mut self, ctx: &mut Ctx, conn: ConnectionId) {
         let Some(open) = self.conns.get_mut(&conn) else { return };
         let Some(wire) = ctx.wires.get(&open.wire) else { return };
-        let choked = wire.choked > ctx.now && matches!(conn, Conn::Backend(_));
+        let choked = wire.choked > ctx.now && matches!(conn, ConnectionId::Backend(_));
         let length = if choked { open.out.len() / 2 } else { open.out.len() };
         let out = open.out.bytes()[..length].to_vec();
-        open.out.written(length);
+        open.out.consume(length);
         if choked {
             let at = wire.choked;
             self.wake(ctx, at);
@@ -540,17 +548,17 @@
         }
         ctx.trace.bytes(&out);
         match conn {
-            Conn::Client(_) => ctx.rules.answers(ctx.now, wire, &out),
-            Conn::Backend(_) => ctx.rules.written(ctx.now, wire, self.index, &out),
+            ConnectionId::Client(_) => ctx.rules.answers(ctx.now, wire, &out),
+            ConnectionId::Backend(_) => ctx.rules.written(ctx.now, wire, self.index, &out),
             _ => {}
         }
         ctx.send(wire, false, &out);
     }
 
     /// Ended from this side; what was written before leaves first, as far as the network takes it.
-    fn close(&mut self, ctx: &mut Ctx, conn: Conn) {
+    fn close(&mut self, ctx: &mut Ctx, conn: ConnectionId) {
         // Nothing of a delivery that was given up leaves with the close, as on sockets.
-        if let (Conn::Backend(_), Some(open)) = (conn, self.conns.get_mut(&conn)) {
+        if let (ConnectionId::Backend(_), Some(open)) = (conn, self.conns.get_mut(&conn)) {
             open.out.clear();
         }
         self.flush(ctx, conn);
@@ -585,7 +593,7 @@
 
     fn doctored(&self, event: Event) -> Event {
         match event {
-            Event::Response(conn @ Conn::List(_), mut response) => {
+            Event::HttpResponse(conn @ ConnectionId::Discovery(_), mut response) => {
                 let text = String::from_utf8_lossy(&response.body).into_owned();
                 let text = match self.broken {
                     Some(Sabotage::IgnoresDrains) => {
@@ -601,17 +609,17 @@
                             }
                         },
                     ),
-                    _ => return Event::Response(conn, response),
+                    _ => return Event::HttpResponse(conn, response),
                 };
                 response.body = text.into_bytes();
-                Event::Response(conn, response)
+                Event::HttpResponse(conn, response)
             }
             event => event,
         }
     }
 }
 
-fn doctored(known: &Listing, broken: Option<Sabotage>) -> Listing {
+fn doctored(known: &EndpointList, broken: Option<Sabotage>) -> EndpointList {
     let mut known = known.clone();
     if broken == Some(Sabotage::ForgetsCold) {
         known.endpoints.iter_mut().for_each(|e| e.since_ms = 0.0);
--- a/emulator/src/net.rs
+++ b/emulator/src/net.rs
@@ -3,7 +3,7 @@
 use crate::rules::Rules;
 use crate::script::World;
 use crate::trace::Trace;
-use quillramp_gateway::memory::event::Conn;
+use quillramp_gateway::state::event::ConnectionId;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 /// One connection between a front door's process and another party.
 pub struct Wire {
     pub process: usize,
-    pub conn: Conn,
+    pub conn: ConnectionId,
     pub party: Party,
     /// Each side has it open, as far as that side knows.
     pub door_open: bool,
@@ -175,7 +175,7 @@
         cuts.map(|c| c.until).fold(0.0, f64::max)
     }
 
-    pub fn open(&mut self, process: usize, conn: Conn, party: Party) -> WireId {
+    pub fn open(&mut self, process: usize, conn: ConnectionId, party: Party) -> WireId {
         self.wired += 1;
         self.connections += u64::from(matches!(party, Party::Backend(_)));
         let wire = Wire {
--- a/emulator/src/play.rs
+++ b/emulator/src/play.rs
@@ -10,12 +10,12 @@
 use crate::quota::Store;
 use crate::rules::{Breach, Ceiling, ColdRule, Figures, Met, Operation, Rules};
 use crate::script::{Fault, Kind, Script, World};
-use quillramp::facts;
-use quillramp::types::{Effect, Group};
+use quillramp::settings;
+use quillramp::types::{Idempotency, KeyScope};
 use quillramp_admission::Limits;
-use quillramp_gateway::life::operator;
-use quillramp_gateway::memory::event::{Conn, Declares, Event, Shared};
-use quillramp_gateway::memory::reducer::Parties;
+use quillramp_gateway::process::operator;
+use quillramp_gateway::state::event::{ConnectionId, Event, OperatorUpdate, SharedState};
+use quillramp_gateway::state::reducer::ReducerConfig;
 use quillramp_operator::routes::Platform;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -95,7 +95,7 @@
     sabotage: Option<Sabotage>,
     settings: Value,
     platform: Platform,
-    effects: HashMap<Vec<u8>, Effect>,
+    effects: HashMap<Vec<u8>, Idempotency>,
     struck: BTreeMap<Kind, u64>,
 }
 
@@ -114,13 +114,13 @@
 }
 
 /// The operations of every world: name, effect, seconds of objective and of time-out, weight.
-fn operations() -> [(&'static str, Effect, f64, f64, f64); 4] {
-    let tokened = |group| Effect::Tokened { group, window: TOKEN_WINDOW };
+fn operations() -> [(&'static str, Idempotency, f64, f64, f64); 4] {
+    let tokened = |group| Idempotency::Keyed { scope: group, window: TOKEN_WINDOW };
     [
-        ("look", Effect::Idempotent, 0.4, 1.5, 0.5),
-        ("hold", tokened(Group::Cell), 0.6, 2.0, 0.15),
-        ("note", tokened(Group::All), 0.6, 2.0, 0.1),
-        ("order", Effect::NonIdempotent, 1.0, 3.0, 0.25),
+        ("look", Idempotency::Idempotent, 0.4, 1.5, 0.5),
+        ("hold", tokened(KeyScope::Cell), 0.6, 2.0, 0.15),
+        ("note", tokened(KeyScope::All), 0.6, 2.0, 0.1),
+        ("order", Idempotency::NonIdempotent, 1.0, 3.0, 0.25),
     ]
 }
 
@@ -138,11 +138,11 @@
         .into_iter()
         .map(|(name, effect, aim, give_up, _)| {
             let (how, group, window) = match effect {
-                Effect::Idempotent => ("retryable", "all", 0.0),
-                Effect::NonIdempotent => ("fragile", "all", 0.0),
-                Effect::Tokened { group: Group::Cell, window } => ("dedup", "cell", window),
-                Effect::Tokened { group: Group::Zone, window } => ("dedup", "zone", window),
-                Effect::Tokened { window, .. } => ("dedup", "all", window),
+                Idempotency::Idempotent => ("retryable", "all", 0.0),
+                Idempotency::NonIdempotent => ("fragile", "all", 0.0),
+                Idempotency::Keyed { scope: KeyScope::Cell, window } => ("dedup", "cell", window),
+                Idempotency::Keyed { scope: KeyScope::Zone, window } => ("dedup", "zone", window),
+                Idempotency::Keyed { window, .. } => ("dedup", "all", window),
             };
             json!({"aim_us": aim * 1e6, "give_up_us": give_up * 1e6, "group": group, "idempotency": how,
                    "name": name, "window_us": window * 1e6})
@@ -260,14 +260,14 @@
             places.words_all = Some(address(5, 1, 7946));
         }
         let offers = operations().map(|(name, effect, _, timeout, weight)| {
-            let get = effect == Effect::Idempotent;
+            let get = effect == Idempotency::Idempotent;
             Offer { name: name.into(), get, timeout, weight }
         });
         let plans = PLANS.iter().map(|p| p.0.to_owned()).collect();
         let effects = operations().into_iter().map(|o| (o.0.as_bytes().to_vec(), o.1)).collect();
         let names: Vec<String> = (0..world.backends).map(|b| format!("s{b}.0")).collect();
         let told = settings(&world, sabotage);
-        let about = facts::start(0, told.to_string().as_bytes()).expect("settings of our own").about;
+        let about = settings::load(0, told.to_string().as_bytes()).expect("settings of our own").instance;
         let platform = operator::platform(&about, world.sockets);
         let new_door = || Door { processes: vec![], out: BTreeMap::new(), drained: false, boots: 0 };
         let mut play = Play {
@@ -445,13 +445,19 @@
         self.doors.iter().map(|d| d.processes.last().copied()).collect()
     }
 
-    fn shared(&self, door: usize, process: Option<usize>) -> Shared {
+    fn shared(&self, door: usize, process: Option<usize>) -> SharedState {
         let Door { processes, out, drained, .. } = &self.doors[door];
         let beside = processes.iter().any(|p| Some(*p) != process);
         let newer = beside && processes.last().copied() != process && process.is_some();
         let other = processes.iter().find(|p| Some(**p) != process);
         let holds = other.and_then(|p| self.holds.get(p).copied());
-        Shared { out: out.clone(), drained: *drained, beside, newer, holds }
+        SharedState {
+            ejected_backends: out.clone(),
+            drained: *drained,
+            peer_process_running: beside,
+            peer_process_newer: newer,
+            peer_descriptor_limit: holds,
+        }
     }
 
     fn start(&mut self, door: usize) {
@@ -461,30 +467,30 @@
         settings["slot_no"] = json!(door);
         let seed =
             self.script.seed.wrapping_mul(31).wrapping_add(door as u64 * 1009 + self.doors[door].boots);
-        let start = facts::start(seed, settings.to_string().as_bytes()).expect("settings of our own");
+        let start = settings::load(seed, settings.to_string().as_bytes()).expect("settings of our own");
         let peers = (0..world.doors).map(door_at).collect();
-        let parties = Parties {
+        let parties = ReducerConfig {
             peers: if world.peers { peers } else { vec![] },
-            peers_all: self.places.words_all,
+            peer_broadcast: self.places.words_all,
             counter: Some(counter_at(0)),
-            list: list_at(0),
-            sockets: world.sockets,
-            passed: world.passed,
-            called: true,
-            keeps: true,
+            discovery: list_at(0),
+            max_descriptors: world.sockets,
+            inherited_listener: world.passed,
+            admin_enabled: true,
+            saves_changes: true,
         };
         let index = self.processes.len();
-        let shared = Shared { drained: false, ..self.shared(door, None) };
+        let shared = SharedState { drained: false, ..self.shared(door, None) };
         self.doors[door].drained = false;
         let known = self.discovery.known(door);
         let limits = world.admission.then(|| limits(world));
         let drawn = if world.declared {
             declared::draw(&mut self.ctx.rng, &self.platform)
         } else {
-            Declares::default()
+            OperatorUpdate::default()
         };
         let presence = (world.presence > 0.0).then_some(world.presence);
-        let declares = Declares { admission: limits, presence, ..drawn };
+        let declares = OperatorUpdate { admission: limits, presence_interval: presence, ..drawn };
         let process = Process::boot(
             &mut self.ctx,
             (index, door, door_at(door)),
@@ -508,7 +514,7 @@
             Outside::Keep { call, change } => {
                 let door = self.processes[process].door;
                 let Door { out, drained, .. } = &mut self.doors[door];
-                change.make(out, drained);
+                change.apply(out, drained);
                 self.kept(door, Some((process, call)));
             }
         }
@@ -519,7 +525,7 @@
         for process in self.doors[door].processes.clone() {
             let call = asked.filter(|(p, _)| *p == process).map(|(_, call)| call);
             let shared = Ok(self.shared(door, Some(process)));
-            self.processes[process].tell(&mut self.ctx, Event::Kept { call, shared });
+            self.processes[process].tell(&mut self.ctx, Event::SharedStateSaved { call, shared });
         }
     }
 
@@ -537,7 +543,7 @@
 
     fn operator(&mut self, door: usize, call: &str) {
         let Some(&process) = self.doors[door].processes.last() else { return };
-        let wire = self.ctx.open(process, Conn::Operator(0), Party::Operator);
+        let wire = self.ctx.open(process, ConnectionId::Admin(0), Party::Operator);
         if let Some(w) = self.ctx.wires.get_mut(&wire) {
             w.party_open = true;
         }
@@ -716,7 +722,7 @@
             (Kind::Term, false) => {
                 for process in self.doors[door].processes.clone() {
                     self.ctx.rules.told_to_stop(now, process);
-                    self.processes[process].tell(&mut self.ctx, Event::Stop);
+                    self.processes[process].tell(&mut self.ctx, Event::Shutdown);
                     self.ctx.later(KILL, Item::Kill(process));
                 }
                 self.ctx.later(KILL + lasts, Item::Start(door));
@@ -726,7 +732,7 @@
                 self.start(door);
                 self.kept(door, None);
                 self.ctx.rules.told_to_stop(now, old);
-                self.processes[old].tell(&mut self.ctx, Event::Stop);
+                self.processes[old].tell(&mut self.ctx, Event::Shutdown);
                 self.ctx.later(KILL, Item::Kill(old));
             }
             (Kind::Stall, false) => {
@@ -744,7 +750,8 @@
             (Kind::Reload, false) => {
                 self.discovery.leaves(&mut self.ctx, door);
                 if let Some(process) = newest {
-                    let moved = Event::Moved { list: list_at(1), counter: Some(counter_at(1)) };
+                    let moved =
+                        Event::ConfigurationReloaded { discovery: list_at(1), counter: Some(counter_at(1)) };
                     self.processes[process].tell(&mut self.ctx, moved);
                 }
             }
@@ -753,8 +760,9 @@
                     let limits = self.script.world.admission.then(|| limits(&self.script.world));
                     let drawn = declared::draw(&mut self.ctx.rng, &self.platform);
                     let presence = (self.script.world.presence > 0.0).then_some(self.script.world.presence);
-                    let declares = Declares { admission: limits, presence, ..drawn };
-                    self.processes[process].tell(&mut self.ctx, Event::Declared(Box::new(declares)));
+                    let declares = OperatorUpdate { admission: limits, presence_interval: presence, ..drawn };
+                    self.processes[process]
+                        .tell(&mut self.ctx, Event::OperatorFileReloaded(Box::new(declares)));
                 }
             }
             (Kind::Choke, false) => {
--- a/emulator/src/rules.rs
+++ b/emulator/src/rules.rs
@@ -2,8 +2,8 @@
 //! of itself. Whatever a front door writes or reads goes by here as bytes.
 use crate::net::WireId;
 use crate::quota::Store;
-use quillramp::types::{Effect, Group};
-use quillramp_gateway::wire::{http, listing, resp};
+use quillramp::types::{Idempotency, KeyScope};
+use quillramp_gateway::wire::{endpoints, http, resp};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// Each time limit is that much longer on sockets, seconds.
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 pub struct Operation {
     pub name: String,
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -300,7 +300,7 @@
         client.got.extend_from_slice(bytes);
         loop {
             let Some(client) = self.clients.get_mut(&wire) else { return };
-            match resp::command(&client.got) {
+            match resp::decode_command(&client.got) {
                 Ok(None) => return,
                 Err(_) => return client.broken = true,
                 Ok(Some((command, n))) => {
@@ -309,7 +309,7 @@
                         client.front = now;
                     }
                     match command {
-                        resp::Command::Call(call) => {
+                        resp::ClientCommand::Request(call) => {
                             client.owed.push_back((Owed::Invocation(call.id), now));
                             self.invocation(now, wire, &call);
                         }
@@ -321,12 +321,12 @@
         }
     }
 
-    fn invocation(&mut self, now: f64, wire: WireId, call: &resp::Call) {
+    fn invocation(&mut self, now: f64, wire: WireId, call: &resp::RequestCommand) {
         let operation = self.figures.operations.iter().position(|o| o.name.as_bytes() == call.operation());
         let Some(operation) = operation else { return };
         self.met.invocations += 1;
         let plan = String::from_utf8_lossy(call.plan()).into_owned();
-        let (customer, wait) = (call.customer, call.wait / 1e3);
+        let (customer, wait) = (call.customer, call.timeout_ms / 1e3);
         let (answered, deliveries, counted, value) = (None, vec![], false, false);
         let story = vec![(now, Happened::Taken(wire))];
         self.invocations.insert(
@@ -446,7 +446,7 @@
             Said::Busy => {
                 self.met.throttled += 1;
                 let may = match effect {
-                    Effect::Idempotent => true,
+                    Idempotency::Idempotent => true,
                     _ => inv.deliveries.iter().all(|d| d.over == Some(Over::TurnedAway)),
                 };
                 if !may {
@@ -507,7 +507,9 @@
         link.out.extend_from_slice(bytes);
         loop {
             let Some(link) = self.backends.get_mut(&wire) else { return };
-            let Ok(Some((resp::Command::Call(call), n))) = resp::command(&link.out) else { return };
+            let Ok(Some((resp::ClientCommand::Request(call), n))) = resp::decode_command(&link.out) else {
+                return;
+            };
             link.out.drain(..n);
             let (backend, since) = (link.backend, link.since);
             link.since = now;
@@ -534,12 +536,12 @@
         if let Some(earlier) = may_have_run {
             self.met.repeats += 1;
             match figures.operations[inv.operation].effect {
-                Effect::Idempotent => {}
-                Effect::Tokened { group, window } => {
+                Idempotency::Idempotent => {}
+                Idempotency::Keyed { scope: group, window } => {
                     let same = match group {
-                        Group::All => true,
-                        Group::Zone => figures.zones[backend] == figures.zones[earlier.backend],
-                        Group::Cell => figures.cells[backend] == figures.cells[earlier.backend],
+                        KeyScope::All => true,
+                        KeyScope::Zone => figures.zones[backend] == figures.zones[earlier.backend],
+                        KeyScope::Cell => figures.cells[backend] == figures.cells[earlier.backend],
                     };
                     if !same || first_byte > earlier.first_byte + window + SLACK {
                         let says = format!(
@@ -550,7 +552,7 @@
                         find(Rule::NoEffectTwice, says);
                     }
                 }
-                Effect::NonIdempotent => {
+                Idempotency::NonIdempotent => {
                     let says = format!(
                         "non-idempotent {id:016x} may have run at backend {} and is sent to {backend}",
                         earlier.backend
@@ -593,30 +595,30 @@
         loop {
             let Some(link) = self.backends.get_mut(&wire) else { return };
             // A long value counts from its head on: it may pass before it has all come.
-            let long = resp::head(&link.got).ok().flatten();
+            let long = resp::decode_stream_head(&link.got).ok().flatten();
             if let Some((length, from)) = long {
                 if let Some(&(id, _)) = link.carries.front() {
                     self.invocations.entry(id).and_modify(|i| i.value = true);
                 }
                 let behind = from + length + 2;
                 let Some(rest) = link.got.get(behind..) else { return };
-                let Ok(Some((_, n))) = resp::tail(rest) else { return };
+                let Ok(Some((_, n))) = resp::decode_trailer(rest) else { return };
                 link.got.drain(..behind + n);
                 self.came(now, wire, Over::Answered);
                 continue;
             }
-            match resp::reply(&link.got) {
+            match resp::decode_reply(&link.got) {
                 Ok(Some((reply, n))) => {
                     link.got.drain(..n);
                     let over = match reply {
-                        resp::Reply::TurnedAway => Over::TurnedAway,
-                        resp::Reply::Value { .. } => {
+                        resp::BackendReply::Rejected => Over::TurnedAway,
+                        resp::BackendReply::Value { .. } => {
                             if let Some(&(id, _)) = link.carries.front() {
                                 self.invocations.entry(id).and_modify(|i| i.value = true);
                             }
                             Over::Answered
                         }
-                        resp::Reply::Errored => Over::Answered,
+                        resp::BackendReply::Failed => Over::Answered,
                     };
                     self.came(now, wire, over);
                 }
@@ -657,7 +659,7 @@
         inv.story.push((now, Happened::Runs(backend)));
         let effect = self.figures.operations[inv.operation].effect;
         let before = self.ran.entry(id).or_default();
-        let twice = effect == Effect::NonIdempotent && !before.is_empty();
+        let twice = effect == Idempotency::NonIdempotent && !before.is_empty();
         before.push((backend, now));
         if twice {
             let says = format!("non-idempotent {id:016x} runs a second time, at backend {backend}");
@@ -676,9 +678,9 @@
         let Some((process, got)) = self.lists.get_mut(&wire) else { return };
         let process = *process;
         got.extend_from_slice(bytes);
-        while let Ok(Some((response, n))) = http::response(got) {
+        while let Ok(Some((response, n))) = http::decode_response(got) {
             got.drain(..n);
-            let list = listing::decode(&response.body).ok().filter(|_| response.status == 200);
+            let list = endpoints::decode(&response.body).ok().filter(|_| response.status == 200);
             if let Some(list) = list {
                 return self.told(now, process, &list);
             }
@@ -686,7 +688,7 @@
     }
 
     /// A front door knows this list from now on.
-    pub fn told(&mut self, now: f64, process: usize, list: &listing::Listing) {
+    pub fn told(&mut self, now: f64, process: usize, list: &endpoints::EndpointList) {
         let known = self.processes.entry(process).or_default();
         if list.snapshot {
             known.serves.values_mut().for_each(BTreeSet::clear);
@@ -694,8 +696,8 @@
         for e in &list.endpoints {
             let Some(&backend) = self.names.get(&e.name) else { continue };
             let names = known.serves.entry(backend).or_default();
-            self.met.drained += u64::from(e.status != quillramp::types::Standing::Ready);
-            if e.status == quillramp::types::Standing::Ready {
+            self.met.drained += u64::from(e.status != quillramp::types::EndpointStatus::Ready);
+            if e.status == quillramp::types::EndpointStatus::Ready {
                 names.insert(e.name.clone());
             } else {
                 names.remove(&e.name);
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,5 +1,5 @@
 //! The front door on sockets round the decisions of `quillramp::decide`.
-pub mod life;
-pub mod memory;
+pub mod process;
 pub mod sockets;
+pub mod state;
 pub mod wire;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,14 +1,14 @@
 //! quillramp: starts the front door, and the main thread then waits for signals; or checks an operator's file.
 use clap::{CommandFactory, Parser, Subcommand};
-use quillramp_gateway::life::{
+use quillramp_gateway::process::{
     check, configuration, descriptors, handover, handover::Keeper, logger, operator, signals,
 };
-use quillramp_gateway::memory::reducer::{Parties, Reducer};
-use quillramp_gateway::memory::room;
 use quillramp_gateway::sockets::{
     accept, accept::Acceptor, accept::Who, clock::Clock, drive::Driver, drive::Links, inbox::Inbox,
 };
 use quillramp_gateway::sockets::{link::Common, peers::Peers};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::state::room;
 use std::io::Write;
 use std::process::ExitCode;
 use std::sync::atomic::AtomicBool;
@@ -63,9 +63,9 @@
         std::process::abort();
     }));
     let told = configuration::read()?;
-    let mgmt = configuration::mgmt(&told)?;
-    let start = quillramp::facts::start(told.seed, told.settings.get().as_bytes())?;
-    let platform = operator::platform(&start.about, told.limits.sockets);
+    let mgmt = configuration::admin_address(&told)?;
+    let start = quillramp::settings::load(told.seed, told.settings.get().as_bytes())?;
+    let platform = operator::platform(&start.instance, told.limits.sockets);
     let by_operator = operator::read(&platform)?;
     logger::told(by_operator.log.as_ref());
     let waiting = signals::signals()?;
@@ -86,19 +86,19 @@
         if shares || mgmt.is_some() { Keeper::start(&told.name, inbox.clone())? } else { Default::default() };
 
     let clock = Clock::start();
-    let parties = Parties {
+    let parties = ReducerConfig {
         peers: told.peers,
-        peers_all: told.peers_all,
+        peer_broadcast: told.peers_all,
         counter: told.counter,
-        list: told.discovery,
-        sockets,
-        passed: shares,
-        called: mgmt.is_some(),
-        keeps: keeper.is_some(),
+        discovery: told.discovery,
+        max_descriptors: sockets,
+        inherited_listener: shares,
+        admin_enabled: mgmt.is_some(),
+        saves_changes: keeper.is_some(),
     };
     let mut reducer = Reducer::new(clock.now(), start, parties, &told.known);
     reducer.share_is(clock.now(), shared);
-    reducer.declares(clock.now(), operator::declares(by_operator, &platform));
+    reducer.declares(clock.now(), operator::operator_update(by_operator, &platform));
     let acceptor =
         |listener, who| Acceptor::new((listener, who), links.clone(), common.clone(), stop_accepting.clone());
     let clients = acceptor(listener, Who::Clients { passed: shares })?;
--- a/gateway/src/life/check.rs
+++ b/gateway/src/process/check.rs
@@ -5,13 +5,13 @@
 
 /// What a configuration allows, where one is named, else where the environment names one.
 fn platform(named: Option<&str>) -> Result<Option<Platform>, Vec<String>> {
-    let path = named.map(str::to_owned).or(std::env::var(configuration::PATH).ok());
+    let path = named.map(str::to_owned).or(std::env::var(configuration::PATH_VARIABLE).ok());
     let Some(path) = path else { return Ok(None) };
     let one = |why: String| vec![format!("{path}: {why}")];
     let text = std::fs::read(&path).map_err(|e| one(e.to_string()))?;
     let told = configuration::decode(&text).map_err(one)?;
-    let start = quillramp::facts::start(told.seed, told.settings.get().as_bytes()).map_err(one)?;
-    Ok(Some(operator::platform(&start.about, told.limits.sockets)))
+    let start = quillramp::settings::load(told.seed, told.settings.get().as_bytes()).map_err(one)?;
+    Ok(Some(operator::platform(&start.instance, told.limits.sockets)))
 }
 
 fn read(
--- a/gateway/src/life/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -1,7 +1,7 @@
 //! From one process of a front door to the next: the listening socket that is passed on, and what both must know,
 //! in a small file that is written whole and renamed. Files are touched on a thread of their own.
-use crate::memory::event::{Change, Event, Shared};
 use crate::sockets::inbox::Inbox;
+use crate::state::event::{AdminChange, Event, SharedState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, TryLockError};
@@ -58,7 +58,7 @@
 
 /// What the thread is asked to write down.
 enum Ask {
-    Change(u64, Change),
+    Change(u64, AdminChange),
     Holds(usize),
 }
 
@@ -71,7 +71,7 @@
 
 impl Place {
     /// What the file says now.
-    pub fn look(&self) -> Result<Shared, String> {
+    pub fn look(&self) -> Result<SharedState, String> {
         read(&self.path).map(|file| shared(&file, self.before))
     }
 }
@@ -85,9 +85,9 @@
 impl Keeper {
     /// What the file says so far; and the thread, if there is a folder for the file.
     /// The file is in the folder that `TMPDIR` names, under the front door's own name.
-    pub fn start(name: &str, inbox: Arc<Inbox>) -> Result<(Shared, Option<Keeper>), String> {
+    pub fn start(name: &str, inbox: Arc<Inbox>) -> Result<(SharedState, Option<Keeper>), String> {
         let Some(folder) = std::env::var_os("TMPDIR").map(PathBuf::from).filter(|f| f.is_dir()) else {
-            return Ok((Shared::default(), None));
+            return Ok((SharedState::default(), None));
         };
         let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
         let path = folder.join(format!("quillramp-{}.json", name.chars().map(plain).collect::<String>()));
@@ -113,7 +113,7 @@
     }
 
     /// Writes a change down; what came of it is told as an event, with the call that asked for it.
-    pub fn write(&self, call: u64, change: Change) {
+    pub fn write(&self, call: u64, change: AdminChange) {
         let _ = self.to.send(Ask::Change(call, change)); // the thread lasts as long as the process
     }
 
@@ -124,16 +124,22 @@
 }
 
 /// What the file says to this process, which found another one there at its start.
-fn shared(file: &Kept, before: (u32, u64)) -> Shared {
+fn shared(file: &Kept, before: (u32, u64)) -> SharedState {
     let named = (file.serves, file.since);
     let other = if file.serves == std::process::id() { before } else { named };
     // One that has died is not there, nor is one that only has its number.
     let beside = other.0 != 0 && started(other.0).is_some_and(|since| other.1 == 0 || other.1 == since);
     let holds = (beside && file.leaves == other.0).then_some(file.holds);
-    Shared { out: file.out.clone(), drained: file.drained, beside, newer: beside && other != before, holds }
+    SharedState {
+        ejected_backends: file.out.clone(),
+        drained: file.drained,
+        peer_process_running: beside,
+        peer_process_newer: beside && other != before,
+        peer_descriptor_limit: holds,
+    }
 }
 
-fn keep(place: &Place, asked: &Receiver<Ask>, inbox: &Inbox, mut known: Shared) {
+fn keep(place: &Place, asked: &Receiver<Ask>, inbox: &Inbox, mut known: SharedState) {
     loop {
         let (call, now) = match asked.recv_timeout(LOOK) {
             Ok(Ask::Change(call, change)) => {
@@ -155,7 +161,7 @@
         if let Ok(now) = &now {
             known.clone_from(now);
         }
-        inbox.tell(Event::Kept { call, shared: now });
+        inbox.tell(Event::SharedStateSaved { call, shared: now });
     }
 }
 
@@ -191,8 +197,8 @@
     }
 }
 
-fn changed(path: &Path, change: Change) -> Result<Kept, String> {
-    update(path, |now| change.make(&mut now.out, &mut now.drained)).1
+fn changed(path: &Path, change: AdminChange) -> Result<Kept, String> {
+    update(path, |now| change.apply(&mut now.out, &mut now.drained)).1
 }
 
 /// What the file says; nothing where there is none.
@@ -239,7 +245,7 @@
                 let path = &path;
                 all.spawn(move || {
                     for i in 0..20 {
-                        changed(path, Change::Out(format!("{of}-{i}"), 0.0)).expect("written");
+                        changed(path, AdminChange::EjectBackend(format!("{of}-{i}"), 0.0)).expect("written");
                     }
                 });
             }
--- a/gateway/src/life/operator.rs
+++ b/gateway/src/process/operator.rs
@@ -1,28 +1,28 @@
 //! The operator's file, where the environment names one: read whole, checked against the configuration, told to the front door.
-use crate::memory::event::Declares;
-use quillramp::facts::About;
+use crate::state::event::OperatorUpdate;
+use quillramp::settings::InstanceSettings;
 use quillramp_operator::routes::{Operation, Platform, Table};
 use quillramp_operator::{Diagnostic, OperatorSettings, MAX_FILE_BYTES};
 use std::fs::File;
 use std::io::Read;
 
-pub const PATH: &str = "EDGE_OPERATOR";
+pub const PATH_VARIABLE: &str = "EDGE_OPERATOR";
 /// How often a file that changes while it is read is read again.
 const TRIES: usize = 3;
 
 /// What the configuration allows, for a file to be checked against.
-pub fn platform(about: &About, sockets: usize) -> Platform {
-    let operation = |o: &quillramp::facts::Offered| Operation {
+pub fn platform(about: &InstanceSettings, sockets: usize) -> Platform {
+    let operation = |o: &quillramp::settings::OfferedOperation| Operation {
         name: o.name.clone(),
-        effect: o.effect,
+        effect: o.idempotency,
         objective: o.latency_objective,
         timeout: o.timeout,
     };
     Platform {
         operations: about.operations.iter().map(operation).collect(),
         plans: about.plans.clone(),
-        attempts: about.attempts,
-        second_copies: about.second_copies,
+        attempts: about.max_attempts,
+        second_copies: about.hedging,
         sockets,
     }
 }
@@ -53,13 +53,19 @@
 
 /// Reads the file that the environment names; nothing is switched on where none is named. All that is wrong is said on one line.
 pub fn read(platform: &Platform) -> Result<OperatorSettings, String> {
-    let Ok(path) = std::env::var(PATH) else { return Ok(OperatorSettings::default()) };
+    let Ok(path) = std::env::var(PATH_VARIABLE) else { return Ok(OperatorSettings::default()) };
     let text = text(&path)?;
     quillramp_operator::read(&text, Some(platform)).map_err(|wrong| faults(&path, &wrong).join("; "))
 }
 
 /// What the front door itself is told of it.
-pub fn declares(operator: OperatorSettings, platform: &Platform) -> Declares {
+pub fn operator_update(operator: OperatorSettings, platform: &Platform) -> OperatorUpdate {
     let OperatorSettings { admission, presence, broker, identity, .. } = operator;
-    Declares { routes: Table::new(&operator.routes, platform), admission, presence, broker, identity }
+    OperatorUpdate {
+        routes: Table::new(&operator.routes, platform),
+        admission,
+        presence_interval: presence,
+        broker,
+        identity,
+    }
 }
--- a/gateway/src/life/signals.rs
+++ b/gateway/src/process/signals.rs
@@ -1,10 +1,10 @@
 //! Signals, told to the front door from the main thread: SIGTERM (or SIGINT, from a terminal) to end, SIGHUP to
 //! read the configuration and the operator's file again.
-use super::configuration::{self, Told};
+use super::configuration::{self, Configuration};
 use super::handover::Place;
 use super::{logger, operator};
-use crate::memory::event::Event;
 use crate::sockets::inbox::Inbox;
+use crate::state::event::Event;
 use quillramp_operator::routes::Platform;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -20,14 +20,14 @@
         if signal != SIGHUP {
             // Whether another process has come to take over may be news of this very moment.
             if let Some(Ok(shared)) = place.as_ref().map(Place::look) {
-                inbox.tell(Event::Kept { call: None, shared: Ok(shared) });
+                inbox.tell(Event::SharedStateSaved { call: None, shared: Ok(shared) });
             }
-            inbox.tell(Event::Stop);
+            inbox.tell(Event::Shutdown);
             continue;
         }
         match again(platform) {
             Ok(events) => events.into_iter().for_each(|e| inbox.tell(e)),
-            Err(why) => inbox.tell(Event::NotMoved(why)),
+            Err(why) => inbox.tell(Event::ReloadFailed(why)),
         }
     }
     unreachable!("signals never end");
@@ -35,9 +35,9 @@
 
 /// Both files, each whole: where one can't be used neither is taken up.
 fn again(platform: &Platform) -> Result<[Event; 2], String> {
-    let Told { discovery, counter, .. } = configuration::read()?;
+    let Configuration { discovery, counter, .. } = configuration::read()?;
     let by_operator = operator::read(platform)?;
     logger::told(by_operator.log.as_ref());
-    let declares = operator::declares(by_operator, platform);
-    Ok([Event::Moved { list: discovery, counter }, Event::Declared(Box::new(declares))])
+    let declares = operator::operator_update(by_operator, platform);
+    Ok([Event::ConfigurationReloaded { discovery, counter }, Event::OperatorFileReloaded(Box::new(declares))])
 }
--- a/gateway/src/sockets/accept.rs
+++ b/gateway/src/sockets/accept.rs
@@ -1,7 +1,7 @@
 //! Takes connections of clients and operators in. Out of descriptors, it waits until one is free again.
 use super::drive::Links;
 use super::link::{Common, Link};
-use crate::memory::event::{Conn, Event};
+use crate::state::event::{ConnectionId, Event};
 use may::io::{CoIo, WaitIo};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -73,8 +73,10 @@
                 Ok((stream, from)) => {
                     next += 1;
                     let (conn, event) = match who {
-                        Who::Clients { .. } => (Conn::Client(next), Event::Accepted(next, from.ip())),
-                        Who::Operators => (Conn::Operator(next), Event::Called(next)),
+                        Who::Clients { .. } => {
+                            (ConnectionId::Client(next), Event::ClientAccepted(next, from.ip()))
+                        }
+                        Who::Operators => (ConnectionId::Admin(next), Event::AdminConnected(next)),
                     };
                     match Link::start((conn, from), stream, true, common) {
                         Ok(link) => {
@@ -103,5 +105,5 @@
 /// Somebody may have to go; accepting goes on once a descriptor is free.
 fn crowded(common: &Common) {
     common.short.store(true, Ordering::Relaxed);
-    common.inbox.push(Event::Crowded);
+    common.inbox.push(Event::DescriptorsExhausted);
 }
--- a/gateway/src/sockets/drive.rs
+++ b/gateway/src/sockets/drive.rs
@@ -2,10 +2,10 @@
 use super::clock::Clock;
 use super::link::{Common, Link};
 use super::peers::Peers;
-use crate::life::{handover::Keeper, logger};
-use crate::memory::event::{Conn, Effect, End, Event, Why};
-use crate::memory::reducer::Reducer;
-use crate::wire::resp::Answer;
+use crate::process::{handover::Keeper, logger};
+use crate::state::event::{CloseReason, ClosedConnection, ConnectionId, Effect, Event};
+use crate::state::reducer::Reducer;
+use crate::wire::resp::ClientReply;
 use atomic_refcell::AtomicRefCell;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,13 +13,13 @@
 
 /// The connections that are open.
 #[derive(Default)]
-pub struct Links(AtomicRefCell<HashMap<Conn, Arc<Link>>>);
+pub struct Links(AtomicRefCell<HashMap<ConnectionId, Arc<Link>>>);
 
 impl Links {
-    pub fn insert(&self, conn: Conn, link: Arc<Link>) {
+    pub fn insert(&self, conn: ConnectionId, link: Arc<Link>) {
         self.0.borrow_mut().insert(conn, link);
     }
-    fn remove(&self, conn: Conn) -> Option<Arc<Link>> {
+    fn remove(&self, conn: ConnectionId) -> Option<Arc<Link>> {
         self.0.borrow_mut().remove(&conn)
     }
 }
@@ -32,7 +32,7 @@
 
 #[derive(Default)]
 struct Batch {
-    written: Vec<Conn>,
+    written: Vec<ConnectionId>,
     /// Clients' connections that we ended and that still have something to send.
     closing: Vec<Arc<Link>>,
     /// It is to end then, once all is written.
@@ -81,12 +81,12 @@
         let now = self.clock.now();
         reducer.stats.written += self.common.written.swap(0, Ordering::Relaxed) as u64;
         for event in events.iter() {
-            if let Event::Ended { conn, .. } = event {
+            if let Event::ConnectionEnded { connection: conn, .. } = event {
                 self.links.remove(*conn);
             }
         }
-        reducer.batch(now, events);
-        let (next, effects) = reducer.settle(now);
+        reducer.handle_batch(now, events);
+        let (next, effects) = reducer.poll(now);
         for effect in effects {
             self.carry_out(effect, batch);
         }
@@ -101,98 +101,106 @@
     }
 
     fn carry_out(&self, effect: Effect, batch: &mut Batch) {
-        let mut write = |conn: Conn, encode: &dyn Fn(&Link)| {
+        let mut write = |conn: ConnectionId, encode: &dyn Fn(&Link)| {
             if let Some(link) = self.links.0.borrow().get(&conn) {
                 encode(link);
                 batch.written.push(conn);
             }
         };
         match effect {
-            Effect::Answer(id, answer) => write(Conn::Client(id), &|link| {
+            Effect::Reply(id, answer) => write(ConnectionId::Client(id), &|link| {
                 answer.encode(link.out.borrow_mut().buffer());
                 link.answered();
             }),
-            Effect::TurnAway(id, why) => {
-                write(Conn::Client(id), &|link| {
-                    Answer::Error(why.into()).encode(link.out.borrow_mut().buffer());
+            Effect::Reject(id, why) => {
+                write(ConnectionId::Client(id), &|link| {
+                    ClientReply::Error(why.into()).encode(link.out.borrow_mut().buffer());
                 });
             }
-            Effect::Deliver { connection, delivery, call, wait_ms } => {
-                write(Conn::Backend(connection), &|link| {
+            Effect::SendAttempt { connection, delivery, call, timeout_ms: wait_ms } => {
+                write(ConnectionId::Backend(connection), &|link| {
                     link.out.borrow_mut().append(delivery, |buffer| call.encode(wait_ms, buffer));
                 })
             }
             Effect::Withdraw { connection, delivery } => {
                 let links = self.links.0.borrow();
-                let link = links.get(&Conn::Backend(connection));
+                let link = links.get(&ConnectionId::Backend(connection));
                 if link.is_some_and(|l| l.out.borrow_mut().withdraw(delivery)) {
-                    self.common.inbox.push(Event::Withdrawn { connection, delivery });
+                    self.common.inbox.push(Event::Withdrawn { connection, attempt: delivery });
                 }
             }
-            Effect::Respond(id, response) => write(Conn::Operator(id), &|link| {
+            Effect::AdminRespond(id, response) => write(ConnectionId::Admin(id), &|link| {
                 response.encode(link.out.borrow_mut().buffer());
                 link.mute();
             }),
-            Effect::Keep(id, change) => {
+            Effect::SaveChange(id, change) => {
                 if let Some(keeper) = &self.keeper {
                     keeper.write(id, change);
                 }
             }
-            Effect::Holds(most) => {
+            Effect::AnnounceDescriptorLimit(most) => {
                 if let Some(keeper) = &self.keeper {
                     keeper.holds(most);
                 }
             }
-            Effect::Pass(id, to) => {
+            Effect::Stream(id, to) => {
                 let links = self.links.0.borrow();
-                if let Some(from) = links.get(&Conn::Backend(id)) {
-                    from.pass(to.and_then(|to| links.get(&Conn::Client(to)).cloned()));
-                    batch.written.extend(to.map(Conn::Client));
+                if let Some(from) = links.get(&ConnectionId::Backend(id)) {
+                    from.pass(to.and_then(|to| links.get(&ConnectionId::Client(to)).cloned()));
+                    batch.written.extend(to.map(ConnectionId::Client));
                 }
             }
-            Effect::EndIfStalled { connection, silent_for, still_for } => {
-                let conn = Conn::Backend(connection);
+            Effect::CloseIfStalled { connection, unresponsive_for: silent_for, stalled_for: still_for } => {
+                let conn = ConnectionId::Backend(connection);
                 let stalled = |link: &Arc<Link>| {
                     let still = link.still_for();
                     still >= still_for || still >= silent_for && link.is_silent()
                 };
                 if self.links.0.borrow().get(&conn).is_some_and(stalled) {
                     self.end(conn, batch);
-                    self.common.inbox.push(Event::Ended { conn, why: Why::Stalled, unsent: false });
+                    self.common.inbox.push(Event::ConnectionEnded {
+                        connection: conn,
+                        reason: CloseReason::StreamStalled,
+                        unsent: false,
+                    });
                 }
             }
-            Effect::Mute(id) => {
-                if let Some(link) = self.links.0.borrow().get(&Conn::Client(id)) {
+            Effect::StopReading(id) => {
+                if let Some(link) = self.links.0.borrow().get(&ConnectionId::Client(id)) {
                     link.mute();
                 }
             }
-            Effect::Part(id, why) => {
+            Effect::CloseIfIdle(id, why) => {
                 // What came meanwhile is read first, answered, and then it is looked again.
-                let quiet = self.links.0.borrow().get(&Conn::Client(id)).is_some_and(|l| !l.unread());
+                let quiet = self.links.0.borrow().get(&ConnectionId::Client(id)).is_some_and(|l| !l.unread());
                 if quiet {
-                    self.end(Conn::Client(id), batch);
-                    self.common.inbox.push(Event::Parted(id, why));
+                    self.end(ConnectionId::Client(id), batch);
+                    self.common.inbox.push(Event::IdleClientClosed(id, why));
                 }
             }
-            Effect::Request(conn, request) => {
+            Effect::HttpRequest(conn, request) => {
                 write(conn, &|link| request.encode(link.to, link.out.borrow_mut().buffer()))
             }
             Effect::Connect(conn, to) => match Link::connect(conn, to, &self.common) {
                 Ok(link) => self.links.insert(conn, link),
                 Err(e) => {
                     tracing::warn!("connect to {to}: {e}");
-                    self.common.inbox.push(Event::Ended { conn, why: Why::Refused, unsent: true });
+                    self.common.inbox.push(Event::ConnectionEnded {
+                        connection: conn,
+                        reason: CloseReason::Refused,
+                        unsent: true,
+                    });
                 }
             },
             Effect::Close(conn) => self.end(conn, batch),
-            Effect::Datagram(to, body) => {
+            Effect::SendDatagram(to, body) => {
                 if let Some(peers) = &self.peers {
                     peers.send(to, &body);
                 }
             }
             Effect::Log(line) => tracing::info!("{line}"),
-            Effect::LogEnd(end) => {
-                let End { kind, id, ref name, why } = end;
+            Effect::LogClosed(end) => {
+                let ClosedConnection { kind, id, ref name, reason: why } = end;
                 tracing::info!(connection = kind, id, name, why = why.code(), "{end}");
             }
             Effect::StopAccepting => {
@@ -200,14 +208,14 @@
                 self.common.wake_acceptors();
             }
             Effect::Exit => batch.exits = Some(self.clock.now() + 2.0 * LOOK),
-            Effect::ExitNow => exit(),
+            Effect::ExitImmediately => exit(),
         }
     }
 
-    fn end(&self, conn: Conn, batch: &mut Batch) {
+    fn end(&self, conn: ConnectionId, batch: &mut Batch) {
         if let Some(link) = self.links.remove(conn) {
             link.close();
-            if matches!(conn, Conn::Client(_)) && !link.flushed() {
+            if matches!(conn, ConnectionId::Client(_)) && !link.flushed() {
                 batch.closing.push(link);
             }
         }
--- a/gateway/src/sockets/inbox.rs
+++ b/gateway/src/sockets/inbox.rs
@@ -1,5 +1,5 @@
 //! The events for the reducer, and its alarm: both wake the one coroutine that drives it.
-use crate::memory::event::Event;
+use crate::state::event::Event;
 use atomic_refcell::AtomicRefCell;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use nix::sys::timerfd::{ClockId, Expiration, TimerFd, TimerFlags, TimerSetTimeFlags};
--- a/gateway/src/sockets/link.rs
+++ b/gateway/src/sockets/link.rs
@@ -1,10 +1,10 @@
 //! One TCP connection of any kind: a coroutine reads and decodes; what is written leaves with the batch.
 use super::inbox::Inbox;
-use crate::memory::backlog::{Backlog, Due};
-use crate::memory::event::{Conn, Event, Why};
-use crate::memory::intake::{Hears, Intake};
-use crate::memory::outgoing::Outgoing;
-use crate::wire::resp::{self, Command};
+use crate::state::backlog::{Backlog, Due};
+use crate::state::event::{CloseReason, ConnectionId, Event};
+use crate::state::framing::{MessageReader, MessageSink};
+use crate::state::write_buffer::WriteBuffer;
+use crate::wire::resp::{self, ClientCommand};
 use atomic_refcell::AtomicRefCell;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use std::collections::VecDeque;
@@ -119,12 +119,12 @@
 }
 
 pub struct Link {
-    conn: Conn,
+    conn: ConnectionId,
     /// The other side.
     pub to: SocketAddr,
     stream: CoIo<TcpStream>,
     waker: WaitIoWaker,
-    pub out: AtomicRefCell<Outgoing>,
+    pub out: AtomicRefCell<WriteBuffer>,
     /// A client's commands that have no answer yet; and the lengths of the long ones, 0 for others.
     owed: AtomicUsize,
     long: AtomicRefCell<VecDeque<usize>>,
@@ -135,7 +135,7 @@
     closed: AtomicBool,
     /// Nothing more is heard; for an operator: its answer is the last that leaves.
     muted: AtomicBool,
-    intake: AtomicRefCell<Intake>,
+    intake: AtomicRefCell<MessageReader>,
     /// A backend's: the client that a value passes to; it was told to go on; when something last passed; it waits
     /// for its client.
     passes_to: AtomicRefCell<Option<Arc<Link>>>,
@@ -150,7 +150,7 @@
 
 impl Drop for Link {
     fn drop(&mut self) {
-        if matches!(self.conn, Conn::Client(_)) {
+        if matches!(self.conn, ConnectionId::Client(_)) {
             self.common.clients.fetch_sub(1, Ordering::Relaxed);
         }
         if self.common.short.swap(false, Ordering::Relaxed) {
@@ -162,7 +162,7 @@
 impl Link {
     /// Takes up a connection, made or in the making, and starts its coroutine.
     pub fn start(
-        (conn, to): (Conn, SocketAddr),
+        (conn, to): (ConnectionId, SocketAddr),
         stream: TcpStream,
         up: bool,
         common: &Arc<Common>,
@@ -172,7 +172,7 @@
         let (waker, common) = (stream.waker(), common.clone());
         let (out, owed, closed) = (AtomicRefCell::default(), AtomicUsize::new(0), AtomicBool::new(false));
         let muted = AtomicBool::new(false);
-        let (intake, source) = (AtomicRefCell::new(Intake::new(conn)), AtomicRefCell::default());
+        let (intake, source) = (AtomicRefCell::new(MessageReader::new(conn)), AtomicRefCell::default());
         let [resumed, waits] = [(); 2].map(|()| AtomicBool::new(false));
         let moved = AtomicRefCell::new(Instant::now());
         let counted = AtomicUsize::new(0);
@@ -197,7 +197,7 @@
             counted,
             common,
         });
-        if matches!(conn, Conn::Client(_)) {
+        if matches!(conn, ConnectionId::Client(_)) {
             link.common.clients.fetch_add(1, Ordering::Relaxed);
         }
         let own = link.clone();
@@ -206,7 +206,11 @@
     }
 
     /// Starts connecting; whether it comes up is told later.
-    pub fn connect(conn: Conn, to: SocketAddr, common: &Arc<Common>) -> Result<Arc<Link>, std::io::Error> {
+    pub fn connect(
+        conn: ConnectionId,
+        to: SocketAddr,
+        common: &Arc<Common>,
+    ) -> Result<Arc<Link>, std::io::Error> {
         let socket = socket2::Socket::new(socket2::Domain::for_address(to), socket2::Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
@@ -226,8 +230,8 @@
                 _ => break, // no room yet; or the reader finds out that it broke
             }
         }
-        self.common.written.fetch_add(out.written(done), Ordering::Relaxed);
-        let answered = matches!(self.conn, Conn::Operator(_)) && self.muted.load(Ordering::Relaxed);
+        self.common.written.fetch_add(out.consume(done), Ordering::Relaxed);
+        let answered = matches!(self.conn, ConnectionId::Admin(_)) && self.muted.load(Ordering::Relaxed);
         if answered && out.is_empty() {
             let _ = self.stream.inner().shutdown(Shutdown::Write); // it may have gone
         }
@@ -251,7 +255,7 @@
 
     /// What has begun here passes to this client from now on, or to nobody.
     pub fn pass(self: &Arc<Link>, to: Option<Arc<Link>>) {
-        let Some(left) = self.intake.borrow_mut().passes() else { return };
+        let Some(left) = self.intake.borrow_mut().start_streaming() else { return };
         if let Some(to) = &to {
             to.out.borrow_mut().buffer().extend_from_slice(format!("${left}\r\n").as_bytes());
             *to.source.borrow_mut() = Some(self.clone());
@@ -271,17 +275,17 @@
     pub fn is_silent(&self) -> bool {
         let to = self.passes_to.borrow();
         let flushed = to.as_ref().is_some_and(|to| to.flushed());
-        flushed && self.intake.borrow().is_passing() && !self.waits.load(Ordering::Relaxed)
+        flushed && self.intake.borrow().is_streaming() && !self.waits.load(Ordering::Relaxed)
     }
 
     /// How much of a value may be read now; all of it where nobody waits for it.
     fn ahead(&self) -> usize {
         let intake = self.intake.borrow();
-        if intake.waits() {
+        if intake.is_stream_pending() {
             return 0;
         }
         match &*self.passes_to.borrow() {
-            Some(to) if intake.is_passing() && !to.closed.load(Ordering::Relaxed) => {
+            Some(to) if intake.is_streaming() && !to.closed.load(Ordering::Relaxed) => {
                 let crowded = self.common.passing.load(Ordering::Relaxed) > self.common.most_passing;
                 match to.out.borrow().len() {
                     0 if crowded => LITTLE,
@@ -297,8 +301,8 @@
     /// bytes would hide that, and make the close a reset that can take our answers with it.
     pub fn mute(&self) {
         self.muted.store(true, Ordering::Relaxed);
-        if matches!(self.conn, Conn::Client(_)) {
-            self.intake.borrow_mut().deaf = true;
+        if matches!(self.conn, ConnectionId::Client(_)) {
+            self.intake.borrow_mut().discard = true;
             self.waker.wakeup();
         }
     }
@@ -343,7 +347,7 @@
     }
 
     fn number(&self) -> usize {
-        if let Conn::Client(id) = self.conn {
+        if let ConnectionId::Client(id) = self.conn {
             id as usize
         } else {
             0
@@ -370,7 +374,7 @@
     /// tells of that at once, by a reset.
     fn full(&self) -> bool {
         match self.conn {
-            Conn::Backend(_) => self.ahead() == 0,
+            ConnectionId::Backend(_) => self.ahead() == 0,
             _ => self.out.borrow().len() > self.common.unread,
         }
     }
@@ -378,11 +382,14 @@
     /// Any other client that waits for something is read from, for its end may lie behind what it wrote: where there is
     /// no room for that, it is dropped.
     fn is_to_drop(&self, got: &Backlog) -> bool {
-        if !matches!(self.conn, Conn::Client(_)) || self.owed.load(Ordering::Relaxed) == 0 || got.drops() {
+        if !matches!(self.conn, ConnectionId::Client(_))
+            || self.owed.load(Ordering::Relaxed) == 0
+            || got.drops()
+        {
             return false;
         }
         let too_much = self.asks_ahead() && got.len() > self.common.unread;
-        too_much || got.len() > resp::MESSAGE && !self.has_spare_room()
+        too_much || got.len() > resp::MAX_MESSAGE_BYTES && !self.has_spare_room()
     }
 
     /// As many of a client's commands as may wait for their answers do.
@@ -394,7 +401,7 @@
     pub fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
         // But nothing of a delivery that was given up in the same batch: the backend would take it for one that is wanted.
-        if matches!(self.conn, Conn::Backend(_)) && !self.flushed() {
+        if matches!(self.conn, ConnectionId::Backend(_)) && !self.flushed() {
             self.out.borrow_mut().clear();
         }
         self.flush();
@@ -424,10 +431,10 @@
 
     /// Counts what is kept of an unfinished command; false if that is too much for all clients together.
     fn keep(&self, before: usize, now: usize) -> bool {
-        if !matches!(self.conn, Conn::Client(_)) {
+        if !matches!(self.conn, ConnectionId::Client(_)) {
             return true;
         }
-        let long = |n: usize| if n > resp::MESSAGE { n } else { 0 };
+        let long = |n: usize| if n > resp::MAX_MESSAGE_BYTES { n } else { 0 };
         let short = |n: usize| n - long(n);
         let kept = self.common.half.load(Ordering::Relaxed) + short(now) - short(before);
         self.common.half.store(kept, Ordering::Relaxed);
@@ -447,27 +454,31 @@
                     continue;
                 }
                 if !matches!(self.stream.inner().take_error(), Ok(None)) || flags & WRITABLE == 0 {
-                    return self.ended(Why::Refused);
+                    return self.ended(CloseReason::Refused);
                 }
                 up = true;
-                self.common.inbox.push(Event::Up(self.conn));
+                self.common.inbox.push(Event::Connected(self.conn));
             }
             if flags & WRITABLE != 0 && !self.flushed() {
                 self.flush();
             }
             if self.closed.load(Ordering::Relaxed) {
-                let speaks = matches!(self.conn, Conn::Client(_) | Conn::Operator(_));
+                let speaks = matches!(self.conn, ConnectionId::Client(_) | ConnectionId::Admin(_));
                 if self.flushed() || !speaks || flags & ENDED != 0 {
                     let _ = self.stream.inner().shutdown(Shutdown::Both);
                     return self.out.borrow_mut().clear(); // nothing more leaves
                 }
-                self.intake.borrow_mut().deaf = true;
+                self.intake.borrow_mut().discard = true;
             }
             unread |= flags & READABLE;
-            let (ended, passes) = (unread & ENDED != 0, matches!(self.conn, Conn::Backend(_)));
+            let (ended, passes) = (unread & ENDED != 0, matches!(self.conn, ConnectionId::Backend(_)));
             // A client that has left: whatever it said before that nobody has read, nobody waits for it.
-            if ended && matches!(self.conn, Conn::Client(_)) && !self.closed.load(Ordering::Relaxed) {
-                return self.ended(if unread & ERROR != 0 { Why::Reset } else { Why::Closed });
+            if ended && matches!(self.conn, ConnectionId::Client(_)) && !self.closed.load(Ordering::Relaxed) {
+                return self.ended(if unread & ERROR != 0 {
+                    CloseReason::Reset
+                } else {
+                    CloseReason::Closed
+                });
             }
             let behind = self.behind.load(Ordering::Relaxed) && !self.asks_ahead();
             if (self.resumed.swap(false, Ordering::Relaxed) || behind) && !got.is_empty() {
@@ -493,10 +504,10 @@
         }
     }
 
-    fn ended(&self, why: Why) {
+    fn ended(&self, why: CloseReason) {
         if !self.closed.load(Ordering::Relaxed) {
             let unsent = !self.flushed();
-            self.common.inbox.push(Event::Ended { conn: self.conn, why, unsent });
+            self.common.inbox.push(Event::ConnectionEnded { connection: self.conn, reason: why, unsent });
         }
         self.out.borrow_mut().clear(); // nothing more leaves
     }
@@ -504,7 +515,7 @@
     /// Reads all there is, or until it is full; true if that was all. A short read is the last one, unless the
     /// other side has ended, or may have while nothing was read here (`rested`): its end is to be met together with
     /// the commands before it.
-    fn read(self: &Arc<Link>, (ended, rested): (bool, bool), got: &mut Backlog) -> Result<bool, Why> {
+    fn read(self: &Arc<Link>, (ended, rested): (bool, bool), got: &mut Backlog) -> Result<bool, CloseReason> {
         let mut scratch = self.common.scratch.borrow_mut();
         let mut read = 0;
         loop {
@@ -519,20 +530,20 @@
                 self.common.inbox.wake();
                 return Ok(false);
             }
-            if got.len() > resp::MESSAGE && !got.drops() && !self.deaf() && !self.may_grow() {
+            if got.len() > resp::MAX_MESSAGE_BYTES && !got.drops() && !self.deaf() && !self.may_grow() {
                 if !self.crowded.swap(true, Ordering::Relaxed) {
                     self.common.crowd.borrow_mut().push(self.clone());
-                    self.tell(Event::Body(self.number() as u64, false));
+                    self.tell(Event::BodyProgress(self.number() as u64, false));
                 }
                 return Ok(false);
             }
-            let room = if matches!(self.conn, Conn::Backend(_)) { self.ahead() } else { SCRATCH };
+            let room = if matches!(self.conn, ConnectionId::Backend(_)) { self.ahead() } else { SCRATCH };
             if room == 0 {
                 self.waits.store(true, Ordering::Relaxed);
                 return Ok(false);
             }
             match self.stream.inner().read(&mut scratch[..room]) {
-                Ok(0) => return Err(Why::Closed),
+                Ok(0) => return Err(CloseReason::Closed),
                 Ok(n) if self.deaf() => read += n,
                 Ok(n) => {
                     let before = got.len();
@@ -545,10 +556,11 @@
                         self.decode(got)?;
                     }
                     if got.drops() {
-                        self.tell(Event::Body(self.number() as u64, true)); // it is at a command, kept or not
+                        self.tell(Event::BodyProgress(self.number() as u64, true));
+                        // it is at a command, kept or not
                     }
                     if !self.keep(before, got.len()) {
-                        self.intake.borrow_mut().broken("too much unfinished", &mut Told(self));
+                        self.intake.borrow_mut().protocol_error("too much unfinished", &mut Told(self));
                     }
                     if self.deaf() {
                         self.keep(got.len(), 0);
@@ -567,29 +579,29 @@
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(true),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Err(Why::Reset),
+                Err(_) => return Err(CloseReason::Reset),
             }
         }
     }
 
     /// Tells of each whole message; how many bytes they took.
-    fn decode_all(&self, bytes: &[u8]) -> Result<usize, Why> {
+    fn decode_all(&self, bytes: &[u8]) -> Result<usize, CloseReason> {
         let done = self.intake.borrow_mut().decode(bytes, &mut Told(self))?;
         self.behind.store(self.asks_ahead() && done < bytes.len(), Ordering::Relaxed);
         Ok(done)
     }
 
     /// The same of what is kept; what was dropped behind it is refused in its turn.
-    fn decode(&self, got: &mut Backlog) -> Result<(), Why> {
+    fn decode(&self, got: &mut Backlog) -> Result<(), CloseReason> {
         loop {
             let done = self.intake.borrow_mut().decode(got.decodable(), &mut Told(self))?;
             got.decoded(done);
             while !self.asks_ahead() {
                 match got.next_due() {
-                    Some(Due::Refusal) => self.tell_command(Command::Dropped),
+                    Some(Due::Refusal) => self.tell_command(ClientCommand::Dropped),
                     Some(Due::TooMany) => {
                         got.clear(KEPT);
-                        self.intake.borrow_mut().broken("too many commands at once", &mut Told(self));
+                        self.intake.borrow_mut().protocol_error("too many commands at once", &mut Told(self));
                     }
                     None => break,
                 }
@@ -602,12 +614,12 @@
         Ok(())
     }
 
-    fn tell_command(&self, command: Command) {
-        Told(self).event(Event::Command(self.number() as u64, command), 0);
+    fn tell_command(&self, command: ClientCommand) {
+        Told(self).event(Event::ClientCommand(self.number() as u64, command), 0);
     }
 
     fn deaf(&self) -> bool {
-        self.intake.borrow().deaf
+        self.intake.borrow().discard
     }
 
     fn tell(&self, event: Event) {
@@ -618,23 +630,23 @@
 /// What came on a connection goes to the inbox, and on to the client that it passes to.
 struct Told<'a>(&'a Link);
 
-impl Hears for Told<'_> {
+impl MessageSink for Told<'_> {
     fn event(&mut self, event: Event, long: usize) {
         let link = self.0;
-        if matches!(event, Event::Begun(_)) {
+        if matches!(event, Event::StreamStarted(_)) {
             *link.moved.borrow_mut() = Instant::now();
         }
-        if matches!(event, Event::Command(..)) {
+        if matches!(event, Event::ClientCommand(..)) {
             link.owed.fetch_add(1, Ordering::Relaxed);
             link.long.borrow_mut().push_back(long);
             link.common.long.fetch_add(long, Ordering::Relaxed);
         }
         link.common.inbox.push(event);
     }
-    fn enough(&self) -> bool {
+    fn is_full(&self) -> bool {
         self.0.asks_ahead()
     }
-    fn piece(&mut self, bytes: &[u8], end: bool) {
+    fn body_chunk(&mut self, bytes: &[u8], end: bool) {
         let link = self.0;
         *link.moved.borrow_mut() = Instant::now();
         let to = link.passes_to.borrow().clone();
--- a/gateway/src/sockets/peers.rs
+++ b/gateway/src/sockets/peers.rs
@@ -1,13 +1,13 @@
 //! Datagrams between front doors.
 use super::inbox::Inbox;
-use crate::memory::event::Event;
+use crate::state::event::Event;
 use may::io::{CoIo, WaitIo};
-use quillramp::word;
+use quillramp::gossip;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
 /// One byte more than a datagram may have, so that longer ones are known.
-const ROOM: usize = word::LONGEST + 1;
+const ROOM: usize = gossip::MAX_DATAGRAM_BYTES + 1;
 
 pub struct Peers(CoIo<UdpSocket>);
 
--- a/gateway/src/memory/backlog.rs
+++ b/gateway/src/state/backlog.rs
@@ -74,7 +74,9 @@
     /// Takes in what has been read. `step`: by so much room for a message over `resp::MESSAGE` grows.
     pub fn extend(&mut self, bytes: &[u8], step: usize) {
         let Some(dropping) = &mut self.dropping else {
-            if self.bytes.len() > resp::MESSAGE && self.bytes.capacity() < self.bytes.len() + bytes.len() {
+            if self.bytes.len() > resp::MAX_MESSAGE_BYTES
+                && self.bytes.capacity() < self.bytes.len() + bytes.len()
+            {
                 self.bytes.reserve_exact(step); // not by doubling
             }
             return self.bytes.extend_from_slice(bytes);
@@ -95,7 +97,7 @@
     /// dropped ones are refused.
     pub fn start_dropping(&mut self) {
         let mut before = 0;
-        while let Ok(Extent::Whole(length)) = resp::extent(&self.bytes[before..]) {
+        while let Ok(Extent::Complete(length)) = resp::command_extent(&self.bytes[before..]) {
             before += length;
         }
         self.dropping = Some(Dropping { before, ..Dropping::default() });
@@ -107,8 +109,8 @@
         let Some(dropping) = &mut self.dropping else { return };
         let mut at = dropping.before;
         loop {
-            match resp::extent(&self.bytes[at..]) {
-                Ok(Extent::Whole(length)) => {
+            match resp::command_extent(&self.bytes[at..]) {
+                Ok(Extent::Complete(length)) => {
                     dropping.dropped += 1;
                     at += length;
                 }
--- a/gateway/src/memory/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -1,7 +1,7 @@
 //! The broker between teams: an invocation is asked about there before the decisions hear of it, and what they refuse is given back.
 use super::event::Effect;
 use super::reducer::Reducer;
-use crate::wire::resp::{Answer, Call};
+use crate::wire::resp::{ClientReply, RequestCommand};
 use quillramp::types::*;
 use quillramp_broker::budget;
 use quillramp_broker::{Broker, Grant, Reason, Request, TeamId, TeamUsage, Verdict};
@@ -16,7 +16,7 @@
     broker: Broker,
     terms: BrokerSettings,
     /// The customer's index that stands for a team's budget, with the team; and periods by the series that their counts have.
-    counts: BTreeMap<Customer, TeamId>,
+    counts: BTreeMap<CustomerIndex, TeamId>,
     periods: BTreeMap<u32, u64>,
 }
 
@@ -39,22 +39,22 @@
 }
 
 /// What a client hears whose team may not have what it asks for.
-fn denied(reason: Reason) -> Answer {
-    Answer::Error(format!("contract: {}", reason.message()))
+fn denied(reason: Reason) -> ClientReply {
+    ClientReply::Error(format!("contract: {}", reason.message()))
 }
 
 impl Brokered {
     /// Whether this count is a budget's.
-    pub fn calls(&self, name: CountName) -> bool {
+    pub fn calls(&self, name: CounterKey) -> bool {
         self.counts.contains_key(&name.customer)
     }
 
     /// What came of a call; another one may be due.
-    pub fn told(&mut self, now: f64, name: CountName, result: Counted) -> Option<CounterCall> {
+    pub fn told(&mut self, now: f64, name: CounterKey, result: CounterResult) -> Option<CounterCall> {
         let (team, period) = (*self.counts.get(&name.customer)?, *self.periods.get(&name.series)?);
-        let total = if let Counted::Total(total) = result { Some(total) } else { None };
+        let total = if let CounterResult::Total(total) = result { Some(total) } else { None };
         let call = self.broker.call_answered(now, team, period, total)?;
-        Some(CounterCall { name, add: call.amount, lives: call.lifetime })
+        Some(CounterCall { key: name, delta: call.amount, lifetime: call.lifetime })
     }
 }
 
@@ -72,7 +72,7 @@
             }
         };
         self.effects.push(Effect::Log(says));
-        let doors = self.about.doors;
+        let doors = self.instance.instances;
         match (&mut self.broker, terms) {
             (broker, None) => *broker = None,
             (Some(b), Some(terms)) => {
@@ -91,9 +91,9 @@
     pub(super) fn contracted(
         &mut self,
         now: f64,
-        (client, call): (u64, &Call),
-        ask: &Ask,
-    ) -> Result<Option<Grant>, Answer> {
+        (client, call): (u64, &RequestCommand),
+        ask: &RequestAttributes,
+    ) -> Result<Option<Grant>, ClientReply> {
         let answer = match self.known(now, client, ask.operation, call) {
             Ok(speaks) => match self.admitted_by_contract(now, speaks, call, ask) {
                 Ok(grant) => return Ok(grant),
@@ -101,7 +101,7 @@
             },
             Err(answer) => answer,
         };
-        if let Some(gate) = &mut self.gate {
+        if let Some(gate) = &mut self.admission {
             gate.command_answered(now, client, call.customer, false);
         }
         Err(answer)
@@ -112,15 +112,15 @@
         &mut self,
         now: f64,
         speaks: Option<String>,
-        call: &Call,
-        ask: &Ask,
-    ) -> Result<Option<Grant>, Answer> {
+        call: &RequestCommand,
+        ask: &RequestAttributes,
+    ) -> Result<Option<Grant>, ClientReply> {
         let Some(b) = &mut self.broker else { return Ok(None) };
         let team = match speaks {
             Some(name) => Some(b.broker.team_id(&name)),
             None => b.broker.team_of_customer(now, call.customer),
         };
-        let operation = &self.about.operations[ask.operation].name;
+        let operation = &self.instance.operations[ask.operation].name;
         let team = match team {
             Some(team) => team,
             None if b.terms.strangers => return Ok(None),
@@ -134,8 +134,9 @@
         match response.verdict {
             Verdict::Grant(grant) => Ok(Some(grant)),
             Verdict::RetryAfter { seconds, .. } => {
-                let retry_after_ms = self.about.advises.then(|| (seconds.min(3600.0) * 1e3).ceil() as u64);
-                Err(Answer::Busy { retry_after_ms })
+                let retry_after_ms =
+                    self.instance.sends_retry_after.then(|| (seconds.min(3600.0) * 1e3).ceil() as u64);
+                Err(ClientReply::Busy { retry_after_ms })
             }
             Verdict::Deny(reason) => Err(denied(reason)),
         }
@@ -144,29 +145,29 @@
     fn calls_budget(&mut self, now: f64, team: TeamId, due: budget::CounterCall) {
         let Some(b) = &mut self.broker else { return };
         let Some(name) = b.broker.team_name(team).map(number) else { return };
-        let customer = self.customers.index(&name);
+        let customer = self.customers.intern(&name);
         b.counts.insert(customer, team);
         let series = due.period as u32;
         b.periods.insert(series, due.period);
         while b.periods.len() > 64 {
             b.periods.pop_first();
         }
-        let name = CountName { customer, series };
-        self.count(now, CounterCall { name, add: due.amount, lives: due.lifetime });
+        let name = CounterKey { customer, series };
+        self.count(now, CounterCall { key: name, delta: due.amount, lifetime: due.lifetime });
     }
 
     /// What an invocation really took.
-    pub(super) fn billed(&mut self, now: f64, inv: Inv, units: f64) {
+    pub(super) fn billed(&mut self, now: f64, inv: RequestIndex, units: f64) {
         let Some(b) = &mut self.broker else { return };
-        if let Some(grant) = self.held[inv].as_mut().and_then(|h| h.grant.as_mut()) {
+        if let Some(grant) = self.requests[inv].as_mut().and_then(|h| h.grant.as_mut()) {
             b.broker.settle(now, grant, units);
             grant.units = units;
         }
     }
 
     /// An invocation is over that was never sent on.
-    pub(super) fn unused(&mut self, inv: Inv) {
-        let Some(held) = self.held[inv].as_mut().filter(|h| h.deliveries.is_empty()) else { return };
+    pub(super) fn unused(&mut self, inv: RequestIndex) {
+        let Some(held) = self.requests[inv].as_mut().filter(|h| h.deliveries.is_empty()) else { return };
         if let (Some(b), Some(grant)) = (&mut self.broker, held.grant.take()) {
             b.broker.refund(&grant);
         }
--- a/gateway/src/memory/drain.rs
+++ b/gateway/src/state/drain.rs
@@ -1,5 +1,5 @@
 //! The drain, and the stop, which is a drain that ends in an exit.
-use super::event::{Conn, Effect, Why};
+use super::event::{CloseReason, ConnectionId, Effect};
 use super::kept::*;
 use super::reducer::Reducer;
 use quillramp::types::*;
@@ -20,20 +20,20 @@
 impl Reducer {
     /// What `PING` hears. Where another process takes over, the front door as a whole goes on.
     pub(super) fn takes_clients(&self) -> bool {
-        !self.shared.drained && (!self.stopping || self.hands_over)
+        !self.shared.drained && (!self.stopping || self.hands_over_listener)
     }
 
     pub(super) fn stop(&mut self, now: f64) {
         if std::mem::replace(&mut self.stopping, true) {
             return;
         }
-        let kill = now + self.about.longest_timeout.min(KILL.0) + KILL.1;
-        self.ends = kill - LAST;
-        self.at(self.ends, Due::Last);
+        let kill = now + self.instance.max_client_timeout.min(KILL.0) + KILL.1;
+        self.shutdown_deadline = kill - LAST;
+        self.at(self.shutdown_deadline, Due::Last);
         self.at(kill - GONE, Due::Exit);
         // With nobody to take over this is a stop like any other, and the next start is to come soon.
-        self.hands_over = self.parties.passed && self.shared.newer;
-        if self.hands_over {
+        self.hands_over_listener = self.config.inherited_listener && self.shared.peer_process_newer;
+        if self.hands_over_listener {
             self.effects
                 .push(Effect::Log("told to stop: the next process accepts, this one serves out".into()));
             self.leave(now);
@@ -41,7 +41,7 @@
         }
         self.effects.push(Effect::Log("told to stop: serving on, then ending connections".into()));
         // One that was drained by hand serves on, too: for a while clients keep coming.
-        self.leaving = false;
+        self.draining = false;
         self.leave_after_a_while(now);
     }
 
@@ -53,34 +53,34 @@
         if drained {
             self.leave_after_a_while(now);
         } else if !self.stopping {
-            self.leaving = false;
-            self.parting.clear();
-            self.leaves.take().map(|key| self.timers.remove(&key));
+            self.draining = false;
+            self.closing_clients.clear();
+            self.drain_timer.take().map(|key| self.timers.remove(&key));
         }
     }
 
     fn leave_after_a_while(&mut self, now: f64) {
-        if self.leaves.is_none() || self.stopping {
-            self.leaves.take().map(|key| self.timers.remove(&key));
-            self.leaves = Some(self.at(now + LINGER, Due::Leave));
+        if self.drain_timer.is_none() || self.stopping {
+            self.drain_timer.take().map(|key| self.timers.remove(&key));
+            self.drain_timer = Some(self.at(now + LINGER, Due::Leave));
         }
     }
 
     /// Connections between invocations end; the others once they have their answers.
     pub(super) fn leave(&mut self, now: f64) {
-        self.leaving = true;
+        self.draining = true;
         if self.stopping {
             self.effects.push(Effect::StopAccepting);
         }
-        self.leaves = Some(self.at(now + PATIENCE - LINGER, Due::Mute));
-        self.parting
+        self.drain_timer = Some(self.at(now + PATIENCE - LINGER, Due::Mute));
+        self.closing_clients
             .extend(self.clients.iter().filter(|(_, c)| c.owed.is_empty() && c.said).map(|(id, _)| *id));
-        if !self.hands_over {
+        if !self.hands_over_listener {
             let silent = self.clients.iter().filter(|(_, c)| !c.said && c.half.is_none());
-            self.parting.extend(silent.map(|(id, _)| *id));
+            self.closing_clients.extend(silent.map(|(id, _)| *id));
         } else {
             // The next process needs the descriptors, and its own connections to backends.
-            for tgt in 0..self.places.len() {
+            for tgt in 0..self.backends.len() {
                 self.close_idle(tgt);
             }
         }
@@ -90,10 +90,10 @@
     /// The kill is near: nobody waits for longer. What is out has timed out, what waits is asked about once more, and what
     /// comes now is answered at once. A value on its way through goes on to the exit.
     pub(super) fn last(&mut self, now: f64) {
-        for inv in self.held.keys().collect::<Vec<Inv>>() {
-            let open = self.held[inv].as_mut().filter(|h| !h.closed && h.begun.is_none());
+        for inv in self.requests.keys().collect::<Vec<RequestIndex>>() {
+            let open = self.requests[inv].as_mut().filter(|h| !h.closed && h.begun.is_none());
             let Some(held) = open else { continue };
-            held.ask.until = held.ask.until.min(self.ends);
+            held.ask.deadline = held.ask.deadline.min(self.shutdown_deadline);
             self.place(now, inv);
             self.time_up(inv);
             self.conclude(now);
@@ -102,47 +102,47 @@
 
     /// Clients that ask on and on.
     pub(super) fn mute(&mut self) {
-        if self.leaving {
+        if self.draining {
             let busy = self.clients.iter_mut().filter(|(_, c)| !c.owed.is_empty() && !c.muted);
             let mut busy: Vec<u64> = busy.map(|(id, c)| (c.muted = true, *id).1).collect();
             busy.sort_unstable();
-            self.effects.extend(busy.into_iter().map(Effect::Mute));
+            self.effects.extend(busy.into_iter().map(Effect::StopReading));
         }
     }
 
     /// Connections that may end now: between two commands, and with nothing on them that nobody has read. Asked for
     /// after all answers of a batch.
     pub(super) fn part(&mut self) {
-        for id in std::mem::take(&mut self.parting) {
+        for id in std::mem::take(&mut self.closing_clients) {
             let Some(client) = self.clients.get(&id).filter(|c| c.owed.is_empty()) else { continue };
             if client.muted {
                 self.no_client(id);
-                self.close(Conn::Client(id), self.why());
+                self.close(ConnectionId::Client(id), self.why());
                 self.exit_when_done();
             } else if client.half.is_none() {
-                self.effects.push(Effect::Part(id, self.why()));
+                self.effects.push(Effect::CloseIfIdle(id, self.why()));
             }
         }
     }
 
-    pub(super) fn parted(&mut self, id: u64, why: Why) {
+    pub(super) fn parted(&mut self, id: u64, why: CloseReason) {
         if self.no_client(id).is_some() {
-            self.log_end(Conn::Client(id), why);
+            self.log_end(ConnectionId::Client(id), why);
             self.exit_when_done();
         }
     }
 
-    fn why(&self) -> Why {
+    fn why(&self) -> CloseReason {
         if self.stopping {
-            Why::Stopping
+            CloseReason::Stopping
         } else {
-            Why::Draining
+            CloseReason::Draining
         }
     }
 
     /// Stopping, and no client is left.
     pub fn is_done(&self) -> bool {
-        self.leaving && self.stopping && self.clients.is_empty()
+        self.draining && self.stopping && self.clients.is_empty()
     }
 
     pub(super) fn exit_when_done(&mut self) {
--- a/gateway/src/memory/event.rs
+++ b/gateway/src/state/event.rs
@@ -1,7 +1,7 @@
 //! What happens to a front door, and what it asks to be done.
+use crate::wire::admin;
 use crate::wire::http::{Request, Response};
-use crate::wire::manage;
-use crate::wire::resp::{Answer, Call, Command, Reply};
+use crate::wire::resp::{BackendReply, ClientCommand, ClientReply, RequestCommand};
 use quillramp_admission::Limits;
 use quillramp_identity::Trust;
 use quillramp_operator::broker::BrokerSettings;
@@ -13,18 +13,18 @@
 
 /// A connection, by what it is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Conn {
+pub enum ConnectionId {
     Client(u64),
     Backend(u64),
     Counter(u64),
-    List(u64),
+    Discovery(u64),
     /// An operator's call.
-    Operator(u64),
+    Admin(u64),
 }
 
 /// Why a connection ended, as its log line says it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Why {
+pub enum CloseReason {
     /// The other side closed it.
     Closed,
     Reset,
@@ -34,64 +34,64 @@
     DialTimeout,
     Idle,
     /// A delivery on it was given up.
-    GaveUp,
+    Abandoned,
     /// Its backend drains or is gone.
     Delisted,
     /// It said nothing for too long.
-    Silent,
+    Unresponsive,
     /// It brought what nobody asked for.
-    Surplus,
+    UnexpectedData,
     /// Descriptors ran short.
-    Crowded,
+    DescriptorPressure,
     /// It was not taken in.
-    TurnedAway,
+    Rejected,
     /// The configuration names another address now.
-    Moved,
+    AddressChanged,
     Stopping,
     /// The front door drains.
     Draining,
     /// An operator's call was answered, or not finished in time.
-    Called,
+    AdminCallEnded,
     /// A value broke off on its way through.
-    CutOff,
+    StreamAborted,
     /// A value on its way through stood still.
-    Stalled,
+    StreamStalled,
 }
 
-impl Why {
+impl CloseReason {
     pub fn code(self) -> &'static str {
         match self {
-            Why::Closed => "closed",
-            Why::Reset => "reset",
-            Why::Refused => "refused",
-            Why::BadFraming => "bad-framing",
-            Why::DialTimeout => "dial-timeout",
-            Why::Idle => "idle",
-            Why::GaveUp => "gave-up",
-            Why::Delisted => "delisted",
-            Why::Silent => "silent",
-            Why::Surplus => "surplus",
-            Why::Crowded => "crowded",
-            Why::TurnedAway => "turned-away",
-            Why::Moved => "moved",
-            Why::Stopping => "stopping",
-            Why::Draining => "draining",
-            Why::Called => "called",
-            Why::CutOff => "cut-off",
-            Why::Stalled => "stalled",
+            CloseReason::Closed => "closed",
+            CloseReason::Reset => "reset",
+            CloseReason::Refused => "refused",
+            CloseReason::BadFraming => "bad-framing",
+            CloseReason::DialTimeout => "dial-timeout",
+            CloseReason::Idle => "idle",
+            CloseReason::Abandoned => "gave-up",
+            CloseReason::Delisted => "delisted",
+            CloseReason::Unresponsive => "silent",
+            CloseReason::UnexpectedData => "surplus",
+            CloseReason::DescriptorPressure => "crowded",
+            CloseReason::Rejected => "turned-away",
+            CloseReason::AddressChanged => "moved",
+            CloseReason::Stopping => "stopping",
+            CloseReason::Draining => "draining",
+            CloseReason::AdminCallEnded => "called",
+            CloseReason::StreamAborted => "cut-off",
+            CloseReason::StreamStalled => "stalled",
         }
     }
 }
 
 /// What an operator's file says to the front door.
 #[derive(Debug, Default)]
-pub struct Declares {
+pub struct OperatorUpdate {
     /// The limits of admission, where there are any.
     pub admission: Option<Limits>,
     /// What is declared for which invocations.
     pub routes: Table,
     /// The span in which front doors look who of them reaches the counter, seconds; none where they don't.
-    pub presence: Option<f64>,
+    pub presence_interval: Option<f64>,
     /// Contracts between teams, where there is a broker.
     pub broker: Option<BrokerSettings>,
     /// What tokens are checked against, where callers have to be known.
@@ -100,90 +100,90 @@
 
 /// The end of a connection, as the log has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct End {
+pub struct ClosedConnection {
     pub kind: &'static str,
     pub id: u64,
     /// A backend's name.
     pub name: Option<String>,
-    pub why: Why,
+    pub reason: CloseReason,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for ClosedConnection {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (space, name) = self.name.as_ref().map_or(("", ""), |n| (" ", n));
-        write!(f, "connection {} {}{space}{name} ended: {}", self.kind, self.id, self.why.code())
+        write!(f, "connection {} {}{space}{name} ended: {}", self.kind, self.id, self.reason.code())
     }
 }
 
 /// What operators change for good: it is kept for the next version too.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum AdminChange {
     /// Since when.
-    Out(String, f64),
-    Back(String),
-    Drained(bool),
+    EjectBackend(String, f64),
+    RestoreBackend(String),
+    SetDrained(bool),
 }
 
-impl Change {
-    pub fn make(self, out: &mut BTreeMap<String, f64>, drained: &mut bool) {
+impl AdminChange {
+    pub fn apply(self, out: &mut BTreeMap<String, f64>, drained: &mut bool) {
         match self {
-            Change::Out(name, since) => drop(out.entry(name).or_insert(since)),
-            Change::Back(name) => drop(out.remove(&name)),
-            Change::Drained(now) => *drained = now,
+            AdminChange::EjectBackend(name, since) => drop(out.entry(name).or_insert(since)),
+            AdminChange::RestoreBackend(name) => drop(out.remove(&name)),
+            AdminChange::SetDrained(now) => *drained = now,
         }
     }
 }
 
 /// What the processes of one front door share.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shared {
+pub struct SharedState {
     /// Backends out by hand, and since when.
-    pub out: BTreeMap<String, f64>,
+    pub ejected_backends: BTreeMap<String, f64>,
     pub drained: bool,
     /// Another process of this front door is there too; and it started after this one.
-    pub beside: bool,
-    pub newer: bool,
+    pub peer_process_running: bool,
+    pub peer_process_newer: bool,
     /// It leaves, and will hold no more descriptors than these.
-    pub holds: Option<usize>,
+    pub peer_descriptor_limit: Option<usize>,
 }
 
 #[derive(Debug)]
 pub enum Event {
     /// A client connected, from there.
-    Accepted(u64, IpAddr),
+    ClientAccepted(u64, IpAddr),
     /// An operator connected.
-    Called(u64),
-    Call(u64, manage::Call),
+    AdminConnected(u64),
+    AdminCall(u64, admin::AdminCall),
     /// What is shared has changed: by a call from here, or by another process.
-    Kept {
+    SharedStateSaved {
         call: Option<u64>,
-        shared: Result<Shared, String>,
+        shared: Result<SharedState, String>,
     },
     /// A client's connection that was to end between invocations has.
-    Parted(u64, Why),
-    Command(u64, Command),
+    IdleClientClosed(u64, CloseReason),
+    ClientCommand(u64, ClientCommand),
     /// A reply, and whether more came right behind it.
-    Reply(u64, Reply, bool),
+    BackendReply(u64, BackendReply, bool),
     /// The head of a value that is to pass through; then that it has; and what stands behind.
-    Begun(u64),
-    Passed(u64),
-    Rest(u64, Option<f64>, Option<Vec<u8>>, bool),
-    Response(Conn, Response),
+    StreamStarted(u64),
+    StreamForwarded(u64),
+    StreamTrailer(u64, Option<f64>, Option<Vec<u8>>, bool),
+    HttpResponse(ConnectionId, Response),
     /// The beginning of a message has come, and not yet the rest.
-    Partial(Conn),
+    PartialMessage(ConnectionId),
     /// More of a long body has come, or there is no room for more.
-    Body(u64, bool),
+    BodyProgress(u64, bool),
     /// A connection that was asked for is up.
-    Up(Conn),
+    Connected(ConnectionId),
     /// This delivery was taken out of the buffer of a backend's connection before any of its bytes was written.
     Withdrawn {
         connection: u64,
-        delivery: u64,
+        attempt: u64,
     },
     /// A connection ended that nobody here closed; `unsent`: not all that was written to it has left.
-    Ended {
-        conn: Conn,
-        why: Why,
+    ConnectionEnded {
+        connection: ConnectionId,
+        reason: CloseReason,
         unsent: bool,
     },
     Datagram {
@@ -191,41 +191,41 @@
         body: Vec<u8>,
     },
     /// Accepting found no descriptor left for one more client.
-    Crowded,
+    DescriptorsExhausted,
     /// The configuration was read again: where the list service and the counter are now.
-    Moved {
-        list: SocketAddr,
+    ConfigurationReloaded {
+        discovery: SocketAddr,
         counter: Option<SocketAddr>,
     },
     /// The operator's file was read again, all of it well.
-    Declared(Box<Declares>),
+    OperatorFileReloaded(Box<OperatorUpdate>),
     /// The configuration was to be read again, and can't be.
-    NotMoved(String),
-    Stop,
+    ReloadFailed(String),
+    Shutdown,
 }
 
 #[derive(Debug)]
 pub enum Effect {
-    Answer(u64, Answer),
+    Reply(u64, ClientReply),
     /// The last word to a client that is not taken in.
-    TurnAway(u64, &'static str),
+    Reject(u64, &'static str),
     /// To an operator; that side of the connection ends with it.
-    Respond(u64, manage::Response),
+    AdminRespond(u64, admin::AdminResponse),
     /// To be kept for the next version, and told to this one's other process.
-    Keep(u64, Change),
+    SaveChange(u64, AdminChange),
     /// From now on this process holds no more descriptors than these: the other one may have the rest.
-    Holds(usize),
+    AnnounceDescriptorLimit(usize),
     /// Ends a client's connection unless something has come on it that nobody has read.
-    Part(u64, Why),
+    CloseIfIdle(u64, CloseReason),
     /// Nothing more is heard of this client but its end.
-    Mute(u64),
+    StopReading(u64),
     /// Writes a call to a backend's connection, with the milliseconds that we shall wait for its answer.
-    Deliver {
+    SendAttempt {
         connection: u64,
         /// Its number, unique on this connection.
         delivery: u64,
-        call: Arc<Call>,
-        wait_ms: u64,
+        call: Arc<RequestCommand>,
+        timeout_ms: u64,
     },
     /// Takes a delivery back out of its connection's buffer, if none of its bytes has been written yet.
     Withdraw {
@@ -233,24 +233,24 @@
         delivery: u64,
     },
     /// What has begun on this backend's connection passes to that client, or to nobody.
-    Pass(u64, Option<u64>),
+    Stream(u64, Option<u64>),
     /// Ends a backend's connection on which a value is on its way through, if its backend has been silent for so many
     /// seconds while its client took all there was, or if nothing has moved for so many, for whatever reason.
-    EndIfStalled {
+    CloseIfStalled {
         connection: u64,
-        silent_for: f64,
-        still_for: f64,
+        unresponsive_for: f64,
+        stalled_for: f64,
     },
-    Request(Conn, Request),
-    Connect(Conn, SocketAddr),
+    HttpRequest(ConnectionId, Request),
+    Connect(ConnectionId, SocketAddr),
     /// What was written before it leaves first.
-    Close(Conn),
-    Datagram(SocketAddr, Vec<u8>),
+    Close(ConnectionId),
+    SendDatagram(SocketAddr, Vec<u8>),
     Log(String),
-    LogEnd(End),
+    LogClosed(ClosedConnection),
     StopAccepting,
     /// Once all that was written has left.
     Exit,
     /// At once: there is no more time.
-    ExitNow,
+    ExitImmediately,
 }
--- a/gateway/src/memory/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -1,7 +1,7 @@
 //! Who speaks on a client's connection, where callers have to be known: a token once, by AUTH, and a look at it for each command.
 use super::event::Effect;
 use super::reducer::Reducer;
-use crate::wire::resp::{Answer, Call};
+use crate::wire::resp::{ClientReply, RequestCommand};
 use quillramp_identity::{Authenticator, Trust};
 
 impl Reducer {
@@ -28,21 +28,21 @@
     }
 
     /// A client says who it is. What a token holds is nobody's business, and no line's.
-    pub(super) fn authenticated(&mut self, now: f64, id: u64, token: &[u8]) -> Answer {
+    pub(super) fn authenticated(&mut self, now: f64, id: u64, token: &[u8]) -> ClientReply {
         let Some(authenticator) = &mut self.identity else {
-            return Answer::Error("unknown command".into());
+            return ClientReply::Error("unknown command".into());
         };
         let caller = authenticator.authenticate(now, token);
-        let Some(client) = self.clients.get_mut(&id) else { return Answer::Okay };
+        let Some(client) = self.clients.get_mut(&id) else { return ClientReply::Okay };
         match caller {
             Ok(caller) => {
                 client.caller = Some(caller);
-                Answer::Okay
+                ClientReply::Okay
             }
             Err(rejection) => {
                 client.caller = None;
                 self.effects.push(Effect::Log(format!("client {id}: token not taken: {rejection}")));
-                Answer::Denied(format!("WRONGPASS {rejection}"))
+                ClientReply::Denied(format!("WRONGPASS {rejection}"))
             }
         }
     }
@@ -53,20 +53,20 @@
         now: f64,
         id: u64,
         operation: usize,
-        call: &Call,
-    ) -> Result<Option<String>, Answer> {
+        call: &RequestCommand,
+    ) -> Result<Option<String>, ClientReply> {
         let Some(authenticator) = &self.identity else { return Ok(None) };
         let client = self.clients.get(&id);
         let Some(caller) = client.and_then(|c| c.caller.as_ref()) else {
-            return Err(Answer::Denied("NOAUTH a token first, by AUTH".into()));
+            return Err(ClientReply::Denied("NOAUTH a token first, by AUTH".into()));
         };
         if let Err(rejection) = authenticator.revalidate(now, caller) {
-            return Err(Answer::Denied(format!("NOAUTH {rejection}")));
+            return Err(ClientReply::Denied(format!("NOAUTH {rejection}")));
         }
         // Somebody has to say for whom it may speak: the token, or a contract.
         let said = caller.customers.is_some() || self.broker.is_some();
-        if !said || !caller.may(&self.about.operations[operation].name, call.customer) {
-            return Err(Answer::Denied("NOPERM not this operation, or not for this customer".into()));
+        if !said || !caller.may(&self.instance.operations[operation].name, call.customer) {
+            return Err(ClientReply::Denied("NOPERM not this operation, or not for this customer".into()));
         }
         Ok(Some(caller.team.clone()))
     }
--- a/gateway/src/memory/kept.rs
+++ b/gateway/src/state/kept.rs
@@ -1,5 +1,5 @@
 //! What a front door keeps, by how long it lives.
-use crate::wire::resp::{Answer, Call};
+use crate::wire::resp::{ClientReply, RequestCommand};
 use quillramp::types::*;
 use quillramp_broker::Grant;
 use quillramp_identity::Caller;
@@ -9,7 +9,7 @@
 
 /// One delivery; its link while it is out.
 pub struct Sent {
-    pub tgt: Tgt,
+    pub tgt: BackendIndex,
     pub at: f64,
     pub link: Option<u64>,
     /// How long its answer took to begin.
@@ -20,13 +20,13 @@
 #[derive(Clone, Copy, Default)]
 pub struct Beside {
     pub billed: Option<f64>,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// One invocation, from its command to the end of its last delivery.
 pub struct Held {
-    pub ask: Ask,
-    pub call: Arc<Call>,
+    pub ask: RequestAttributes,
+    pub call: Arc<RequestCommand>,
     pub client: u64,
     /// Which of the client's commands it is.
     pub command: u64,
@@ -54,7 +54,7 @@
     /// Who speaks on it, once that was said.
     pub caller: Option<Caller>,
     pub first: u64,
-    pub owed: VecDeque<(Option<Inv>, Option<Answer>)>,
+    pub owed: VecDeque<(Option<RequestIndex>, Option<ClientReply>)>,
     /// When it last said something, or was answered.
     pub used: f64,
     /// It has said something.
@@ -74,12 +74,12 @@
     /// Its number, unique on the connection.
     pub number: u64,
     /// The invocation and which of its deliveries this is; none where an answer is no longer wanted.
-    pub delivery: Option<(Inv, usize)>,
+    pub delivery: Option<(RequestIndex, usize)>,
 }
 
 /// A connection to a backend.
 pub struct Link {
-    pub tgt: Tgt,
+    pub tgt: BackendIndex,
     pub up: bool,
     /// Its end stands further back in the batch: nothing new goes on it.
     pub ending: bool,
@@ -92,12 +92,12 @@
 
 impl Link {
     /// One that is about to be opened.
-    pub fn new(tgt: Tgt, now: f64) -> Link {
+    pub fn new(tgt: BackendIndex, now: f64) -> Link {
         Link { tgt, up: false, ending: false, carries: VecDeque::new(), next_number: 0, since: now }
     }
 
     /// Puts a delivery behind the others on it; returns its number.
-    pub fn carry(&mut self, inv: Inv, delivery: usize) -> u64 {
+    pub fn carry(&mut self, inv: RequestIndex, delivery: usize) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         self.carries.push_back(Carried { number, delivery: Some((inv, delivery)) });
@@ -105,7 +105,7 @@
     }
 
     /// The delivery whose answer comes next, if that is still wanted.
-    pub fn front(&self) -> Option<(Inv, usize)> {
+    pub fn front(&self) -> Option<(RequestIndex, usize)> {
         self.carries.front().and_then(|c| c.delivery)
     }
 
@@ -119,7 +119,7 @@
 #[derive(Default)]
 pub struct Place {
     pub address: Option<SocketAddr>,
-    pub standing: Standing,
+    pub standing: EndpointStatus,
     /// Out by hand.
     pub out: bool,
     pub idle: Vec<u64>,
@@ -128,7 +128,7 @@
 impl Place {
     /// It may get what is new.
     pub fn takes(&self) -> bool {
-        self.standing == Standing::Ready && !self.out
+        self.standing == EndpointStatus::Ready && !self.out
     }
 }
 
@@ -136,7 +136,7 @@
 #[derive(Default)]
 pub struct CounterLink {
     pub up: bool,
-    pub calls: VecDeque<(u64, Option<(CountName, Timer)>)>,
+    pub calls: VecDeque<(u64, Option<(CounterKey, Timer)>)>,
     /// Calls for when it is up.
     pub waits: Vec<(CounterCall, u64, Timer)>,
     /// A call on it went unanswered past its time, and nothing came since.
@@ -164,15 +164,15 @@
 pub struct Turn {
     pub no: u64,
     pub link: u64,
-    pub result: Option<Counted>,
+    pub result: Option<CounterResult>,
 }
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug)]
 pub enum Due {
     Dial(u64),
-    GiveUp(Inv),
-    Stalled(Inv),
+    GiveUp(RequestIndex),
+    Stalled(RequestIndex),
     Half(u64),
     Counter(u64, u64),
     Watch(u64),
--- a/gateway/src/memory/operators.rs
+++ b/gateway/src/state/operators.rs
@@ -1,8 +1,8 @@
 //! What operators ask for: the figures, backends out by hand, the drain.
-use super::event::{Change, Conn, Effect, Shared, Why};
+use super::event::{AdminChange, CloseReason, ConnectionId, Effect, SharedState};
 use super::kept::*;
 use super::reducer::Reducer;
-use crate::wire::manage::{Call, Response};
+use crate::wire::admin::{AdminCall, AdminResponse};
 use quillramp::types::*;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
@@ -60,71 +60,73 @@
 
 impl Reducer {
     pub(super) fn called(&mut self, now: f64, id: u64) {
-        if self.operators.len() >= MOST {
-            let oldest = *self.operators.keys().next().expect("there are some");
+        if self.admin_connections.len() >= MOST {
+            let oldest = *self.admin_connections.keys().next().expect("there are some");
             self.end_call(oldest);
         }
         let ends = self.at(now + CALL, Due::Operator(id));
-        self.operators.insert(id, ends);
+        self.admin_connections.insert(id, ends);
     }
 
     pub(super) fn end_call(&mut self, id: u64) {
-        if let Some(ends) = self.operators.remove(&id) {
+        if let Some(ends) = self.admin_connections.remove(&id) {
             self.timers.remove(&ends);
-            self.close(Conn::Operator(id), Why::Called);
+            self.close(ConnectionId::Admin(id), CloseReason::AdminCallEnded);
         }
     }
 
-    pub(super) fn call(&mut self, now: f64, id: u64, call: Call) {
-        if !self.operators.contains_key(&id) {
+    pub(super) fn call(&mut self, now: f64, id: u64, call: AdminCall) {
+        if !self.admin_connections.contains_key(&id) {
             return;
         }
         match call {
-            Call::Health => {
+            AdminCall::Health => {
                 let takes = !self.shared.drained && !self.stopping;
                 let (status, says) = if takes { (200, "serving\n") } else { (503, "draining\n") };
                 self.respond(now, id, status, says.into());
             }
-            Call::Stats => {
+            AdminCall::Stats => {
                 let figures = self.figures() + "\n";
                 self.respond(now, id, 200, figures);
             }
-            Call::Contracts => {
+            AdminCall::Contracts => {
                 let usage = self.usage() + "\n";
                 self.respond(now, id, 200, usage);
             }
-            Call::Wrong(status) => self.respond(now, id, status, "no such call\n".into()),
-            Call::Out(name) | Call::Back(name) if !self.listed_names.known.contains(&name) => {
+            AdminCall::Invalid(status) => self.respond(now, id, status, "no such call\n".into()),
+            AdminCall::EjectBackend(name) | AdminCall::RestoreBackend(name)
+                if !self.known_backends.known.contains(&name) =>
+            {
                 self.respond(now, id, 404, format!("backend {name} was never listed\n"));
             }
-            Call::Out(name) => self.change(now, id, Change::Out(name, now)),
-            Call::Back(name) => self.change(now, id, Change::Back(name)),
-            Call::Fail => self.change(now, id, Change::Drained(true)),
-            Call::Ok => self.change(now, id, Change::Drained(false)),
+            AdminCall::EjectBackend(name) => self.change(now, id, AdminChange::EjectBackend(name, now)),
+            AdminCall::RestoreBackend(name) => self.change(now, id, AdminChange::RestoreBackend(name)),
+            AdminCall::Drain => self.change(now, id, AdminChange::SetDrained(true)),
+            AdminCall::Undrain => self.change(now, id, AdminChange::SetDrained(false)),
         }
     }
 
     fn respond(&mut self, now: f64, id: u64, status: u16, body: String) {
-        if let Some(ends) = self.operators.get(&id).copied() {
+        if let Some(ends) = self.admin_connections.get(&id).copied() {
             self.timers.remove(&ends);
             let ends = self.at(now + TAKEN, Due::Operator(id));
-            self.operators.insert(id, ends);
-            self.effects.push(Effect::Respond(id, Response { status, body }));
+            self.admin_connections.insert(id, ends);
+            self.effects.push(Effect::AdminRespond(id, AdminResponse { status, body }));
         }
     }
 
     /// In force at once; answered when it is kept, too.
-    fn change(&mut self, now: f64, id: u64, change: Change) {
+    fn change(&mut self, now: f64, id: u64, change: AdminChange) {
         let mut shared = self.shared.clone();
-        change.clone().make(&mut shared.out, &mut shared.drained);
+        change.clone().apply(&mut shared.ejected_backends, &mut shared.drained);
         self.share_is(now, shared);
-        if self.parties.keeps {
-            return self.effects.push(Effect::Keep(id, change));
+        if self.config.saves_changes {
+            return self.effects.push(Effect::SaveChange(id, change));
         }
         self.respond(now, id, 200, "done\n".into());
     }
 
-    pub(super) fn kept(&mut self, now: f64, call: Option<u64>, shared: Result<Shared, String>) {
+    pub(super) fn kept(&mut self, now: f64, call: Option<u64>, shared: Result<SharedState, String>) {
         let (status, says) = match shared {
             Ok(shared) => {
                 self.share_is(now, shared);
@@ -141,34 +143,36 @@
     }
 
     /// Takes up what is shared, as far as it differs from what was.
-    pub fn share_is(&mut self, now: f64, shared: Shared) {
+    pub fn share_is(&mut self, now: f64, shared: SharedState) {
         let old = std::mem::replace(&mut self.shared, shared);
-        let names: BTreeSet<&String> = old.out.keys().chain(self.shared.out.keys()).collect();
-        let turned =
-            names.into_iter().filter(|n| old.out.contains_key(*n) != self.shared.out.contains_key(*n));
+        let names: BTreeSet<&String> =
+            old.ejected_backends.keys().chain(self.shared.ejected_backends.keys()).collect();
+        let turned = names.into_iter().filter(|n| {
+            old.ejected_backends.contains_key(*n) != self.shared.ejected_backends.contains_key(*n)
+        });
         for name in turned.cloned().collect::<Vec<_>>() {
-            self.listed_names.add(&name); // by this process or the one before
-            let out = self.shared.out.get(&name).copied();
+            self.known_backends.add(&name); // by this process or the one before
+            let out = self.shared.ejected_backends.get(&name).copied();
             let says = if out.is_some() { "left out by hand" } else { "back by hand" };
             self.effects.push(Effect::Log(format!("backend {name} {says}")));
-            if let Some(tgt) = self.names.find(&name) {
+            if let Some(tgt) = self.backend_names.get(&name) {
                 self.by_hand(now, tgt, out);
             }
         }
         if old.drained != self.shared.drained {
             self.drained(now);
         }
-        if old.beside != self.shared.beside {
+        if old.peer_process_running != self.shared.peer_process_running {
             self.beside(now);
-        } else if old.holds != self.shared.holds {
+        } else if old.peer_descriptor_limit != self.shared.peer_descriptor_limit {
             while self.short() && self.make_room(now) {}
         }
     }
 
     /// An operator's word on a backend, beside what the list says of it.
-    pub(super) fn by_hand(&mut self, now: f64, tgt: Tgt, out: Option<f64>) {
-        self.places[tgt].out = out.is_some();
-        self.door.by_hand(now, tgt, out);
+    pub(super) fn by_hand(&mut self, now: f64, tgt: BackendIndex, out: Option<f64>) {
+        self.backends[tgt].out = out.is_some();
+        self.engine.set_manual_ejection(now, tgt, out);
         if out.is_some() {
             self.close_idle(tgt);
             self.withdraw_from_drained();
@@ -177,16 +181,16 @@
 
     /// Another process of this front door came, or has gone: descriptors and own shares are for both.
     fn beside(&mut self, now: f64) {
-        let two = self.shared.beside;
+        let two = self.shared.peer_process_running;
         let says = if two { "another process of this front door is there" } else { "the only process again" };
         self.effects.push(Effect::Log(says.into()));
-        self.door.beside(two);
+        self.engine.set_peer_process(two);
         while two && self.short() && self.make_room(now) {}
     }
 
     pub fn figures(&self) -> String {
         let by_class = |counts: &[u64]| {
-            let named = self.about.operations.iter().zip(counts);
+            let named = self.instance.operations.iter().zip(counts);
             named.map(|(o, n)| (o.name.as_str(), *n)).collect()
         };
         let Stats { completed, rejected, failed, written, reloads, reload_errors } = &self.stats;
@@ -195,9 +199,9 @@
             rejected: by_class(rejected),
             failed: by_class(failed),
             upstream_requests: *written,
-            pending: self.held.iter().filter(|h| !h.closed).count(),
-            members: self.places.iter().filter(|p| p.standing != Standing::Gone).count(),
-            members_unavailable: self.door.avoided(),
+            pending: self.requests.iter().filter(|h| !h.closed).count(),
+            members: self.backends.iter().filter(|p| p.standing != EndpointStatus::Removed).count(),
+            members_unavailable: self.engine.unavailable_backends(),
             config_reloads: *reloads,
             config_reload_errors: *reload_errors,
         };
--- a/gateway/src/memory/room.rs
+++ b/gateway/src/state/room.rs
@@ -1,5 +1,5 @@
 //! Descriptors: what closes when they run short, and what has stood idle.
-use super::event::{Conn, Effect, Why};
+use super::event::{CloseReason, ConnectionId, Effect};
 use super::kept::*;
 use super::operators::MOST;
 use super::reducer::Reducer;
@@ -34,7 +34,11 @@
 
 impl Reducer {
     pub(super) fn descriptors(&self) -> usize {
-        self.clients.len() + self.links.len() + self.counters.len() + 1 + usize::from(self.patient.is_some())
+        self.clients.len()
+            + self.backend_connections.len()
+            + self.counter_connections.len()
+            + 1
+            + usize::from(self.overdue_watch.is_some())
     }
 
     /// No descriptor is left for one more connection.
@@ -44,29 +48,33 @@
 
     /// Descriptors that this process has, or keeps free for what must always be possible.
     fn needed(&self) -> usize {
-        let operators = if self.parties.called { MOST } else { 0 };
+        let operators = if self.config.admin_enabled { MOST } else { 0 };
         self.descriptors() + RESERVE + operators
     }
 
     /// What the machine allows, it allows to both processes of a front door together: half each, until the one that leaves says
     /// what it will not go beyond. It says so before the other one takes the rest, so that together they never pass it.
     fn allowed(&self) -> usize {
-        let half = self.parties.sockets / 2;
-        match (self.shared.beside, self.promised, self.shared.holds) {
+        let half = self.config.max_descriptors / 2;
+        match (
+            self.shared.peer_process_running,
+            self.announced_descriptor_limit,
+            self.shared.peer_descriptor_limit,
+        ) {
             (_, Some(promised), _) => promised,
-            (true, None, Some(other)) => self.parties.sockets - other.min(half),
+            (true, None, Some(other)) => self.config.max_descriptors - other.min(half),
             (true, None, None) => half,
-            (false, None, _) => self.parties.sockets,
+            (false, None, _) => self.config.max_descriptors,
         }
     }
 
     /// The process that leaves needs fewer and fewer, and says so.
     pub(super) fn promise(&mut self) {
-        let most = self.promised.unwrap_or(self.parties.sockets / 2);
+        let most = self.announced_descriptor_limit.unwrap_or(self.config.max_descriptors / 2);
         let now = (self.needed() + SPARE).min(most);
-        if self.hands_over && (self.promised.is_none() || now + SPARE <= most) {
-            self.promised = Some(now);
-            self.effects.push(Effect::Holds(now));
+        if self.hands_over_listener && (self.announced_descriptor_limit.is_none() || now + SPARE <= most) {
+            self.announced_descriptor_limit = Some(now);
+            self.effects.push(Effect::AnnounceDescriptorLimit(now));
         }
     }
 
@@ -79,7 +87,8 @@
     /// The client whose connection can best be spared: it has waited longest since it last said something.
     fn idle_client(&self, spared: impl Fn(&Client) -> bool) -> Option<u64> {
         // One whose command has been read is owed an answer, though the command's turn is yet to come.
-        let idle = self.clients.iter().filter(|(id, c)| c.owed.is_empty() && !self.speak.contains_key(id));
+        let idle =
+            self.clients.iter().filter(|(id, c)| c.owed.is_empty() && !self.unread_commands.contains_key(id));
         let idle = idle.filter(|(_, c)| spared(c));
         idle.min_by(|a, b| a.1.used.total_cmp(&b.1.used).then(a.0.cmp(b.0))).map(|(id, _)| *id)
     }
@@ -107,12 +116,13 @@
 
     /// Closes the backend connection that has stood idle longest; false if there was none.
     fn spare_idle_link(&mut self) -> bool {
-        let idle = self.places.iter().filter_map(|p| p.idle.first()).copied();
-        let oldest = idle.min_by(|a, b| self.links[a].since.total_cmp(&self.links[b].since));
+        let idle = self.backends.iter().filter_map(|p| p.idle.first()).copied();
+        let oldest = idle
+            .min_by(|a, b| self.backend_connections[a].since.total_cmp(&self.backend_connections[b].since));
         let Some(id) = oldest else { return false };
-        let tgt = self.links[&id].tgt;
-        self.places[tgt].idle.retain(|i| *i != id);
-        self.close_link(id, Why::Crowded);
+        let tgt = self.backend_connections[&id].tgt;
+        self.backends[tgt].idle.retain(|i| *i != id);
+        self.close_link(id, CloseReason::DescriptorPressure);
         true
     }
 
@@ -120,13 +130,13 @@
     /// limits of admission, these name who goes.
     fn spare_silent_client(&mut self) -> bool {
         let spared =
-            if self.gate.is_some() { None } else { self.idle_client(|c| !c.said && c.half.is_none()) };
+            if self.admission.is_some() { None } else { self.idle_client(|c| !c.said && c.half.is_none()) };
         self.spare(spared)
     }
 
     /// Closes any client's connection that is owed nothing; false if there was none.
     fn spare_any_client(&mut self, now: f64) -> bool {
-        let spared = match &mut self.gate {
+        let spared = match &mut self.admission {
             Some(gate) => gate.evict(now),
             None => self.idle_client(|_| true),
         };
@@ -135,7 +145,7 @@
 
     fn spare(&mut self, client: Option<u64>) -> bool {
         if let Some(id) = client {
-            self.let_go(id, Why::Crowded);
+            self.let_go(id, CloseReason::DescriptorPressure);
         }
         client.is_some()
     }
@@ -144,7 +154,7 @@
     pub(super) fn half(&mut self, now: f64, id: u64) {
         if let Some(client) = self.clients.get_mut(&id).filter(|c| c.half.is_none()) {
             client.half = Some(now);
-            self.gate.iter_mut().for_each(|gate| gate.partial_command(now, id));
+            self.admission.iter_mut().for_each(|gate| gate.partial_command(now, id));
             self.at(now + HALF, Due::Half(id));
         }
     }
@@ -154,52 +164,52 @@
         let Some(since) = client.half else { return };
         let (rested, all) = (now - client.grown.unwrap_or(since), now - since);
         if client.owed.is_empty() && (rested > HALF - 1e-3 || all > BODY) {
-            self.let_go(id, Why::Idle);
+            self.let_go(id, CloseReason::Idle);
         } else if all > HALF - 1e-3 {
             self.at(now + HALF, Due::Half(id)); // one that began later has a timer of its own
         }
     }
 
-    pub(super) fn let_go(&mut self, id: u64, why: Why) {
+    pub(super) fn let_go(&mut self, id: u64, why: CloseReason) {
         self.no_client(id);
-        self.close(Conn::Client(id), why);
+        self.close(ConnectionId::Client(id), why);
     }
 
     /// Connections that stood idle for half of what the other side allows end here, not there, and clients that say
     /// nothing are let go. Done again and again.
     pub(super) fn sweep(&mut self, now: f64) {
         for id in self.overdue(now) {
-            self.let_go(id, Why::Idle);
+            self.let_go(id, CloseReason::Idle);
         }
-        let crowded = 2 * self.descriptors() > self.parties.sockets;
+        let crowded = 2 * self.descriptors() > self.config.max_descriptors;
         let long = |c: &Client| if c.said && !crowded { CLIENT_IDLE.1 } else { CLIENT_IDLE.0 };
         // A stopping process, with another to accept, ends no connection that nobody has asked anything on.
-        let spares = |c: &Client| self.hands_over && !c.said;
+        let spares = |c: &Client| self.hands_over_listener && !c.said;
         let between = |c: &Client| c.owed.is_empty() && c.half.is_none();
         let idle = self.clients.iter().filter(|(_, c)| between(c) && c.used < now - long(c));
         let idle = idle.filter(|(_, c)| !spares(c));
         let mut idle: Vec<u64> = idle.map(|(id, _)| *id).collect();
         idle.sort_unstable();
         // A command may have come just now: it is looked for before the connection ends.
-        self.effects.extend(idle.into_iter().map(|id| Effect::Part(id, Why::Idle)));
-        let old = now - self.about.link_idle / 2.0;
-        for tgt in 0..self.places.len() {
-            let links = &self.links;
-            let (stale, idle) = self.places[tgt].idle.iter().partition(|id| links[id].since < old);
-            self.places[tgt].idle = idle;
+        self.effects.extend(idle.into_iter().map(|id| Effect::CloseIfIdle(id, CloseReason::Idle)));
+        let old = now - self.instance.connection_idle_timeout / 2.0;
+        for tgt in 0..self.backends.len() {
+            let links = &self.backend_connections;
+            let (stale, idle) = self.backends[tgt].idle.iter().partition(|id| links[id].since < old);
+            self.backends[tgt].idle = idle;
             let stale: Vec<u64> = stale;
             for id in stale {
-                self.close_link(id, Why::Idle);
+                self.close_link(id, CloseReason::Idle);
             }
         }
         let old = now - COUNTER_IDLE / 2.0;
-        let stale = self.counters.iter().filter(|(_, l)| l.idle() && l.used < old);
+        let stale = self.counter_connections.iter().filter(|(_, l)| l.idle() && l.used < old);
         for id in stale.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.close_counter(id, Why::Idle);
+            self.close_counter(id, CloseReason::Idle);
         }
         self.forget_gone();
         self.promise();
-        if let Some(gate) = &mut self.gate {
+        if let Some(gate) = &mut self.admission {
             gate.refresh_known(now);
         }
         self.at(now + LOOK, Due::Sweep);
--- a/gateway/src/memory/roster.rs
+++ b/gateway/src/state/roster.rs
@@ -13,7 +13,7 @@
     membership: Membership,
     every: f64,
     /// The customer's index that stands for a group.
-    groups: BTreeMap<Customer, usize>,
+    groups: BTreeMap<CustomerIndex, usize>,
     missing: BTreeSet<usize>,
     /// When its timer is due; another one is left over from an earlier roster.
     at: f64,
@@ -21,34 +21,34 @@
 
 impl Roll {
     /// Whether this count is the roster's.
-    pub fn calls(&self, name: CountName) -> bool {
+    pub fn calls(&self, name: CounterKey) -> bool {
         self.groups.contains_key(&name.customer)
     }
 
-    pub fn told(&mut self, now: f64, name: CountName, result: Counted) {
+    pub fn told(&mut self, now: f64, name: CounterKey, result: CounterResult) {
         let Some(&group) = self.groups.get(&name.customer) else { return };
-        let total = if let Counted::Total(total) = result { Some(total) } else { None };
+        let total = if let CounterResult::Total(total) = result { Some(total) } else { None };
         self.membership.call_answered(now, Count { group, interval: name.series }, total);
     }
 
     /// The part of these front doors that the counter does not hear of. That somebody asks is remembered.
-    pub fn absent(&mut self, now: f64, of: Doors) -> f64 {
-        self.membership.watch(now, of.first, of.number);
-        1.0 - self.membership.present_fraction(now, of.first, of.number)
+    pub fn absent(&mut self, now: f64, of: InstanceRange) -> f64 {
+        self.membership.watch(now, of.first, of.count);
+        1.0 - self.membership.present_fraction(now, of.first, of.count)
     }
 }
 
 impl Reducer {
     /// Front doors look who of them reaches the counter once in so many seconds, or do no longer.
     pub(super) fn presence(&mut self, now: f64, every: Option<f64>) {
-        if self.roster.as_ref().map(|r| r.every) == every {
+        if self.presence.as_ref().map(|r| r.every) == every {
             return;
         }
         let says = every
             .map_or("no roster on the counter".into(), |e| format!("roster on the counter, every {e} s"));
         self.effects.push(Effect::Log(says));
-        self.roster = every.map(|every| Roll {
-            membership: Membership::new(self.about.doors, self.about.slot, every),
+        self.presence = every.map(|every| Roll {
+            membership: Membership::new(self.instance.instances, self.instance.instance_index, every),
             every,
             groups: BTreeMap::new(),
             missing: BTreeSet::new(),
@@ -61,16 +61,17 @@
 
     /// Its calls that are due; its timer goes on as long as there is a roster.
     pub(super) fn call_roll(&mut self, now: f64) {
-        let Some(Roll { membership, groups, missing, at, .. }) = self.roster.as_mut().filter(|r| now >= r.at)
+        let Some(Roll { membership, groups, missing, at, .. }) =
+            self.presence.as_mut().filter(|r| now >= r.at)
         else {
             return;
         };
         let mut calls = vec![];
         for call in membership.due_calls(now) {
-            let customer = self.customers.index(&(NAMES + call.count.group as u64));
+            let customer = self.customers.intern(&(NAMES + call.count.group as u64));
             groups.insert(customer, call.count.group);
-            let name = CountName { customer, series: call.count.interval };
-            calls.push(CounterCall { name, add: call.amount, lives: call.lifetime });
+            let name = CounterKey { customer, series: call.count.interval };
+            calls.push(CounterCall { key: name, delta: call.amount, lifetime: call.lifetime });
         }
         let gone = membership.absent(now);
         if gone != *missing {
--- a/gateway/src/memory/streams.rs
+++ b/gateway/src/state/streams.rs
@@ -1,8 +1,8 @@
 //! Values too long to be held: they pass from a backend's connection to the client's, when it is their turn there.
-use super::event::{Conn, Effect, Why};
+use super::event::{CloseReason, ConnectionId, Effect};
 use super::kept::*;
 use super::reducer::Reducer;
-use crate::wire::resp::Answer;
+use crate::wire::resp::ClientReply;
 use quillramp::types::*;
 
 /// A value of which nothing moves for so many seconds is given up. The machine holds some megabytes for a slow client,
@@ -15,50 +15,52 @@
 impl Reducer {
     /// A value has begun: whatever else is out for its invocation is given up, and nothing is delivered again.
     pub(super) fn begun(&mut self, now: f64, id: u64) {
-        let Some(link) = self.links.get(&id) else { return };
+        let Some(link) = self.backend_connections.get(&id) else { return };
         if link.carries.is_empty() {
             return self.unasked(id);
         }
-        let Some((inv, delivery)) = link.front() else { return self.effects.push(Effect::Pass(id, None)) };
-        let Some(held) = self.held[inv].as_mut().filter(|h| !h.closed && h.begun.is_none()) else {
-            return self.effects.push(Effect::Pass(id, None));
+        let Some((inv, delivery)) = link.front() else { return self.effects.push(Effect::Stream(id, None)) };
+        let Some(held) = self.requests[inv].as_mut().filter(|h| !h.closed && h.begun.is_none()) else {
+            return self.effects.push(Effect::Stream(id, None));
         };
         let took = now - held.deliveries[delivery].at;
         (held.begun, held.deliveries[delivery].took) = (Some(delivery), Some(took));
-        let (others, ends, until) = (held.deliveries.len(), held.ends.take(), held.ask.until);
+        let (others, ends, until) = (held.deliveries.len(), held.ends.take(), held.ask.deadline);
         ends.map(|key| self.timers.remove(&key));
         for other in (0..others).filter(|o| *o != delivery) {
-            self.give_up(inv, other, Ending::Cancelled);
+            self.give_up(inv, other, AttemptResult::Cancelled);
         }
         self.conclude(now);
-        self.door.streaming(now, inv);
+        self.engine.response_started(now, inv);
         let ends = self.at(until.max(now), Due::Stalled(inv));
-        self.held[inv].as_mut().expect("just found").ends = Some(ends);
+        self.requests[inv].as_mut().expect("just found").ends = Some(ends);
         self.pass_on(inv);
     }
 
     /// Lets a value pass if it has begun and it is its turn.
-    pub(super) fn pass_on(&mut self, inv: Inv) {
-        let Some(held) = self.held[inv].as_mut().filter(|h| !h.closed && !h.passes) else { return };
+    pub(super) fn pass_on(&mut self, inv: RequestIndex) {
+        let Some(held) = self.requests[inv].as_mut().filter(|h| !h.closed && !h.passes) else { return };
         let link = held.begun.and_then(|d| held.deliveries[d].link);
         let front = self.clients.get(&held.client).and_then(|c| c.owed.front()).and_then(|(inv, _)| *inv);
         if let Some(id) = link.filter(|_| front == Some(inv)) {
             held.passes = true;
-            self.effects.push(Effect::Pass(id, Some(held.client)));
+            self.effects.push(Effect::Stream(id, Some(held.client)));
         }
     }
 
     /// All of the value is on its way to the client.
     pub(super) fn passed(&mut self, now: f64, id: u64) {
-        let front = self.links.get(&id).and_then(Link::front);
+        let front = self.backend_connections.get(&id).and_then(Link::front);
         if let Some((inv, _)) = front {
-            self.answer(now, inv, Answer::Passed);
+            self.answer(now, inv, ClientReply::Streamed);
         }
     }
 
     /// What stood behind the value: its delivery has ended.
     pub(super) fn rest_of(&mut self, now: f64, id: u64, beside: (Option<f64>, Option<Vec<u8>>), more: bool) {
-        let Some(front) = self.links.get_mut(&id).and_then(|l| l.carries.pop_front()) else { return };
+        let Some(front) = self.backend_connections.get_mut(&id).and_then(|l| l.carries.pop_front()) else {
+            return;
+        };
         if let Some((inv, delivery)) = front.delivery {
             self.succeeded(inv, delivery, beside.0, beside.1);
         }
@@ -70,28 +72,29 @@
 
     /// A backend's connection ended under a value: what has passed of it can't be taken back, so the client's
     /// connection ends too, and it can tell.
-    pub(super) fn broke_off(&mut self, now: f64, inv: Inv, delivery: usize) {
-        let Some(held) = self.held[inv].as_mut() else { return };
+    pub(super) fn broke_off(&mut self, now: f64, inv: RequestIndex, delivery: usize) {
+        let Some(held) = self.requests[inv].as_mut() else { return };
         if held.closed || held.begun != Some(delivery) {
             return;
         }
         if !held.passes {
-            return self.answer(now, inv, Answer::Error("failed".into()));
+            return self.answer(now, inv, ClientReply::Error("failed".into()));
         }
         held.closed = true;
         self.stats.failed[held.ask.operation] += 1;
         let client = held.client;
-        self.close(Conn::Client(client), Why::CutOff);
+        self.close(ConnectionId::Client(client), CloseReason::StreamAborted);
         self.client_gone(now, client);
     }
 
     /// Its client's time is up, and has been for a while: nobody waits for a value that does not move.
-    pub(super) fn stalled(&mut self, now: f64, inv: Inv) {
+    pub(super) fn stalled(&mut self, now: f64, inv: RequestIndex) {
         let ends = self.at(now + SILENCE, Due::Stalled(inv));
-        let Some(held) = self.held[inv].as_mut() else { return };
+        let Some(held) = self.requests[inv].as_mut() else { return };
         held.ends = Some(ends);
         let link = held.begun.and_then(|d| held.deliveries[d].link);
-        let end = |connection| Effect::EndIfStalled { connection, silent_for: SILENCE, still_for: STALL };
+        let end =
+            |connection| Effect::CloseIfStalled { connection, unresponsive_for: SILENCE, stalled_for: STALL };
         self.effects.extend(link.map(end));
     }
 }
--- a/gateway/src/memory/outgoing.rs
+++ b/gateway/src/state/write_buffer.rs
@@ -13,12 +13,12 @@
 
 /// The output buffer of one connection.
 #[derive(Default)]
-pub struct Outgoing {
+pub struct WriteBuffer {
     bytes: Vec<u8>,
     messages: VecDeque<Message>,
 }
 
-impl Outgoing {
+impl WriteBuffer {
     /// What is to be written next.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
@@ -37,7 +37,7 @@
     }
 
     /// So many bytes have been written; returns how many messages have left whole with them.
-    pub fn written(&mut self, bytes: usize) -> usize {
+    pub fn consume(&mut self, bytes: usize) -> usize {
         self.bytes.drain(..bytes);
         let whole = self.messages.iter().take_while(|m| m.end <= bytes).count();
         self.messages.drain(..whole);
--- a/gateway/src/wire/manage.rs
+++ b/gateway/src/wire/admin.rs
@@ -7,75 +7,79 @@
 
 /// What operators ask for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum AdminCall {
     Health,
     Stats,
     /// What teams have of their contracts.
     Contracts,
     /// Leave a backend out, or use it again.
-    Out(String),
-    Back(String),
+    EjectBackend(String),
+    RestoreBackend(String),
     /// Drain this front door, or end that.
-    Fail,
-    Ok,
+    Drain,
+    Undrain,
     /// No such call: the status that says so.
-    Wrong(u16),
+    Invalid(u16),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Response {
+pub struct AdminResponse {
     pub status: u16,
     pub body: String,
 }
 
 /// The call, once all of it has come.
 #[inline(never)] // its frame is not to be part of every connection's stack
-pub fn call(bytes: &[u8]) -> Option<Call> {
+pub fn decode_call(bytes: &[u8]) -> Option<AdminCall> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut headers);
     let from = match head.parse(bytes) {
         Ok(httparse::Status::Complete(n)) if n <= HEAD => n,
         Ok(httparse::Status::Partial) if bytes.len() <= HEAD => return None,
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Some(Call::Wrong(431)),
-        Err(_) => return Some(Call::Wrong(400)),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Some(AdminCall::Invalid(431)),
+        Err(_) => return Some(AdminCall::Invalid(400)),
     };
     let (method, target) = (head.method.unwrap_or(""), head.path.unwrap_or(""));
     let header =
         |name: &str| head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
     if header("transfer-encoding").is_some() {
-        return Some(Call::Wrong(411));
+        return Some(AdminCall::Invalid(411));
     }
     let length = match header("content-length").map(|v| std::str::from_utf8(v).unwrap_or("").trim()) {
         None => 0,
         Some(text) if !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit()) => {
             text.parse().unwrap_or(usize::MAX)
         }
-        Some(_) => return Some(Call::Wrong(400)),
+        Some(_) => return Some(AdminCall::Invalid(400)),
     };
     match length {
-        n if n > BODY => Some(Call::Wrong(413)),
+        n if n > BODY => Some(AdminCall::Invalid(413)),
         n if bytes.len() < from + n => None,
         _ => Some(route(method, target)),
     }
 }
 
-fn route(method: &str, target: &str) -> Call {
+fn route(method: &str, target: &str) -> AdminCall {
     let path = target.split('?').next().unwrap_or("");
     let words: Vec<&str> = path.strip_prefix('/').unwrap_or("?").split('/').collect();
     let (wants, call) = match words[..] {
-        ["healthcheck"] => ("GET", Call::Health),
-        ["stats"] => ("GET", Call::Stats),
-        ["contracts"] => ("GET", Call::Contracts),
-        ["healthcheck", "fail"] => ("POST", Call::Fail),
-        ["healthcheck", "ok"] => ("POST", Call::Ok),
-        ["backends", id, "maint"] if !id.is_empty() => ("POST", Call::Out(plain(id).into_owned())),
-        ["backends", id, "ready"] if !id.is_empty() => ("POST", Call::Back(plain(id).into_owned())),
-        _ => return Call::Wrong(404),
+        ["healthcheck"] => ("GET", AdminCall::Health),
+        ["stats"] => ("GET", AdminCall::Stats),
+        ["contracts"] => ("GET", AdminCall::Contracts),
+        ["healthcheck", "fail"] => ("POST", AdminCall::Drain),
+        ["healthcheck", "ok"] => ("POST", AdminCall::Undrain),
+        ["backends", id, "maint"] if !id.is_empty() => {
+            ("POST", AdminCall::EjectBackend(plain(id).into_owned()))
+        }
+        ["backends", id, "ready"] if !id.is_empty() => {
+            ("POST", AdminCall::RestoreBackend(plain(id).into_owned()))
+        }
+        _ => return AdminCall::Invalid(404),
     };
     if method == wants {
         call
     } else {
-        Call::Wrong(405)
+        AdminCall::Invalid(405)
     }
 }
 
@@ -92,7 +96,7 @@
     String::from_utf8(bytes).map_or(Cow::Borrowed(word), Cow::Owned)
 }
 
-impl Response {
+impl AdminResponse {
     pub fn encode(&self, out: &mut Vec<u8>) {
         let reason = match self.status {
             200 => "OK",
--- a/gateway/tests/backlog.rs
+++ b/gateway/tests/backlog.rs
@@ -1,6 +1,6 @@
 //! What is kept of commands that come faster than they may be taken in.
-use quillramp_gateway::memory::backlog::{Backlog, Due, MOST_DROPPED};
-use quillramp_gateway::wire::resp::{command, extent, Extent};
+use quillramp_gateway::state::backlog::{Backlog, Due, MOST_DROPPED};
+use quillramp_gateway::wire::resp::{command_extent, decode_command, Extent};
 
 const STEP: usize = 1024;
 
@@ -17,10 +17,10 @@
 #[test]
 fn an_extent_is_as_long_as_the_command_that_is_decoded() {
     for text in [call(0), call(70_000), b"*1\r\n$4\r\nPING\r\n".to_vec(), b"*0\r\n".to_vec()] {
-        let (_, length) = command(&text).expect("framed").expect("whole");
-        assert_eq!(extent(&text), Ok(Extent::Whole(length)));
+        let (_, length) = decode_command(&text).expect("framed").expect("whole");
+        assert_eq!(command_extent(&text), Ok(Extent::Complete(length)));
         for cut in 0..text.len().min(200) {
-            let reach = extent(&text[..cut]).expect("framed");
+            let reach = command_extent(&text[..cut]).expect("framed");
             assert!(
                 reach == Extent::Unknown || reach == Extent::Missing(text.len() - cut),
                 "{cut}: {reach:?}"
@@ -28,9 +28,12 @@
         }
     }
     let long = call(70_000);
-    assert_eq!(extent(&long[..1000]), Ok(Extent::Missing(long.len() - 1000)));
+    assert_eq!(command_extent(&long[..1000]), Ok(Extent::Missing(long.len() - 1000)));
     for text in ["PING\r\n", "*1\r\n$-1\r\n", "*1\r\n$-7\r\n", "*1\r\n:5\r\n", "*2\r\n$70000\r\n"] {
-        assert!(extent(text.as_bytes()).is_err() && command(text.as_bytes()).is_err(), "{text:?}");
+        assert!(
+            command_extent(text.as_bytes()).is_err() && decode_command(text.as_bytes()).is_err(),
+            "{text:?}"
+        );
     }
 }
 
@@ -79,7 +82,7 @@
     backlog.decoded(call(1).len());
     assert_eq!(refused(&mut backlog), 1);
     assert!(backlog.stops_dropping());
-    assert!(command(backlog.decodable()).is_err());
+    assert!(decode_command(backlog.decodable()).is_err());
 }
 
 #[test]
