--- a/gateway/tests/reducer.rs
+++ b/gateway/tests/reducer.rs
@@ -1,12 +1,14 @@
 //! The reducer without sockets: events in, the effects it asks for as a short trace.
 use expect_test::{expect, Expect};
 use quillramp_admission::Limits;
-use quillramp_gateway::life::{configuration, operator};
-use quillramp_gateway::memory::event::{Conn, Declares, Effect, Event, Shared, Why};
-use quillramp_gateway::memory::reducer::{Parties, Reducer};
+use quillramp_gateway::process::{configuration, operator};
+use quillramp_gateway::state::event::{
+    CloseReason, ConnectionId, Effect, Event, OperatorUpdate, SharedState,
+};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::wire::admin;
 use quillramp_gateway::wire::http::{Request, Response};
-use quillramp_gateway::wire::manage;
-use quillramp_gateway::wire::resp::{self, Reply};
+use quillramp_gateway::wire::resp::{self, BackendReply};
 use std::net::{IpAddr, Ipv4Addr};
 
 const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
@@ -17,9 +19,18 @@
 /// A front door that shares its listening socket, operators' descriptors and a place to keep things, or not.
 fn bench_of(sockets: usize, passed: bool, keeps: bool) -> Bench {
     let told = configuration::decode(TOLD.as_bytes()).expect("a good configuration");
-    let start = quillramp::facts::start(told.seed, told.settings.get().as_bytes()).expect("good settings");
+    let start = quillramp::settings::load(told.seed, told.settings.get().as_bytes()).expect("good settings");
     let (peers, peers_all, counter, list) = (told.peers, told.peers_all, told.counter, told.discovery);
-    let parties = Parties { peers, peers_all, counter, list, sockets, passed, called: keeps, keeps };
+    let parties = ReducerConfig {
+        peers,
+        peer_broadcast: peers_all,
+        counter,
+        discovery: list,
+        max_descriptors: sockets,
+        inherited_listener: passed,
+        admin_enabled: keeps,
+        saves_changes: keeps,
+    };
     let reducer = Reducer::new(1000.0, start, parties, &told.known);
     let mut bench = Bench { reducer, now: 1000.0, id: 1, text: String::new() };
     bench.settle();
@@ -44,75 +55,81 @@
 
 fn said(effect: &Effect) -> Option<String> {
     Some(match effect {
-        Effect::Answer(id, answer) => {
+        Effect::Reply(id, answer) => {
             let mut out = vec![];
             answer.encode(&mut out);
             format!("client {id}: {}", String::from_utf8_lossy(&out).trim_end().replace("\r\n", " "))
         }
-        Effect::Deliver { connection, call, wait_ms, .. } => {
+        Effect::SendAttempt { connection, call, timeout_ms: wait_ms, .. } => {
             let operation = String::from_utf8_lossy(call.operation());
             format!("backend link {connection}: {operation} for {wait_ms} ms")
         }
         Effect::Withdraw { connection, delivery } => {
             format!("backend link {connection}: withdraw {delivery} if not begun")
         }
-        Effect::Request(conn, Request::Count { add, .. }) => format!("{conn:?}: add {add}"),
-        Effect::Request(conn, Request::Watch { since, wait_ms: 1 }) => {
+        Effect::HttpRequest(conn, Request::AddToCounter { add, .. }) => format!("{conn:?}: add {add}"),
+        Effect::HttpRequest(conn, Request::WatchEndpoints { since, wait_ms: 1 }) => {
             format!("{conn:?}: since {since}, at once")
         }
-        Effect::Request(conn, Request::Watch { since, .. }) => format!("{conn:?}: watch since {since}"),
-        Effect::Request(conn, Request::List) => format!("{conn:?}: list"),
+        Effect::HttpRequest(conn, Request::WatchEndpoints { since, .. }) => {
+            format!("{conn:?}: watch since {since}")
+        }
+        Effect::HttpRequest(conn, Request::List) => format!("{conn:?}: list"),
         Effect::Connect(conn, to) => format!("connect {conn:?} to {to}"),
-        Effect::Datagram(to, body) => format!("datagram of {} to {to}", body.len()),
+        Effect::SendDatagram(to, body) => format!("datagram of {} to {to}", body.len()),
         Effect::Close(_) => return None, // its log line tells
         Effect::Log(line) => format!("log: {line}"),
-        Effect::LogEnd(end) => format!("log: {end}"),
-        Effect::Respond(id, r) => format!("operator {id}: {} {}", r.status, r.body.trim_end()),
-        Effect::Holds(most) => format!("will hold {most} descriptors at the most"),
-        Effect::TurnAway(id, why) => format!("client {id} is not taken in: {why}"),
-        Effect::Keep(_, change) => format!("keep {change:?}"),
-        Effect::Part(_, Why::Idle) => return None, // see `settle`
-        Effect::Part(id, _) => format!("part with client {id} if it is quiet"),
-        Effect::Pass(id, to) => format!("backend link {id} passes to client {to:?}"),
-        Effect::EndIfStalled { connection, silent_for, still_for } => {
+        Effect::LogClosed(end) => format!("log: {end}"),
+        Effect::AdminRespond(id, r) => format!("operator {id}: {} {}", r.status, r.body.trim_end()),
+        Effect::AnnounceDescriptorLimit(most) => format!("will hold {most} descriptors at the most"),
+        Effect::Reject(id, why) => format!("client {id} is not taken in: {why}"),
+        Effect::SaveChange(_, change) => format!("keep {change:?}"),
+        Effect::CloseIfIdle(_, CloseReason::Idle) => return None, // see `settle`
+        Effect::CloseIfIdle(id, _) => format!("part with client {id} if it is quiet"),
+        Effect::Stream(id, to) => format!("backend link {id} passes to client {to:?}"),
+        Effect::CloseIfStalled { connection, unresponsive_for: silent_for, stalled_for: still_for } => {
             format!("backend link {connection} ends if silent for {silent_for} s, or still for {still_for} s")
         }
-        Effect::Mute(id) => format!("read client {id} no more"),
+        Effect::StopReading(id) => format!("read client {id} no more"),
         Effect::StopAccepting => "stop accepting".into(),
         Effect::Exit => "exit once all is written".into(),
-        Effect::ExitNow => "exit now".into(),
+        Effect::ExitImmediately => "exit now".into(),
     })
 }
 
 fn said_by(client: u64, text: &str) -> Event {
-    Event::Command(client, resp::command(text.as_bytes()).expect("framed").expect("whole").0)
+    Event::ClientCommand(client, resp::decode_command(text.as_bytes()).expect("framed").expect("whole").0)
 }
 
 impl Bench {
     fn settle(&mut self) -> Option<f64> {
-        let (next, effects) = self.reducer.settle(self.now);
+        let (next, effects) = self.reducer.poll(self.now);
         for line in effects.iter().filter_map(said) {
             self.text += &format!("{:.3} {line}\n", self.now - 1000.0);
         }
         // Nothing unread stands on a connection that is idle here: it ends, and the reducer hears of it.
-        let idle = |e: &Effect| if let Effect::Part(id, Why::Idle) = e { Some(*id) } else { None };
-        let mut idle: Vec<Event> =
-            effects.iter().filter_map(idle).map(|id| Event::Parted(id, Why::Idle)).collect();
+        let idle =
+            |e: &Effect| if let Effect::CloseIfIdle(id, CloseReason::Idle) = e { Some(*id) } else { None };
+        let mut idle: Vec<Event> = effects
+            .iter()
+            .filter_map(idle)
+            .map(|id| Event::IdleClientClosed(id, CloseReason::Idle))
+            .collect();
         if idle.is_empty() {
             return next;
         }
-        self.reducer.batch(self.now, &mut idle);
+        self.reducer.handle_batch(self.now, &mut idle);
         self.settle()
     }
     fn event(&mut self, event: Event) -> &mut Self {
         self.batch(vec![event])
     }
     fn admits(&mut self, limits: Limits) -> &mut Self {
-        let declares = Declares { admission: Some(limits), ..Declares::default() };
-        self.event(Event::Declared(Box::new(declares)))
+        let declares = OperatorUpdate { admission: Some(limits), ..OperatorUpdate::default() };
+        self.event(Event::OperatorFileReloaded(Box::new(declares)))
     }
     fn batch(&mut self, mut events: Vec<Event>) -> &mut Self {
-        self.reducer.batch(self.now, &mut events);
+        self.reducer.handle_batch(self.now, &mut events);
         self.settle();
         self
     }
@@ -126,7 +143,7 @@
         self
     }
     fn client(&mut self, id: u64) -> &mut Self {
-        self.event(Event::Accepted(id, HERE))
+        self.event(Event::ClientAccepted(id, HERE))
     }
     fn call(&mut self, client: u64, operation: &str, customer: u64) -> &mut Self {
         self.command(client, operation, &format!("{customer:016x}"), "t=small,d=800,units=1,spread=1,first=0")
@@ -148,19 +165,26 @@
         self.event(said_by(client, text))
     }
     fn up(&mut self, id: u64) -> &mut Self {
-        self.event(Event::Up(Conn::Backend(id)))
+        self.event(Event::Connected(ConnectionId::Backend(id)))
     }
     fn value(&mut self, id: u64, value: &str) -> &mut Self {
         self.replies(id, value, false)
     }
     fn replies(&mut self, id: u64, value: &str, more: bool) -> &mut Self {
-        self.event(Event::Reply(id, Reply::Value { value: value.into(), billed: None, report: None }, more))
+        self.event(Event::BackendReply(
+            id,
+            BackendReply::Value { value: value.into(), billed: None, report: None },
+            more,
+        ))
     }
-    fn ended(&mut self, conn: Conn, why: Why, unsent: bool) -> &mut Self {
-        self.event(Event::Ended { conn, why, unsent })
+    fn ended(&mut self, conn: ConnectionId, why: CloseReason, unsent: bool) -> &mut Self {
+        self.event(Event::ConnectionEnded { connection: conn, reason: why, unsent })
     }
     fn counter(&mut self, id: u64, status: u16, body: &str) -> &mut Self {
-        self.event(Event::Response(Conn::Counter(id), Response { status, body: body.into(), last: false }))
+        self.event(Event::HttpResponse(
+            ConnectionId::Counter(id),
+            Response { status, body: body.into(), closes_connection: false },
+        ))
     }
     /// Keeps these lines of what was said.
     fn only(&mut self, which: impl Fn(&str) -> bool) {
@@ -169,7 +193,7 @@
     }
     /// What was said, the list service apart.
     fn is_but_list(&mut self, expected: Expect) {
-        self.only(|l| !l.contains("connection list") && !l.contains("connect List"));
+        self.only(|l| !l.contains("connection list") && !l.contains("connect Discovery"));
         self.is(expected);
     }
     fn is(&mut self, expected: Expect) {
@@ -259,7 +283,11 @@
 fn a_non_idempotent_delivery_goes_again_only_if_it_had_not_left_whole() {
     let mut b = bench();
     b.client(1).call(1, "order", 5).until(0.05).up(3);
-    b.ended(Conn::Backend(3), Why::Reset, true).up(4).ended(Conn::Backend(4), Why::Reset, false);
+    b.ended(ConnectionId::Backend(3), CloseReason::Reset, true).up(4).ended(
+        ConnectionId::Backend(4),
+        CloseReason::Reset,
+        false,
+    );
     b.is(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.040 connect Backend(3) to 127.0.0.1:7011
@@ -278,15 +306,18 @@
     b.client(1).call(1, "look", 5).until(0.05);
     let list = r#"{"index":42,"snapshot":false,"endpoints":[{"name":"s-a","address":"127.0.0.1:7011",
         "zone":"z","group":0,"status":"DRAINING","weight":1.0,"since_ms":0}]}"#;
-    b.event(Event::Up(Conn::List(1)));
-    b.event(Event::Response(Conn::List(1), Response { status: 200, body: list.into(), last: false }));
+    b.event(Event::Connected(ConnectionId::Discovery(1)));
+    b.event(Event::HttpResponse(
+        ConnectionId::Discovery(1),
+        Response { status: 200, body: list.into(), closes_connection: false },
+    ));
     b.up(3).until(0.1);
-    b.ended(Conn::Client(1), Why::Closed, false).up(4);
+    b.ended(ConnectionId::Client(1), CloseReason::Closed, false).up(4);
     b.is(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.016 connect Backend(3) to 127.0.0.1:7011
-        0.050 List(1): watch since 41
-        0.050 List(1): watch since 42
+        0.050 Discovery(1): watch since 41
+        0.050 Discovery(1): watch since 42
         0.050 log: connection backend 3 s-a ended: delisted
         0.050 connect Backend(4) to 127.0.0.1:7012
         0.080 log: connection counter 2 ended: dial-timeout
@@ -318,8 +349,11 @@
 #[test]
 fn a_silent_counter_connection_is_not_written_to_and_its_late_answer_is_dropped() {
     let mut b = bench();
-    b.client(1).call(1, "look", 5).event(Event::Up(Conn::Counter(2))).until(0.1);
-    b.call(1, "look", 6).event(Event::Up(Conn::Counter(4))).counter(2, 200, "1").counter(4, 200, "1");
+    b.client(1).call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(2))).until(0.1);
+    b.call(1, "look", 6)
+        .event(Event::Connected(ConnectionId::Counter(4)))
+        .counter(2, 200, "1")
+        .counter(4, 200, "1");
     b.call(1, "look", 7).counter(2, 503, "").until(0.2);
     b.is(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
@@ -336,15 +370,15 @@
 #[test]
 fn calls_on_one_name_have_their_turns_in_order() {
     let mut b = bench();
-    b.client(1).event(Event::Up(Conn::List(1)));
+    b.client(1).event(Event::Connected(ConnectionId::Discovery(1)));
     for customer in [5, 6] {
         b.call(1, "look", customer);
     }
-    b.event(Event::Up(Conn::Counter(2))).event(Event::Up(Conn::Counter(3)));
+    b.event(Event::Connected(ConnectionId::Counter(2))).event(Event::Connected(ConnectionId::Counter(3)));
     // The other connection is free, but the lift of the first name is still out.
     b.counter(3, 200, "1").counter(3, 200, "21").counter(2, 200, "1").call(1, "look", 5);
     b.is(expect![[r#"
-        0.000 List(1): watch since 41
+        0.000 Discovery(1): watch since 41
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.000 connect Counter(3) to 127.0.0.1:7007
         0.000 Counter(2): add 1
@@ -382,12 +416,12 @@
 #[test]
 fn told_to_stop_it_serves_on_then_ends_connections_and_leaves_when_all_is_answered() {
     let mut b = bench();
-    b.client(1).client(2).event(Event::Stop).until(0.3).call(1, "look", 5).until(0.35).up(3).until(0.5);
-    b.event(Event::Parted(2, Why::Stopping))
+    b.client(1).client(2).event(Event::Shutdown).until(0.3).call(1, "look", 5).until(0.35).up(3).until(0.5);
+    b.event(Event::IdleClientClosed(2, CloseReason::Stopping))
         .until(0.6)
         .value(3, "a")
-        .event(Event::Stop)
-        .event(Event::Parted(1, Why::Stopping));
+        .event(Event::Shutdown)
+        .event(Event::IdleClientClosed(1, CloseReason::Stopping));
     b.is(expect![[r#"
         0.000 log: told to stop: serving on, then ending connections
         0.300 connect Counter(2) to 127.0.0.1:7007
@@ -428,7 +462,9 @@
 #[test]
 fn broken_framing_is_said_and_the_connection_closes_after_what_it_is_owed() {
     let mut b = bench();
-    b.client(1).call(1, "look", 5).event(Event::Command(1, resp::Command::Broken("no array")));
+    b.client(1)
+        .call(1, "look", 5)
+        .event(Event::ClientCommand(1, resp::ClientCommand::ProtocolError("no array")));
     b.until(0.05).up(3).value(3, "a");
     b.is(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
@@ -444,20 +480,31 @@
 #[test]
 fn the_list_and_the_counter_move_under_load() {
     let mut b = bench();
-    b.client(1).event(Event::Up(Conn::List(1))).call(1, "look", 5).event(Event::Up(Conn::Counter(2)));
+    b.client(1)
+        .event(Event::Connected(ConnectionId::Discovery(1)))
+        .call(1, "look", 5)
+        .event(Event::Connected(ConnectionId::Counter(2)));
     let (list, counter) = ("127.0.0.1:8006".parse().expect("address"), "127.0.0.1:8007".parse().ok());
-    b.event(Event::Moved { list, counter }).event(Event::Up(Conn::List(3)));
-    b.call(1, "look", 6).event(Event::Up(Conn::Counter(4))).counter(2, 200, "1").up(6).value(6, "served");
+    b.event(Event::ConfigurationReloaded { discovery: list, counter })
+        .event(Event::Connected(ConnectionId::Discovery(3)));
+    b.call(1, "look", 6)
+        .event(Event::Connected(ConnectionId::Counter(4)))
+        .counter(2, 200, "1")
+        .up(6)
+        .value(6, "served");
     let whole = r#"{"index":3,"snapshot":true,"endpoints":[]}"#;
-    b.event(Event::Response(Conn::List(3), Response { status: 200, body: whole.into(), last: false }));
+    b.event(Event::HttpResponse(
+        ConnectionId::Discovery(3),
+        Response { status: 200, body: whole.into(), closes_connection: false },
+    ));
     b.is(expect![[r#"
-        0.000 List(1): watch since 41
+        0.000 Discovery(1): watch since 41
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.000 Counter(2): add 1
         0.000 log: configuration read again: list service at 127.0.0.1:8006, counter at Some(127.0.0.1:8007)
         0.000 log: connection list 1 ended: moved
-        0.000 connect List(3) to 127.0.0.1:8006
-        0.000 List(3): list
+        0.000 connect Discovery(3) to 127.0.0.1:8006
+        0.000 Discovery(3): list
         0.000 connect Counter(4) to 127.0.0.1:8007
         0.000 Counter(4): add 1
         0.000 log: connection counter 2 ended: moved
@@ -466,7 +513,7 @@
         0.000 backend link 6: look for 799 ms
         0.000 client 1: $6 served
         0.000 log: connection backend 6 s-b ended: delisted
-        0.000 List(3): watch since 3
+        0.000 Discovery(3): watch since 3
     "#]]);
 }
 
@@ -486,7 +533,7 @@
     // With enough of them, one that has asked may stay for longer, unless it stopped in mid-command.
     let mut b = bench();
     b.client(1).client(2).call(2, "look", 5).until(0.05).up(3).value(3, "a").text.clear();
-    b.until(0.5).client(3).call(3, "order", 5).event(Event::Partial(Conn::Client(3)));
+    b.until(0.5).client(3).call(3, "order", 5).event(Event::PartialMessage(ConnectionId::Client(3)));
     b.until(11.0);
     b.is_but_list(expect![[r#"
         0.080 log: connection counter 2 ended: dial-timeout
@@ -507,10 +554,14 @@
 #[test]
 fn spoilt_replies_fail_and_what_nobody_asked_for_ends_the_connection() {
     let mut b = bench();
-    b.client(1).call(1, "order", 5).until(0.05).up(3).ended(Conn::Backend(3), Why::BadFraming, false);
+    b.client(1).call(1, "order", 5).until(0.05).up(3).ended(
+        ConnectionId::Backend(3),
+        CloseReason::BadFraming,
+        false,
+    );
     b.call(1, "look", 6).until(0.1).text.clear();
     b.up(5).replies(5, "good", true).value(5, "good").call(1, "look", 7).until(0.15).up(7).value(7, "good");
-    b.event(Event::Partial(Conn::Backend(7)));
+    b.event(Event::PartialMessage(ConnectionId::Backend(7)));
     b.is(expect![[r#"
         0.100 backend link 5: look for 749 ms
         0.100 client 1: $4 good
@@ -528,10 +579,18 @@
 #[test]
 fn an_answer_of_the_counter_without_a_number_ends_its_connection_and_the_units_go_back() {
     let mut b = bench();
-    b.client(1).call(1, "look", 5).event(Event::Up(Conn::Counter(2))).counter(2, 200, "none").until(0.2);
-    b.call(1, "look", 5).event(Event::Up(Conn::Counter(4))).ended(Conn::Counter(4), Why::BadFraming, false);
-    b.until(0.4).call(1, "look", 5).event(Event::Up(Conn::Counter(6))).counter(6, 200, "1");
-    b.counter(6, 200, "21").event(Event::Partial(Conn::Counter(6)));
+    b.client(1)
+        .call(1, "look", 5)
+        .event(Event::Connected(ConnectionId::Counter(2)))
+        .counter(2, 200, "none")
+        .until(0.2);
+    b.call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(4))).ended(
+        ConnectionId::Counter(4),
+        CloseReason::BadFraming,
+        false,
+    );
+    b.until(0.4).call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(6))).counter(6, 200, "1");
+    b.counter(6, 200, "21").event(Event::PartialMessage(ConnectionId::Counter(6)));
     b.is(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.000 Counter(2): add 1
@@ -556,7 +615,13 @@
 #[test]
 fn gone_backends_are_forgotten_once_nothing_has_to_do_with_them() {
     let mut b = bench();
-    b.event(Event::Up(Conn::List(1))).client(1).call(1, "order", 5).until(0.05).up(3).text.clear();
+    b.event(Event::Connected(ConnectionId::Discovery(1)))
+        .client(1)
+        .call(1, "order", 5)
+        .until(0.05)
+        .up(3)
+        .text
+        .clear();
     let mut list = |names: &[&str]| {
         let entry = |n: &&str| {
             format!(
@@ -565,10 +630,13 @@
         };
         let all: Vec<String> = names.iter().map(entry).collect();
         let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, all.join(","));
-        b.event(Event::Response(Conn::List(1), Response { status: 200, body: body.into(), last: false }));
+        b.event(Event::HttpResponse(
+            ConnectionId::Discovery(1),
+            Response { status: 200, body: body.into(), closes_connection: false },
+        ));
         let until = b.now - 1000.0 + 1.0;
         b.until(until).text.clear();
-        b.reducer.places()
+        b.reducer.backend_count()
     };
     // The order is out at the first backend all the while; the indices of others are used again.
     let mut places = vec![];
@@ -579,15 +647,18 @@
 }
 
 fn call(b: &mut Bench, id: u64, text: &str) {
-    let call = manage::call(format!("{text} HTTP/1.1\r\n\r\n").as_bytes()).expect("whole");
-    b.event(Event::Called(id)).event(Event::Call(id, call));
+    let call = admin::decode_call(format!("{text} HTTP/1.1\r\n\r\n").as_bytes()).expect("whole");
+    b.event(Event::AdminConnected(id)).event(Event::AdminCall(id, call));
 }
 
 /// A change that is kept by now, as the thread that keeps it tells.
 fn kept(b: &mut Bench, id: u64, out: &[&str], drained: bool) {
-    let shared =
-        Shared { out: out.iter().map(|n| (n.to_string(), 1000.0)).collect(), drained, ..Shared::default() };
-    b.event(Event::Kept { call: Some(id), shared: Ok(shared) });
+    let shared = SharedState {
+        ejected_backends: out.iter().map(|n| (n.to_string(), 1000.0)).collect(),
+        drained,
+        ..SharedState::default()
+    };
+    b.event(Event::SharedStateSaved { call: Some(id), shared: Ok(shared) });
 }
 
 fn whole_list(names: &[(&str, u16)]) -> Event {
@@ -598,7 +669,10 @@
     };
     let all: Vec<String> = names.iter().map(entry).collect();
     let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, all.join(","));
-    Event::Response(Conn::List(1), Response { status: 200, body: body.into(), last: false })
+    Event::HttpResponse(
+        ConnectionId::Discovery(1),
+        Response { status: 200, body: body.into(), closes_connection: false },
+    )
 }
 
 /// Guards: a backend out by hand gets nothing new, whatever the list says; one call back ends it, and then it is used
@@ -606,7 +680,7 @@
 #[test]
 fn a_backend_out_by_hand_stays_out_until_it_is_called_back() {
     let mut b = bench_of(1024, false, true);
-    b.event(Event::Up(Conn::List(1))).client(1).text.clear();
+    b.event(Event::Connected(ConnectionId::Discovery(1))).client(1).text.clear();
     call(&mut b, 1, "POST /backends/s-x/maint");
     for id in [2, 3] {
         call(&mut b, id, "POST /backends/s-b/maint");
@@ -633,17 +707,17 @@
     b.is(expect![[r#"
         0.000 operator 1: 404 backend s-x was never listed
         0.000 log: backend s-b left out by hand
-        0.000 keep Out("s-b", 1000.0)
+        0.000 keep EjectBackend("s-b", 1000.0)
         0.000 operator 2: 200 done
-        0.000 keep Out("s-b", 1000.0)
+        0.000 keep EjectBackend("s-b", 1000.0)
         0.000 operator 3: 200 done
         1.000 log: connection operator 1 ended: called
         1.000 log: connection operator 2 ended: called
         1.000 log: connection operator 3 ended: called
         1.600 log: backend s-b back by hand
-        1.600 keep Back("s-b")
+        1.600 keep RestoreBackend("s-b")
         1.600 operator 4: 200 done
-        1.600 keep Back("s-b")
+        1.600 keep RestoreBackend("s-b")
         1.600 operator 5: 200 done
         2.600 log: connection operator 4 ended: called
         2.600 log: connection operator 5 ended: called
@@ -665,8 +739,8 @@
     b.until(0.3)
         .client(3)
         .until(0.6)
-        .event(Event::Parted(2, Why::Draining))
-        .event(Event::Parted(3, Why::Draining));
+        .event(Event::IdleClientClosed(2, CloseReason::Draining))
+        .event(Event::IdleClientClosed(3, CloseReason::Draining));
     // One that asks on and on is read no more.
     b.call(1, "look", 6).until(1.6).text += "--\n";
     call(&mut b, 4, "POST /healthcheck/fail");
@@ -676,16 +750,16 @@
     b.client(4).says(4, "*1\r\n$4\r\nPING\r\n").until(2.0).text += "--\n";
     call(&mut b, 6, "POST /healthcheck/fail");
     kept(&mut b, 6, &[], true);
-    b.until(2.4).event(Event::Stop).until(3.0).event(Event::Parted(4, Why::Stopping));
+    b.until(2.4).event(Event::Shutdown).until(3.0).event(Event::IdleClientClosed(4, CloseReason::Stopping));
     call(&mut b, 7, "POST /healthcheck/ok");
     kept(&mut b, 7, &[], false);
     call(&mut b, 8, "GET /healthcheck");
     b.only(|l| !l.contains("ackend") && !l.contains("ounter"));
     b.is(expect![[r#"
-        0.050 keep Drained(false)
+        0.050 keep SetDrained(false)
         0.050 operator 1: 200 done
         0.050 log: drained by hand: ending connections
-        0.050 keep Drained(true)
+        0.050 keep SetDrained(true)
         0.050 client 2: -ERR draining
         0.050 operator 2: 200 done
         0.050 operator 3: 503 draining
@@ -700,15 +774,15 @@
         1.116 client 1: -BUSY 500
         1.116 part with client 1 if it is quiet
         --
-        1.600 keep Drained(true)
+        1.600 keep SetDrained(true)
         1.600 operator 4: 200 done
         1.600 log: the drain is over
-        1.600 keep Drained(false)
+        1.600 keep SetDrained(false)
         1.600 operator 5: 200 done
         1.600 client 4: +PONG
         --
         2.000 log: drained by hand: ending connections
-        2.000 keep Drained(true)
+        2.000 keep SetDrained(true)
         2.000 operator 6: 200 done
         2.400 log: told to stop: serving on, then ending connections
         2.600 log: connection operator 4 ended: called
@@ -719,7 +793,7 @@
         3.000 log: connection operator 6 ended: called
         3.000 log: connection client 4 ended: stopping
         3.000 log: the drain is over
-        3.000 keep Drained(false)
+        3.000 keep SetDrained(false)
         3.000 operator 7: 200 done
         3.000 operator 8: 503 draining
     "#]]);
@@ -739,14 +813,23 @@
         .text
         .clear();
     let out = [("s-a".to_string(), 1000.0)].into();
-    b.event(Event::Kept {
+    b.event(Event::SharedStateSaved {
         call: None,
-        shared: Ok(Shared { out, drained: false, beside: true, newer: true, holds: None }),
+        shared: Ok(SharedState {
+            ejected_backends: out,
+            drained: false,
+            peer_process_running: true,
+            peer_process_newer: true,
+            peer_descriptor_limit: None,
+        }),
     });
-    b.event(Event::Stop).says(2, "*1\r\n$4\r\nPING\r\n").event(Event::Parted(2, Why::Stopping)).until(3.1);
+    b.event(Event::Shutdown)
+        .says(2, "*1\r\n$4\r\nPING\r\n")
+        .event(Event::IdleClientClosed(2, CloseReason::Stopping))
+        .until(3.1);
     b.says(3, "*1\r\n$4\r\nPING\r\n")
-        .event(Event::Parted(3, Why::Stopping))
-        .event(Event::Parted(1, Why::Stopping));
+        .event(Event::IdleClientClosed(3, CloseReason::Stopping))
+        .event(Event::IdleClientClosed(1, CloseReason::Stopping));
     b.only(|l| !l.contains("ounter"));
     b.is(expect![[r#"
         0.050 log: backend s-a left out by hand
@@ -785,14 +868,14 @@
         .value(3, "a")
         .call(1, "order", 6)
         .until(0.1)
-        .ended(Conn::Backend(3), Why::Reset, false);
+        .ended(ConnectionId::Backend(3), CloseReason::Reset, false);
     b.call(2, "look", 7).until(0.15);
-    b.ended(Conn::Client(2), Why::Closed, false);
+    b.ended(ConnectionId::Client(2), CloseReason::Closed, false);
     // A full quota refuses.
     for _ in 0..12 {
         b.call(1, "look", 8);
     }
-    b.event(Event::NotMoved("no file".into())).reducer.stats.written += 2;
+    b.event(Event::ReloadFailed("no file".into())).reducer.stats.written += 2;
     b.text.clear();
     call(&mut b, 1, "GET /stats");
     b.until(0.5);
@@ -809,7 +892,7 @@
 fn callers_that_say_nothing_are_let_go() {
     let mut b = bench_of(1024, false, true);
     for id in 0..17 {
-        b.event(Event::Called(id));
+        b.event(Event::AdminConnected(id));
     }
     b.until(4.9);
     call(&mut b, 17, "GET /nowhere");
@@ -829,9 +912,12 @@
     let mut b = bench();
     b.client(1).client(2).says(1, "*1\r\n$4\r\nPING\r\n").until(1.9).text.clear();
     for at in [1.9, 2.5, 3.0, 3.8] {
-        b.until(at).event(Event::Partial(Conn::Client(1)));
+        b.until(at).event(Event::PartialMessage(ConnectionId::Client(1)));
     }
-    b.until(3.9).says(1, "*1\r\n$4\r\nPING\r\n").event(Event::Partial(Conn::Client(1))).until(8.0);
+    b.until(3.9)
+        .says(1, "*1\r\n$4\r\nPING\r\n")
+        .event(Event::PartialMessage(ConnectionId::Client(1)))
+        .until(8.0);
     b.is_but_list(expect![[r#"
         2.500 log: connection client 2 ended: idle
         3.900 client 1: +PONG
@@ -845,12 +931,18 @@
 fn a_long_value_passes_in_its_turn_and_is_never_asked_for_again() {
     let mut b = bench();
     b.client(1).client(2).call(1, "look", 5).call(1, "look", 6).until(0.05).up(4).up(5).text.clear();
-    b.event(Event::Begun(5)).value(4, "first").until(5.0);
+    b.event(Event::StreamStarted(5)).value(4, "first").until(5.0);
     call(&mut b, 9, "GET /stats");
-    b.event(Event::Passed(5)).event(Event::Rest(5, None, None, false)).call(1, "look", 7).until(5.02).text +=
-        "--\n";
+    b.event(Event::StreamForwarded(5))
+        .event(Event::StreamTrailer(5, None, None, false))
+        .call(1, "look", 7)
+        .until(5.02)
+        .text += "--\n";
     // The same one breaks off.
-    b.event(Event::Begun(5)).until(5.1).ended(Conn::Backend(5), Why::Reset, false).until(8.0);
+    b.event(Event::StreamStarted(5))
+        .until(5.1)
+        .ended(ConnectionId::Backend(5), CloseReason::Reset, false)
+        .until(8.0);
     b.only(|l| !l.contains("ounter"));
     b.is_but_list(expect![[r#"
         0.050 client 1: $5 first
@@ -896,52 +988,58 @@
     let mut b = bench();
     let none = r#"{"index":41,"snapshot":false,"endpoints":[]}"#;
     let answer = |id| {
-        let response = Response { status: 200, body: none.into(), last: false };
-        Event::Response(Conn::List(id), response)
+        let response = Response { status: 200, body: none.into(), closes_connection: false };
+        Event::HttpResponse(ConnectionId::Discovery(id), response)
     };
-    b.event(Event::Up(Conn::List(1))).until(5.5).event(Event::Up(Conn::List(2))).event(answer(2));
-    b.until(7.0).ended(Conn::List(2), Why::Reset, false).event(Event::Up(Conn::List(3))).event(answer(3));
+    b.event(Event::Connected(ConnectionId::Discovery(1)))
+        .until(5.5)
+        .event(Event::Connected(ConnectionId::Discovery(2)))
+        .event(answer(2));
+    b.until(7.0)
+        .ended(ConnectionId::Discovery(2), CloseReason::Reset, false)
+        .event(Event::Connected(ConnectionId::Discovery(3)))
+        .event(answer(3));
     // Nobody there: a call is out at any time, however long that lasts.
-    b.until(8.0).ended(Conn::List(3), Why::Reset, false);
+    b.until(8.0).ended(ConnectionId::Discovery(3), CloseReason::Reset, false);
     for id in 4..8 {
-        b.ended(Conn::List(id), Why::Refused, false);
+        b.ended(ConnectionId::Discovery(id), CloseReason::Refused, false);
         let next = b.now - 1000.0 + 0.25;
         b.until(next);
     }
     b.until(12.0);
     b.is(expect![[r#"
-        0.000 List(1): watch since 41
-        5.400 connect List(2) to 127.0.0.1:7002
-        5.500 List(2): since 41, at once
+        0.000 Discovery(1): watch since 41
+        5.400 connect Discovery(2) to 127.0.0.1:7002
+        5.500 Discovery(2): since 41, at once
         5.500 log: connection list 1 ended: silent
-        5.500 List(2): watch since 41
+        5.500 Discovery(2): watch since 41
         7.000 log: connection list 2 ended: reset
-        7.000 connect List(3) to 127.0.0.1:7002
-        7.000 List(3): since 41, at once
-        7.000 List(3): watch since 41
+        7.000 connect Discovery(3) to 127.0.0.1:7002
+        7.000 Discovery(3): since 41, at once
+        7.000 Discovery(3): watch since 41
         8.000 log: connection list 3 ended: reset
-        8.000 connect List(4) to 127.0.0.1:7002
+        8.000 connect Discovery(4) to 127.0.0.1:7002
         8.000 log: connection list 4 ended: refused
-        8.200 connect List(5) to 127.0.0.1:7002
+        8.200 connect Discovery(5) to 127.0.0.1:7002
         8.250 log: connection list 5 ended: refused
-        8.450 connect List(6) to 127.0.0.1:7002
+        8.450 connect Discovery(6) to 127.0.0.1:7002
         8.500 log: connection list 6 ended: refused
-        8.700 connect List(7) to 127.0.0.1:7002
+        8.700 connect Discovery(7) to 127.0.0.1:7002
         8.750 log: connection list 7 ended: refused
-        8.950 connect List(8) to 127.0.0.1:7002
-        9.350 connect List(9) to 127.0.0.1:7002
+        8.950 connect Discovery(8) to 127.0.0.1:7002
+        9.350 connect Discovery(9) to 127.0.0.1:7002
         9.750 log: connection list 9 ended: silent
-        9.750 connect List(10) to 127.0.0.1:7002
+        9.750 connect Discovery(10) to 127.0.0.1:7002
         10.150 log: connection list 10 ended: silent
-        10.150 connect List(11) to 127.0.0.1:7002
+        10.150 connect Discovery(11) to 127.0.0.1:7002
         10.550 log: connection list 11 ended: silent
-        10.550 connect List(12) to 127.0.0.1:7002
+        10.550 connect Discovery(12) to 127.0.0.1:7002
         10.950 log: connection list 12 ended: silent
-        10.950 connect List(13) to 127.0.0.1:7002
+        10.950 connect Discovery(13) to 127.0.0.1:7002
         11.350 log: connection list 13 ended: silent
-        11.350 connect List(14) to 127.0.0.1:7002
+        11.350 connect Discovery(14) to 127.0.0.1:7002
         11.750 log: connection list 14 ended: silent
-        11.750 connect List(15) to 127.0.0.1:7002
+        11.750 connect Discovery(15) to 127.0.0.1:7002
     "#]]);
 }
 
@@ -952,12 +1050,12 @@
     let mut b = bench_of(1024, true, true);
     b.client(1).client(2).says(2, "*1\r\n$4\r\nPING\r\n");
     // The one before is still there: it takes nothing over.
-    let shared = Shared { beside: true, ..Shared::default() };
-    b.event(Event::Kept { call: None, shared: Ok(shared) }).text.clear();
-    b.event(Event::Stop).says(2, "*1\r\n$4\r\nPING\r\n").until(0.3).client(3).until(0.6);
-    b.event(Event::Parted(1, Why::Stopping))
-        .event(Event::Parted(2, Why::Stopping))
-        .event(Event::Parted(3, Why::Stopping));
+    let shared = SharedState { peer_process_running: true, ..SharedState::default() };
+    b.event(Event::SharedStateSaved { call: None, shared: Ok(shared) }).text.clear();
+    b.event(Event::Shutdown).says(2, "*1\r\n$4\r\nPING\r\n").until(0.3).client(3).until(0.6);
+    b.event(Event::IdleClientClosed(1, CloseReason::Stopping))
+        .event(Event::IdleClientClosed(2, CloseReason::Stopping))
+        .event(Event::IdleClientClosed(3, CloseReason::Stopping));
     b.is(expect![[r#"
         0.000 log: told to stop: serving on, then ending connections
         0.000 client 2: -ERR draining
@@ -980,7 +1078,7 @@
 fn a_client_whose_command_has_been_read_is_not_let_go() {
     let mut b = bench_with(32 + 5);
     b.client(1).says(1, PING).client(2).says(2, PING).until(1.0).text.clear();
-    let come = [3, 4, 5].map(|id| Event::Accepted(id, HERE));
+    let come = [3, 4, 5].map(|id| Event::ClientAccepted(id, HERE));
     b.batch(come.into_iter().chain([said_by(1, PING)]).collect());
     b.is_but_list(expect![[r#"
         1.000 log: connection client 2 ended: crowded
@@ -996,10 +1094,10 @@
     b.client(1);
     call(&mut b, 1, "POST /healthcheck/fail");
     kept(&mut b, 1, &[], true);
-    b.until(0.7).event(Event::Stop).until(0.9).text.clear();
-    b.batch(vec![Event::Accepted(2, HERE), said_by(2, PING)]).until(1.25);
+    b.until(0.7).event(Event::Shutdown).until(0.9).text.clear();
+    b.batch(vec![Event::ClientAccepted(2, HERE), said_by(2, PING)]).until(1.25);
     // From now on connections end; one on which something was read is answered first.
-    b.batch(vec![Event::Accepted(3, HERE), said_by(3, PING)]).event(Event::Accepted(4, HERE));
+    b.batch(vec![Event::ClientAccepted(3, HERE), said_by(3, PING)]).event(Event::ClientAccepted(4, HERE));
     b.is_but_list(expect![[r#"
         0.900 client 2: -ERR draining
         1.000 log: connection operator 1 ended: called
@@ -1017,7 +1115,14 @@
 fn what_a_leaving_process_will_not_use_the_other_one_has() {
     let room = |holds| {
         let mut b = bench_of(200, true, true);
-        b.event(Event::Kept { call: None, shared: Ok(Shared { beside: true, holds, ..Shared::default() }) });
+        b.event(Event::SharedStateSaved {
+            call: None,
+            shared: Ok(SharedState {
+                peer_process_running: true,
+                peer_descriptor_limit: holds,
+                ..SharedState::default()
+            }),
+        });
         (1..200).find(|id| b.client(*id).text.contains("crowded")).expect("room for fewer than that")
     };
     let (half, all_but_60, all_but_half) = (room(None), room(Some(60)), room(Some(150)));
@@ -1040,8 +1145,8 @@
 #[test]
 fn who_finds_no_place_hears_why_and_a_known_one_has_its_place() {
     let mut b = gated();
-    b.client(1).client(2).client(3).event(Event::Accepted(4, there(1))).says(4, PING);
-    b.says(1, PING).until(0.5).event(Event::Accepted(5, there(1))).says(5, PING);
+    b.client(1).client(2).client(3).event(Event::ClientAccepted(4, there(1))).says(4, PING);
+    b.says(1, PING).until(0.5).event(Event::ClientAccepted(5, there(1))).says(5, PING);
     b.is_but_list(expect![[r#"
         0.000 client 3 is not taken in: too many connections of this address on which nothing was asked
         0.000 log: connection client 3 ended: turned-away
@@ -1056,7 +1161,7 @@
 #[test]
 fn a_client_at_its_first_command_is_not_silent() {
     let mut b = gated();
-    b.client(1).client(2).event(Event::Partial(Conn::Client(1))).until(1.6);
+    b.client(1).client(2).event(Event::PartialMessage(ConnectionId::Client(1))).until(1.6);
     b.is_but_list(expect![[r#"
         1.000 log: connection client 2 ended: idle
     "#]]);
@@ -1092,7 +1197,7 @@
     let mut b = bench_with(32 + 4);
     let limits = Limits { connections: 30, reserve: 0, per_address: 30, strangers: 30, ..LIMITS };
     b.admits(limits).client(1).client(2).until(0.5).text.clear();
-    b.batch(vec![Event::Accepted(3, HERE), said_by(3, PING), said_by(3, PING)]);
+    b.batch(vec![Event::ClientAccepted(3, HERE), said_by(3, PING), said_by(3, PING)]);
     b.is_but_list(expect![[r#"
         0.500 client 3: +PONG
         0.500 client 3: +PONG
@@ -1102,10 +1207,10 @@
 /// A front door under this operator's file.
 fn declared(b: &mut Bench, text: &str) {
     let told = configuration::decode(TOLD.as_bytes()).expect("a good configuration");
-    let start = quillramp::facts::start(told.seed, told.settings.get().as_bytes()).expect("good settings");
-    let platform = operator::platform(&start.about, 1024);
+    let start = quillramp::settings::load(told.seed, told.settings.get().as_bytes()).expect("good settings");
+    let platform = operator::platform(&start.instance, 1024);
     let read = quillramp_operator::read(text, Some(&platform)).expect("a good file");
-    b.event(Event::Declared(Box::new(operator::declares(read, &platform))));
+    b.event(Event::OperatorFileReloaded(Box::new(operator::operator_update(read, &platform))));
 }
 
 const SHORT: &str = "[[class]]\nname = \"short\"\nattempts = 1\ntimeout = 0.2\n[[route]]\noperations = [\"look\"]\nclass = \"short\"\n";
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -1,10 +1,10 @@
 //! The codecs, each message cut at every byte: none of its beginnings says anything, all of it says the same.
 use expect_test::expect;
-use quillramp::types::Doors;
-use quillramp::word::{self, Said};
+use quillramp::gossip::{self, WireMessage};
+use quillramp::types::InstanceRange;
 use quillramp_gateway::wire::http::{self, Request};
-use quillramp_gateway::wire::resp::{self, Answer, Command};
-use quillramp_gateway::wire::{listing, Decoded};
+use quillramp_gateway::wire::resp::{self, ClientCommand, ClientReply};
+use quillramp_gateway::wire::{endpoints, Decoded};
 use std::fmt::Debug;
 
 fn said<T: Debug + PartialEq>(
@@ -30,8 +30,8 @@
 }
 
 fn command(message: &str) -> String {
-    said(resp::command, message, |c| match c {
-        Command::Call(call) => {
+    said(resp::decode_command, message, |c| match c {
+        ClientCommand::Request(call) => {
             let mut out = vec![];
             call.encode(77, &mut out);
             format!("{}; passed on as {:?}", call.customer, String::from_utf8_lossy(&out))
@@ -91,39 +91,39 @@
         Ping in 14 of 14 bytes
         31; passed on as "*4\r\n$8\r\nCALL.GET\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n$48\r\nc=look,d=77,k=z,t=big,units=2.5,spread=3,first=1\r\n" in 120 of 120 bytes
         31; passed on as "*5\r\n$9\r\nCALL.POST\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n$37\r\nc=o,t=b,d=77,units=1,spread=1,first=0\r\n$3\r\n\r\nx\r\n" in 118 of 118 bytes
-        Wrong("d is missing") in 103 of 103 bytes
-        Wrong("t is missing") in 103 of 103 bytes
-        Wrong("units is missing") in 99 of 99 bytes
-        Wrong("expected name=value") in 71 of 71 bytes
-        Wrong("d: expected a number") in 91 of 91 bytes
-        Wrong("d: expected a number") in 92 of 92 bytes
-        Wrong("d: expected a number") in 92 of 92 bytes
-        Wrong("units: expected a number") in 90 of 90 bytes
-        Wrong("units: expected a number") in 89 of 89 bytes
-        Wrong("c stands there twice") in 111 of 111 bytes
-        Wrong("spread: expected a whole number") in 109 of 109 bytes
-        Wrong("first: expected a whole number") in 126 of 126 bytes
-        Wrong("customer: expected 16 hex digits, below 2^33") in 92 of 92 bytes
-        Wrong("customer: expected 16 hex digits, below 2^33") in 107 of 107 bytes
-        Wrong("customer: expected 16 hex digits, below 2^33") in 107 of 107 bytes
-        Wrong("id: expected 16 hex digits") in 90 of 90 bytes
-        Wrong("id: expected 16 hex digits") in 107 of 107 bytes
-        Wrong("unknown command") in 19 of 19 bytes
-        after 1 bytes: Broken("expected an array of bulk strings")
-        Broken("expected a bulk string")
-        Broken("length is no number")
-        Broken("negative length")
-        after 11 bytes: Broken("value without its end")
-        Broken("array too long")
-        Broken("value over 64 KiB")
-        Broken("line without CR")
-        after 69633 bytes: Broken("message over 64 KiB")
+        Invalid("d is missing") in 103 of 103 bytes
+        Invalid("t is missing") in 103 of 103 bytes
+        Invalid("units is missing") in 99 of 99 bytes
+        Invalid("expected name=value") in 71 of 71 bytes
+        Invalid("d: expected a number") in 91 of 91 bytes
+        Invalid("d: expected a number") in 92 of 92 bytes
+        Invalid("d: expected a number") in 92 of 92 bytes
+        Invalid("units: expected a number") in 90 of 90 bytes
+        Invalid("units: expected a number") in 89 of 89 bytes
+        Invalid("c stands there twice") in 111 of 111 bytes
+        Invalid("spread: expected a whole number") in 109 of 109 bytes
+        Invalid("first: expected a whole number") in 126 of 126 bytes
+        Invalid("customer: expected 16 hex digits, below 2^33") in 92 of 92 bytes
+        Invalid("customer: expected 16 hex digits, below 2^33") in 107 of 107 bytes
+        Invalid("customer: expected 16 hex digits, below 2^33") in 107 of 107 bytes
+        Invalid("id: expected 16 hex digits") in 90 of 90 bytes
+        Invalid("id: expected 16 hex digits") in 107 of 107 bytes
+        Invalid("unknown command") in 19 of 19 bytes
+        after 1 bytes: ProtocolError("expected an array of bulk strings")
+        ProtocolError("expected a bulk string")
+        ProtocolError("length is no number")
+        ProtocolError("negative length")
+        after 11 bytes: ProtocolError("value without its end")
+        ProtocolError("array too long")
+        ProtocolError("value over 64 KiB")
+        ProtocolError("line without CR")
+        after 69633 bytes: ProtocolError("message over 64 KiB")
     "#]].assert_eq(&all);
 }
 
 #[test]
 fn replies() {
-    let reply = |message: &str| said(resp::reply, message, |r| format!("{r:?}"));
+    let reply = |message: &str| said(resp::decode_reply, message, |r| format!("{r:?}"));
     let mut all = String::new();
     for message in [
         "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n",
@@ -149,8 +149,13 @@
     ] {
         all += &reply(message);
     }
-    let value = Answer::Value(b"a\r\nb".to_vec());
-    for answer in [Answer::Pong, value, Answer::Busy { retry_after_ms: None }, Answer::Error("no".into())] {
+    let value = ClientReply::Value(b"a\r\nb".to_vec());
+    for answer in [
+        ClientReply::Pong,
+        value,
+        ClientReply::Busy { retry_after_ms: None },
+        ClientReply::Error("no".into()),
+    ] {
         let mut out = vec![];
         answer.encode(&mut out);
         all += &format!("{:?}\n", String::from_utf8_lossy(&out));
@@ -161,21 +166,21 @@
         Value { value: [], billed: Some(2.5), report: Some([105, 110, 102, 108, 105, 103, 104, 116, 61, 55]) } in 41 of 41 bytes
         Value { value: [118], billed: None, report: None } in 24 of 24 bytes
         Value { value: [118], billed: None, report: None } in 19 of 19 bytes
-        after 15 bytes: Broken("expected a bulk string")
-        after 14 bytes: Broken("value without its end")
-        after 19 bytes: Broken("value without its end")
-        after 4 bytes: Broken("expected a value, figures on use and a report")
-        after 9 bytes: Broken("no value")
-        Broken("expected a value, figures on use and a report")
-        Errored in 24 of 24 bytes
-        TurnedAway in 7 of 7 bytes
-        TurnedAway in 18 of 18 bytes
-        Errored in 9 of 9 bytes
-        Broken("unknown error")
-        after 1 bytes: Broken("unknown type of reply")
-        after 1 bytes: Broken("unknown type of reply")
-        after 1 bytes: Broken("unknown type of reply")
-        after 1 bytes: Broken("unknown type of reply")
+        after 15 bytes: ProtocolError("expected a bulk string")
+        after 14 bytes: ProtocolError("value without its end")
+        after 19 bytes: ProtocolError("value without its end")
+        after 4 bytes: ProtocolError("expected a value, figures on use and a report")
+        after 9 bytes: ProtocolError("no value")
+        ProtocolError("expected a value, figures on use and a report")
+        Failed in 24 of 24 bytes
+        Rejected in 7 of 7 bytes
+        Rejected in 18 of 18 bytes
+        Failed in 9 of 9 bytes
+        ProtocolError("unknown error")
+        after 1 bytes: ProtocolError("unknown type of reply")
+        after 1 bytes: ProtocolError("unknown type of reply")
+        after 1 bytes: ProtocolError("unknown type of reply")
+        after 1 bytes: ProtocolError("unknown type of reply")
         "+PONG\r\n"
         "$4\r\na\r\nb\r\n"
         "-BUSY\r\n"
@@ -187,12 +192,12 @@
 #[test]
 fn responses() {
     let response = |message: &str| {
-        said(http::response, message, |r| {
+        said(http::decode_response, message, |r| {
             format!(
                 "{} {:?}{}",
                 r.status,
                 String::from_utf8_lossy(&r.body),
-                if r.last { ", the last" } else { "" }
+                if r.closes_connection { ", the last" } else { "" }
             )
         })
     };
@@ -210,8 +215,8 @@
     }
     let mut out = vec![];
     let host = "127.0.0.1:80".parse().expect("an address");
-    Request::Count { name: "5.1".into(), add: -2.5, lives_ms: 45000 }.encode(host, &mut out);
-    Request::Watch { since: 41, wait_ms: 20000 }.encode(host, &mut out);
+    Request::AddToCounter { key: "5.1".into(), add: -2.5, expire_ms: 45000 }.encode(host, &mut out);
+    Request::WatchEndpoints { since: 41, wait_ms: 20000 }.encode(host, &mut out);
     Request::List.encode(host, &mut out);
     all += &String::from_utf8_lossy(&out).replace("\r\n", "|");
     expect![[r#"
@@ -219,9 +224,9 @@
         503 "", the last in 59 of 59 bytes
         200 "abcd" in 66 of 66 bytes
         200 "7" in 91 of 91 bytes
-        after 19 bytes: Broken("response without a length")
-        Broken("body too long")
-        after 1 bytes: Broken("no HTTP")
+        after 19 bytes: ProtocolError("response without a length")
+        ProtocolError("body too long")
+        after 1 bytes: ProtocolError("no HTTP")
         POST /counters/5.1?by=-2.5&expire_ms=45000 HTTP/1.1|Host: 127.0.0.1:80|Content-Length: 0||GET /v1/endpoints?since=41&timeout_ms=20000 HTTP/1.1|Host: 127.0.0.1:80||GET /v1/endpoints HTTP/1.1|Host: 127.0.0.1:80||"#]].assert_eq(&all);
 }
 
@@ -229,17 +234,18 @@
 fn lists_and_words() {
     let entry = r#"{"name":"s","address":"127.0.0.1:1","zone":"a","group":3,"status":"DRAINING","weight":1,"since_ms":5}"#;
     let list = format!(r#"{{"index":4,"snapshot":false,"endpoints":[{entry}]}}"#);
-    let mut all = format!("{:?}\n", listing::decode(list.as_bytes()));
-    all += &format!("{:?}\n", listing::decode(list.replace("DRAINING", "GONE").as_bytes()));
-    let of = Doors { first: 2, number: 3 };
-    let count = Said::Count { customer: 1 << 32 | 9, plan: 1, of, series: 7, total: 2.5 };
-    for said in [Said::Backend(b"s-5be2a07c".to_vec()), count] {
-        let body = word::encode(&said);
-        assert_eq!(word::decode(&body), Some(said));
-        all += &format!("{} bytes; cut short: {:?}\n", body.len(), word::decode(&body[..1]));
+    let mut all = format!("{:?}\n", endpoints::decode(list.as_bytes()));
+    all += &format!("{:?}\n", endpoints::decode(list.replace("DRAINING", "GONE").as_bytes()));
+    let of = InstanceRange { first: 2, count: 3 };
+    let count =
+        WireMessage::CounterTotal { customer: 1 << 32 | 9, plan: 1, instances: of, series: 7, total: 2.5 };
+    for said in [WireMessage::BackendRecovered(b"s-5be2a07c".to_vec()), count] {
+        let body = gossip::encode(&said);
+        assert_eq!(gossip::decode(&body), Some(said));
+        all += &format!("{} bytes; cut short: {:?}\n", body.len(), gossip::decode(&body[..1]));
     }
     expect![[r#"
-        Ok(Listing { index: 4, snapshot: false, endpoints: [Endpoint { name: "s", address: 127.0.0.1:1, zone: "a", group: 3, status: Draining, weight: 1.0, since_ms: 5.0 }] })
+        Ok(EndpointList { index: 4, snapshot: false, endpoints: [ListedEndpoint { name: "s", address: 127.0.0.1:1, zone: "a", group: 3, status: Draining, weight: 1.0, since_ms: 5.0 }] })
         Err("list: unknown status 'GONE' at line 1 column 113")
         11 bytes; cut short: None
         19 bytes; cut short: None
@@ -250,17 +256,18 @@
 #[test]
 fn a_load_report_is_read_by_the_names_of_the_settings() {
     let example = include_str!("../../examples/configuration.json");
-    let told = quillramp_gateway::life::configuration::decode(example.as_bytes()).expect("a good one");
+    let told = quillramp_gateway::process::configuration::decode(example.as_bytes()).expect("a good one");
     let with = |feedback: &str| {
         let settings = told.settings.get().replacen('{', &format!("{{\"feedback\": {feedback},"), 1);
-        quillramp::facts::start(1, settings.as_bytes()).map(|s| s.about.report)
+        quillramp::settings::load(1, settings.as_bytes()).map(|s| s.instance.load_report_fields)
     };
     let names = with(r#"{"source": "piggyback", "fields": ["load_share", "mean_ms", "colour"]}"#);
     let names = names.expect("good settings");
     let mut all = String::new();
     for text in ["mean_ms=40,load_share=0.5,colour=3", "load_share=x,mean_ms=-1", "depth=2"] {
-        let report = quillramp::facts::report(&names, |_, name| resp::figure(text.as_bytes(), name));
-        all += &format!("{:?}\n", report.map(|r| (r.busy, r.service, r.waiting)));
+        let report =
+            quillramp::settings::load_report(&names, |_, name| resp::find_number(text.as_bytes(), name));
+        all += &format!("{:?}\n", report.map(|r| (r.cpu_utilization, r.service_time, r.queued)));
     }
     all += &format!("{:?}\n", with(r#"{"source": "silent", "fields": ["depth"]}"#));
     all += &format!("{:?}\n", with(r#"{"source": "loud"}"#));
@@ -277,15 +284,15 @@
 /// Guards: operators' calls come in pieces, too long, or not at all as they should.
 #[test]
 fn operators_calls_are_read_whole_or_said_to_be_wrong() {
-    use quillramp_gateway::wire::manage::{call, Call};
+    use quillramp_gateway::wire::admin::{decode_call, AdminCall};
     let whole = "POST /backends/s-1%2d2/maint?x=1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
     for cut in 0..whole.len() {
-        assert_eq!(call(&whole.as_bytes()[..cut]), None, "{cut}");
+        assert_eq!(decode_call(&whole.as_bytes()[..cut]), None, "{cut}");
     }
-    assert_eq!(call(whole.as_bytes()), Some(Call::Out("s-1-2".into())));
-    let says = |text: &str| call(text.as_bytes());
+    assert_eq!(decode_call(whole.as_bytes()), Some(AdminCall::EjectBackend("s-1-2".into())));
+    let says = |text: &str| decode_call(text.as_bytes());
     let head = |line: &str, header: &str| says(&format!("{line} HTTP/1.1\r\n{header}\r\n"));
-    assert_eq!(head("GET /stats", ""), Some(Call::Stats));
+    assert_eq!(head("GET /stats", ""), Some(AdminCall::Stats));
     for (line, header, status) in [
         ("GET /nowhere", "", 404),
         ("POST /backends//maint", "", 404),
@@ -298,7 +305,7 @@
         ("GET /stats", &format!("a: {}\r\n", "b".repeat(9000)), 431),
         ("*1\r\n$4\r\nPING", "", 400),
     ] {
-        assert_eq!(head(line, header), Some(Call::Wrong(status)), "{line} {}", header.len());
+        assert_eq!(head(line, header), Some(AdminCall::Invalid(status)), "{line} {}", header.len());
     }
-    assert_eq!(says(&"G".repeat(9000)), Some(Call::Wrong(431)));
+    assert_eq!(says(&"G".repeat(9000)), Some(AdminCall::Invalid(431)));
 }
--- a/load/src/scale/hollow.rs
+++ b/load/src/scale/hollow.rs
@@ -4,13 +4,13 @@
 use super::operator_file;
 use super::point::Point;
 use super::traffic::Answered;
-use quillramp::facts::{self, About};
-use quillramp_gateway::life::operator;
-use quillramp_gateway::memory::event::{Conn, Declares, Effect, Event, Why};
-use quillramp_gateway::memory::intake::{Hears, Intake};
-use quillramp_gateway::memory::reducer::{Parties, Reducer};
-use quillramp_gateway::wire::listing::Listing;
-use quillramp_gateway::wire::resp::Answer;
+use quillramp::settings::{self, InstanceSettings};
+use quillramp_gateway::process::operator;
+use quillramp_gateway::state::event::{CloseReason, ConnectionId, Effect, Event, OperatorUpdate};
+use quillramp_gateway::state::framing::{MessageReader, MessageSink};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::wire::endpoints::EndpointList;
+use quillramp_gateway::wire::resp::ClientReply;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -25,9 +25,9 @@
 /// What a hollow front door wants done with its connections.
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    Dial(Conn, SocketAddr),
-    Send(Conn, Vec<u8>),
-    Close(Conn),
+    Dial(ConnectionId, SocketAddr),
+    Send(ConnectionId, Vec<u8>),
+    Close(ConnectionId),
 }
 
 /// Where the other parties are.
@@ -38,40 +38,40 @@
 }
 
 struct Stream {
-    intake: Intake,
+    intake: MessageReader,
     input: Vec<u8>,
     output: Vec<u8>,
 }
 
 impl Stream {
-    fn new(conn: Conn) -> Stream {
-        Stream { intake: Intake::new(conn), input: vec![], output: vec![] }
+    fn new(conn: ConnectionId) -> Stream {
+        Stream { intake: MessageReader::new(conn), input: vec![], output: vec![] }
     }
 }
 
 /// Collects the events that a codec finds; no value here is long enough to pass through in pieces.
 struct Collect<'a>(&'a mut Vec<Event>);
 
-impl Hears for Collect<'_> {
+impl MessageSink for Collect<'_> {
     fn event(&mut self, event: Event, _long: usize) {
         self.0.push(event);
     }
-    fn piece(&mut self, _bytes: &[u8], _end: bool) {}
+    fn body_chunk(&mut self, _bytes: &[u8], _end: bool) {}
 }
 
 /// What the operator's file of a point declares; none where there is no such file.
-fn declares(point: &Point, about: &About) -> Result<Option<Declares>, String> {
+fn declares(point: &Point, about: &InstanceSettings) -> Result<Option<OperatorUpdate>, String> {
     let Some(text) = operator_file::text(point) else { return Ok(None) };
     let platform = operator::platform(about, DESCRIPTORS);
     let read = quillramp_operator::read(&text, Some(&platform));
     let read = read.map_err(|wrong| operator::faults("operator's file", &wrong).join("; "))?;
-    Ok(Some(operator::declares(read, &platform)))
+    Ok(Some(operator::operator_update(read, &platform)))
 }
 
 /// One front door without its sockets.
 pub struct HollowFrontDoor {
     reducer: Reducer,
-    streams: HashMap<Conn, Stream>,
+    streams: HashMap<ConnectionId, Stream>,
     inbox: Vec<Event>,
     own: SocketAddr,
     next_client: u64,
@@ -87,19 +87,19 @@
     /// One that has just started with an empty list. `now` is Unix time in seconds, here and below.
     pub fn new(now: f64, point: &Point, slot: usize, parts: Parts) -> Result<HollowFrontDoor, String> {
         let seed = point.seed.wrapping_mul(7919).wrapping_add(slot as u64);
-        let start = facts::start(seed, point.settings(slot).to_string().as_bytes())?;
-        let declares = declares(point, &start.about)?;
-        let parties = Parties {
+        let start = settings::load(seed, point.settings(slot).to_string().as_bytes())?;
+        let declares = declares(point, &start.instance)?;
+        let parties = ReducerConfig {
             peers: vec![],
-            peers_all: None,
+            peer_broadcast: None,
             counter: Some(parts.counter),
-            list: parts.list,
-            sockets: DESCRIPTORS,
-            passed: false,
-            called: false,
-            keeps: false,
+            discovery: parts.list,
+            max_descriptors: DESCRIPTORS,
+            inherited_listener: false,
+            admin_enabled: false,
+            saves_changes: false,
         };
-        let known = Listing { index: 0, snapshot: true, endpoints: vec![] };
+        let known = EndpointList { index: 0, snapshot: true, endpoints: vec![] };
         let mut new = HollowFrontDoor {
             reducer: Reducer::new(now, start, parties, &known),
             streams: HashMap::new(),
@@ -111,8 +111,8 @@
             log_lines: 0,
         };
         for client in 0..CLIENTS {
-            new.streams.insert(Conn::Client(client), Stream::new(Conn::Client(client)));
-            new.inbox.push(Event::Accepted(client, IpAddr::V4(Ipv4Addr::LOCALHOST)));
+            new.streams.insert(ConnectionId::Client(client), Stream::new(ConnectionId::Client(client)));
+            new.inbox.push(Event::ClientAccepted(client, IpAddr::V4(Ipv4Addr::LOCALHOST)));
         }
         if let Some(declares) = declares {
             new.reducer.declares(now, declares);
@@ -124,18 +124,18 @@
     pub fn request(&mut self, bytes: &[u8]) {
         self.next_client = (self.next_client + 1) % CLIENTS;
         self.answered.sent += 1;
-        self.received(Conn::Client(self.next_client), bytes);
+        self.received(ConnectionId::Client(self.next_client), bytes);
     }
 
     /// A connection that it dialled is up.
-    pub fn connected(&mut self, conn: Conn) {
+    pub fn connected(&mut self, conn: ConnectionId) {
         if self.streams.contains_key(&conn) {
-            self.inbox.push(Event::Up(conn));
+            self.inbox.push(Event::Connected(conn));
         }
     }
 
     /// Bytes came on a connection.
-    pub fn received(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn received(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let from = cpu::thread();
         let Some(stream) = self.streams.get_mut(&conn) else { return };
         stream.input.extend_from_slice(bytes);
@@ -153,9 +153,13 @@
     }
 
     /// A connection ended that it did not close itself.
-    pub fn ended(&mut self, conn: Conn, why: Why) {
+    pub fn ended(&mut self, conn: ConnectionId, why: CloseReason) {
         if let Some(stream) = self.streams.remove(&conn) {
-            self.inbox.push(Event::Ended { conn, why, unsent: !stream.output.is_empty() });
+            self.inbox.push(Event::ConnectionEnded {
+                connection: conn,
+                reason: why,
+                unsent: !stream.output.is_empty(),
+            });
         }
     }
 
@@ -163,9 +167,9 @@
     pub fn step(&mut self, now: f64) -> (Option<f64>, Vec<Action>) {
         let from = cpu::thread();
         let mut events = std::mem::take(&mut self.inbox);
-        self.reducer.batch(now, &mut events);
+        self.reducer.handle_batch(now, &mut events);
         self.inbox = events; // empty by now, its room is used again
-        let (next, effects) = self.reducer.settle(now);
+        let (next, effects) = self.reducer.poll(now);
         let mut actions = vec![];
         let mut written = vec![];
         for effect in effects {
@@ -182,20 +186,20 @@
         (next, actions)
     }
 
-    fn carry_out(&mut self, effect: Effect, actions: &mut Vec<Action>, written: &mut Vec<Conn>) {
-        let mut write = |conn: Conn, encode: &dyn Fn(&mut Vec<u8>)| {
+    fn carry_out(&mut self, effect: Effect, actions: &mut Vec<Action>, written: &mut Vec<ConnectionId>) {
+        let mut write = |conn: ConnectionId, encode: &dyn Fn(&mut Vec<u8>)| {
             if let Some(stream) = self.streams.get_mut(&conn) {
                 encode(&mut stream.output);
                 written.push(conn);
             }
         };
         match effect {
-            Effect::Answer(_, answer) => self.count(&answer),
+            Effect::Reply(_, answer) => self.count(&answer),
             // What has been written leaves with the batch, so nothing can be withdrawn later.
-            Effect::Deliver { connection, call, wait_ms, .. } => {
-                write(Conn::Backend(connection), &|out| call.encode(wait_ms, out))
+            Effect::SendAttempt { connection, call, timeout_ms: wait_ms, .. } => {
+                write(ConnectionId::Backend(connection), &|out| call.encode(wait_ms, out))
             }
-            Effect::Request(conn, request) => write(conn, &|out| request.encode(self.own, out)),
+            Effect::HttpRequest(conn, request) => write(conn, &|out| request.encode(self.own, out)),
             Effect::Connect(conn, to) => {
                 self.streams.insert(conn, Stream::new(conn));
                 actions.push(Action::Dial(conn, to));
@@ -204,19 +208,19 @@
                 self.streams.remove(&conn);
                 actions.push(Action::Close(conn));
             }
-            Effect::Log(_) | Effect::LogEnd(_) => self.log_lines += 1,
+            Effect::Log(_) | Effect::LogClosed(_) => self.log_lines += 1,
             // Its clients stay, ask nothing of an operator and stop nothing; nothing else of a process is there.
             _ => {}
         }
     }
 
-    fn count(&mut self, answer: &Answer) {
+    fn count(&mut self, answer: &ClientReply) {
         // Written and dropped: a real one encodes it too.
         let mut out = vec![];
         answer.encode(&mut out);
         match answer {
-            Answer::Value(_) | Answer::Passed => self.answered.served += 1,
-            Answer::Busy { .. } => self.answered.throttled += 1,
+            ClientReply::Value(_) | ClientReply::Streamed => self.answered.served += 1,
+            ClientReply::Busy { .. } => self.answered.throttled += 1,
             _ => self.answered.errored += 1,
         }
     }
--- a/load/src/scale/in_process.rs
+++ b/load/src/scale/in_process.rs
@@ -8,8 +8,8 @@
 use super::servers;
 use super::tally::{Role, Tallies};
 use super::traffic::{Answered, Arrivals, Population};
-use quillramp_gateway::memory::event::Conn;
-use quillramp_gateway::wire::Broken;
+use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::wire::ProtocolError;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
     front_door: usize,
     /// Counts the starts of the front door: what is on its way to an earlier process is lost.
     start: u32,
-    conn: Conn,
+    conn: ConnectionId,
 }
 
 struct Slot {
@@ -269,7 +269,7 @@
     }
 
     fn carry_out(&mut self, front_door: usize, start: u32, action: Action) {
-        let port = |conn: Conn| Port { front_door, start, conn };
+        let port = |conn: ConnectionId| Port { front_door, start, conn };
         let now = self.agenda.now;
         match action {
             Action::Dial(conn, _) => {
@@ -288,7 +288,7 @@
         }
     }
 
-    fn serve(&mut self, port: Port, bytes: &[u8]) -> Result<(), Broken> {
+    fn serve(&mut self, port: Port, bytes: &[u8]) -> Result<(), ProtocolError> {
         let Some(role) = role(port.conn) else { return Ok(()) };
         let mut used = 0;
         while used < bytes.len() {
@@ -310,7 +310,7 @@
                 }),
             };
             // Requests leave whole, in one piece, and come so.
-            used += n.ok_or(Broken("half a request"))?;
+            used += n.ok_or(ProtocolError("half a request"))?;
             self.tallies.of(role).called();
         }
         Ok(())
@@ -373,11 +373,11 @@
     }
 }
 
-fn role(conn: Conn) -> Option<Role> {
+fn role(conn: ConnectionId) -> Option<Role> {
     match conn {
-        Conn::Counter(_) => Some(Role::Counter),
-        Conn::List(_) => Some(Role::List),
-        Conn::Backend(_) => Some(Role::Backend),
-        Conn::Client(_) | Conn::Operator(_) => None,
+        ConnectionId::Counter(_) => Some(Role::Counter),
+        ConnectionId::Discovery(_) => Some(Role::List),
+        ConnectionId::Backend(_) => Some(Role::Backend),
+        ConnectionId::Client(_) | ConnectionId::Admin(_) => None,
     }
 }
--- a/load/src/scale/on_sockets.rs
+++ b/load/src/scale/on_sockets.rs
@@ -7,7 +7,7 @@
 use super::traffic::{Answered, Arrivals, Population};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
-use quillramp_gateway::memory::event::{Conn, Why};
+use quillramp_gateway::state::event::{CloseReason, ConnectionId};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::ops::Range;
@@ -40,7 +40,7 @@
 struct Port {
     slot: usize,
     start: u64,
-    conn: Conn,
+    conn: ConnectionId,
 }
 
 /// A front door that is to be killed, and when; it starts again after `RESTART`.
@@ -78,7 +78,7 @@
 
 struct Socket {
     slot: usize,
-    conn: Conn,
+    conn: ConnectionId,
     stream: TcpStream,
     output: Vec<u8>,
     up: bool,
@@ -90,7 +90,7 @@
     agenda: Agenda<Item>,
     slots: Vec<Slot>,
     sockets: HashMap<Token, Socket>,
-    tokens: HashMap<(usize, Conn), Token>,
+    tokens: HashMap<(usize, ConnectionId), Token>,
     next_token: usize,
     scratch: Vec<u8>,
     point: Point,
@@ -237,7 +237,8 @@
         if let Some(front_door) = gone.front_door.take() {
             gone.before.add(&Reading::of(&front_door));
         }
-        let own: Vec<(usize, Conn)> = self.tokens.keys().filter(|key| key.0 == slot).copied().collect();
+        let own: Vec<(usize, ConnectionId)> =
+            self.tokens.keys().filter(|key| key.0 == slot).copied().collect();
         own.into_iter().for_each(|(slot, conn)| self.close(slot, conn));
         self.agenda.put(self.agenda.now + RESTART, Item::Start(slot));
     }
@@ -248,7 +249,7 @@
         self.wake(slot, self.agenda.now);
     }
 
-    fn close(&mut self, slot: usize, conn: Conn) {
+    fn close(&mut self, slot: usize, conn: ConnectionId) {
         let token = self.tokens.remove(&(slot, conn));
         if let Some(mut socket) = token.and_then(|token| self.sockets.remove(&token)) {
             let _ = self.poll.registry().deregister(&mut socket.stream); // it ends now in any case
@@ -298,15 +299,15 @@
     fn carry_out(&mut self, slot: usize, action: Action) {
         let (now, start) = (self.agenda.now, self.slots[slot].starts);
         match action {
-            Action::Dial(conn @ Conn::Backend(_), _) => {
+            Action::Dial(conn @ ConnectionId::Backend(_), _) => {
                 self.agenda.put(now + 2.0 * LATENCY, Item::Up(Port { slot, start, conn }));
             }
             Action::Dial(conn, to) => {
                 if self.dial(slot, conn, to).is_err() {
-                    self.reach(slot, |front_door| front_door.ended(conn, Why::Refused));
+                    self.reach(slot, |front_door| front_door.ended(conn, CloseReason::Refused));
                 }
             }
-            Action::Send(conn @ Conn::Backend(_), bytes) => {
+            Action::Send(conn @ ConnectionId::Backend(_), bytes) => {
                 // A front door writes whole commands, one or more.
                 let mut rest = &bytes[..];
                 while let Ok(Some((reply, n))) = servers::invoke(rest) {
@@ -316,7 +317,7 @@
                 }
             }
             Action::Send(conn, bytes) => {
-                if matches!(conn, Conn::List(_)) {
+                if matches!(conn, ConnectionId::Discovery(_)) {
                     self.note_in_force(slot, &bytes);
                 }
                 self.send(slot, conn, &bytes);
@@ -325,19 +326,19 @@
         }
     }
 
-    fn send(&mut self, slot: usize, conn: Conn, bytes: &[u8]) {
+    fn send(&mut self, slot: usize, conn: ConnectionId, bytes: &[u8]) {
         let Some(token) = self.tokens.get(&(slot, conn)).copied() else { return };
         if let Some(socket) = self.sockets.get_mut(&token) {
             socket.output.extend_from_slice(bytes);
         }
         if self.flush(token).is_err() {
-            self.end(token, Why::Reset);
+            self.end(token, CloseReason::Reset);
         }
     }
 
     // ======== sockets
 
-    fn dial(&mut self, slot: usize, conn: Conn, to: std::net::SocketAddr) -> std::io::Result<()> {
+    fn dial(&mut self, slot: usize, conn: ConnectionId, to: std::net::SocketAddr) -> std::io::Result<()> {
         let mut stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
         let token = Token(self.next_token);
@@ -359,13 +360,13 @@
                     self.reach(slot, |front_door| front_door.connected(conn));
                 }
                 (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => return,
-                _ => return self.end(token, Why::Refused),
+                _ => return self.end(token, CloseReason::Refused),
             }
         }
         let why = match self.read_all(token).and_then(|()| self.flush(token)) {
             Ok(()) => None,
-            Err(e) if e.kind() == ErrorKind::UnexpectedEof => Some(Why::Closed),
-            Err(_) => Some(Why::Reset),
+            Err(e) if e.kind() == ErrorKind::UnexpectedEof => Some(CloseReason::Closed),
+            Err(_) => Some(CloseReason::Reset),
         };
         if let Some(why) = why {
             self.end(token, why);
@@ -405,7 +406,7 @@
     }
 
     /// A connection ended, and the front door hears of it.
-    fn end(&mut self, token: Token, why: Why) {
+    fn end(&mut self, token: Token, why: CloseReason) {
         let Some(mut socket) = self.sockets.remove(&token) else { return };
         let _ = self.poll.registry().deregister(&mut socket.stream); // it ends now in any case
         self.tokens.remove(&(socket.slot, socket.conn));
--- a/load/src/scale/servers.rs
+++ b/load/src/scale/servers.rs
@@ -2,8 +2,8 @@
 use super::counts::Counts;
 use super::discovery::Discovery;
 use crate::toy::number;
-use quillramp_gateway::wire::resp::{self, Command};
-use quillramp_gateway::wire::{Broken, Decoded};
+use quillramp_gateway::wire::resp::{self, ClientCommand};
+use quillramp_gateway::wire::{Decoded, ProtocolError};
 use std::time::Duration;
 
 /// A call of the list service.
@@ -22,7 +22,7 @@
     match request.parse(bytes) {
         Ok(httparse::Status::Complete(n)) => Ok(Some((request.path.unwrap_or_default().to_owned(), n))),
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(Broken("no HTTP")),
+        Err(_) => Err(ProtocolError("no HTTP")),
     }
 }
 
@@ -54,9 +54,9 @@
 
 /// A backend's answer to the first command of these bytes: the id of the request, its cost of one unit, no report.
 pub fn invoke(bytes: &[u8]) -> Decoded<Vec<u8>> {
-    let Some((command, n)) = resp::command(bytes)? else { return Ok(None) };
+    let Some((command, n)) = resp::decode_command(bytes)? else { return Ok(None) };
     let reply = match command {
-        Command::Call(call) => format!("*3\r\n$16\r\n{:016x}\r\n$6\r\ncost=1\r\n$-1\r\n", call.id),
+        ClientCommand::Request(call) => format!("*3\r\n$16\r\n{:016x}\r\n$6\r\ncost=1\r\n$-1\r\n", call.id),
         _ => "+PONG\r\n".to_owned(),
     };
     Ok(Some((reply.into_bytes(), n)))
--- a/load/src/scale/stand_ins.rs
+++ b/load/src/scale/stand_ins.rs
@@ -9,7 +9,7 @@
 use crate::stage::held;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Registry, Token};
-use quillramp_gateway::wire::Broken;
+use quillramp_gateway::wire::ProtocolError;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::io::{ErrorKind, Read, Write};
@@ -335,7 +335,7 @@
     }
 }
 
-fn broken(why: Broken) -> std::io::Error {
+fn broken(why: ProtocolError) -> std::io::Error {
     std::io::Error::other(why.0)
 }
 
--- a/operator/src/routes/check.rs
+++ b/operator/src/routes/check.rs
@@ -3,7 +3,7 @@
 use super::platform::group_name;
 use super::{Class, Operation, Platform};
 use crate::document::Document;
-use quillramp::types::{Effect, Group};
+use quillramp::types::{Idempotency, KeyScope};
 
 /// A class that a route leads an operation to.
 pub(super) struct ClassCheck<'a> {
@@ -22,9 +22,9 @@
         self.check_second_copies();
         self.check_per_try_effect();
         match self.operation.effect {
-            Effect::Tokened { group, window } => self.check_tokened_repeats(group, window),
-            Effect::NonIdempotent => self.check_no_repeats(),
-            Effect::Idempotent => self.check_idempotent_repeats(),
+            Idempotency::Keyed { scope: group, window } => self.check_tokened_repeats(group, window),
+            Idempotency::NonIdempotent => self.check_no_repeats(),
+            Idempotency::Idempotent => self.check_idempotent_repeats(),
         }
         self.check_timeout();
         self.check_objective();
@@ -35,7 +35,7 @@
         let Some(attempts) = self.class.attempts.as_ref().filter(|attempts| attempts.value > 1) else {
             return;
         };
-        if self.operation.effect == Effect::NonIdempotent {
+        if self.operation.effect == Idempotency::NonIdempotent {
             let name = &self.operation.name;
             let message =
                 format!("'{name}' is non-idempotent: a second delivery could have its effect twice");
@@ -51,19 +51,19 @@
         let Some(copies) = self.class.second_copies.as_ref().filter(|copies| copies.value) else { return };
         let name = &self.operation.name;
         let message = match self.operation.effect {
-            Effect::NonIdempotent => {
+            Idempotency::NonIdempotent => {
                 format!("'{name}' is non-idempotent: a second copy could have its effect twice")
             }
-            Effect::Tokened { .. } => format!("'{name}' is tokened: only what is idempotent is copied"),
-            Effect::Idempotent if self.platform.second_copies => return,
-            Effect::Idempotent => "the configuration allows none".into(),
+            Idempotency::Keyed { .. } => format!("'{name}' is tokened: only what is idempotent is copied"),
+            Idempotency::Idempotent if self.platform.second_copies => return,
+            Idempotency::Idempotent => "the configuration allows none".into(),
         };
         self.report(copies.line, "second_copies", &message);
     }
 
     fn check_per_try_effect(&self) {
         let Some(per_try) = &self.class.per_try else { return };
-        if self.operation.effect != Effect::Idempotent {
+        if self.operation.effect != Idempotency::Idempotent {
             let name = &self.operation.name;
             let message = format!(
                 "'{name}' is not idempotent: a delivery of it that is out is not given up for another"
@@ -72,7 +72,7 @@
         }
     }
 
-    fn check_tokened_repeats(&self, group: Group, window: f64) {
+    fn check_tokened_repeats(&self, group: KeyScope, window: f64) {
         let name = &self.operation.name;
         if let Some(within) = self.class.repeat_within.as_ref().filter(|within| within.value > window) {
             let message =
@@ -131,7 +131,7 @@
 
     fn check_per_try_time(&self) {
         let Some(per_try) = &self.class.per_try else { return };
-        if self.operation.effect != Effect::Idempotent {
+        if self.operation.effect != Idempotency::Idempotent {
             return;
         }
         let (name, timeout) = (&self.operation.name, self.timeout());
--- a/operator/src/routes/class.rs
+++ b/operator/src/routes/class.rs
@@ -1,6 +1,6 @@
 //! Classes of limits.
 use crate::document::{Choice, Located, Section};
-use quillramp::types::{Declared, Group};
+use quillramp::types::{KeyScope, RequestLimits};
 use std::collections::BTreeMap;
 
 /// The most attempts that a file may declare.
@@ -30,19 +30,19 @@
     /// A request is repeated within this time of its first attempt.
     pub repeat_within: Option<Located<f64>>,
     /// The group of backends in which a repeat is known.
-    pub repeat_group: Option<Located<Group>>,
+    pub repeat_group: Option<Located<KeyScope>>,
 }
 
 impl Class {
     /// The class as `quillramp::decide` takes it.
-    pub fn declared(&self) -> Declared {
-        let default = Declared::default();
-        Declared {
-            attempts: value_or(&self.attempts, default.attempts),
-            second_copies: value_or(&self.second_copies, default.second_copies),
-            per_try: value_or(&self.per_try, default.per_try),
-            objective: value_or(&self.objective, default.objective),
-            repeat_within: value_or(&self.repeat_within, default.repeat_within),
+    pub fn declared(&self) -> RequestLimits {
+        let default = RequestLimits::default();
+        RequestLimits {
+            max_attempts: value_or(&self.attempts, default.max_attempts),
+            hedging: value_or(&self.second_copies, default.hedging),
+            attempt_timeout: value_or(&self.per_try, default.attempt_timeout),
+            latency_objective: value_or(&self.objective, default.latency_objective),
+            retry_window: value_or(&self.repeat_within, default.retry_window),
         }
     }
 }
@@ -67,9 +67,9 @@
 fn read(section: &Section) -> Class {
     let seconds = |key: &'static str| section.number(key, MIN_SECONDS..=MAX_SECONDS);
     let groups = [
-        Choice { word: "all", value: Group::All },
-        Choice { word: "zone", value: Group::Zone },
-        Choice { word: "cell", value: Group::Cell },
+        Choice { word: "all", value: KeyScope::All },
+        Choice { word: "zone", value: KeyScope::Zone },
+        Choice { word: "cell", value: KeyScope::Cell },
     ];
     let class = Class {
         name: section.string("name").map(|name| name.value).unwrap_or_default(),
--- a/operator/src/routes/platform.rs
+++ b/operator/src/routes/platform.rs
@@ -1,5 +1,5 @@
 //! What the platform's configuration allows, as far as a file is checked against it.
-use quillramp::types::{Effect, Group};
+use quillramp::types::{Idempotency, KeyScope};
 
 /// An operation as the platform's configuration has it.
 #[derive(Clone, Debug, PartialEq)]
@@ -7,7 +7,7 @@
     /// Its name.
     pub name: String,
     /// What a repeat of it does.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Its latency objective, seconds.
     pub objective: f64,
     /// When its clients give up, seconds.
@@ -30,10 +30,10 @@
 }
 
 /// A group's name in the file.
-pub(crate) fn group_name(group: Group) -> &'static str {
+pub(crate) fn group_name(group: KeyScope) -> &'static str {
     match group {
-        Group::All => "all",
-        Group::Zone => "zone",
-        Group::Cell => "cell",
+        KeyScope::All => "all",
+        KeyScope::Zone => "zone",
+        KeyScope::Cell => "cell",
     }
 }
--- a/operator/src/routes/table.rs
+++ b/operator/src/routes/table.rs
@@ -1,6 +1,6 @@
 //! Routes by index, for the gateway: a look-up by operation and plan, and one by customer.
 use super::{Class, Platform, Route, Routes};
-use quillramp::types::Declared;
+use quillramp::types::RequestLimits;
 use quillramp_broker::contract::matches_any;
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EffectiveLimits {
     /// What `quillramp::decide` is told.
-    pub declared: Declared,
+    pub declared: RequestLimits,
     /// The longest that the request is worked on, seconds.
     pub timeout: f64,
 }
--- a/operator/src/show/operations.rs
+++ b/operator/src/show/operations.rs
@@ -1,7 +1,7 @@
 //! The limits that hold for each operation, by route.
 use crate::document::Located;
 use crate::routes::{group_name, value_or, Class, Operation, Platform, Route, Routes};
-use quillramp::types::Effect;
+use quillramp::types::Idempotency;
 use quillramp_broker::contract::matches_any;
 
 pub(super) fn show(routes: &Routes, platform: &Platform) -> String {
@@ -22,11 +22,11 @@
     text
 }
 
-fn effect(effect: Effect) -> String {
+fn effect(effect: Idempotency) -> String {
     match effect {
-        Effect::Idempotent => "idempotent".into(),
-        Effect::NonIdempotent => "non-idempotent".into(),
-        Effect::Tokened { group, window } => {
+        Idempotency::Idempotent => "idempotent".into(),
+        Idempotency::NonIdempotent => "non-idempotent".into(),
+        Idempotency::Keyed { scope: group, window } => {
             format!("tokened, in group '{}' for {window} s", group_name(group))
         }
     }
@@ -44,7 +44,7 @@
 /// A line for each limit: what holds, and where it came from.
 fn limits(operation: &Operation, class: &Class, platform: &Platform) -> String {
     let attempts = value_or(&class.attempts, platform.attempts).min(platform.attempts);
-    let allows_copies = platform.second_copies && operation.effect == Effect::Idempotent;
+    let allows_copies = platform.second_copies && operation.effect == Idempotency::Idempotent;
     let second_copies = if allows_copies && value_or(&class.second_copies, true) { "yes" } else { "no" };
     let objective = value_or(&class.objective, operation.objective);
     let timeout = value_or(&class.timeout, operation.timeout);
--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -1,7 +1,7 @@
 //! Files that are right, and files that are wrong and say why.
 use expect_test::{expect, expect_file, Expect};
 use proptest::prelude::*;
-use quillramp::types::{Declared, Effect, Group};
+use quillramp::types::{Idempotency, KeyScope, RequestLimits};
 use quillramp_operator::log::{Format, Level, LevelRule};
 use quillramp_operator::routes::{Operation, Platform, Table};
 use quillramp_operator::{read, show, Diagnostic, OperatorSettings, MAX_FILE_BYTES};
@@ -9,13 +9,13 @@
 use std::path::Path;
 
 fn platform() -> Platform {
-    let tokened = |group| Effect::Tokened { group, window: 1.5 };
+    let tokened = |group| Idempotency::Keyed { scope: group, window: 1.5 };
     let operations = [
-        ("look", Effect::Idempotent, 0.4, 1.5),
-        ("find", Effect::Idempotent, 0.4, 1.5),
-        ("hold", tokened(Group::Cell), 0.6, 2.0),
-        ("note", tokened(Group::All), 0.6, 2.0),
-        ("order", Effect::NonIdempotent, 1.0, 3.0),
+        ("look", Idempotency::Idempotent, 0.4, 1.5),
+        ("find", Idempotency::Idempotent, 0.4, 1.5),
+        ("hold", tokened(KeyScope::Cell), 0.6, 2.0),
+        ("note", tokened(KeyScope::All), 0.6, 2.0),
+        ("order", Idempotency::NonIdempotent, 1.0, 3.0),
     ];
     Platform {
         operations: operations
@@ -166,14 +166,14 @@
     let memory = LevelRule { prefix: "quillramp_gateway::memory".into(), level: Level::Debug };
     assert_eq!(log.levels[1], memory);
     let table = Table::new(&operator.routes, &platform());
-    let attempts = |o, p, c| table.lookup(o, p, c).map(|h| h.declared.attempts);
+    let attempts = |o, p, c| table.lookup(o, p, c).map(|h| h.declared.max_attempts);
     assert_eq!(attempts(0, 0, 0xb4d65521), Some(1), "named");
     assert_eq!(attempts(0, 1, 0xb4d65521), Some(1), "under any plan");
     assert_eq!(attempts(0, 0, 1), Some(3));
     assert_eq!(attempts(0, 1, 1), None, "another plan");
     assert_eq!(attempts(4, 1, 1), Some(1), "by a star");
     let held = table.lookup(2, 0, 1).expect("routed");
-    assert_eq!(held.declared, Declared { repeat_within: 1.0, ..Declared::default() });
+    assert_eq!(held.declared, RequestLimits { retry_window: 1.0, ..RequestLimits::default() });
     assert_eq!(held.timeout, f64::INFINITY);
     assert_eq!(table.lookup(1, 0, 1).expect("routed").timeout, 1.0);
 }
@@ -349,22 +349,22 @@
             let d = held.declared;
             let timeout = held.timeout.min(o.timeout);
             prop_assert!(held.timeout.is_infinite() || held.timeout <= o.timeout);
-            prop_assert!(d.objective.is_infinite() || d.objective <= o.objective && d.objective <= timeout);
-            prop_assert!(d.attempts == usize::MAX || d.attempts <= p.attempts);
-            if d.per_try.is_finite() {
-                prop_assert_eq!(o.effect, Effect::Idempotent);
-                prop_assert!(d.per_try < timeout || d.attempts.min(p.attempts) == 1);
-                prop_assert!(d.attempts == usize::MAX || d.per_try * d.attempts as f64 <= timeout);
+            prop_assert!(d.latency_objective.is_infinite() || d.latency_objective <= o.objective && d.latency_objective <= timeout);
+            prop_assert!(d.max_attempts == usize::MAX || d.max_attempts <= p.attempts);
+            if d.attempt_timeout.is_finite() {
+                prop_assert_eq!(o.effect, Idempotency::Idempotent);
+                prop_assert!(d.attempt_timeout < timeout || d.max_attempts.min(p.attempts) == 1);
+                prop_assert!(d.max_attempts == usize::MAX || d.attempt_timeout * d.max_attempts as f64 <= timeout);
             }
             match o.effect {
-                Effect::NonIdempotent => {
-                    prop_assert!(d.attempts == 1 || d.attempts == usize::MAX, "{} attempts declared", d.attempts);
-                    prop_assert!(d.repeat_within.is_infinite());
+                Idempotency::NonIdempotent => {
+                    prop_assert!(d.max_attempts == 1 || d.max_attempts == usize::MAX, "{} attempts declared", d.max_attempts);
+                    prop_assert!(d.retry_window.is_infinite());
                 }
-                Effect::Tokened { window, .. } => {
-                    prop_assert!(d.repeat_within.is_infinite() || d.repeat_within <= window);
+                Idempotency::Keyed { window, .. } => {
+                    prop_assert!(d.retry_window.is_infinite() || d.retry_window <= window);
                 }
-                Effect::Idempotent => {}
+                Idempotency::Idempotent => {}
             }
         }
     }
--- a/src/backends.rs
+++ b/src/backends.rs
@@ -14,11 +14,11 @@
 /// Backends by their index.
 #[derive(Default)]
 pub struct Backends {
-    known: BTreeMap<Tgt, Backend>,
+    known: BTreeMap<BackendIndex, Backend>,
     /// Those that hold deliveries of ours.
-    busy: BTreeSet<Tgt>,
+    busy: BTreeSet<BackendIndex>,
     /// Those that we have sent to; some of the connections have closed since.
-    connected: IndexSet<Tgt>,
+    connected: IndexSet<BackendIndex>,
     summary: Summary,
 }
 
@@ -30,9 +30,9 @@
     /// When it was reckoned, seconds.
     as_of: f64,
     /// Those that may get new deliveries.
-    ready: Vec<Tgt>,
+    ready: Vec<BackendIndex>,
     /// Of them, those that had not warmed up; and the sizes of the rest together.
-    warming: Vec<Tgt>,
+    warming: Vec<BackendIndex>,
     warm_size: f64,
     /// The sizes of all that are listed.
     listed: f64,
@@ -50,12 +50,12 @@
 
 /// Backends drawn at random: of all that may get new deliveries, and of those that there is a connection to.
 pub struct Drawn {
-    pub ready: Vec<Tgt>,
-    pub connected: Vec<Tgt>,
+    pub ready: Vec<BackendIndex>,
+    pub connected: Vec<BackendIndex>,
 }
 
 impl Backends {
-    pub fn get(&self, tgt: Tgt) -> Option<&Backend> {
+    pub fn get(&self, tgt: BackendIndex) -> Option<&Backend> {
         self.known.get(&tgt)
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// For changes that neither list nor operator makes, and that leave what it holds as it is.
-    pub fn get_mut(&mut self, tgt: Tgt) -> Option<&mut Backend> {
+    pub fn get_mut(&mut self, tgt: BackendIndex) -> Option<&mut Backend> {
         self.known.get_mut(&tgt)
     }
 
@@ -81,23 +81,23 @@
     }
 
     /// Takes up what the list says; `whole` replaces it, so what it lacks is gone. So many kinds are to be proven.
-    pub fn listed(&mut self, now: f64, whole: bool, entries: &[Listed], kinds: usize) {
+    pub fn listed(&mut self, now: f64, whole: bool, entries: &[Endpoint], kinds: usize) {
         self.summary.outdated = true;
-        self.known.values_mut().filter(|_| whole).for_each(|b| b.is.standing = Standing::Gone);
+        self.known.values_mut().filter(|_| whole).for_each(|b| b.is.status = EndpointStatus::Removed);
         for &is in entries {
-            let b = self.known.entry(is.tgt).or_insert_with(|| Backend::new(now, is, kinds));
-            let same = b.is.started == is.started;
+            let b = self.known.entry(is.backend).or_insert_with(|| Backend::new(now, is, kinds));
+            let same = b.is.started_at == is.started_at;
             *b = if same { Backend { is, ..std::mem::take(b) } } else { b.anew(now, is) };
         }
     }
 
     /// An operator leaves a backend out since then, or uses it again.
-    pub fn by_hand(&mut self, now: f64, tgt: Tgt, out: Option<f64>) {
+    pub fn by_hand(&mut self, now: f64, tgt: BackendIndex, out: Option<f64>) {
         self.summary.outdated = true;
         self.known.entry(tgt).and_modify(|b| b.by_hand(now, out));
     }
 
-    pub fn forget(&mut self, tgt: Tgt) {
+    pub fn forget(&mut self, tgt: BackendIndex) {
         self.summary.outdated = true;
         self.known.remove(&tgt);
         self.busy.remove(&tgt);
@@ -105,14 +105,14 @@
     }
 
     /// One delivery more, of so many units.
-    pub fn delivers(&mut self, tgt: Tgt, units: f64) {
+    pub fn delivers(&mut self, tgt: BackendIndex, units: f64) {
         self.known.entry(tgt).and_modify(|b| b.heavier(units));
         self.busy.insert(tgt);
         self.connected.insert(tgt);
     }
 
     /// A delivery of so many units is no longer its work; none if that was told before.
-    pub fn lighter(&mut self, tgt: Tgt, units: f64) -> Option<&mut Backend> {
+    pub fn lighter(&mut self, tgt: BackendIndex, units: f64) -> Option<&mut Backend> {
         let b = self.known.get_mut(&tgt)?;
         b.lighter(units);
         if b.out == 0 {
@@ -127,7 +127,7 @@
     }
 
     /// The totals by the summary that the last draw left.
-    pub fn totals(&self, now: f64, rules: &ColdStart) -> Totals {
+    pub fn totals(&self, now: f64, rules: &SlowStart) -> Totals {
         let Summary { ready, warming, warm_size, listed, .. } = &self.summary;
         let warming = warming.iter().filter_map(|tgt| self.known.get(tgt));
         let capacity = warm_size + warming.map(|b| b.capacity(now, rules)).sum::<f64>();
@@ -138,7 +138,7 @@
     pub fn totals_of<'a>(
         &self,
         now: f64,
-        rules: &ColdStart,
+        rules: &SlowStart,
         ready: impl Iterator<Item = &'a Backend>,
     ) -> Totals {
         let mut number = 0;
@@ -153,7 +153,7 @@
         rng: &mut impl Rng,
         most: usize,
         idle_since: f64,
-        rules: &ColdStart,
+        rules: &SlowStart,
     ) -> Drawn {
         let looked = now - self.summary.as_of > WARM_LOOK && !self.summary.warming.is_empty();
         if self.summary.outdated || looked {
@@ -162,8 +162,8 @@
         let all = &self.summary.ready;
         let ready = index::sample(rng, all.len(), most.min(all.len())).iter().map(|i| all[i]).collect();
         let some = index::sample(rng, self.connected.len(), most.min(self.connected.len()));
-        let some: Vec<Tgt> = some.iter().map(|i| self.connected[i]).collect();
-        let (open, closed): (Vec<Tgt>, Vec<Tgt>) = some.into_iter().partition(|tgt| {
+        let some: Vec<BackendIndex> = some.iter().map(|i| self.connected[i]).collect();
+        let (open, closed): (Vec<BackendIndex>, Vec<BackendIndex>) = some.into_iter().partition(|tgt| {
             let b = self.known.get(tgt);
             b.is_some_and(|b| b.ready() && (b.out > 0 || b.streak(0, idle_since) > 0))
         });
@@ -173,7 +173,7 @@
         Drawn { ready, connected: open }
     }
 
-    fn summarize(&mut self, now: f64, rules: &ColdStart) {
+    fn summarize(&mut self, now: f64, rules: &SlowStart) {
         let listed = listed_size(self.values());
         let mut summary = Summary { as_of: now, listed, ..Summary::default() };
         for (tgt, b) in self.known.iter().filter(|(_, b)| b.ready()) {
@@ -181,7 +181,7 @@
             if b.share(now, rules) < 1.0 {
                 summary.warming.push(*tgt);
             } else {
-                summary.warm_size += b.is.size;
+                summary.warm_size += b.is.weight;
             }
         }
         self.summary = summary;
@@ -189,12 +189,12 @@
 }
 
 fn listed_size<'a>(all: impl Iterator<Item = &'a Backend>) -> f64 {
-    all.filter(|b| b.is.standing != Standing::Gone).map(|b| b.is.size).sum()
+    all.filter(|b| b.is.status != EndpointStatus::Removed).map(|b| b.is.weight).sum()
 }
 
-impl std::ops::Index<&Tgt> for Backends {
+impl std::ops::Index<&BackendIndex> for Backends {
     type Output = Backend;
-    fn index(&self, tgt: &Tgt) -> &Backend {
+    fn index(&self, tgt: &BackendIndex) -> &Backend {
         &self.known[tgt]
     }
 }
--- a/src/ids.rs
+++ b/src/interner.rs
@@ -5,19 +5,19 @@
 use std::ops::{Index, IndexMut};
 
 /// Things by index; none where nothing is held.
-pub struct Slots<T> {
+pub struct Slab<T> {
     held: Vec<Option<T>>,
     free: Vec<usize>,
 }
 
-impl<T> Default for Slots<T> {
+impl<T> Default for Slab<T> {
     fn default() -> Self {
-        Slots { held: vec![], free: vec![] }
+        Slab { held: vec![], free: vec![] }
     }
 }
 
-impl<T> Slots<T> {
-    pub fn put(&mut self, thing: T) -> usize {
+impl<T> Slab<T> {
+    pub fn insert(&mut self, thing: T) -> usize {
         let i = self.free.pop().unwrap_or_else(|| {
             self.held.push(None);
             self.held.len() - 1
@@ -39,48 +39,48 @@
     }
 }
 
-impl<T> Index<usize> for Slots<T> {
+impl<T> Index<usize> for Slab<T> {
     type Output = Option<T>;
     fn index(&self, i: usize) -> &Option<T> {
         &self.held[i]
     }
 }
 
-impl<T> IndexMut<usize> for Slots<T> {
+impl<T> IndexMut<usize> for Slab<T> {
     fn index_mut(&mut self, i: usize) -> &mut Option<T> {
         &mut self.held[i]
     }
 }
 
 /// Outside names by index.
-pub struct Ids<K> {
-    names: Slots<K>,
+pub struct Interner<K> {
+    names: Slab<K>,
     by_name: HashMap<K, usize>,
 }
 
-impl<K> Default for Ids<K> {
+impl<K> Default for Interner<K> {
     fn default() -> Self {
-        Ids { names: Slots::default(), by_name: HashMap::new() }
+        Interner { names: Slab::default(), by_name: HashMap::new() }
     }
 }
 
-impl<K: Clone + Eq + Hash> Ids<K> {
+impl<K: Clone + Eq + Hash> Interner<K> {
     /// The index of this name, a new one if need be.
-    pub fn index(&mut self, name: &K) -> usize {
+    pub fn intern(&mut self, name: &K) -> usize {
         if let Some(&i) = self.by_name.get(name) {
             return i;
         }
-        let i = self.names.put(name.clone());
+        let i = self.names.insert(name.clone());
         self.by_name.insert(name.clone(), i);
         i
     }
-    pub fn find<Q: Hash + Eq + ?Sized>(&self, name: &Q) -> Option<usize>
+    pub fn get<Q: Hash + Eq + ?Sized>(&self, name: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
     {
         self.by_name.get(name).copied()
     }
-    pub fn name(&self, i: usize) -> Option<&K> {
+    pub fn resolve(&self, i: usize) -> Option<&K> {
         self.names.held.get(i)?.as_ref()
     }
     pub fn release(&mut self, i: usize) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! quillramp: the decisions of a gateway that holds customers to their quotas before a shared back end.
 mod backends;
-pub mod decide;
-pub mod facts;
-pub mod ids;
+pub mod gossip;
+pub mod interner;
+pub mod policy;
+pub mod settings;
 mod state;
 pub mod types;
-pub mod word;
--- a/src/decide.rs
+++ b/src/policy.rs
@@ -61,17 +61,17 @@
 }
 
 #[derive(Default)]
-pub struct Door {
+pub struct PolicyEngine {
     rng: Option<ChaCha8Rng>,
     doors: f64,
     own: f64, // processes of this door
     words: Words,
     operations: Vec<Operation>,
     plans: Vec<Plan>,
-    rules: ColdStart,
-    may: Deliveries,
-    invs: BTreeMap<Inv, Invocation>,
-    accounts: BTreeMap<Customer, Account>,
+    rules: SlowStart,
+    may: AttemptSettings,
+    invs: BTreeMap<RequestIndex, Invocation>,
+    accounts: BTreeMap<CustomerIndex, Account>,
     backends: Backends,
     times: Vec<Times>, // by operation, over all backends
     all: AllOut,
@@ -79,19 +79,19 @@
     repeats: f64,
     store: Store,
     woke: f64,
-    again: BTreeSet<Inv>,
-    idle: Vec<Customer>,
+    again: BTreeSet<RequestIndex>,
+    idle: Vec<CustomerIndex>,
     timers: Timers,
-    errands: Errands,
+    errands: Effects,
 }
 
-impl Door {
+impl PolicyEngine {
     pub fn new(
         (seed, doors, hears, asks): (u64, f64, f64, bool),
         (operations, plans): (Vec<Operation>, Vec<Plan>),
-        (rules, may): (ColdStart, Deliveries),
-        counter: Option<CounterLimits>,
-    ) -> Door {
+        (rules, may): (SlowStart, AttemptSettings),
+        counter: Option<CounterSettings>,
+    ) -> PolicyEngine {
         let times = operations.iter().map(|o| Times::first(o.latency_objective / 4.0)).collect();
         let (rng, woke) = (Some(ChaCha8Rng::seed_from_u64(seed)), f64::INFINITY);
         let (repeats, pace, words) = (REPEATS.1 / 2.0, PACE.1 / doors, Words { hears, ..Words::default() });
@@ -101,16 +101,16 @@
         let mut timers = Timers::default();
         asks.then(|| timers.ring(0.0, Bell::List));
         #[rustfmt::skip]
-        return Door {
+        return PolicyEngine {
             rng, doors, operations, plans, rules, may, times, repeats, words, store, hard, woke,
-            timers, own: 1.0, ..Door::default()
+            timers, own: 1.0, ..PolicyEngine::default()
         };
     }
 
     // ======== facts
 
     /// The list, or what changed in it; `whole` replaces it, so what it lacks is gone.
-    pub fn listed(&mut self, now: f64, whole: bool, entries: &[Listed]) {
+    pub fn update_endpoints(&mut self, now: f64, whole: bool, entries: &[Endpoint]) {
         if self.backends.is_empty() {
             let first = (LIMIT.0 * entries.len() as f64 / self.doors).max(1.0); // the first sign of time
             (self.all.limit, self.store.heard, self.store.paced) = (first, now, now);
@@ -119,42 +119,42 @@
     }
 
     /// An operator leaves a backend out since then, or uses it again: what we knew of it is past.
-    pub fn by_hand(&mut self, now: f64, tgt: Tgt, out: Option<f64>) {
+    pub fn set_manual_ejection(&mut self, now: f64, tgt: BackendIndex, out: Option<f64>) {
         self.backends.by_hand(now, tgt, out);
     }
 
     /// How many listed backends get nothing new now: draining, out by hand or set aside.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_backends(&self) -> usize {
         self.backends.values().filter(|b| b.avoided()).count()
     }
 
     /// Another process of this door is there, or no longer: each has half of what is the door's own.
-    pub fn beside(&mut self, two: bool) {
+    pub fn set_peer_process(&mut self, two: bool) {
         self.own = if two { 2.0 } else { 1.0 };
     }
 
     /// A gone backend that nothing held has to do with any more: its index may mean another one from now on.
-    pub fn forgotten(&mut self, tgt: Tgt) {
+    pub fn forget_backend(&mut self, tgt: BackendIndex) {
         self.backends.forget(tgt);
     }
 
     /// The list could not be had, or broke off: it is asked for again, not by all doors at once.
-    pub fn unlisted(&mut self, now: f64) {
+    pub fn endpoint_fetch_failed(&mut self, now: f64) {
         let at = now + LIST_AGAIN * (0.5 + self.chance());
         self.timers.ring(at, Bell::List);
     }
 
     /// A peer had a backend aside and has an answer since, or has seen what a customer's count stands at.
-    pub fn peer_word(&mut self, now: f64, word: Word) {
+    pub fn gossip_received(&mut self, now: f64, word: GossipMessage) {
         match word {
-            Word::Backend { tgt } => {
+            GossipMessage::BackendRecovered { backend: tgt } => {
                 let Some(b) = self.backends.get_mut(tgt) else { return };
                 b.praised = now;
                 // The word may be older than our trouble: half of the span comes first.
                 let soon = b.aside.filter(|a| a.until - now < a.span / 2.0);
                 b.aside = soon.map(|a| Aside { until: now, ..a }).or(b.aside);
             }
-            Word::Count { name, plan, of, total } => {
+            GossipMessage::CounterTotal { key: name, plan, instances: of, total } => {
                 let a = self.account(now, (name.customer, plan, of));
                 if name.series == a.series {
                     (a.seen, a.told, a.at) = (Some(total), now, now);
@@ -164,25 +164,25 @@
     }
 
     /// A stream has begun: the invocation owes nothing by the clock, and its backend has done its work.
-    pub fn streaming(&mut self, now: f64, inv: Inv) {
+    pub fn response_started(&mut self, now: f64, inv: RequestIndex) {
         let Some((tgt, units)) = self.invs.get_mut(&inv).and_then(Invocation::stream) else { return };
         self.backends.lighter(tgt, units).into_iter().for_each(|b| b.quiet_since = now);
     }
 
     /// What came of a counter call.
-    pub fn counted(&mut self, now: f64, name: CountName, result: Counted) {
+    pub fn counter_answered(&mut self, now: f64, name: CounterKey, result: CounterResult) {
         let Some(a) = self.accounts.get_mut(&name.customer) else { return };
         let Some(i) = a.calls.iter().position(|c| c.series == name.series) else { return };
         let call = a.calls.remove(i).expect("position found");
         if name.series >= PLACES.0 {
             return self.placed(now, name, &call, result);
         }
-        if let Counted::Total(total) = result {
+        if let CounterResult::Total(total) = result {
             return self.credit(now, name, &call, total);
         }
         // Unanswered may have been added: what it paid is taken as paid, so that nothing is added twice.
-        let back = if result == Counted::Added { call.add } else { 0.0 }; // added unread: it goes back
-        a.settle += if matches!(result, Counted::Unanswered) { 0.0 } else { call.paid } - back;
+        let back = if result == CounterResult::AppliedTotalUnknown { call.add } else { 0.0 }; // added unread: it goes back
+        a.settle += if matches!(result, CounterResult::Unanswered) { 0.0 } else { call.paid } - back;
         let waiting = std::mem::take(&mut a.waiting);
         self.in_vain(now, waiting);
     }
@@ -190,56 +190,56 @@
     // ======== the three questions
 
     /// Where to send this invocation, or not yet, or never. Asked first when it comes, then as `wait` says.
-    pub fn place(&mut self, now: f64, inv: Inv, ask: &Ask) -> Answer {
+    pub fn route(&mut self, now: f64, inv: RequestIndex, ask: &RequestAttributes) -> PolicyOutput {
         self.awake(now);
         if !self.invs.contains_key(&inv) {
-            let most = self.store.timeout.min((ask.until - now) / 4.0);
+            let most = self.store.timeout.min((ask.deadline - now) / 4.0);
             let least = DEADLINE.0 * self.operations[ask.operation].latency_objective;
             let counter_until = now + most.min(least.max(DEADLINE.1 * self.store.quick));
-            let (ask, came, luck, last) = (*ask, now, self.chance(), ask.until - ANSWER_BY);
+            let (ask, came, luck, last) = (*ask, now, self.chance(), ask.deadline - ANSWER_BY);
             self.invs.insert(inv, Invocation { ask, came, last, luck, counter_until, ..Default::default() });
             self.timers.ring(counter_until, Bell::Inv(inv));
             self.timers.ring(last, Bell::Inv(inv));
         }
         let v = self.invs.get_mut(&inv).expect("held"); // its time may have been cut short since
-        (v.ask.until, v.counter_until) = (ask.until, v.counter_until.min(ask.until));
+        (v.ask.deadline, v.counter_until) = (ask.deadline, v.counter_until.min(ask.deadline));
         let verdict = self.decide(now, inv);
         self.answer(now, inv, verdict)
     }
 
     /// What to do after this outcome.
-    pub fn after(&mut self, now: f64, inv: Inv, o: &Outcome) -> Answer {
+    pub fn attempt_ended(&mut self, now: f64, inv: RequestIndex, o: &AttemptOutcome) -> PolicyOutput {
         self.awake(now);
-        let Some(v) = self.invs.get_mut(&inv) else { return self.answer(now, inv, Verdict::NotYet) };
-        let (ask, sent) = (v.ask, v.deliveries[o.delivery].sent);
-        v.deliveries[o.delivery].ending = Some(o.ending);
-        let (out, left, streams, closed) = (v.out(), v.closed, v.streams, v.closed || o.closed);
-        if let Some((a, units)) = self.accounts.get_mut(&ask.customer).zip(o.true_units) {
+        let Some(v) = self.invs.get_mut(&inv) else { return self.answer(now, inv, Decision::Pending) };
+        let (ask, sent) = (v.ask, v.deliveries[o.attempt].sent);
+        v.deliveries[o.attempt].ending = Some(o.result);
+        let (out, left, streams, closed) = (v.out(), v.closed, v.streams, v.closed || o.request_closed);
+        if let Some((a, units)) = self.accounts.get_mut(&ask.customer).zip(o.billed_units) {
             a.settle += units - ask.units;
             self.look_after(ask.customer, now + LAPSE);
         }
         self.judge(now, &ask, (sent, left, streams), o);
         if closed {
-            self.gone(now, inv);
+            self.request_closed(now, inv);
         }
-        let verdict = if closed || out > 0 { Verdict::NotYet } else { self.decide(now, inv) };
+        let verdict = if closed || out > 0 { Decision::Pending } else { self.decide(now, inv) };
         self.answer(now, inv, verdict)
     }
 
     /// How long to wait, and whom to ask about again now.
-    pub fn wait(&mut self, now: f64) -> Wait {
+    pub fn poll(&mut self, now: f64) -> PollOutput {
         while let Some(bell) = self.timers.take(now, &self.invs) {
             match bell {
                 Bell::Inv(inv) => drop(self.again.insert(inv)),
                 Bell::Customer(c) => self.lapse(now, c),
-                Bell::List => self.errands.ask_for_list = true,
+                Bell::List => self.errands.fetch_endpoints = true,
             }
         }
         self.again.retain(|inv| self.invs.get(inv).is_some_and(|v| !v.closed));
         let again = std::mem::take(&mut self.again).into_iter().collect();
         let seconds = self.timers.next().map(|at| at - now);
         let (idle, errands) = (std::mem::take(&mut self.idle), std::mem::take(&mut self.errands));
-        Wait { again, idle, seconds, errands }
+        PollOutput { reconsider: again, evicted_customers: idle, next_poll_in: seconds, effects: errands }
     }
 
     /// The door itself stood still: the silence meanwhile is not its backends'.
@@ -255,7 +255,7 @@
     // ======== the course of one invocation
 
     /// Quota first; then the next delivery, as far as the operation allows one.
-    fn decide(&mut self, now: f64, inv: Inv) -> Verdict {
+    fn decide(&mut self, now: f64, inv: RequestIndex) -> Decision {
         if !self.invs[&inv].admitted {
             if let Some(no) = self.quota(now, inv).or_else(|| self.place_of(now, inv)) {
                 return no;
@@ -263,79 +263,81 @@
             self.invs.get_mut(&inv).expect("held").admitted = true;
         }
         let v = &self.invs[&inv];
-        let (ask, says, came, luck) = (v.ask, v.ask.declared, v.came, v.luck);
-        let Operation { latency_objective, effect, .. } = self.operations[ask.operation];
-        let (objective, most) = (latency_objective.min(says.objective), self.may.most.min(says.attempts));
-        let (out, tries, left) = (v.out(), v.deliveries.len(), ask.until - now);
+        let (ask, says, came, luck) = (v.ask, v.ask.limits, v.came, v.luck);
+        let Operation { latency_objective, idempotency: effect, .. } = self.operations[ask.operation];
+        let (objective, most) =
+            (latency_objective.min(says.latency_objective), self.may.max_attempts.min(says.max_attempts));
+        let (out, tries, left) = (v.out(), v.deliveries.len(), ask.deadline - now);
         let (units, high) = (ask.units.max(1.0), self.times[ask.operation].high * ask.units.max(1.0));
-        let may_have = |d: &&Delivery| !d.ending.is_some_and(Ending::never_ran);
+        let may_have = |d: &&Delivery| !d.ending.is_some_and(AttemptResult::never_ran);
         let ran = v.deliveries.iter().find(may_have).map(|d| (d.tgt, d.sent));
         let (may_repeat, bound) = match (ran, effect) {
-            (Some((tgt, sent)), Effect::Tokened { group, window }) => {
-                (now < sent + window.min(says.repeat_within), (group != Group::All).then_some((group, tgt)))
+            (Some((tgt, sent)), Idempotency::Keyed { scope: group, window }) => {
+                (now < sent + window.min(says.retry_window), (group != KeyScope::All).then_some((group, tgt)))
             }
-            (Some(_), Effect::NonIdempotent) => (false, None),
-            (ran, _) => (ran.is_none_or(|(_, sent)| now < sent + says.repeat_within), None),
+            (Some(_), Idempotency::NonIdempotent) => (false, None),
+            (ran, _) => (ran.is_none_or(|(_, sent)| now < sent + says.retry_window), None),
         };
-        let (may_throttle, late) = (ran.is_none() || effect == Effect::Idempotent, now - came > objective);
+        let (may_throttle, late) =
+            (ran.is_none() || effect == Idempotency::Idempotent, now - came > objective);
         let spent = tries >= most || tries > 0 && (late || ran.is_some() && self.repeats < 1.0);
         if out > 0 {
             // A delivery is doubted when its backend is quiet, or when its answer is long overdue.
             let i = v.deliveries.iter().rposition(|d| d.ending.is_none()).expect("one is out");
-            if now < v.look || effect != Effect::Idempotent || late || tries >= most || !may_repeat {
-                return Verdict::NotYet;
+            if now < v.look || effect != Idempotency::Idempotent || late || tries >= most || !may_repeat {
+                return Decision::Pending;
             }
             let b = &self.backends[&v.deliveries[i].tgt];
             let quiet = self.quiet(now, b, self.times[ask.operation].high);
-            let doubtful = (DOUBT * high / b.share(now, &self.rules)).min(says.per_try);
+            let doubtful = (DOUBT * high / b.share(now, &self.rules)).min(says.attempt_timeout);
             if self.repeats < 1.0 || !quiet && now - v.deliveries[i].sent <= doubtful {
-                return self.look_again(now, inv, (high / 2.0).min(says.per_try / 4.0));
+                return self.look_again(now, inv, (high / 2.0).min(says.attempt_timeout / 4.0));
             }
-            if !(self.may.second_copies && says.second_copies) {
-                self.errands.cancels.extend(self.may.cancels.then_some((inv, i)));
+            if !(self.may.hedging && says.hedging) {
+                self.errands.cancellations.extend(self.may.cancellation.then_some((inv, i)));
                 self.invs.get_mut(&inv).expect("held").look = f64::INFINITY;
-                return Verdict::NotYet;
+                return Decision::Pending;
             }
         } else if left < 2.0 * ANSWER_BY || !may_repeat || spent {
-            return if may_throttle { throttle(&self.may, 1.0) } else { Verdict::Error };
+            return if may_throttle { throttle(&self.may, 1.0) } else { Decision::Error };
         }
-        let tried: Vec<Tgt> = v.deliveries.iter().map(|d| d.tgt).collect();
+        let tried: Vec<BackendIndex> = v.deliveries.iter().map(|d| d.tgt).collect();
         let Some(tgt) = self.pick(now, (&ask, luck), &tried, bound) else {
             if out == 0 && now - came > objective / 4.0 {
                 self.give_back(now, inv);
-                return if may_throttle { throttle(&self.may, objective) } else { Verdict::Error };
+                return if may_throttle { throttle(&self.may, objective) } else { Decision::Error };
             }
             return self.look_again(now, inv, objective / 50.0);
         };
         self.repeats = (self.repeats + REPEATS.0 - f64::from(ran.is_some())).min(REPEATS.1);
-        self.look_again(now, inv, high.min(says.per_try));
+        self.look_again(now, inv, high.min(says.attempt_timeout));
         self.invs.get_mut(&inv).expect("held").deliveries.push(Delivery { tgt, sent: now, ending: None });
         let b = self.backends.get_mut(tgt).expect("picked");
         (b.quiet_since, b.unused) = (if b.out == 0 { now } else { b.quiet_since }, f64::INFINITY);
         b.aside = b.aside.map(|a| Aside { until: a.until.max(now + a.span), ..a }); // one trial a span
         self.backends.delivers(tgt, units);
-        Verdict::Deliver { tgt }
+        Decision::Forward { backend: tgt }
     }
 
-    fn look_again(&mut self, now: f64, inv: Inv, seconds: f64) -> Verdict {
+    fn look_again(&mut self, now: f64, inv: RequestIndex, seconds: f64) -> Decision {
         self.invs.get_mut(&inv).expect("held").look = now + seconds;
         self.timers.ring(now + seconds, Bell::Inv(inv));
-        Verdict::NotYet
+        Decision::Pending
     }
 
-    fn answer(&mut self, now: f64, inv: Inv, verdict: Verdict) -> Answer {
-        if matches!(verdict, Verdict::Throttle { .. } | Verdict::Error) {
-            self.gone(now, inv);
+    fn answer(&mut self, now: f64, inv: RequestIndex, verdict: Decision) -> PolicyOutput {
+        if matches!(verdict, Decision::Throttle { .. } | Decision::Error) {
+            self.request_closed(now, inv);
         }
-        Answer { verdict, errands: std::mem::take(&mut self.errands) }
+        PolicyOutput { decision: verdict, effects: std::mem::take(&mut self.errands) }
     }
 
     /// The client has left, or the time is up, or it has its answer: nothing more is owed.
-    pub fn gone(&mut self, now: f64, inv: Inv) {
+    pub fn request_closed(&mut self, now: f64, inv: RequestIndex) {
         let Some(v) = self.invs.get_mut(&inv) else { return };
-        if !v.closed && self.may.cancels {
+        if !v.closed && self.may.cancellation {
             let out = v.deliveries.iter().enumerate().filter(|(_, d)| d.ending.is_none());
-            self.errands.cancels.extend(out.map(|(i, _)| (inv, i)));
+            self.errands.cancellations.extend(out.map(|(i, _)| (inv, i)));
         }
         v.closed = true;
         if v.out() == 0 {
@@ -352,8 +354,12 @@
     // ======== quotas
 
     /// The customer's account, made if need be, and brought into the window of now.
-    fn account(&mut self, now: f64, (customer, plan, of): (Customer, usize, Doors)) -> &mut Account {
-        let (p, doors) = (&self.plans[plan], of.number.max(1) as f64);
+    fn account(
+        &mut self,
+        now: f64,
+        (customer, plan, of): (CustomerIndex, usize, InstanceRange),
+    ) -> &mut Account {
+        let (p, doors) = (&self.plans[plan], of.count.max(1) as f64);
         let (slice, ceiling) = (p.burst / doors / self.own, p.ceiling_slack / doors / 2.0 / self.own);
         let (used, at, bell, rate) = (now, now, f64::INFINITY, p.rate);
         let new = Account { plan, doors, of, rate, slice, ceiling, used, at, bell, ..Account::default() };
@@ -364,13 +370,14 @@
     }
 
     /// The quota's word: spend from the lease, lease anew, refuse when the count is full; none is yes.
-    fn quota(&mut self, now: f64, inv: Inv) -> Option<Verdict> {
+    fn quota(&mut self, now: f64, inv: RequestIndex) -> Option<Decision> {
         let v = &self.invs[&inv];
         if v.paid {
             return None;
         }
-        let (Ask { customer, units, absent, .. }, past) = (v.ask, now >= v.counter_until);
-        self.account(now, (customer, v.ask.plan, v.ask.of));
+        let (RequestAttributes { customer, units, absent_fraction: absent, .. }, past) =
+            (v.ask, now >= v.counter_until);
+        self.account(now, (customer, v.ask.plan, v.ask.instances));
         let a = self.accounts.get_mut(&customer).expect("just made");
         let (p, doors) = (&self.plans[a.plan], a.doors * self.own);
         let (even, most) = (p.rate / doors, p.burst / doors);
@@ -440,17 +447,17 @@
             let lease = Errand::Lease { units, need, guess };
             self.call(now, (customer, series), (units + owed + guess, owed), lease);
         }
-        Some(Verdict::NotYet)
+        Some(Decision::Pending)
     }
 
     /// The word of a cap on deliveries out at once: a place is leased on a count of its own; none is yes.
-    fn place_of(&mut self, now: f64, inv: Inv) -> Option<Verdict> {
+    fn place_of(&mut self, now: f64, inv: RequestIndex) -> Option<Decision> {
         let v = self.invs.get_mut(&inv).expect("held");
         v.paid = true;
         let (customer, past) = (v.ask.customer, now >= v.counter_until);
         let hold = self.times[v.ask.operation].half;
         let a = self.accounts.get_mut(&customer).expect("has an account");
-        let (open, doors) = (self.plans[a.plan].open as f64, a.doors * self.own);
+        let (open, doors) = (self.plans[a.plan].max_in_flight as f64, a.doors * self.own);
         if open <= 0.0 {
             return None;
         }
@@ -478,16 +485,16 @@
             let series = PLACES.0 + (now / PLACES.1) as u32;
             self.call(now, (customer, series), (1.0, 0.0), Errand::Place);
         }
-        Some(Verdict::NotYet)
+        Some(Decision::Pending)
     }
 
     /// What came of a call for a place, or of one that gave it back.
-    fn placed(&mut self, now: f64, name: CountName, call: &Call, result: Counted) {
-        let total = if let Counted::Total(total) = result { Some(total) } else { None };
+    fn placed(&mut self, now: f64, name: CounterKey, call: &Call, result: CounterResult) {
+        let total = if let CounterResult::Total(total) = result { Some(total) } else { None };
         let a = self.accounts.get_mut(&name.customer).expect("has calls");
-        let open = self.plans[a.plan].open as f64;
+        let open = self.plans[a.plan].max_in_flight as f64;
         let (seeking, free) = (a.seeking.clone(), a.free.len());
-        if matches!(call.what, Errand::Place) && result != Counted::Unreached {
+        if matches!(call.what, Errand::Place) && result != CounterResult::NotApplied {
             a.out += 1;
             let fits = total.is_some_and(|t| t <= open);
             if total.is_some() && !fits {
@@ -508,7 +515,7 @@
     }
 
     /// A place goes back: the count is told, unless it is silent.
-    fn vacate(&mut self, now: f64, customer: Customer, place: Option<u32>) {
+    fn vacate(&mut self, now: f64, customer: CustomerIndex, place: Option<u32>) {
         let (Some(series), Some(a)) = (place, self.accounts.get_mut(&customer)) else { return };
         a.out = a.out.saturating_sub(1);
         if series > 0 && !self.store.silent {
@@ -516,16 +523,22 @@
         }
     }
 
-    fn call(&mut self, now: f64, (customer, series): (Customer, u32), (add, paid): (f64, f64), what: Errand) {
+    fn call(
+        &mut self,
+        now: f64,
+        (customer, series): (CustomerIndex, u32),
+        (add, paid): (f64, f64),
+        what: Errand,
+    ) {
         let calls = &mut self.accounts.get_mut(&customer).expect("has an account").calls;
         calls.push_back(Call { series, sent: now, add, paid, what });
         self.store.calls -= 1.0;
-        let name = CountName { customer, series };
-        self.errands.counter.push(CounterCall { name, add, lives: 1.5 * WINDOW });
+        let name = CounterKey { customer, series };
+        self.errands.counter_calls.push(CounterCall { key: name, delta: add, lifetime: 1.5 * WINDOW });
     }
 
     /// An answered call: right the count where it lags or was lifted twice, keep what fits, return the rest.
-    fn credit(&mut self, now: f64, name: CountName, call: &Call, total: f64) {
+    fn credit(&mut self, now: f64, name: CounterKey, call: &Call, total: f64) {
         self.heard(now);
         let a = self.accounts.get_mut(&name.customer).expect("has calls");
         let p = &self.plans[a.plan];
@@ -558,7 +571,10 @@
         (a.seen, a.at) = if current { (Some(seen), now) } else { (a.seen, a.at) };
         if current && p.burst + regained - seen < SAY * p.burst && now > a.told + WORDS {
             a.told = now; // the customer's other doors hear it
-            let (word, doors) = (Word::Count { name, plan: a.plan, of: a.of, total: seen }, a.doors);
+            let (word, doors) = (
+                GossipMessage::CounterTotal { key: name, plan: a.plan, instances: a.of, total: seen },
+                a.doors,
+            );
             self.tell(now, word, doors);
         }
         if lift > small || lift > WORTH && lost {
@@ -571,14 +587,14 @@
     }
 
     /// Says it to so many doors, as far as they can take words in.
-    fn tell(&mut self, now: f64, word: Word, doors: f64) {
+    fn tell(&mut self, now: f64, word: GossipMessage, doors: f64) {
         if self.words.allows(now, doors, TELLS, self.doors) {
-            self.errands.words.push(word);
+            self.errands.gossip.push(word);
         }
     }
 
     /// Units of an invocation that was never sent on serve the customer's next.
-    fn give_back(&mut self, now: f64, inv: Inv) {
+    fn give_back(&mut self, now: f64, inv: RequestIndex) {
         let v = self.invs.get_mut(&inv).expect("held");
         let (ask, paid) = (v.ask, std::mem::take(&mut v.paid) && v.deliveries.is_empty());
         let paid = paid && self.plans[ask.plan].rate > 0.0;
@@ -589,7 +605,7 @@
     }
 
     /// One bell for a customer, at the earliest time asked for.
-    fn look_after(&mut self, customer: Customer, at: f64) {
+    fn look_after(&mut self, customer: CustomerIndex, at: f64) {
         if let Some(a) = self.accounts.get_mut(&customer).filter(|a| at < a.bell) {
             a.bell = at;
             self.timers.ring(at, Bell::Customer(customer));
@@ -597,7 +613,7 @@
     }
 
     /// A lease that lapsed goes back to the count; a customer not seen for long is dropped.
-    fn lapse(&mut self, now: f64, customer: Customer) {
+    fn lapse(&mut self, now: f64, customer: CustomerIndex) {
         let Some(a) = self.accounts.get_mut(&customer).filter(|a| now >= a.bell) else { return };
         a.bell = f64::INFINITY;
         let (lapsed, quiet, series) = (now >= a.lapses, a.calls.is_empty(), a.series);
@@ -626,7 +642,7 @@
     }
 
     /// A call was missed: those that wait for it do so no longer.
-    fn in_vain(&mut self, now: f64, waiting: Vec<Inv>) {
+    fn in_vain(&mut self, now: f64, waiting: Vec<RequestIndex>) {
         self.missed(now);
         self.invs.iter_mut().filter(|v| waiting.contains(v.0)).for_each(|(_, v)| v.counter_until = now);
         self.again.extend(waiting);
@@ -648,8 +664,14 @@
     // ======== backends
 
     /// Two drawn at random among those in good standing; the one our own counts favour wins.
-    fn pick(&mut self, now: f64, (ask, luck): (&Ask, f64), tried: &[Tgt], kin: Kin) -> Option<Tgt> {
-        let key = |b: &Backend, g| if g == Group::Zone { b.is.zone } else { b.is.cell };
+    fn pick(
+        &mut self,
+        now: f64,
+        (ask, luck): (&RequestAttributes, f64),
+        tried: &[BackendIndex],
+        kin: Kin,
+    ) -> Option<BackendIndex> {
+        let key = |b: &Backend, g| if g == KeyScope::Zone { b.is.zone } else { b.is.cell };
         let kin = kin.and_then(|(g, t)| self.backends.get(t).map(|b| (g, key(b, g))));
         let easy = self.kinds(ask).into_iter().all(|k| self.hard[k] <= HARD.0);
         let drawn = (kin.is_none() && easy && self.backends.len() > SCANNED).then(|| self.draw(now));
@@ -668,7 +690,7 @@
         };
         let limit = self.all.limit * totals.capacity / totals.listed.max(totals.capacity);
         // An operation may fill of it what it is billed for its work against the dearest: that goes first.
-        let worth = |op: usize| self.operations[op].billed / self.times[op].base;
+        let worth = |op: usize| self.operations[op].billed_value / self.times[op].base;
         let dearest = (0..self.operations.len()).map(worth).fold(0.0, f64::max);
         let limit = limit * (worth(ask.operation) / dearest).min(1.0); // all of it where no value is told
         self.all.near = all_out * 2.0 > limit;
@@ -678,42 +700,44 @@
         }
         let look =
             |among: &mut dyn Iterator<Item = &Backend>| self.candidates(now, (ask, luck), tried, among);
-        let of = |tgts: &[Tgt]| look(&mut tgts.iter().filter_map(|t| self.backends.get(*t)));
+        let of = |tgts: &[BackendIndex]| look(&mut tgts.iter().filter_map(|t| self.backends.get(*t)));
         let connected = drawn.as_ref().map(|d| of(&d.connected).good);
         let few = drawn.map(|d| of(&d.ready)).filter(|few| !few.good.is_empty());
         let Candidates { mut good, poor, pressed } = few.unwrap_or_else(|| look(&mut ready()));
         // Where connections, or good answers to the operation or the plan, are hard to get: who gives them.
         for kind in self.kinds(ask).into_iter().filter(|k| self.hard[*k] > HARD.0) {
-            let streak = |t: &Tgt| self.backends[t].streak(kind, now - self.may.link_idle);
+            let streak =
+                |t: &BackendIndex| self.backends[t].streak(kind, now - self.may.connection_idle_timeout);
             let best = good.iter().map(streak).max().unwrap_or(0).min(STREAK);
             good.retain(|t| streak(t) >= best);
         }
         if good.is_empty() && !pressed {
             // All are in trouble: those that we have not tried yet, then any.
-            let new: Vec<Tgt> = poor.iter().copied().filter(|t| !tried.contains(t)).collect();
+            let new: Vec<BackendIndex> = poor.iter().copied().filter(|t| !tried.contains(t)).collect();
             good = if new.is_empty() { poor } else { new };
         }
         let due = |b: &&Backend| (now - b.unused) * b.share(now, &self.rules) > SOON * luck;
-        let soon = good.iter().map(|t| &self.backends[t]).find(due).map(|b| b.is.tgt);
+        let soon = good.iter().map(|t| &self.backends[t]).find(due).map(|b| b.is.backend);
         let i = (!good.is_empty()).then(|| (self.chance() * good.len() as f64) as usize)?;
         let u = self.chance();
         let j = (i + (u * (good.len().max(2) - 1) as f64) as usize + 1) % good.len();
         // The second is one with an idle connection, if any: a new one costs both sides a handshake.
-        let open = |b: &Backend| !slow && b.high <= 1.0 && b.rests(now - self.may.link_idle / 2.0);
+        let open =
+            |b: &Backend| !slow && b.high <= 1.0 && b.rests(now - self.may.connection_idle_timeout / 2.0);
         let near = connected.as_ref().unwrap_or(&good).iter().copied();
-        let opens: Vec<Tgt> = near.filter(|t| open(&self.backends[t])).collect();
+        let opens: Vec<BackendIndex> = near.filter(|t| open(&self.backends[t])).collect();
         let other = opens.get((u * opens.len() as f64) as usize).unwrap_or(&good[j]);
         // The units we have out there, against its size, its slowness beside its fellows and its warmth.
-        let dear = |b: &Backend| FAR.powi(i32::from(b.far(self.may.home)) + i32::from(!open(b)));
+        let dear = |b: &Backend| FAR.powi(i32::from(b.far(self.may.home_zone)) + i32::from(!open(b)));
         let slow = |b: &Backend| b.high.clamp(0.5, 5.0);
-        let load = |b: &Backend| (b.owes + 1.0) * slow(b) * dear(b) / b.is.size / b.share(now, &self.rules);
+        let load = |b: &Backend| (b.owes + 1.0) * slow(b) * dear(b) / b.is.weight / b.share(now, &self.rules);
         let (x, y) = (&self.backends[&good[i]], &self.backends[other]);
-        soon.or(Some(if load(y) < load(x) { y.is.tgt } else { x.is.tgt }))
+        soon.or(Some(if load(y) < load(x) { y.is.backend } else { x.is.backend }))
     }
 
     /// Some of the backends that may get deliveries, and some of those that we are connected with.
     fn draw(&mut self, now: f64) -> Drawn {
-        let idle_since = now - self.may.link_idle / 2.0;
+        let idle_since = now - self.may.connection_idle_timeout / 2.0;
         let rng = self.rng.as_mut().expect("seeded");
         self.backends.draw(now, rng, DRAWN, idle_since, &self.rules)
     }
@@ -722,11 +746,11 @@
     fn candidates(
         &self,
         now: f64,
-        (ask, luck): (&Ask, f64),
-        tried: &[Tgt],
+        (ask, luck): (&RequestAttributes, f64),
+        tried: &[BackendIndex],
         among: &mut dyn Iterator<Item = &Backend>,
     ) -> Candidates {
-        let Operation { latency_objective, effect, .. } = self.operations[ask.operation];
+        let Operation { latency_objective, idempotency: effect, .. } = self.operations[ask.operation];
         let (high, span) = (self.times[ask.operation].high, PRESSED * latency_objective);
         let Candidates { mut good, mut poor, mut pressed } = Candidates::default();
         for b in among {
@@ -734,20 +758,20 @@
             if b.share(now, &self.rules) < luck {
                 continue;
             }
-            let waits = b.aside.is_some_and(|a| now < a.until || effect != Effect::Idempotent);
-            if waits || tried.contains(&b.is.tgt) || self.quiet(now, b, high) {
-                poor.push(b.is.tgt);
+            let waits = b.aside.is_some_and(|a| now < a.until || effect != Idempotency::Idempotent);
+            if waits || tried.contains(&b.is.backend) || self.quiet(now, b, high) {
+                poor.push(b.is.backend);
             } else if b.owes >= (b.rate(now, RATE_SPAN) * span).max(1.0) {
                 pressed = true; // what is out there takes enough of the objective, at the pace of its answers
             } else {
-                good.push(b.is.tgt);
+                good.push(b.is.backend);
             }
         }
         Candidates { good, poor, pressed }
     }
 
     /// What a delivery can prove of a backend: that it connects, serves the operation, serves the plan.
-    fn kinds(&self, ask: &Ask) -> [usize; 3] {
+    fn kinds(&self, ask: &RequestAttributes) -> [usize; 3] {
         [0, 1 + ask.operation, 1 + self.operations.len() + ask.plan]
     }
 
@@ -758,59 +782,69 @@
     }
 
     /// What an outcome says of its backend.
-    fn judge(&mut self, now: f64, ask: &Ask, (sent, left, streams): (f64, bool, bool), o: &Outcome) {
+    fn judge(
+        &mut self,
+        now: f64,
+        ask: &RequestAttributes,
+        (sent, left, streams): (f64, bool, bool),
+        o: &AttemptOutcome,
+    ) {
         let (op, units, kinds) = (ask.operation, ask.units.max(1.0), self.kinds(ask));
         let Times { high, half, base } = &mut self.times[op];
-        let slow = o.took > SLOWED * *base;
+        let slow = o.duration > SLOWED * *base;
         let ended = if streams { 0.0 } else { units };
-        let Some(b) = self.backends.lighter(o.tgt, ended) else { return };
-        if o.ending == Ending::NotSent || left && o.ending == Ending::Cancelled && o.took < *high * units {
+        let Some(b) = self.backends.lighter(o.backend, ended) else { return };
+        if o.result == AttemptResult::NotSent
+            || left && o.result == AttemptResult::Cancelled && o.duration < *high * units
+        {
             return; // a client that left early says nothing of the backend
         }
-        let says = match o.ending {
-            Ending::Succeeded => [Some(true); 3],
-            Ending::NotConnected => [Some(false), None, None],
-            Ending::TurnedAway => [Some(true), None, Some(false)],
+        let says = match o.result {
+            AttemptResult::Succeeded => [Some(true); 3],
+            AttemptResult::NotConnected => [Some(false), None, None],
+            AttemptResult::Rejected => [Some(true), None, Some(false)],
             _ => [Some(true), Some(false), None],
         };
         for (kind, well) in kinds.into_iter().zip(says).filter_map(|(kind, well)| Some((kind, well?))) {
             b.proven[kind] = if well { (now, b.proven[kind].1 + 1) } else { (now, 0) };
             drift(&mut self.hard[kind], !well, HARD.1);
         }
-        if o.ending == Ending::Succeeded || slow && b.aside.is_none() && !o.ending.never_ran() {
+        if o.result == AttemptResult::Succeeded || slow && b.aside.is_none() && !o.result.never_ran() {
             // What a backend says of its load tells work that waits from work that is long.
-            let full = o.report.is_some_and(|r| full(&r));
+            let full = o.load_report.is_some_and(|r| full(&r));
             let less = if full { CUT * self.all.limit } else { 0.0 };
             let more = if self.all.near && !full { LIMIT.1 } else { 0.0 };
             self.all.limit = (self.all.limit + if slow { -less.max(LIMIT.1) } else { more }).max(1.0);
         }
-        match o.ending {
-            Ending::Succeeded => {
-                toward(high, o.took / units, HIGH, STEP.0);
-                toward(half, o.took, 0.5, STEP.0);
+        match o.result {
+            AttemptResult::Succeeded => {
+                toward(high, o.duration / units, HIGH, STEP.0);
+                toward(half, o.duration, 0.5, STEP.0);
                 *base = (*base * (1.0 + DRIFT)).min(*half);
-                toward(&mut b.high, o.took / units / *high, HIGH, STEP.1);
+                toward(&mut b.high, o.duration / units / *high, HIGH, STEP.1);
                 b.good = b.good * ((b.good_at - now) / RATE_SPAN).exp() + units;
                 (b.good_at, b.quiet_since, b.fails) = (now, now, 0);
                 if b.aside.take().is_some() {
-                    self.errands.log.push(format!("backend {} back: answered in {:.3} s", o.tgt, o.took));
+                    self.errands
+                        .log
+                        .push(format!("backend {} back: answered in {:.3} s", o.backend, o.duration));
                     if now > b.praised + WORDS {
                         b.praised = now;
-                        self.tell(now, Word::Backend { tgt: o.tgt }, self.doors);
+                        self.tell(now, GossipMessage::BackendRecovered { backend: o.backend }, self.doors);
                     }
                 }
             }
-            Ending::TurnedAway => b.quiet_since = now,
+            AttemptResult::Rejected => b.quiet_since = now,
             _ => {
                 // No answer tells little if others were answered since it was sent.
-                let silent = matches!(o.ending, Ending::TimedOut | Ending::Cancelled);
+                let silent = matches!(o.result, AttemptResult::TimedOut | AttemptResult::Cancelled);
                 b.fails += u32::from(!silent || b.good_at < sent);
                 // Only what was sent since it was set aside says more than we knew.
                 if b.fails >= 3 && b.aside.is_none_or(|a| sent > a.since) {
                     let span = b.aside.map_or(ASIDE.0, |a| (a.span * 2.0).min(ASIDE.1));
                     b.aside = Some(Aside { since: now, until: now + span, span });
-                    let line = format!("{} bad in a row, last {:?}", b.fails, o.ending);
-                    self.errands.log.push(format!("backend {} aside for {span} s: {line}", o.tgt));
+                    let line = format!("{} bad in a row, last {:?}", b.fails, o.result);
+                    self.errands.log.push(format!("backend {} aside for {span} s: {line}", o.backend));
                 }
             }
         }
@@ -818,12 +852,16 @@
 }
 
 /// Whether work waits at a backend, as far as it says so.
-fn full(r: &Report) -> bool {
-    let taken = r.held.zip(r.rate).zip(r.service).map(|((held, rate), own)| held > FULL.1 * own * rate);
-    let waits = taken.or(r.waiting.zip(r.held).map(|(waits, held)| waits * FULL.1 > held));
-    waits.or(r.busy.map(|busy| busy > FULL.0)).unwrap_or(false)
+fn full(r: &LoadReport) -> bool {
+    let taken = r
+        .in_flight
+        .zip(r.throughput)
+        .zip(r.service_time)
+        .map(|((held, rate), own)| held > FULL.1 * own * rate);
+    let waits = taken.or(r.queued.zip(r.in_flight).map(|(waits, held)| waits * FULL.1 > held));
+    waits.or(r.cpu_utilization.map(|busy| busy > FULL.0)).unwrap_or(false)
 }
 
-fn throttle(may: &Deliveries, seconds: f64) -> Verdict {
-    Verdict::Throttle { retry_after: may.retry_after.map(|most| seconds.max(0.05).min(most)) }
+fn throttle(may: &AttemptSettings, seconds: f64) -> Decision {
+    Decision::Throttle { retry_after: may.max_retry_after.map(|most| seconds.max(0.05).min(most)) }
 }
--- a/src/facts.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
 //! The facts given at start, from JSON into the plain values of the decisions' interface.
-use crate::decide::Door;
+use crate::policy::PolicyEngine;
 use crate::types::*;
 use serde::Deserialize;
 
@@ -87,83 +87,83 @@
 }
 
 /// The decisions, ready to be asked, and what their caller needs to know itself.
-pub struct Start {
-    pub door: Door,
-    pub about: About,
+pub struct Loaded {
+    pub engine: PolicyEngine,
+    pub instance: InstanceSettings,
 }
 
 /// An operation, as clients name it.
-pub struct Offered {
+pub struct OfferedOperation {
     pub name: String,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub latency_objective: f64,
     /// The longest that a client waits.
     pub timeout: f64,
 }
 
-pub struct About {
-    pub doors: usize,
-    pub slot: usize,
+pub struct InstanceSettings {
+    pub instances: usize,
+    pub instance_index: usize,
     /// Deliveries of one invocation at the most, and whether two of them may be out at once.
-    pub attempts: usize,
-    pub second_copies: bool,
-    pub operations: Vec<Offered>,
+    pub max_attempts: usize,
+    pub hedging: bool,
+    pub operations: Vec<OfferedOperation>,
     pub plans: Vec<String>,
     /// The most units of one invocation.
-    pub most_units: f64,
+    pub max_units: f64,
     pub zones: Vec<String>,
     /// The list comes only when it is asked for.
-    pub asks: bool,
-    pub dial_timeout: f64,
-    pub link_idle: f64,
-    pub per_link: usize,
+    pub polls_endpoints: bool,
+    pub connect_timeout: f64,
+    pub connection_idle_timeout: f64,
+    pub max_streams_per_connection: usize,
     pub counter_timeout: f64,
-    pub longest_timeout: f64,
+    pub max_client_timeout: f64,
     /// Advice on when to come again may be given.
-    pub advises: bool,
+    pub sends_retry_after: bool,
     /// The values of a load report beside an answer, in their order; none where there is none.
-    pub report: Vec<String>,
+    pub load_report_fields: Vec<String>,
 }
 
 /// A load report from its values by the names that the settings have for them; unknown ones are passed over.
-pub fn report(names: &[String], value: impl Fn(usize, &str) -> Option<f64>) -> Option<Report> {
-    let mut report = Report::default();
+pub fn load_report(names: &[String], value: impl Fn(usize, &str) -> Option<f64>) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     for (i, name) in names.iter().enumerate() {
         let value = value(i, name).filter(|v| v.is_finite() && *v >= 0.0);
         match name.as_str() {
-            "load_share" => report.busy = value,
-            "concurrent" => report.held = value,
-            "depth" => report.waiting = value,
-            "mean_ms" => report.service = value.map(|ms| ms / 1e3),
-            "tps" => report.rate = value,
+            "load_share" => report.cpu_utilization = value,
+            "concurrent" => report.in_flight = value,
+            "depth" => report.queued = value,
+            "mean_ms" => report.service_time = value.map(|ms| ms / 1e3),
+            "tps" => report.throughput = value,
             _ => {}
         }
     }
-    (report != Report::default()).then_some(report)
+    (report != LoadReport::default()).then_some(report)
 }
 
 fn operation(i: usize, c: &Class) -> Result<Operation, String> {
     let group = || match c.group.as_str() {
-        "all" => Ok(Group::All),
-        "zone" => Ok(Group::Zone),
-        "cell" => Ok(Group::Cell),
+        "all" => Ok(KeyScope::All),
+        "zone" => Ok(KeyScope::Zone),
+        "cell" => Ok(KeyScope::Cell),
         other => Err(format!("classes[{i}].group: unknown value '{other}'")),
     };
     let effect = match c.idempotency.as_str() {
-        "retryable" => Effect::Idempotent,
-        "dedup" => Effect::Tokened { group: group()?, window: c.window_us / 1e6 },
-        "fragile" => Effect::NonIdempotent,
+        "retryable" => Idempotency::Idempotent,
+        "dedup" => Idempotency::Keyed { scope: group()?, window: c.window_us / 1e6 },
+        "fragile" => Idempotency::NonIdempotent,
         other => return Err(format!("classes[{i}].idempotency: unknown value '{other}'")),
     };
-    Ok(Operation { latency_objective: c.aim_us / 1e6, effect, billed: c.gain })
+    Ok(Operation { latency_objective: c.aim_us / 1e6, idempotency: effect, billed_value: c.gain })
 }
 
-fn offered((c, o): (Class, Operation)) -> Offered {
-    let Operation { latency_objective, effect, .. } = o;
-    Offered { name: c.name, effect, latency_objective, timeout: c.give_up_us / 1e6 }
+fn offered((c, o): (Class, Operation)) -> OfferedOperation {
+    let Operation { latency_objective, idempotency: effect, .. } = o;
+    OfferedOperation { name: c.name, idempotency: effect, latency_objective, timeout: c.give_up_us / 1e6 }
 }
 
-pub fn start(seed: u64, json: &[u8]) -> Result<Start, String> {
+pub fn load(seed: u64, json: &[u8]) -> Result<Loaded, String> {
     let told: Told = serde_json::from_slice(json).map_err(|e| format!("settings: {e}"))?;
     let operations = told.classes.iter().enumerate().map(|(i, c)| operation(i, c));
     let operations: Vec<Operation> =
@@ -195,44 +195,49 @@
         .map(|t| Plan {
             rate: t.per_second,
             burst: t.depth,
-            open: t.parallel,
+            max_in_flight: t.parallel,
             ceiling_rate: t.ceiling_rate,
             ceiling_burst: t.hard_burst,
             ceiling_slack: t.ceiling_slack,
         })
         .collect();
-    let rules = ColdStart { cold_from: told.rules.cold_from, warm_after: told.rules.warm_after_us / 1e6 };
-    let may = Deliveries {
-        most: told.caps.max_attempts,
-        second_copies: told.caps.second_copies,
-        cancels: told.caps.cancel,
-        link_idle: told.caps.conn_idle_us / 1e6,
-        home: (told.charges.cross_zone > 0.0).then_some(told.zone),
-        retry_after: told.caps.retry_after.then_some(told.caps.max_retry_after_us / 1e6),
+    let rules =
+        SlowStart { initial_fraction: told.rules.cold_from, duration: told.rules.warm_after_us / 1e6 };
+    let may = AttemptSettings {
+        max_attempts: told.caps.max_attempts,
+        hedging: told.caps.second_copies,
+        cancellation: told.caps.cancel,
+        connection_idle_timeout: told.caps.conn_idle_us / 1e6,
+        home_zone: (told.charges.cross_zone > 0.0).then_some(told.zone),
+        max_retry_after: told.caps.retry_after.then_some(told.caps.max_retry_after_us / 1e6),
     };
-    let limits = CounterLimits { timeout: told.extra.counter_timeout_us / 1e6 };
+    let limits = CounterSettings { timeout: told.extra.counter_timeout_us / 1e6 };
     let counter = told.extra.counter.then_some(limits);
     let hears = if told.caps.peers { told.extra.peer_intake } else { 0.0 };
     let doors = told.balancers.max(1);
-    let door =
-        Door::new((seed, doors as f64, hears, asks), (operations.clone(), plans), (rules, may), counter);
-    let about = About {
-        doors,
-        slot: told.slot_no,
-        longest_timeout: told.classes.iter().map(|c| c.give_up_us / 1e6).fold(0.0, f64::max),
-        attempts: told.caps.max_attempts,
-        second_copies: told.caps.second_copies,
+    let door = PolicyEngine::new(
+        (seed, doors as f64, hears, asks),
+        (operations.clone(), plans),
+        (rules, may),
+        counter,
+    );
+    let about = InstanceSettings {
+        instances: doors,
+        instance_index: told.slot_no,
+        max_client_timeout: told.classes.iter().map(|c| c.give_up_us / 1e6).fold(0.0, f64::max),
+        max_attempts: told.caps.max_attempts,
+        hedging: told.caps.second_copies,
         operations: told.classes.into_iter().zip(operations).map(offered).collect(),
-        most_units: told.extra.max_units.unwrap_or(f64::INFINITY),
+        max_units: told.extra.max_units.unwrap_or(f64::INFINITY),
         plans: told.tariffs.into_iter().map(|t| t.name).collect(),
         zones: told.zones,
-        asks,
-        dial_timeout: told.caps.dial_timeout_us / 1e6,
-        link_idle: told.caps.conn_idle_us / 1e6,
-        per_link: told.caps.streams_per_conn.max(1),
-        advises: told.caps.retry_after,
-        report,
+        polls_endpoints: asks,
+        connect_timeout: told.caps.dial_timeout_us / 1e6,
+        connection_idle_timeout: told.caps.conn_idle_us / 1e6,
+        max_streams_per_connection: told.caps.streams_per_conn.max(1),
+        sends_retry_after: told.caps.retry_after,
+        load_report_fields: report,
         counter_timeout: told.extra.counter_timeout_us / 1e6,
     };
-    Ok(Start { door, about })
+    Ok(Loaded { engine: door, instance: about })
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -75,15 +75,15 @@
 
 // ======== for one delivery
 pub struct Delivery {
-    pub tgt: Tgt,
+    pub tgt: BackendIndex,
     pub sent: f64,
-    pub ending: Option<Ending>,
+    pub ending: Option<AttemptResult>,
 }
 
 // ======== for one invocation
 #[derive(Default)]
 pub struct Invocation {
-    pub ask: Ask,
+    pub ask: RequestAttributes,
     pub came: f64,
     pub luck: f64, // what a cold backend must have of its capacity to get it
     pub last: f64, // a last look, whatever it is held for
@@ -99,9 +99,9 @@
 
 impl Invocation {
     /// Its answer has begun: the backend that gives it, and the units; none if that was told before.
-    pub fn stream(&mut self) -> Option<(Tgt, f64)> {
+    pub fn stream(&mut self) -> Option<(BackendIndex, f64)> {
         let out = self.deliveries.iter().find(|d| d.ending.is_none()).filter(|_| !self.streams)?;
-        (self.look, self.ask.until, self.streams) = (f64::INFINITY, f64::INFINITY, true);
+        (self.look, self.ask.deadline, self.streams) = (f64::INFINITY, f64::INFINITY, true);
         Some((out.tgt, self.ask.units.max(1.0)))
     }
     pub fn out(&self) -> usize {
@@ -148,7 +148,7 @@
     pub plan: usize,
     pub rate: f64, // that the count regains: less while some of the customer's front doors don't reach it
     pub doors: f64,
-    pub of: Doors,
+    pub of: InstanceRange,
     pub told: f64,
     pub series: u32,
     pub seen: Option<f64>,
@@ -161,11 +161,11 @@
     pub ceiling: f64,
     pub out: usize,     // places held
     pub free: Vec<u32>, // of them, not yet taken, by the series of their count
-    pub seeking: Vec<Inv>,
+    pub seeking: Vec<RequestIndex>,
     pub own_again: f64, // when our own share has a place again
     pub full_until: f64,
     pub calls: VecDeque<Call>,
-    pub waiting: Vec<Inv>,
+    pub waiting: Vec<RequestIndex>,
     pub used: f64,
     pub bell: f64,
 }
@@ -202,7 +202,7 @@
 }
 #[derive(Default)]
 pub struct Backend {
-    pub is: Listed,
+    pub is: Endpoint,
     pub out: usize,
     pub owes: f64, // units of what is out
     pub high: f64, // its high quantile of answer times, against its fellows'
@@ -221,7 +221,7 @@
 
 impl Backend {
     /// One that is just known of, with so many kinds to prove.
-    pub fn new(now: f64, is: Listed, kinds: usize) -> Backend {
+    pub fn new(now: f64, is: Endpoint, kinds: usize) -> Backend {
         let (quiet_since, good_at, known, proven) = (now, now, now, vec![(now, 0); kinds]);
         let (back, unused) = (f64::NEG_INFINITY, f64::INFINITY);
         Backend { is, high: 1.0, quiet_since, good_at, known, proven, back, unused, ..Backend::default() }
@@ -241,22 +241,22 @@
     }
     /// Listed, and yet it gets nothing new.
     pub fn avoided(&self) -> bool {
-        self.is.standing != Standing::Gone && (!self.ready() || self.aside.is_some())
+        self.is.status != EndpointStatus::Removed && (!self.ready() || self.aside.is_some())
     }
     /// Seconds since its start, as far as that is known.
     fn age(&self, now: f64) -> f64 {
-        now - self.is.started.map_or(self.back, |s| s.max(self.back))
+        now - self.is.started_at.map_or(self.back, |s| s.max(self.back))
     }
     /// The share of its capacity that it has at least, by the time since its start.
-    pub fn share(&self, now: f64, rules: &ColdStart) -> f64 {
-        rules.share(self.age(now))
+    pub fn share(&self, now: f64, rules: &SlowStart) -> f64 {
+        rules.capacity_fraction(self.age(now))
     }
     /// Its size times that share.
-    pub fn capacity(&self, now: f64, rules: &ColdStart) -> f64 {
-        self.is.size * self.share(now, rules)
+    pub fn capacity(&self, now: f64, rules: &SlowStart) -> f64 {
+        self.is.weight * self.share(now, rules)
     }
     /// The same machine after a restart: what is out there stays out, and an operator's word stands.
-    pub fn anew(&self, now: f64, is: Listed) -> Backend {
+    pub fn anew(&self, now: f64, is: Endpoint) -> Backend {
         let Backend { out, owes, by_hand, back, unused, .. } = *self;
         Backend { out, owes, by_hand, back, unused, ..Backend::new(now, is, self.proven.len()) }
     }
@@ -273,7 +273,7 @@
     /// start since it began.
     pub fn by_hand(&mut self, now: f64, out: Option<f64>) {
         if let Some(since) = self.by_hand.filter(|_| out.is_none()) {
-            let told = self.is.started.is_some_and(|s| s > since);
+            let told = self.is.started_at.is_some_and(|s| s > since);
             let back = if told { self.back } else { now };
             *self = Backend { back, unused: now, ..self.anew(now, self.is) };
         }
@@ -281,7 +281,7 @@
     }
     /// It may get what is new.
     pub fn ready(&self) -> bool {
-        self.is.standing == Standing::Ready && self.by_hand.is_none()
+        self.is.status == EndpointStatus::Ready && self.by_hand.is_none()
     }
     /// How often on end it has done well for this kind, if it was last seen after then.
     pub fn streak(&self, kind: usize, then: f64) -> u32 {
@@ -297,17 +297,17 @@
 /// What a look at backends came to, for one invocation.
 #[derive(Default)]
 pub struct Candidates {
-    pub good: Vec<Tgt>,
+    pub good: Vec<BackendIndex>,
     /// Set aside, quiet or tried before: for want of others.
-    pub poor: Vec<Tgt>,
+    pub poor: Vec<BackendIndex>,
     /// Some are left out since what is out there takes enough of the objective.
     pub pressed: bool,
 }
 
 #[derive(Clone, Copy)]
 pub enum Bell {
-    Inv(Inv),
-    Customer(Customer),
+    Inv(RequestIndex),
+    Customer(CustomerIndex),
     List,
 }
 
@@ -328,14 +328,14 @@
         self.due.keys().next().map(|k| f64::from_bits(k.0))
     }
     /// One that is due by then, or that nobody need wake for.
-    pub fn take(&mut self, now: f64, invs: &BTreeMap<Inv, Invocation>) -> Option<Bell> {
+    pub fn take(&mut self, now: f64, invs: &BTreeMap<RequestIndex, Invocation>) -> Option<Bell> {
         let first = self.due.first_entry()?;
         (first.key().0 <= now.to_bits() || vain(&first, invs)).then(|| first.remove())
     }
 }
 
 /// A bell that nobody need wake for: its invocation is over, or waits for a delivery and looks later.
-fn vain(bell: &OccupiedEntry<(u64, u64), Bell>, invs: &BTreeMap<Inv, Invocation>) -> bool {
+fn vain(bell: &OccupiedEntry<(u64, u64), Bell>, invs: &BTreeMap<RequestIndex, Invocation>) -> bool {
     let (at, Bell::Inv(inv)) = (f64::from_bits(bell.key().0), bell.get()) else { return false };
     invs.get(inv).is_none_or(|v| v.closed || v.out() > 0 && at < v.look && at != v.last)
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -2,20 +2,21 @@
 use expect_test::expect;
 use help::*;
 use quillramp::types::*;
-use Counted::*;
-use Ending::*;
+use AttemptResult::*;
+use CounterResult::*;
 
 fn idempotent(backends: usize) -> Desk {
-    desk(vec![operation(Effect::Idempotent)], vec![plan()], may(), backends)
+    desk(vec![operation(Idempotency::Idempotent)], vec![plan()], may(), backends)
 }
 
-fn of_effect(effect: Effect, backends: usize) -> Desk {
+fn of_effect(effect: Idempotency, backends: usize) -> Desk {
     desk(vec![operation(effect)], vec![plan()], may(), backends)
 }
 
 #[test]
 fn a_lease_is_spent_locally_and_what_lapses_goes_back() {
-    let mut d = desk(vec![operation(Effect::Idempotent)], vec![Plan { burst: 48.0, ..plan() }], may(), 2);
+    let mut d =
+        desk(vec![operation(Idempotency::Idempotent)], vec![Plan { burst: 48.0, ..plan() }], may(), 2);
     d.comes(30.0, 0, 1.0);
     d.counter(30.01);
     d.comes(30.1, 0, 1.0);
@@ -103,9 +104,9 @@
 fn a_full_slice_goes_into_debt_for_one_invocation() {
     let mut d = idempotent(4);
     d.comes(30.0, 0, 6.0);
-    d.no_counter(30.03, Unreached);
+    d.no_counter(30.03, NotApplied);
     d.comes(30.1, 0, 1.0);
-    d.no_counter(30.13, Unreached);
+    d.no_counter(30.13, NotApplied);
     d.check(expect![[r#"
         30.000 0 comes: not yet; count 1: +6.00
         30.030 0: to 0
@@ -128,7 +129,7 @@
     d.counter(33.1);
     d.check(expect![[r#"
         33.000 0 comes: not yet; count 1: +1.00; 0: to 0
-        33.100 1 comes: throttled, 0.40 s; 2 comes: not yet; count 1: +1.00; count 1: +13.00; tells Count { name: CountName { customer: 0, series: 1 }, plan: 0, of: Doors { first: 0, number: 2 }, total: 14.0 }; 2: to 2"#]]);
+        33.100 1 comes: throttled, 0.40 s; 2 comes: not yet; count 1: +1.00; count 1: +13.00; tells CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 14.0 }; 2: to 2"#]]);
 }
 
 #[test]
@@ -147,7 +148,7 @@
 /// Invocations that were held without a delivery got no final answer in time.
 #[test]
 fn what_is_held_is_answered_before_the_client_gives_up() {
-    let mut d = of_effect(Effect::NonIdempotent, 1);
+    let mut d = of_effect(Idempotency::NonIdempotent, 1);
     d.comes(30.0, 0, 1.0);
     d.counter(30.0);
     d.ends(33.996, 0, 0, NotConnected, 0.25);
@@ -159,8 +160,8 @@
 #[test]
 fn non_idempotent_goes_again_only_when_it_never_ran_and_is_not_throttled_else() {
     let mut all = String::new();
-    for ending in [TurnedAway, Broken] {
-        let mut d = of_effect(Effect::NonIdempotent, 2);
+    for ending in [Rejected, Broken] {
+        let mut d = of_effect(Idempotency::NonIdempotent, 2);
         d.comes(30.0, 0, 1.0);
         d.counter(30.0);
         d.ends(30.1, 0, 0, ending, 0.1);
@@ -168,7 +169,7 @@
     }
     expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; 0: to 0
-        30.100 0 TurnedAway: to 1
+        30.100 0 Rejected: to 1
         30.000 0 comes: not yet; count 1: +1.00; 0: to 0
         30.100 0 Broken: error
     "#]]
@@ -177,7 +178,7 @@
 
 #[test]
 fn tokened_stays_in_its_group_and_window() {
-    let mut d = of_effect(Effect::Tokened { group: Group::Cell, window: 0.5 }, 4);
+    let mut d = of_effect(Idempotency::Keyed { scope: KeyScope::Cell, window: 0.5 }, 4);
     d.comes(30.0, 0, 1.0);
     d.counter(30.0);
     d.ends(30.1, 0, 0, Broken, 0.1);
@@ -193,11 +194,11 @@
 /// likes; by then the backends may remember nothing of it.
 #[test]
 fn tokened_that_may_have_run_is_not_throttled() {
-    let mut d = of_effect(Effect::Tokened { group: Group::All, window: 9.0 }, 2);
+    let mut d = of_effect(Idempotency::Keyed { scope: KeyScope::All, window: 9.0 }, 2);
     let inv = d.comes_until(30.0, 31.0);
     d.counter(30.0);
     d.wait(30.0);
-    d.ends(31.0, inv, 0, Ending::TimedOut, 1.0);
+    d.ends(31.0, inv, 0, AttemptResult::TimedOut, 1.0);
     d.check(expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; 0: to 0
         31.000 0 TimedOut: error"#]]);
@@ -228,8 +229,8 @@
 fn a_cold_backend_has_longer_before_it_is_doubted() {
     let doubted = |started: Option<f64>| {
         let mut d = idempotent(2);
-        let list: Vec<Listed> = (0..2).map(|t| Listed { started, ..listed(t) }).collect();
-        d.door.listed(30.0, true, &list);
+        let list: Vec<Endpoint> = (0..2).map(|t| Endpoint { started_at: started, ..listed(t) }).collect();
+        d.door.update_endpoints(30.0, true, &list);
         // One that draws little luck waits for a warm one: the first that goes at once is looked at.
         let sent = (0..40).find_map(|i| {
             d.comes_of(30.0, i, 1.0);
@@ -269,10 +270,10 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_backend() {
     let mut d = idempotent(2);
-    d.door.listed(30.0, false, &[Listed { standing: Standing::Draining, ..listed(0) }]);
+    d.door.update_endpoints(30.0, false, &[Endpoint { status: EndpointStatus::Draining, ..listed(0) }]);
     d.comes(30.0, 0, 1.0);
     d.counter(30.0);
-    d.door.listed(30.1, true, &[]);
+    d.door.update_endpoints(30.1, true, &[]);
     d.comes(30.2, 0, 1.0);
     d.counter(30.2);
     d.wait(30.46);
@@ -321,19 +322,22 @@
 #[test]
 fn out_by_hand_holds_against_the_list_and_who_comes_back_is_cold_and_soon_tried() {
     let mut d = idempotent(3);
-    d.door.by_hand(30.0, 0, Some(30.0));
-    d.door.listed(30.0, true, &[0, 1, 2].map(listed));
-    assert_eq!((d.door.avoided(), to_backend_0(&mut d, 30.0)), (1, (0, None)));
-    d.door.by_hand(34.0, 0, Some(34.0));
-    d.door.by_hand(34.0, 0, None);
+    d.door.set_manual_ejection(30.0, 0, Some(30.0));
+    d.door.update_endpoints(30.0, true, &[0, 1, 2].map(listed));
+    assert_eq!((d.door.unavailable_backends(), to_backend_0(&mut d, 30.0)), (1, (0, None)));
+    d.door.set_manual_ejection(34.0, 0, Some(34.0));
+    d.door.set_manual_ejection(34.0, 0, None);
     let (sent, first) = to_backend_0(&mut d, 34.0);
-    assert!(d.door.avoided() == 0 && sent < 10 && first.is_some_and(|i| i < 40), "{sent}, first {first:?}");
+    assert!(
+        d.door.unavailable_backends() == 0 && sent < 10 && first.is_some_and(|i| i < 40),
+        "{sent}, first {first:?}"
+    );
     // Alone, it gets the share of one that has just started; unless the list has told that it started long before.
     for (restarted, share) in [(None, 20..60), (Some(40.5), 150..201)] {
         let mut d = idempotent(1);
-        d.door.by_hand(40.0, 0, Some(40.0));
-        d.door.listed(41.0, false, &[Listed { started: restarted, ..listed(0) }]);
-        d.door.by_hand(60.0, 0, None);
+        d.door.set_manual_ejection(40.0, 0, Some(40.0));
+        d.door.update_endpoints(41.0, false, &[Endpoint { started_at: restarted, ..listed(0) }]);
+        d.door.set_manual_ejection(60.0, 0, None);
         let sent = sent_at_once(&mut d, 60.0);
         assert!(share.contains(&sent), "{sent} of 200, restarted {restarted:?}");
     }
@@ -357,11 +361,11 @@
 fn two_processes_of_a_door_share_what_is_its_own() {
     let served = |two: bool| {
         let mut d = idempotent(1);
-        d.door.beside(two);
+        d.door.set_peer_process(two);
         for i in 0..12 {
             let t = 30.0 + f64::from(i) * 0.06;
             d.comes(t, 0, 1.0);
-            d.no_counter(t + 0.05, Unreached);
+            d.no_counter(t + 0.05, NotApplied);
         }
         d.take_sent().len()
     };
@@ -375,7 +379,7 @@
     let mut d = idempotent(1);
     let first = d.comes_of(30.0, 0, 4.0);
     d.counter(30.0);
-    d.door.streaming(30.1, first);
+    d.door.response_started(30.1, first);
     for i in 1..6 {
         let t = 30.0 + i as f64;
         let inv = d.comes_of(t, i, 1.0);
@@ -393,7 +397,7 @@
 #[test]
 fn a_cold_backend_is_open_to_a_share_of_the_invocations() {
     let mut d = idempotent(0);
-    d.door.listed(30.0, true, &[Listed { started: Some(30.0), ..listed(0) }]);
+    d.door.update_endpoints(30.0, true, &[Endpoint { started_at: Some(30.0), ..listed(0) }]);
     let sent = sent_at_once(&mut d, 30.0);
     assert!((20..60).contains(&sent), "{sent} of 200 where its share is a fifth");
 }
@@ -401,15 +405,15 @@
 /// Dead backends: each trial that failed counts, and a peer's good word shortens the second half of the wait.
 #[test]
 fn a_failed_trial_doubles_the_time_aside_and_a_peer_shortens_it() {
-    let once = Deliveries { most: 1, ..may() };
-    let mut d = desk(vec![operation(Effect::Idempotent)], vec![plan()], once, 1);
+    let once = AttemptSettings { max_attempts: 1, ..may() };
+    let mut d = desk(vec![operation(Idempotency::Idempotent)], vec![plan()], once, 1);
     let mut t = 30.0;
     for _ in 0..5 {
         let inv = d.comes(t, 0, 1.0);
         d.counter(t);
         d.ends(t + 0.2, inv, 0, Broken, 0.2);
         t += 3.0;
-        d.door.peer_word(t - 0.1, Word::Backend { tgt: 0 });
+        d.door.gossip_received(t - 0.1, GossipMessage::BackendRecovered { backend: 0 });
     }
     // The first that is answered again tells the others.
     let inv = d.comes(t + 2.0, 0, 1.0);
@@ -427,23 +431,23 @@
         42.000 4 comes: not yet; count 1: +1.00; count 1: +5.00; 4: to 0
         42.200 4 Broken: throttled, 1.00 s; log: backend 0 aside for 4 s: 5 bad in a row, last Broken
         47.000 5 comes: not yet; count 1: +1.00; count 1: +9.00; 5: to 0
-        47.100 5 Succeeded: not yet; tells Backend { tgt: 0 }; log: backend 0 back: answered in 0.100 s"#]]);
+        47.100 5 Succeeded: not yet; tells BackendRecovered { backend: 0 }; log: backend 0 back: answered in 0.100 s"#]]);
 }
 
 /// The dearest plans were throttled inside their quotas: the share of the ceiling is for what no lease vouches for.
 #[test]
 fn a_lease_passes_under_a_ceiling_and_what_is_spent_without_one_has_an_even_share_that_starts_empty() {
     let capped = Plan { ceiling_rate: 4.0, ceiling_burst: 16.0, ceiling_slack: 2.0, ..plan() };
-    let mut d = desk(vec![operation(Effect::Idempotent)], vec![capped], may(), 2);
+    let mut d = desk(vec![operation(Idempotency::Idempotent)], vec![capped], may(), 2);
     // The count is young.
     d.comes(30.0, 0, 1.0);
     d.counter(30.0);
     d.comes(35.0, 0, 1.0);
     d.counter(35.0);
     d.comes(35.1, 0, 1.0);
-    d.no_counter(35.14, Unreached);
+    d.no_counter(35.14, NotApplied);
     d.comes(36.1, 0, 1.0);
-    d.no_counter(36.14, Unreached);
+    d.no_counter(36.14, NotApplied);
     d.check(expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; 0: throttled, 1.00 s
         35.000 count 1: -1.00; 1 comes: not yet; count 1: +1.00; count 1: +10.00; 1: to 1
@@ -456,8 +460,8 @@
 /// Many doors before one customer each let one in, far over a cap of a few: each held its own share, rounded up.
 #[test]
 fn a_place_is_leased_on_a_count_of_its_own_refused_at_once_and_goes_back() {
-    let capped = Plan { rate: 0.0, open: 2, ..plan() };
-    let mut d = desk(vec![operation(Effect::Idempotent)], vec![capped], may(), 3);
+    let capped = Plan { rate: 0.0, max_in_flight: 2, ..plan() };
+    let mut d = desk(vec![operation(Idempotency::Idempotent)], vec![capped], may(), 3);
     for t in [30.0, 30.01, 30.02] {
         d.comes(t, 0, 1.0);
         d.counter(t);
@@ -478,16 +482,16 @@
 /// nobody held back.
 #[test]
 fn in_silence_a_place_is_an_even_share_and_one_that_came_late_goes_back() {
-    let capped = Plan { rate: 0.0, open: 1, ..plan() };
-    let mut d = desk(vec![operation(Effect::Idempotent)], vec![capped], may(), 3);
+    let capped = Plan { rate: 0.0, max_in_flight: 1, ..plan() };
+    let mut d = desk(vec![operation(Idempotency::Idempotent)], vec![capped], may(), 3);
     d.comes(30.0, 0, 1.0);
     d.wait(30.04);
     d.counter(30.05);
     d.ends(30.1, 0, 0, Succeeded, 0.1);
     d.comes(30.11, 0, 1.0);
-    d.no_counter(30.12, Unreached);
+    d.no_counter(30.12, NotApplied);
     d.comes(31.1, 0, 1.0);
-    d.no_counter(31.12, Unreached);
+    d.no_counter(31.12, NotApplied);
     d.check(expect![[r#"
         30.000 0 comes: not yet; count 1073741827: +1.00
         30.040 0: to 0
@@ -504,7 +508,12 @@
 fn among_equals_the_own_zone_wins_where_crossing_is_charged_for_and_a_loaded_one_does_not() {
     let mut all = String::new();
     for home in [None, Some(1)] {
-        let mut d = desk(vec![operation(Effect::Idempotent)], vec![plan()], Deliveries { home, ..may() }, 2);
+        let mut d = desk(
+            vec![operation(Idempotency::Idempotent)],
+            vec![plan()],
+            AttemptSettings { home_zone: home, ..may() },
+            2,
+        );
         for i in 0..6 {
             let t = 30.0 + f64::from(i);
             let inv = d.comes(t, 0, 1.0);
@@ -535,7 +544,12 @@
         for t in [30.0, 31.0, 32.0] {
             let inv = d.comes(t, 0, 1.0);
             d.counter(t);
-            d.ends_telling(t + 0.9, inv, 0.9, Some(Report { busy: Some(busy), ..Report::default() }));
+            d.ends_telling(
+                t + 0.9,
+                inv,
+                0.9,
+                Some(LoadReport { cpu_utilization: Some(busy), ..LoadReport::default() }),
+            );
         }
         d.take_sent();
         for customer in 0..6 {
@@ -556,8 +570,8 @@
     let mut d = idempotent(2);
     let inv = d.comes(30.0, 0, 1.0);
     d.counter(30.0);
-    let o = Outcome { true_units: Some(4.0), ..succeeded(0.1) };
-    d.door.after(30.1, inv, &o);
+    let o = AttemptOutcome { billed_units: Some(4.0), ..succeeded(0.1) };
+    d.door.attempt_ended(30.1, inv, &o);
     d.wait(31.2);
     d.check(expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; 0: to 0
@@ -574,7 +588,7 @@
         let inv = d.comes(t, 0, 1.0);
         d.wait(t + 0.05);
         d.no_counter(t + 0.06, Unanswered);
-        d.door.after(t + 0.1, inv, &succeeded(0.1));
+        d.door.attempt_ended(t + 0.1, inv, &succeeded(0.1));
     }
     d.told();
     d.counts.insert(1, 0.0);
@@ -592,7 +606,7 @@
 fn a_list_that_could_not_be_had_is_asked_for_again() {
     let mut d = idempotent(1);
     d.wait(30.0);
-    d.door.unlisted(30.1);
+    d.door.endpoint_fetch_failed(30.1);
     d.wait(30.2);
     d.wait(33.2);
     d.check(expect!["33.200 asks for the list"]);
@@ -623,7 +637,7 @@
     d.comes(32.0, 0, 1.0);
     d.counter(32.0);
     d.check(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; count 1: -1.00; tells Count { name: CountName { customer: 0, series: 1 }, plan: 0, of: Doors { first: 0, number: 2 }, total: 10.0 }; 0: throttled, 1.50 s
+        30.000 0 comes: not yet; count 1: +1.00; count 1: -1.00; tells CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 10.0 }; 0: throttled, 1.50 s
         32.000 1 comes: not yet; count 1: +1.00; 1: to 0"#]]);
 }
 
@@ -632,11 +646,11 @@
 fn nobody_wakes_for_an_invocation_that_is_over_or_looks_later() {
     let mut d = idempotent(1);
     let first = d.comes(30.0, 0, 1.0);
-    let mut waits = vec![d.door.wait(30.0).seconds];
+    let mut waits = vec![d.door.poll(30.0).next_poll_in];
     d.counter(30.0);
-    waits.push(d.door.wait(30.0).seconds);
+    waits.push(d.door.poll(30.0).next_poll_in);
     d.ends(30.1, first, 0, Succeeded, 0.1);
-    waits.push(d.door.wait(30.1).seconds);
+    waits.push(d.door.poll(30.1).next_poll_in);
     let waits: Vec<String> = waits.into_iter().flatten().map(|s| format!("{s:.3}")).collect();
     expect!["0.040 0.250 0.900"].assert_eq(&waits.join(" "));
 }
@@ -648,15 +662,15 @@
     let inv = d.comes(30.0, 0, 1.0);
     d.counter(30.0);
     let o = succeeded(2.9);
-    let answer = d.door.after(33.0, inv, &o); // its look of 30.25 is still to come
-    expect!["stood still for 2.75 s"].assert_eq(&answer.errands.log.join("\n"));
+    let answer = d.door.attempt_ended(33.0, inv, &o); // its look of 30.25 is still to come
+    expect!["stood still for 2.75 s"].assert_eq(&answer.effects.log.join("\n"));
 }
 
 /// Where the counter takes fewer calls than invocations come, an even slice below one refused nearly all.
 #[test]
 fn a_crowded_counter_lets_a_slice_go_into_debt_unless_the_customer_is_known_full() {
     let plan = Plan { burst: 16.0, ..plan() };
-    let mut d = desk_among(200.0, vec![operation(Effect::Idempotent)], vec![plan], may(), 400);
+    let mut d = desk_among(200.0, vec![operation(Idempotency::Idempotent)], vec![plan], may(), 400);
     for units in [8.0, 4.0, 1.0] {
         d.comes(30.0, 0, units);
     }
@@ -672,7 +686,7 @@
 #[test]
 fn what_the_count_was_told_of_the_slice_has_back() {
     let plan = Plan { burst: 32.0, ..plan() };
-    let mut d = desk_among(200.0, vec![operation(Effect::Idempotent)], vec![plan], may(), 400);
+    let mut d = desk_among(200.0, vec![operation(Idempotency::Idempotent)], vec![plan], may(), 400);
     for units in [8.0, 1.0, 1.0] {
         d.comes_among(30.0, 100, units);
     }
@@ -698,7 +712,8 @@
 fn beside_a_crowded_counter_a_store_is_as_rich_as_it_was_seen() {
     let plan = Plan { burst: 16.0, ..plan() };
     let seen = |at: f64, total: f64| {
-        let mut d = desk_among(200.0, vec![operation(Effect::Idempotent)], vec![plan.clone()], may(), 400);
+        let mut d =
+            desk_among(200.0, vec![operation(Idempotency::Idempotent)], vec![plan.clone()], may(), 400);
         d.comes_among(30.0, 100, 0.1);
         d.heard(at, 0, 1, total);
         for customer in 1..5 {
@@ -723,7 +738,8 @@
 fn beside_a_counter_that_answers_a_small_slice_goes_into_debt_only_for_a_store_seen_rich() {
     let plan = Plan { burst: 16.0, ..plan() };
     let seen = |total: f64, answers: bool| {
-        let mut d = desk_among(200.0, vec![operation(Effect::Idempotent)], vec![plan.clone()], may(), 400);
+        let mut d =
+            desk_among(200.0, vec![operation(Idempotency::Idempotent)], vec![plan.clone()], may(), 400);
         d.comes_among(30.0, 100, 0.1);
         for customer in 1..5 {
             d.comes_of(35.6, customer, 1.0); // the calls saved up are spent
@@ -731,7 +747,7 @@
         if answers {
             d.counter(35.61);
         } else {
-            d.no_counter(35.9, Counted::Unanswered); // all four: it is silent
+            d.no_counter(35.9, CounterResult::Unanswered); // all four: it is silent
             d.comes_of(36.0, 9, 1.0); // and has just been read again
         }
         d.heard(35.9, 0, 1, total);
@@ -754,13 +770,14 @@
     let plan = Plan { burst: 16.0, ..plan() };
     // How often it is called when so many come, second by second; the first calls may be missed.
     let called = |missed: bool, a_second: &[usize]| -> Vec<usize> {
-        let mut d = desk_among(400.0, vec![operation(Effect::Idempotent)], vec![plan.clone()], may(), 400);
+        let mut d =
+            desk_among(400.0, vec![operation(Idempotency::Idempotent)], vec![plan.clone()], may(), 400);
         let calls = a_second.iter().enumerate().map(|(second, many)| {
             for i in 0..*many {
                 let now = 30.0 + second as f64 + i as f64 / *many as f64;
                 d.comes_of(now, 1000 * second + i, 1.0);
                 if missed && second == 0 {
-                    d.no_counter(now, Counted::Unanswered);
+                    d.no_counter(now, CounterResult::Unanswered);
                 }
                 d.counter(now);
             }
@@ -790,7 +807,7 @@
         d.counter(t);
     }
     d.check(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; tells Count { name: CountName { customer: 0, series: 1 }, plan: 0, of: Doors { first: 0, number: 2 }, total: 8.0 }; 0: to 0
+        30.000 0 comes: not yet; count 1: +1.00; tells CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 8.0 }; 0: to 0
         30.100 1 comes: throttled, 0.40 s
         31.000 0: to 2; 2 comes: not yet; count 1: +1.00; 2: to 3"#]]);
 }
@@ -834,17 +851,22 @@
 /// some a second each, had taken it down: by then the release was over, and the fleet refused what it could do.
 #[test]
 fn what_the_list_tells_of_starts_and_drains_lowers_what_may_be_out() {
-    let sent = |started: Option<f64>, standing: Standing| {
-        let mut d = desk_among(200.0, vec![operation(Effect::NonIdempotent)], vec![plan()], may(), 400);
-        let changed: Vec<Listed> = (0..300).map(|t| Listed { started, standing, ..listed(t) }).collect();
-        d.door.listed(30.0, false, &changed);
+    let sent = |started: Option<f64>, standing: EndpointStatus| {
+        let mut d = desk_among(200.0, vec![operation(Idempotency::NonIdempotent)], vec![plan()], may(), 400);
+        let changed: Vec<Endpoint> =
+            (0..300).map(|t| Endpoint { started_at: started, status: standing, ..listed(t) }).collect();
+        d.door.update_endpoints(30.0, false, &changed);
         for i in 0..60 {
             d.comes_of(30.0, i, 1.0);
         }
         d.counter(30.0);
         d.take_sent().len()
     };
-    let all = [(None, Standing::Ready), (Some(29.0), Standing::Ready), (None, Standing::Draining)];
+    let all = [
+        (None, EndpointStatus::Ready),
+        (Some(29.0), EndpointStatus::Ready),
+        (None, EndpointStatus::Draining),
+    ];
     expect!["[20, 10, 5]"]
         .assert_eq(&format!("{:?}", all.map(|(started, standing)| sent(started, standing))));
 }
@@ -853,7 +875,8 @@
 #[test]
 fn what_is_billed_less_for_its_work_fills_less_of_what_may_be_out() {
     let sent = |cheap: f64| {
-        let operations = [cheap, 5.0].map(|billed| Operation { billed, ..operation(Effect::NonIdempotent) });
+        let operations = [cheap, 5.0]
+            .map(|billed| Operation { billed_value: billed, ..operation(Idempotency::NonIdempotent) });
         let mut d = desk_among(200.0, operations.to_vec(), vec![plan()], may(), 400);
         for (operation, from) in [(0, 0), (1, 40)] {
             for i in from..from + 40 {
@@ -861,14 +884,15 @@
             }
         }
         d.counter(30.0);
-        let (dear, cheap): (Vec<Inv>, Vec<Inv>) = d.take_sent().into_iter().partition(|i| *i >= 40);
+        let (dear, cheap): (Vec<RequestIndex>, Vec<RequestIndex>) =
+            d.take_sent().into_iter().partition(|i| *i >= 40);
         (cheap.len(), dear.len())
     };
     expect!["[(4, 16), (8, 12), (20, 0)]"].assert_eq(&format!("{:?}", [1.0, 2.0, 5.0].map(sent)));
 }
 
 fn sent_by_rounds(took: f64) -> String {
-    let mut d = desk_among(200.0, vec![operation(Effect::NonIdempotent)], vec![plan()], may(), 400);
+    let mut d = desk_among(200.0, vec![operation(Idempotency::NonIdempotent)], vec![plan()], may(), 400);
     let mut out = vec![];
     for round in 0..8 {
         let t = 30.0 + f64::from(round) * 2.5;
@@ -888,8 +912,8 @@
 /// Backends that turn one plan away though they have room: each retry met the next of them.
 #[test]
 fn a_plan_that_is_turned_away_goes_where_it_was_served() {
-    let mut d = desk_among(2.0, vec![operation(Effect::Idempotent)], vec![plan(), plan()], may(), 40);
-    let endings = [Succeeded, TurnedAway, TurnedAway, TurnedAway, TurnedAway, Succeeded];
+    let mut d = desk_among(2.0, vec![operation(Idempotency::Idempotent)], vec![plan(), plan()], may(), 40);
+    let endings = [Succeeded, Rejected, Rejected, Rejected, Rejected, Succeeded];
     for (customer, ending) in endings.into_iter().enumerate() {
         let inv = d.comes_under(30.0, customer, customer.min(1));
         d.counter(30.0);
@@ -918,7 +942,7 @@
         let t = 30.0 + f64::from(i);
         let inv = d.comes(t, 0, 1.0);
         d.counter(t);
-        d.door.gone(t, inv);
+        d.door.request_closed(t, inv);
         d.ends(t + 0.1, inv, 0, Cancelled, 0.1);
     }
     d.check(expect![[r#"
@@ -965,10 +989,10 @@
     for (attempts, tried) in [(1, 1), (2, 2), (usize::MAX, 5)] {
         let mut d = idempotent(8);
         d.counts.insert(1, 0.0);
-        d.comes_declared(30.0, Declared { attempts, ..Declared::default() });
+        d.comes_declared(30.0, RequestLimits { max_attempts: attempts, ..RequestLimits::default() });
         d.counter(30.001);
         for i in 0..tried {
-            d.ends(30.01 + 0.01 * i as f64, 0, i, TurnedAway, 0.005);
+            d.ends(30.01 + 0.01 * i as f64, 0, i, Rejected, 0.005);
         }
         let said = d.told();
         assert_eq!(said.matches("to ").count(), tried, "{attempts}: {said}");
@@ -978,8 +1002,8 @@
 
 #[test]
 fn a_delivery_past_its_declared_time_is_given_up_for_another() {
-    let copies = |declared: Declared, may: Deliveries| {
-        let mut d = desk(vec![operation(Effect::Idempotent)], vec![plan()], may, 4);
+    let copies = |declared: RequestLimits, may: AttemptSettings| {
+        let mut d = desk(vec![operation(Idempotency::Idempotent)], vec![plan()], may, 4);
         d.comes_declared(30.0, declared);
         d.counter(30.001);
         for i in 1..=8 {
@@ -987,17 +1011,17 @@
         }
         d.told()
     };
-    let per_try = Declared { per_try: 0.05, attempts: 2, ..Declared::default() };
+    let per_try = RequestLimits { attempt_timeout: 0.05, max_attempts: 2, ..RequestLimits::default() };
     let once = |said: String| (said.matches("to ").count(), said.matches("cancel").count());
     // The usual doubt comes much later: the delivery's high answer time is a quarter of the objective at first.
-    assert_eq!(once(copies(Declared::default(), may())), (1, 0));
-    assert_eq!(once(copies(per_try, Deliveries { second_copies: true, ..may() })).0, 2);
+    assert_eq!(once(copies(RequestLimits::default(), may())), (1, 0));
+    assert_eq!(once(copies(per_try, AttemptSettings { hedging: true, ..may() })).0, 2);
     // Without a second copy it is called off, whoever forbids the copy.
-    let none = Declared { second_copies: false, ..per_try };
-    let called_off = once(copies(none, Deliveries { second_copies: true, cancels: true, ..may() }));
+    let none = RequestLimits { hedging: false, ..per_try };
+    let called_off = once(copies(none, AttemptSettings { hedging: true, cancellation: true, ..may() }));
     assert_eq!(
         called_off,
-        once(copies(per_try, Deliveries { second_copies: false, cancels: true, ..may() }))
+        once(copies(per_try, AttemptSettings { hedging: false, cancellation: true, ..may() }))
     );
     assert_eq!(called_off, (1, 1));
 }
@@ -1005,8 +1029,11 @@
 /// Non-idempotent: whatever is declared, a delivery that may have run is the last.
 #[test]
 fn no_declaration_makes_a_second_delivery_of_what_may_have_run() {
-    let mut d = of_effect(Effect::NonIdempotent, 4);
-    d.comes_declared(30.0, Declared { attempts: 9, per_try: 0.01, ..Declared::default() });
+    let mut d = of_effect(Idempotency::NonIdempotent, 4);
+    d.comes_declared(
+        30.0,
+        RequestLimits { max_attempts: 9, attempt_timeout: 0.01, ..RequestLimits::default() },
+    );
     d.counter(30.001);
     (1..=20).for_each(|i| d.wait(30.0 + 0.05 * f64::from(i)));
     d.ends(31.2, 0, 0, Broken, 1.2);
@@ -1017,10 +1044,10 @@
 
 #[test]
 fn a_declared_window_is_within_the_tokens() {
-    let tokened = Effect::Tokened { group: Group::All, window: 1.5 };
+    let tokened = Idempotency::Keyed { scope: KeyScope::All, window: 1.5 };
     let after = |within: f64, at: f64| {
         let mut d = of_effect(tokened, 4);
-        d.comes_declared(30.0, Declared { repeat_within: within, ..Declared::default() });
+        d.comes_declared(30.0, RequestLimits { retry_window: within, ..RequestLimits::default() });
         d.counter(30.001);
         d.ends(at, 0, 0, Broken, at - 30.0);
         d.told().matches("to ").count()
@@ -1032,7 +1059,7 @@
 fn a_declared_objective_ends_repeats_sooner() {
     let after = |objective: f64| {
         let mut d = idempotent(4);
-        d.comes_declared(30.0, Declared { objective, ..Declared::default() });
+        d.comes_declared(30.0, RequestLimits { latency_objective: objective, ..RequestLimits::default() });
         d.counter(30.001);
         d.ends(30.1, 0, 0, Broken, 0.1);
         d.told().matches("to ").count()
--- a/tests/long_list.rs
+++ b/tests/long_list.rs
@@ -1,6 +1,6 @@
 //! The choice of a backend from a list of thousands: who may get a delivery gets it, and nobody else, at a cost that does
 //! not grow with the list.
-use quillramp::decide::Door;
+use quillramp::policy::PolicyEngine;
 use quillramp::types::*;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -15,60 +15,69 @@
 
 /// A front door and what it has sent.
 struct Chooser {
-    door: Door,
+    door: PolicyEngine,
     invocations: usize,
     now: f64,
 }
 
 impl Chooser {
-    fn new(list: &[Listed]) -> Chooser {
-        let operations = vec![settings::operation(Effect::Idempotent)];
+    fn new(list: &[Endpoint]) -> Chooser {
+        let operations = vec![settings::operation(Idempotency::Idempotent)];
         let plans = vec![Plan { rate: 1e6, burst: 1e6, ..settings::plan() }];
-        let cold_start = ColdStart { cold_from: 0.2, warm_after: 10.0 };
+        let cold_start = SlowStart { initial_fraction: 0.2, duration: 10.0 };
         let mut door =
-            Door::new((7, 1.0, 0.0, false), (operations, plans), (cold_start, settings::may()), None);
-        door.listed(30.0, true, list);
+            PolicyEngine::new((7, 1.0, 0.0, false), (operations, plans), (cold_start, settings::may()), None);
+        door.update_endpoints(30.0, true, list);
         Chooser { door, invocations: 0, now: 30.0 }
     }
 
     /// One invocation comes and is answered; says which backend it was sent to, if any.
-    fn chooses(&mut self) -> Option<Tgt> {
+    fn chooses(&mut self) -> Option<BackendIndex> {
         let tgt = self.sends()?;
         self.answers(self.invocations - 1, tgt);
         Some(tgt)
     }
 
-    fn sends(&mut self) -> Option<Tgt> {
+    fn sends(&mut self) -> Option<BackendIndex> {
         self.now += 0.004;
-        self.door.wait(self.now);
-        let of = Doors { first: 0, number: 1 };
-        let ask = Ask { units: 1.0, of, until: self.now + 4.0, ..Ask::default() };
+        self.door.poll(self.now);
+        let of = InstanceRange { first: 0, count: 1 };
+        let ask = RequestAttributes {
+            units: 1.0,
+            instances: of,
+            deadline: self.now + 4.0,
+            ..RequestAttributes::default()
+        };
         let invocation = self.invocations;
         self.invocations += 1;
-        match self.door.place(self.now, invocation, &ask).verdict {
-            Verdict::Deliver { tgt } => Some(tgt),
+        match self.door.route(self.now, invocation, &ask).decision {
+            Decision::Forward { backend: tgt } => Some(tgt),
             _ => {
-                self.door.gone(self.now, invocation);
+                self.door.request_closed(self.now, invocation);
                 None
             }
         }
     }
 
-    fn answers(&mut self, invocation: Inv, tgt: Tgt) {
-        self.door.after(self.now, invocation, &Outcome { tgt, ..settings::succeeded(0.002) });
-        self.door.gone(self.now, invocation);
+    fn answers(&mut self, invocation: RequestIndex, tgt: BackendIndex) {
+        self.door.attempt_ended(
+            self.now,
+            invocation,
+            &AttemptOutcome { backend: tgt, ..settings::succeeded(0.002) },
+        );
+        self.door.request_closed(self.now, invocation);
     }
 }
 
-fn list(backends: usize) -> Vec<Listed> {
+fn list(backends: usize) -> Vec<Endpoint> {
     (0..backends).map(settings::listed).collect()
 }
 
 #[test]
 fn the_only_backend_that_takes_deliveries_is_found_among_thousands() {
-    let draining = |l: Listed| Listed { standing: Standing::Draining, ..l };
-    let mut entries: Vec<Listed> = list(LARGE).into_iter().map(draining).collect();
-    entries[1234].standing = Standing::Ready;
+    let draining = |l: Endpoint| Endpoint { status: EndpointStatus::Draining, ..l };
+    let mut entries: Vec<Endpoint> = list(LARGE).into_iter().map(draining).collect();
+    entries[1234].status = EndpointStatus::Ready;
     let mut chooser = Chooser::new(&entries);
     for _ in 0..200 {
         assert_eq!(chooser.chooses(), Some(1234));
@@ -80,14 +89,14 @@
     let mut chooser = Chooser::new(&list(LARGE));
     for round in 0..40 {
         // Every other backend of a block drains, another one is out by hand, one is gone.
-        let drained = (0..LARGE).filter(|t| t % 40 != round).map(|tgt| Listed {
-            standing: if tgt % 3 == 0 { Standing::Gone } else { Standing::Draining },
+        let drained = (0..LARGE).filter(|t| t % 40 != round).map(|tgt| Endpoint {
+            status: if tgt % 3 == 0 { EndpointStatus::Removed } else { EndpointStatus::Draining },
             ..settings::listed(tgt)
         });
         let ready = (0..LARGE).filter(|t| t % 40 == round).map(settings::listed);
-        let entries: Vec<Listed> = drained.chain(ready).collect();
-        chooser.door.listed(chooser.now, false, &entries);
-        chooser.door.by_hand(chooser.now, round, Some(chooser.now));
+        let entries: Vec<Endpoint> = drained.chain(ready).collect();
+        chooser.door.update_endpoints(chooser.now, false, &entries);
+        chooser.door.set_manual_ejection(chooser.now, round, Some(chooser.now));
         for _ in 0..50 {
             let tgt = chooser.chooses().expect("some are ready");
             assert!(tgt % 40 == round && tgt != round, "round {round}: sent to {tgt}");
@@ -97,7 +106,8 @@
 
 #[test]
 fn a_long_list_of_cold_backends_takes_its_share_of_the_invocations() {
-    let entries: Vec<Listed> = list(LARGE).into_iter().map(|l| Listed { started: Some(30.0), ..l }).collect();
+    let entries: Vec<Endpoint> =
+        list(LARGE).into_iter().map(|l| Endpoint { started_at: Some(30.0), ..l }).collect();
     let mut chooser = Chooser::new(&entries);
     // Meanwhile they warm up from 0.2 to 0.3 of their capacity: so many invocations are open to them.
     let sent = (0..300).filter(|_| chooser.chooses().is_some()).count();
@@ -107,7 +117,7 @@
 #[test]
 fn deliveries_spread_over_a_long_list_and_go_to_those_that_hold_less() {
     let mut chooser = Chooser::new(&list(LARGE));
-    let mut held: BTreeMap<Tgt, usize> = BTreeMap::new();
+    let mut held: BTreeMap<BackendIndex, usize> = BTreeMap::new();
     for _ in 0..400 {
         *held.entry(chooser.sends().expect("there is room")).or_default() += 1;
     }
--- a/tests/shared_count.rs
+++ b/tests/shared_count.rs
@@ -1,6 +1,6 @@
 //! Many front doors lease one customer's quota from one shared count: what all of them let in together against what the
 //! quota allows.
-use quillramp::decide::Door;
+use quillramp::policy::PolicyEngine;
 use quillramp::types::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 
 /// Front doors that share a counter which answers each call at once.
 struct Fleet {
-    front_doors: Vec<Door>,
+    front_doors: Vec<PolicyEngine>,
     totals: BTreeMap<u32, f64>,
     invocations: usize,
 }
@@ -22,14 +22,18 @@
 impl Fleet {
     fn new(front_doors: usize, plan: &Plan) -> Fleet {
         let front_door = |seed: usize| {
-            let operations = vec![settings::operation(Effect::Idempotent)];
-            let cold_start = ColdStart { cold_from: 0.2, warm_after: 10.0 };
-            let counter = Some(CounterLimits { timeout: 0.05 });
+            let operations = vec![settings::operation(Idempotency::Idempotent)];
+            let cold_start = SlowStart { initial_fraction: 0.2, duration: 10.0 };
+            let counter = Some(CounterSettings { timeout: 0.05 });
             let fleet = (seed as u64, front_doors as f64, 0.0, false);
-            let mut door =
-                Door::new(fleet, (operations, vec![plan.clone()]), (cold_start, settings::may()), counter);
-            let backends: Vec<Listed> = (0..50).map(settings::listed).collect();
-            door.listed(30.0, true, &backends);
+            let mut door = PolicyEngine::new(
+                fleet,
+                (operations, vec![plan.clone()]),
+                (cold_start, settings::may()),
+                counter,
+            );
+            let backends: Vec<Endpoint> = (0..50).map(settings::listed).collect();
+            door.update_endpoints(30.0, true, &backends);
             door
         };
         let front_doors = (0..front_doors).map(front_door).collect();
@@ -38,48 +42,49 @@
 
     /// An invocation comes to a front door; says whether it was let in.
     fn admits(&mut self, now: f64, front_door: usize, units: f64) -> bool {
-        let of = Doors { first: 0, number: self.front_doors.len() };
-        let ask = Ask { units, of, until: now + 4.0, ..Ask::default() };
+        let of = InstanceRange { first: 0, count: self.front_doors.len() };
+        let ask =
+            RequestAttributes { units, instances: of, deadline: now + 4.0, ..RequestAttributes::default() };
         let invocation = self.invocations;
         self.invocations += 1;
         self.settle(now, front_door);
-        let mut answer = self.front_doors[front_door].place(now, invocation, &ask);
+        let mut answer = self.front_doors[front_door].route(now, invocation, &ask);
         loop {
-            self.count(now, front_door, answer.errands.counter);
-            match answer.verdict {
-                Verdict::Deliver { tgt } => {
+            self.count(now, front_door, answer.effects.counter_calls);
+            match answer.decision {
+                Decision::Forward { backend: tgt } => {
                     self.succeeds(now, front_door, invocation, tgt);
                     return true;
                 }
-                Verdict::NotYet => answer = self.front_doors[front_door].place(now, invocation, &ask),
-                Verdict::Throttle { .. } | Verdict::Error => return false,
+                Decision::Pending => answer = self.front_doors[front_door].route(now, invocation, &ask),
+                Decision::Throttle { .. } | Decision::Error => return false,
             }
         }
     }
 
-    fn succeeds(&mut self, now: f64, front_door: usize, invocation: Inv, tgt: Tgt) {
-        let outcome = Outcome { tgt, ..settings::succeeded(SERVICE_TIME) };
-        let answer = self.front_doors[front_door].after(now, invocation, &outcome);
-        self.count(now, front_door, answer.errands.counter);
-        self.front_doors[front_door].gone(now, invocation);
+    fn succeeds(&mut self, now: f64, front_door: usize, invocation: RequestIndex, tgt: BackendIndex) {
+        let outcome = AttemptOutcome { backend: tgt, ..settings::succeeded(SERVICE_TIME) };
+        let answer = self.front_doors[front_door].attempt_ended(now, invocation, &outcome);
+        self.count(now, front_door, answer.effects.counter_calls);
+        self.front_doors[front_door].request_closed(now, invocation);
     }
 
     /// Timers that are due; they may make calls of the counter.
     fn settle(&mut self, now: f64, front_door: usize) {
-        let wait = self.front_doors[front_door].wait(now);
-        self.count(now, front_door, wait.errands.counter);
+        let wait = self.front_doors[front_door].poll(now);
+        self.count(now, front_door, wait.effects.counter_calls);
     }
 
     /// The counter adds, and answers at once, until no call is left.
     fn count(&mut self, now: f64, front_door: usize, calls: Vec<CounterCall>) {
         let mut calls = std::collections::VecDeque::from(calls);
         while let Some(call) = calls.pop_front() {
-            let total = self.totals.entry(call.name.series).or_default();
-            *total += call.add;
-            let answer = Counted::Total(*total);
+            let total = self.totals.entry(call.key.series).or_default();
+            *total += call.delta;
+            let answer = CounterResult::Total(*total);
             let door = &mut self.front_doors[front_door];
-            door.counted(now, call.name, answer);
-            calls.extend(door.wait(now).errands.counter);
+            door.counter_answered(now, call.key, answer);
+            calls.extend(door.poll(now).effects.counter_calls);
         }
     }
 }
