--- a/lease/examples/cost.rs
+++ b/lease/examples/cost.rs
@@ -5,8 +5,8 @@
 //! Prints a CSV; without arguments all rows. Bytes on the wire count 40 for the header of each segment (IPv4 and TCP
 //! without options) that carries data, and one bare acknowledgement for each reply.
 use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
-use quillramp_lease::map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId};
 use quillramp_lease::shard::{Shard, ShardOutput, ShardSettings};
+use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId};
 use quillramp_lease::wire::{encode, Entry, Frame, FrameReader, VERSION};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -137,7 +137,7 @@
         epoch: 1,
         active_at: 0.0,
         plans: weights.iter().map(plan).collect(),
-        regions: vec![Region { name: "north".into(), share: 1.0, shards: shards.collect() }],
+        regions: vec![Region { name: "north".into(), quota_fraction: 1.0, shards: shards.collect() }],
     }
 }
 
--- a/lease/src/bin/quillramp-lease-shard/main.rs
+++ b/lease/src/bin/quillramp-lease-shard/main.rs
@@ -4,8 +4,8 @@
 mod service;
 
 use clap::Parser;
-use quillramp_lease::map::{ShardId, ShardMap};
 use quillramp_lease::shard::ShardSettings;
+use quillramp_lease::shard_map::{ShardId, ShardMap};
 use service::{Input, Service};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::net::{SocketAddr, TcpListener};
--- a/lease/src/bin/quillramp-lease-shard/service.rs
+++ b/lease/src/bin/quillramp-lease-shard/service.rs
@@ -2,8 +2,8 @@
 use crate::clock::Clock;
 use crate::log;
 use crate::peers::Peers;
-use quillramp_lease::map::{MapError, ShardMap};
 use quillramp_lease::shard::{ConnectionId, Shard, ShardOutput, ShardSettings};
+use quillramp_lease::shard_map::{ShardMap, ShardMapError};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -55,7 +55,7 @@
 
 impl Service {
     /// A shard that knows nothing yet.
-    pub fn new(settings: ShardSettings, map: ShardMap) -> Result<Service, MapError> {
+    pub fn new(settings: ShardSettings, map: ShardMap) -> Result<Service, ShardMapError> {
         let clock = Clock::new();
         let shard = Shard::new(clock.now(), settings, map.clone())?;
         let (sender, receiver) = channel();
@@ -133,7 +133,7 @@
             }
             ShardOutput::Close { connection } => self.close(connection),
             ShardOutput::Peer { shard, bytes } => {
-                if let Some(address) = self.map.address(shard) {
+                if let Some(address) = self.map.shard_address(shard) {
                     self.peers.send(address, bytes);
                 }
             }
--- a/lease/src/bucket.rs
+++ b/lease/src/bucket.rs
@@ -1,5 +1,5 @@
 //! A token bucket: a region's share of one tenant's quota.
-use crate::map::{Plan, WHOLE};
+use crate::shard_map::{Plan, FULL_QUOTA_PPM};
 
 /// Tokens may go that far below zero, as a part of the capacity: what front doors spent without a lease is paid for by
 /// what the bucket regains, up to here; beyond that it is forgiven, or a tenant would stay locked out for long.
@@ -17,7 +17,7 @@
 impl Bucket {
     /// A bucket that was empty at `empty_at`.
     pub fn new(plan: &Plan, share_ppm: u32, empty_at: f64, now: f64) -> Bucket {
-        let share = f64::from(share_ppm) / f64::from(WHOLE);
+        let share = f64::from(share_ppm) / f64::from(FULL_QUOTA_PPM);
         let mut bucket =
             Bucket { rate: plan.rate * share, capacity: plan.burst * share, tokens: 0.0, as_of: empty_at };
         bucket.refill(now);
@@ -27,7 +27,7 @@
     /// Another plan or share; tokens are never more for it.
     pub fn resize(&mut self, plan: &Plan, share_ppm: u32, now: f64) {
         self.refill(now);
-        let share = f64::from(share_ppm) / f64::from(WHOLE);
+        let share = f64::from(share_ppm) / f64::from(FULL_QUOTA_PPM);
         self.rate = plan.rate * share;
         self.capacity = plan.burst * share;
         self.tokens = self.tokens.min(self.capacity);
--- a/lease/src/client.rs
+++ b/lease/src/client.rs
@@ -3,7 +3,7 @@
 //! The caller owns sockets and the clock. After each event it drains [`LeaseClient::poll_outputs`] and sets a timer to
 //! [`LeaseClient::due`].
 use crate::breaks::Break;
-use crate::map::{MapError, PlanId, ShardId, ShardMap, TenantId};
+use crate::shard_map::{PlanId, ShardId, ShardMap, ShardMapError, TenantId};
 use crate::wire::{encode, hundredths_up, Answer, Entry, Frame, FrameReader, MAX_ENTRIES, UNIT, VERSION};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -199,7 +199,7 @@
 
 impl LeaseClient {
     /// A client without connections; they are opened when needed.
-    pub fn new(settings: ClientSettings, map: ShardMap) -> Result<LeaseClient, MapError> {
+    pub fn new(settings: ClientSettings, map: ShardMap) -> Result<LeaseClient, ShardMapError> {
         map.check()?;
         map.region(&settings.region)?;
         Ok(LeaseClient {
@@ -304,12 +304,12 @@
     }
 
     /// A newer map; it is used from its `active_at` on.
-    pub fn change_map(&mut self, now: f64, map: ShardMap) -> Result<(), MapError> {
+    pub fn change_map(&mut self, now: f64, map: ShardMap) -> Result<(), ShardMapError> {
         map.check()?;
         map.region(&self.settings.region)?;
         let current = self.next_map.as_ref().unwrap_or(&self.map).epoch;
         if map.epoch <= current {
-            return Err(MapError::Epoch { current, found: map.epoch });
+            return Err(ShardMapError::StaleEpoch { current, found: map.epoch });
         }
         self.next_map = Some(map);
         self.tick(now);
@@ -353,7 +353,9 @@
         let Some(map) = self.next_map.take() else { return };
         for (shard, link) in &mut self.links {
             // A shard at another address is another process.
-            if self.map.address(*shard) != map.address(*shard) && link.state != LinkState::Connected {
+            if self.map.shard_address(*shard) != map.shard_address(*shard)
+                && link.state != LinkState::Connected
+            {
                 link.state = LinkState::Closed { retry_at: now, failed: false };
             }
         }
@@ -436,7 +438,7 @@
         link.end_overdue(now, &mut self.outputs);
         match link.state {
             LinkState::Closed { retry_at, failed } if retry_at <= now && (failed || link.has_work()) => {
-                let Some(address) = self.map.address(shard) else {
+                let Some(address) = self.map.shard_address(shard) else {
                     link.drop_all(&mut self.outputs);
                     link.state = LinkState::Closed { retry_at: now, failed: false };
                     return;
--- a/lease/src/lib.rs
+++ b/lease/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod breaks;
 pub mod bucket;
 pub mod client;
-pub mod map;
 pub mod shard;
+pub mod shard_map;
 pub mod transfer;
 pub mod wire;
--- a/lease/src/shard.rs
+++ b/lease/src/shard.rs
@@ -1,7 +1,7 @@
 //! A shard: keeps the buckets of the tenants that it owns and answers batches, each once.
 use crate::breaks::Break;
 use crate::bucket::Bucket;
-use crate::map::{MapError, PlanId, Region, ShardId, ShardMap, TenantId};
+use crate::shard_map::{PlanId, Region, ShardId, ShardMap, ShardMapError, TenantId};
 use crate::transfer::{floor, ShareState};
 use crate::wire::{
     encode, Answer, Entry, Frame, FrameReader, PeerIdentity, PeerMessage, MAX_PEER_MESSAGES, UNIT, VERSION,
@@ -118,7 +118,7 @@
 impl Shard {
     /// A shard that knows nothing yet. The map is used at once, since there is no other one; before its `active_at` the
     /// shard grants nothing, for owners under the former map may grant still.
-    pub fn new(now: f64, settings: ShardSettings, map: ShardMap) -> Result<Shard, MapError> {
+    pub fn new(now: f64, settings: ShardSettings, map: ShardMap) -> Result<Shard, ShardMapError> {
         check(&settings, &map)?;
         let at_once = settings.breaks == Some(Break::IgnoreActiveAt);
         let empty_at = if at_once { now } else { now.max(map.active_at) };
@@ -164,10 +164,10 @@
     }
 
     /// A newer map; it is used from its `active_at` on.
-    pub fn change_map(&mut self, now: f64, map: ShardMap) -> Result<(), MapError> {
+    pub fn change_map(&mut self, now: f64, map: ShardMap) -> Result<(), ShardMapError> {
         let current = self.next_map.as_ref().unwrap_or(&self.map).epoch;
         if map.epoch <= current {
-            return Err(MapError::Epoch { current, found: map.epoch });
+            return Err(ShardMapError::StaleEpoch { current, found: map.epoch });
         }
         map.check()?;
         self.next_map = Some(map);
@@ -345,7 +345,7 @@
 
     /// The tenant's owner in the other region.
     fn peer_of(&self, tenant: TenantId) -> Option<ShardId> {
-        self.map.other_region(&self.settings.region).map(|region| region.owner(tenant))
+        self.map.peer_region(&self.settings.region).map(|region| region.owner(tenant))
     }
 
     /// Makes sure that there is an account of that plan; false: the map has no such plan.
@@ -358,8 +358,8 @@
             }
             return true;
         }
-        let configured = self.own_region(&self.map).map_or(0, Region::share_ppm);
-        let share = match self.map.other_region(&self.settings.region) {
+        let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
+        let share = match self.map.peer_region(&self.settings.region) {
             None => ShareState::fixed(configured, now),
             Some(_) => {
                 let least = self.least_share(configured);
@@ -379,7 +379,7 @@
     /// The floor under this map and those that were in force a short while ago, which the other region may still use.
     fn least_share(&self, configured: u32) -> u32 {
         let former = self.former_maps.iter().filter_map(|former| self.own_region(&former.map));
-        former.map(|region| floor(region.share_ppm())).fold(floor(configured), u32::min)
+        former.map(|region| floor(region.quota_fraction_ppm())).fold(floor(configured), u32::min)
     }
 
     /// Since when a bucket that is not known here has filled up: since the start, or since the tenant moved here.
@@ -397,22 +397,25 @@
         self.former_maps.push(FormerMap { map: former, ended_at: now });
         let former = &self.former_maps[self.former_maps.len() - 1].map;
         let region = self.settings.region.as_str();
-        let shares_changed =
-            former.regions.iter().map(|r| (&r.name, r.share_ppm())).collect::<BTreeMap<_, _>>()
-                != self.map.regions.iter().map(|r| (&r.name, r.share_ppm())).collect::<BTreeMap<_, _>>();
+        let shares_changed = former
+            .regions
+            .iter()
+            .map(|r| (&r.name, r.quota_fraction_ppm()))
+            .collect::<BTreeMap<_, _>>()
+            != self.map.regions.iter().map(|r| (&r.name, r.quota_fraction_ppm())).collect::<BTreeMap<_, _>>();
         let mut accounts = std::mem::take(&mut self.accounts);
         accounts.retain(|tenant, account| {
-            let peer = |map: &ShardMap| map.other_region(region).map(|r| r.owner(*tenant));
+            let peer = |map: &ShardMap| map.peer_region(region).map(|r| r.owner(*tenant));
             if peer(former) != peer(&self.map) {
                 account.share.forget_peer();
             }
             self.owns(&self.map, *tenant) && self.map.plan(account.plan).is_some()
         });
         if shares_changed {
-            let configured = self.own_region(&self.map).map_or(0, Region::share_ppm);
+            let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
             let least = self.least_share(configured);
             for account in accounts.values_mut() {
-                account.share = match self.map.other_region(region) {
+                account.share = match self.map.peer_region(region) {
                     None => ShareState::fixed(configured, now),
                     Some(_) => ShareState::unknown(least, configured, now, self.settings.breaks),
                 };
@@ -445,7 +448,7 @@
                 return;
             }
         }
-        let configured = self.own_region(&self.map).map_or(0, Region::share_ppm);
+        let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
         let Some(account) = self.accounts.get_mut(&tenant) else { return };
         let Some(plan) = self.map.plan(account.plan) else { return };
         if account.share.has_newer_peer(from) {
@@ -512,10 +515,10 @@
     /// Forgets front doors that are gone, and buckets that are full again and hold their configured share.
     fn sweep(&mut self, now: f64) {
         self.sessions.retain(|_, session| now - session.heard_at < SESSION_LIFE);
-        let refill = self.map.longest_refill();
+        let refill = self.map.longest_refill_time();
         self.former_maps.retain(|former| now - former.ended_at < refill.max(BUCKET_LIFE));
-        let configured = self.own_region(&self.map).map_or(0, Region::share_ppm);
-        let alone = self.map.other_region(&self.settings.region).is_none();
+        let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
+        let alone = self.map.peer_region(&self.settings.region).is_none();
         let life = if alone { 0.0 } else { BUCKET_LIFE };
         self.accounts.retain(|_, account| {
             let is_full = account.bucket.tokens(now) >= account.bucket.capacity();
@@ -525,11 +528,11 @@
     }
 }
 
-fn check(settings: &ShardSettings, map: &ShardMap) -> Result<(), MapError> {
+fn check(settings: &ShardSettings, map: &ShardMap) -> Result<(), ShardMapError> {
     map.check()?;
     let region = map.region(&settings.region)?;
     if region.shards.iter().any(|shard| shard.id == settings.id) {
         return Ok(());
     }
-    Err(MapError::UnknownShard { id: settings.id, region: settings.region.clone() })
+    Err(ShardMapError::UnknownShard { id: settings.id, region: settings.region.clone() })
 }
--- a/lease/src/map.rs
+++ b/lease/src/shard_map.rs
@@ -15,9 +15,9 @@
 pub type PlanId = u16;
 
 /// Shares of a quota are counted in parts per million.
-pub const WHOLE: u32 = 1_000_000;
+pub const FULL_QUOTA_PPM: u32 = 1_000_000;
 /// Shares may differ from a whole by rounding in the file.
-const SHARE_TOLERANCE: f64 = 1e-6;
+const QUOTA_FRACTION_TOLERANCE: f64 = 1e-6;
 
 /// What a tenant may use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,7 +55,8 @@
     /// Unique in the map.
     pub name: String,
     /// Part of every quota, 0 to 1; all regions add up to 1.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub quota_fraction: f64,
     /// Its shards.
     #[serde(rename = "shard")]
     pub shards: Vec<ShardEntry>,
@@ -63,8 +64,8 @@
 
 impl Region {
     /// The share in parts per million, rounded down, so that all shares never add up to more than a whole.
-    pub fn share_ppm(&self) -> u32 {
-        (self.share * f64::from(WHOLE) + SHARE_TOLERANCE).floor() as u32
+    pub fn quota_fraction_ppm(&self) -> u32 {
+        (self.quota_fraction * f64::from(FULL_QUOTA_PPM) + QUOTA_FRACTION_TOLERANCE).floor() as u32
     }
 
     /// The shard that keeps a tenant's bucket in this region, by rendezvous hashing.
@@ -94,34 +95,34 @@
 
 /// Why a map is refused.
 #[derive(Debug, Error, PartialEq)]
-pub enum MapError {
+pub enum ShardMapError {
     /// Not TOML, or a field is missing, unknown or of a wrong type.
     #[error("no shard map: {0}")]
     Syntax(String),
     /// `active_at` is no time.
     #[error("active_at: expected seconds of Unix time, found {0}")]
-    ActiveAt(f64),
+    InvalidActiveAt(f64),
     /// Plans are missing, or too many for their index.
     #[error("plan: expected 1 to {max} plans, found {found}", max = PlanId::MAX)]
-    PlanCount {
+    InvalidPlanCount {
         /// Plans in the file.
         found: usize,
     },
     /// A plan's rate or burst is not usable.
     #[error("plan '{0}': expected a rate above 0 and a burst from 1 to 1e7 units, both finite")]
-    Plan(String),
+    InvalidPlan(String),
     /// No region.
     #[error("region: expected at least one")]
-    NoRegion,
+    NoRegions,
     /// A region has no shard.
     #[error("region '{0}': expected at least one shard")]
-    NoShard(String),
+    NoShards(String),
     /// Two regions have one name.
     #[error("region '{0}': named twice")]
-    RegionTwice(String),
+    DuplicateRegion(String),
     /// A share is not within 0 to 1.
     #[error("region '{name}': share: expected above 0 to 1, found {share}")]
-    Share {
+    InvalidQuotaFraction {
         /// The region.
         name: String,
         /// Its share.
@@ -129,13 +130,13 @@
     },
     /// Shares don't add up.
     #[error("shares of all regions: expected a sum of 1, found {0}")]
-    ShareSum(f64),
+    QuotaFractionSum(f64),
     /// Two shards have one id.
     #[error("shard {0}: numbered twice")]
-    ShardTwice(ShardId),
+    DuplicateShardId(ShardId),
     /// Two shards have one address.
     #[error("shard {0}: another shard has its address")]
-    AddressTwice(ShardId),
+    DuplicateAddress(ShardId),
     /// The map lacks a region that somebody belongs to.
     #[error("region '{0}': not in the map")]
     UnknownRegion(String),
@@ -149,7 +150,7 @@
     },
     /// A map that is no newer than the one there is.
     #[error("epoch {found}: expected above {current}")]
-    Epoch {
+    StaleEpoch {
         /// Epoch of the newest map known.
         current: u32,
         /// Epoch of the one offered.
@@ -159,75 +160,78 @@
 
 impl ShardMap {
     /// Reads and checks a map.
-    pub fn parse(text: &str) -> Result<ShardMap, MapError> {
+    pub fn parse(text: &str) -> Result<ShardMap, ShardMapError> {
         let map: ShardMap =
-            toml::from_str(text).map_err(|e| MapError::Syntax(e.message().replace('\n', ", ")))?;
+            toml::from_str(text).map_err(|e| ShardMapError::Syntax(e.message().replace('\n', ", ")))?;
         map.check()?;
         Ok(map)
     }
 
     /// Checks what the types don't say.
-    pub fn check(&self) -> Result<(), MapError> {
+    pub fn check(&self) -> Result<(), ShardMapError> {
         if !self.active_at.is_finite() || self.active_at < 0.0 {
-            return Err(MapError::ActiveAt(self.active_at));
+            return Err(ShardMapError::InvalidActiveAt(self.active_at));
         }
         self.check_plans()?;
         self.check_regions()
     }
 
-    fn check_plans(&self) -> Result<(), MapError> {
+    fn check_plans(&self) -> Result<(), ShardMapError> {
         const LARGEST_BURST: f64 = 1e7; // hundredths of a unit then fit the wire's 32 bits
         if self.plans.is_empty() || self.plans.len() > usize::from(PlanId::MAX) {
-            return Err(MapError::PlanCount { found: self.plans.len() });
+            return Err(ShardMapError::InvalidPlanCount { found: self.plans.len() });
         }
         let usable = |plan: &Plan| {
             plan.rate.is_finite() && plan.rate > 0.0 && (1.0..=LARGEST_BURST).contains(&plan.burst)
         };
         match self.plans.iter().find(|plan| !usable(plan)) {
-            Some(plan) => Err(MapError::Plan(plan.name.clone())),
+            Some(plan) => Err(ShardMapError::InvalidPlan(plan.name.clone())),
             None => Ok(()),
         }
     }
 
-    fn check_regions(&self) -> Result<(), MapError> {
+    fn check_regions(&self) -> Result<(), ShardMapError> {
         let (mut names, mut ids, mut addresses) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
         if self.regions.is_empty() {
-            return Err(MapError::NoRegion);
+            return Err(ShardMapError::NoRegions);
         }
         for region in &self.regions {
             if !names.insert(&region.name) {
-                return Err(MapError::RegionTwice(region.name.clone()));
+                return Err(ShardMapError::DuplicateRegion(region.name.clone()));
             }
-            if !(region.share > 0.0 && region.share <= 1.0) {
-                return Err(MapError::Share { name: region.name.clone(), share: region.share });
+            if !(region.quota_fraction > 0.0 && region.quota_fraction <= 1.0) {
+                return Err(ShardMapError::InvalidQuotaFraction {
+                    name: region.name.clone(),
+                    share: region.quota_fraction,
+                });
             }
             if region.shards.is_empty() {
-                return Err(MapError::NoShard(region.name.clone()));
+                return Err(ShardMapError::NoShards(region.name.clone()));
             }
             for shard in &region.shards {
                 if !ids.insert(shard.id) {
-                    return Err(MapError::ShardTwice(shard.id));
+                    return Err(ShardMapError::DuplicateShardId(shard.id));
                 }
                 if !addresses.insert(shard.address) {
-                    return Err(MapError::AddressTwice(shard.id));
+                    return Err(ShardMapError::DuplicateAddress(shard.id));
                 }
             }
         }
-        let sum: f64 = self.regions.iter().map(|region| region.share).sum();
-        if (sum - 1.0).abs() > SHARE_TOLERANCE {
-            return Err(MapError::ShareSum(sum));
+        let sum: f64 = self.regions.iter().map(|region| region.quota_fraction).sum();
+        if (sum - 1.0).abs() > QUOTA_FRACTION_TOLERANCE {
+            return Err(ShardMapError::QuotaFractionSum(sum));
         }
         Ok(())
     }
 
     /// The region of that name.
-    pub fn region(&self, name: &str) -> Result<&Region, MapError> {
+    pub fn region(&self, name: &str) -> Result<&Region, ShardMapError> {
         let found = self.regions.iter().find(|region| region.name == name);
-        found.ok_or_else(|| MapError::UnknownRegion(name.to_owned()))
+        found.ok_or_else(|| ShardMapError::UnknownRegion(name.to_owned()))
     }
 
     /// The other one of two regions; none where there is one, or more than two.
-    pub fn other_region(&self, name: &str) -> Option<&Region> {
+    pub fn peer_region(&self, name: &str) -> Option<&Region> {
         match self.regions.as_slice() {
             [first, second] if second.name == name => Some(first),
             [first, second] if first.name == name => Some(second),
@@ -241,12 +245,12 @@
     }
 
     /// Where a shard listens.
-    pub fn address(&self, id: ShardId) -> Option<SocketAddr> {
+    pub fn shard_address(&self, id: ShardId) -> Option<SocketAddr> {
         self.regions.iter().flat_map(|region| &region.shards).find(|shard| shard.id == id).map(|s| s.address)
     }
 
     /// Seconds after which every bucket that began empty is full.
-    pub fn longest_refill(&self) -> f64 {
+    pub fn longest_refill_time(&self) -> f64 {
         self.plans.iter().map(Plan::refill_time).fold(0.0, f64::max)
     }
 }
--- a/lease/src/transfer.rs
+++ b/lease/src/transfer.rs
@@ -4,7 +4,7 @@
 //! the receiver adds once, and an owner that does not know its share uses the floor, which no owner gives away, until
 //! the other side has said what it holds.
 use crate::breaks::Break;
-use crate::map::{Plan, PlanId, TenantId, WHOLE};
+use crate::shard_map::{Plan, PlanId, TenantId, FULL_QUOTA_PPM};
 use crate::wire::{PeerIdentity, PeerMessage};
 
 /// The part of the configured share that is never given away.
@@ -98,7 +98,7 @@
 
     /// Whether to ask the other owner now: the demand is above this share of the plan's rate, and some time has passed.
     pub fn asks(&mut self, plan: &Plan, now: f64) -> bool {
-        let own_rate = plan.rate * f64::from(self.share) / f64::from(WHOLE);
+        let own_rate = plan.rate * f64::from(self.share) / f64::from(FULL_QUOTA_PPM);
         let asks = self.reconciled && now >= self.ask_at && self.demand_now(now) > own_rate;
         if asks {
             self.ask_at = now + ASK_INTERVAL;
@@ -108,7 +108,7 @@
 
     /// The other owner is short: begins a transfer of half of what is neither used nor part of the floor.
     pub fn give(&mut self, plan: &Plan, configured: u32, number: u32, now: f64) -> bool {
-        let used = self.demand_now(now) / plan.rate * f64::from(WHOLE);
+        let used = self.demand_now(now) / plan.rate * f64::from(FULL_QUOTA_PPM);
         let kept = used.max(f64::from(floor(configured)));
         let amount = ((f64::from(self.share) - kept).max(0.0) * GIVEN_PART) as u32;
         if !self.reconciled || self.outgoing.is_some() || amount < LEAST_TRANSFER {
@@ -144,7 +144,7 @@
         if self.reconciled {
             return;
         }
-        self.share = held.map_or(configured, |held| WHOLE.saturating_sub(held));
+        self.share = held.map_or(configured, |held| FULL_QUOTA_PPM.saturating_sub(held));
         self.reconciled = true;
     }
 
@@ -155,7 +155,7 @@
         }
         let last = self.peer.map_or(0, |(_, last)| last);
         if number > last {
-            self.share = self.share.saturating_add(amount).min(WHOLE);
+            self.share = self.share.saturating_add(amount).min(FULL_QUOTA_PPM);
             self.peer = Some((from, number));
         }
         true
--- a/lease/src/wire.rs
+++ b/lease/src/wire.rs
@@ -1,7 +1,7 @@
 //! Frames: a length (two bytes, little-endian), then a [`Frame`] in postcard's format (variable-length integers).
 //!
 //! Units travel as hundredths. A frame that can't be read ends its connection.
-use crate::map::{PlanId, ShardId, TenantId};
+use crate::shard_map::{PlanId, ShardId, TenantId};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/lease/tests/exchange.rs
+++ b/lease/tests/exchange.rs
@@ -1,7 +1,7 @@
 //! One front door and one shard, step by step: what each does with repeats, late answers and a shard that is down.
 use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
-use quillramp_lease::map::{Plan, Region, ShardEntry, ShardMap};
 use quillramp_lease::shard::{Shard, ShardOutput, ShardSettings};
+use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardMap};
 use quillramp_lease::wire::{encode, Entry, Frame, FrameReader, VERSION};
 
 const NOW: f64 = 1000.0;
@@ -14,7 +14,7 @@
         epoch,
         active_at: 0.0,
         plans: vec![Plan { name: "team".into(), rate: 1.0, burst: 50.0 }],
-        regions: vec![Region { name: "north".into(), share: 1.0, shards }],
+        regions: vec![Region { name: "north".into(), quota_fraction: 1.0, shards }],
     }
 }
 
--- a/lease/tests/failures.rs
+++ b/lease/tests/failures.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use quillramp_lease::breaks::Break;
-use quillramp_lease::map::ShardId;
+use quillramp_lease::shard_map::ShardId;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use simulation::door::{DoorId, CREDIT, LEASE};
--- a/lease/tests/map.rs
+++ b/lease/tests/shard_map.rs
@@ -1,5 +1,5 @@
 //! Shard maps: what is refused and in which words, and who owns a tenant.
-use quillramp_lease::map::{MapError, ShardMap};
+use quillramp_lease::shard_map::{ShardMap, ShardMapError};
 
 const GOOD: &str = r#"
 epoch = 3
@@ -42,10 +42,10 @@
 #[test]
 fn a_good_map_is_read() {
     let map = ShardMap::parse(GOOD).expect("good");
-    assert_eq!((map.epoch, map.regions.len(), map.longest_refill()), (3, 2, 2.0));
-    assert_eq!(map.region("north").expect("there").share_ppm(), 600_000);
-    assert_eq!(map.other_region("north").expect("two").name, "south");
-    assert_eq!(map.region("west"), Err(MapError::UnknownRegion("west".into())));
+    assert_eq!((map.epoch, map.regions.len(), map.longest_refill_time()), (3, 2, 2.0));
+    assert_eq!(map.region("north").expect("there").quota_fraction_ppm(), 600_000);
+    assert_eq!(map.peer_region("north").expect("two").name, "south");
+    assert_eq!(map.region("west"), Err(ShardMapError::UnknownRegion("west".into())));
 }
 
 #[test]
--- a/lease/tests/simulation/door.rs
+++ b/lease/tests/simulation/door.rs
@@ -1,6 +1,6 @@
 //! A plain front door: spends leases, spends on credit where the last answer told of plenty of room, asks otherwise.
 use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
-use quillramp_lease::map::{ShardMap, TenantId};
+use quillramp_lease::shard_map::{ShardMap, TenantId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Units asked for at a time.
--- a/lease/tests/simulation/mod.rs
+++ b/lease/tests/simulation/mod.rs
@@ -7,8 +7,8 @@
 use door::{Door, DoorId};
 use quillramp_lease::breaks::Break;
 use quillramp_lease::client::{self, ClientSettings};
-use quillramp_lease::map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId, WHOLE};
 use quillramp_lease::shard::{ConnectionId, Shard, ShardOutput, ShardSettings};
+use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId, FULL_QUOTA_PPM};
 use quillramp_lease::wire::{Frame, FrameReader, PeerMessage};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -191,7 +191,7 @@
     let entry = |id: &ShardId| ShardEntry { id: *id, address: ([127, 0, 0, 1], 7000 + *id).into() };
     let region = |index: usize| Region {
         name: REGIONS[index].into(),
-        share: 0.5,
+        quota_fraction: 0.5,
         shards: shards[index].iter().map(entry).collect(),
     };
     ShardMap {
@@ -606,4 +606,4 @@
 }
 
 /// A whole share, for checks.
-pub const ALL_SHARES: u32 = WHOLE;
+pub const ALL_SHARES: u32 = FULL_QUOTA_PPM;
--- a/lease/tests/sockets.rs
+++ b/lease/tests/sockets.rs
@@ -2,7 +2,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
-use quillramp_lease::map::ShardMap;
+use quillramp_lease::shard_map::ShardMap;
 use quillramp_lease::wire::{encode, Answer, Entry, Frame, FrameReader, VERSION};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
