--- a/lease/examples/cost.rs
+++ b/lease/examples/cost.rs
@@ -7,7 +7,7 @@
 use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
 use quillramp_lease::shard::{Shard, ShardOutput, ShardSettings};
 use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId};
-use quillramp_lease::wire::{encode, Entry, Frame, FrameReader, VERSION};
+use quillramp_lease::wire::{encode, BatchEntry, Frame, FrameDecoder, PROTOCOL_VERSION};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
@@ -221,14 +221,19 @@
             let shard = self.shards.get_mut(&id).expect("known");
             let connection = 1_000_000;
             let mut bytes = encode(&Frame::Hello {
-                version: VERSION,
-                front_door: 2,
+                version: PROTOCOL_VERSION,
+                gateway: 2,
                 incarnation: now as u64 * 1000,
                 epoch: 1,
             });
-            let entries: Vec<Entry> = tenants
+            let entries: Vec<BatchEntry> = tenants
                 .into_iter()
-                .map(|(index, spent)| Entry { tenant: tenant_id(index), plan: index as u16, spent, want: 0 })
+                .map(|(index, spent)| BatchEntry {
+                    tenant: tenant_id(index),
+                    plan: index as u16,
+                    spent_hundredths: spent,
+                    requested_hundredths: 0,
+                })
                 .collect();
             let first = (now * 10.0) as u32 % 10_000_000 * 100;
             for (count, entries) in entries.chunks(1000).enumerate() {
@@ -306,7 +311,7 @@
     }
 
     fn send(&mut self, now: f64, shard: ShardId, bytes: Vec<u8>) {
-        let mut reader = FrameReader::default();
+        let mut reader = FrameDecoder::default();
         reader.extend(&bytes);
         while let Ok(Some(frame)) = reader.next_frame() {
             if let Frame::Batch { entries, .. } = frame {
--- a/lease/src/client.rs
+++ b/lease/src/client.rs
@@ -4,7 +4,10 @@
 //! [`LeaseClient::due`].
 use crate::breaks::Break;
 use crate::shard_map::{PlanId, ShardId, ShardMap, ShardMapError, TenantId};
-use crate::wire::{encode, hundredths_up, Answer, Entry, Frame, FrameReader, MAX_ENTRIES, UNIT, VERSION};
+use crate::wire::{
+    encode, units_to_hundredths, BatchEntry, EntryResponse, Frame, FrameDecoder, HUNDREDTHS_PER_UNIT,
+    MAX_BATCH_ENTRIES, PROTOCOL_VERSION,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -161,7 +164,7 @@
 #[derive(Debug)]
 struct Link {
     state: LinkState,
-    reader: FrameReader,
+    reader: FrameDecoder,
     next_sequence: u32,
     attempts: u32,
     in_flight: Option<Batch>,
@@ -172,7 +175,7 @@
     fn default() -> Link {
         Link {
             state: LinkState::Closed { retry_at: 0.0, failed: false },
-            reader: FrameReader::default(),
+            reader: FrameDecoder::default(),
             next_sequence: 1,
             attempts: 0,
             in_flight: None,
@@ -248,9 +251,10 @@
         link.end_overdue(now, &mut self.outputs);
         link.state = LinkState::Connected;
         link.attempts = 0;
-        link.reader = FrameReader::default();
+        link.reader = FrameDecoder::default();
         let ClientSettings { front_door, incarnation, .. } = self.settings;
-        let mut bytes = encode(&Frame::Hello { version: VERSION, front_door, incarnation, epoch });
+        let mut bytes =
+            encode(&Frame::Hello { version: PROTOCOL_VERSION, gateway: front_door, incarnation, epoch });
         if let Some(batch) = &mut link.in_flight {
             bytes.extend_from_slice(&batch.bytes);
             batch.sent_at = Some(now);
@@ -292,7 +296,7 @@
             let Some(link) = self.links.get_mut(&shard) else { return };
             match link.reader.next_frame() {
                 Ok(None) => break,
-                Ok(Some(Frame::Grants { sequence, answers })) => {
+                Ok(Some(Frame::BatchResponse { sequence, responses: answers })) => {
                     if !self.answered(now, shard, sequence, &answers) {
                         return self.abandon(now, shard);
                     }
@@ -369,7 +373,7 @@
     }
 
     /// Takes in the answers to the batch in flight; false: they don't belong to it.
-    fn answered(&mut self, now: f64, shard: ShardId, sequence: u32, answers: &[Answer]) -> bool {
+    fn answered(&mut self, now: f64, shard: ShardId, sequence: u32, answers: &[EntryResponse]) -> bool {
         let Some(link) = self.links.get_mut(&shard) else { return true };
         let Some(batch) = link.in_flight.take() else { return true };
         if batch.sequence != sequence {
@@ -383,11 +387,17 @@
         }
         for ((tenant, pending), answer) in batch.entries.into_iter().zip(answers) {
             match answer {
-                Answer::Granted { granted, room } => {
-                    self.grant(now, tenant, pending, f64::from(*granted) / UNIT, *room);
+                EntryResponse::Granted { granted_hundredths, available_units } => {
+                    self.grant(
+                        now,
+                        tenant,
+                        pending,
+                        f64::from(*granted_hundredths) / HUNDREDTHS_PER_UNIT,
+                        *available_units,
+                    );
                 }
-                Answer::Moved { .. } => self.ask_again(now, tenant, pending),
-                Answer::UnknownPlan => pending.end_all(Outcome::Unreached, &mut self.outputs),
+                EntryResponse::Moved { .. } => self.ask_again(now, tenant, pending),
+                EntryResponse::UnknownPlan => pending.end_all(Outcome::Unreached, &mut self.outputs),
             }
         }
         true
@@ -402,7 +412,7 @@
             let outcome = Outcome::Granted { units, room };
             self.outputs.push(Output::Reply { ticket: part.ticket, outcome });
         }
-        if left * UNIT >= 1.0 {
+        if left * HUNDREDTHS_PER_UNIT >= 1.0 {
             self.give_back(now, tenant, pending.plan, left);
         }
     }
@@ -469,11 +479,16 @@
         }
     }
 
-    fn entry(&self, tenant: TenantId) -> Entry {
+    fn entry(&self, tenant: TenantId) -> BatchEntry {
         let spent: f64 = self.parts.iter().map(|part| part.spent).sum();
         let want: f64 = self.parts.iter().filter(|part| !part.ended).map(|part| part.want).sum();
-        let want = u32::try_from(hundredths_up(want)).unwrap_or(0);
-        Entry { tenant, plan: self.plan, spent: hundredths_up(spent), want }
+        let want = u32::try_from(units_to_hundredths(want)).unwrap_or(0);
+        BatchEntry {
+            tenant,
+            plan: self.plan,
+            spent_hundredths: units_to_hundredths(spent),
+            requested_hundredths: want,
+        }
     }
 }
 
@@ -563,7 +578,7 @@
         let mut order: Vec<(f64, TenantId)> =
             self.waiting.iter().map(|(tenant, pending)| (pending.leaves_at, *tenant)).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        order.truncate(MAX_ENTRIES);
+        order.truncate(MAX_BATCH_ENTRIES);
         let entries: Vec<(TenantId, Pending)> = order
             .into_iter()
             .filter_map(|(_, tenant)| self.waiting.remove(&tenant).map(|pending| (tenant, pending)))
--- a/lease/src/shard.rs
+++ b/lease/src/shard.rs
@@ -4,7 +4,8 @@
 use crate::shard_map::{PlanId, Region, ShardId, ShardMap, ShardMapError, TenantId};
 use crate::transfer::{floor, ShareState};
 use crate::wire::{
-    encode, Answer, Entry, Frame, FrameReader, PeerIdentity, PeerMessage, MAX_PEER_MESSAGES, UNIT, VERSION,
+    encode, BatchEntry, EntryResponse, Frame, FrameDecoder, PeerIdentity, PeerMessage, HUNDREDTHS_PER_UNIT,
+    MAX_PEER_MESSAGES, PROTOCOL_VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -62,7 +63,7 @@
 
 #[derive(Debug)]
 struct Connection {
-    reader: FrameReader,
+    reader: FrameDecoder,
     front_door: Option<u64>,
 }
 
@@ -144,7 +145,7 @@
     /// Bytes came on a connection; a connection not heard of before is a new one.
     pub fn receive(&mut self, now: f64, connection: ConnectionId, bytes: &[u8]) {
         self.tick(now);
-        let fresh = || Connection { reader: FrameReader::default(), front_door: None };
+        let fresh = || Connection { reader: FrameDecoder::default(), front_door: None };
         self.connections.entry(connection).or_insert_with(fresh).reader.extend(bytes);
         while let Some(open) = self.connections.get_mut(&connection) {
             let read = match open.reader.next_frame() {
@@ -233,8 +234,8 @@
     /// Takes in a frame; false: the connection has to end.
     fn read(&mut self, now: f64, connection: ConnectionId, frame: Frame) -> bool {
         match frame {
-            Frame::Hello { version, front_door, incarnation, .. } => {
-                version == VERSION && self.hello(now, connection, front_door, incarnation)
+            Frame::Hello { version, gateway: front_door, incarnation, .. } => {
+                version == PROTOCOL_VERSION && self.hello(now, connection, front_door, incarnation)
             }
             Frame::Batch { sequence, entries } => self.batch(now, connection, sequence, &entries),
             Frame::Peer { from, epoch, messages } => {
@@ -245,7 +246,7 @@
                 }
                 true
             }
-            Frame::Grants { .. } => false,
+            Frame::BatchResponse { .. } => false,
         }
     }
 
@@ -276,7 +277,7 @@
         true
     }
 
-    fn batch(&mut self, now: f64, connection: ConnectionId, sequence: u32, entries: &[Entry]) -> bool {
+    fn batch(&mut self, now: f64, connection: ConnectionId, sequence: u32, entries: &[BatchEntry]) -> bool {
         let Some(front_door) = self.connections.get(&connection).and_then(|open| open.front_door) else {
             return false;
         };
@@ -295,7 +296,7 @@
             return true;
         }
         let answers = entries.iter().map(|entry| self.apply(now, entry)).collect();
-        let bytes = encode(&Frame::Grants { sequence, answers });
+        let bytes = encode(&Frame::BatchResponse { sequence, responses: answers });
         if let Some(session) = self.sessions.get_mut(&front_door) {
             session.last_sequence = sequence;
             session.last_reply.clone_from(&bytes);
@@ -304,26 +305,29 @@
         true
     }
 
-    fn apply(&mut self, now: f64, entry: &Entry) -> Answer {
+    fn apply(&mut self, now: f64, entry: &BatchEntry) -> EntryResponse {
         if !self.owns(&self.map, entry.tenant) {
-            return Answer::Moved { epoch: self.map.epoch };
+            return EntryResponse::Moved { epoch: self.map.epoch };
         }
         if !self.open_account(now, entry.tenant, entry.plan) {
-            return Answer::UnknownPlan;
+            return EntryResponse::UnknownPlan;
         }
-        let Some(account) = self.accounts.get_mut(&entry.tenant) else { return Answer::UnknownPlan };
-        let spent = f64::from(entry.spent) / UNIT;
-        let want = f64::from(entry.want) / UNIT;
+        let Some(account) = self.accounts.get_mut(&entry.tenant) else { return EntryResponse::UnknownPlan };
+        let spent = f64::from(entry.spent_hundredths) / HUNDREDTHS_PER_UNIT;
+        let want = f64::from(entry.requested_hundredths) / HUNDREDTHS_PER_UNIT;
         account.touched_at = now;
         account.share.note_demand(spent.max(0.0) + want, now);
         account.bucket.spend(spent, now);
-        let granted = account.bucket.take(want, 1.0 / UNIT, now);
+        let granted = account.bucket.take(want, 1.0 / HUNDREDTHS_PER_UNIT, now);
         let tokens = account.bucket.tokens(now);
         let is_short = tokens < SHORT_PART * account.bucket.capacity();
         if is_short {
             self.ask_other_region(now, entry.tenant);
         }
-        Answer::Granted { granted: (granted * UNIT).round() as u32, room: tokens.max(0.0) as u32 }
+        EntryResponse::Granted {
+            granted_hundredths: (granted * HUNDREDTHS_PER_UNIT).round() as u32,
+            available_units: tokens.max(0.0) as u32,
+        }
     }
 
     fn ask_other_region(&mut self, now: f64, tenant: TenantId) {
@@ -331,7 +335,7 @@
         let Some(account) = self.accounts.get_mut(&tenant) else { return };
         let Some(plan) = self.map.plan(account.plan) else { return };
         if account.share.asks(plan, now) {
-            self.peer_messages.entry(peer).or_default().push(PeerMessage::Ask { tenant });
+            self.peer_messages.entry(peer).or_default().push(PeerMessage::RequestTransfer { tenant });
         }
     }
 
@@ -434,9 +438,9 @@
 
     fn peer_message(&mut self, now: f64, from: PeerIdentity, message: PeerMessage) {
         let tenant = match message {
-            PeerMessage::Ask { tenant }
+            PeerMessage::RequestTransfer { tenant }
             | PeerMessage::Reconcile { tenant, .. }
-            | PeerMessage::Held { tenant, .. }
+            | PeerMessage::ReconcileResponse { tenant, .. }
             | PeerMessage::Transfer { tenant, .. }
             | PeerMessage::Acknowledge { tenant, .. } => tenant,
         };
@@ -458,7 +462,7 @@
         let share = &mut account.share;
         let mut reply = None;
         match message {
-            PeerMessage::Ask { .. } => {
+            PeerMessage::RequestTransfer { .. } => {
                 let number = self.transfers.saturating_add(1);
                 if share.give(plan, configured, number, now) {
                     self.transfers = number;
@@ -467,20 +471,30 @@
             }
             PeerMessage::Reconcile { .. } => {
                 let amount = share.held(from);
-                reply = Some(PeerMessage::Held { tenant, amount, asker: from.incarnation });
+                reply = Some(PeerMessage::ReconcileResponse {
+                    tenant,
+                    held_ppm: amount,
+                    requester_incarnation: from.incarnation,
+                });
+            }
+            PeerMessage::ReconcileResponse { held_ppm: amount, requester_incarnation, .. }
+                if requester_incarnation == own =>
+            {
+                share.reconcile(amount, configured)
             }
-            PeerMessage::Held { amount, asker, .. } if asker == own => share.reconcile(amount, configured),
-            PeerMessage::Transfer { number, amount, .. } => {
+            PeerMessage::Transfer { transfer_number: number, amount_ppm: amount, .. } => {
                 reply = share.add(from, number, amount).then_some(PeerMessage::Acknowledge {
                     tenant,
-                    number,
-                    sender: from.incarnation,
+                    transfer_number: number,
+                    sender_incarnation: from.incarnation,
                 });
             }
-            PeerMessage::Acknowledge { number, sender, .. } if sender == own => {
+            PeerMessage::Acknowledge { transfer_number: number, sender_incarnation, .. }
+                if sender_incarnation == own =>
+            {
                 share.acknowledged(from, number)
             }
-            PeerMessage::Held { .. } | PeerMessage::Acknowledge { .. } => {}
+            PeerMessage::ReconcileResponse { .. } | PeerMessage::Acknowledge { .. } => {}
         }
         if account.share.is_waiting() {
             self.waiting.insert(tenant);
--- a/lease/src/transfer.rs
+++ b/lease/src/transfer.rs
@@ -127,7 +127,7 @@
             return Some(PeerMessage::Reconcile { tenant, plan });
         }
         let Outgoing { number, amount } = self.outgoing?;
-        Some(PeerMessage::Transfer { tenant, plan, number, amount })
+        Some(PeerMessage::Transfer { tenant, plan, transfer_number: number, amount_ppm: amount })
     }
 
     /// The other owner does not know its share: what is held here, under way included; none if unknown here as well.
--- a/lease/tests/exchange.rs
+++ b/lease/tests/exchange.rs
@@ -2,7 +2,7 @@
 use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
 use quillramp_lease::shard::{Shard, ShardOutput, ShardSettings};
 use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardMap};
-use quillramp_lease::wire::{encode, Entry, Frame, FrameReader, VERSION};
+use quillramp_lease::wire::{encode, BatchEntry, Frame, FrameDecoder, PROTOCOL_VERSION};
 
 const NOW: f64 = 1000.0;
 const LATER: f64 = 2000.0;
@@ -120,10 +120,10 @@
         }
     }
     assert!(replied);
-    let mut reader = FrameReader::default();
+    let mut reader = FrameDecoder::default();
     reader.extend(&bytes);
     let Ok(Some(Frame::Batch { entries, .. })) = reader.next_frame() else { panic!("a batch") };
-    assert_eq!(entries, [Entry { tenant: 9, plan: 0, spent: 0, want: 1300 }]);
+    assert_eq!(entries, [BatchEntry { tenant: 9, plan: 0, spent_hundredths: 0, requested_hundredths: 1300 }]);
     bytes
 }
 
@@ -210,7 +210,7 @@
 fn an_older_process_of_a_front_door_is_shut_out() {
     let mut shard = shard(NOW);
     let hello =
-        |incarnation| encode(&Frame::Hello { version: VERSION, front_door: 5, incarnation, epoch: 1 });
+        |incarnation| encode(&Frame::Hello { version: PROTOCOL_VERSION, gateway: 5, incarnation, epoch: 1 });
     shard.receive(LATER, 1, &hello(2));
     shard.receive(LATER, 2, &hello(1));
     assert_eq!(shard.poll_outputs(), [ShardOutput::Close { connection: 2 }]);
@@ -220,10 +220,10 @@
 
 #[test]
 fn what_is_no_frame_or_out_of_place_ends_the_connection() {
-    let hello = |version| encode(&Frame::Hello { version, front_door: 5, incarnation: 1, epoch: 1 });
+    let hello = |version| encode(&Frame::Hello { version, gateway: 5, incarnation: 1, epoch: 1 });
     let batch = encode(&Frame::Batch { sequence: 1, entries: vec![] });
-    let grants = encode(&Frame::Grants { sequence: 1, answers: vec![] });
-    for bytes in [vec![1, 0, 200], hello(VERSION + 1), batch, grants] {
+    let grants = encode(&Frame::BatchResponse { sequence: 1, responses: vec![] });
+    for bytes in [vec![1, 0, 200], hello(PROTOCOL_VERSION + 1), batch, grants] {
         let mut shard = shard(NOW);
         shard.receive(LATER, 1, &bytes);
         assert_eq!(shard.poll_outputs(), [ShardOutput::Close { connection: 1 }], "{bytes:?}");
--- a/lease/tests/simulation/mod.rs
+++ b/lease/tests/simulation/mod.rs
@@ -9,7 +9,7 @@
 use quillramp_lease::client::{self, ClientSettings};
 use quillramp_lease::shard::{ConnectionId, Shard, ShardOutput, ShardSettings};
 use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId, FULL_QUOTA_PPM};
-use quillramp_lease::wire::{Frame, FrameReader, PeerMessage};
+use quillramp_lease::wire::{Frame, FrameDecoder, PeerMessage};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use referee::Referee;
@@ -204,13 +204,13 @@
 
 /// Whole frames in a piece of a stream that begins with one.
 fn frames_in(bytes: &[u8]) -> Vec<Frame> {
-    let mut reader = FrameReader::default();
+    let mut reader = FrameDecoder::default();
     reader.extend(bytes);
     std::iter::from_fn(|| reader.next_frame().ok().flatten()).collect()
 }
 
 fn only_returns(frame: &Frame) -> bool {
-    matches!(frame, Frame::Batch { entries, .. } if entries.iter().all(|e| e.want == 0 && e.spent < 0))
+    matches!(frame, Frame::Batch { entries, .. } if entries.iter().all(|entry| entry.requested_hundredths == 0 && entry.spent_hundredths < 0))
 }
 
 fn holds_transfer(frame: &Frame) -> bool {
--- a/lease/tests/sockets.rs
+++ b/lease/tests/sockets.rs
@@ -3,7 +3,7 @@
 use nix::unistd::Pid;
 use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
 use quillramp_lease::shard_map::ShardMap;
-use quillramp_lease::wire::{encode, Answer, Entry, Frame, FrameReader, VERSION};
+use quillramp_lease::wire::{encode, BatchEntry, EntryResponse, Frame, FrameDecoder, PROTOCOL_VERSION};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -208,8 +208,8 @@
     let address = free_address();
     let map = write_map("again", &map_text(1, address, 0.001));
     let _shard = Shard::start(address, &map);
-    let entry = Entry { tenant: 9, plan: 0, spent: -2000, want: 700 };
-    let mut bytes = encode(&Frame::Hello { version: VERSION, front_door: 5, incarnation: 1, epoch: 1 });
+    let entry = BatchEntry { tenant: 9, plan: 0, spent_hundredths: -2000, requested_hundredths: 700 };
+    let mut bytes = encode(&Frame::Hello { version: PROTOCOL_VERSION, gateway: 5, incarnation: 1, epoch: 1 });
     bytes.extend(encode(&Frame::Batch { sequence: 1, entries: vec![entry] }));
     for _ in 0..3 {
         let mut stream = TcpStream::connect(address).expect("it serves");
@@ -217,18 +217,21 @@
         stream.write_all(&bytes).expect("it reads");
         assert_eq!(
             read_frame(&mut stream),
-            grants(700, 13),
+            batch_response(700, 13),
             "twenty came back once, seven were granted once"
         );
     }
 }
 
-fn grants(granted: u32, room: u32) -> Frame {
-    Frame::Grants { sequence: 1, answers: vec![Answer::Granted { granted, room }] }
+fn batch_response(granted_hundredths: u32, available_units: u32) -> Frame {
+    Frame::BatchResponse {
+        sequence: 1,
+        responses: vec![EntryResponse::Granted { granted_hundredths, available_units }],
+    }
 }
 
 fn read_frame(stream: &mut TcpStream) -> Frame {
-    let mut reader = FrameReader::default();
+    let mut reader = FrameDecoder::default();
     let mut buffer = [0; 1024];
     loop {
         if let Some(frame) = reader.next_frame().expect("a frame") {
