--- a/lease/examples/cost.rs
+++ b/lease/examples/cost.rs
@@ -149,7 +149,8 @@
         settings.report_interval = row.report_interval;
         settings.gather_interval = row.gather_interval;
         let shard = |id: &ShardId| {
-            let settings = ShardSettings { id: *id, region: "north".into(), incarnation: 1, breaks: None };
+            let settings =
+                ShardSettings { id: *id, region: "north".into(), incarnation: 1, injected_fault: None };
             (*id, Shard::new(0.0, settings, map.clone()).expect("a good map"))
         };
         Run {
--- a/lease/src/bin/quillramp-lease-shard/main.rs
+++ b/lease/src/bin/quillramp-lease-shard/main.rs
@@ -61,7 +61,7 @@
         id: arguments.id,
         region: arguments.region,
         incarnation: clock::incarnation(),
-        breaks: None,
+        injected_fault: None,
     };
     let mut signals = signal_hook::iterator::Signals::new([SIGHUP, SIGINT, SIGTERM])
         .map_err(|error| format!("signals: {error}"))?;
--- a/lease/src/client.rs
+++ b/lease/src/client.rs
@@ -2,7 +2,7 @@
 //!
 //! The caller owns sockets and the clock. After each event it drains [`LeaseClient::poll_outputs`] and sets a timer to
 //! [`LeaseClient::due`].
-use crate::breaks::Break;
+use crate::fault_injection::InjectedFault;
 use crate::shard_map::{PlanId, ShardId, ShardMap, ShardMapError, TenantId};
 use crate::wire::{
     encode, units_to_hundredths, BatchEntry, EntryResponse, Frame, FrameDecoder, HUNDREDTHS_PER_UNIT,
@@ -99,7 +99,7 @@
     pub reconnect_pause: f64,
     /// For tests alone: a guard that is switched off.
     #[doc(hidden)]
-    pub breaks: Option<Break>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 impl ClientSettings {
@@ -114,7 +114,7 @@
             answer_timeout: 0.5,
             connect_timeout: 1.0,
             reconnect_pause: 0.5,
-            breaks: None,
+            injected_fault: None,
         }
     }
 }
@@ -322,7 +322,7 @@
 
     /// Does what has come due.
     pub fn tick(&mut self, now: f64) {
-        let at_once = self.settings.breaks == Some(Break::IgnoreActiveAt);
+        let at_once = self.settings.injected_fault == Some(InjectedFault::ActivateMapImmediately);
         if self.next_map.as_ref().is_some_and(|map| at_once || map.active_at <= now) {
             self.activate_map(now);
         }
--- a/lease/src/lib.rs
+++ b/lease/src/lib.rs
@@ -5,11 +5,11 @@
 //! out, and the same events give the same outputs. `docs/leases.md` derives the bounds that the tests check.
 #![warn(missing_docs)]
 
-#[doc(hidden)]
-pub mod breaks;
-pub mod bucket;
 pub mod client;
+#[doc(hidden)]
+pub mod fault_injection;
+pub mod regional_quota;
 pub mod shard;
 pub mod shard_map;
-pub mod transfer;
+pub mod token_bucket;
 pub mod wire;
--- a/lease/src/shard.rs
+++ b/lease/src/shard.rs
@@ -1,8 +1,8 @@
 //! A shard: keeps the buckets of the tenants that it owns and answers batches, each once.
-use crate::breaks::Break;
-use crate::bucket::Bucket;
+use crate::fault_injection::InjectedFault;
+use crate::regional_quota::{floor_ppm, RegionalQuota};
 use crate::shard_map::{PlanId, Region, ShardId, ShardMap, ShardMapError, TenantId};
-use crate::transfer::{floor, ShareState};
+use crate::token_bucket::TokenBucket;
 use crate::wire::{
     encode, BatchEntry, EntryResponse, Frame, FrameDecoder, PeerIdentity, PeerMessage, HUNDREDTHS_PER_UNIT,
     MAX_PEER_MESSAGES, PROTOCOL_VERSION,
@@ -34,7 +34,7 @@
     pub incarnation: u64,
     /// For tests alone: a guard that is switched off.
     #[doc(hidden)]
-    pub breaks: Option<Break>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
 /// What the caller has to do.
@@ -81,8 +81,8 @@
 #[derive(Debug)]
 struct Account {
     plan: PlanId,
-    bucket: Bucket,
-    share: ShareState,
+    bucket: TokenBucket,
+    regional_quota: RegionalQuota,
     touched_at: f64,
 }
 
@@ -121,7 +121,7 @@
     /// shard grants nothing, for owners under the former map may grant still.
     pub fn new(now: f64, settings: ShardSettings, map: ShardMap) -> Result<Shard, ShardMapError> {
         check(&settings, &map)?;
-        let at_once = settings.breaks == Some(Break::IgnoreActiveAt);
+        let at_once = settings.injected_fault == Some(InjectedFault::ActivateMapImmediately);
         let empty_at = if at_once { now } else { now.max(map.active_at) };
         Ok(Shard {
             settings,
@@ -178,7 +178,7 @@
 
     /// Does what has come due.
     pub fn tick(&mut self, now: f64) {
-        let at_once = self.settings.breaks == Some(Break::IgnoreActiveAt);
+        let at_once = self.settings.injected_fault == Some(InjectedFault::ActivateMapImmediately);
         if self.next_map.as_ref().is_some_and(|map| at_once || map.active_at <= now) {
             self.activate_map(now);
         }
@@ -219,7 +219,7 @@
 
     /// The share of a tenant's quota that may be used here, parts per million; none: nothing is known of the tenant.
     pub fn share(&self, tenant: TenantId) -> Option<u32> {
-        self.accounts.get(&tenant).map(|account| account.share.share())
+        self.accounts.get(&tenant).map(|account| account.regional_quota.fraction_ppm())
     }
 
     fn identity(&self) -> PeerIdentity {
@@ -286,7 +286,7 @@
             return false;
         }
         session.heard_at = now;
-        let keeps = self.settings.breaks != Some(Break::ForgetSequence);
+        let keeps = self.settings.injected_fault != Some(InjectedFault::ReapplyRetransmittedBatch);
         if keeps && sequence < session.last_sequence {
             return true;
         }
@@ -316,10 +316,10 @@
         let spent = f64::from(entry.spent_hundredths) / HUNDREDTHS_PER_UNIT;
         let want = f64::from(entry.requested_hundredths) / HUNDREDTHS_PER_UNIT;
         account.touched_at = now;
-        account.share.note_demand(spent.max(0.0) + want, now);
-        account.bucket.spend(spent, now);
+        account.regional_quota.record_demand(spent.max(0.0) + want, now);
+        account.bucket.deduct(spent, now);
         let granted = account.bucket.take(want, 1.0 / HUNDREDTHS_PER_UNIT, now);
-        let tokens = account.bucket.tokens(now);
+        let tokens = account.bucket.balance(now);
         let is_short = tokens < SHORT_PART * account.bucket.capacity();
         if is_short {
             self.ask_other_region(now, entry.tenant);
@@ -334,7 +334,7 @@
         let Some(peer) = self.peer_of(tenant) else { return };
         let Some(account) = self.accounts.get_mut(&tenant) else { return };
         let Some(plan) = self.map.plan(account.plan) else { return };
-        if account.share.asks(plan, now) {
+        if account.regional_quota.should_request_transfer(plan, now) {
             self.peer_messages.entry(peer).or_default().push(PeerMessage::RequestTransfer { tenant });
         }
     }
@@ -358,24 +358,28 @@
         if let Some(account) = self.accounts.get_mut(&tenant) {
             if account.plan != plan_id {
                 account.plan = plan_id;
-                account.bucket.resize(plan, account.share.share(), now);
+                account.bucket.reconfigure(plan, account.regional_quota.fraction_ppm(), now);
             }
             return true;
         }
         let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
-        let share = match self.map.peer_region(&self.settings.region) {
-            None => ShareState::fixed(configured, now),
+        let regional_quota = match self.map.peer_region(&self.settings.region) {
+            None => RegionalQuota::fixed(configured, now),
             Some(_) => {
                 let least = self.least_share(configured);
-                ShareState::unknown(least, configured, now, self.settings.breaks)
+                RegionalQuota::unreconciled(least, configured, now, self.settings.injected_fault)
             }
         };
-        let bucket =
-            Bucket::new(plan, share.share(), self.tenant_empty_at(tenant, plan.refill_time(), now), now);
-        if share.is_waiting() {
+        let bucket = TokenBucket::new(
+            plan,
+            regional_quota.fraction_ppm(),
+            self.tenant_empty_at(tenant, plan.refill_time(), now),
+            now,
+        );
+        if regional_quota.awaits_response() {
             self.waiting.insert(tenant);
         }
-        self.accounts.insert(tenant, Account { plan: plan_id, bucket, share, touched_at: now });
+        self.accounts.insert(tenant, Account { plan: plan_id, bucket, regional_quota, touched_at: now });
         self.send_waiting_of(tenant);
         true
     }
@@ -383,12 +387,12 @@
     /// The floor under this map and those that were in force a short while ago, which the other region may still use.
     fn least_share(&self, configured: u32) -> u32 {
         let former = self.former_maps.iter().filter_map(|former| self.own_region(&former.map));
-        former.map(|region| floor(region.quota_fraction_ppm())).fold(floor(configured), u32::min)
+        former.map(|region| floor_ppm(region.quota_fraction_ppm())).fold(floor_ppm(configured), u32::min)
     }
 
     /// Since when a bucket that is not known here has filled up: since the start, or since the tenant moved here.
     fn tenant_empty_at(&self, tenant: TenantId, refill_time: f64, now: f64) -> f64 {
-        if self.settings.breaks == Some(Break::StartFull) {
+        if self.settings.injected_fault == Some(InjectedFault::StartWithFullBucket) {
             return now - refill_time;
         }
         let elsewhere = self.former_maps.iter().filter(|former| !self.owns(&former.map, tenant));
@@ -411,7 +415,7 @@
         accounts.retain(|tenant, account| {
             let peer = |map: &ShardMap| map.peer_region(region).map(|r| r.owner(*tenant));
             if peer(former) != peer(&self.map) {
-                account.share.forget_peer();
+                account.regional_quota.forget_peer();
             }
             self.owns(&self.map, *tenant) && self.map.plan(account.plan).is_some()
         });
@@ -419,19 +423,24 @@
             let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
             let least = self.least_share(configured);
             for account in accounts.values_mut() {
-                account.share = match self.map.peer_region(region) {
-                    None => ShareState::fixed(configured, now),
-                    Some(_) => ShareState::unknown(least, configured, now, self.settings.breaks),
+                account.regional_quota = match self.map.peer_region(region) {
+                    None => RegionalQuota::fixed(configured, now),
+                    Some(_) => {
+                        RegionalQuota::unreconciled(least, configured, now, self.settings.injected_fault)
+                    }
                 };
             }
         }
         for account in accounts.values_mut() {
             if let Some(plan) = self.map.plan(account.plan) {
-                account.bucket.resize(plan, account.share.share(), now);
+                account.bucket.reconfigure(plan, account.regional_quota.fraction_ppm(), now);
             }
         }
-        self.waiting =
-            accounts.iter().filter(|(_, a)| a.share.is_waiting()).map(|(tenant, _)| *tenant).collect();
+        self.waiting = accounts
+            .iter()
+            .filter(|(_, a)| a.regional_quota.awaits_response())
+            .map(|(tenant, _)| *tenant)
+            .collect();
         self.accounts = accounts;
         self.peer_messages.clear();
     }
@@ -455,22 +464,22 @@
         let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
         let Some(account) = self.accounts.get_mut(&tenant) else { return };
         let Some(plan) = self.map.plan(account.plan) else { return };
-        if account.share.has_newer_peer(from) {
+        if account.regional_quota.has_newer_peer(from) {
             return;
         }
         let own = self.settings.incarnation;
-        let share = &mut account.share;
+        let regional_quota = &mut account.regional_quota;
         let mut reply = None;
         match message {
             PeerMessage::RequestTransfer { .. } => {
                 let number = self.transfers.saturating_add(1);
-                if share.give(plan, configured, number, now) {
+                if regional_quota.begin_transfer(plan, configured, number, now) {
                     self.transfers = number;
-                    reply = share.message(tenant, account.plan);
+                    reply = regional_quota.pending_message(tenant, account.plan);
                 }
             }
             PeerMessage::Reconcile { .. } => {
-                let amount = share.held(from);
+                let amount = regional_quota.held_ppm_for(from);
                 reply = Some(PeerMessage::ReconcileResponse {
                     tenant,
                     held_ppm: amount,
@@ -480,28 +489,30 @@
             PeerMessage::ReconcileResponse { held_ppm: amount, requester_incarnation, .. }
                 if requester_incarnation == own =>
             {
-                share.reconcile(amount, configured)
+                regional_quota.reconcile(amount, configured)
             }
             PeerMessage::Transfer { transfer_number: number, amount_ppm: amount, .. } => {
-                reply = share.add(from, number, amount).then_some(PeerMessage::Acknowledge {
-                    tenant,
-                    transfer_number: number,
-                    sender_incarnation: from.incarnation,
-                });
+                reply = regional_quota.receive_transfer(from, number, amount).then_some(
+                    PeerMessage::Acknowledge {
+                        tenant,
+                        transfer_number: number,
+                        sender_incarnation: from.incarnation,
+                    },
+                );
             }
             PeerMessage::Acknowledge { transfer_number: number, sender_incarnation, .. }
                 if sender_incarnation == own =>
             {
-                share.acknowledged(from, number)
+                regional_quota.transfer_acknowledged(from, number)
             }
             PeerMessage::ReconcileResponse { .. } | PeerMessage::Acknowledge { .. } => {}
         }
-        if account.share.is_waiting() {
+        if account.regional_quota.awaits_response() {
             self.waiting.insert(tenant);
         } else {
             self.waiting.remove(&tenant);
         }
-        account.bucket.resize(plan, account.share.share(), now);
+        account.bucket.reconfigure(plan, account.regional_quota.fraction_ppm(), now);
         if let Some(reply) = reply {
             self.peer_messages.entry(from.shard).or_default().push(reply);
         }
@@ -521,7 +532,7 @@
     fn send_waiting_of(&mut self, tenant: TenantId) {
         let Some(peer) = self.peer_of(tenant) else { return };
         let Some(account) = self.accounts.get(&tenant) else { return };
-        if let Some(message) = account.share.message(tenant, account.plan) {
+        if let Some(message) = account.regional_quota.pending_message(tenant, account.plan) {
             self.peer_messages.entry(peer).or_default().push(message);
         }
     }
@@ -535,9 +546,9 @@
         let alone = self.map.peer_region(&self.settings.region).is_none();
         let life = if alone { 0.0 } else { BUCKET_LIFE };
         self.accounts.retain(|_, account| {
-            let is_full = account.bucket.tokens(now) >= account.bucket.capacity();
+            let is_full = account.bucket.balance(now) >= account.bucket.capacity();
             let is_old = now - account.touched_at >= life;
-            !(is_full && is_old && account.share.is_settled_at(configured))
+            !(is_full && is_old && account.regional_quota.is_settled_at(configured))
         });
     }
 }
--- a/lease/tests/exchange.rs
+++ b/lease/tests/exchange.rs
@@ -19,7 +19,7 @@
 }
 
 fn shard(started: f64) -> Shard {
-    let settings = ShardSettings { id: 1, region: "north".into(), incarnation: 1, breaks: None };
+    let settings = ShardSettings { id: 1, region: "north".into(), incarnation: 1, injected_fault: None };
     Shard::new(started, settings, map(1, &[1])).expect("a good map")
 }
 
@@ -269,7 +269,7 @@
 
 #[test]
 fn a_shard_that_starts_before_its_map_is_in_force_grants_nothing_until_then() {
-    let settings = ShardSettings { id: 1, region: "north".into(), incarnation: 1, breaks: None };
+    let settings = ShardSettings { id: 1, region: "north".into(), incarnation: 1, injected_fault: None };
     let later_map = ShardMap { active_at: LATER + 30.0, ..map(1, &[1]) };
     let mut shard = Shard::new(LATER - 100.0, settings, later_map).expect("a good map");
     let (mut client, ticket, bytes) = connected_asking(4.0);
--- a/lease/tests/failures.rs
+++ b/lease/tests/failures.rs
@@ -2,7 +2,7 @@
 //! and without the guard concerned they don't.
 mod simulation;
 
-use quillramp_lease::breaks::Break;
+use quillramp_lease::fault_injection::InjectedFault;
 use quillramp_lease::shard_map::ShardId;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -64,11 +64,11 @@
     );
 }
 
-fn assert_found(broken: Break, settings: impl Fn(u64) -> Settings) {
-    let run = |seed| World::run(Settings { breaks: Some(broken), ..settings(seed) });
+fn assert_found(fault: InjectedFault, settings: impl Fn(u64) -> Settings) {
+    let run = |seed| World::run(Settings { injected_fault: Some(fault), ..settings(seed) });
     let found = (0..BROKEN_SEEDS).filter(|seed| !keeps(&run(*seed))).count() as u64;
-    println!("without the guard ({broken:?}): found in {found} of {BROKEN_SEEDS}");
-    assert!(found * 10 >= BROKEN_SEEDS * 9, "{broken:?} found in {found} of {BROKEN_SEEDS} only");
+    println!("with the fault ({fault:?}): found in {found} of {BROKEN_SEEDS}");
+    assert!(found * 10 >= BROKEN_SEEDS * 9, "{fault:?} found in {found} of {BROKEN_SEEDS} only");
 }
 
 fn busy(seed: u64, duration: f64) -> Settings {
@@ -178,20 +178,20 @@
 #[test]
 fn an_empty_shard_in_its_place_grants_no_burst() {
     run_all("shards replaced", shards_replaced);
-    assert_found(Break::StartFull, shards_replaced);
+    assert_found(InjectedFault::StartWithFullBucket, shards_replaced);
 }
 
 #[test]
 fn regions_apart_use_no_share_twice() {
     let outcomes = run_all("regions apart", regions_apart);
     assert!(outcomes.iter().all(|outcome| outcome.transfers > 0), "shares did move");
-    assert_found(Break::IgnoreFloor, regions_apart);
+    assert_found(InjectedFault::AssumeConfiguredFraction, regions_apart);
 }
 
 #[test]
 fn a_transfer_is_deducted_before_it_is_sent() {
     run_all("apart at a transfer", apart_at_transfer);
-    assert_found(Break::DeductLate, apart_at_transfer);
+    assert_found(InjectedFault::DeductOnAcknowledgement, apart_at_transfer);
 }
 
 #[test]
@@ -207,13 +207,13 @@
 fn a_map_change_is_in_force_everywhere_at_once() {
     let outcomes = run_all("map changed", map_changed);
     assert!(outcomes.iter().all(|outcome| outcome.window_served > 0), "the new shards grant");
-    assert_found(Break::IgnoreActiveAt, map_changed);
+    assert_found(InjectedFault::ActivateMapImmediately, map_changed);
 }
 
 #[test]
 fn a_batch_sent_again_counts_once() {
     run_all("returns sent again", returns_sent_again);
-    assert_found(Break::ForgetSequence, returns_sent_again);
+    assert_found(InjectedFault::ReapplyRetransmittedBatch, returns_sent_again);
 }
 
 #[test]
--- a/lease/tests/simulation/mod.rs
+++ b/lease/tests/simulation/mod.rs
@@ -5,8 +5,8 @@
 pub mod referee;
 
 use door::{Door, DoorId};
-use quillramp_lease::breaks::Break;
 use quillramp_lease::client::{self, ClientSettings};
+use quillramp_lease::fault_injection::InjectedFault;
 use quillramp_lease::shard::{ConnectionId, Shard, ShardOutput, ShardSettings};
 use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId, FULL_QUOTA_PPM};
 use quillramp_lease::wire::{Frame, FrameDecoder, PeerMessage};
@@ -34,7 +34,7 @@
     pub demand: [f64; 2],
     pub later_demand: [f64; 2],
     pub shift_at: f64,
-    pub breaks: Option<Break>,
+    pub injected_fault: Option<InjectedFault>,
     /// Chance that a reply is lost with its connection.
     pub reply_lost: f64,
     /// The same for replies to batches that only give units back.
@@ -55,7 +55,7 @@
             demand: [10.0, 10.0],
             later_demand: [10.0, 10.0],
             shift_at: duration,
-            breaks: None,
+            injected_fault: None,
             reply_lost: 0.0,
             return_reply_lost: 0.0,
             peer_lost: 0.01,
@@ -313,8 +313,8 @@
     fn start_shard(&mut self, id: ShardId) {
         self.incarnation += 1;
         let region = REGIONS[usize::from(id > 10)].to_owned();
-        let breaks = self.settings.breaks;
-        let settings = ShardSettings { id, region, incarnation: self.incarnation, breaks };
+        let injected_fault = self.settings.injected_fault;
+        let settings = ShardSettings { id, region, incarnation: self.incarnation, injected_fault };
         let shard = Shard::new(self.now, settings, self.latest_map.clone()).expect("the map has it");
         self.silent.remove(&id);
         self.shards.insert(id, shard);
@@ -324,7 +324,7 @@
         self.incarnation += 1;
         let region = REGIONS[id.0 % REGIONS.len()];
         let mut settings = ClientSettings::new(id.0 as u64, self.incarnation, region);
-        settings.breaks = self.settings.breaks;
+        settings.injected_fault = self.settings.injected_fault;
         self.doors.insert(id, Door::new(settings, self.latest_map.clone()));
     }
 
