--- a/lease/src/client.rs
+++ b/lease/src/client.rs
@@ -3,7 +3,7 @@
 //! The caller owns sockets and the clock. After each event it drains [`LeaseClient::poll_outputs`] and sets a timer to
 //! [`LeaseClient::due`].
 use crate::fault_injection::InjectedFault;
-use crate::shard_map::{PlanId, ShardId, ShardMap, ShardMapError, TenantId};
+use crate::shard_map::{PlanId, ShardId, ShardMap, ShardMapError, ShardMapSchedule, TenantId};
 use crate::wire::{
     encode, units_to_hundredths, BatchEntry, EntryResponse, Frame, FrameDecoder, HUNDREDTHS_PER_UNIT,
     MAX_BATCH_ENTRIES, PROTOCOL_VERSION,
@@ -193,8 +193,7 @@
 #[derive(Debug)]
 pub struct LeaseClient {
     settings: ClientSettings,
-    map: ShardMap,
-    next_map: Option<ShardMap>,
+    maps: ShardMapSchedule,
     links: BTreeMap<ShardId, Link>,
     next_ticket: u64,
     outputs: Vec<Output>,
@@ -203,12 +202,11 @@
 impl LeaseClient {
     /// A client without connections; they are opened when needed.
     pub fn new(settings: ClientSettings, map: ShardMap) -> Result<LeaseClient, ShardMapError> {
-        map.check()?;
+        map.validate()?;
         map.region(&settings.region)?;
         Ok(LeaseClient {
+            maps: ShardMapSchedule::new(map, settings.injected_fault),
             settings,
-            map,
-            next_map: None,
             links: BTreeMap::new(),
             next_ticket: 1,
             outputs: vec![],
@@ -243,7 +241,7 @@
 
     /// The connection that [`Output::Connect`] asked for is up.
     pub fn connected(&mut self, now: f64, shard: ShardId) {
-        let epoch = self.map.epoch;
+        let epoch = self.maps.active().epoch;
         let Some(link) = self.links.get_mut(&shard) else { return };
         if !matches!(link.state, LinkState::Connecting { .. }) {
             return;
@@ -309,22 +307,18 @@
 
     /// A newer map; it is used from its `active_at` on.
     pub fn change_map(&mut self, now: f64, map: ShardMap) -> Result<(), ShardMapError> {
-        map.check()?;
+        map.validate()?;
         map.region(&self.settings.region)?;
-        let current = self.next_map.as_ref().unwrap_or(&self.map).epoch;
-        if map.epoch <= current {
-            return Err(ShardMapError::StaleEpoch { current, found: map.epoch });
-        }
-        self.next_map = Some(map);
+        self.maps.check_newer(&map)?;
+        self.maps.schedule(map);
         self.tick(now);
         Ok(())
     }
 
     /// Does what has come due.
     pub fn tick(&mut self, now: f64) {
-        let at_once = self.settings.injected_fault == Some(InjectedFault::ActivateMapImmediately);
-        if self.next_map.as_ref().is_some_and(|map| at_once || map.active_at <= now) {
-            self.activate_map(now);
+        if let Some(former) = self.maps.activate_due(now) {
+            self.follow_map(now, &former);
         }
         let shards: Vec<ShardId> = self.links.keys().copied().collect();
         for shard in shards {
@@ -334,7 +328,7 @@
 
     /// When [`LeaseClient::tick`] has something to do next, Unix time.
     pub fn due(&self) -> Option<f64> {
-        let map = self.next_map.iter().map(|map| map.active_at);
+        let map = self.maps.next_activation().into_iter();
         map.chain(self.links.values().filter_map(|link| link.due(&self.settings))).reduce(f64::min)
     }
 
@@ -345,25 +339,23 @@
 
     /// Epoch of the map in force.
     pub fn epoch(&self) -> u32 {
-        self.map.epoch
+        self.maps.active().epoch
     }
 
     fn owner(&self, tenant: TenantId) -> ShardId {
-        self.map.region(&self.settings.region).expect("checked with the map").owner(tenant)
+        self.maps.active().region(&self.settings.region).expect("checked with the map").owner(tenant)
     }
 
     /// Entries that wait go to the owners under the new map; a batch in flight stays with its shard.
-    fn activate_map(&mut self, now: f64) {
-        let Some(map) = self.next_map.take() else { return };
+    fn follow_map(&mut self, now: f64, former: &ShardMap) {
+        let map = self.maps.active();
         for (shard, link) in &mut self.links {
             // A shard at another address is another process.
-            if self.map.shard_address(*shard) != map.shard_address(*shard)
-                && link.state != LinkState::Connected
+            if former.shard_address(*shard) != map.shard_address(*shard) && link.state != LinkState::Connected
             {
                 link.state = LinkState::Closed { retry_at: now, failed: false };
             }
         }
-        self.map = map;
         let waiting: Vec<(TenantId, Pending)> =
             self.links.values_mut().flat_map(|link| std::mem::take(&mut link.waiting)).collect();
         for (tenant, pending) in waiting {
@@ -448,7 +440,7 @@
         link.end_overdue(now, &mut self.outputs);
         match link.state {
             LinkState::Closed { retry_at, failed } if retry_at <= now && (failed || link.has_work()) => {
-                let Some(address) = self.map.shard_address(shard) else {
+                let Some(address) = self.maps.active().shard_address(shard) else {
                     link.drop_all(&mut self.outputs);
                     link.state = LinkState::Closed { retry_at: now, failed: false };
                     return;
--- a/lease/src/shard.rs
+++ b/lease/src/shard.rs
@@ -1,7 +1,7 @@
 //! A shard: keeps the buckets of the tenants that it owns and answers batches, each once.
 use crate::fault_injection::InjectedFault;
 use crate::regional_quota::{floor_ppm, RegionalQuota};
-use crate::shard_map::{PlanId, Region, ShardId, ShardMap, ShardMapError, TenantId};
+use crate::shard_map::{PlanId, Region, ShardId, ShardMap, ShardMapError, ShardMapSchedule, TenantId};
 use crate::token_bucket::TokenBucket;
 use crate::wire::{
     encode, BatchEntry, EntryResponse, Frame, FrameDecoder, PeerIdentity, PeerMessage, HUNDREDTHS_PER_UNIT,
@@ -97,8 +97,7 @@
 #[derive(Debug)]
 pub struct Shard {
     settings: ShardSettings,
-    map: ShardMap,
-    next_map: Option<ShardMap>,
+    maps: ShardMapSchedule,
     former_maps: Vec<FormerMap>,
     /// Buckets that are not known here count as empty then.
     empty_at: f64,
@@ -124,9 +123,8 @@
         let at_once = settings.injected_fault == Some(InjectedFault::ActivateMapImmediately);
         let empty_at = if at_once { now } else { now.max(map.active_at) };
         Ok(Shard {
+            maps: ShardMapSchedule::new(map, settings.injected_fault),
             settings,
-            map,
-            next_map: None,
             former_maps: vec![],
             empty_at,
             connections: BTreeMap::new(),
@@ -166,21 +164,17 @@
 
     /// A newer map; it is used from its `active_at` on.
     pub fn change_map(&mut self, now: f64, map: ShardMap) -> Result<(), ShardMapError> {
-        let current = self.next_map.as_ref().unwrap_or(&self.map).epoch;
-        if map.epoch <= current {
-            return Err(ShardMapError::StaleEpoch { current, found: map.epoch });
-        }
-        map.check()?;
-        self.next_map = Some(map);
+        self.maps.check_newer(&map)?;
+        map.validate()?;
+        self.maps.schedule(map);
         self.tick(now);
         Ok(())
     }
 
     /// Does what has come due.
     pub fn tick(&mut self, now: f64) {
-        let at_once = self.settings.injected_fault == Some(InjectedFault::ActivateMapImmediately);
-        if self.next_map.as_ref().is_some_and(|map| at_once || map.active_at <= now) {
-            self.activate_map(now);
+        if let Some(former) = self.maps.activate_due(now) {
+            self.follow_map(now, former);
         }
         if now >= self.next_peer_round {
             self.next_peer_round = now + PEER_INTERVAL;
@@ -194,7 +188,7 @@
 
     /// When [`Shard::tick`] has something to do next, Unix time.
     pub fn due(&self) -> f64 {
-        let map = self.next_map.iter().map(|map| map.active_at);
+        let map = self.maps.next_activation().into_iter();
         let peers = (!self.waiting.is_empty()).then_some(self.next_peer_round);
         map.chain(peers).fold(self.next_sweep, f64::min)
     }
@@ -202,7 +196,7 @@
     /// What the caller has to do, in order.
     pub fn poll_outputs(&mut self) -> Vec<ShardOutput> {
         let from = self.identity();
-        let epoch = self.map.epoch;
+        let epoch = self.maps.active().epoch;
         for (shard, messages) in std::mem::take(&mut self.peer_messages) {
             for messages in messages.chunks(MAX_PEER_MESSAGES) {
                 let bytes = encode(&Frame::Peer { from, epoch, messages: messages.to_vec() });
@@ -214,7 +208,7 @@
 
     /// Epoch of the map in force.
     pub fn epoch(&self) -> u32 {
-        self.map.epoch
+        self.maps.active().epoch
     }
 
     /// The share of a tenant's quota that may be used here, parts per million; none: nothing is known of the tenant.
@@ -239,7 +233,7 @@
             }
             Frame::Batch { sequence, entries } => self.batch(now, connection, sequence, &entries),
             Frame::Peer { from, epoch, messages } => {
-                if epoch == self.map.epoch {
+                if epoch == self.maps.active().epoch {
                     for message in messages {
                         self.peer_message(now, from, message);
                     }
@@ -306,8 +300,8 @@
     }
 
     fn apply(&mut self, now: f64, entry: &BatchEntry) -> EntryResponse {
-        if !self.owns(&self.map, entry.tenant) {
-            return EntryResponse::Moved { epoch: self.map.epoch };
+        if !self.owns(self.maps.active(), entry.tenant) {
+            return EntryResponse::Moved { epoch: self.maps.active().epoch };
         }
         if !self.open_account(now, entry.tenant, entry.plan) {
             return EntryResponse::UnknownPlan;
@@ -333,7 +327,7 @@
     fn ask_other_region(&mut self, now: f64, tenant: TenantId) {
         let Some(peer) = self.peer_of(tenant) else { return };
         let Some(account) = self.accounts.get_mut(&tenant) else { return };
-        let Some(plan) = self.map.plan(account.plan) else { return };
+        let Some(plan) = self.maps.active().plan(account.plan) else { return };
         if account.regional_quota.should_request_transfer(plan, now) {
             self.peer_messages.entry(peer).or_default().push(PeerMessage::RequestTransfer { tenant });
         }
@@ -349,12 +343,12 @@
 
     /// The tenant's owner in the other region.
     fn peer_of(&self, tenant: TenantId) -> Option<ShardId> {
-        self.map.peer_region(&self.settings.region).map(|region| region.owner(tenant))
+        self.maps.active().peer_region(&self.settings.region).map(|region| region.owner(tenant))
     }
 
     /// Makes sure that there is an account of that plan; false: the map has no such plan.
     fn open_account(&mut self, now: f64, tenant: TenantId, plan_id: PlanId) -> bool {
-        let Some(plan) = self.map.plan(plan_id) else { return false };
+        let Some(plan) = self.maps.active().plan(plan_id) else { return false };
         if let Some(account) = self.accounts.get_mut(&tenant) {
             if account.plan != plan_id {
                 account.plan = plan_id;
@@ -362,8 +356,8 @@
             }
             return true;
         }
-        let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
-        let regional_quota = match self.map.peer_region(&self.settings.region) {
+        let configured = self.own_region(self.maps.active()).map_or(0, Region::quota_fraction_ppm);
+        let regional_quota = match self.maps.active().peer_region(&self.settings.region) {
             None => RegionalQuota::fixed(configured, now),
             Some(_) => {
                 let least = self.least_share(configured);
@@ -399,31 +393,24 @@
         elsewhere.map(|former| former.ended_at).fold(self.empty_at, f64::max)
     }
 
-    fn activate_map(&mut self, now: f64) {
-        let Some(map) = self.next_map.take() else { return };
-        let former = std::mem::replace(&mut self.map, map);
+    fn follow_map(&mut self, now: f64, former: ShardMap) {
         self.former_maps.push(FormerMap { map: former, ended_at: now });
         let former = &self.former_maps[self.former_maps.len() - 1].map;
         let region = self.settings.region.as_str();
-        let shares_changed = former
-            .regions
-            .iter()
-            .map(|r| (&r.name, r.quota_fraction_ppm()))
-            .collect::<BTreeMap<_, _>>()
-            != self.map.regions.iter().map(|r| (&r.name, r.quota_fraction_ppm())).collect::<BTreeMap<_, _>>();
+        let shares_changed = former.quota_fractions_ppm() != self.maps.active().quota_fractions_ppm();
         let mut accounts = std::mem::take(&mut self.accounts);
         accounts.retain(|tenant, account| {
             let peer = |map: &ShardMap| map.peer_region(region).map(|r| r.owner(*tenant));
-            if peer(former) != peer(&self.map) {
+            if peer(former) != peer(self.maps.active()) {
                 account.regional_quota.forget_peer();
             }
-            self.owns(&self.map, *tenant) && self.map.plan(account.plan).is_some()
+            self.owns(self.maps.active(), *tenant) && self.maps.active().plan(account.plan).is_some()
         });
         if shares_changed {
-            let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
+            let configured = self.own_region(self.maps.active()).map_or(0, Region::quota_fraction_ppm);
             let least = self.least_share(configured);
             for account in accounts.values_mut() {
-                account.regional_quota = match self.map.peer_region(region) {
+                account.regional_quota = match self.maps.active().peer_region(region) {
                     None => RegionalQuota::fixed(configured, now),
                     Some(_) => {
                         RegionalQuota::unreconciled(least, configured, now, self.settings.injected_fault)
@@ -432,7 +419,7 @@
             }
         }
         for account in accounts.values_mut() {
-            if let Some(plan) = self.map.plan(account.plan) {
+            if let Some(plan) = self.maps.active().plan(account.plan) {
                 account.bucket.reconfigure(plan, account.regional_quota.fraction_ppm(), now);
             }
         }
@@ -453,7 +440,7 @@
             | PeerMessage::Transfer { tenant, .. }
             | PeerMessage::Acknowledge { tenant, .. } => tenant,
         };
-        if self.peer_of(tenant) != Some(from.shard) || !self.owns(&self.map, tenant) {
+        if self.peer_of(tenant) != Some(from.shard) || !self.owns(self.maps.active(), tenant) {
             return;
         }
         if let PeerMessage::Reconcile { plan, .. } | PeerMessage::Transfer { plan, .. } = message {
@@ -461,9 +448,9 @@
                 return;
             }
         }
-        let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
+        let configured = self.own_region(self.maps.active()).map_or(0, Region::quota_fraction_ppm);
         let Some(account) = self.accounts.get_mut(&tenant) else { return };
-        let Some(plan) = self.map.plan(account.plan) else { return };
+        let Some(plan) = self.maps.active().plan(account.plan) else { return };
         if account.regional_quota.has_newer_peer(from) {
             return;
         }
@@ -540,10 +527,10 @@
     /// Forgets front doors that are gone, and buckets that are full again and hold their configured share.
     fn sweep(&mut self, now: f64) {
         self.sessions.retain(|_, session| now - session.heard_at < SESSION_LIFE);
-        let refill = self.map.longest_refill_time();
+        let refill = self.maps.active().longest_refill_time();
         self.former_maps.retain(|former| now - former.ended_at < refill.max(BUCKET_LIFE));
-        let configured = self.own_region(&self.map).map_or(0, Region::quota_fraction_ppm);
-        let alone = self.map.peer_region(&self.settings.region).is_none();
+        let configured = self.own_region(self.maps.active()).map_or(0, Region::quota_fraction_ppm);
+        let alone = self.maps.active().peer_region(&self.settings.region).is_none();
         let life = if alone { 0.0 } else { BUCKET_LIFE };
         self.accounts.retain(|_, account| {
             let is_full = account.bucket.balance(now) >= account.bucket.capacity();
@@ -554,7 +541,7 @@
 }
 
 fn check(settings: &ShardSettings, map: &ShardMap) -> Result<(), ShardMapError> {
-    map.check()?;
+    map.validate()?;
     let region = map.region(&settings.region)?;
     if region.shards.iter().any(|shard| shard.id == settings.id) {
         return Ok(());
