--- a/lease/examples/cost.rs
+++ b/lease/examples/cost.rs
@@ -4,7 +4,9 @@
 //!
 //! Prints a CSV; without arguments all rows. Bytes on the wire count 40 for the header of each segment (IPv4 and TCP
 //! without options) that carries data, and one bare acknowledgement for each reply.
-use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
+use quillramp_lease::client::{
+    ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
+};
 use quillramp_lease::shard::{Shard, ShardOutput, ShardSettings};
 use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId};
 use quillramp_lease::wire::{encode, BatchEntry, Frame, FrameDecoder, PROTOCOL_VERSION};
@@ -80,7 +82,7 @@
     told_at: f64,
     rate: f64,
     seen_at: f64,
-    question: Option<Ticket>,
+    question: Option<RequestId>,
     credit_out: usize,
     waiting: usize,
 }
@@ -101,7 +103,7 @@
     accounts: Vec<Account>,
     weights: Vec<f64>,
     region: Region,
-    tickets: BTreeMap<Ticket, usize>,
+    pending_requests: BTreeMap<RequestId, usize>,
     counts: Counts,
     counting: bool,
 }
@@ -146,8 +148,8 @@
         let weights = weights(row.spread);
         let map = map(&weights);
         let mut settings = ClientSettings::new(1, 1, "north");
-        settings.report_interval = row.report_interval;
-        settings.gather_interval = row.gather_interval;
+        settings.report_delay = row.report_interval;
+        settings.batch_delay = row.gather_interval;
         let shard = |id: &ShardId| {
             let settings =
                 ShardSettings { id: *id, region: "north".into(), incarnation: 1, injected_fault: None };
@@ -161,7 +163,7 @@
             accounts: vec![Account::default(); TENANTS],
             weights,
             region: map.regions[0].clone(),
-            tickets: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             counts: Counts::default(),
             counting: false,
             row,
@@ -186,13 +188,13 @@
         while now < begin + WARM_UP + DURATION {
             self.counting = now >= begin + WARM_UP;
             let delivery = self.network.front().map_or(f64::INFINITY, |delivery| delivery.at);
-            let timer = self.client.due().unwrap_or(f64::INFINITY);
+            let timer = self.client.poll_timeout().unwrap_or(f64::INFINITY);
             now = next_request.min(next_background).min(delivery).min(timer).max(now);
             if delivery <= now {
                 let delivery = self.network.pop_front().expect("just seen");
                 self.deliver(now, delivery);
             } else if timer <= now {
-                self.client.tick(now);
+                self.client.handle_timeout(now);
             } else if next_request <= now {
                 next_request += self.pause(REQUEST_RATE);
                 self.arrive(now);
@@ -267,30 +269,30 @@
         };
         if on_credit && account.credit_out < CREDIT_LIMIT.max((burst * CREDIT_LIMIT_PART) as usize) {
             account.credit_out += 1;
-            let request = Request {
+            let request = LeaseRequest {
                 tenant: tenant_id(index),
                 plan: index as u16,
-                want: 0.0,
-                spent: 1.0,
+                requested_units: 0.0,
+                spent_units: 1.0,
                 deadline: now + 5.0,
             };
-            let ticket = self.client.request(now, request);
-            self.tickets.insert(ticket, index);
+            let request_id = self.client.submit(now, request);
+            self.pending_requests.insert(request_id, index);
             return self.count(|counts| counts.credit += 1);
         }
         account.waiting += 1;
         if account.question.is_none() {
             let want = (account.rate * LEASE_HORIZON).floor().max(1.0);
-            let request = Request {
+            let request = LeaseRequest {
                 tenant: tenant_id(index),
                 plan: index as u16,
-                want,
-                spent: 0.0,
+                requested_units: want,
+                spent_units: 0.0,
                 deadline: now + 1.0,
             };
-            let ticket = self.client.request(now, request);
-            self.accounts[index].question = Some(ticket);
-            self.tickets.insert(ticket, index);
+            let request_id = self.client.submit(now, request);
+            self.accounts[index].question = Some(request_id);
+            self.pending_requests.insert(request_id, index);
         }
     }
 
@@ -303,10 +305,10 @@
     fn handle_outputs(&mut self, now: f64) {
         for output in self.client.poll_outputs() {
             match output {
-                Output::Connect { shard, .. } => self.client.connected(now, shard),
-                Output::Send { shard, bytes } => self.send(now, shard, bytes),
-                Output::Reply { ticket, outcome } => self.replied(now, ticket, &outcome),
-                Output::Close { .. } => panic!("nothing fails here"),
+                ClientOutput::Connect { shard, .. } => self.client.handle_connected(now, shard),
+                ClientOutput::Send { shard, bytes } => self.send(now, shard, bytes),
+                ClientOutput::Completed { request_id, outcome } => self.replied(now, request_id, &outcome),
+                ClientOutput::Close { .. } => panic!("nothing fails here"),
             }
         }
     }
@@ -353,14 +355,16 @@
         }
     }
 
-    fn replied(&mut self, now: f64, ticket: Ticket, outcome: &Outcome) {
-        let index = self.tickets.remove(&ticket).expect("each ticket ends once");
-        let Outcome::Granted { units, room } = outcome else { panic!("nothing fails here: {outcome:?}") };
+    fn replied(&mut self, now: f64, request_id: RequestId, outcome: &LeaseOutcome) {
+        let index = self.pending_requests.remove(&request_id).expect("each request ends once");
+        let LeaseOutcome::Granted { units, available_units } = outcome else {
+            panic!("nothing fails here: {outcome:?}")
+        };
         let account = &mut self.accounts[index];
-        account.room = *room;
+        account.room = *available_units;
         account.told_at = now;
         account.held += units;
-        if account.question != Some(ticket) {
+        if account.question != Some(request_id) {
             account.credit_out -= 1;
             return;
         }
--- /dev/null
+++ b/lease/src/client/batch.rs
@@ -0,0 +1,46 @@
+//! The batch in flight to a shard.
+use super::pending::{PendingEntry, PendingRequest};
+use super::types::{ClientOutput, LeaseOutcome};
+use crate::wire::{encode, Frame};
+
+/// A batch that has not been answered. It is kept with its bytes, so that it can be retransmitted unchanged.
+#[derive(Debug)]
+pub(super) struct InFlightBatch {
+    pub(super) sequence: u32,
+    /// The encoded frame.
+    pub(super) bytes: Vec<u8>,
+    pub(super) entries: Vec<PendingEntry>,
+    /// Unix time in seconds of the last transmission; `None` while there is no connection.
+    pub(super) sent_at: Option<f64>,
+    /// The last deadline of its requests: Unix time, seconds.
+    pub(super) deadline: f64,
+}
+
+impl InFlightBatch {
+    /// Encodes a batch that is sent now.
+    pub(super) fn new(now: f64, sequence: u32, entries: Vec<PendingEntry>) -> InFlightBatch {
+        let frame = Frame::Batch { sequence, entries: entries.iter().map(PendingEntry::to_wire).collect() };
+        let bytes = encode(&frame);
+        let deadlines = entries.iter().flat_map(|entry| &entry.requests).map(|request| request.deadline);
+        let deadline = deadlines.fold(now, f64::max);
+        InFlightBatch { sequence, bytes, entries, sent_at: Some(now), deadline }
+    }
+
+    pub(super) fn requests(&self) -> impl Iterator<Item = &PendingRequest> {
+        self.entries.iter().flat_map(|entry| &entry.requests)
+    }
+
+    /// Ends the requests whose deadline has passed; they may have been applied.
+    pub(super) fn expire_requests(&mut self, now: f64, outputs: &mut Vec<ClientOutput>) {
+        for request in self.entries.iter_mut().flat_map(|entry| &mut entry.requests) {
+            if request.deadline <= now {
+                request.complete(LeaseOutcome::Unconfirmed, outputs);
+            }
+        }
+    }
+
+    /// Whether nobody awaits its response and it cannot be retransmitted.
+    pub(super) fn is_abandoned(&self, now: f64) -> bool {
+        self.deadline <= now && self.sent_at.is_none()
+    }
+}
--- /dev/null
+++ b/lease/src/client/pending.rs
@@ -0,0 +1,71 @@
+//! Requests between their submission and their completion.
+use super::types::{ClientOutput, LeaseOutcome, RequestId};
+use crate::shard_map::{PlanId, TenantId};
+use crate::wire::{units_to_hundredths, BatchEntry};
+
+/// A request that is queued or in flight.
+#[derive(Clone, Debug)]
+pub(super) struct PendingRequest {
+    /// `None`: nobody awaits an outcome, since the caller has it already or the client made the request by itself.
+    pub(super) id: Option<RequestId>,
+    pub(super) requested_units: f64,
+    pub(super) spent_units: f64,
+    /// Unix time, seconds.
+    pub(super) deadline: f64,
+}
+
+impl PendingRequest {
+    pub(super) fn is_awaited(&self) -> bool {
+        self.id.is_some()
+    }
+
+    /// Whether it requests units, rather than only reports.
+    pub(super) fn is_urgent(&self) -> bool {
+        self.requested_units > 0.0
+    }
+
+    /// Reports the outcome, once.
+    pub(super) fn complete(&mut self, outcome: LeaseOutcome, outputs: &mut Vec<ClientOutput>) {
+        if let Some(request_id) = self.id.take() {
+            outputs.push(ClientOutput::Completed { request_id, outcome });
+        }
+    }
+}
+
+/// Requests of one tenant that are sent as one entry of a batch.
+#[derive(Clone, Debug)]
+pub(super) struct PendingEntry {
+    pub(super) tenant: TenantId,
+    pub(super) plan: PlanId,
+    pub(super) requests: Vec<PendingRequest>,
+    /// Unix time in seconds from which the entry makes a batch be sent.
+    pub(super) send_at: f64,
+}
+
+impl PendingEntry {
+    /// Adds the requests of another entry of the same tenant.
+    pub(super) fn merge(&mut self, other: PendingEntry) {
+        self.plan = other.plan;
+        self.send_at = self.send_at.min(other.send_at);
+        self.requests.extend(other.requests);
+    }
+
+    pub(super) fn complete_all(&mut self, outcome: &LeaseOutcome, outputs: &mut Vec<ClientOutput>) {
+        for request in &mut self.requests {
+            request.complete(outcome.clone(), outputs);
+        }
+    }
+
+    /// The entry on the wire. Reports count even if nobody awaits them; units are requested only for who does.
+    pub(super) fn to_wire(&self) -> BatchEntry {
+        let spent_units: f64 = self.requests.iter().map(|request| request.spent_units).sum();
+        let awaited = self.requests.iter().filter(|request| request.is_awaited());
+        let requested_units: f64 = awaited.map(|request| request.requested_units).sum();
+        BatchEntry {
+            tenant: self.tenant,
+            plan: self.plan,
+            spent_hundredths: units_to_hundredths(spent_units),
+            requested_hundredths: u32::try_from(units_to_hundredths(requested_units)).unwrap_or(0),
+        }
+    }
+}
--- a/lease/src/lib.rs
+++ b/lease/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod client;
 #[doc(hidden)]
 pub mod fault_injection;
+mod protocol_violation;
 pub mod regional_quota;
 pub mod shard;
 pub mod shard_map;
--- a/lease/tests/simulation/door.rs
+++ b/lease/tests/simulation/door.rs
@@ -1,5 +1,7 @@
 //! A plain front door: spends leases, spends on credit where the last answer told of plenty of room, asks otherwise.
-use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
+use quillramp_lease::client::{
+    ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
+};
 use quillramp_lease::shard_map::{ShardMap, TenantId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -30,7 +32,7 @@
     room: u32,
     /// Reported and not answered, or not reported yet.
     credit_out: f64,
-    question: Option<Ticket>,
+    question: Option<RequestId>,
     waiting: VecDeque<f64>,
 }
 
@@ -43,7 +45,7 @@
 pub struct Door {
     pub client: LeaseClient,
     accounts: BTreeMap<TenantId, Account>,
-    tickets: BTreeMap<Ticket, (TenantId, Asked)>,
+    pending_requests: BTreeMap<RequestId, (TenantId, Asked)>,
     pub results: Vec<RequestResult>,
     pub credit_lost: f64,
     pub timer: Option<f64>,
@@ -55,7 +57,7 @@
         Door {
             client,
             accounts: BTreeMap::new(),
-            tickets: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             results: vec![],
             credit_lost: 0.0,
             timer: None,
@@ -82,20 +84,27 @@
         if account.question.is_some() || account.waiting.is_empty() {
             return;
         }
-        let request = Request { tenant, plan: 0, want: LEASE, spent: 0.0, deadline: now + PATIENCE };
-        let ticket = self.client.request(now, request);
-        account.question = Some(ticket);
-        self.tickets.insert(ticket, (tenant, Asked::Units));
+        let request = LeaseRequest {
+            tenant,
+            plan: 0,
+            requested_units: LEASE,
+            spent_units: 0.0,
+            deadline: now + PATIENCE,
+        };
+        let request_id = self.client.submit(now, request);
+        account.question = Some(request_id);
+        self.pending_requests.insert(request_id, (tenant, Asked::Units));
     }
 
     fn report(&mut self, now: f64, tenant: TenantId, units: f64) {
-        let request = Request { tenant, plan: 0, want: 0.0, spent: units, deadline: now + 2.0 };
-        let ticket = self.client.request(now, request);
-        self.tickets.insert(ticket, (tenant, Asked::Report(units)));
+        let request =
+            LeaseRequest { tenant, plan: 0, requested_units: 0.0, spent_units: units, deadline: now + 2.0 };
+        let request_id = self.client.submit(now, request);
+        self.pending_requests.insert(request_id, (tenant, Asked::Report(units)));
     }
 
     pub fn tick(&mut self, now: f64) {
-        self.client.tick(now);
+        self.client.handle_timeout(now);
         let tenants: Vec<TenantId> = self.accounts.keys().copied().collect();
         for tenant in tenants {
             self.give_back_old_lease(now, tenant);
@@ -113,13 +122,14 @@
             return;
         }
         let units = std::mem::take(&mut account.held);
-        let request = Request { tenant, plan: 0, want: 0.0, spent: -units, deadline: now + 2.0 };
-        let ticket = self.client.request(now, request);
-        self.tickets.insert(ticket, (tenant, Asked::Return));
+        let request =
+            LeaseRequest { tenant, plan: 0, requested_units: 0.0, spent_units: -units, deadline: now + 2.0 };
+        let request_id = self.client.submit(now, request);
+        self.pending_requests.insert(request_id, (tenant, Asked::Return));
     }
 
     /// Takes the client's replies; the outputs for the network are handed on.
-    pub fn drain(&mut self, now: f64) -> Vec<Output> {
+    pub fn drain(&mut self, now: f64) -> Vec<ClientOutput> {
         let mut rest = vec![];
         loop {
             let outputs = self.client.poll_outputs();
@@ -128,18 +138,20 @@
             }
             for output in outputs {
                 match output {
-                    Output::Reply { ticket, outcome } => self.replied(now, ticket, &outcome),
+                    ClientOutput::Completed { request_id, outcome } => {
+                        self.replied(now, request_id, &outcome)
+                    }
                     other => rest.push(other),
                 }
             }
         }
     }
 
-    fn replied(&mut self, now: f64, ticket: Ticket, outcome: &Outcome) {
-        let (tenant, asked) = self.tickets.remove(&ticket).expect("each ticket ends once");
+    fn replied(&mut self, now: f64, request_id: RequestId, outcome: &LeaseOutcome) {
+        let (tenant, asked) = self.pending_requests.remove(&request_id).expect("each request ends once");
         let account = self.accounts.get_mut(&tenant).expect("known");
-        if let Outcome::Granted { room, .. } = outcome {
-            account.room = *room;
+        if let LeaseOutcome::Granted { available_units, .. } = outcome {
+            account.room = *available_units;
         } else {
             account.room = 0;
         }
@@ -149,9 +161,9 @@
                 self.units_came(now, tenant, outcome);
             }
             Asked::Report(units) => match outcome {
-                Outcome::Granted { .. } => account.credit_out -= units,
-                Outcome::Unreached => self.report(now, tenant, units),
-                Outcome::Unanswered => {
+                LeaseOutcome::Granted { .. } => account.credit_out -= units,
+                LeaseOutcome::NotApplied => self.report(now, tenant, units),
+                LeaseOutcome::Unconfirmed => {
                     account.credit_out -= units;
                     self.credit_lost += units;
                 }
@@ -160,9 +172,9 @@
         }
     }
 
-    fn units_came(&mut self, now: f64, tenant: TenantId, outcome: &Outcome) {
+    fn units_came(&mut self, now: f64, tenant: TenantId, outcome: &LeaseOutcome) {
         let account = self.accounts.get_mut(&tenant).expect("known");
-        let units = if let Outcome::Granted { units, .. } = outcome { *units } else { 0.0 };
+        let units = if let LeaseOutcome::Granted { units, .. } = outcome { *units } else { 0.0 };
         account.held += units;
         account.held_since = now;
         let mut spent = false;
@@ -183,7 +195,7 @@
     pub fn due(&self) -> Option<f64> {
         let leases = self.accounts.values().filter(|a| a.held > 0.0).map(|a| a.held_since + LEASE_LIFE);
         let waiting = self.accounts.values().filter_map(|a| a.waiting.front().copied());
-        leases.chain(waiting).chain(self.client.due()).reduce(f64::min)
+        leases.chain(waiting).chain(self.client.poll_timeout()).reduce(f64::min)
     }
 
     pub fn held(&self) -> f64 {
--- a/lease/tests/simulation/mod.rs
+++ b/lease/tests/simulation/mod.rs
@@ -382,9 +382,9 @@
         }
     }
 
-    fn door_output(&mut self, door: DoorId, output: client::Output) {
+    fn door_output(&mut self, door: DoorId, output: client::ClientOutput) {
         match output {
-            client::Output::Connect { shard, .. } => {
+            client::ClientOutput::Connect { shard, .. } => {
                 let connection = self.next_connection;
                 self.next_connection += 1;
                 let up = self.shards.contains_key(&shard);
@@ -393,14 +393,14 @@
                     self.schedule(at, Event::Opened { door, shard, connection, up });
                 }
             }
-            client::Output::Send { shard, bytes } => {
+            client::ClientOutput::Send { shard, bytes } => {
                 let Some(connection) = self.connection_of(door, shard) else { return };
                 for piece in self.pieces(bytes) {
                     let at = self.in_order(connection, 0);
                     self.schedule(at, Event::ToShard { connection, bytes: piece });
                 }
             }
-            client::Output::Close { shard } => {
+            client::ClientOutput::Close { shard } => {
                 if let Some(connection) = self.connection_of(door, shard) {
                     self.connections.remove(&connection);
                     if let Some(shard) = self.shards.get_mut(&shard) {
@@ -408,7 +408,7 @@
                     }
                 }
             }
-            client::Output::Reply { .. } => {}
+            client::ClientOutput::Completed { .. } => {}
         }
     }
 
@@ -443,9 +443,9 @@
         }
         if up && self.shards.contains_key(&shard) {
             self.connections.insert(connection, OpenConnection { door, shard, last_delivery: [0.0; 2] });
-            self.with_door(door, |door, now| door.client.connected(now, shard));
+            self.with_door(door, |door, now| door.client.handle_connected(now, shard));
         } else {
-            self.with_door(door, |door, now| door.client.disconnected(now, shard));
+            self.with_door(door, |door, now| door.client.handle_disconnected(now, shard));
         }
     }
 
@@ -476,7 +476,7 @@
         if let Some(shard) = self.shards.get_mut(&open.shard) {
             shard.disconnected(connection);
         }
-        self.with_door(open.door, |door, now| door.client.disconnected(now, open.shard));
+        self.with_door(open.door, |door, now| door.client.handle_disconnected(now, open.shard));
     }
 
     fn peer_frame(&mut self, to: ShardId, bytes: &[u8]) {
@@ -578,7 +578,7 @@
                 }
             }
             Failure::TellDoor { door, map } => {
-                self.with_door(door, |door, now| door.client.change_map(now, map).expect("a newer map"));
+                self.with_door(door, |door, now| door.client.update_map(now, map).expect("a newer map"));
             }
             Failure::Window(begins) => {
                 if begins {
--- a/lease/tests/sockets.rs
+++ b/lease/tests/sockets.rs
@@ -1,7 +1,9 @@
 //! Real processes on loopback: grants, a shard killed and replaced, a front door that sends again, maps read again.
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use quillramp_lease::client::{ClientSettings, LeaseClient, Outcome, Output, Request, Ticket};
+use quillramp_lease::client::{
+    ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
+};
 use quillramp_lease::shard_map::ShardMap;
 use quillramp_lease::wire::{encode, BatchEntry, EntryResponse, Frame, FrameDecoder, PROTOCOL_VERSION};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -90,38 +92,40 @@
         1000.0 + self.started.elapsed().as_secs_f64()
     }
 
-    fn ask(&mut self, want: f64) -> Outcome {
+    fn ask(&mut self, want: f64) -> LeaseOutcome {
         let deadline = self.now() + 5.0;
-        let request = Request { tenant: 9, plan: 0, want, spent: 0.0, deadline };
-        let ticket = self.client.request(self.now(), request);
+        let request = LeaseRequest { tenant: 9, plan: 0, requested_units: want, spent_units: 0.0, deadline };
+        let request_id = self.client.submit(self.now(), request);
         let until = Instant::now() + PATIENCE;
         while Instant::now() < until {
-            if let Some(outcome) = self.step(ticket) {
+            if let Some(outcome) = self.step(request_id) {
                 return outcome;
             }
         }
         panic!("no reply");
     }
 
-    fn step(&mut self, ticket: Ticket) -> Option<Outcome> {
+    fn step(&mut self, request_id: RequestId) -> Option<LeaseOutcome> {
         let mut outcome = None;
         for output in self.client.poll_outputs() {
             match output {
-                Output::Connect { shard, address } => self.connect(shard, address),
-                Output::Send { shard, bytes } => {
+                ClientOutput::Connect { shard, address } => self.connect(shard, address),
+                ClientOutput::Send { shard, bytes } => {
                     let sent = self.stream.as_mut().is_some_and(|stream| stream.write_all(&bytes).is_ok());
                     if !sent {
                         self.lose(shard);
                     }
                 }
-                Output::Close { .. } => self.stream = None,
-                Output::Reply { ticket: ended, outcome: how } if ended == ticket => outcome = Some(how),
-                Output::Reply { .. } => {}
+                ClientOutput::Close { .. } => self.stream = None,
+                ClientOutput::Completed { request_id: ended, outcome: how } if ended == request_id => {
+                    outcome = Some(how)
+                }
+                ClientOutput::Completed { .. } => {}
             }
         }
         if outcome.is_none() {
             self.read();
-            self.client.tick(self.now());
+            self.client.handle_timeout(self.now());
         }
         outcome
     }
@@ -131,15 +135,15 @@
             Ok(stream) => {
                 stream.set_read_timeout(Some(Duration::from_millis(5))).expect("a socket");
                 self.stream = Some(stream);
-                self.client.connected(self.now(), shard);
+                self.client.handle_connected(self.now(), shard);
             }
-            Err(_) => self.client.disconnected(self.now(), shard),
+            Err(_) => self.client.handle_disconnected(self.now(), shard),
         }
     }
 
     fn lose(&mut self, shard: u16) {
         self.stream = None;
-        self.client.disconnected(self.now(), shard);
+        self.client.handle_disconnected(self.now(), shard);
     }
 
     fn read(&mut self) {
@@ -157,9 +161,9 @@
     }
 }
 
-fn granted(outcome: &Outcome) -> f64 {
+fn granted(outcome: &LeaseOutcome) -> f64 {
     match outcome {
-        Outcome::Granted { units, .. } => *units,
+        LeaseOutcome::Granted { units, .. } => *units,
         other => panic!("{other:?}"),
     }
 }
@@ -194,10 +198,13 @@
     drop(shard);
     // The first one may still be sent on the old connection, or wait for the new one to fail.
     let outcomes = [front_door.ask(1.0), front_door.ask(1.0)];
-    assert!(outcomes.iter().all(|o| matches!(o, Outcome::Unreached | Outcome::Unanswered)), "{outcomes:?}");
+    assert!(
+        outcomes.iter().all(|o| matches!(o, LeaseOutcome::NotApplied | LeaseOutcome::Unconfirmed)),
+        "{outcomes:?}"
+    );
     let _shard = Shard::start(address, &map);
     let until = Instant::now() + PATIENCE;
-    while !matches!(front_door.ask(1.0), Outcome::Granted { units, .. } if units > 0.0) {
+    while !matches!(front_door.ask(1.0), LeaseOutcome::Granted { units, .. } if units > 0.0) {
         assert!(Instant::now() < until, "never granted again");
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -254,7 +261,7 @@
     stream.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("it reads");
     stream.shutdown(std::net::Shutdown::Write).expect("a socket");
     assert_eq!(stream.read(&mut [0; 16]).unwrap_or(0), 0, "closed without a word");
-    assert!(matches!(FrontDoor::new(&text).ask(1.0), Outcome::Granted { .. }));
+    assert!(matches!(FrontDoor::new(&text).ask(1.0), LeaseOutcome::Granted { .. }));
 }
 
 #[test]
@@ -294,7 +301,7 @@
     std::fs::write(&map, map_text(2, address, 30.0)).expect("a folder for tests");
     shard.signal(Signal::SIGHUP);
     shard.wait_for("map of epoch 2");
-    assert!(matches!(FrontDoor::new(&map_text(2, address, 30.0)).ask(1.0), Outcome::Granted { .. }));
+    assert!(matches!(FrontDoor::new(&map_text(2, address, 30.0)).ask(1.0), LeaseOutcome::Granted { .. }));
     shard.signal(Signal::SIGTERM);
     assert_eq!(shard.child.wait().expect("it ends").code(), Some(0));
 }
