--- a/lease/src/bin/quillramp-lease-shard/service.rs
+++ b/lease/src/bin/quillramp-lease-shard/service.rs
@@ -78,11 +78,11 @@
     /// Serves until [`Input::Stop`].
     pub fn run(mut self) {
         loop {
-            let wait = (self.shard.due() - self.clock.now()).max(0.0);
+            let wait = (self.shard.poll_timeout() - self.clock.now()).max(0.0);
             match self.receiver.recv_timeout(Duration::from_secs_f64(wait)) {
                 Ok(Input::Stop) | Err(RecvTimeoutError::Disconnected) => return,
                 Ok(input) => self.take_in(input),
-                Err(RecvTimeoutError::Timeout) => self.shard.tick(self.clock.now()),
+                Err(RecvTimeoutError::Timeout) => self.shard.handle_timeout(self.clock.now()),
             }
             for output in self.shard.poll_outputs() {
                 self.put_out(output);
@@ -104,7 +104,7 @@
             }
             Input::Closed { connection } => {
                 self.connections.remove(&connection);
-                self.shard.disconnected(connection);
+                self.shard.handle_disconnected(connection);
             }
             Input::Map(map) => self.change_map(now, map),
             Input::Stop => {}
@@ -113,7 +113,7 @@
 
     fn change_map(&mut self, now: f64, map: ShardMap) {
         let (epoch, active_at) = (map.epoch, map.active_at);
-        match self.shard.change_map(now, map.clone()) {
+        match self.shard.update_map(now, map.clone()) {
             Ok(()) => {
                 self.map = map;
                 log(&format!("map of epoch {epoch}, in force from {active_at} on"));
@@ -128,11 +128,11 @@
                 let Some(open) = self.connections.get(&connection) else { return };
                 if open.replies.try_send(bytes).is_err() {
                     self.close(connection); // it does not read
-                    self.shard.disconnected(connection);
+                    self.shard.handle_disconnected(connection);
                 }
             }
             ShardOutput::Close { connection } => self.close(connection),
-            ShardOutput::Peer { shard, bytes } => {
+            ShardOutput::SendToPeer { shard, bytes } => {
                 if let Some(address) = self.map.shard_address(shard) {
                     self.peers.send(address, bytes);
                 }
--- a/lease/src/protocol_violation.rs
+++ b/lease/src/protocol_violation.rs
@@ -11,6 +11,18 @@
     /// A frame of a kind that this side never receives.
     #[error("unexpected frame")]
     UnexpectedFrame,
+    /// A gateway instance that speaks another version of the protocol.
+    #[error("unsupported protocol version {0}")]
+    UnsupportedVersion(u8),
+    /// A newer process of the gateway instance has connected already.
+    #[error("incarnation {0} has been replaced by a newer one")]
+    ReplacedIncarnation(u64),
+    /// A batch before the `Hello` of its connection.
+    #[error("batch before hello")]
+    BatchBeforeHello,
+    /// A batch on a connection that the gateway instance has replaced by a newer one.
+    #[error("batch on a replaced connection")]
+    ReplacedConnection,
     /// A response to a batch that has not been sent.
     #[error("response to batch {found}, expected at most {expected}")]
     UnknownBatch {
--- /dev/null
+++ b/lease/src/shard/account.rs
@@ -0,0 +1,110 @@
+//! One tenant at its owner.
+use super::IDLE_BUCKET_LIFETIME;
+use crate::regional_quota::RegionalQuota;
+use crate::shard_map::{Plan, PlanId, TenantId};
+use crate::token_bucket::TokenBucket;
+use crate::wire::{BatchEntry, EntryResponse, PeerIdentity, PeerMessage, HUNDREDTHS_PER_UNIT};
+
+/// A bucket whose balance is below this fraction of its capacity is short of units.
+const LOW_BALANCE_FRACTION: f64 = 0.25;
+
+/// The token bucket of one tenant, and the fraction of the quota that it may use.
+#[derive(Debug)]
+pub(super) struct Account {
+    pub(super) plan: PlanId,
+    pub(super) bucket: TokenBucket,
+    pub(super) regional_quota: RegionalQuota,
+    /// Unix time in seconds of the last entry applied.
+    pub(super) last_used_at: f64,
+}
+
+/// What an account needs to know of its shard in order to handle a peer's message.
+pub(super) struct PeerMessageContext<'a> {
+    /// Unix time, seconds.
+    pub(super) now: f64,
+    pub(super) tenant: TenantId,
+    pub(super) plan: &'a Plan,
+    /// The fraction that the map gives this region, parts per million.
+    pub(super) configured_ppm: u32,
+    /// Incarnation of this shard's process.
+    pub(super) incarnation: u64,
+    /// Number of a transfer that would begin now.
+    pub(super) next_transfer_number: u32,
+}
+
+impl Account {
+    /// Applies an entry of a batch: first the units spent, then the request.
+    pub(super) fn apply_entry(&mut self, now: f64, entry: &BatchEntry) -> EntryResponse {
+        let spent_units = f64::from(entry.spent_hundredths) / HUNDREDTHS_PER_UNIT;
+        let requested_units = f64::from(entry.requested_hundredths) / HUNDREDTHS_PER_UNIT;
+        self.last_used_at = now;
+        self.regional_quota.record_demand(spent_units.max(0.0) + requested_units, now);
+        self.bucket.deduct(spent_units, now);
+        let granted_units = self.bucket.take(requested_units, 1.0 / HUNDREDTHS_PER_UNIT, now);
+        EntryResponse::Granted {
+            granted_hundredths: (granted_units * HUNDREDTHS_PER_UNIT).round() as u32,
+            available_units: self.bucket.balance(now).max(0.0) as u32,
+        }
+    }
+
+    /// Whether the bucket is short of units, so that the other region may be asked for some of its quota.
+    pub(super) fn is_short(&mut self, now: f64) -> bool {
+        self.bucket.balance(now) < LOW_BALANCE_FRACTION * self.bucket.capacity()
+    }
+
+    /// Adapts the bucket to the fraction of the plan that may be used here.
+    pub(super) fn reconfigure_bucket(&mut self, plan: &Plan, now: f64) {
+        self.bucket.reconfigure(plan, self.regional_quota.fraction_ppm(), now);
+    }
+
+    /// Whether nothing is lost if the account is forgotten: the bucket is full and the fraction the configured one.
+    pub(super) fn is_dispensable(&mut self, now: f64, configured_ppm: u32, has_peer_region: bool) -> bool {
+        let idle_lifetime = if has_peer_region { IDLE_BUCKET_LIFETIME } else { 0.0 };
+        let is_full = self.bucket.balance(now) >= self.bucket.capacity();
+        let is_idle = now - self.last_used_at >= idle_lifetime;
+        is_full && is_idle && self.regional_quota.is_settled_at(configured_ppm)
+    }
+
+    /// Handles a message of the tenant's owner in the other region, and returns the response.
+    pub(super) fn handle_peer_message(
+        &mut self,
+        from: PeerIdentity,
+        message: &PeerMessage,
+        context: &PeerMessageContext,
+    ) -> Option<PeerMessage> {
+        let quota = &mut self.regional_quota;
+        let PeerMessageContext { tenant, configured_ppm, .. } = *context;
+        match *message {
+            PeerMessage::RequestTransfer { .. } => {
+                let number = context.next_transfer_number;
+                let begins = quota.begin_transfer(context.plan, configured_ppm, number, context.now);
+                begins.then(|| quota.pending_message(tenant, self.plan)).flatten()
+            }
+            PeerMessage::Reconcile { .. } => Some(PeerMessage::ReconcileResponse {
+                tenant,
+                held_ppm: quota.held_ppm_for(from),
+                requester_incarnation: from.incarnation,
+            }),
+            PeerMessage::ReconcileResponse { held_ppm, requester_incarnation, .. } => {
+                if requester_incarnation == context.incarnation {
+                    quota.reconcile(held_ppm, configured_ppm);
+                }
+                None
+            }
+            PeerMessage::Transfer { transfer_number, amount_ppm, .. } => {
+                let acknowledges = quota.receive_transfer(from, transfer_number, amount_ppm);
+                acknowledges.then_some(PeerMessage::Acknowledge {
+                    tenant,
+                    transfer_number,
+                    sender_incarnation: from.incarnation,
+                })
+            }
+            PeerMessage::Acknowledge { transfer_number, sender_incarnation, .. } => {
+                if sender_incarnation == context.incarnation {
+                    quota.transfer_acknowledged(from, transfer_number);
+                }
+                None
+            }
+        }
+    }
+}
--- a/lease/tests/simulation/mod.rs
+++ b/lease/tests/simulation/mod.rs
@@ -305,7 +305,8 @@
     fn check_shares(&mut self) {
         for tenant in TENANTS {
             let owners = self.map.regions.iter().map(|region| region.owner(tenant));
-            let sum: u32 = owners.filter_map(|owner| self.shards.get(&owner)?.share(tenant)).sum();
+            let sum: u32 =
+                owners.filter_map(|owner| self.shards.get(&owner)?.quota_fraction_ppm(tenant)).sum();
             self.outcome.largest_share_sum = self.outcome.largest_share_sum.max(sum);
         }
     }
@@ -336,7 +337,7 @@
             }
             Event::Failure(failure) => self.apply(failure),
             Event::DoorDue(door) => self.with_door(door, |door, now| door.tick(now)),
-            Event::ShardDue(id) => self.with_shard(id, |shard, now| shard.tick(now)),
+            Event::ShardDue(id) => self.with_shard(id, |shard, now| shard.handle_timeout(now)),
             Event::DoorStart(door) => self.start_door(door),
             Event::Opened { door, shard, connection, up } => self.opened(door, shard, connection, up),
             Event::ToShard { connection, bytes } => self.reach_shard(connection, &bytes),
@@ -404,7 +405,7 @@
                 if let Some(connection) = self.connection_of(door, shard) {
                     self.connections.remove(&connection);
                     if let Some(shard) = self.shards.get_mut(&shard) {
-                        shard.disconnected(connection);
+                        shard.handle_disconnected(connection);
                     }
                 }
             }
@@ -474,7 +475,7 @@
     fn reset(&mut self, connection: ConnectionId) {
         let Some(open) = self.connections.remove(&connection) else { return };
         if let Some(shard) = self.shards.get_mut(&open.shard) {
-            shard.disconnected(connection);
+            shard.handle_disconnected(connection);
         }
         self.with_door(open.door, |door, now| door.client.handle_disconnected(now, open.shard));
     }
@@ -489,7 +490,7 @@
         }
         self.with_shard(to, |shard, now| {
             shard.receive(now, connection, bytes);
-            shard.disconnected(connection);
+            shard.handle_disconnected(connection);
         });
     }
 
@@ -497,7 +498,7 @@
         let Some(shard) = self.shards.get_mut(&id) else { return };
         act(shard, self.now);
         let outputs = shard.poll_outputs();
-        let due = shard.due().max(self.now + SHORTEST_TIMER);
+        let due = shard.poll_timeout().max(self.now + SHORTEST_TIMER);
         let timer = self.shard_timers.entry(id).or_insert(0.0);
         if due < *timer || *timer <= self.now {
             *timer = due;
@@ -524,7 +525,7 @@
                 let at = self.in_order(connection, 1);
                 self.schedule(at, Event::Reset { connection });
             }
-            ShardOutput::Peer { shard, bytes } => {
+            ShardOutput::SendToPeer { shard, bytes } => {
                 if !self.apart && !self.rng.gen_bool(self.settings.peer_lost) {
                     let at = self.now + 0.03 + self.delay() * 5.0;
                     self.schedule(at, Event::PeerFrame { to: shard, bytes });
@@ -544,7 +545,7 @@
         for connection in gone {
             let open = self.connections.remove(&connection).expect("just seen");
             if let Some(shard) = self.shards.get_mut(&open.shard) {
-                shard.disconnected(connection);
+                shard.handle_disconnected(connection);
             }
         }
         self.schedule(self.now + 1.0, Event::DoorStart(id));
@@ -572,7 +573,7 @@
                     self.map = map.clone();
                 }
                 if self.shards.contains_key(&shard) {
-                    self.with_shard(shard, |shard, now| shard.change_map(now, map).expect("a newer map"));
+                    self.with_shard(shard, |shard, now| shard.update_map(now, map).expect("a newer map"));
                 } else {
                     self.start_shard(shard);
                 }
