--- a/lease/src/bin/quillramp-lease-shard/main.rs
+++ b/lease/src/bin/quillramp-lease-shard/main.rs
@@ -1,13 +1,18 @@
 //! quillramp-lease-shard: one shard of the lease service on sockets.
 mod clock;
+mod connections;
+mod error;
 mod peers;
 mod service;
 
 use clap::Parser;
+use error::{MapFileError, StartError};
 use quillramp_lease::shard::ShardSettings;
 use quillramp_lease::shard_map::{ShardId, ShardMap};
-use service::{Input, Service};
+use service::{Event, Service};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+use signal_hook::iterator::Signals;
+use std::fmt::Display;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -38,24 +43,18 @@
     match run(Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log(&error);
+            log(error);
             ExitCode::FAILURE
         }
     }
 }
 
-/// A line on standard error.
-fn log(line: &str) {
+/// Writes a line to standard error.
+fn log(line: impl Display) {
     eprintln!("quillramp-lease-shard: {line}");
 }
 
-fn read_map(path: &Path) -> Result<ShardMap, String> {
-    let told = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|error| told(&error))?;
-    ShardMap::parse(&text).map_err(|error| told(&error))
-}
-
-fn run(arguments: Arguments) -> Result<(), String> {
+fn run(arguments: Arguments) -> Result<(), StartError> {
     let map = read_map(&arguments.map)?;
     let settings = ShardSettings {
         id: arguments.id,
@@ -63,39 +62,47 @@
         incarnation: clock::incarnation(),
         injected_fault: None,
     };
-    let mut signals = signal_hook::iterator::Signals::new([SIGHUP, SIGINT, SIGTERM])
-        .map_err(|error| format!("signals: {error}"))?;
+    let signals = Signals::new([SIGHUP, SIGINT, SIGTERM]).map_err(StartError::Signals)?;
     let listener = TcpListener::bind(arguments.listen)
-        .map_err(|error| format!("--listen {}: {error}", arguments.listen))?;
-    let address = listener.local_addr().map_err(|error| error.to_string())?;
-    let service =
-        Service::new(settings, map).map_err(|error| format!("{}: {error}", arguments.map.display()))?;
-    let inputs = service.inputs();
-    service::accept(listener, inputs.clone());
-    let path = arguments.map;
+        .map_err(|source| StartError::Listen { address: arguments.listen, source })?;
+    let address = listener.local_addr().map_err(StartError::LocalAddress)?;
+    let service = Service::new(settings, map)
+        .map_err(|source| MapFileError::Invalid { path: arguments.map.clone(), source })?;
+    connections::spawn_acceptor(listener, service.events());
+    spawn_signal_handler(signals, arguments.map, service.events());
+    log(format_args!("serves at {address}"));
+    service.run();
+    log("stopped");
+    Ok(())
+}
+
+fn read_map(path: &Path) -> Result<ShardMap, MapFileError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| MapFileError::Unreadable { path: path.to_owned(), source })?;
+    ShardMap::parse(&text).map_err(|source| MapFileError::Invalid { path: path.to_owned(), source })
+}
+
+fn spawn_signal_handler(mut signals: Signals, map_path: PathBuf, events: Sender<Event>) {
     std::thread::spawn(move || {
         for signal in signals.forever() {
-            if !handle_signal(signal, &path, &inputs) {
+            if !handle_signal(signal, &map_path, &events) {
                 break;
             }
         }
     });
-    log(&format!("serves at {address}"));
-    service.run();
-    log("stopped");
-    Ok(())
 }
 
-/// False: no further signal counts.
-fn handle_signal(signal: i32, path: &Path, inputs: &Sender<Input>) -> bool {
+/// Returns whether further signals are to be handled.
+fn handle_signal(signal: i32, map_path: &Path, events: &Sender<Event>) -> bool {
     if signal != SIGHUP {
-        let _ = inputs.send(Input::Stop); // a service that has ended needs no telling
+        // A service that has ended does not need to be stopped.
+        let _ = events.send(Event::Stop);
         return false;
     }
-    match read_map(path) {
-        Ok(map) => inputs.send(Input::Map(map)).is_ok(),
+    match read_map(map_path) {
+        Ok(map) => events.send(Event::MapReloaded(map)).is_ok(),
         Err(error) => {
-            log(&format!("{error}; the last good map stays"));
+            log(format_args!("{error}; the last good map stays"));
             true
         }
     }
--- a/lease/src/bin/quillramp-lease-shard/peers.rs
+++ b/lease/src/bin/quillramp-lease-shard/peers.rs
@@ -1,51 +1,53 @@
-//! Connections to other shards: a thread for each, which connects when there is something to send. What can't be sent is
-//! dropped; the shard sends it again until it is answered.
+//! Connections to other shards: one thread each, which connects when there is something to send. What cannot be sent is
+//! dropped; the shard retransmits it until it is answered.
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::time::Duration;
 
-/// Frames that wait for a connection, at most.
-const QUEUE: usize = 64;
-/// A connection that long in opening, or bytes that long in writing, are given up.
-const TIMEOUT: Duration = Duration::from_secs(1);
+/// Most buffers that are queued for one connection.
+const QUEUE_CAPACITY: usize = 64;
+/// Time-out of opening a connection and of writing to it.
+const IO_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Ways to other shards.
+/// Sends bytes to other shards.
 #[derive(Default)]
-pub struct Peers {
+pub struct PeerConnections {
     queues: HashMap<SocketAddr, SyncSender<Vec<u8>>>,
 }
 
-impl Peers {
-    /// Sends bytes to the shard at an address, or drops them.
+impl PeerConnections {
+    /// Sends bytes to the shard at an address, or drops them if its queue is full.
     pub fn send(&mut self, address: SocketAddr, bytes: Vec<u8>) {
         let queue = self.queues.entry(address).or_insert_with(|| {
-            let (queue, frames) = sync_channel(QUEUE);
-            std::thread::spawn(move || write_all(address, &frames));
+            let (queue, buffers) = sync_channel(QUEUE_CAPACITY);
+            std::thread::spawn(move || write_all(address, &buffers));
             queue
         });
-        let _ = queue.try_send(bytes); // full: dropped
+        // Fails if the queue is full: the shard retransmits.
+        let _ = queue.try_send(bytes);
     }
 }
 
-fn write_all(address: SocketAddr, frames: &Receiver<Vec<u8>>) {
+fn write_all(address: SocketAddr, buffers: &Receiver<Vec<u8>>) {
     let mut connection = None;
-    for bytes in frames {
+    for bytes in buffers {
         if connection.is_none() {
             connection = connect(address);
         }
         let sent = connection.as_mut().is_some_and(|stream| stream.write_all(&bytes).is_ok());
         if !sent {
             connection = None;
-            while frames.try_recv().is_ok() {} // as old as the one that could not be sent
+            // What is queued is as old as what could not be sent.
+            while buffers.try_recv().is_ok() {}
         }
     }
 }
 
 fn connect(address: SocketAddr) -> Option<TcpStream> {
-    let stream = TcpStream::connect_timeout(&address, TIMEOUT).ok()?;
+    let stream = TcpStream::connect_timeout(&address, IO_TIMEOUT).ok()?;
     stream.set_nodelay(true).ok()?;
-    stream.set_write_timeout(Some(TIMEOUT)).ok()?;
+    stream.set_write_timeout(Some(IO_TIMEOUT)).ok()?;
     Some(stream)
 }
