--- a/lease/tests/shard_map.rs
+++ b/lease/tests/shard_map.rs
@@ -1,4 +1,4 @@
-//! Shard maps: what is refused and in which words, and who owns a tenant.
+//! Shard maps: which maps are rejected with which text, and which shard owns a tenant.
 use quillramp_lease::shard_map::{ShardMap, ShardMapError};
 
 const GOOD: &str = r#"
@@ -31,16 +31,16 @@
 address = "127.0.0.1:7111"
 "#;
 
-fn refused(from: &str, to: &str) -> String {
+fn rejection(from: &str, to: &str) -> String {
     assert!(GOOD.contains(from), "'{from}' is in the map");
     let text = GOOD.replacen(from, to, 1);
     let error = ShardMap::parse(&text).expect_err(&text).to_string();
-    assert!(!error.contains('\n'), "a plain line: {error}");
+    assert!(!error.contains('\n'), "one line: {error}");
     error
 }
 
 #[test]
-fn a_good_map_is_read() {
+fn a_valid_map_is_parsed() {
     let map = ShardMap::parse(GOOD).expect("good");
     assert_eq!((map.epoch, map.regions.len(), map.longest_refill_time()), (3, 2, 2.0));
     assert_eq!(map.region("north").expect("there").quota_fraction_ppm(), 600_000);
@@ -49,29 +49,29 @@
 }
 
 #[test]
-fn bad_maps_are_refused_in_a_plain_line() {
+fn invalid_maps_are_rejected_with_one_line() {
     assert_eq!(
-        refused("share = 0.6", "share = 0.5"),
+        rejection("share = 0.6", "share = 0.5"),
         "shares of all regions: expected a sum of 1, found 0.9"
     );
     assert_eq!(
-        refused("share = 0.6", "share = nan"),
+        rejection("share = 0.6", "share = nan"),
         "region 'north': share: expected above 0 to 1, found NaN"
     );
-    assert_eq!(refused("id = 2", "id = 1"), "shard 1: numbered twice");
-    assert_eq!(refused("7102", "7101"), "shard 2: another shard has its address");
-    assert_eq!(refused("\"south\"", "\"north\""), "region 'north': named twice");
-    assert_eq!(refused("1790000000.0", "-1.0"), "active_at: expected seconds of Unix time, found -1");
+    assert_eq!(rejection("id = 2", "id = 1"), "shard 1: numbered twice");
+    assert_eq!(rejection("7102", "7101"), "shard 2: another shard has its address");
+    assert_eq!(rejection("\"south\"", "\"north\""), "region 'north': named twice");
+    assert_eq!(rejection("1790000000.0", "-1.0"), "active_at: expected seconds of Unix time, found -1");
     let plan = "plan 'team': expected a rate above 0 and a burst from 1 to 1e7 units, both finite";
-    assert_eq!(refused("rate = 20.0", "rate = 0.0"), plan);
-    assert_eq!(refused("burst = 40.0", "burst = inf"), plan);
-    assert!(refused("epoch = 3", "epoch = 3\nspare = 1").contains("spare"));
-    assert!(refused("epoch = 3", "epoch = ").starts_with("no shard map: "));
-    assert!(refused("127.0.0.1:7101", "somewhere").starts_with("no shard map: "));
+    assert_eq!(rejection("rate = 20.0", "rate = 0.0"), plan);
+    assert_eq!(rejection("burst = 40.0", "burst = inf"), plan);
+    assert!(rejection("epoch = 3", "epoch = 3\nspare = 1").contains("spare"));
+    assert!(rejection("epoch = 3", "epoch = ").starts_with("no shard map: "));
+    assert!(rejection("127.0.0.1:7101", "somewhere").starts_with("no shard map: "));
 }
 
 #[test]
-fn each_shard_owns_its_part_and_owners_stay_across_builds() {
+fn tenants_are_spread_evenly_over_shards() {
     let map = ShardMap::parse(GOOD).expect("good");
     let north = map.region("north").expect("there");
     let mut counts = [0; 4];
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_shard_that_leaves_moves_its_own_tenants_alone() {
+fn removing_a_shard_moves_only_its_tenants() {
     let map = ShardMap::parse(GOOD).expect("good");
     let before = map.region("north").expect("there").clone();
     let mut after = before.clone();
--- a/lease/tests/sockets.rs
+++ b/lease/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Real processes on loopback: grants, a shard killed and replaced, a front door that sends again, maps read again.
+//! Real processes on loopback: grants, a shard killed and replaced, a retransmitted batch, reloaded maps.
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use quillramp_lease::client::{
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quillramp-lease-shard");
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A process that is ended with the test.
 struct Shard {
@@ -38,18 +38,18 @@
             .expect("the program starts");
         let log = BufReader::new(child.stderr.take().expect("piped"));
         let mut shard = Shard { child, log };
-        shard.wait_for("serves at");
+        shard.wait_for_log("serves at");
         shard
     }
 
-    fn wait_for(&mut self, words: &str) -> String {
+    fn wait_for_log(&mut self, text: &str) -> String {
         let mut seen = String::new();
         while self.log.read_line(&mut seen).expect("a log") > 0 {
-            if seen.contains(words) {
+            if seen.contains(text) {
                 return seen;
             }
         }
-        panic!("no '{words}' in: {seen}");
+        panic!("no '{text}' in: {seen}");
     }
 
     fn signal(&self, signal: Signal) {
@@ -75,34 +75,34 @@
 }
 
 /// Drives a [`LeaseClient`] over one socket.
-struct FrontDoor {
+struct SocketClient {
     client: LeaseClient,
     stream: Option<TcpStream>,
     started: Instant,
 }
 
-impl FrontDoor {
-    fn new(map: &str) -> FrontDoor {
+impl SocketClient {
+    fn new(map: &str) -> SocketClient {
         let map = ShardMap::parse(map).expect("a good map");
         let client = LeaseClient::new(ClientSettings::new(5, 1, "north"), map).expect("a good map");
-        FrontDoor { client, stream: None, started: Instant::now() }
+        SocketClient { client, stream: None, started: Instant::now() }
     }
 
     fn now(&self) -> f64 {
         1000.0 + self.started.elapsed().as_secs_f64()
     }
 
-    fn ask(&mut self, want: f64) -> LeaseOutcome {
+    fn request(&mut self, units: f64) -> LeaseOutcome {
         let deadline = self.now() + 5.0;
-        let request = LeaseRequest { tenant: 9, plan: 0, requested_units: want, spent_units: 0.0, deadline };
+        let request = LeaseRequest { tenant: 9, plan: 0, requested_units: units, spent_units: 0.0, deadline };
         let request_id = self.client.submit(self.now(), request);
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while Instant::now() < until {
             if let Some(outcome) = self.step(request_id) {
                 return outcome;
             }
         }
-        panic!("no reply");
+        panic!("no outcome");
     }
 
     fn step(&mut self, request_id: RequestId) -> Option<LeaseOutcome> {
@@ -113,12 +113,12 @@
                 ClientOutput::Send { shard, bytes } => {
                     let sent = self.stream.as_mut().is_some_and(|stream| stream.write_all(&bytes).is_ok());
                     if !sent {
-                        self.lose(shard);
+                        self.handle_lost_connection(shard);
                     }
                 }
                 ClientOutput::Close { .. } => self.stream = None,
-                ClientOutput::Completed { request_id: ended, outcome: how } if ended == request_id => {
-                    outcome = Some(how)
+                ClientOutput::Completed { request_id: ended, outcome: ended_as } if ended == request_id => {
+                    outcome = Some(ended_as)
                 }
                 ClientOutput::Completed { .. } => {}
             }
@@ -141,7 +141,7 @@
         }
     }
 
-    fn lose(&mut self, shard: u16) {
+    fn handle_lost_connection(&mut self, shard: u16) {
         self.stream = None;
         self.client.handle_disconnected(self.now(), shard);
     }
@@ -153,10 +153,10 @@
             return;
         };
         match stream.read(&mut buffer) {
-            Ok(0) => self.lose(1),
+            Ok(0) => self.handle_lost_connection(1),
             Ok(length) => self.client.receive(self.now(), 1, &buffer[..length]),
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
-            Err(_) => self.lose(1),
+            Err(_) => self.handle_lost_connection(1),
         }
     }
 }
@@ -169,49 +169,49 @@
 }
 
 #[test]
-fn a_shard_grants_and_one_in_its_place_starts_empty() {
+fn a_shard_grants_and_its_replacement_starts_empty() {
     let address = free_address();
     let text = map_text(1, address, 25.0);
     let map = write_map("replaced", &text);
     let shard = Shard::start(address, &map);
-    let mut front_door = FrontDoor::new(&text);
+    let mut client = SocketClient::new(&text);
     std::thread::sleep(Duration::from_millis(2500)); // longer than a bucket takes to fill
-    assert_eq!(granted(&front_door.ask(40.0)), 40.0);
+    assert_eq!(granted(&client.request(40.0)), 40.0);
     drop(shard);
     let _shard = Shard::start(address, &map);
-    let began = Instant::now();
-    let units = granted(&front_door.ask(40.0));
-    let regained = 25.0 * (began.elapsed().as_secs_f64() + 1.0);
-    assert!(units <= regained, "{units} of at most {regained} that a new shard regained");
+    let started = Instant::now();
+    let units = granted(&client.request(40.0));
+    let refilled = 25.0 * (started.elapsed().as_secs_f64() + 1.0);
+    assert!(units <= refilled, "{units} of at most {refilled} that a new shard refilled");
     std::thread::sleep(Duration::from_millis(500));
-    assert!(granted(&front_door.ask(5.0)) > 0.0);
+    assert!(granted(&client.request(5.0)) > 0.0);
 }
 
 #[test]
-fn while_the_shard_is_gone_requests_end_and_later_ones_are_granted() {
+fn requests_fail_while_the_shard_is_down_and_later_ones_are_granted() {
     let address = free_address();
     let text = map_text(1, address, 100.0);
     let map = write_map("gone", &text);
     let shard = Shard::start(address, &map);
-    let mut front_door = FrontDoor::new(&text);
-    front_door.ask(1.0);
+    let mut client = SocketClient::new(&text);
+    client.request(1.0);
     drop(shard);
     // The first one may still be sent on the old connection, or wait for the new one to fail.
-    let outcomes = [front_door.ask(1.0), front_door.ask(1.0)];
+    let outcomes = [client.request(1.0), client.request(1.0)];
     assert!(
         outcomes.iter().all(|o| matches!(o, LeaseOutcome::NotApplied | LeaseOutcome::Unconfirmed)),
         "{outcomes:?}"
     );
     let _shard = Shard::start(address, &map);
-    let until = Instant::now() + PATIENCE;
-    while !matches!(front_door.ask(1.0), LeaseOutcome::Granted { units, .. } if units > 0.0) {
+    let until = Instant::now() + TIMEOUT;
+    while !matches!(client.request(1.0), LeaseOutcome::Granted { units, .. } if units > 0.0) {
         assert!(Instant::now() < until, "never granted again");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_batch_sent_again_on_a_new_connection_gets_the_same_answer() {
+fn a_batch_retransmitted_on_a_new_connection_gets_the_same_response() {
     let address = free_address();
     let map = write_map("again", &map_text(1, address, 0.001));
     let _shard = Shard::start(address, &map);
@@ -220,12 +220,12 @@
     bytes.extend(encode(&Frame::Batch { sequence: 1, entries: vec![entry] }));
     for _ in 0..3 {
         let mut stream = TcpStream::connect(address).expect("it serves");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         stream.write_all(&bytes).expect("it reads");
         assert_eq!(
             read_frame(&mut stream),
             batch_response(700, 13),
-            "twenty came back once, seven were granted once"
+            "twenty were returned once, seven were granted once"
         );
     }
 }
@@ -238,34 +238,34 @@
 }
 
 fn read_frame(stream: &mut TcpStream) -> Frame {
-    let mut reader = FrameDecoder::default();
+    let mut decoder = FrameDecoder::default();
     let mut buffer = [0; 1024];
     loop {
-        if let Some(frame) = reader.next_frame().expect("a frame") {
+        if let Some(frame) = decoder.next_frame().expect("a frame") {
             return frame;
         }
-        let length = stream.read(&mut buffer).expect("an answer in time");
-        assert!(length > 0, "closed without an answer");
-        reader.extend(&buffer[..length]);
+        let length = stream.read(&mut buffer).expect("a response in time");
+        assert!(length > 0, "closed without a response");
+        decoder.extend(&buffer[..length]);
     }
 }
 
 #[test]
-fn what_is_no_frame_ends_its_connection_alone() {
+fn an_invalid_frame_closes_only_its_connection() {
     let address = free_address();
     let text = map_text(1, address, 25.0);
     let map = write_map("spoilt", &text);
     let _shard = Shard::start(address, &map);
     let mut stream = TcpStream::connect(address).expect("it serves");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     stream.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("it reads");
     stream.shutdown(std::net::Shutdown::Write).expect("a socket");
-    assert_eq!(stream.read(&mut [0; 16]).unwrap_or(0), 0, "closed without a word");
-    assert!(matches!(FrontDoor::new(&text).ask(1.0), LeaseOutcome::Granted { .. }));
+    assert_eq!(stream.read(&mut [0; 16]).unwrap_or(0), 0, "closed without a response");
+    assert!(matches!(SocketClient::new(&text).request(1.0), LeaseOutcome::Granted { .. }));
 }
 
 #[test]
-fn a_bad_map_at_the_start_is_a_plain_line_and_a_failure() {
+fn an_invalid_map_at_start_is_one_log_line_and_a_failure() {
     let address = free_address();
     let good = map_text(1, address, 25.0);
     let cases = [
@@ -288,20 +288,23 @@
 }
 
 #[test]
-fn a_map_is_read_again_and_the_last_good_one_stays_on_a_bad_one() {
+fn a_map_is_reloaded_and_an_invalid_one_is_rejected() {
     let address = free_address();
     let map = write_map("again-map", &map_text(1, address, 25.0));
     let mut shard = Shard::start(address, &map);
     std::fs::write(&map, "nonsense").expect("a folder for tests");
     shard.signal(Signal::SIGHUP);
-    shard.wait_for("the last good map stays");
+    shard.wait_for_log("the last good map stays");
     std::fs::write(&map, map_text(1, address, 30.0)).expect("a folder for tests");
     shard.signal(Signal::SIGHUP);
-    assert!(shard.wait_for("the last good map stays").contains("epoch 1: expected above 1"));
+    assert!(shard.wait_for_log("the last good map stays").contains("epoch 1: expected above 1"));
     std::fs::write(&map, map_text(2, address, 30.0)).expect("a folder for tests");
     shard.signal(Signal::SIGHUP);
-    shard.wait_for("map of epoch 2");
-    assert!(matches!(FrontDoor::new(&map_text(2, address, 30.0)).ask(1.0), LeaseOutcome::Granted { .. }));
+    shard.wait_for_log("map of epoch 2");
+    assert!(matches!(
+        SocketClient::new(&map_text(2, address, 30.0)).request(1.0),
+        LeaseOutcome::Granted { .. }
+    ));
     shard.signal(Signal::SIGTERM);
     assert_eq!(shard.child.wait().expect("it ends").code(), Some(0));
 }
--- a/lease/tests/wire.rs
+++ b/lease/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames: what is encoded is read again, in whatever pieces; no bytes make the reader panic.
+//! Frames: what is encoded is decoded again from arbitrary pieces; no bytes make the decoder panic.
 use proptest::prelude::*;
 use quillramp_lease::wire::{
     encode, BatchEntry, EntryResponse, Frame, FrameDecoder, PeerIdentity, PeerMessage, WireError,
@@ -68,38 +68,38 @@
     ]
 }
 
-fn read_all(reader: &mut FrameDecoder) -> Vec<Frame> {
-    std::iter::from_fn(|| reader.next_frame().expect("whole frames")).collect()
+fn decode_all(decoder: &mut FrameDecoder) -> Vec<Frame> {
+    std::iter::from_fn(|| decoder.next_frame().expect("valid frames")).collect()
 }
 
 proptest! {
     #[test]
-    fn frames_come_back_in_whatever_pieces(frames in prop::collection::vec(frame(), 1..5), size in 1usize..50) {
+    fn frames_are_decoded_from_arbitrary_pieces(frames in prop::collection::vec(frame(), 1..5), size in 1usize..50) {
         let bytes: Vec<u8> = frames.iter().flat_map(encode).collect();
-        let mut reader = FrameDecoder::default();
-        let mut read = vec![];
+        let mut decoder = FrameDecoder::default();
+        let mut decoded = vec![];
         for piece in bytes.chunks(size) {
-            reader.extend(piece);
-            read.extend(read_all(&mut reader));
+            decoder.extend(piece);
+            decoded.extend(decode_all(&mut decoder));
         }
-        prop_assert_eq!(read, frames);
+        prop_assert_eq!(decoded, frames);
     }
 
     #[test]
-    fn no_bytes_make_the_reader_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let mut reader = FrameDecoder::default();
-        reader.extend(&bytes);
-        while let Ok(Some(_)) = reader.next_frame() {}
+    fn no_bytes_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        let mut decoder = FrameDecoder::default();
+        decoder.extend(&bytes);
+        while let Ok(Some(_)) = decoder.next_frame() {}
     }
 
     #[test]
-    fn a_spoilt_frame_makes_nobody_panic(frame in frame(), at in any::<prop::sample::Index>(), value in any::<u8>()) {
+    fn a_corrupted_frame_does_not_panic(frame in frame(), at in any::<prop::sample::Index>(), value in any::<u8>()) {
         let mut bytes = encode(&frame);
         let at = at.index(bytes.len());
         bytes[at] = value;
-        let mut reader = FrameDecoder::default();
-        reader.extend(&bytes);
-        while let Ok(Some(_)) = reader.next_frame() {}
+        let mut decoder = FrameDecoder::default();
+        decoder.extend(&bytes);
+        while let Ok(Some(_)) = decoder.next_frame() {}
     }
 }
 
@@ -112,8 +112,8 @@
         requested_hundredths: u32::MAX,
     };
     encode(&Frame::Batch { sequence: u32::MAX, entries: vec![entry; MAX_BATCH_ENTRIES] });
-    let answer = EntryResponse::Granted { granted_hundredths: u32::MAX, available_units: u32::MAX };
-    encode(&Frame::BatchResponse { sequence: u32::MAX, responses: vec![answer; MAX_BATCH_ENTRIES] });
+    let response = EntryResponse::Granted { granted_hundredths: u32::MAX, available_units: u32::MAX };
+    encode(&Frame::BatchResponse { sequence: u32::MAX, responses: vec![response; MAX_BATCH_ENTRIES] });
     let from = PeerIdentity { shard: u16::MAX, incarnation: u64::MAX };
     let message = PeerMessage::ReconcileResponse {
         tenant: u64::MAX,
@@ -124,19 +124,19 @@
 }
 
 #[test]
-fn more_entries_than_allowed_are_refused() {
+fn more_entries_than_allowed_are_rejected() {
     let entry = BatchEntry { tenant: 1, plan: 0, spent_hundredths: 0, requested_hundredths: 100 };
-    let mut reader = FrameDecoder::default();
-    reader.extend(&encode(&Frame::Batch { sequence: 1, entries: vec![entry; MAX_BATCH_ENTRIES + 1] }));
-    assert_eq!(reader.next_frame(), Err(WireError::TooManyEntries(MAX_BATCH_ENTRIES + 1)));
+    let mut decoder = FrameDecoder::default();
+    decoder.extend(&encode(&Frame::Batch { sequence: 1, entries: vec![entry; MAX_BATCH_ENTRIES + 1] }));
+    assert_eq!(decoder.next_frame(), Err(WireError::TooManyEntries(MAX_BATCH_ENTRIES + 1)));
 }
 
 #[test]
-fn bytes_behind_a_frame_within_its_length_are_refused() {
+fn trailing_bytes_in_a_frame_are_rejected() {
     let mut bytes = encode(&Frame::BatchResponse { sequence: 1, responses: vec![] });
     bytes[0] += 1;
     bytes.push(0);
-    let mut reader = FrameDecoder::default();
-    reader.extend(&bytes);
-    assert_eq!(reader.next_frame(), Err(WireError::Malformed(4)));
+    let mut decoder = FrameDecoder::default();
+    decoder.extend(&bytes);
+    assert_eq!(decoder.next_frame(), Err(WireError::Malformed(4)));
 }
