--- a/lease/tests/sockets.rs
+++ b/lease/tests/sockets/main.rs
@@ -1,62 +1,21 @@
 //! Real processes on loopback: grants, a shard killed and replaced, a retransmitted batch, reloaded maps.
-use nix::sys::signal::{kill, Signal};
-use nix::unistd::Pid;
-use quillramp_lease::client::{
-    ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
-};
-use quillramp_lease::shard_map::ShardMap;
+mod shard_process;
+mod socket_client;
+
+use nix::sys::signal::Signal;
+use quillramp_lease::client::LeaseOutcome;
 use quillramp_lease::wire::{encode, BatchEntry, EntryResponse, Frame, FrameDecoder, PROTOCOL_VERSION};
-use std::io::{BufRead, BufReader, Read, Write};
+use shard_process::{ShardProcess, PROGRAM};
+use socket_client::SocketClient;
+use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Child, ChildStderr, Command, Stdio};
+use std::process::Command;
 use std::time::{Duration, Instant};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_quillramp-lease-shard");
+/// Longest time that a test waits for a response.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A process that is ended with the test.
-struct Shard {
-    child: Child,
-    log: BufReader<ChildStderr>,
-}
-
-impl Drop for Shard {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-impl Shard {
-    fn start(address: SocketAddr, map: &Path) -> Shard {
-        let mut child = Command::new(PROGRAM)
-            .args(["--listen", &address.to_string(), "--region", "north", "--id", "1", "--map"])
-            .arg(map)
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("the program starts");
-        let log = BufReader::new(child.stderr.take().expect("piped"));
-        let mut shard = Shard { child, log };
-        shard.wait_for_log("serves at");
-        shard
-    }
-
-    fn wait_for_log(&mut self, text: &str) -> String {
-        let mut seen = String::new();
-        while self.log.read_line(&mut seen).expect("a log") > 0 {
-            if seen.contains(text) {
-                return seen;
-            }
-        }
-        panic!("no '{text}' in: {seen}");
-    }
-
-    fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.child.id() as i32), signal).expect("it runs");
-    }
-}
-
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
 }
@@ -74,93 +33,6 @@
     path
 }
 
-/// Drives a [`LeaseClient`] over one socket.
-struct SocketClient {
-    client: LeaseClient,
-    stream: Option<TcpStream>,
-    started: Instant,
-}
-
-impl SocketClient {
-    fn new(map: &str) -> SocketClient {
-        let map = ShardMap::parse(map).expect("a good map");
-        let client = LeaseClient::new(ClientSettings::new(5, 1, "north"), map).expect("a good map");
-        SocketClient { client, stream: None, started: Instant::now() }
-    }
-
-    fn now(&self) -> f64 {
-        1000.0 + self.started.elapsed().as_secs_f64()
-    }
-
-    fn request(&mut self, units: f64) -> LeaseOutcome {
-        let deadline = self.now() + 5.0;
-        let request = LeaseRequest { tenant: 9, plan: 0, requested_units: units, spent_units: 0.0, deadline };
-        let request_id = self.client.submit(self.now(), request);
-        let until = Instant::now() + TIMEOUT;
-        while Instant::now() < until {
-            if let Some(outcome) = self.step(request_id) {
-                return outcome;
-            }
-        }
-        panic!("no outcome");
-    }
-
-    fn step(&mut self, request_id: RequestId) -> Option<LeaseOutcome> {
-        let mut outcome = None;
-        for output in self.client.poll_outputs() {
-            match output {
-                ClientOutput::Connect { shard, address } => self.connect(shard, address),
-                ClientOutput::Send { shard, bytes } => {
-                    let sent = self.stream.as_mut().is_some_and(|stream| stream.write_all(&bytes).is_ok());
-                    if !sent {
-                        self.handle_lost_connection(shard);
-                    }
-                }
-                ClientOutput::Close { .. } => self.stream = None,
-                ClientOutput::Completed { request_id: ended, outcome: ended_as } if ended == request_id => {
-                    outcome = Some(ended_as)
-                }
-                ClientOutput::Completed { .. } => {}
-            }
-        }
-        if outcome.is_none() {
-            self.read();
-            self.client.handle_timeout(self.now());
-        }
-        outcome
-    }
-
-    fn connect(&mut self, shard: u16, address: SocketAddr) {
-        match TcpStream::connect_timeout(&address, Duration::from_secs(1)) {
-            Ok(stream) => {
-                stream.set_read_timeout(Some(Duration::from_millis(5))).expect("a socket");
-                self.stream = Some(stream);
-                self.client.handle_connected(self.now(), shard);
-            }
-            Err(_) => self.client.handle_disconnected(self.now(), shard),
-        }
-    }
-
-    fn handle_lost_connection(&mut self, shard: u16) {
-        self.stream = None;
-        self.client.handle_disconnected(self.now(), shard);
-    }
-
-    fn read(&mut self) {
-        let mut buffer = [0; 4096];
-        let Some(stream) = &mut self.stream else {
-            std::thread::sleep(Duration::from_millis(5));
-            return;
-        };
-        match stream.read(&mut buffer) {
-            Ok(0) => self.handle_lost_connection(1),
-            Ok(length) => self.client.receive(self.now(), 1, &buffer[..length]),
-            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
-            Err(_) => self.handle_lost_connection(1),
-        }
-    }
-}
-
 fn granted(outcome: &LeaseOutcome) -> f64 {
     match outcome {
         LeaseOutcome::Granted { units, .. } => *units,
@@ -173,12 +45,12 @@
     let address = free_address();
     let text = map_text(1, address, 25.0);
     let map = write_map("replaced", &text);
-    let shard = Shard::start(address, &map);
+    let shard = ShardProcess::start(address, &map);
     let mut client = SocketClient::new(&text);
     std::thread::sleep(Duration::from_millis(2500)); // longer than a bucket takes to fill
     assert_eq!(granted(&client.request(40.0)), 40.0);
     drop(shard);
-    let _shard = Shard::start(address, &map);
+    let _shard = ShardProcess::start(address, &map);
     let started = Instant::now();
     let units = granted(&client.request(40.0));
     let refilled = 25.0 * (started.elapsed().as_secs_f64() + 1.0);
@@ -192,7 +64,7 @@
     let address = free_address();
     let text = map_text(1, address, 100.0);
     let map = write_map("gone", &text);
-    let shard = Shard::start(address, &map);
+    let shard = ShardProcess::start(address, &map);
     let mut client = SocketClient::new(&text);
     client.request(1.0);
     drop(shard);
@@ -202,7 +74,7 @@
         outcomes.iter().all(|o| matches!(o, LeaseOutcome::NotApplied | LeaseOutcome::Unconfirmed)),
         "{outcomes:?}"
     );
-    let _shard = Shard::start(address, &map);
+    let _shard = ShardProcess::start(address, &map);
     let until = Instant::now() + TIMEOUT;
     while !matches!(client.request(1.0), LeaseOutcome::Granted { units, .. } if units > 0.0) {
         assert!(Instant::now() < until, "never granted again");
@@ -214,7 +86,7 @@
 fn a_batch_retransmitted_on_a_new_connection_gets_the_same_response() {
     let address = free_address();
     let map = write_map("again", &map_text(1, address, 0.001));
-    let _shard = Shard::start(address, &map);
+    let _shard = ShardProcess::start(address, &map);
     let entry = BatchEntry { tenant: 9, plan: 0, spent_hundredths: -2000, requested_hundredths: 700 };
     let mut bytes = encode(&Frame::Hello { version: PROTOCOL_VERSION, gateway: 5, incarnation: 1, epoch: 1 });
     bytes.extend(encode(&Frame::Batch { sequence: 1, entries: vec![entry] }));
@@ -255,7 +127,7 @@
     let address = free_address();
     let text = map_text(1, address, 25.0);
     let map = write_map("spoilt", &text);
-    let _shard = Shard::start(address, &map);
+    let _shard = ShardProcess::start(address, &map);
     let mut stream = TcpStream::connect(address).expect("it serves");
     stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     stream.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("it reads");
@@ -291,7 +163,7 @@
 fn a_map_is_reloaded_and_an_invalid_one_is_rejected() {
     let address = free_address();
     let map = write_map("again-map", &map_text(1, address, 25.0));
-    let mut shard = Shard::start(address, &map);
+    let mut shard = ShardProcess::start(address, &map);
     std::fs::write(&map, "nonsense").expect("a folder for tests");
     shard.signal(Signal::SIGHUP);
     shard.wait_for_log("the last good map stays");
@@ -306,5 +178,5 @@
         LeaseOutcome::Granted { .. }
     ));
     shard.signal(Signal::SIGTERM);
-    assert_eq!(shard.child.wait().expect("it ends").code(), Some(0));
+    assert_eq!(shard.wait().code(), Some(0));
 }
