--- /dev/null
+++ b/lease/examples/cost/workload.rs
@@ -0,0 +1,84 @@
+//! The target's traffic: requests of many tenants at one gateway instance, and the tenants' quotas.
+use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId};
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+use rand_distr::{Distribution, Zipf};
+
+pub const TENANTS: usize = 14_000;
+/// Requests per second at one gateway instance.
+pub const REQUEST_RATE: f64 = 231.0;
+pub const GATEWAYS: f64 = 420.0;
+pub const SHARDS: [ShardId; 3] = [1, 2, 3];
+pub const REGION: &str = "north";
+/// Quota of a tenant, as a multiple of its traffic at all gateway instances.
+const QUOTA_OVER_DEMAND: f64 = 1.5;
+/// Burst of a quota, as the time in which it is refilled, seconds.
+const BURST_REFILL_TIME: f64 = 2.0;
+/// Smallest burst, units.
+const MIN_BURST: f64 = 4.0;
+
+/// How the requests are distributed over the tenants.
+#[derive(Clone, Copy, PartialEq)]
+pub enum TenantDistribution {
+    Uniform,
+    Zipf,
+}
+
+impl TenantDistribution {
+    /// Its name in the CSV.
+    pub fn name(self) -> &'static str {
+        match self {
+            TenantDistribution::Uniform => "uniform",
+            TenantDistribution::Zipf => "zipf",
+        }
+    }
+
+    /// Draws the tenant of a request, by its index.
+    pub fn draw(self, rng: &mut ChaCha8Rng) -> usize {
+        match self {
+            TenantDistribution::Uniform => rng.gen_range(0..TENANTS),
+            TenantDistribution::Zipf => {
+                let zipf = Zipf::new(TENANTS as u64, 1.0).expect("valid parameters");
+                zipf.sample(rng) as usize - 1
+            }
+        }
+    }
+
+    /// Fraction of the traffic by tenant.
+    fn weights(self) -> Vec<f64> {
+        let raw = (1..=TENANTS).map(|rank| match self {
+            TenantDistribution::Uniform => 1.0,
+            TenantDistribution::Zipf => 1.0 / rank as f64,
+        });
+        let raw: Vec<f64> = raw.collect();
+        let sum: f64 = raw.iter().sum();
+        raw.into_iter().map(|weight| weight / sum).collect()
+    }
+
+    /// A map with a plan for each tenant, so that each uses the same part of its quota.
+    pub fn shard_map(self) -> ShardMap {
+        let shards =
+            SHARDS.iter().map(|id| ShardEntry { id: *id, address: ([127, 0, 0, 1], 7000 + *id).into() });
+        ShardMap {
+            epoch: 1,
+            active_at: 0.0,
+            plans: self.weights().into_iter().map(plan_of_weight).collect(),
+            regions: vec![Region { name: REGION.into(), quota_fraction: 1.0, shards: shards.collect() }],
+        }
+    }
+}
+
+fn plan_of_weight(weight: f64) -> Plan {
+    let rate = weight * REQUEST_RATE * GATEWAYS * QUOTA_OVER_DEMAND;
+    Plan { name: "plan".into(), rate, burst: (rate * BURST_REFILL_TIME).max(MIN_BURST) }
+}
+
+/// Tenant ids lie below 2^33.
+pub fn tenant_id(index: usize) -> TenantId {
+    (index as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 31
+}
+
+/// Draws the time until the next event of a Poisson process, seconds.
+pub fn draw_interval(rng: &mut ChaCha8Rng, rate: f64) -> f64 {
+    -(1.0 - rng.gen::<f64>()).ln() / rate
+}
