--- a/lease/examples/cost/credit.rs
+++ b/lease/examples/cost/credit.rs
@@ -38,13 +38,16 @@
 /// One tenant at the gateway instance; times in seconds.
 #[derive(Default, Clone)]
 pub struct Account {
+    /// Units of the lease that are left.
     pub leased_units: f64,
     /// Units available at the shard according to its last response.
     pub available_units: u32,
+    /// When the shard last responded.
     pub last_response_at: f64,
     /// Requests per second.
     request_rate: f64,
     last_request_at: f64,
+    /// The request for a lease that has not been answered.
     pub lease_request: Option<RequestId>,
     /// Requests on credit whose report has not been answered.
     pub credit_requests: usize,
@@ -53,6 +56,7 @@
 }
 
 impl Account {
+    /// Notes a request of the tenant.
     pub fn record_request(&mut self, now: f64) {
         let decay = (-(now - self.last_request_at) / RATE_TIME_CONSTANT).exp();
         self.request_rate = self.request_rate * decay + 1.0 / RATE_TIME_CONSTANT;
@@ -64,6 +68,7 @@
         (self.request_rate * LEASE_HORIZON).floor().max(1.0)
     }
 
+    /// Whether a request that no lease covers is admitted on credit; the burst is the plan's, in units.
     pub fn admits_on_credit(&self, rule: CreditRule, burst: f64, now: f64) -> bool {
         let is_known = now - self.last_response_at < RESPONSE_LIFETIME;
         let has_plenty = f64::from(self.available_units) >= CREDIT_THRESHOLD_FRACTION * burst;
--- a/lease/examples/cost/run.rs
+++ b/lease/examples/cost/run.rs
@@ -21,25 +21,28 @@
 const WARM_UP: f64 = 120.0;
 /// Unix time of the run's start, seconds: the shards have run for long.
 const START: f64 = 100_000.0;
-/// Seconds.
+/// Round-trip time between the gateway instance and a shard, seconds.
 const ROUND_TRIP: f64 = 0.001;
 /// Interval at which the other gateway instances report, seconds.
 const BACKGROUND_INTERVAL: f64 = 0.1;
 /// Most entries in one of their batches.
 const MAX_BACKGROUND_ENTRIES: usize = 1000;
-/// Deadlines of reports and of lease requests, seconds.
+/// Deadline of a report, seconds after it is submitted.
 const REPORT_DEADLINE: f64 = 5.0;
+/// Deadline of a request for a lease, seconds after it is submitted.
 const LEASE_DEADLINE: f64 = 1.0;
 const CONNECTION: ConnectionId = 1;
 const BACKGROUND_CONNECTION: ConnectionId = 1_000_000;
 
 /// What a row of the CSV is measured with.
 pub struct Settings {
+    /// How the requests are distributed over the tenants.
     pub distribution: TenantDistribution,
+    /// When requests are admitted on credit.
     pub credit_rule: CreditRule,
-    /// Seconds.
+    /// As in [`ClientSettings`], seconds.
     pub report_delay: f64,
-    /// Seconds.
+    /// As in [`ClientSettings`], seconds.
     pub batch_delay: f64,
 }
 
@@ -56,6 +59,7 @@
     bytes: Vec<u8>,
 }
 
+/// State of a run.
 pub struct Run {
     settings: Settings,
     rng: ChaCha8Rng,
@@ -72,6 +76,7 @@
 }
 
 impl Run {
+    /// A run that has not begun.
     pub fn new(settings: Settings) -> Run {
         let map = settings.distribution.shard_map();
         let mut client_settings = ClientSettings::new(1, 1, REGION);
@@ -91,6 +96,7 @@
         }
     }
 
+    /// Runs to the end, and returns what was counted after the warm-up.
     pub fn measure(mut self) -> Traffic {
         let mut now = START;
         let mut next_request = START;
--- a/lease/examples/cost/traffic.rs
+++ b/lease/examples/cost/traffic.rs
@@ -5,14 +5,22 @@
 /// Most payload of a segment, bytes.
 const MAX_SEGMENT_PAYLOAD_BYTES: usize = 1460;
 
+/// Counts of one run.
 #[derive(Default)]
 pub struct Traffic {
+    /// Bytes of frames to the shards.
     pub payload_bytes_sent: usize,
+    /// Bytes of frames from the shards.
     pub payload_bytes_received: usize,
+    /// Bytes to the shards, headers included.
     pub wire_bytes_sent: usize,
+    /// Bytes from the shards, headers included.
     pub wire_bytes_received: usize,
+    /// Batches to the shards.
     pub batches: usize,
+    /// Entries in these batches.
     pub entries: usize,
+    /// Requests of tenants at the gateway instance.
     pub requests: usize,
     /// Requests that waited for a response.
     pub waited: usize,
@@ -20,15 +28,18 @@
     pub leased: usize,
     /// Requests that were admitted on credit.
     pub on_credit: usize,
+    /// Requests for which there were no units.
     pub rejected: usize,
 }
 
 impl Traffic {
+    /// Counts bytes sent to a shard at once.
     pub fn count_sent(&mut self, payload_bytes: usize) {
         self.payload_bytes_sent += payload_bytes;
         self.wire_bytes_sent += wire_bytes(payload_bytes);
     }
 
+    /// Counts bytes received from a shard at once.
     pub fn count_received(&mut self, payload_bytes: usize) {
         self.payload_bytes_received += payload_bytes;
         self.wire_bytes_received += wire_bytes(payload_bytes);
--- a/lease/examples/cost/workload.rs
+++ b/lease/examples/cost/workload.rs
@@ -4,11 +4,15 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
 
+/// Tenants of the target.
 pub const TENANTS: usize = 14_000;
 /// Requests per second at one gateway instance.
 pub const REQUEST_RATE: f64 = 231.0;
+/// Gateway instances of the target.
 pub const GATEWAYS: f64 = 420.0;
+/// Shards of the region.
 pub const SHARDS: [ShardId; 3] = [1, 2, 3];
+/// Name of the region.
 pub const REGION: &str = "north";
 /// Quota of a tenant, as a multiple of its traffic at all gateway instances.
 const QUOTA_OVER_DEMAND: f64 = 1.5;
--- a/lease/src/regional_quota/mod.rs
+++ b/lease/src/regional_quota/mod.rs
@@ -149,7 +149,7 @@
 
     /// The other owner does not know its fraction: returns what is held here, transfers in transit included (ppm);
     /// `None` if unknown here as well.
-    pub fn held_ppm_for(&mut self, from: PeerIdentity) -> Option<u32> {
+    pub fn allocated_ppm_for(&mut self, from: PeerIdentity) -> Option<u32> {
         if self.peer.is_none_or(|peer| peer.identity != from) {
             self.peer = Some(PeerOwner { identity: from, last_added_transfer: 0 });
         }
@@ -158,12 +158,12 @@
     }
 
     /// The other owner has reported what it holds (ppm); `None`: it does not know itself.
-    pub fn reconcile(&mut self, held_ppm: Option<u32>, configured_ppm: u32) {
+    pub fn reconcile(&mut self, allocated_ppm: Option<u32>, configured_ppm: u32) {
         if self.reconciled {
             return;
         }
-        self.fraction_ppm =
-            held_ppm.map_or(configured_ppm, |held_ppm| FULL_QUOTA_PPM.saturating_sub(held_ppm));
+        self.fraction_ppm = allocated_ppm
+            .map_or(configured_ppm, |allocated_ppm| FULL_QUOTA_PPM.saturating_sub(allocated_ppm));
         self.reconciled = true;
     }
 
--- a/lease/src/shard/account.rs
+++ b/lease/src/shard/account.rs
@@ -82,12 +82,12 @@
             }
             PeerMessage::Reconcile { .. } => Some(PeerMessage::ReconcileResponse {
                 tenant,
-                held_ppm: quota.held_ppm_for(from),
+                allocated_ppm: quota.allocated_ppm_for(from),
                 requester_incarnation: from.incarnation,
             }),
-            PeerMessage::ReconcileResponse { held_ppm, requester_incarnation, .. } => {
+            PeerMessage::ReconcileResponse { allocated_ppm, requester_incarnation, .. } => {
                 if requester_incarnation == context.incarnation {
-                    quota.reconcile(held_ppm, configured_ppm);
+                    quota.reconcile(allocated_ppm, configured_ppm);
                 }
                 None
             }
--- a/lease/src/wire/mod.rs
+++ b/lease/src/wire/mod.rs
@@ -80,7 +80,7 @@
         /// The tenant whose quota is concerned.
         tenant: TenantId,
         /// What the sender holds, transfers in transit included (ppm); `None`: it does not know itself.
-        held_ppm: Option<u32>,
+        allocated_ppm: Option<u32>,
         /// Incarnation of the requesting process; a response to a former process is of no use to its successor.
         requester_incarnation: u64,
     },
--- a/lease/tests/simulation/driver.rs
+++ b/lease/tests/simulation/driver.rs
@@ -120,8 +120,8 @@
     fn schedule_arrival(&mut self, region: usize, tenant: TenantId) {
         let has_changed = self.now >= START + self.scenario.demand_change_at;
         let demand = if has_changed { self.scenario.later_demand } else { self.scenario.demand };
-        let wait = -(1.0 - self.rng.gen::<f64>()).ln() / demand[region];
-        self.queue.schedule(self.now + wait, Event::RequestArrival { region, tenant });
+        let interval = -(1.0 - self.rng.gen::<f64>()).ln() / demand[region];
+        self.queue.schedule(self.now + interval, Event::RequestArrival { region, tenant });
     }
 
     fn check_fractions(&mut self) {
--- a/lease/tests/simulation/network.rs
+++ b/lease/tests/simulation/network.rs
@@ -17,11 +17,17 @@
 /// Probability that bytes arrive in two pieces.
 const SPLIT_PROBABILITY: f64 = 0.1;
 
+enum Direction {
+    ToShard,
+    ToGateway,
+}
+
 struct OpenConnection {
     gateway: GatewayId,
     shard: ShardId,
-    /// Time of the last delivery, since bytes stay in order in each direction: Unix time, seconds.
+    /// Unix time of the last delivery in this direction, seconds.
     last_delivery_to_shard: f64,
+    /// The same in the other direction.
     last_delivery_to_gateway: f64,
 }
 
@@ -54,20 +60,23 @@
     }
 
     fn connection_of(&self, gateway: GatewayId, shard: ShardId) -> Option<ConnectionId> {
-        let mut connections = self.connections.iter();
-        let found = connections.find(|(_, open)| open.gateway == gateway && open.shard == shard);
-        found.map(|(connection, _)| *connection)
+        self.connections_where(|open| open.gateway == gateway && open.shard == shard).next()
     }
 
-    /// The connections of a shard.
     pub fn connections_to_shard(&self, shard: ShardId) -> Vec<ConnectionId> {
-        let connections = self.connections.iter().filter(|(_, open)| open.shard == shard);
-        connections.map(|(connection, _)| *connection).collect()
+        self.connections_where(|open| open.shard == shard).collect()
     }
 
     fn connections_of_gateway(&self, gateway: GatewayId) -> Vec<ConnectionId> {
-        let connections = self.connections.iter().filter(|(_, open)| open.gateway == gateway);
-        connections.map(|(connection, _)| *connection).collect()
+        self.connections_where(|open| open.gateway == gateway).collect()
+    }
+
+    fn connections_where<'a>(
+        &'a self,
+        selects: impl Fn(&OpenConnection) -> bool + 'a,
+    ) -> impl Iterator<Item = ConnectionId> + 'a {
+        let connections = self.connections.iter().filter(move |(_, open)| selects(open));
+        connections.map(|(connection, _)| *connection)
     }
 }
 
@@ -95,7 +104,7 @@
             ClientOutput::Send { shard, bytes } => {
                 let Some(connection) = self.network.connection_of(gateway, shard) else { return };
                 for bytes in self.split_randomly(bytes) {
-                    let at = self.next_delivery_to_shard(connection);
+                    let at = self.draw_delivery(connection, Direction::ToShard);
                     self.queue.schedule(at, Event::BytesToShard { connection, bytes });
                 }
             }
@@ -121,16 +130,16 @@
         match output {
             ShardOutput::Send { connection, bytes } => {
                 if self.rng.gen_bool(self.network.response_loss) {
-                    let at = self.next_delivery_to_gateway(connection);
+                    let at = self.draw_delivery(connection, Direction::ToGateway);
                     return self.queue.schedule(at, Event::ConnectionReset { connection });
                 }
                 for bytes in self.split_randomly(bytes) {
-                    let at = self.next_delivery_to_gateway(connection);
+                    let at = self.draw_delivery(connection, Direction::ToGateway);
                     self.queue.schedule(at, Event::BytesToGateway { connection, bytes });
                 }
             }
             ShardOutput::Close { connection } => {
-                let at = self.next_delivery_to_gateway(connection);
+                let at = self.draw_delivery(connection, Direction::ToGateway);
                 self.queue.schedule(at, Event::ConnectionReset { connection });
             }
             ShardOutput::SendToPeer { shard, bytes } => {
@@ -155,18 +164,16 @@
         self.rng.gen_range(DELAY)
     }
 
-    fn next_delivery_to_shard(&mut self, connection: ConnectionId) -> f64 {
+    /// Bytes of one direction arrive in the order in which they were sent.
+    fn draw_delivery(&mut self, connection: ConnectionId, direction: Direction) -> f64 {
         let at = self.now + self.draw_delay();
         let Some(open) = self.network.connections.get_mut(&connection) else { return at };
-        open.last_delivery_to_shard = open.last_delivery_to_shard.max(at);
-        open.last_delivery_to_shard
-    }
-
-    fn next_delivery_to_gateway(&mut self, connection: ConnectionId) -> f64 {
-        let at = self.now + self.draw_delay();
-        let Some(open) = self.network.connections.get_mut(&connection) else { return at };
-        open.last_delivery_to_gateway = open.last_delivery_to_gateway.max(at);
-        open.last_delivery_to_gateway
+        let last_delivery = match direction {
+            Direction::ToShard => &mut open.last_delivery_to_shard,
+            Direction::ToGateway => &mut open.last_delivery_to_gateway,
+        };
+        *last_delivery = last_delivery.max(at);
+        *last_delivery
     }
 
     pub(super) fn complete_connect(
--- a/lease/tests/wire.rs
+++ b/lease/tests/wire.rs
@@ -32,9 +32,9 @@
         tenant().prop_map(|tenant| PeerMessage::RequestTransfer { tenant }),
         (tenant(), any::<u16>()).prop_map(|(tenant, plan)| PeerMessage::Reconcile { tenant, plan }),
         (tenant(), any::<Option<u32>>(), any::<u64>()).prop_map(
-            |(tenant, held_ppm, requester_incarnation)| PeerMessage::ReconcileResponse {
+            |(tenant, allocated_ppm, requester_incarnation)| PeerMessage::ReconcileResponse {
                 tenant,
-                held_ppm,
+                allocated_ppm,
                 requester_incarnation
             }
         ),
@@ -117,7 +117,7 @@
     let from = PeerIdentity { shard: u16::MAX, incarnation: u64::MAX };
     let message = PeerMessage::ReconcileResponse {
         tenant: u64::MAX,
-        held_ppm: Some(u32::MAX),
+        allocated_ppm: Some(u32::MAX),
         requester_incarnation: u64::MAX,
     };
     encode(&Frame::Peer { from, epoch: u32::MAX, messages: vec![message; MAX_PEER_MESSAGES] });
