--- a/lease/src/regional_quota/mod.rs
+++ b/lease/src/regional_quota/mod.rs
@@ -147,7 +147,7 @@
         Some(PeerMessage::Transfer { tenant, plan, transfer_number: number, amount_ppm })
     }
 
-    /// The other owner does not know its fraction: returns what is held here, transfers in transit included (ppm);
+    /// The other owner does not know its fraction: returns what is allocated here, transfers in transit included (ppm);
     /// `None` if unknown here as well.
     pub fn allocated_ppm_for(&mut self, from: PeerIdentity) -> Option<u32> {
         if self.peer.is_none_or(|peer| peer.identity != from) {
--- a/lease/tests/exchange.rs
+++ b/lease/tests/exchange/main.rs
@@ -1,74 +1,17 @@
 //! One gateway instance and one shard, step by step: retransmissions, late responses and a shard that is down.
+mod fixtures;
+
+use fixtures::{
+    client, completed, connected_client_requesting, map, request_units, response_bytes, sent_bytes, shard,
+    LATER, NOW,
+};
 use quillramp_lease::client::{
     ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
 };
 use quillramp_lease::shard::{Shard, ShardOutput, ShardSettings};
-use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardMap};
+use quillramp_lease::shard_map::ShardMap;
 use quillramp_lease::wire::{encode, BatchEntry, Frame, FrameDecoder, PROTOCOL_VERSION};
 
-/// Unix time of the shard's start, seconds.
-const NOW: f64 = 1000.0;
-/// Long enough after it for all buckets to be full.
-const LATER: f64 = 2000.0;
-
-fn map(epoch: u32, shards: &[u16]) -> ShardMap {
-    let entry = |id: &u16| ShardEntry { id: *id, address: ([127, 0, 0, 1], 7000 + *id).into() };
-    let shards = shards.iter().map(entry).collect();
-    ShardMap {
-        epoch,
-        active_at: 0.0,
-        plans: vec![Plan { name: "team".into(), rate: 1.0, burst: 50.0 }],
-        regions: vec![Region { name: "north".into(), quota_fraction: 1.0, shards }],
-    }
-}
-
-fn shard(started: f64) -> Shard {
-    let settings = ShardSettings { id: 1, region: "north".into(), incarnation: 1, injected_fault: None };
-    Shard::new(started, settings, map(1, &[1])).expect("a good map")
-}
-
-fn client() -> LeaseClient {
-    LeaseClient::new(ClientSettings::new(5, 1, "north"), map(1, &[1])).expect("a good map")
-}
-
-fn request_units(units: f64, deadline: f64) -> LeaseRequest {
-    LeaseRequest { tenant: 9, plan: 0, requested_units: units, spent_units: 0.0, deadline }
-}
-
-fn sent_bytes(client: &mut LeaseClient) -> Vec<u8> {
-    let bytes = client.poll_outputs().into_iter().filter_map(|output| match output {
-        ClientOutput::Send { bytes, .. } => Some(bytes),
-        _ => None,
-    });
-    bytes.flatten().collect()
-}
-
-fn completed(client: &mut LeaseClient) -> Vec<(RequestId, LeaseOutcome)> {
-    let completed = client.poll_outputs().into_iter().filter_map(|output| match output {
-        ClientOutput::Completed { request_id, outcome } => Some((request_id, outcome)),
-        _ => None,
-    });
-    completed.collect()
-}
-
-fn response_bytes(shard: &mut Shard) -> Vec<u8> {
-    let bytes = shard.poll_outputs().into_iter().filter_map(|output| match output {
-        ShardOutput::Send { bytes, .. } => Some(bytes),
-        _ => None,
-    });
-    bytes.flatten().collect()
-}
-
-/// A client with an open connection whose first batch requests so many units, the request and the batch's bytes.
-fn connected_client_requesting(units: f64) -> (LeaseClient, RequestId, Vec<u8>) {
-    let mut client = client();
-    let request_id = client.submit(LATER, request_units(units, LATER + 1.0));
-    assert!(matches!(client.poll_outputs()[..], [ClientOutput::Connect { shard: 1, .. }]));
-    client.handle_connected(LATER, 1);
-    let bytes = sent_bytes(&mut client);
-    (client, request_id, bytes)
-}
-
 #[test]
 fn a_lease_is_granted_over_a_fragmented_stream() {
     let (mut client, request_id, bytes) = connected_client_requesting(4.0);
