--- a/src/policy.rs
+++ b/src/policy.rs
@@ -86,25 +86,38 @@
 }
 
 impl PolicyEngine {
-    pub fn new(
-        (seed, doors, hears, asks): (u64, f64, f64, bool),
-        (operations, plans): (Vec<Operation>, Vec<Plan>),
-        (rules, may): (SlowStart, AttemptSettings),
-        counter: Option<CounterSettings>,
-    ) -> PolicyEngine {
-        let times = operations.iter().map(|o| Times::first(o.latency_objective / 4.0)).collect();
-        let (rng, woke) = (Some(ChaCha8Rng::seed_from_u64(seed)), f64::INFINITY);
-        let (repeats, pace, words) = (REPEATS.1 / 2.0, PACE.1 / doors, Words { hears, ..Words::default() });
-        let (timeout, calls) = (counter.map_or(0.0, |c| c.timeout), pace * PACE_SPAN.0);
-        let hard = vec![0.0; 1 + operations.len() + plans.len()];
-        let store = Store { pace, calls, timeout, silent: counter.is_none(), asked: 1.0, ..Store::default() };
-        let mut timers = Timers::default();
-        asks.then(|| timers.ring(0.0, Bell::List));
-        #[rustfmt::skip]
-        return PolicyEngine {
-            rng, doors, operations, plans, rules, may, times, repeats, words, store, hard, woke,
-            timers, own: 1.0, ..PolicyEngine::default()
+    pub fn new(settings: EngineSettings) -> PolicyEngine {
+        let EngineSettings { instances, operations, plans, counter, .. } = settings;
+        let pace = PACE.1 / instances;
+        let store = Store {
+            pace,
+            calls: pace * PACE_SPAN.0,
+            timeout: counter.map_or(0.0, |c| c.timeout),
+            silent: counter.is_none(),
+            asked: 1.0,
+            ..Store::default()
         };
+        let mut timers = Timers::default();
+        if settings.polls_endpoints {
+            timers.ring(0.0, Bell::List);
+        }
+        PolicyEngine {
+            rng: Some(ChaCha8Rng::seed_from_u64(settings.seed)),
+            doors: instances,
+            own: 1.0,
+            words: Words { hears: settings.gossip_intake_rate, ..Words::default() },
+            times: operations.iter().map(|o| Times::first(o.latency_objective / 4.0)).collect(),
+            hard: vec![0.0; 1 + operations.len() + plans.len()],
+            operations,
+            plans,
+            rules: settings.slow_start,
+            may: settings.attempts,
+            repeats: REPEATS.1 / 2.0,
+            store,
+            woke: f64::INFINITY,
+            timers,
+            ..PolicyEngine::default()
+        }
     }
 
     // ======== facts
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -215,12 +215,17 @@
     let counter = told.extra.counter.then_some(limits);
     let hears = if told.caps.peers { told.extra.peer_intake } else { 0.0 };
     let doors = told.balancers.max(1);
-    let door = PolicyEngine::new(
-        (seed, doors as f64, hears, asks),
-        (operations.clone(), plans),
-        (rules, may),
+    let engine = PolicyEngine::new(EngineSettings {
+        seed,
+        instances: doors as f64,
+        gossip_intake_rate: hears,
+        polls_endpoints: asks,
+        operations: operations.clone(),
+        plans,
+        slow_start: rules,
+        attempts: may,
         counter,
-    );
+    });
     let about = InstanceSettings {
         instances: doors,
         instance_index: told.slot_no,
@@ -239,5 +244,5 @@
         load_report_fields: report,
         counter_timeout: told.extra.counter_timeout_us / 1e6,
     };
-    Ok(Loaded { engine: door, instance: about })
+    Ok(Loaded { engine, instance: about })
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -71,6 +71,25 @@
     pub timeout: f64,
 }
 
+/// What the policy engine is started with.
+#[derive(Clone, Debug)]
+pub struct EngineSettings {
+    /// Seeds all random draws.
+    pub seed: u64,
+    /// Number of gateway instances that share the backends and the counter.
+    pub instances: f64,
+    /// Gossip messages per second that one instance takes in; 0 where instances cannot talk.
+    pub gossip_intake_rate: f64,
+    /// The endpoint list comes only when it is requested.
+    pub polls_endpoints: bool,
+    pub operations: Vec<Operation>,
+    pub plans: Vec<Plan>,
+    pub slow_start: SlowStart,
+    pub attempts: AttemptSettings,
+    /// `None` where the deployment has no counter.
+    pub counter: Option<CounterSettings>,
+}
+
 /// A customer's front doors: the first, and how many follow each other from there, counted round.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct InstanceRange {
--- a/tests/help/mod.rs
+++ b/tests/help/mod.rs
@@ -32,7 +32,17 @@
 ) -> Desk {
     let cold = SlowStart { initial_fraction: 0.2, duration: 10.0 };
     let counter = Some(CounterSettings { timeout: 0.05 });
-    let door = PolicyEngine::new((7, doors, 40.0, false), (operations, plans), (cold, may), counter);
+    let door = PolicyEngine::new(EngineSettings {
+        seed: 7,
+        instances: doors,
+        gossip_intake_rate: 40.0,
+        polls_endpoints: false,
+        operations,
+        plans,
+        slow_start: cold,
+        attempts: may,
+        counter,
+    });
     let mut desk = Desk {
         door,
         asks: vec![],
--- a/tests/long_list.rs
+++ b/tests/long_list.rs
@@ -25,8 +25,17 @@
         let operations = vec![settings::operation(Idempotency::Idempotent)];
         let plans = vec![Plan { rate: 1e6, burst: 1e6, ..settings::plan() }];
         let cold_start = SlowStart { initial_fraction: 0.2, duration: 10.0 };
-        let mut door =
-            PolicyEngine::new((7, 1.0, 0.0, false), (operations, plans), (cold_start, settings::may()), None);
+        let mut door = PolicyEngine::new(EngineSettings {
+            seed: 7,
+            instances: 1.0,
+            gossip_intake_rate: 0.0,
+            polls_endpoints: false,
+            operations,
+            plans,
+            slow_start: cold_start,
+            attempts: settings::may(),
+            counter: None,
+        });
         door.update_endpoints(30.0, true, list);
         Chooser { door, invocations: 0, now: 30.0 }
     }
--- a/tests/shared_count.rs
+++ b/tests/shared_count.rs
@@ -25,13 +25,17 @@
             let operations = vec![settings::operation(Idempotency::Idempotent)];
             let cold_start = SlowStart { initial_fraction: 0.2, duration: 10.0 };
             let counter = Some(CounterSettings { timeout: 0.05 });
-            let fleet = (seed as u64, front_doors as f64, 0.0, false);
-            let mut door = PolicyEngine::new(
-                fleet,
-                (operations, vec![plan.clone()]),
-                (cold_start, settings::may()),
+            let mut door = PolicyEngine::new(EngineSettings {
+                seed: seed as u64,
+                instances: front_doors as f64,
+                gossip_intake_rate: 0.0,
+                polls_endpoints: false,
+                operations,
+                plans: vec![plan.clone()],
+                slow_start: cold_start,
+                attempts: settings::may(),
                 counter,
-            );
+            });
             let backends: Vec<Endpoint> = (0..50).map(settings::listed).collect();
             door.update_endpoints(30.0, true, &backends);
             door
