--- a/src/backends.rs
+++ b/src/backends.rs
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Backends that warm up are summed up one by one; so often, in seconds, it is looked which of them are done.
-const WARM_LOOK: f64 = 1.0;
+const WARMING_CHECK_INTERVAL: f64 = 1.0;
 
 /// Backends by their index.
 #[derive(Default)]
-pub struct Backends {
+pub struct BackendSet {
     known: BTreeMap<BackendIndex, Backend>,
     /// Those that hold deliveries of ours.
     busy: BTreeSet<BackendIndex>,
@@ -28,33 +28,33 @@
     /// The list has changed since.
     outdated: bool,
     /// When it was reckoned, seconds.
-    as_of: f64,
+    computed_at: f64,
     /// Those that may get new deliveries.
     ready: Vec<BackendIndex>,
     /// Of them, those that had not warmed up; and the sizes of the rest together.
     warming: Vec<BackendIndex>,
-    warm_size: f64,
+    warm_weight: f64,
     /// The sizes of all that are listed.
-    listed: f64,
+    listed_weight: f64,
 }
 
 /// What backends can take together.
 pub struct Totals {
     /// How many may get new deliveries.
-    pub ready: usize,
+    pub ready_count: usize,
     /// Of these, the sizes times the shares of capacity.
     pub capacity: f64,
     /// The sizes of all that are listed.
-    pub listed: f64,
+    pub listed_weight: f64,
 }
 
 /// Backends drawn at random: of all that may get new deliveries, and of those that there is a connection to.
-pub struct Drawn {
+pub struct Sample {
     pub ready: Vec<BackendIndex>,
     pub connected: Vec<BackendIndex>,
 }
 
-impl Backends {
+impl BackendSet {
     pub fn get(&self, tgt: BackendIndex) -> Option<&Backend> {
         self.known.get(&tgt)
     }
@@ -81,20 +81,20 @@
     }
 
     /// Takes up what the list says; `whole` replaces it, so what it lacks is gone. So many kinds are to be proven.
-    pub fn listed(&mut self, now: f64, whole: bool, entries: &[Endpoint], kinds: usize) {
+    pub fn update_endpoints(&mut self, now: f64, whole: bool, entries: &[Endpoint], kinds: usize) {
         self.summary.outdated = true;
-        self.known.values_mut().filter(|_| whole).for_each(|b| b.is.status = EndpointStatus::Removed);
+        self.known.values_mut().filter(|_| whole).for_each(|b| b.endpoint.status = EndpointStatus::Removed);
         for &is in entries {
             let b = self.known.entry(is.backend).or_insert_with(|| Backend::new(now, is, kinds));
-            let same = b.is.started_at == is.started_at;
-            *b = if same { Backend { is, ..std::mem::take(b) } } else { b.anew(now, is) };
+            let same = b.endpoint.started_at == is.started_at;
+            *b = if same { Backend { endpoint: is, ..std::mem::take(b) } } else { b.restarted(now, is) };
         }
     }
 
     /// An operator leaves a backend out since then, or uses it again.
-    pub fn by_hand(&mut self, now: f64, tgt: BackendIndex, out: Option<f64>) {
+    pub fn set_maintenance(&mut self, now: f64, tgt: BackendIndex, out: Option<f64>) {
         self.summary.outdated = true;
-        self.known.entry(tgt).and_modify(|b| b.by_hand(now, out));
+        self.known.entry(tgt).and_modify(|b| b.set_maintenance(now, out));
     }
 
     pub fn forget(&mut self, tgt: BackendIndex) {
@@ -105,17 +105,17 @@
     }
 
     /// One delivery more, of so many units.
-    pub fn delivers(&mut self, tgt: BackendIndex, units: f64) {
-        self.known.entry(tgt).and_modify(|b| b.heavier(units));
+    pub fn add_attempt(&mut self, tgt: BackendIndex, units: f64) {
+        self.known.entry(tgt).and_modify(|b| b.add_attempt(units));
         self.busy.insert(tgt);
         self.connected.insert(tgt);
     }
 
     /// A delivery of so many units is no longer its work; none if that was told before.
-    pub fn lighter(&mut self, tgt: BackendIndex, units: f64) -> Option<&mut Backend> {
+    pub fn remove_attempt(&mut self, tgt: BackendIndex, units: f64) -> Option<&mut Backend> {
         let b = self.known.get_mut(&tgt)?;
-        b.lighter(units);
-        if b.out == 0 {
+        b.remove_attempt(units);
+        if b.in_flight == 0 {
             self.busy.remove(&tgt);
         }
         Some(b)
@@ -128,10 +128,10 @@
 
     /// The totals by the summary that the last draw left.
     pub fn totals(&self, now: f64, rules: &SlowStart) -> Totals {
-        let Summary { ready, warming, warm_size, listed, .. } = &self.summary;
+        let Summary { ready, warming, warm_weight: warm_size, listed_weight: listed, .. } = &self.summary;
         let warming = warming.iter().filter_map(|tgt| self.known.get(tgt));
-        let capacity = warm_size + warming.map(|b| b.capacity(now, rules)).sum::<f64>();
-        Totals { ready: ready.len(), capacity, listed: *listed }
+        let capacity = warm_size + warming.map(|b| b.effective_weight(now, rules)).sum::<f64>();
+        Totals { ready_count: ready.len(), capacity, listed_weight: *listed }
     }
 
     /// The totals of those given, each looked at.
@@ -142,20 +142,21 @@
         ready: impl Iterator<Item = &'a Backend>,
     ) -> Totals {
         let mut number = 0;
-        let capacity = ready.inspect(|_| number += 1).map(|b| b.capacity(now, rules)).sum();
-        Totals { ready: number, capacity, listed: listed_size(self.values()) }
+        let capacity = ready.inspect(|_| number += 1).map(|b| b.effective_weight(now, rules)).sum();
+        Totals { ready_count: number, capacity, listed_weight: listed_size(self.values()) }
     }
 
     /// Draws as many as asked for of each kind; connections that were last used before `idle_since` are closed by now.
-    pub fn draw(
+    pub fn sample(
         &mut self,
         now: f64,
         rng: &mut impl Rng,
         most: usize,
         idle_since: f64,
         rules: &SlowStart,
-    ) -> Drawn {
-        let looked = now - self.summary.as_of > WARM_LOOK && !self.summary.warming.is_empty();
+    ) -> Sample {
+        let looked =
+            now - self.summary.computed_at > WARMING_CHECK_INTERVAL && !self.summary.warming.is_empty();
         if self.summary.outdated || looked {
             self.summarize(now, rules);
         }
@@ -165,23 +166,23 @@
         let some: Vec<BackendIndex> = some.iter().map(|i| self.connected[i]).collect();
         let (open, closed): (Vec<BackendIndex>, Vec<BackendIndex>) = some.into_iter().partition(|tgt| {
             let b = self.known.get(tgt);
-            b.is_some_and(|b| b.ready() && (b.out > 0 || b.streak(0, idle_since) > 0))
+            b.is_some_and(|b| b.accepts_new() && (b.in_flight > 0 || b.streak(0, idle_since) > 0))
         });
         for tgt in closed {
             self.connected.swap_remove(&tgt);
         }
-        Drawn { ready, connected: open }
+        Sample { ready, connected: open }
     }
 
     fn summarize(&mut self, now: f64, rules: &SlowStart) {
         let listed = listed_size(self.values());
-        let mut summary = Summary { as_of: now, listed, ..Summary::default() };
-        for (tgt, b) in self.known.iter().filter(|(_, b)| b.ready()) {
+        let mut summary = Summary { computed_at: now, listed_weight: listed, ..Summary::default() };
+        for (tgt, b) in self.known.iter().filter(|(_, b)| b.accepts_new()) {
             summary.ready.push(*tgt);
-            if b.share(now, rules) < 1.0 {
+            if b.capacity_fraction(now, rules) < 1.0 {
                 summary.warming.push(*tgt);
             } else {
-                summary.warm_size += b.is.weight;
+                summary.warm_weight += b.endpoint.weight;
             }
         }
         self.summary = summary;
@@ -189,10 +190,10 @@
 }
 
 fn listed_size<'a>(all: impl Iterator<Item = &'a Backend>) -> f64 {
-    all.filter(|b| b.is.status != EndpointStatus::Removed).map(|b| b.is.weight).sum()
+    all.filter(|b| b.endpoint.status != EndpointStatus::Removed).map(|b| b.endpoint.weight).sum()
 }
 
-impl std::ops::Index<&BackendIndex> for Backends {
+impl std::ops::Index<&BackendIndex> for BackendSet {
     type Output = Backend;
     fn index(&self, tgt: &BackendIndex) -> &Backend {
         &self.known[tgt]
