--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,4 @@
 //! quillramp: the decisions of a gateway that holds customers to their quotas before a shared back end.
-mod backends;
 pub mod gossip;
 pub mod interner;
 pub mod policy;
--- /dev/null
+++ b/src/policy/mod.rs
@@ -0,0 +1,234 @@
+//! All decisions of one gateway instance: which requests are admitted, where they go, when they are retried or hedged, and when
+//! they are given up. Nothing here does I/O or reads a clock: the caller passes the time, seconds on a clock that never goes
+//! back, and carries out the [`Effects`] that come with each answer.
+//!
+//! | module | decides |
+//! | --- | --- |
+//! | `requests` | the life of a request: first routing, ended attempts, closing |
+//! | `attempts` | whether and when a request gets its next attempt: retries, hedging, giving up |
+//! | `quota` | whether a customer's quota admits a request: leases, even shares, ceilings |
+//! | `leases` | what an answer of the shared counter means for a lease; expiry and refunds |
+//! | `permits` | caps on a customer's requests in flight |
+//! | `counter` | how often the counter is called, and when it counts as unresponsive |
+//! | `load_balancing` | which backend gets an attempt |
+//! | `concurrency` | how much may be in flight at all backends together |
+//! | `outliers` | what an outcome says of a backend: ejection, recovery, latency estimates |
+//!
+//! Quota. A customer's counter holds the units taken since its window began. The token bucket that it stands for refills at the
+//! plan's rate, so what may be taken is the burst plus the refill since the window began. A total that lags behind the refill,
+//! because the bucket was full or the counter lost it, is corrected upwards.
+mod attempts;
+mod concurrency;
+mod counter;
+mod leases;
+mod load_balancing;
+mod outliers;
+mod permits;
+mod quota;
+mod requests;
+
+use crate::state::{
+    BackendSet, CounterHealth, CustomerAccount, Ejection, GossipBudget, LatencyEstimate, PendingRequest,
+    TimerKind, Timers,
+};
+use crate::types::*;
+use concurrency::ConcurrencyLimit;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A customer is told about to other instances no more often than this, and so is a backend's recovery; seconds.
+const GOSSIP_INTERVAL: f64 = 0.5;
+/// The fraction of what an instance takes in of gossip that each may send.
+const GOSSIP_SEND_FRACTION: f64 = 0.5;
+/// Mean pause before the endpoint list is requested again after a failure, seconds. Drawn from half of it to one and a half, so
+/// that instances do not come back together.
+const ENDPOINT_RETRY_PAUSE: f64 = 2.0;
+/// Timers this late, seconds, show that this process itself stood still.
+const STALL_THRESHOLD: f64 = 0.1;
+/// Answer times are at first taken for this fraction of the operation's latency objective.
+const INITIAL_LATENCY_FRACTION: f64 = 0.25;
+
+/// The decisions of one gateway instance, and all that they remember.
+#[derive(Default)]
+pub struct PolicyEngine {
+    rng: Option<ChaCha8Rng>,
+    /// Number of gateway instances.
+    instances: f64,
+    /// Number of processes of this instance: two during an upgrade.
+    local_processes: f64,
+    gossip_budget: GossipBudget,
+    operations: Vec<Operation>,
+    plans: Vec<Plan>,
+    slow_start: SlowStart,
+    attempt_settings: AttemptSettings,
+    requests: BTreeMap<RequestIndex, PendingRequest>,
+    accounts: BTreeMap<CustomerIndex, CustomerAccount>,
+    backends: BackendSet,
+    /// By operation, over all backends.
+    latencies: Vec<LatencyEstimate>,
+    concurrency: ConcurrencyLimit,
+    /// By kind of outcome: the fraction of attempts that failed.
+    failure_rates: Vec<f64>,
+    /// Retries of requests that may have run are paid for with these.
+    retry_tokens: f64,
+    counter: CounterHealth,
+    last_call_at: f64,
+    /// Requests to be decided on again.
+    reconsider: BTreeSet<RequestIndex>,
+    evicted_customers: Vec<CustomerIndex>,
+    timers: Timers,
+    /// What has become due since the last answer.
+    effects: Effects,
+}
+
+impl PolicyEngine {
+    /// An engine that knows no backends yet.
+    pub fn new(settings: EngineSettings) -> PolicyEngine {
+        let EngineSettings { instances, operations, plans, counter, .. } = settings;
+        let mut timers = Timers::default();
+        if settings.polls_endpoints {
+            timers.schedule(0.0, TimerKind::FetchEndpoints);
+        }
+        let initial_latency = |operation: &Operation| {
+            LatencyEstimate::initial(operation.latency_objective * INITIAL_LATENCY_FRACTION)
+        };
+        PolicyEngine {
+            rng: Some(ChaCha8Rng::seed_from_u64(settings.seed)),
+            instances,
+            local_processes: 1.0,
+            gossip_budget: GossipBudget::new(settings.gossip_intake_rate),
+            latencies: operations.iter().map(initial_latency).collect(),
+            failure_rates: vec![0.0; outliers::kind_count(operations.len(), plans.len())],
+            operations,
+            plans,
+            slow_start: settings.slow_start,
+            attempt_settings: settings.attempts,
+            retry_tokens: attempts::INITIAL_RETRY_TOKENS,
+            counter: CounterHealth::new(counter, instances),
+            last_call_at: f64::INFINITY,
+            timers,
+            ..PolicyEngine::default()
+        }
+    }
+
+    /// Takes up the endpoint list, or what changed in it. What a snapshot lacks is removed.
+    pub fn update_endpoints(&mut self, now: f64, is_snapshot: bool, endpoints: &[Endpoint]) {
+        if self.backends.is_empty() {
+            // The first call with a time.
+            self.concurrency.reset(endpoints.len(), self.instances);
+            self.counter.last_answer_at = now;
+            self.counter.tokens_updated_at = now;
+        }
+        self.backends.update_endpoints(now, is_snapshot, endpoints, self.failure_rates.len());
+    }
+
+    /// The endpoint list could not be had, or its watch broke off: it is requested again after a pause.
+    pub fn endpoint_fetch_failed(&mut self, now: f64) {
+        let at = now + ENDPOINT_RETRY_PAUSE * (0.5 + self.random_fraction());
+        self.timers.schedule(at, TimerKind::FetchEndpoints);
+    }
+
+    /// An operator takes a backend out of service from `since` on, or puts it back (`None`): what was known of it is past.
+    pub fn set_manual_ejection(&mut self, now: f64, backend: BackendIndex, since: Option<f64>) {
+        self.backends.set_maintenance(now, backend, since);
+    }
+
+    /// How many listed backends get nothing new now: draining, out of service or ejected.
+    pub fn unavailable_backends(&self) -> usize {
+        self.backends.values().filter(|backend| backend.is_unavailable()).count()
+    }
+
+    /// Forgets a removed backend that nothing in flight has to do with any more. Its index may name another one from now on.
+    pub fn forget_backend(&mut self, backend: BackendIndex) {
+        self.backends.forget(backend);
+    }
+
+    /// Another process of this instance is there, or no longer: each has half of the instance's even shares.
+    pub fn set_peer_process(&mut self, is_running: bool) {
+        self.local_processes = if is_running { 2.0 } else { 1.0 };
+    }
+
+    /// Another instance has had an answer of a backend that it had ejected, or has seen a customer's total.
+    pub fn gossip_received(&mut self, now: f64, message: GossipMessage) {
+        match message {
+            GossipMessage::BackendRecovered { backend } => self.recovery_reported(now, backend),
+            GossipMessage::CounterTotal { key, plan, instances, total } => {
+                let account = self.account(now, key.customer, plan, instances);
+                if key.series == account.series {
+                    account.observed_total = Some(total);
+                    account.gossiped_at = now;
+                    account.observed_at = now;
+                }
+            }
+        }
+    }
+
+    fn recovery_reported(&mut self, now: f64, backend: BackendIndex) {
+        let Some(backend) = self.backends.get_mut(backend) else { return };
+        backend.recovery_gossiped_at = now;
+        // The message may be older than the ejection: half of its duration passes first.
+        if let Some(ejection) = backend.ejection.filter(|e| e.until - now < e.duration / 2.0) {
+            backend.ejection = Some(Ejection { until: now, ..ejection });
+        }
+    }
+
+    /// What is due by now, which requests are to be routed again, and when to poll next.
+    pub fn poll(&mut self, now: f64) -> PollOutput {
+        while let Some(timer) = self.timers.pop_due(now, &self.requests) {
+            match timer {
+                TimerKind::Request(request) => {
+                    self.reconsider.insert(request);
+                }
+                TimerKind::Customer(customer) => self.customer_timer_fired(now, customer),
+                TimerKind::FetchEndpoints => self.effects.fetch_endpoints = true,
+            }
+        }
+        let requests = &self.requests;
+        self.reconsider.retain(|index| requests.get(index).is_some_and(|request| !request.closed));
+        PollOutput {
+            reconsider: std::mem::take(&mut self.reconsider).into_iter().collect(),
+            evicted_customers: std::mem::take(&mut self.evicted_customers),
+            next_poll_in: self.timers.next().map(|at| at - now),
+            effects: std::mem::take(&mut self.effects),
+        }
+    }
+
+    /// If this process itself stood still, the silence meanwhile was not its backends'.
+    fn detect_own_stall(&mut self, now: f64) {
+        let late = self.timers.next().map_or(0.0, |at| now - at);
+        if now > self.last_call_at && late > STALL_THRESHOLD {
+            for backend in self.backends.values_mut() {
+                backend.last_progress_at = now;
+                backend.answered_at = now;
+            }
+            self.effects.log.push(format!("stood still for {late:.2} s"));
+        }
+        self.last_call_at = now;
+    }
+
+    /// Sends a message to so many instances, as far as they can take it in.
+    fn send_gossip(&mut self, now: f64, message: GossipMessage, recipients: f64) {
+        if self.gossip_budget.try_spend(now, recipients, GOSSIP_SEND_FRACTION, self.instances) {
+            self.effects.gossip.push(message);
+        }
+    }
+
+    /// A random number from 0 to 1.
+    fn random_fraction(&mut self) -> f64 {
+        self.rng.as_mut().expect("seeded at the start").gen_range(0.0..1.0)
+    }
+
+    /// A request that the engine is deciding on.
+    fn request(&mut self, index: RequestIndex) -> &mut PendingRequest {
+        self.requests.get_mut(&index).expect("a request under decision is pending")
+    }
+
+    /// Refuses a request with the advice to come back after so many seconds, where advice can be given.
+    fn throttle(&self, seconds: f64) -> Decision {
+        /// Earlier than that nobody is asked back, seconds.
+        const MIN_RETRY_AFTER: f64 = 0.05;
+        let longest = self.attempt_settings.max_retry_after;
+        Decision::Throttle { retry_after: longest.map(|longest| seconds.max(MIN_RETRY_AFTER).min(longest)) }
+    }
+}
--- /dev/null
+++ b/src/policy/outliers.rs
@@ -0,0 +1,163 @@
+//! What an outcome says of its backend: outliers are ejected and tried again, recoveries are told to other instances, and the
+//! estimates of answer times follow.
+use super::requests::EndedAttempt;
+use super::{PolicyEngine, GOSSIP_INTERVAL};
+use crate::state::{update_fraction, update_quantile, Backend, Ejection, LatencyEstimate};
+use crate::types::*;
+
+/// The quantile of answer times that judges a backend.
+const TAIL_QUANTILE: f64 = 0.95;
+/// The relative step by which an answer moves the quantiles over all backends,
+const FLEET_QUANTILE_STEP: f64 = 0.05;
+/// and one backend's: large, for an instance hears of a backend only once in seconds.
+const BACKEND_QUANTILE_STEP: f64 = 0.8;
+/// The fraction by which an answer raises the least median, so that it is forgotten in time.
+const LEAST_MEDIAN_DECAY: f64 = 0.0002;
+/// The weight of one attempt in the failure rates.
+const FAILURE_RATE_STEP: f64 = 0.05;
+/// An answer is slow, and so is a median, that takes so many times the least median.
+pub(super) const SLOW_FACTOR: f64 = 3.0;
+/// Answers of a backend are counted over about so long, seconds.
+pub(super) const THROUGHPUT_WINDOW: f64 = 2.0;
+/// So many failures in a row eject a backend.
+const FAILURES_UNTIL_EJECTION: u32 = 3;
+/// How long the first ejection lasts, seconds; each further one in a row lasts twice as long,
+const FIRST_EJECTION: f64 = 1.0;
+/// up to this.
+const LONGEST_EJECTION: f64 = 8.0;
+
+/// The kind of outcome that tells whether a backend can be connected to.
+pub(super) const CONNECT_KIND: usize = 0;
+
+/// How many kinds of outcomes are counted apart.
+pub(super) fn kind_count(operations: usize, plans: usize) -> usize {
+    1 + operations + plans
+}
+
+/// What an attempt's result says of each kind of outcome: connecting, serving the operation, serving the plan; `None` where it
+/// says nothing.
+fn verdicts(result: AttemptResult) -> [Option<bool>; 3] {
+    match result {
+        AttemptResult::Succeeded => [Some(true); 3],
+        AttemptResult::NotConnected => [Some(false), None, None],
+        AttemptResult::Rejected => [Some(true), None, Some(false)],
+        _ => [Some(true), Some(false), None],
+    }
+}
+
+impl PolicyEngine {
+    /// The kinds of outcomes that an attempt of such a request counts for: connecting, its operation, its plan.
+    pub(super) fn outcome_kinds(&self, attributes: &RequestAttributes) -> [usize; 3] {
+        [CONNECT_KIND, 1 + attributes.operation, 1 + self.operations.len() + attributes.plan]
+    }
+
+    /// Whether a backend with attempts in flight has made no progress for longer than they can explain; more is allowed while it
+    /// warms up. `p95` is that of one unit, seconds.
+    pub(super) fn is_unresponsive(&self, now: f64, backend: &Backend, p95: f64) -> bool {
+        let in_flight = backend.in_flight as f64;
+        let p95 = p95 / backend.capacity_fraction(now, &self.slow_start);
+        let silent_for = now - backend.last_progress_at;
+        backend.in_flight > 0
+            && silent_for > p95 * backend.in_flight_units / in_flight * (1.0 + 1.0 / in_flight)
+    }
+
+    /// Learns from an attempt that has ended.
+    pub(super) fn record_outcome(
+        &mut self,
+        now: f64,
+        attributes: &RequestAttributes,
+        ended: &EndedAttempt,
+        outcome: &AttemptOutcome,
+    ) {
+        let units = attributes.units.max(1.0);
+        let units_in_flight = if ended.was_streaming { 0.0 } else { units };
+        if self.backends.remove_attempt(outcome.backend, units_in_flight).is_none() {
+            return;
+        }
+        let latency = self.latencies[attributes.operation];
+        let left_early = ended.was_closed
+            && outcome.result == AttemptResult::Cancelled
+            && outcome.duration < latency.p95 * units;
+        if outcome.result == AttemptResult::NotSent || left_early {
+            // It says nothing of the backend.
+            return;
+        }
+        self.record_kinds(now, attributes, outcome);
+        self.record_concurrency(outcome, outcome.duration > SLOW_FACTOR * latency.least_median);
+        match outcome.result {
+            AttemptResult::Succeeded => self.record_success(now, attributes.operation, units, outcome),
+            AttemptResult::Rejected => self.backend_mut(outcome.backend).last_progress_at = now,
+            _ => self.record_failure(now, ended.sent_at, outcome),
+        }
+    }
+
+    fn backend_mut(&mut self, index: BackendIndex) -> &mut Backend {
+        self.backends.get_mut(index).expect("an attempt ended at a known backend")
+    }
+
+    fn record_kinds(&mut self, now: f64, attributes: &RequestAttributes, outcome: &AttemptOutcome) {
+        let kinds = self.outcome_kinds(attributes);
+        for (kind, verdict) in kinds.into_iter().zip(verdicts(outcome.result)) {
+            let Some(is_good) = verdict else { continue };
+            self.backend_mut(outcome.backend).record_streak(now, kind, is_good);
+            update_fraction(&mut self.failure_rates[kind], !is_good, FAILURE_RATE_STEP);
+        }
+    }
+
+    fn record_concurrency(&mut self, outcome: &AttemptOutcome, is_slow: bool) {
+        let is_ejected = self.backend_mut(outcome.backend).ejection.is_some();
+        let is_slow_failure = is_slow && !is_ejected && !outcome.result.never_ran();
+        if outcome.result == AttemptResult::Succeeded || is_slow_failure {
+            self.concurrency.record_answer(is_slow, outcome.load_report);
+        }
+    }
+
+    fn record_success(&mut self, now: f64, operation: usize, units: f64, outcome: &AttemptOutcome) {
+        let LatencyEstimate { p95, median, least_median } = &mut self.latencies[operation];
+        update_quantile(p95, outcome.duration / units, TAIL_QUANTILE, FLEET_QUANTILE_STEP);
+        update_quantile(median, outcome.duration, 0.5, FLEET_QUANTILE_STEP);
+        *least_median = (*least_median * (1.0 + LEAST_MEDIAN_DECAY)).min(*median);
+        let relative = outcome.duration / units / *p95;
+        let backend = self.backend_mut(outcome.backend);
+        update_quantile(&mut backend.slowness, relative, TAIL_QUANTILE, BACKEND_QUANTILE_STEP);
+        let decay = ((backend.answered_at - now) / THROUGHPUT_WINDOW).exp();
+        backend.answered_units = backend.answered_units * decay + units;
+        backend.answered_at = now;
+        backend.last_progress_at = now;
+        backend.consecutive_failures = 0;
+        if backend.ejection.take().is_some() {
+            self.record_recovery(now, outcome);
+        }
+    }
+
+    fn record_recovery(&mut self, now: f64, outcome: &AttemptOutcome) {
+        let line = format!("backend {} back: answered in {:.3} s", outcome.backend, outcome.duration);
+        self.effects.log.push(line);
+        let backend = self.backend_mut(outcome.backend);
+        if now > backend.recovery_gossiped_at + GOSSIP_INTERVAL {
+            backend.recovery_gossiped_at = now;
+            let message = GossipMessage::BackendRecovered { backend: outcome.backend };
+            self.send_gossip(now, message, self.instances);
+        }
+    }
+
+    fn record_failure(&mut self, now: f64, sent_at: f64, outcome: &AttemptOutcome) {
+        // No answer says little if others were answered since the attempt was sent.
+        let is_silence = matches!(outcome.result, AttemptResult::TimedOut | AttemptResult::Cancelled);
+        let backend = self.backend_mut(outcome.backend);
+        if !is_silence || backend.answered_at < sent_at {
+            backend.consecutive_failures += 1;
+        }
+        // Only attempts that were sent since an ejection say more than was known.
+        let is_news = backend.ejection.is_none_or(|ejection| sent_at > ejection.started_at);
+        if backend.consecutive_failures < FAILURES_UNTIL_EJECTION || !is_news {
+            return;
+        }
+        let longer = |ejection: Ejection| (ejection.duration * 2.0).min(LONGEST_EJECTION);
+        let duration = backend.ejection.map_or(FIRST_EJECTION, longer);
+        backend.ejection = Some(Ejection { started_at: now, until: now + duration, duration });
+        let failures = backend.consecutive_failures;
+        let reason = format!("{failures} bad in a row, last {:?}", outcome.result);
+        self.effects.log.push(format!("backend {} aside for {duration} s: {reason}", outcome.backend));
+    }
+}
--- /dev/null
+++ b/src/state/mod.rs
@@ -0,0 +1,21 @@
+//! What one gateway instance remembers, a module for each kind of record. Records change themselves and answer questions about
+//! themselves; which change is made, and when, is decided in [`crate::policy`].
+//!
+//! All times are seconds on the caller's clock, all indices are those of the caller.
+mod account;
+mod backend;
+mod backend_set;
+mod counter;
+mod estimate;
+mod gossip;
+mod request;
+mod timers;
+
+pub use account::{CallPurpose, CustomerAccount, PendingCall};
+pub use backend::{Backend, Ejection};
+pub use backend_set::{BackendSet, Sample, SampleSettings};
+pub use counter::CounterHealth;
+pub use estimate::{update_fraction, update_quantile, LatencyEstimate};
+pub use gossip::GossipBudget;
+pub use request::{Attempt, PendingRequest};
+pub use timers::{TimerKind, Timers};
