--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -177,6 +177,7 @@
     pub delta: f64,
     /// The part of `delta` that reports units spent earlier.
     pub debt_repaid: f64,
+    /// What the call is for.
     pub purpose: CallPurpose,
 }
 
--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -3,7 +3,7 @@
 use super::counter::{CallRequest, WINDOW};
 use super::quota::{IDLE_TIMEOUT, MAX_DEBT_FRACTION};
 use super::{PolicyEngine, GOSSIP_INTERVAL};
-use crate::state::{CallPurpose, CustomerAccount, PendingCall};
+use crate::state::{CallPurpose, CustomerAccount, PendingCall, TimerKind};
 use crate::types::*;
 
 /// A lease expires after so long, seconds; what is unspent then goes back.
@@ -45,29 +45,34 @@
         self.counter_responded(now);
         self.counter.record_answer_time(now - call.sent_at);
         let account = self.accounts.get_mut(&key.customer).expect("a customer with calls has an account");
-        let plan = &self.plans[account.plan];
+        let burst = self.plans[account.plan].burst;
         // What the counter has been told of, the even share has back.
         account.even_share += call.debt_repaid.max(0.0);
         self.reconsider.extend(account.lease_waiters.drain(..));
         let is_current = account.series == call.series;
         let observed = observe(now, account, call, total);
-        let settlement = settle(now, account, call, &observed, plan.burst);
+        let settlement = settle(now, account, call, &observed, burst);
         if settlement.give_back <= MIN_CALL_UNITS {
             account.unsettled -= settlement.give_back;
         }
         // More than the burst and the allowed debt is another instance's double correction, soon taken back. Taken at its word it
         // shut a customer out.
-        let most = plan.burst * (1.0 + MAX_DEBT_FRACTION) + observed.refilled;
+        let most = burst * (1.0 + MAX_DEBT_FRACTION) + observed.refilled;
         let corrected = (total + settlement.correction - settlement.give_back).min(most);
-        let burst = plan.burst;
         if is_current {
             account.observed_total = Some(corrected);
             account.observed_at = now;
             let left = burst + observed.refilled - corrected;
             self.gossip_if_nearly_exhausted(now, key, corrected, left);
         }
-        let target = observed.expected + call.delta;
-        self.follow_up(now, key, &settlement, observed.is_lost, burst, target);
+        let Settlement { give_back, correction } = settlement;
+        if correction > burst * TOLERATED_LAG_FRACTION || correction > MIN_CALL_UNITS && observed.is_lost {
+            let purpose = CallPurpose::Correct { target: observed.expected + call.delta };
+            self.call_counter(now, key, CallRequest { delta: correction, debt_repaid: 0.0, purpose });
+        }
+        if give_back > MIN_CALL_UNITS {
+            self.call_counter(now, key, CallRequest::settle(-give_back));
+        }
         self.schedule_customer(key.customer, now + LIFETIME);
     }
 
@@ -80,31 +85,12 @@
         }
         account.gossiped_at = now;
         let recipients = account.instance_count;
-        let (plan, instances) = (account.plan, account.instances);
+        let plan = account.plan;
+        let instances = account.instances;
         let message = GossipMessage::CounterTotal { key, plan, instances, total };
         self.send_gossip(now, message, recipients);
     }
 
-    /// The calls that an answer brings about.
-    fn follow_up(
-        &mut self,
-        now: f64,
-        key: CounterKey,
-        settlement: &Settlement,
-        is_lost: bool,
-        burst: f64,
-        target: f64,
-    ) {
-        let Settlement { give_back, correction } = *settlement;
-        if correction > burst * TOLERATED_LAG_FRACTION || correction > MIN_CALL_UNITS && is_lost {
-            let purpose = CallPurpose::Correct { target };
-            self.call_counter(now, key, CallRequest { delta: correction, debt_repaid: 0.0, purpose });
-        }
-        if give_back > MIN_CALL_UNITS {
-            self.call_counter(now, key, CallRequest::settle(-give_back));
-        }
-    }
-
     /// Units of a request that was never forwarded serve the customer's next one.
     pub(super) fn refund_units(&mut self, now: f64, index: RequestIndex) {
         let request = self.request(index);
@@ -125,7 +111,7 @@
     pub(super) fn schedule_customer(&mut self, customer: CustomerIndex, at: f64) {
         if let Some(account) = self.accounts.get_mut(&customer).filter(|account| at < account.timer_at) {
             account.timer_at = at;
-            self.timers.schedule(at, crate::state::TimerKind::Customer(customer));
+            self.timers.schedule(at, TimerKind::Customer(customer));
         }
     }
 
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -36,11 +36,13 @@
 
 /// What an attempt is for.
 pub(super) struct Selection<'a> {
+    /// The request that it belongs to.
     pub attributes: &'a RequestAttributes,
     /// Only backends with more than this fraction of their capacity are open to the request.
     pub slow_start_draw: f64,
     /// Backends of earlier attempts.
     pub tried: &'a [BackendIndex],
+    /// Set where a retry is bound to a zone or cell.
     pub affinity: Option<Affinity>,
 }
 
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -14,6 +14,7 @@
 
 /// What an ended attempt's request was like when it ended.
 pub(super) struct EndedAttempt {
+    /// When the attempt was sent, seconds.
     pub sent_at: f64,
     /// The request was closed before.
     pub was_closed: bool,
--- a/src/state/account.rs
+++ b/src/state/account.rs
@@ -30,11 +30,13 @@
 pub struct PendingCall {
     /// The series of the counter that it adds to.
     pub series: u32,
+    /// When it was made, seconds.
     pub sent_at: f64,
     /// What it adds.
     pub delta: f64,
     /// The part of `delta` that reports units spent earlier.
     pub debt_repaid: f64,
+    /// What it is for.
     pub purpose: CallPurpose,
 }
 
@@ -51,11 +53,13 @@
 /// A customer's quota as this instance sees it. Amounts are units.
 #[derive(Default)]
 pub struct CustomerAccount {
+    /// Index of the customer's plan.
     pub plan: usize,
     /// Units a second that the shared total regains; less than the plan's while some instances do not reach the counter.
     pub refill_rate: f64,
     /// Number of gateway instances that serve the customer, 1 at least.
     pub instance_count: f64,
+    /// The gateway instances that serve the customer.
     pub instances: InstanceRange,
     /// When the total was last told to, or heard from, other instances.
     pub gossiped_at: f64,
@@ -67,6 +71,7 @@
     pub observed_at: f64,
     /// Units leased and not yet spent.
     pub leased: f64,
+    /// When all of the lease expires.
     pub lease_expires_at: f64,
     /// Billed units less estimated ones, and leases that expired: still to be added to the total.
     pub unsettled: f64,
@@ -80,13 +85,17 @@
     pub permits_held: usize,
     /// Permits that no request has taken yet, by the series of their counter.
     pub free_permits: Vec<u32>,
+    /// Requests that wait for a permit, in the order in which they came.
     pub permit_waiters: Vec<RequestIndex>,
     /// When the even share of permits has one again.
     pub next_local_permit_at: f64,
+    /// Until then the cap is taken for full.
     pub permits_exhausted_until: f64,
     /// Calls in flight, in the order in which they were made.
     pub calls: VecDeque<PendingCall>,
+    /// Requests that wait for the lease that is being asked for.
     pub lease_waiters: Vec<RequestIndex>,
+    /// When the even share was last brought up to date: at the customer's last admission.
     pub last_used_at: f64,
     /// When the customer's timer fires; infinite if none is set.
     pub timer_at: f64,
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -4,7 +4,9 @@
 /// An outlier that gets no new attempts for a while.
 #[derive(Clone, Copy)]
 pub struct Ejection {
+    /// When it began, seconds.
     pub started_at: f64,
+    /// When trials may begin.
     pub until: f64,
     /// Seconds; the next ejection in a row is longer.
     pub duration: f64,
@@ -15,12 +17,14 @@
 pub struct Streak {
     /// When the kind was last observed.
     pub observed_at: f64,
+    /// How many.
     pub successes: u32,
 }
 
 /// A backend as the endpoint list has it, and what this instance has seen of it.
 #[derive(Default)]
 pub struct Backend {
+    /// What the endpoint list says of it.
     pub endpoint: Endpoint,
     /// Attempts in flight there.
     pub in_flight: usize,
@@ -30,7 +34,9 @@
     pub slowness: f64,
     /// When it last answered, or was sent its first attempt after none was in flight.
     pub last_progress_at: f64,
+    /// Failures in a row, since its last success.
     pub consecutive_failures: u32,
+    /// Set while it is an outlier.
     pub ejection: Option<Ejection>,
     /// Since when an operator has taken it out of service.
     pub maintenance_since: Option<f64>,
@@ -40,6 +46,7 @@
     pub unused_since: f64,
     /// Units answered, decaying exponentially from `answered_at` on.
     pub answered_units: f64,
+    /// When it last answered.
     pub answered_at: f64,
     /// Since when the endpoint list has had it as it is.
     pub listed_at: f64,
--- a/src/state/backend_set.rs
+++ b/src/state/backend_set.rs
@@ -60,6 +60,7 @@
     pub idle_since: f64,
     /// Seconds after which it is looked again which backends have warmed up.
     pub warming_check_interval: f64,
+    /// How capacity grows after a start.
     pub slow_start: &'a SlowStart,
 }
 
--- a/src/state/counter.rs
+++ b/src/state/counter.rs
@@ -9,6 +9,7 @@
     pub rate_cut_at: f64,
     /// The fraction of admitted requests that the counter was asked about.
     pub consulted_fraction: f64,
+    /// When it last answered.
     pub last_answer_at: f64,
     /// Its fastest answer of late, seconds; 0 before the first.
     pub fastest_answer: f64,
@@ -22,5 +23,6 @@
     pub call_rate: f64,
     /// Calls saved up.
     pub call_tokens: f64,
+    /// When `call_tokens` was last brought up to date.
     pub tokens_updated_at: f64,
 }
--- a/src/state/estimate.rs
+++ b/src/state/estimate.rs
@@ -5,6 +5,7 @@
 pub struct LatencyEstimate {
     /// 95th percentile, for one unit.
     pub p95: f64,
+    /// Median of all answers, whatever their units.
     pub median: f64,
     /// The least median of late: what answers take where nothing waits.
     pub least_median: f64,
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -3,7 +3,9 @@
 
 /// One attempt at a backend.
 pub struct Attempt {
+    /// Where it was sent.
     pub backend: BackendIndex,
+    /// When, seconds.
     pub sent_at: f64,
     /// `None` while it is in flight.
     pub result: Option<AttemptResult>,
@@ -19,7 +21,9 @@
 /// A request without its final answer, or with attempts in flight.
 #[derive(Default)]
 pub struct PendingRequest {
+    /// What the caller said of it.
     pub attributes: RequestAttributes,
+    /// When it was first routed, seconds.
     pub arrived_at: f64,
     /// Drawn once, from 0 to 1: only backends with more than this fraction of their capacity may get the request.
     pub slow_start_draw: f64,
@@ -37,6 +41,7 @@
     pub next_check_at: f64,
     /// Its response has begun.
     pub streaming: bool,
+    /// Its attempts, in the order in which they were made.
     pub attempts: Vec<Attempt>,
     /// It is answered, or its client is gone.
     pub closed: bool,
