--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,5 +4,6 @@
 pub mod interner;
 pub mod policy;
 pub mod settings;
+mod slab;
 mod state;
 pub mod types;
