--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,55 +1,115 @@
-//! What front doors tell each other, as bytes: a tag, then a backend's outside name, or a customer's count.
+//! The wire form of gossip between gateway instances: one message per datagram, a tag byte and then the message's body.
+//!
+//! Numbers are little-endian.
+//!
+//! | message | layout |
+//! | --- | --- |
+//! | backend recovered | tag 1, then the backend's name to the end of the datagram |
+//! | counter total | tag 2, customer (5 bytes), plan (1), first instance (2), instance count (2), series (4), total (`f32`, 4) |
 use crate::types::InstanceRange;
 
-/// A word with the outside names in it.
+/// A gossip message with names that hold outside of this process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WireMessage {
+    /// An ejected backend answers again; its name on the endpoint list.
     BackendRecovered(Vec<u8>),
-    CounterTotal { customer: u64, plan: usize, instances: InstanceRange, series: u32, total: f64 },
+    /// The total of one of a customer's counts, read just now.
+    CounterTotal {
+        /// Id of the customer; its lower 40 bits are sent.
+        customer: u64,
+        /// The customer's plan, its place in the settings; up to 255.
+        plan: usize,
+        /// The gateway instances that the customer uses; each number up to 65,535.
+        instances: InstanceRange,
+        /// Number of the time window that the count belongs to.
+        series: u32,
+        /// The total, units; sent in single precision.
+        total: f64,
+    },
 }
 
-/// The longest that a datagram may be.
+/// Most bytes of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-const BACKEND: u8 = 1;
-const COUNT: u8 = 2;
-const COUNT_BYTES: usize = 19;
-
-pub fn encode(said: &WireMessage) -> Vec<u8> {
-    match said {
-        WireMessage::BackendRecovered(name) => [&[BACKEND], &name[..]].concat(),
-        WireMessage::CounterTotal { customer, plan, instances: of, series, total } => {
-            let mut body = vec![COUNT];
-            body.extend(&customer.to_le_bytes()[..5]);
-            body.push(*plan as u8);
-            body.extend((of.first as u16).to_le_bytes());
-            body.extend((of.count as u16).to_le_bytes());
-            body.extend(series.to_le_bytes());
-            body.extend((*total as f32).to_le_bytes());
-            body
+/// Tag of [`WireMessage::BackendRecovered`].
+const BACKEND_RECOVERED_TAG: u8 = 1;
+/// Tag of [`WireMessage::CounterTotal`].
+const COUNTER_TOTAL_TAG: u8 = 2;
+
+/// Bytes of a customer's id.
+const CUSTOMER_BYTES: usize = 5;
+
+// Offsets in the body of a counter total, that is: after the tag.
+const CUSTOMER_OFFSET: usize = 0;
+const PLAN_OFFSET: usize = CUSTOMER_OFFSET + CUSTOMER_BYTES;
+const FIRST_INSTANCE_OFFSET: usize = PLAN_OFFSET + 1;
+const INSTANCE_COUNT_OFFSET: usize = FIRST_INSTANCE_OFFSET + 2;
+const SERIES_OFFSET: usize = INSTANCE_COUNT_OFFSET + 2;
+const TOTAL_OFFSET: usize = SERIES_OFFSET + 4;
+/// Bytes of the body of a counter total.
+const COUNTER_TOTAL_BYTES: usize = TOTAL_OFFSET + 4;
+
+/// The datagram of a message.
+pub fn encode(message: &WireMessage) -> Vec<u8> {
+    match message {
+        WireMessage::BackendRecovered(name) => encode_backend_recovered(name),
+        &WireMessage::CounterTotal { customer, plan, instances, series, total } => {
+            encode_counter_total(customer, plan, instances, series, total)
         }
     }
 }
 
-/// None where it is no word of ours.
-pub fn decode(body: &[u8]) -> Option<WireMessage> {
-    let (tag, rest) = body.split_first()?;
-    if *tag == BACKEND && !rest.is_empty() {
-        return Some(WireMessage::BackendRecovered(rest.to_vec()));
-    }
-    if *tag != COUNT || body.len() != COUNT_BYTES {
-        return None;
+/// The message of a datagram; `None` where it is no valid message.
+pub fn decode(datagram: &[u8]) -> Option<WireMessage> {
+    let (tag, body) = datagram.split_first()?;
+    match *tag {
+        BACKEND_RECOVERED_TAG => decode_backend_recovered(body),
+        COUNTER_TOTAL_TAG => decode_counter_total(body.try_into().ok()?),
+        _ => None,
     }
-    let four = |at: usize| -> Option<[u8; 4]> { rest.get(at..at + 4)?.try_into().ok() };
-    let two = |at: usize| usize::from(u16::from_le_bytes([rest[at], rest[at + 1]]));
-    let customer = u64::from(u32::from_le_bytes(four(0)?)) | u64::from(rest[4]) << 32;
-    let of = InstanceRange { first: two(6), count: two(8) };
-    let (series, total) = (u32::from_le_bytes(four(10)?), f64::from(f32::from_le_bytes(four(14)?)));
+}
+
+fn encode_backend_recovered(name: &[u8]) -> Vec<u8> {
+    [&[BACKEND_RECOVERED_TAG], name].concat()
+}
+
+fn decode_backend_recovered(name: &[u8]) -> Option<WireMessage> {
+    (!name.is_empty()).then(|| WireMessage::BackendRecovered(name.to_vec()))
+}
+
+fn encode_counter_total(
+    customer: u64,
+    plan: usize,
+    instances: InstanceRange,
+    series: u32,
+    total: f64,
+) -> Vec<u8> {
+    let mut datagram = vec![COUNTER_TOTAL_TAG];
+    datagram.extend(&customer.to_le_bytes()[..CUSTOMER_BYTES]);
+    datagram.push(plan as u8);
+    datagram.extend((instances.first as u16).to_le_bytes());
+    datagram.extend((instances.count as u16).to_le_bytes());
+    datagram.extend(series.to_le_bytes());
+    datagram.extend((total as f32).to_le_bytes());
+    datagram
+}
+
+fn decode_counter_total(body: &[u8; COUNTER_TOTAL_BYTES]) -> Option<WireMessage> {
+    let mut customer = [0; size_of::<u64>()];
+    customer[..CUSTOMER_BYTES].copy_from_slice(&body[CUSTOMER_OFFSET..PLAN_OFFSET]);
+    let first = u16::from_le_bytes(field(body, FIRST_INSTANCE_OFFSET));
+    let count = u16::from_le_bytes(field(body, INSTANCE_COUNT_OFFSET));
+    let total = f32::from_le_bytes(field(body, TOTAL_OFFSET));
     total.is_finite().then_some(WireMessage::CounterTotal {
-        customer,
-        plan: usize::from(rest[5]),
-        instances: of,
-        series,
-        total,
+        customer: u64::from_le_bytes(customer),
+        plan: usize::from(body[PLAN_OFFSET]),
+        instances: InstanceRange { first: usize::from(first), count: usize::from(count) },
+        series: u32::from_le_bytes(field(body, SERIES_OFFSET)),
+        total: f64::from(total),
     })
 }
+
+/// The `N` bytes at an offset of the body of a counter total.
+fn field<const N: usize>(body: &[u8; COUNTER_TOTAL_BYTES], offset: usize) -> [u8; N] {
+    body[offset..offset + N].try_into().expect("fields lie inside the body")
+}
