--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -64,7 +64,8 @@
     }));
     let told = configuration::read()?;
     let mgmt = configuration::admin_address(&told)?;
-    let start = quillramp::settings::load(told.seed, told.settings.get().as_bytes())?;
+    let start =
+        quillramp::settings::load(told.seed, told.settings.get().as_bytes()).map_err(|e| e.to_string())?;
     let platform = operator::platform(&start.instance, told.limits.sockets);
     let by_operator = operator::read(&platform)?;
     logger::told(by_operator.log.as_ref());
--- a/gateway/src/process/check.rs
+++ b/gateway/src/process/check.rs
@@ -10,7 +10,8 @@
     let one = |why: String| vec![format!("{path}: {why}")];
     let text = std::fs::read(&path).map_err(|e| one(e.to_string()))?;
     let told = configuration::decode(&text).map_err(one)?;
-    let start = quillramp::settings::load(told.seed, told.settings.get().as_bytes()).map_err(one)?;
+    let start = quillramp::settings::load(told.seed, told.settings.get().as_bytes())
+        .map_err(|e| one(e.to_string()))?;
     Ok(Some(operator::platform(&start.instance, told.limits.sockets)))
 }
 
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -259,7 +259,9 @@
     let told = quillramp_gateway::process::configuration::decode(example.as_bytes()).expect("a good one");
     let with = |feedback: &str| {
         let settings = told.settings.get().replacen('{', &format!("{{\"feedback\": {feedback},"), 1);
-        quillramp::settings::load(1, settings.as_bytes()).map(|s| s.instance.load_report_fields)
+        quillramp::settings::load(1, settings.as_bytes())
+            .map(|s| s.instance.load_report_fields)
+            .map_err(|e| e.to_string())
     };
     let names = with(r#"{"source": "piggyback", "fields": ["load_share", "mean_ms", "colour"]}"#);
     let names = names.expect("good settings");
--- a/load/src/scale/hollow.rs
+++ b/load/src/scale/hollow.rs
@@ -87,7 +87,8 @@
     /// One that has just started with an empty list. `now` is Unix time in seconds, here and below.
     pub fn new(now: f64, point: &Point, slot: usize, parts: Parts) -> Result<HollowFrontDoor, String> {
         let seed = point.seed.wrapping_mul(7919).wrapping_add(slot as u64);
-        let start = settings::load(seed, point.settings(slot).to_string().as_bytes())?;
+        let start =
+            settings::load(seed, point.settings(slot).to_string().as_bytes()).map_err(|e| e.to_string())?;
         let declares = declares(point, &start.instance)?;
         let parties = ReducerConfig {
             peers: vec![],
