--- /dev/null
+++ b/tests/policy/counter.rs
@@ -0,0 +1,101 @@
+//! Calls to the counter service: how many, how long they are waited for, and what an outage changes.
+use crate::fixtures::*;
+use crate::harness::*;
+use expect_test::expect;
+use quillramp::types::*;
+use CounterResult::*;
+
+#[test]
+fn one_call_in_flight_serves_all_pending_requests() {
+    let mut harness = idempotent(4);
+    harness.submit(30.0, 0, 1.0);
+    harness.submit(30.001, 0, 1.0);
+    harness.answer_counter_calls(30.01);
+    harness.answer_counter_calls(30.02);
+    harness.expect_trace(expect![[r#"
+        30.000 0 comes: not yet; count 1: +1.00
+        30.001 1 comes: not yet
+        30.010 0: to 2; count 1: +1.00; 1: to 1"#]]);
+}
+
+#[test]
+fn an_unresponsive_counter_falls_back_to_the_even_slice_and_is_probed() {
+    let mut harness = idempotent(4);
+    for i in 0..8 {
+        let t = 30.0 + f64::from(i) * 0.1;
+        harness.submit(t, 0, 1.0);
+        harness.poll(t + 0.04);
+        harness.fail_counter_calls(t + 0.05, Unanswered);
+    }
+    harness.submit(31.0, 0, 1.0);
+    harness.answer_counter_calls(31.01);
+    harness.expect_trace(expect![[r#"
+        30.000 0 comes: not yet; count 1: +1.00
+        30.040 0: to 0
+        30.100 1 comes: not yet; count 1: +2.00
+        30.140 1: to 2
+        30.200 2 comes: not yet; count 1: +2.00
+        30.240 2: to 3; log: counter silent: 5 calls missed in 0.24 s; even slices
+        30.300 3 comes: to 1
+        30.400 4 comes: throttled, 0.64 s
+        30.500 5 comes: throttled, 0.54 s; count 1: +0.00
+        30.600 6 comes: throttled, 0.44 s
+        30.700 7 comes: throttled, 0.34 s
+        31.000 0: to 1; 1: to 0; 2: to 1; 3: to 2; 8 comes: throttled, 0.05 s; count 1: +0.00
+        31.010 log: counter answers again after 1.01 s; leases resume"#]]);
+}
+
+/// A counter far away, or slow at its best, was taken for a crowded one: its pace fell to the least.
+#[test]
+fn a_counter_that_is_never_quick_is_given_its_time() {
+    let mut harness = idempotent(4);
+    harness.submit(30.0, 0, 1.0);
+    harness.answer_counter_calls(30.03);
+    harness.submit(32.0, 0, 1.0);
+    harness.poll(32.04);
+    harness.answer_counter_calls(32.045);
+    harness.expect_trace(expect![[r#"
+        30.000 0 comes: not yet; count 1: +1.00
+        30.030 0: to 0
+        32.000 1 comes: not yet; count 1: +1.00
+        32.045 count 1: +3.09; 1: to 2"#]]);
+}
+
+/// Guards: all doors together never asked the counter more than 2,400 times a second, whatever it bore: on calm days of 300
+/// doors it left no call unanswered, and six in ten invocations were let in without asking it.
+#[test]
+fn the_counter_is_called_as_often_as_it_answers() {
+    let plan = Plan { burst: 16.0, ..plan() };
+    // How often it is called when so many come, second by second; the first calls may be missed.
+    let called = |missed: bool, a_second: &[usize]| -> Vec<usize> {
+        let mut harness = EngineHarness::among_instances(
+            400.0,
+            vec![operation(Idempotency::Idempotent)],
+            vec![plan.clone()],
+            attempt_settings(),
+            400,
+        );
+        let calls = a_second.iter().enumerate().map(|(second, many)| {
+            for i in 0..*many {
+                let now = 30.0 + second as f64 + i as f64 / *many as f64;
+                harness.submit_from(now, 1000 * second + i, 1.0);
+                if missed && second == 0 {
+                    harness.fail_counter_calls(now, CounterResult::Unanswered);
+                }
+                harness.answer_counter_calls(now);
+            }
+            harness.take_trace().matches("count ").count()
+        });
+        calls.collect()
+    };
+    let all = called(false, &[200; 12]);
+    assert!(all[0] <= 60, "it begins carefully: {all:?}");
+    // A lease and a lift for each.
+    assert!(all[11] > 400, "{all:?}");
+    // After a miss it goes on by small steps.
+    let careful = called(true, &[200; 12]);
+    assert!(careful[11] < all[11] && careful[11] > careful[1], "{careful:?}");
+    // What was not used up proves nothing of what the counter bears.
+    let quiet = [vec![1; 60], vec![90]].concat();
+    assert!(called(false, &quiet)[60] <= 20, "{:?}", called(false, &quiet));
+}
--- /dev/null
+++ b/tests/policy/harness.rs
@@ -0,0 +1,266 @@
+//! A policy engine with the clients, the counter service and the backends played by the test.
+use crate::fixtures::*;
+use crate::trace::Trace;
+use quillramp::policy::PolicyEngine;
+use quillramp::types::*;
+use std::collections::BTreeMap;
+
+/// The engine, the requests that it holds and the trace of its decisions.
+pub struct EngineHarness {
+    pub engine: PolicyEngine,
+    /// All requests submitted so far, by their index.
+    requests: Vec<RequestAttributes>,
+    /// Calls to the counter that have no result yet.
+    counter_calls: Vec<CounterCall>,
+    /// Totals on the counter, by the series plus a hundred times the customer.
+    pub counter_totals: BTreeMap<u32, f64>,
+    /// The backends of each request's attempts.
+    attempts: BTreeMap<RequestIndex, Vec<BackendIndex>>,
+    /// Requests before this one have been taken by `take_forwarded`.
+    first_untaken: RequestIndex,
+    trace: Trace,
+}
+
+/// One plan and one idempotent operation.
+pub fn idempotent(backends: usize) -> EngineHarness {
+    with_idempotency(Idempotency::Idempotent, backends)
+}
+
+/// One plan and one operation.
+pub fn with_idempotency(idempotency: Idempotency, backends: usize) -> EngineHarness {
+    EngineHarness::new(vec![operation(idempotency)], vec![plan()], attempt_settings(), backends)
+}
+
+/// How many of 200 requests within 0.2 s are forwarded to the only backend.
+pub fn forwarded_at_once(harness: &mut EngineHarness, from: f64) -> usize {
+    let forwarded = (0..200).map(|i| {
+        let now = from + f64::from(i) * 0.001;
+        harness.submit_from(now, i as usize, 1.0);
+        harness.answer_counter_calls(now);
+        let forwarded = harness.take_forwarded();
+        for request in &forwarded {
+            harness.complete_attempt(now, *request, 0, AttemptResult::Succeeded, 0.1);
+        }
+        forwarded.len()
+    });
+    forwarded.sum()
+}
+
+impl EngineHarness {
+    /// One of two gateway instances.
+    pub fn new(
+        operations: Vec<Operation>,
+        plans: Vec<Plan>,
+        attempts: AttemptSettings,
+        backends: usize,
+    ) -> EngineHarness {
+        EngineHarness::among_instances(2.0, operations, plans, attempts, backends)
+    }
+
+    /// One of this many gateway instances. Its endpoint list is complete at 30 s.
+    pub fn among_instances(
+        instances: f64,
+        operations: Vec<Operation>,
+        plans: Vec<Plan>,
+        attempts: AttemptSettings,
+        backends: usize,
+    ) -> EngineHarness {
+        let mut engine = PolicyEngine::new(EngineSettings {
+            seed: 7,
+            instances,
+            gossip_intake_rate: 40.0,
+            polls_endpoints: false,
+            operations,
+            plans,
+            slow_start: SlowStart { initial_fraction: 0.2, duration: 10.0 },
+            attempts,
+            counter: Some(CounterSettings { timeout: 0.05 }),
+        });
+        let endpoints: Vec<Endpoint> = (0..backends).map(ready_endpoint).collect();
+        engine.update_endpoints(30.0, true, &endpoints);
+        EngineHarness {
+            engine,
+            requests: vec![],
+            counter_calls: vec![],
+            counter_totals: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            first_untaken: 0,
+            trace: Trace::default(),
+        }
+    }
+
+    /// Submits a request of customer 0.
+    pub fn submit(&mut self, now: f64, operation: usize, units: f64) -> RequestIndex {
+        self.submit_request(now, RequestAttributes { operation, units, ..RequestAttributes::default() })
+    }
+
+    /// Submits a request of this customer.
+    pub fn submit_from(&mut self, now: f64, customer: CustomerIndex, units: f64) -> RequestIndex {
+        self.submit_request(now, RequestAttributes { customer, units, ..RequestAttributes::default() })
+    }
+
+    /// Submits a request of one unit for this operation.
+    pub fn submit_operation(&mut self, now: f64, customer: CustomerIndex, operation: usize) -> RequestIndex {
+        self.submit_request(
+            now,
+            RequestAttributes { customer, operation, units: 1.0, ..RequestAttributes::default() },
+        )
+    }
+
+    /// Submits a request of one unit under this plan.
+    pub fn submit_under_plan(&mut self, now: f64, customer: CustomerIndex, plan: usize) -> RequestIndex {
+        self.submit_request(
+            now,
+            RequestAttributes { customer, plan, units: 1.0, ..RequestAttributes::default() },
+        )
+    }
+
+    /// Submits a request of one unit with limits from the operator's file.
+    pub fn submit_with_limits(&mut self, now: f64, limits: RequestLimits) -> RequestIndex {
+        self.submit_request(now, RequestAttributes { units: 1.0, limits, ..RequestAttributes::default() })
+    }
+
+    /// Submits a request of one unit whose client waits until `deadline`.
+    pub fn submit_with_deadline(&mut self, now: f64, deadline: f64) -> RequestIndex {
+        self.submit_request(now, RequestAttributes { units: 1.0, deadline, ..RequestAttributes::default() })
+    }
+
+    /// Submits a request of customer 0, which uses this many gateway instances.
+    pub fn submit_across_instances(&mut self, now: f64, count: usize, units: f64) -> RequestIndex {
+        let instances = InstanceRange { first: 0, count };
+        self.submit_request(now, RequestAttributes { units, instances, ..RequestAttributes::default() })
+    }
+
+    /// Where the attributes leave it open, the client waits for 4 s and the customer uses two gateway instances.
+    fn submit_request(&mut self, now: f64, mut attributes: RequestAttributes) -> RequestIndex {
+        self.poll(now);
+        if attributes.deadline <= 0.0 {
+            attributes.deadline = now + 4.0;
+        }
+        if attributes.instances.count == 0 {
+            attributes.instances = InstanceRange { first: 0, count: 2 };
+        }
+        let request = self.requests.len();
+        self.requests.push(attributes);
+        let output = self.engine.route(now, request, &attributes);
+        self.record(now, request, " comes", output);
+        request
+    }
+
+    /// The counter service answers all calls made so far, and those that its answers cause.
+    pub fn answer_counter_calls(&mut self, now: f64) {
+        while !self.counter_calls.is_empty() {
+            let call = self.counter_calls.remove(0);
+            let key = call.key.series + 100 * call.key.customer as u32;
+            let total = self.counter_totals.entry(key).or_default();
+            *total += call.delta;
+            let result = CounterResult::Total(*total);
+            self.engine.counter_answered(now, call.key, result);
+            self.poll(now);
+        }
+    }
+
+    /// All calls to the counter made so far end with this result.
+    pub fn fail_counter_calls(&mut self, now: f64, result: CounterResult) {
+        for call in std::mem::take(&mut self.counter_calls) {
+            self.engine.counter_answered(now, call.key, result);
+        }
+        self.poll(now);
+    }
+
+    /// An attempt ends; the request is closed if it succeeded.
+    pub fn complete_attempt(
+        &mut self,
+        now: f64,
+        request: RequestIndex,
+        attempt: usize,
+        result: AttemptResult,
+        duration: f64,
+    ) {
+        self.poll(now);
+        let outcome = AttemptOutcome {
+            attempt,
+            backend: self.attempts[&request][attempt],
+            result,
+            duration,
+            request_closed: result == AttemptResult::Succeeded,
+            billed_units: None,
+            load_report: None,
+        };
+        let output = self.engine.attempt_ended(now, request, &outcome);
+        self.record(now, request, &format!(" {result:?}"), output);
+    }
+
+    /// The first attempt succeeds; its backend reports its load.
+    pub fn complete_with_load_report(
+        &mut self,
+        now: f64,
+        request: RequestIndex,
+        duration: f64,
+        load_report: Option<LoadReport>,
+    ) {
+        let backend = self.attempts[&request][0];
+        let outcome = AttemptOutcome { backend, load_report, ..succeeded(duration) };
+        let output = self.engine.attempt_ended(now, request, &outcome);
+        self.record(now, request, " Succeeded", output);
+    }
+
+    /// Polls the engine's timers, and routes the requests again that it wants to reconsider, until there are none.
+    pub fn poll(&mut self, now: f64) {
+        loop {
+            let output = self.engine.poll(now);
+            self.record_effects(now, output.effects);
+            if output.reconsider.is_empty() {
+                return;
+            }
+            for request in output.reconsider {
+                let output = self.engine.route(now, request, &self.requests[request]);
+                if output.decision == Decision::Pending {
+                    self.record_effects(now, output.effects); // it waits on
+                } else {
+                    self.record(now, request, "", output);
+                }
+            }
+        }
+    }
+
+    fn record(&mut self, now: f64, request: RequestIndex, cause: &str, output: PolicyOutput) {
+        if let Decision::Forward { backend } = output.decision {
+            self.attempts.entry(request).or_default().push(backend);
+        }
+        self.trace.add_decision(now, request, cause, output.decision);
+        self.record_effects(now, output.effects);
+    }
+
+    fn record_effects(&mut self, now: f64, effects: Effects) {
+        self.counter_calls.extend(&effects.counter_calls);
+        self.trace.add_effects(now, &effects);
+    }
+
+    /// Another instance gossips the total of a customer's count.
+    pub fn receive_counter_total(&mut self, now: f64, customer: CustomerIndex, series: u32, total: f64) {
+        let message = GossipMessage::CounterTotal {
+            key: CounterKey { customer, series },
+            plan: 0,
+            instances: InstanceRange { first: 0, count: 2 },
+            total,
+        };
+        self.engine.gossip_received(now, message);
+    }
+
+    /// The requests forwarded among those submitted since the last call.
+    pub fn take_forwarded(&mut self) -> Vec<RequestIndex> {
+        let first = std::mem::replace(&mut self.first_untaken, self.requests.len());
+        self.attempts.keys().copied().filter(|request| *request >= first).collect()
+    }
+
+    /// What was decided since the last call, a line for each point in time.
+    pub fn take_trace(&mut self) -> String {
+        self.trace.take()
+    }
+
+    /// Compares what was decided since the last call.
+    pub fn expect_trace(&mut self, expected: expect_test::Expect) {
+        expected.assert_eq(&self.take_trace());
+    }
+}
--- /dev/null
+++ b/tests/policy/lifecycle.rs
@@ -0,0 +1,69 @@
+//! The life of requests, customers' state and timers.
+use crate::harness::*;
+use expect_test::expect;
+use quillramp::types::*;
+use AttemptResult::*;
+
+/// Invocations that were held without a delivery got no final answer in time.
+#[test]
+fn a_request_in_hand_is_answered_before_its_deadline() {
+    let mut harness = with_idempotency(Idempotency::NonIdempotent, 1);
+    harness.submit(30.0, 0, 1.0);
+    harness.answer_counter_calls(30.0);
+    harness.complete_attempt(33.996, 0, 0, NotConnected, 0.25);
+    harness.expect_trace(expect![[r#"
+        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        33.996 0 NotConnected: throttled, 1.00 s"#]]);
+}
+
+/// At the last look the time left was a hair over the bound by rounding: held on, the invocation was lost.
+#[test]
+fn the_last_check_always_answers() {
+    let mut harness = idempotent(0);
+    for i in 0..100 {
+        let t = 31.0 + f64::from(i) * 1.000_123;
+        let request = harness.submit_with_deadline(t, t + 0.09);
+        harness.answer_counter_calls(t);
+        harness.poll(t + 0.09 - 0.005);
+        assert!(harness.take_trace().contains(&format!("{request}: throttled")), "{request} is lost");
+    }
+}
+
+/// A list call that failed was never made again.
+#[test]
+fn a_failed_endpoint_fetch_is_repeated() {
+    let mut harness = idempotent(1);
+    harness.poll(30.0);
+    harness.engine.endpoint_fetch_failed(30.1);
+    harness.poll(30.2);
+    harness.poll(33.2);
+    harness.expect_trace(expect!["33.200 asks for the list"]);
+}
+
+/// A customer whose invocation is held for longer than it takes to forget the idle lost its account.
+#[test]
+fn a_customer_with_a_request_in_hand_is_not_evicted() {
+    let mut harness = idempotent(1);
+    harness.submit(30.0, 0, 1.0);
+    harness.answer_counter_calls(30.0);
+    harness.poll(60.0);
+    harness.answer_counter_calls(60.0);
+    harness.complete_attempt(61.0, 0, 0, Broken, 31.0);
+    harness.expect_trace(expect![[r#"
+        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        61.000 0 Broken: throttled, 1.00 s"#]]);
+}
+
+/// A look that could change nothing woke the front door, four times an invocation.
+#[test]
+fn no_timer_wakes_for_a_request_that_is_closed_or_checked_later() {
+    let mut harness = idempotent(1);
+    let first = harness.submit(30.0, 0, 1.0);
+    let mut waits = vec![harness.engine.poll(30.0).next_poll_in];
+    harness.answer_counter_calls(30.0);
+    waits.push(harness.engine.poll(30.0).next_poll_in);
+    harness.complete_attempt(30.1, first, 0, Succeeded, 0.1);
+    waits.push(harness.engine.poll(30.1).next_poll_in);
+    let waits: Vec<String> = waits.into_iter().flatten().map(|s| format!("{s:.3}")).collect();
+    expect!["0.040 0.250 0.900"].assert_eq(&waits.join(" "));
+}
--- /dev/null
+++ b/tests/policy/main.rs
@@ -0,0 +1,17 @@
+//! The decisions of the policy engine, most of them as traces: what it decides and what it calls for, a line for each point in time.
+mod concurrency_limit;
+mod counter;
+#[path = "../fixtures/mod.rs"]
+mod fixtures;
+mod gossip;
+mod harness;
+mod lifecycle;
+mod load_balancing;
+mod outlier_ejection;
+mod permits;
+mod quota;
+mod quota_slices;
+mod request_limits;
+mod retries;
+mod slow_start;
+mod trace;
--- /dev/null
+++ b/tests/policy/permits.rs
@@ -0,0 +1,55 @@
+//! Permits: the cap on a plan's attempts in flight, leased on a count of its own.
+use crate::fixtures::*;
+use crate::harness::*;
+use expect_test::expect;
+use quillramp::types::*;
+use AttemptResult::*;
+use CounterResult::*;
+
+/// Many doors before one customer each let one in, far over a cap of a few: each held its own share, rounded up.
+#[test]
+fn a_permit_is_leased_on_a_count_of_its_own_denied_at_once_and_returned() {
+    let capped = Plan { rate: 0.0, max_in_flight: 2, ..plan() };
+    let mut harness =
+        EngineHarness::new(vec![operation(Idempotency::Idempotent)], vec![capped], attempt_settings(), 3);
+    for t in [30.0, 30.01, 30.02] {
+        harness.submit(t, 0, 1.0);
+        harness.answer_counter_calls(t);
+    }
+    harness.complete_attempt(30.5, 0, 0, Succeeded, 0.5);
+    harness.answer_counter_calls(30.5);
+    harness.submit(30.6, 0, 1.0);
+    harness.answer_counter_calls(30.6);
+    harness.expect_trace(expect![[r#"
+        30.000 0 comes: not yet; count 1073741827: +1.00; 0: to 0
+        30.010 1 comes: not yet; count 1073741827: +1.00; 1: to 2
+        30.020 2 comes: not yet; count 1073741827: +1.00; count 1073741827: -1.00; 2: throttled, 0.12 s
+        30.500 0 Succeeded: not yet; count 1073741827: -1.00
+        30.600 3 comes: not yet; count 1073741827: +1.00; 3: to 1"#]]);
+}
+
+/// In silence one door in N has N times as long to wait for its next place; an answer that came late gave a place that
+/// nobody held back.
+#[test]
+fn without_the_counter_a_permit_is_an_even_fraction_and_a_late_one_is_returned() {
+    let capped = Plan { rate: 0.0, max_in_flight: 1, ..plan() };
+    let mut harness =
+        EngineHarness::new(vec![operation(Idempotency::Idempotent)], vec![capped], attempt_settings(), 3);
+    harness.submit(30.0, 0, 1.0);
+    harness.poll(30.04);
+    harness.answer_counter_calls(30.05);
+    harness.complete_attempt(30.1, 0, 0, Succeeded, 0.1);
+    harness.submit(30.11, 0, 1.0);
+    harness.fail_counter_calls(30.12, NotApplied);
+    harness.submit(31.1, 0, 1.0);
+    harness.fail_counter_calls(31.12, NotApplied);
+    harness.expect_trace(expect![[r#"
+        30.000 0 comes: not yet; count 1073741827: +1.00
+        30.040 0: to 0
+        30.050 count 1073741827: -1.00
+        30.100 0 Succeeded: not yet
+        30.110 1 comes: not yet; count 1073741827: +1.00
+        30.120 1: throttled, 0.24 s
+        31.100 2 comes: not yet; count 1073741827: +1.00
+        31.120 2: to 0"#]]);
+}
--- /dev/null
+++ b/tests/policy/trace.rs
@@ -0,0 +1,63 @@
+//! The trace of a test: what the policy engine decided and called for.
+use quillramp::types::*;
+use std::fmt::Write;
+
+/// Lines of a time and of what happened then.
+#[derive(Default)]
+pub struct Trace {
+    lines: String,
+}
+
+impl Trace {
+    /// Adds a decision on a request; `cause` says what it was made on, with a space before it.
+    pub fn add_decision(&mut self, now: f64, request: RequestIndex, cause: &str, decision: Decision) {
+        let text = match decision {
+            Decision::Forward { backend } => format!("to {backend}"),
+            Decision::Pending => "not yet".into(),
+            Decision::Throttle { retry_after: Some(seconds) } => format!("throttled, {seconds:.2} s"),
+            Decision::Throttle { retry_after: None } => "throttled".into(),
+            Decision::Error => "error".into(),
+        };
+        self.add(now, format_args!("{request}{cause}: {text}"));
+    }
+
+    /// Adds the effects that came with a decision or a poll.
+    pub fn add_effects(&mut self, now: f64, effects: &Effects) {
+        for call in &effects.counter_calls {
+            self.add(now, format_args!("count {}: {:+.2}", call.key.series, call.delta));
+        }
+        for (request, attempt) in &effects.cancellations {
+            self.add(now, format_args!("cancel {request}.{attempt}"));
+        }
+        if effects.fetch_endpoints {
+            self.add(now, format_args!("asks for the list"));
+        }
+        for message in &effects.gossip {
+            self.add(now, format_args!("tells {message:?}"));
+        }
+        for line in &effects.log {
+            self.add(now, format_args!("log: {line}"));
+        }
+    }
+
+    fn add(&mut self, now: f64, event: std::fmt::Arguments) {
+        writeln!(self.lines, "{now:.3} {event}").expect("writes to a string");
+    }
+
+    /// Empties the trace; returns one line for each run of events at the same time.
+    pub fn take(&mut self) -> String {
+        let lines = std::mem::take(&mut self.lines);
+        let mut merged = String::new();
+        let mut last_time = "";
+        for line in lines.lines() {
+            let (time, event) = line.split_once(' ').expect("a time and an event");
+            if time == last_time {
+                merged += &format!("; {event}");
+            } else {
+                merged += &format!("\n{line}");
+            }
+            last_time = time;
+        }
+        merged.trim_start().to_string()
+    }
+}
--- /dev/null
+++ b/tests/shared_quota.rs
@@ -0,0 +1,154 @@
+//! Many gateway instances lease one customer's quota from one shared count: what all of them admit together against what the
+//! quota allows.
+use quillramp::policy::PolicyEngine;
+use quillramp::types::*;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::BTreeMap;
+
+mod fixtures;
+
+/// Seconds from the start of an attempt to its answer.
+const SERVICE_TIME: f64 = 0.01;
+
+/// Gateway instances that share a counter which answers each call at once.
+struct Fleet {
+    instances: Vec<PolicyEngine>,
+    /// Totals on the counter, by series.
+    totals: BTreeMap<u32, f64>,
+    requests: usize,
+}
+
+impl Fleet {
+    fn new(instances: usize, plan: &Plan) -> Fleet {
+        let instance = |seed: usize| {
+            let operations = vec![fixtures::operation(Idempotency::Idempotent)];
+            let slow_start = SlowStart { initial_fraction: 0.2, duration: 10.0 };
+            let counter = Some(CounterSettings { timeout: 0.05 });
+            let mut engine = PolicyEngine::new(EngineSettings {
+                seed: seed as u64,
+                instances: instances as f64,
+                gossip_intake_rate: 0.0,
+                polls_endpoints: false,
+                operations,
+                plans: vec![plan.clone()],
+                slow_start,
+                attempts: fixtures::attempt_settings(),
+                counter,
+            });
+            let backends: Vec<Endpoint> = (0..50).map(fixtures::ready_endpoint).collect();
+            engine.update_endpoints(30.0, true, &backends);
+            engine
+        };
+        let instances = (0..instances).map(instance).collect();
+        Fleet { instances, totals: BTreeMap::new(), requests: 0 }
+    }
+
+    /// Submits a request to an instance; returns whether it was admitted.
+    fn admit(&mut self, now: f64, instance: usize, units: f64) -> bool {
+        let range = InstanceRange { first: 0, count: self.instances.len() };
+        let attributes = RequestAttributes {
+            units,
+            instances: range,
+            deadline: now + 4.0,
+            ..RequestAttributes::default()
+        };
+        let request = self.requests;
+        self.requests += 1;
+        self.poll(now, instance);
+        let mut output = self.instances[instance].route(now, request, &attributes);
+        loop {
+            self.answer_counter_calls(now, instance, output.effects.counter_calls);
+            match output.decision {
+                Decision::Forward { backend } => {
+                    self.succeed(now, instance, request, backend);
+                    return true;
+                }
+                Decision::Pending => output = self.instances[instance].route(now, request, &attributes),
+                Decision::Throttle { .. } | Decision::Error => return false,
+            }
+        }
+    }
+
+    /// The request's first attempt succeeds.
+    fn succeed(&mut self, now: f64, instance: usize, request: RequestIndex, backend: BackendIndex) {
+        let outcome = AttemptOutcome { backend, ..fixtures::succeeded(SERVICE_TIME) };
+        let output = self.instances[instance].attempt_ended(now, request, &outcome);
+        self.answer_counter_calls(now, instance, output.effects.counter_calls);
+        self.instances[instance].request_closed(now, request);
+    }
+
+    /// Polls an instance's timers, which may call the counter.
+    fn poll(&mut self, now: f64, instance: usize) {
+        let output = self.instances[instance].poll(now);
+        self.answer_counter_calls(now, instance, output.effects.counter_calls);
+    }
+
+    /// The counter answers these calls at once, and those that its answers cause.
+    fn answer_counter_calls(&mut self, now: f64, instance: usize, calls: Vec<CounterCall>) {
+        let mut calls = std::collections::VecDeque::from(calls);
+        while let Some(call) = calls.pop_front() {
+            let total = self.totals.entry(call.key.series).or_default();
+            *total += call.delta;
+            let result = CounterResult::Total(*total);
+            let engine = &mut self.instances[instance];
+            engine.counter_answered(now, call.key, result);
+            calls.extend(engine.poll(now).effects.counter_calls);
+        }
+    }
+}
+
+/// What a quota allows: a token bucket that holds the burst and regains the rate.
+struct TokenBucket {
+    units: f64,
+    updated_at: f64,
+}
+
+impl TokenBucket {
+    /// Takes units as far as they are there; returns how many were not.
+    fn take(&mut self, now: f64, plan: &Plan, units: f64) -> f64 {
+        self.units = (self.units + plan.rate * (now - self.updated_at)).min(plan.burst);
+        self.updated_at = now;
+        let beyond = (units - self.units).max(0.0);
+        self.units = (self.units - units).max(0.0);
+        beyond
+    }
+}
+
+/// The units that were admitted.
+struct Usage {
+    /// As a fraction of those that the quota allows.
+    of_quota: f64,
+    /// Fraction of them that was beyond the quota.
+    beyond: f64,
+}
+
+/// A customer requests a multiple of its rate, at instances drawn at random.
+fn simulate(instances: usize, times_rate: f64, seed: u64) -> Usage {
+    const SECONDS: f64 = 60.0;
+    let plan = Plan { rate: 6.0, burst: 10.0, ..fixtures::plan() };
+    let mut fleet = Fleet::new(instances, &plan);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut bucket = TokenBucket { units: plan.burst, updated_at: 31.0 };
+    let mut admitted = 0.0;
+    let mut beyond = 0.0;
+    let mut now = 31.0;
+    while now < 31.0 + SECONDS {
+        now += 1.5 / (plan.rate * times_rate) * rng.gen_range(0.0..2.0);
+        let units = f64::from(rng.gen_range(1..=2));
+        if fleet.admit(now, rng.gen_range(0..instances), units) {
+            admitted += units;
+            beyond += bucket.take(now, &plan, units);
+        }
+    }
+    Usage { of_quota: admitted / (plan.burst + plan.rate * SECONDS), beyond: beyond / admitted }
+}
+
+#[test]
+fn a_customer_seen_once_a_minute_by_each_instance_has_its_quota() {
+    for seed in 0..4 {
+        let usage = simulate(150, 2.0, seed);
+        assert!(usage.of_quota > 0.9, "seed {seed}: {} of the quota was admitted", usage.of_quota);
+        assert!(usage.beyond < 0.1, "seed {seed}: {} of it was beyond the quota", usage.beyond);
+    }
+}
