--- a/tests/policy/concurrency_limit.rs
+++ b/tests/policy/concurrency_limit.rs
@@ -5,7 +5,7 @@
 use quillramp::types::*;
 use AttemptResult::*;
 
-/// Pressed backends used to hand their work to troubled ones, which swallowed it.
+/// Guards: requests spilled over from saturated backends to faulty ones, which never answered.
 #[test]
 fn saturated_backends_are_waited_for_and_then_the_request_is_throttled() {
     let mut harness = idempotent(1);
@@ -22,17 +22,17 @@
         30.270 1: throttled, 1.00 s"#]]);
 }
 
-/// Full backends all over: the limit fell by a quarter for each slow answer, seconds too late.
+/// Guards: where all backends were fully loaded, the limit fell by a quarter for each slow answer: seconds too late.
 #[test]
 fn slow_answers_of_backends_that_report_full_load_halve_the_limit() {
     let mut all = String::new();
     for busy in [0.5, 1.0] {
-        let mut harness = idempotent(6); // its first limit is 30
-        for t in [30.0, 31.0, 32.0] {
-            let request = harness.submit(t, 0, 1.0);
-            harness.answer_counter_calls(t);
+        let mut harness = idempotent(6); // the initial limit is 30 units
+        for now in [30.0, 31.0, 32.0] {
+            let request = harness.submit(now, 0, 1.0);
+            harness.answer_counter_calls(now);
             harness.complete_with_load_report(
-                t + 0.9,
+                now + 0.9,
                 request,
                 0.9,
                 Some(LoadReport { cpu_utilization: Some(busy), ..LoadReport::default() }),
@@ -52,8 +52,9 @@
     .assert_eq(&all);
 }
 
-/// With many doors the bound at one backend has a floor of one delivery, so all together drove them over.
-/// Answers that vary by themselves, up to three times the usual, once lowered it below what the backends could do.
+/// Guards: with many instances the limit for one backend has a floor of one attempt, so all instances together overloaded the
+/// backends; and answer times that vary by themselves, up to three times the median, lowered the limit below what the backends
+/// could do.
 #[test]
 fn slow_answers_lower_the_limit_over_all_backends() {
     let slow = forwarded_by_round(0.9);
@@ -62,44 +63,32 @@
     expect!["[20, 20, 20, 20, 20, 20, 20, 20]"].assert_eq(&varied);
 }
 
-fn forwarded_by_round(took: f64) -> String {
-    let mut harness = EngineHarness::among_instances(
-        200.0,
-        vec![operation(Idempotency::NonIdempotent)],
-        vec![plan()],
-        attempt_settings(),
-        400,
-    );
-    let mut out = vec![];
+fn forwarded_by_round(duration: f64) -> String {
+    let mut harness = one_of_200_instances(Idempotency::NonIdempotent, plan());
+    let mut counts = vec![];
     for round in 0..8 {
-        let t = 30.0 + f64::from(round) * 2.5;
+        let now = 30.0 + f64::from(round) * 2.5;
         for i in 0..20 {
-            harness.submit_from(t, round as usize * 20 + i, 1.0);
+            harness.submit_from(now, round as usize * 20 + i, 1.0);
         }
-        harness.answer_counter_calls(t);
-        let sent = harness.take_forwarded();
-        out.push(sent.len());
-        for request in sent {
-            harness.complete_attempt(t + took, request, 0, Succeeded, took);
+        harness.answer_counter_calls(now);
+        let forwarded = harness.take_forwarded();
+        counts.push(forwarded.len());
+        for request in forwarded {
+            harness.complete_attempt(now + duration, request, 0, Succeeded, duration);
         }
     }
-    format!("{out:?}")
+    format!("{counts:?}")
 }
 
-/// A release left a fleet mostly cold. All doors went on with what a warm one bears out at once until slow answers,
-/// some a second each, had taken it down: by then the release was over, and the fleet refused what it could do.
+/// Guards: after a release most backends were warming up. All instances kept the limit of a warm fleet until slow answers, a
+/// few a second at each instance, had lowered it: by then the release was over, and requests were shed that the fleet could serve.
 #[test]
 fn listed_starts_and_drains_lower_the_limit() {
-    let sent = |started: Option<f64>, standing: EndpointStatus| {
-        let mut harness = EngineHarness::among_instances(
-            200.0,
-            vec![operation(Idempotency::NonIdempotent)],
-            vec![plan()],
-            attempt_settings(),
-            400,
-        );
+    let forwarded = |started: Option<f64>, status: EndpointStatus| {
+        let mut harness = one_of_200_instances(Idempotency::NonIdempotent, plan());
         let changed: Vec<Endpoint> = (0..300)
-            .map(|t| Endpoint { started_at: started, status: standing, ..ready_endpoint(t) })
+            .map(|backend| Endpoint { started_at: started, status, ..ready_endpoint(backend) })
             .collect();
         harness.engine.update_endpoints(30.0, false, &changed);
         for i in 0..60 {
@@ -114,13 +103,13 @@
         (None, EndpointStatus::Draining),
     ];
     expect!["[20, 10, 5]"]
-        .assert_eq(&format!("{:?}", all.map(|(started, standing)| sent(started, standing))));
+        .assert_eq(&format!("{:?}", all.map(|(started, status)| forwarded(started, status))));
 }
 
-/// When room ran short a cheap operation took it as readily as one billed five times as much: the room went to waste.
+/// Guards: when capacity ran short a cheap operation took as much of it as one billed five times as much.
 #[test]
 fn operations_billed_less_for_their_work_fill_less_of_the_limit() {
-    let sent = |cheap: f64| {
+    let forwarded = |cheap: f64| {
         let operations = [cheap, 5.0]
             .map(|billed| Operation { billed_value: billed, ..operation(Idempotency::NonIdempotent) });
         let mut harness =
@@ -131,9 +120,9 @@
             }
         }
         harness.answer_counter_calls(30.0);
-        let (dear, cheap): (Vec<RequestIndex>, Vec<RequestIndex>) =
+        let (expensive, cheap): (Vec<RequestIndex>, Vec<RequestIndex>) =
             harness.take_forwarded().into_iter().partition(|i| *i >= 40);
-        (cheap.len(), dear.len())
+        (cheap.len(), expensive.len())
     };
-    expect!["[(4, 16), (8, 12), (20, 0)]"].assert_eq(&format!("{:?}", [1.0, 2.0, 5.0].map(sent)));
+    expect!["[(4, 16), (8, 12), (20, 0)]"].assert_eq(&format!("{:?}", [1.0, 2.0, 5.0].map(forwarded)));
 }
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -22,10 +22,10 @@
 fn an_unresponsive_counter_falls_back_to_the_even_slice_and_is_probed() {
     let mut harness = idempotent(4);
     for i in 0..8 {
-        let t = 30.0 + f64::from(i) * 0.1;
-        harness.submit(t, 0, 1.0);
-        harness.poll(t + 0.04);
-        harness.fail_counter_calls(t + 0.05, Unanswered);
+        let now = 30.0 + f64::from(i) * 0.1;
+        harness.submit(now, 0, 1.0);
+        harness.poll(now + 0.04);
+        harness.fail_counter_calls(now + 0.05, Unanswered);
     }
     harness.submit(31.0, 0, 1.0);
     harness.answer_counter_calls(31.01);
@@ -45,7 +45,7 @@
         31.010 log: counter answers again after 1.01 s; leases resume"#]]);
 }
 
-/// A counter far away, or slow at its best, was taken for a crowded one: its pace fell to the least.
+/// Guards: a counter that is far away, or slow at its best, was taken for an overloaded one: the call rate fell to its minimum.
 #[test]
 fn a_counter_that_is_never_quick_is_given_its_time() {
     let mut harness = idempotent(4);
@@ -61,12 +61,12 @@
         32.045 count 1: +3.09; 1: to 2"#]]);
 }
 
-/// Guards: all doors together never asked the counter more than 2,400 times a second, whatever it bore: on calm days of 300
-/// doors it left no call unanswered, and six in ten invocations were let in without asking it.
+/// Guards: all instances together never called the counter more than 2,400 times a second, whatever it could take: on calm days
+/// of 300 instances it left no call unanswered, and six in ten requests were admitted without a call.
 #[test]
 fn the_counter_is_called_as_often_as_it_answers() {
     let plan = Plan { burst: 16.0, ..plan() };
-    // How often it is called when so many come, second by second; the first calls may be missed.
+    // Calls in each second, by the requests in each second; the calls of the first second may remain unanswered.
     let called = |missed: bool, a_second: &[usize]| -> Vec<usize> {
         let mut harness = EngineHarness::among_instances(
             400.0,
@@ -89,13 +89,13 @@
         calls.collect()
     };
     let all = called(false, &[200; 12]);
-    assert!(all[0] <= 60, "it begins carefully: {all:?}");
-    // A lease and a lift for each.
+    assert!(all[0] <= 60, "it starts slowly: {all:?}");
+    // A lease and an upward correction for each.
     assert!(all[11] > 400, "{all:?}");
-    // After a miss it goes on by small steps.
-    let careful = called(true, &[200; 12]);
-    assert!(careful[11] < all[11] && careful[11] > careful[1], "{careful:?}");
-    // What was not used up proves nothing of what the counter bears.
+    // After an unanswered call the rate rises by small steps.
+    let after_miss = called(true, &[200; 12]);
+    assert!(after_miss[11] < all[11] && after_miss[11] > after_miss[1], "{after_miss:?}");
+    // Calls that were allowed but not made do not show what the counter can take.
     let quiet = [vec![1; 60], vec![90]].concat();
     assert!(called(false, &quiet)[60] <= 20, "{:?}", called(false, &quiet));
 }
--- a/tests/policy/gossip.rs
+++ b/tests/policy/gossip.rs
@@ -2,14 +2,15 @@
 use crate::harness::*;
 use expect_test::expect;
 
-/// One gateway's look at a full count spared the others theirs; a word to all twice a second drowned them.
+/// Guards: one instance's read of an exhausted quota spares the others theirs; but a message to all instances twice a second
+/// overwhelmed them.
 #[test]
 fn a_nearly_exhausted_quota_is_gossiped_to_the_customers_other_instances_once() {
     let mut harness = idempotent(4);
     harness.counter_totals.insert(1, 7.0);
-    for t in [30.0, 30.1, 31.0] {
-        harness.submit(t, 0, 1.0);
-        harness.answer_counter_calls(t);
+    for now in [30.0, 30.1, 31.0] {
+        harness.submit(now, 0, 1.0);
+        harness.answer_counter_calls(now);
     }
     harness.expect_trace(expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; tells CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 8.0 }; 0: to 0
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -31,6 +31,11 @@
     EngineHarness::new(vec![operation(idempotency)], vec![plan()], attempt_settings(), backends)
 }
 
+/// One of 200 gateway instances before 400 backends, with one operation.
+pub fn one_of_200_instances(idempotency: Idempotency, plan: Plan) -> EngineHarness {
+    EngineHarness::among_instances(200.0, vec![operation(idempotency)], vec![plan], attempt_settings(), 400)
+}
+
 /// How many of 200 requests within 0.2 s are forwarded to the only backend.
 pub fn forwarded_at_once(harness: &mut EngineHarness, from: f64) -> usize {
     let forwarded = (0..200).map(|i| {
--- a/tests/policy/lifecycle.rs
+++ b/tests/policy/lifecycle.rs
@@ -4,7 +4,7 @@
 use quillramp::types::*;
 use AttemptResult::*;
 
-/// Invocations that were held without a delivery got no final answer in time.
+/// Guards: requests that had no attempt in flight got no final answer in time.
 #[test]
 fn a_request_in_hand_is_answered_before_its_deadline() {
     let mut harness = with_idempotency(Idempotency::NonIdempotent, 1);
@@ -16,20 +16,20 @@
         33.996 0 NotConnected: throttled, 1.00 s"#]]);
 }
 
-/// At the last look the time left was a hair over the bound by rounding: held on, the invocation was lost.
+/// Guards: at the last check the remaining time exceeded the bound by a rounding error; the request stayed pending and was lost.
 #[test]
 fn the_last_check_always_answers() {
     let mut harness = idempotent(0);
     for i in 0..100 {
-        let t = 31.0 + f64::from(i) * 1.000_123;
-        let request = harness.submit_with_deadline(t, t + 0.09);
-        harness.answer_counter_calls(t);
-        harness.poll(t + 0.09 - 0.005);
+        let now = 31.0 + f64::from(i) * 1.000_123;
+        let request = harness.submit_with_deadline(now, now + 0.09);
+        harness.answer_counter_calls(now);
+        harness.poll(now + 0.09 - 0.005);
         assert!(harness.take_trace().contains(&format!("{request}: throttled")), "{request} is lost");
     }
 }
 
-/// A list call that failed was never made again.
+/// Guards: a failed fetch of the endpoint list was never repeated.
 #[test]
 fn a_failed_endpoint_fetch_is_repeated() {
     let mut harness = idempotent(1);
@@ -40,7 +40,7 @@
     harness.expect_trace(expect!["33.200 asks for the list"]);
 }
 
-/// A customer whose invocation is held for longer than it takes to forget the idle lost its account.
+/// Guards: a customer with a request that was in hand for longer than the idle timeout lost its state.
 #[test]
 fn a_customer_with_a_request_in_hand_is_not_evicted() {
     let mut harness = idempotent(1);
@@ -54,7 +54,7 @@
         61.000 0 Broken: throttled, 1.00 s"#]]);
 }
 
-/// A look that could change nothing woke the front door, four times an invocation.
+/// Guards: timers that could change nothing woke the gateway instance, four times per request.
 #[test]
 fn no_timer_wakes_for_a_request_that_is_closed_or_checked_later() {
     let mut harness = idempotent(1);
--- a/tests/policy/load_balancing.rs
+++ b/tests/policy/load_balancing.rs
@@ -25,27 +25,30 @@
         30.460 1: throttled, 1.00 s"#]]);
 }
 
-/// Guards: hundreds of doors that see little traffic drew among all backends, and half of their deliveries began with
-/// a handshake.
+/// Guards: hundreds of instances with little traffic each drew among all backends, and half of their attempts began with a
+/// handshake.
 #[test]
 fn a_backend_with_an_idle_connection_is_preferred_unless_it_answers_slowly() {
-    let used = |took: f64| {
+    let used = |duration: f64| {
         let mut harness = idempotent(40);
         for i in 0..30 {
-            let t = 30.0 + i as f64;
-            let request = harness.submit_from(t, i, 1.0);
-            harness.answer_counter_calls(t);
-            harness.complete_attempt(t + took, request, 0, Succeeded, took);
+            let now = 30.0 + i as f64;
+            let request = harness.submit_from(now, i, 1.0);
+            harness.answer_counter_calls(now);
+            harness.complete_attempt(now + duration, request, 0, Succeeded, duration);
         }
-        let told = harness.take_trace();
-        let to = told.split([';', '\n']).filter_map(|l| l.split_once(": to ")).map(|(_, to)| to.to_owned());
-        to.collect::<std::collections::BTreeSet<_>>().len()
+        let trace = harness.take_trace();
+        let backends = trace
+            .split([';', '\n'])
+            .filter_map(|event| event.split_once(": to "))
+            .map(|(_, backend)| backend.to_owned());
+        backends.collect::<std::collections::BTreeSet<_>>().len()
     };
     let (well, slow) = (used(0.05), used(0.9));
     assert!(well <= 6 && slow >= 12, "{well} of 40 used where answers are well, {slow} where they are slow");
 }
 
-/// Two deliveries in three crossed rooms, each at a charge.
+/// Guards: two attempts in three crossed zones, each at a charge.
 #[test]
 fn among_equals_the_home_zone_wins_where_crossing_is_charged_for_and_a_loaded_one_does_not() {
     let mut all = String::new();
@@ -57,10 +60,10 @@
             2,
         );
         for i in 0..6 {
-            let t = 30.0 + f64::from(i);
-            let request = harness.submit(t, 0, 1.0);
-            harness.answer_counter_calls(t);
-            harness.complete_attempt(t + 0.1, request, 0, Succeeded, 0.1);
+            let now = 30.0 + f64::from(i);
+            let request = harness.submit(now, 0, 1.0);
+            harness.answer_counter_calls(now);
+            harness.complete_attempt(now + 0.1, request, 0, Succeeded, 0.1);
         }
         let alone = harness.take_trace().matches(": to 1").count();
         for customer in 1..3 {
@@ -77,7 +80,7 @@
     .assert_eq(&all);
 }
 
-/// With hundreds of doors each backend is at its connection limit: only doors that hold one get through.
+/// With hundreds of instances each backend is at its connection limit: only an instance that has a connection gets through.
 #[test]
 fn open_connections_serve_where_new_ones_are_hard_to_get() {
     let mut harness = idempotent(8);
@@ -91,10 +94,10 @@
     }
     harness.take_trace();
     for i in 4..7 {
-        let t = 31.0 + i as f64;
-        harness.submit_from(t, i, 1.0);
-        harness.answer_counter_calls(t);
-        harness.complete_attempt(t, i, 0, Succeeded, 0.1);
+        let now = 31.0 + i as f64;
+        harness.submit_from(now, i, 1.0);
+        harness.answer_counter_calls(now);
+        harness.complete_attempt(now, i, 0, Succeeded, 0.1);
     }
     harness.expect_trace(expect![[r#"
         35.000 4 comes: not yet; count 1: +1.00; count 1: +10.00; 4: to 4; 4 Succeeded: not yet
@@ -102,7 +105,7 @@
         37.000 6 comes: not yet; count 1: +1.00; count 1: +14.00; 6: to 4; 6 Succeeded: not yet"#]]);
 }
 
-/// Backends that turn one plan away though they have room: each retry met the next of them.
+/// Guards: some backends reject one plan although they have capacity, and each retry went to another of them.
 #[test]
 fn a_rejected_plan_goes_where_it_was_served() {
     let mut harness = EngineHarness::among_instances(
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -5,8 +5,8 @@
 use quillramp::types::*;
 use AttemptResult::*;
 
-/// Guards: a list undid an operator's word; and a backend that came back was left unused, for where others are idle a
-/// cold one hardly ever wins.
+/// Guards: an endpoint list undid a manual ejection; and a backend that came back stayed unused, since one in slow start hardly
+/// ever wins while others are idle.
 #[test]
 fn a_manual_ejection_holds_against_the_list_and_its_end_is_a_slow_start_that_is_soon_tried() {
     let mut harness = idempotent(3);
@@ -18,12 +18,12 @@
     );
     harness.engine.set_manual_ejection(34.0, 0, Some(34.0));
     harness.engine.set_manual_ejection(34.0, 0, None);
-    let (sent, first) = forwarded_to_backend_0(&mut harness, 34.0);
+    let (forwarded, first) = forwarded_to_backend_0(&mut harness, 34.0);
     assert!(
-        harness.engine.unavailable_backends() == 0 && sent < 10 && first.is_some_and(|i| i < 40),
-        "{sent}, first {first:?}"
+        harness.engine.unavailable_backends() == 0 && forwarded < 10 && first.is_some_and(|i| i < 40),
+        "{forwarded}, first {first:?}"
     );
-    // Alone, it gets the share of one that has just started; unless the list has told that it started long before.
+    // Alone, it gets the fraction of a backend that has just started, unless the list says that it started long before.
     for (restarted, share) in [(None, 20..60), (Some(40.5), 150..201)] {
         let mut harness = idempotent(1);
         harness.engine.set_manual_ejection(40.0, 0, Some(40.0));
@@ -33,42 +33,42 @@
             &[Endpoint { started_at: restarted, ..ready_endpoint(0) }],
         );
         harness.engine.set_manual_ejection(60.0, 0, None);
-        let sent = forwarded_at_once(&mut harness, 60.0);
-        assert!(share.contains(&sent), "{sent} of 200, restarted {restarted:?}");
+        let forwarded = forwarded_at_once(&mut harness, 60.0);
+        assert!(share.contains(&forwarded), "{forwarded} of 200, restarted {restarted:?}");
     }
 }
 
-/// Where 60 invocations in a row go, with others idle: how many to backend 0, and the first of them.
+/// Of 60 requests in a row, with the other backends idle: how many go to backend 0, and the first that does.
 fn forwarded_to_backend_0(harness: &mut EngineHarness, from: f64) -> (usize, Option<usize>) {
-    let to: Vec<usize> = (0..60)
+    let requests: Vec<usize> = (0..60)
         .filter(|i| {
-            let t = from + *i as f64 * 0.05;
-            let request = harness.submit_from(t, *i, 1.0);
-            harness.answer_counter_calls(t);
-            harness.complete_attempt(t + 0.01, request, 0, Succeeded, 0.01);
+            let now = from + *i as f64 * 0.05;
+            let request = harness.submit_from(now, *i, 1.0);
+            harness.answer_counter_calls(now);
+            harness.complete_attempt(now + 0.01, request, 0, Succeeded, 0.01);
             harness.take_trace().contains("to 0")
         })
         .collect();
-    (to.len(), to.first().copied())
+    (requests.len(), requests.first().copied())
 }
 
-/// Dead backends: each trial that failed counts, and a peer's good word shortens the second half of the wait.
+/// Dead backends: each failed trial counts, and a gossip message shortens the second half of the ejection.
 #[test]
 fn a_failed_trial_doubles_the_ejection_time_and_gossip_shortens_it() {
     let once = AttemptSettings { max_attempts: 1, ..attempt_settings() };
     let mut harness = EngineHarness::new(vec![operation(Idempotency::Idempotent)], vec![plan()], once, 1);
-    let mut t = 30.0;
+    let mut now = 30.0;
     for _ in 0..5 {
-        let request = harness.submit(t, 0, 1.0);
-        harness.answer_counter_calls(t);
-        harness.complete_attempt(t + 0.2, request, 0, Broken, 0.2);
-        t += 3.0;
-        harness.engine.gossip_received(t - 0.1, GossipMessage::BackendRecovered { backend: 0 });
+        let request = harness.submit(now, 0, 1.0);
+        harness.answer_counter_calls(now);
+        harness.complete_attempt(now + 0.2, request, 0, Broken, 0.2);
+        now += 3.0;
+        harness.engine.gossip_received(now - 0.1, GossipMessage::BackendRecovered { backend: 0 });
     }
-    // The first that is answered again tells the others.
-    let request = harness.submit(t + 2.0, 0, 1.0);
-    harness.answer_counter_calls(t + 2.0);
-    harness.complete_attempt(t + 2.1, request, 0, Succeeded, 0.1);
+    // The first instance that gets an answer notifies the others.
+    let request = harness.submit(now + 2.0, 0, 1.0);
+    harness.answer_counter_calls(now + 2.0);
+    harness.complete_attempt(now + 2.1, request, 0, Succeeded, 0.1);
     harness.expect_trace(expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; 0: to 0
         30.200 0 Broken: throttled, 1.00 s
@@ -84,16 +84,16 @@
         47.100 5 Succeeded: not yet; tells BackendRecovered { backend: 0 }; log: backend 0 back: answered in 0.100 s"#]]);
 }
 
-/// Clients that give up very early and repeat: two cancelled deliveries set the backend aside.
+/// Guards: clients that disconnect very early and try again: two cancelled attempts ejected the backend.
 #[test]
 fn an_early_disconnect_of_the_client_does_not_count_against_the_backend() {
     let mut harness = idempotent(1);
     for i in 0..3 {
-        let t = 30.0 + f64::from(i);
-        let request = harness.submit(t, 0, 1.0);
-        harness.answer_counter_calls(t);
-        harness.engine.request_closed(t, request);
-        harness.complete_attempt(t + 0.1, request, 0, Cancelled, 0.1);
+        let now = 30.0 + f64::from(i);
+        let request = harness.submit(now, 0, 1.0);
+        harness.answer_counter_calls(now);
+        harness.engine.request_closed(now, request);
+        harness.complete_attempt(now + 0.1, request, 0, Cancelled, 0.1);
     }
     harness.expect_trace(expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; 0: to 0
@@ -104,23 +104,23 @@
         32.100 cancel 2.0; 2 Cancelled: not yet"#]]);
 }
 
-/// With many doors a backend answers each of them seldom: a slow one was found only after tens of answers.
+/// Guards: with many instances a backend rarely answers any one of them: a slow one was found only after tens of answers.
 #[test]
 fn one_very_slow_answer_is_enough_to_prefer_the_other_backends() {
     let mut harness = idempotent(2);
-    let mut went = String::new();
+    let mut backends = String::new();
     for i in 0..12 {
-        let t = 30.0 + f64::from(i);
-        let request = harness.submit_from(t, i as usize, 1.0);
-        harness.answer_counter_calls(t);
+        let now = 30.0 + f64::from(i);
+        let request = harness.submit_from(now, i as usize, 1.0);
+        harness.answer_counter_calls(now);
         let slow = harness.take_trace().contains(&format!("{request}: to 0"));
-        went += if slow { "0" } else { "1" };
-        harness.complete_attempt(t + 0.1, request, 0, Succeeded, if slow { 0.7 } else { 0.1 });
+        backends += if slow { "0" } else { "1" };
+        harness.complete_attempt(now + 0.1, request, 0, Succeeded, if slow { 0.7 } else { 0.1 });
     }
-    expect!["011111111111"].assert_eq(&went);
+    expect!["011111111111"].assert_eq(&backends);
 }
 
-/// Guards: a backend whose answer passed slowly to its client was taken for a silent one, and for a loaded one.
+/// Guards: a backend whose response streamed slowly to its client was taken for an unresponsive one, and for a loaded one.
 #[test]
 fn a_backend_whose_response_streams_is_neither_unresponsive_nor_loaded() {
     let mut harness = idempotent(1);
@@ -128,11 +128,11 @@
     harness.answer_counter_calls(30.0);
     harness.engine.response_started(30.1, first);
     for i in 1..6 {
-        let t = 30.0 + i as f64;
-        let request = harness.submit_from(t, i, 1.0);
-        harness.answer_counter_calls(t);
+        let now = 30.0 + i as f64;
+        let request = harness.submit_from(now, i, 1.0);
+        harness.answer_counter_calls(now);
         assert!(harness.take_trace().contains("to 0"), "{i}");
-        harness.complete_attempt(t + 0.05, request, 0, Succeeded, 0.05);
+        harness.complete_attempt(now + 0.05, request, 0, Succeeded, 0.05);
     }
     harness.complete_attempt(36.0, first, 0, Broken, 0.1);
     harness.expect_trace(expect![[r#"
@@ -140,13 +140,13 @@
         36.000 0 Broken: throttled, 1.00 s"#]]);
 }
 
-/// A door that had stood still took its own silence for that of its backends, and let nothing out.
+/// Guards: an instance that had stalled took its own silence for that of its backends, and forwarded nothing.
 #[test]
 fn an_instance_that_stalled_blames_no_backend() {
     let mut harness = idempotent(1);
     let request = harness.submit(30.0, 0, 1.0);
     harness.answer_counter_calls(30.0);
-    let o = succeeded(2.9);
-    let answer = harness.engine.attempt_ended(33.0, request, &o); // its look of 30.25 is still to come
-    expect!["stood still for 2.75 s"].assert_eq(&answer.effects.log.join("\n"));
+    let outcome = succeeded(2.9);
+    let output = harness.engine.attempt_ended(33.0, request, &outcome); // the timer of 30.25 has not fired yet
+    expect!["stood still for 2.75 s"].assert_eq(&output.effects.log.join("\n"));
 }
--- a/tests/policy/permits.rs
+++ b/tests/policy/permits.rs
@@ -6,15 +6,16 @@
 use AttemptResult::*;
 use CounterResult::*;
 
-/// Many doors before one customer each let one in, far over a cap of a few: each held its own share, rounded up.
+/// Guards: many instances that one customer uses each admitted one request, far over a small cap: each held its own fraction of
+/// the cap, rounded up.
 #[test]
 fn a_permit_is_leased_on_a_count_of_its_own_denied_at_once_and_returned() {
     let capped = Plan { rate: 0.0, max_in_flight: 2, ..plan() };
     let mut harness =
         EngineHarness::new(vec![operation(Idempotency::Idempotent)], vec![capped], attempt_settings(), 3);
-    for t in [30.0, 30.01, 30.02] {
-        harness.submit(t, 0, 1.0);
-        harness.answer_counter_calls(t);
+    for now in [30.0, 30.01, 30.02] {
+        harness.submit(now, 0, 1.0);
+        harness.answer_counter_calls(now);
     }
     harness.complete_attempt(30.5, 0, 0, Succeeded, 0.5);
     harness.answer_counter_calls(30.5);
@@ -28,8 +29,8 @@
         30.600 3 comes: not yet; count 1073741827: +1.00; 3: to 1"#]]);
 }
 
-/// In silence one door in N has N times as long to wait for its next place; an answer that came late gave a place that
-/// nobody held back.
+/// Without the counter one of N instances waits N times as long for its next permit. Guards: a late answer gave a permit that
+/// nobody returned.
 #[test]
 fn without_the_counter_a_permit_is_an_even_fraction_and_a_late_one_is_returned() {
     let capped = Plan { rate: 0.0, max_in_flight: 1, ..plan() };
--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -39,7 +39,7 @@
         31.600 2 comes: not yet; count 1: +1.00"#]]);
 }
 
-/// A flushed counter, or one that came back empty, gave every customer a second burst.
+/// Guards: a counter that was flushed, or came back empty, gave every customer a second burst.
 #[test]
 fn a_lost_count_is_corrected_upwards_once() {
     let mut harness = idempotent(4);
@@ -70,13 +70,13 @@
         60.000 1 comes: not yet; count 2: +1.00; count 2: +6.00; 1: to 2"#]]);
 }
 
-/// The dearest plans were throttled inside their quotas: the share of the ceiling is for what no lease vouches for.
+/// Guards: the most expensive plans were throttled within their quotas: the fraction of the ceiling is only for what no lease covers.
 #[test]
 fn a_lease_passes_the_ceiling_and_spending_without_one_has_an_even_fraction_that_starts_empty() {
     let capped = Plan { ceiling_rate: 4.0, ceiling_burst: 16.0, ceiling_slack: 2.0, ..plan() };
     let mut harness =
         EngineHarness::new(vec![operation(Idempotency::Idempotent)], vec![capped], attempt_settings(), 2);
-    // The count is young.
+    // The count's window has just begun.
     harness.submit(30.0, 0, 1.0);
     harness.answer_counter_calls(30.0);
     harness.submit(35.0, 0, 1.0);
@@ -99,15 +99,15 @@
     let mut harness = idempotent(2);
     let request = harness.submit(30.0, 0, 1.0);
     harness.answer_counter_calls(30.0);
-    let o = AttemptOutcome { billed_units: Some(4.0), ..succeeded(0.1) };
-    harness.engine.attempt_ended(30.1, request, &o);
+    let outcome = AttemptOutcome { billed_units: Some(4.0), ..succeeded(0.1) };
+    harness.engine.attempt_ended(30.1, request, &outcome);
     harness.poll(31.2);
     harness.expect_trace(expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; 0: to 0
         31.200 count 1: +3.00"#]]);
 }
 
-/// Two gateways lifted a new count at once; a third saw both lifts, and refused the customer for 18 s.
+/// Guards: two instances corrected a new count upwards at once; a third read both corrections and throttled the customer for 18 s.
 #[test]
 fn an_impossibly_high_count_is_read_again_soon() {
     let mut harness = idempotent(1);
--- a/tests/policy/quota_slices.rs
+++ b/tests/policy/quota_slices.rs
@@ -5,7 +5,7 @@
 use quillramp::types::*;
 use CounterResult::*;
 
-/// Small quotas over many doors: an even slice holds less than one invocation, and gave nothing at all.
+/// Guards: with small quotas over many instances an even slice holds less than one request, and admitted nothing at all.
 #[test]
 fn a_full_slice_goes_into_debt_for_one_request() {
     let mut harness = idempotent(4);
@@ -20,16 +20,16 @@
         30.130 1: to 2"#]]);
 }
 
-/// Guards: two processes of one door each spent the door's own slice while the counter was silent.
+/// Guards: two processes of one instance each spent the whole slice of the instance while the counter was unresponsive.
 #[test]
 fn two_processes_of_an_instance_share_its_slice() {
-    let served = |two: bool| {
+    let served = |two_processes: bool| {
         let mut harness = idempotent(1);
-        harness.engine.set_peer_process(two);
+        harness.engine.set_peer_process(two_processes);
         for i in 0..12 {
-            let t = 30.0 + f64::from(i) * 0.06;
-            harness.submit(t, 0, 1.0);
-            harness.fail_counter_calls(t + 0.05, NotApplied);
+            let now = 30.0 + f64::from(i) * 0.06;
+            harness.submit(now, 0, 1.0);
+            harness.fail_counter_calls(now + 0.05, NotApplied);
         }
         harness.take_forwarded().len()
     };
@@ -37,17 +37,17 @@
     assert!(one >= 4 && two < one, "{one} alone, {two} of two");
 }
 
-/// After a silence each door told all it had spent from its slice, though the store had regained most of it
-/// meanwhile: calm customers were refused for seconds once the counter was back.
+/// Guards: after an outage each instance reported all that it had spent from its slice, although the token bucket had regained
+/// most of it meanwhile: customers within their quotas were throttled for seconds once the counter was back.
 #[test]
 fn after_an_outage_only_the_deficit_of_the_slice_is_reported() {
     let mut harness = idempotent(8);
     for i in 0..10 {
-        let t = 30.0 + f64::from(i);
-        let request = harness.submit(t, 0, 1.0);
-        harness.poll(t + 0.05);
-        harness.fail_counter_calls(t + 0.06, Unanswered);
-        harness.engine.attempt_ended(t + 0.1, request, &succeeded(0.1));
+        let now = 30.0 + f64::from(i);
+        let request = harness.submit(now, 0, 1.0);
+        harness.poll(now + 0.05);
+        harness.fail_counter_calls(now + 0.06, Unanswered);
+        harness.engine.attempt_ended(now + 0.1, request, &succeeded(0.1));
     }
     harness.take_trace();
     harness.counter_totals.insert(1, 0.0);
@@ -60,17 +60,11 @@
         40.300 11 comes: not yet; count 1: +2.05"#]]);
 }
 
-/// Where the counter takes fewer calls than invocations come, an even slice below one refused nearly all.
+/// Guards: where the counter takes fewer calls than requests arrive, an even slice of less than one unit admitted hardly any.
 #[test]
 fn an_overloaded_counter_lets_a_slice_go_into_debt_unless_the_quota_is_known_exhausted() {
     let plan = Plan { burst: 16.0, ..plan() };
-    let mut harness = EngineHarness::among_instances(
-        200.0,
-        vec![operation(Idempotency::Idempotent)],
-        vec![plan],
-        attempt_settings(),
-        400,
-    );
+    let mut harness = one_of_200_instances(Idempotency::Idempotent, plan);
     for units in [8.0, 4.0, 1.0] {
         harness.submit(30.0, 0, units);
     }
@@ -81,25 +75,20 @@
     ]);
 }
 
-/// A debt of the slice stayed after the count had been told of it. With a hundred doors to a customer a slice regains
-/// a unit in a minute, so each door that had trusted a customer once refused it from then on, whatever room it had.
+/// Guards: the debt of a slice stayed after it had been reported to the count. With a hundred instances to a customer a slice
+/// regains one unit per minute, so each instance that had gone into debt for a customer once throttled it from then on, whatever
+/// its quota allowed.
 #[test]
 fn the_slice_regains_what_was_reported_to_the_count() {
     let plan = Plan { burst: 32.0, ..plan() };
-    let mut harness = EngineHarness::among_instances(
-        200.0,
-        vec![operation(Idempotency::Idempotent)],
-        vec![plan],
-        attempt_settings(),
-        400,
-    );
+    let mut harness = one_of_200_instances(Idempotency::Idempotent, plan);
     for units in [8.0, 1.0, 1.0] {
         harness.submit_across_instances(30.0, 100, units);
     }
     harness.submit_across_instances(31.5, 100, 1.0);
     harness.answer_counter_calls(31.51);
     for customer in 1..4 {
-        harness.submit_from(31.6, customer, 1.0); // the calls saved up are spent
+        harness.submit_from(31.6, customer, 1.0); // uses up the saved calls
     }
     for units in [8.0, 1.0, 1.0] {
         harness.submit_across_instances(31.6, 100, units);
@@ -111,30 +100,24 @@
         31.600 4 comes: not yet; count 1: +2.05; 5 comes: not yet; count 1: +2.05; 6 comes: to 180; 7 comes: to 62; 8 comes: to 246; 9 comes: throttled, 2.00 s"#]]);
 }
 
-/// Guards: a customer that asks for more than its quota at many doors was let in at each of them: a store seen near empty
-/// counted as half full again once it had regained so much, though others took it as it came. On a calm day of 300 doors 17% of
-/// what was sent on was beyond quotas.
+/// Guards: a customer that requests more than its quota at many instances was admitted at each of them: a token bucket seen nearly
+/// empty counted as half full once it had had the time to regain that much, although other instances spent it as it came. On a
+/// calm day of 300 instances 17% of what was forwarded was beyond quotas.
 #[test]
 fn beside_an_overloaded_counter_a_bucket_is_as_full_as_it_was_seen() {
     let plan = Plan { burst: 16.0, ..plan() };
     let seen = |at: f64, total: f64| {
-        let mut harness = EngineHarness::among_instances(
-            200.0,
-            vec![operation(Idempotency::Idempotent)],
-            vec![plan.clone()],
-            attempt_settings(),
-            400,
-        );
+        let mut harness = one_of_200_instances(Idempotency::Idempotent, plan.clone());
         harness.submit_across_instances(30.0, 100, 0.1);
         harness.receive_counter_total(at, 0, 1, total);
         for customer in 1..5 {
-            harness.submit_from(36.0, customer, 8.0); // the calls saved up are spent
+            harness.submit_from(36.0, customer, 8.0); // uses up the saved calls
         }
-        harness.submit_across_instances(36.0, 100, 0.1); // from a full slice, of 0.16 units
+        harness.submit_across_instances(36.0, 100, 0.1); // from a full slice of 0.16 units
         harness.submit_across_instances(36.0, 100, 1.0);
         harness
     };
-    // Of 16 units: one was left 6 s ago, 13 are by now if nobody took any; nearly all, a moment ago.
+    // Of 16 units: one was left 6 s ago, so 13 are there now if nobody spent any; nearly all were there a moment ago.
     seen(30.0, 15.0).expect_trace(expect![[r#"
         30.000 0 comes: to 108
         36.000 1 comes: not yet; count 1: +8.21; 2 comes: not yet; count 1: +8.20; 3 comes: not yet; count 1: +8.19; 4 comes: not yet; count 1: +8.18; 5 comes: to 343; 6 comes: throttled, 2.00 s"#]]);
@@ -143,38 +126,36 @@
         36.000 1 comes: not yet; count 1: +8.21; 2 comes: not yet; count 1: +8.20; 3 comes: not yet; count 1: +8.19; 4 comes: not yet; count 1: +8.18; 5 comes: to 343; 6 comes: to 296"#]]);
 }
 
-/// Guards: beside a counter that answers, a full slice smaller than the request went into debt for whatever store, one request
-/// at each of the customer's doors: on calm days of 300 doors a third of what was let in so was beyond quotas.
+/// Guards: beside a counter that answers, a full slice smaller than the request went into debt however empty the token bucket was,
+/// for one request at each of the customer's instances: on calm days of 300 instances a third of what was admitted so was beyond
+/// quotas.
 #[test]
 fn beside_a_responsive_counter_a_small_slice_goes_into_debt_only_for_a_bucket_seen_full() {
     let plan = Plan { burst: 16.0, ..plan() };
     let seen = |total: f64, answers: bool| {
-        let mut harness = EngineHarness::among_instances(
-            200.0,
-            vec![operation(Idempotency::Idempotent)],
-            vec![plan.clone()],
-            attempt_settings(),
-            400,
-        );
+        let mut harness = one_of_200_instances(Idempotency::Idempotent, plan.clone());
         harness.submit_across_instances(30.0, 100, 0.1);
         for customer in 1..5 {
-            harness.submit_from(35.6, customer, 1.0); // the calls saved up are spent
+            harness.submit_from(35.6, customer, 1.0); // uses up the saved calls
         }
         if answers {
             harness.answer_counter_calls(35.61);
         } else {
-            harness.fail_counter_calls(35.9, CounterResult::Unanswered); // all four: it is silent
-            harness.submit_from(36.0, 9, 1.0); // and has just been read again
+            harness.fail_counter_calls(35.9, CounterResult::Unanswered); // all four: the counter counts as unresponsive
+            harness.submit_from(36.0, 9, 1.0); // and has just been probed
         }
         harness.receive_counter_total(35.9, 0, 1, total);
         harness.poll(36.0);
         harness.take_trace();
-        harness.submit_across_instances(36.0, 100, 1.0); // the slice is full, of 0.16 units
+        harness.submit_across_instances(36.0, 100, 1.0); // from a full slice of 0.16 units
         harness.take_trace()
     };
-    // Seen poor: refused at once. Seen rich, or the counter silent: the design's slice.
-    let (poor, rich) = (seen(26.0, true), seen(13.0, true));
-    assert!(poor.contains("5 comes: throttled") && rich.contains("5 comes: to "), "{poor}\n{rich}");
-    let silent = seen(26.0, false);
-    assert!(silent.contains("6 comes: to "), "{silent}");
+    // Seen nearly empty: throttled at once. Seen nearly full, or the counter unresponsive: the slice goes into debt.
+    let (nearly_empty, nearly_full) = (seen(26.0, true), seen(13.0, true));
+    assert!(
+        nearly_empty.contains("5 comes: throttled") && nearly_full.contains("5 comes: to "),
+        "{nearly_empty}\n{nearly_full}"
+    );
+    let unresponsive = seen(26.0, false);
+    assert!(unresponsive.contains("6 comes: to "), "{unresponsive}");
 }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -36,8 +36,8 @@
         30.600 0 Errored: error"#]]);
 }
 
-/// Guards: a tokened invocation that may have run was throttled, which tells the client that it may try again when it
-/// likes; by then the backends may remember nothing of it.
+/// Guards: a keyed request that may have run was throttled, which tells the client to retry whenever it likes; by then the
+/// backends may have forgotten the key.
 #[test]
 fn keyed_that_may_have_run_is_not_throttled() {
     let mut harness = with_idempotency(Idempotency::Keyed { scope: KeyScope::All, window: 9.0 }, 2);
@@ -50,16 +50,16 @@
         31.000 0 TimedOut: error"#]]);
 }
 
-/// Backends that swallow work: a delivery on one that says nothing is doubted.
+/// Backends that accept work and never answer: a request there is hedged.
 #[test]
 fn a_request_at_an_unresponsive_backend_is_hedged() {
     let mut harness = idempotent(2);
     for i in 0..2 {
-        let t = 30.0 + f64::from(i);
-        let request = harness.submit(t, 0, 1.0);
-        harness.answer_counter_calls(t);
-        harness.poll(t + 0.8);
-        harness.complete_attempt(t + 0.9, request, 1, Succeeded, 0.1);
+        let now = 30.0 + f64::from(i);
+        let request = harness.submit(now, 0, 1.0);
+        harness.answer_counter_calls(now);
+        harness.poll(now + 0.8);
+        harness.complete_attempt(now + 0.9, request, 1, Succeeded, 0.1);
     }
     harness.expect_trace(expect![[r#"
         30.000 0 comes: not yet; count 1: +1.00; 0: to 0
