--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings that a gateway instance is started with: from JSON into the plain values that the policy engine and its caller take.
+//! The settings that a gateway instance is started with: read from JSON, checked, and turned into plain values for the policy
+//! engine and its caller.
 mod error;
 mod file;
 mod load_report;
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -4,6 +4,7 @@
 //! reported by, and stays as it is when the struct is renamed.
 use serde::Deserialize;
 
+/// All settings.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Told")]
 pub(super) struct SettingsFile {
@@ -12,24 +13,31 @@
     pub instances: usize,
     /// How the endpoint list is had: `pushed` or `on_request`.
     pub discovery: String,
+    /// What the deployment allows.
     #[serde(rename = "caps")]
     pub capabilities: Capabilities,
+    /// The operations.
     #[serde(rename = "classes")]
     pub operations: Vec<OperationEntry>,
+    /// The counter service, and gossip between instances.
     #[serde(rename = "extra")]
     pub shared_services: SharedServices,
+    /// Load reports of the backends; none where the key is absent.
     #[serde(default, rename = "feedback")]
     pub load_reporting: LoadReporting,
+    /// Slow start of backends.
     #[serde(rename = "rules")]
     pub slow_start: SlowStartRules,
     /// This instance's index among all instances, from 0.
     #[serde(rename = "slot_no")]
     pub instance_index: usize,
+    /// Prices.
     #[serde(default)]
     pub charges: Charges,
     /// Index of this instance's zone in `zones`.
     #[serde(default, rename = "zone")]
     pub home_zone: usize,
+    /// The customers' plans.
     #[serde(rename = "tariffs")]
     pub plans: Vec<PlanEntry>,
     /// Names of the zones.
@@ -44,19 +52,25 @@
     /// Attempts in flight can be cancelled.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
+    /// How long a connection to a backend stays open without use.
     #[serde(rename = "conn_idle_us")]
     pub connection_idle_timeout_us: f64,
+    /// How long a connection to a backend may take to be established.
     #[serde(rename = "dial_timeout_us")]
     pub connect_timeout_us: f64,
+    /// Most attempts of one request.
     pub max_attempts: usize,
+    /// Longest advice on when to retry that clients heed.
     pub max_retry_after_us: f64,
     /// Gateway instances can exchange gossip.
     #[serde(rename = "peers")]
     pub gossip: bool,
+    /// Clients can be advised when to retry.
     pub retry_after: bool,
+    /// Two attempts of a request may be in flight at once.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// 0 counts as 1.
+    /// Attempts that one connection carries at once; 0 counts as 1.
     #[serde(rename = "streams_per_conn")]
     pub max_streams_per_connection: usize,
 }
@@ -65,8 +79,10 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct Class")]
 pub(super) struct OperationEntry {
+    /// Time within which an answer is worth most.
     #[serde(rename = "aim_us")]
     pub latency_objective_us: f64,
+    /// What one request is worth relative to those of other operations.
     #[serde(default, rename = "gain")]
     pub billed_value: f64,
     /// How long a client waits in all.
@@ -77,6 +93,7 @@
     pub key_scope: String,
     /// `retryable`, `dedup` or `fragile`.
     pub idempotency: String,
+    /// Name by which clients request it.
     pub name: String,
     /// How long backends remember an idempotency key.
     #[serde(rename = "window_us")]
@@ -90,6 +107,7 @@
     /// There is a counter service.
     #[serde(rename = "counter")]
     pub has_counter: bool,
+    /// Microseconds that a call to the counter may take.
     pub counter_timeout_us: f64,
     /// Most units of one request; unlimited where it is absent.
     #[serde(rename = "max_units")]
@@ -99,6 +117,7 @@
     pub gossip_intake_rate: f64,
 }
 
+/// Prices of what attempts use.
 #[derive(Deserialize, Default)]
 pub(super) struct Charges {
     /// Price of an attempt that leaves the instance's zone; 0 for none.
@@ -117,6 +136,7 @@
     pub source: Option<String>,
 }
 
+/// How a backend that has just started gains its capacity.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Rules")]
 pub(super) struct SlowStartRules {
@@ -132,21 +152,22 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct Tariff")]
 pub(super) struct PlanEntry {
-    /// Units per second; 0 for no ceiling.
+    /// Units per second that the hard ceiling's bucket regains; 0 for no ceiling.
     pub ceiling_rate: f64,
-    /// Units.
+    /// Units by which the hard ceiling's bucket may fall below 0.
     pub ceiling_slack: f64,
-    /// Units.
+    /// Units that the quota's bucket holds at most.
     #[serde(rename = "depth")]
     pub burst: f64,
-    /// Units.
+    /// Units that the hard ceiling's bucket holds at most.
     #[serde(rename = "hard_burst")]
     pub ceiling_burst: f64,
+    /// Name of the plan.
     pub name: String,
-    /// Attempts; 0 for no cap.
+    /// Most attempts in flight at once; 0 for no cap.
     #[serde(rename = "parallel")]
     pub max_in_flight: usize,
-    /// Units per second; 0 for no quota.
+    /// Units per second that the quota's bucket regains; 0 for no quota.
     #[serde(rename = "per_second")]
     pub rate: f64,
 }
--- a/tests/large_endpoint_list.rs
+++ b/tests/large_endpoint_list.rs
@@ -20,7 +20,7 @@
 }
 
 impl EndpointSelection {
-    fn new(list: &[Endpoint]) -> EndpointSelection {
+    fn new(endpoints: &[Endpoint]) -> EndpointSelection {
         let operations = vec![fixtures::operation(Idempotency::Idempotent)];
         let plans = vec![Plan { rate: 1e6, burst: 1e6, ..fixtures::plan() }];
         let slow_start = SlowStart { initial_fraction: 0.2, duration: 10.0 };
@@ -35,7 +35,7 @@
             attempts: fixtures::attempt_settings(),
             counter: None,
         });
-        engine.update_endpoints(30.0, true, list);
+        engine.update_endpoints(30.0, true, endpoints);
         EndpointSelection { engine, requests: 0, now: 30.0 }
     }
 
@@ -80,14 +80,14 @@
 }
 
 /// A list of ready backends.
-fn list(backends: usize) -> Vec<Endpoint> {
+fn ready_endpoints(backends: usize) -> Vec<Endpoint> {
     (0..backends).map(fixtures::ready_endpoint).collect()
 }
 
 #[test]
 fn the_only_ready_backend_is_found_among_thousands() {
     let draining = |endpoint: Endpoint| Endpoint { status: EndpointStatus::Draining, ..endpoint };
-    let mut entries: Vec<Endpoint> = list(LARGE).into_iter().map(draining).collect();
+    let mut entries: Vec<Endpoint> = ready_endpoints(LARGE).into_iter().map(draining).collect();
     entries[1234].status = EndpointStatus::Ready;
     let mut selection = EndpointSelection::new(&entries);
     for _ in 0..200 {
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn changes_of_a_large_list_hold_from_the_next_choice_on() {
-    let mut selection = EndpointSelection::new(&list(LARGE));
+fn changes_of_a_large_endpoint_list_hold_from_the_next_choice_on() {
+    let mut selection = EndpointSelection::new(&ready_endpoints(LARGE));
     for round in 0..40 {
         // In each block of 40 backends one stays ready, the others drain or are removed; one ready backend is ejected manually.
         let unavailable = (0..LARGE).filter(|backend| backend % 40 != round).map(|backend| Endpoint {
@@ -116,9 +116,11 @@
 }
 
 #[test]
-fn a_large_list_of_warming_backends_takes_its_fraction_of_the_requests() {
-    let entries: Vec<Endpoint> =
-        list(LARGE).into_iter().map(|endpoint| Endpoint { started_at: Some(30.0), ..endpoint }).collect();
+fn a_large_endpoint_list_of_warming_backends_takes_its_fraction_of_the_requests() {
+    let entries: Vec<Endpoint> = ready_endpoints(LARGE)
+        .into_iter()
+        .map(|endpoint| Endpoint { started_at: Some(30.0), ..endpoint })
+        .collect();
     let mut selection = EndpointSelection::new(&entries);
     // Meanwhile they warm up from 0.2 to 0.3 of their capacity, and are open to that fraction of the requests.
     let forwarded = (0..300).filter(|_| selection.select().is_some()).count();
@@ -126,8 +128,8 @@
 }
 
 #[test]
-fn attempts_spread_over_a_large_list_and_go_to_the_least_loaded_backends() {
-    let mut selection = EndpointSelection::new(&list(LARGE));
+fn attempts_spread_over_a_large_endpoint_list_and_go_to_the_least_loaded_backends() {
+    let mut selection = EndpointSelection::new(&ready_endpoints(LARGE));
     let mut in_flight: BTreeMap<BackendIndex, usize> = BTreeMap::new();
     for _ in 0..400 {
         *in_flight.entry(selection.submit().expect("there is capacity")).or_default() += 1;
@@ -147,9 +149,9 @@
 }
 
 #[test]
-fn a_choice_costs_no_more_from_a_large_list() {
-    let small = fastest_round(&mut EndpointSelection::new(&list(SMALL)));
-    let large = fastest_round(&mut EndpointSelection::new(&list(LARGE)));
+fn a_choice_costs_no_more_from_a_large_endpoint_list() {
+    let small = fastest_round(&mut EndpointSelection::new(&ready_endpoints(SMALL)));
+    let large = fastest_round(&mut EndpointSelection::new(&ready_endpoints(LARGE)));
     // Fifteen times as many backends.
     assert!(large < 3 * small, "{large:?} from {LARGE} backends, {small:?} from {SMALL}");
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,5 @@
-//! The decisions of the policy engine, most of them as traces: what it decides and what it calls for, a line for each point in time.
+//! The decisions of the policy engine, most of them as traces: what it decides and which effects it requests, one line for each
+//! point in time.
 mod concurrency_limit;
 mod counter;
 #[path = "../fixtures/mod.rs"]
--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -70,7 +70,8 @@
         60.000 1 comes: not yet; count 2: +1.00; count 2: +6.00; 1: to 2"#]]);
 }
 
-/// Guards: the most expensive plans were throttled within their quotas: the fraction of the ceiling is only for what no lease covers.
+/// Guards: the most expensive plans were throttled within their quotas: the fraction of the ceiling is only for what no
+/// lease covers.
 #[test]
 fn a_lease_passes_the_ceiling_and_spending_without_one_has_an_even_fraction_that_starts_empty() {
     let capped = Plan { ceiling_rate: 4.0, ceiling_burst: 16.0, ceiling_slack: 2.0, ..plan() };
@@ -107,7 +108,8 @@
         31.200 count 1: +3.00"#]]);
 }
 
-/// Guards: two instances corrected a new count upwards at once; a third read both corrections and throttled the customer for 18 s.
+/// Guards: two instances corrected a new count upwards at once; a third read both corrections and throttled the
+/// customer for 18 s.
 #[test]
 fn an_impossibly_high_count_is_read_again_soon() {
     let mut harness = idempotent(1);
