--- a/src/types/attempt.rs
+++ b/src/types/attempt.rs
@@ -1,9 +1,5 @@
-//! Attempts: how one delivery of a request to a backend ended, and what binds the next one.
-use super::{BackendIndex, KeyScope, LoadReport};
-
-/// What binds the retries of a keyed request: the scope of its idempotency key and the backend of the first attempt that may
-/// have run. `None` where any backend will do.
-pub type Kin = Option<(KeyScope, BackendIndex)>;
+//! Attempts: how one delivery of a request to a backend ended.
+use super::{BackendIndex, LoadReport};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_unresponsive_counter_falls_back_to_the_even_slice_and_is_probed() {
+fn an_unresponsive_counter_falls_back_to_the_even_share_and_is_probed() {
     let mut harness = idempotent(4);
     for i in 0..8 {
         let now = 30.0 + f64::from(i) * 0.1;
--- a/tests/policy/quota_slices.rs
+++ b/tests/policy/even_shares.rs
@@ -1,13 +1,13 @@
-//! The even slice of the quota that an instance spends where it cannot lease from the shared count.
+//! The even share of the quota that an instance spends where it cannot lease from the shared count.
 use crate::fixtures::*;
 use crate::harness::*;
 use expect_test::expect;
 use quillramp::types::*;
 use CounterResult::*;
 
-/// Guards: with small quotas over many instances an even slice holds less than one request, and admitted nothing at all.
+/// Guards: with small quotas over many instances an even share holds less than one request, and admitted nothing at all.
 #[test]
-fn a_full_slice_goes_into_debt_for_one_request() {
+fn a_full_even_share_goes_into_debt_for_one_request() {
     let mut harness = idempotent(4);
     harness.submit(30.0, 0, 6.0);
     harness.fail_counter_calls(30.03, NotApplied);
@@ -20,9 +20,9 @@
         30.130 1: to 2"#]]);
 }
 
-/// Guards: two processes of one instance each spent the whole slice of the instance while the counter was unresponsive.
+/// Guards: two processes of one instance each spent the whole even share of the instance while the counter was unresponsive.
 #[test]
-fn two_processes_of_an_instance_share_its_slice() {
+fn two_processes_of_an_instance_share_its_even_share() {
     let served = |two_processes: bool| {
         let mut harness = idempotent(1);
         harness.engine.set_peer_process(two_processes);
@@ -37,10 +37,10 @@
     assert!(one >= 4 && two < one, "{one} alone, {two} of two");
 }
 
-/// Guards: after an outage each instance reported all that it had spent from its slice, although the token bucket had regained
+/// Guards: after an outage each instance reported all that it had spent from its even share, although the token bucket had regained
 /// most of it meanwhile: customers within their quotas were throttled for seconds once the counter was back.
 #[test]
-fn after_an_outage_only_the_deficit_of_the_slice_is_reported() {
+fn after_an_outage_only_the_deficit_of_the_even_share_is_reported() {
     let mut harness = idempotent(8);
     for i in 0..10 {
         let now = 30.0 + f64::from(i);
@@ -60,9 +60,9 @@
         40.300 11 comes: not yet; count 1: +2.05"#]]);
 }
 
-/// Guards: where the counter takes fewer calls than requests arrive, an even slice of less than one unit admitted hardly any.
+/// Guards: where the counter takes fewer calls than requests arrive, an even share of less than one unit admitted hardly any.
 #[test]
-fn an_overloaded_counter_lets_a_slice_go_into_debt_unless_the_quota_is_known_exhausted() {
+fn an_overloaded_counter_lets_a_even_share_go_into_debt_unless_the_quota_is_known_exhausted() {
     let plan = Plan { burst: 16.0, ..plan() };
     let mut harness = one_of_200_instances(Idempotency::Idempotent, plan);
     for units in [8.0, 4.0, 1.0] {
@@ -75,11 +75,11 @@
     ]);
 }
 
-/// Guards: the debt of a slice stayed after it had been reported to the count. With a hundred instances to a customer a slice
+/// Guards: the debt of a even share stayed after it had been reported to the count. With a hundred instances to a customer a even share
 /// regains one unit per minute, so each instance that had gone into debt for a customer once throttled it from then on, whatever
 /// its quota allowed.
 #[test]
-fn the_slice_regains_what_was_reported_to_the_count() {
+fn the_even_share_regains_what_was_reported_to_the_count() {
     let plan = Plan { burst: 32.0, ..plan() };
     let mut harness = one_of_200_instances(Idempotency::Idempotent, plan);
     for units in [8.0, 1.0, 1.0] {
@@ -113,7 +113,7 @@
         for customer in 1..5 {
             harness.submit_from(36.0, customer, 8.0); // uses up the saved calls
         }
-        harness.submit_across_instances(36.0, 100, 0.1); // from a full slice of 0.16 units
+        harness.submit_across_instances(36.0, 100, 0.1); // from a full even share of 0.16 units
         harness.submit_across_instances(36.0, 100, 1.0);
         harness
     };
@@ -126,11 +126,11 @@
         36.000 1 comes: not yet; count 1: +8.21; 2 comes: not yet; count 1: +8.20; 3 comes: not yet; count 1: +8.19; 4 comes: not yet; count 1: +8.18; 5 comes: to 343; 6 comes: to 296"#]]);
 }
 
-/// Guards: beside a counter that answers, a full slice smaller than the request went into debt however empty the token bucket was,
+/// Guards: beside a counter that answers, a full even share smaller than the request went into debt however empty the token bucket was,
 /// for one request at each of the customer's instances: on calm days of 300 instances a third of what was admitted so was beyond
 /// quotas.
 #[test]
-fn beside_a_responsive_counter_a_small_slice_goes_into_debt_only_for_a_bucket_seen_full() {
+fn beside_a_responsive_counter_a_small_even_share_goes_into_debt_only_for_a_bucket_seen_full() {
     let plan = Plan { burst: 16.0, ..plan() };
     let seen = |total: f64, answers: bool| {
         let mut harness = one_of_200_instances(Idempotency::Idempotent, plan.clone());
@@ -147,10 +147,10 @@
         harness.receive_counter_total(35.9, 0, 1, total);
         harness.poll(36.0);
         harness.take_trace();
-        harness.submit_across_instances(36.0, 100, 1.0); // from a full slice of 0.16 units
+        harness.submit_across_instances(36.0, 100, 1.0); // from a full even share of 0.16 units
         harness.take_trace()
     };
-    // Seen nearly empty: throttled at once. Seen nearly full, or the counter unresponsive: the slice goes into debt.
+    // Seen nearly empty: throttled at once. Seen nearly full, or the counter unresponsive: the even share goes into debt.
     let (nearly_empty, nearly_full) = (seen(26.0, true), seen(13.0, true));
     assert!(
         nearly_empty.contains("5 comes: throttled") && nearly_full.contains("5 comes: to "),
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -2,6 +2,7 @@
 //! point in time.
 mod concurrency_limit;
 mod counter;
+mod even_shares;
 #[path = "../fixtures/mod.rs"]
 mod fixtures;
 mod gossip;
@@ -11,7 +12,6 @@
 mod outlier_ejection;
 mod permits;
 mod quota;
-mod quota_slices;
 mod request_limits;
 mod retries;
 mod slow_start;
