--- a/counter/src/disk/directory.rs
+++ b/counter/src/disk/directory.rs
@@ -1,13 +1,13 @@
-//! A directory of the machine's.
+//! A directory of the file system as a disk.
 use super::Disk;
 use std::fs::{DirEntry, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A directory of the machine's; nobody else may write there.
+/// A directory of the file system; no other process may write there.
 pub struct Directory {
     path: PathBuf,
-    /// The file that was appended to last stays open.
+    /// The file that was appended to last; it stays open.
     open_file: Option<OpenFile>,
 }
 
@@ -17,7 +17,7 @@
 }
 
 impl Directory {
-    /// Opens a directory; creates it if it is not there.
+    /// Opens a directory; creates it if it does not exist.
     pub fn new(path: &Path) -> io::Result<Directory> {
         std::fs::create_dir_all(path)?;
         Ok(Directory { path: path.to_owned(), open_file: None })
--- a/counter/src/disk/memory.rs
+++ b/counter/src/disk/memory.rs
@@ -1,40 +1,43 @@
-//! Files in memory that fail on demand, for tests of the log and for looking at files without changing them.
+//! An in-memory disk with fault injection, for tests of the log and for inspecting files without changing them.
 use super::Disk;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
-/// The largest part of unsynced bytes that [`MemoryDisk::unsynced_kept`] can express: all of them.
+/// The value of [`MemoryDisk::surviving_unsynced`] that stands for all unsynced bytes.
 const ALL_UNSYNCED: usize = 255;
 
 #[derive(Clone, Debug, Default)]
 struct MemoryFile {
-    /// Which file it is, under whatever name.
+    /// Identifies the file across renames.
     id: u64,
     bytes: Vec<u8>,
-    /// Bytes that were synced.
+    /// Length of the synced prefix, bytes.
     synced: usize,
 }
 
-/// Files in memory. It counts its operations and can fail at one of them; then unsynced bytes are there in part or not at all.
+/// An in-memory disk that counts its operations and can be made to fail at one of them. After such a crash unsynced bytes survive
+/// in part or not at all.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     files: BTreeMap<String, MemoryFile>,
-    /// The names as they are after a crash.
+    /// The directory as it was last synced, which is what survives a crash.
     synced_names: BTreeMap<String, MemoryFile>,
+    /// Operations until now that change something.
     steps: u64,
+    /// Files created until now; the source of their ids.
     created: u64,
     /// The step from which on every operation fails.
     pub fails_at_step: Option<u64>,
-    /// How much of the unsynced bytes is there after a crash, in 255ths.
-    pub unsynced_kept: u8,
-    /// Bytes that fit on the disk; without limit if none.
+    /// Share of the unsynced bytes that survive a crash, in 255ths.
+    pub surviving_unsynced: u8,
+    /// Capacity of the disk, bytes; unlimited if none.
     pub capacity: Option<usize>,
 }
 
 impl MemoryDisk {
-    /// A disk that fails from a step on, and then keeps so much of the unsynced bytes, in 255ths.
-    pub fn failing_at(step: u64, unsynced_kept: u8) -> MemoryDisk {
-        MemoryDisk { fails_at_step: Some(step), unsynced_kept, ..MemoryDisk::default() }
+    /// A disk that fails from a step on; `surviving_unsynced` of the unsynced bytes, in 255ths, survive the crash.
+    pub fn failing_at(step: u64, surviving_unsynced: u8) -> MemoryDisk {
+        MemoryDisk { fails_at_step: Some(step), surviving_unsynced, ..MemoryDisk::default() }
     }
 
     /// Copies all files of another disk.
@@ -47,12 +50,12 @@
         self.sync_directory()
     }
 
-    /// Operations that changed something until now.
+    /// Number of operations until now that change something; reads are not counted.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// The disk as it is found after a crash: each file up to where it was synced, and a part of what follows.
+    /// The disk as it is found after a crash: the synced prefix of each file, and a share of the unsynced bytes.
     pub fn after_crash(&self) -> MemoryDisk {
         let survives = |(name, synced): (&String, &MemoryFile)| (name.clone(), self.survivor(synced));
         let files: BTreeMap<String, MemoryFile> = self.synced_names.iter().map(survives).collect();
@@ -79,10 +82,10 @@
     }
 
     fn survivor(&self, synced: &MemoryFile) -> MemoryFile {
-        // The same file as it was written last, under whatever name it is by now.
+        // The file may have been renamed since the directory was synced: its id finds it.
         let latest = self.files.values().find(|file| file.id == synced.id).unwrap_or(synced);
         let unsynced = latest.bytes.len() - latest.synced;
-        let length = latest.synced + unsynced * usize::from(self.unsynced_kept) / ALL_UNSYNCED;
+        let length = latest.synced + unsynced * usize::from(self.surviving_unsynced) / ALL_UNSYNCED;
         MemoryFile { id: synced.id, bytes: latest.bytes[..length].to_vec(), synced: length }
     }
 
@@ -124,7 +127,7 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let fitting = self.fitting(bytes.len());
         let step = self.step();
-        // Also what is written at the step that fails is there, unsynced.
+        // The bytes of the failing step are written too, unsynced: a crash may keep a part of them.
         self.file_or_new(name).bytes.extend_from_slice(&bytes[..fitting]);
         step?;
         if fitting < bytes.len() {
--- a/counter/src/disk/mod.rs
+++ b/counter/src/disk/mod.rs
@@ -1,4 +1,5 @@
-//! What the log needs of a disk, and two of them: a directory of the machine's, and one in memory that fails on demand.
+//! The disk interface of the log, with two implementations: a directory of the file system, and an in-memory disk with fault
+//! injection.
 mod directory;
 mod memory;
 pub use directory::Directory;
@@ -6,22 +7,22 @@
 
 use std::io;
 
-/// The files of one directory, by name. Written bytes last once their file was synced, names once the directory was.
+/// The files of one directory, by name. Written bytes are durable once their file was synced, names once the directory was.
 pub trait Disk {
     /// Names of all files.
     fn names(&mut self) -> io::Result<Vec<String>>;
-    /// The whole of a file.
+    /// Reads a complete file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// Writes at the end of a file; creates it if it is not there.
+    /// Appends to a file; creates it if it does not exist.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Shortens a file to a length in bytes.
+    /// Truncates a file to a length in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Makes the bytes of a file last.
+    /// Makes the bytes of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Renames a file; one of the new name is replaced.
+    /// Renames a file, atomically; a file that has the new name is replaced.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes the names last.
+    /// Makes created, renamed and removed names durable.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
--- a/counter/src/error.rs
+++ b/counter/src/error.rs
@@ -1,23 +1,43 @@
-//! The error of this package.
+//! The errors of this package.
 use std::io;
 
-/// What the counter can't continue after.
+/// A fault after which the counter can't continue.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The disk or a socket failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A file is damaged where it was already synced, so that the damage can't be an unfinished write.
+    /// A file is damaged where it had been synced already: the damage can't be an unfinished write.
     #[error("{file}: damaged at byte {offset}: {reason}")]
     Corrupt {
         /// Name of the file, without its directory.
         file: String,
         /// Where the damaged record begins, in bytes.
         offset: u64,
-        /// What does not fit.
-        reason: &'static str,
+        /// The kind of damage.
+        reason: Damage,
     },
 }
 
-/// A result with the error of this package.
+/// A kind of damage to a file of the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Damage {
+    /// A record is incomplete or does not match its checksum.
+    #[error("its checksum does not fit")]
+    ChecksumMismatch,
+    /// A record decodes to no value of the expected type.
+    #[error("it is of another kind")]
+    WrongType,
+    /// A snapshot file goes on after its only record.
+    #[error("there is something behind it")]
+    TrailingBytes,
+    /// The index of an entry does not follow that of the entry before it.
+    #[error("an entry is missing before it")]
+    MissingEntry,
+    /// The first entry of the log does not follow the snapshot.
+    #[error("entries between the snapshot and the log are missing")]
+    SnapshotGap,
+}
+
+/// A result with the [`Error`] of this package.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/counter/src/frame.rs
+++ b/counter/src/frame.rs
@@ -1,12 +1,29 @@
-//! Frames between the nodes: length and checksum, four bytes each, little endian, and the encoded value.
+//! Frames between the nodes: length and CRC-32 checksum, four bytes each, little endian, and the encoded value.
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use std::io::{Error, ErrorKind, Read, Result};
+use std::io::{self, ErrorKind, Read};
 
 const HEADER_BYTES: usize = 8;
-/// The longest frame: a whole state has to fit, so four times the largest record of the log.
+/// The longest frame: a complete snapshot has to fit, so four times the largest record of the log.
 const MAX_FRAME_BYTES: usize = 256 << 20;
 
+/// Why a frame could not be read.
+#[derive(Debug, thiserror::Error)]
+pub enum FrameError {
+    /// The connection failed.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// The header announces more bytes than a frame may have.
+    #[error("frame too long")]
+    TooLong,
+    /// The body does not match its checksum.
+    #[error("checksum")]
+    ChecksumMismatch,
+    /// The body is not an encoded value of the expected type.
+    #[error("no message")]
+    Undecodable,
+}
+
 /// Appends a value as a frame.
 pub fn encode<T: Serialize>(value: &T, out: &mut Vec<u8>) {
     let body = postcard::to_stdvec(value).expect("plain data can be encoded");
@@ -15,29 +32,27 @@
     out.extend(body);
 }
 
-/// Reads the next frame; none at the end of the stream.
-pub fn read<T: DeserializeOwned>(reader: &mut impl Read) -> Result<Option<T>> {
+/// Reads the next frame; none at the end of the stream, also where it ends within a frame.
+pub fn read<T: DeserializeOwned>(reader: &mut impl Read) -> Result<Option<T>, FrameError> {
     let mut header = [0; HEADER_BYTES];
     match reader.read_exact(&mut header) {
-        Err(e) if e.kind() == ErrorKind::UnexpectedEof => return Ok(None),
+        Err(error) if error.kind() == ErrorKind::UnexpectedEof => return Ok(None),
         result => result?,
     }
-    let word = |at: usize| u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
-    let length = word(0) as usize;
-    let checksum = word(4);
+    let u32_at = |offset: usize| {
+        u32::from_le_bytes([header[offset], header[offset + 1], header[offset + 2], header[offset + 3]])
+    };
+    let length = u32_at(0) as usize;
+    let checksum = u32_at(4);
     if length > MAX_FRAME_BYTES {
-        return Err(invalid("frame too long"));
+        return Err(FrameError::TooLong);
     }
     let mut body = vec![];
     if reader.by_ref().take(length as u64).read_to_end(&mut body)? < length {
         return Ok(None);
     }
     if crc32fast::hash(&body) != checksum {
-        return Err(invalid("checksum"));
+        return Err(FrameError::ChecksumMismatch);
     }
-    postcard::from_bytes(&body).map(Some).map_err(|_| invalid("no message"))
-}
-
-fn invalid(reason: &str) -> Error {
-    Error::new(ErrorKind::InvalidData, reason)
+    postcard::from_bytes(&body).map(Some).map_err(|_| FrameError::Undecodable)
 }
--- a/counter/src/http.rs
+++ b/counter/src/http.rs
@@ -1,12 +1,29 @@
-//! Calls of the platform's counter over HTTP/1.1: requests as bytes to values, responses as values to bytes.
-use std::io::{BufRead, Error, ErrorKind, Read, Result};
+//! The calls of the platform's counter over HTTP/1.1: decodes requests and encodes responses.
+use std::io::{self, BufRead, Read};
 
-/// Bytes of a request's head, and of its body, that are read at the most: a call is a request line and a few headers.
+/// The longest head, and the longest body, of a request, bytes: a call is a request line and a few headers.
 const MAX_PART_BYTES: usize = 8 * 1024;
-/// Headers of a request at the most.
+/// The most headers of a request.
 const MAX_HEADERS: usize = 32;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
+/// Why no request could be read; the connection can't go on after it.
+#[derive(Debug, thiserror::Error)]
+pub enum RequestError {
+    /// The connection failed.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// The head is not one of HTTP/1.1.
+    #[error("no HTTP")]
+    Malformed,
+    /// The head is longer than accepted, or the stream ended within it.
+    #[error("head too long or cut off")]
+    IncompleteHead,
+    /// The declared body is longer than accepted.
+    #[error("body too long")]
+    BodyTooLong,
+}
+
 /// A request.
 #[derive(Debug, PartialEq)]
 pub enum Request {
@@ -14,30 +31,30 @@
     Add {
         /// The name of the total.
         name: Vec<u8>,
-        /// What is added.
+        /// The amount to add; may be negative.
         amount: f64,
-        /// How long a new name lives, seconds.
+        /// Lifetime of the total if it is new, seconds.
         lifetime: f64,
     },
-    /// No call of a counter.
+    /// A valid HTTP request that is not a call of the counter.
     Unsupported,
 }
 
-/// What a request is answered with.
+/// The response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Response {
     /// 200: the total after the call.
     Total(f64),
     /// 503: nothing was added.
     Unavailable,
-    /// 400: no call of a counter; nothing was added.
+    /// 400: not a call of the counter; nothing was added.
     BadRequest,
-    /// Nobody can say whether it was added: the connection ends without a response.
+    /// Whether the amount was added is unknown: the connection is closed without a response.
     Unknown,
 }
 
 impl Response {
-    /// Appends the response; false if there is none and the connection has to end.
+    /// Appends the encoded response; false if there is none and the connection has to be closed.
     pub fn encode(&self, out: &mut Vec<u8>) -> bool {
         let (status, body) = match self {
             Response::Total(total) => ("200 OK", total.to_string()),
@@ -51,17 +68,17 @@
     }
 }
 
-/// Reads the next request of a connection; none at its end. What is not HTTP is an error.
-pub fn read_request(reader: &mut impl BufRead) -> Result<Option<Request>> {
+/// Reads the next request of a connection; none at its end.
+pub fn read_request(reader: &mut impl BufRead) -> Result<Option<Request>, RequestError> {
     let Some(head) = read_head(reader)? else { return Ok(None) };
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     if !matches!(request.parse(&head), Ok(httparse::Status::Complete(_))) {
-        return Err(invalid("no HTTP"));
+        return Err(RequestError::Malformed);
     }
     let length = content_length(request.headers);
     if length > MAX_PART_BYTES as u64 {
-        return Err(invalid("body too long"));
+        return Err(RequestError::BodyTooLong);
     }
     std::io::copy(&mut reader.by_ref().take(length), &mut std::io::sink())?;
     let method = request.method.unwrap_or("");
@@ -69,12 +86,12 @@
     Ok(Some(parse_add(method, path).unwrap_or(Request::Unsupported)))
 }
 
-fn read_head(reader: &mut impl BufRead) -> Result<Option<Vec<u8>>> {
+fn read_head(reader: &mut impl BufRead) -> Result<Option<Vec<u8>>, RequestError> {
     let mut head = vec![];
     loop {
         let remaining = (MAX_PART_BYTES - head.len()) as u64;
         if reader.by_ref().take(remaining).read_until(b'\n', &mut head)? == 0 {
-            return if head.is_empty() { Ok(None) } else { Err(invalid("head too long or cut off")) };
+            return if head.is_empty() { Ok(None) } else { Err(RequestError::IncompleteHead) };
         }
         if head.ends_with(b"\r\n\r\n") || head.ends_with(b"\n\n") {
             return Ok(Some(head));
@@ -82,7 +99,7 @@
     }
 }
 
-/// The length of the body in bytes; none if it is not given or not a number.
+/// Length of the body, bytes; 0 if the header is missing or not a number.
 fn content_length(headers: &[httparse::Header]) -> u64 {
     let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
     let value = header.and_then(|header| std::str::from_utf8(header.value).ok());
@@ -104,7 +121,3 @@
     let value = query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='))?;
     value.parse().ok()
 }
-
-fn invalid(reason: &str) -> Error {
-    Error::new(ErrorKind::InvalidData, reason)
-}
--- a/counter/src/inspect.rs
+++ b/counter/src/inspect.rs
@@ -1,4 +1,4 @@
-//! The `verify` and `show` commands: read the files of a replica without changing them.
+//! The `verify` and `show` commands: inspect the files of a replica without changing them.
 use quillramp_counter::disk::{Directory, MemoryDisk};
 use quillramp_counter::log::{HardState, Log};
 use quillramp_counter::totals::{Add, Totals};
@@ -6,30 +6,32 @@
 use std::fmt;
 use std::path::Path;
 
-/// What a directory can't be read for.
+/// Why a directory can't be inspected.
 #[derive(Debug, thiserror::Error)]
 pub enum InspectError {
+    /// There is no such directory.
     #[error("{0}: no such folder")]
     NoDirectory(String),
+    /// Its files can't be read, or are damaged.
     #[error("{directory}: {source}")]
     Unreadable { directory: String, source: Error },
 }
 
-/// What a replica's files hold.
+/// The contents of a replica's files.
 pub struct Contents {
     directory: String,
     hard_state: HardState,
     /// Index of the last entry that the snapshot includes.
     snapshot_index: u64,
-    /// Entries that follow the snapshot.
+    /// Number of entries after the snapshot.
     entries: usize,
-    /// Bytes of an unfinished write at the end.
+    /// Length of an unfinished write at the end, bytes.
     unfinished_bytes: u64,
     totals: Totals,
 }
 
 impl Contents {
-    /// A line for each name with its total.
+    /// One line per name, with its total.
     pub fn names(&self) -> String {
         let line = |(name, total): (&[u8], f64)| format!("\n{} {total}", String::from_utf8_lossy(name));
         self.totals.iter().map(line).collect()
@@ -48,7 +50,7 @@
     }
 }
 
-/// Reads a directory through a copy in memory, so that an unfinished write is reported and not dropped.
+/// Reads a directory through an in-memory copy, so that an unfinished write is reported and not truncated.
 pub fn read(directory: &Path) -> Result<Contents, InspectError> {
     let name = directory.display().to_string();
     if !directory.is_dir() {
--- a/counter/src/lib.rs
+++ b/counter/src/lib.rs
@@ -1,5 +1,6 @@
-//! A shared counter: named totals with a limited lifetime, kept in a checksummed log with snapshots, on one machine or on two or
-//! three of which a majority has to accept each call. It answers the counter calls that the platform publishes.
+//! A shared counter: named totals with a limited lifetime, persisted in a checksummed log with snapshots. It runs alone or
+//! replicated over two or three members, of which a majority has to accept each call. It serves the counter calls that the platform
+//! publishes.
 #![warn(missing_docs)]
 pub mod disk;
 mod error;
@@ -9,4 +10,4 @@
 pub mod raft;
 pub mod server;
 pub mod totals;
-pub use error::{Error, Result};
+pub use error::{Damage, Error, Result};
--- a/counter/src/log/files.rs
+++ b/counter/src/log/files.rs
@@ -1,15 +1,17 @@
-//! Names of the files of a log: a kind, and the index that the file begins at.
+//! Names of the files of a log: a prefix for the kind, and the index at which the file begins.
 
 /// Entries and hard states from an index on.
 pub(super) const LOG: &str = "log-";
-/// The state after an index.
+/// The state after the entry with an index.
 pub(super) const SNAPSHOT: &str = "snapshot-";
 /// A file that is still being written.
 pub(super) const UNFINISHED: &str = "new-";
 
-/// A file with the index in its name.
+/// A file whose name carries the index at which it begins.
 pub(super) struct IndexedFile {
+    /// The index in the name.
     pub index: u64,
+    /// The complete file name.
     pub name: String,
 }
 
--- a/counter/src/log/mod.rs
+++ b/counter/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The persistent log: records with a checksum each, and snapshots that stand for all entries before them.
+//! The persistent log: checksummed records, and snapshots that replace all entries up to them.
 mod files;
 mod record;
 mod recovery;
@@ -12,14 +12,14 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A command at its place in the replicated log.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry<C> {
-    /// Its place, counted from 1.
+    /// Its index in the log, counted from 1.
     pub index: u64,
     /// The term in which it was proposed.
     pub term: u64,
-    /// None: the entry with which a leader begins its term.
+    /// The command; none in the entry with which a leader begins its term.
     pub command: Option<C>,
 }
 
@@ -47,12 +47,12 @@
     }
 }
 
-/// What a node must not forget beside its entries.
+/// What a node has to persist beside its entries (the hard state of Raft).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term it has heard of.
+    /// The latest term the node has seen.
     pub term: u64,
-    /// The node that has its vote in this term.
+    /// The node that it voted for in this term.
     pub vote: Option<u64>,
 }
 
@@ -66,12 +66,12 @@
     }
 }
 
-/// The state after an entry, so that the entries up to it need not be kept.
+/// The state after an entry; it replaces the entries up to that one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot<S> {
     /// The last entry that the state includes.
     pub last_included: LogPosition,
-    /// The state.
+    /// The state of the replicated state machine.
     pub state: S,
 }
 
@@ -87,7 +87,8 @@
 }
 
 impl<D: Disk> Log<D> {
-    /// Opens a log and recovers what it holds. The end of a write that was cut short is dropped; any other damage is an error.
+    /// Opens a log and recovers its contents. An unfinished write at the end is dropped; any other damage is
+    /// [`crate::Error::Corrupt`].
     pub fn open<S, C>(mut disk: D) -> Result<(Log<D>, Recovered<S, C>)>
     where
         S: Serialize + DeserializeOwned + Default,
@@ -106,23 +107,23 @@
         Ok((log, recovered))
     }
 
-    /// Adds an entry; the next flush writes it.
+    /// Buffers an entry until the next flush.
     pub fn entry<C: Serialize + Clone>(&mut self, entry: &Entry<C>) {
         self.pending.extend(record::encode(&Record::Entry(entry.clone())));
     }
 
-    /// Replaces the term and vote; the next flush writes them.
+    /// Buffers a new term and vote until the next flush.
     pub fn hard_state(&mut self, hard_state: HardState) {
         self.pending.extend(record::encode(&Record::<()>::HardState(hard_state)));
     }
 
-    /// Drops the entries from an index on; the next flush writes that.
+    /// Truncates the entries from an index on, with the next flush.
     pub fn truncate_from(&mut self, index: u64) {
         self.pending.extend(record::encode(&Record::<()>::TruncateFrom(index)));
     }
 
-    /// Writes and syncs what was added: it lasts once this returns. After an error the end of the file is unknown and the log has to
-    /// be opened anew.
+    /// Writes and syncs the buffered records, which are durable once this returns. After an error the end of the file is unknown
+    /// and the log has to be reopened.
     pub fn flush(&mut self) -> Result<()> {
         if self.pending.is_empty() {
             return Ok(());
@@ -139,8 +140,8 @@
         self.size
     }
 
-    /// Puts a state in the place of all entries up to its own; `following` are those after it. A start that comes in between finds
-    /// either what was there before or this.
+    /// Replaces all entries up to a snapshot by it; `following` are the entries after it. Atomic: recovery after a crash finds
+    /// either the files as they were before or the snapshot.
     pub fn snapshot<S: Serialize, C: Serialize + Clone>(
         &mut self,
         snapshot: &Snapshot<S>,
@@ -150,19 +151,19 @@
         self.flush()?;
         let index = snapshot.last_included.index;
         let before = self.disk.names()?;
-        // A new log file first: until the snapshot is there it only repeats what the earlier file holds.
+        // The new log file comes first: until the snapshot exists it only repeats entries of the file before.
         let next = files::name(files::LOG, index + 1);
         if next != self.file {
             self.begin_file(next, hard_state, following)?;
         }
-        self.write_whole(&files::name(files::SNAPSHOT, index), &record::encode(snapshot))?;
+        self.write_atomically(&files::name(files::SNAPSHOT, index), &record::encode(snapshot))?;
         self.remove_older(&before, files::LOG, index + 1)?;
         self.remove_older(&before, files::SNAPSHOT, index)?;
         self.disk.sync_directory()?;
         Ok(())
     }
 
-    /// The disk under the log.
+    /// Closes the log and returns its disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
@@ -177,7 +178,7 @@
         for entry in entries {
             bytes.extend(record::encode(&Record::Entry(entry.clone())));
         }
-        self.write_whole(&name, &bytes)?;
+        self.write_atomically(&name, &bytes)?;
         self.file = name;
         self.size = bytes.len() as u64;
         Ok(())
@@ -192,8 +193,8 @@
         Ok(())
     }
 
-    /// Writes a file that is there whole or not at all.
-    fn write_whole(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
+    /// Writes a file that exists either complete or not at all.
+    fn write_atomically(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
         let unfinished = format!("{}{name}", files::UNFINISHED);
         if self.disk.names()?.contains(&unfinished) {
             self.disk.remove(&unfinished)?;
--- a/counter/src/log/record.rs
+++ b/counter/src/log/record.rs
@@ -1,27 +1,31 @@
-//! Records of the log on disk: length and checksum, four bytes each, little endian, and the encoded value.
+//! Records of the log on disk: length and CRC-32 checksum, four bytes each, little endian, and the encoded value.
 use super::{Entry, HardState};
-use crate::{Error, Result};
+use crate::{Damage, Error, Result};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 const HEADER_BYTES: usize = LENGTH_BYTES + CHECKSUM_BYTES;
-/// A longer record is taken for damage; as large as a log file grows before a snapshot replaces it.
+/// The longest record, bytes; a longer one is treated as damage. A log file grows to this size before a snapshot replaces it.
 const MAX_RECORD_BYTES: usize = 64 << 20;
 
-/// A change of the persistent state.
+/// A change of the persistent state. The encoding follows the order of the variants, which must not change.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Record<C> {
+    /// An entry is appended.
     Entry(Entry<C>),
+    /// The term and vote are replaced.
     HardState(HardState),
-    /// Entries from this index on no longer hold.
+    /// The entries from this index on are truncated.
     TruncateFrom(u64),
 }
 
-/// The body of a record, and where the next record begins.
+/// A record whose checksum matches.
 pub(super) struct Located<'a> {
+    /// The encoded value.
     pub body: &'a [u8],
+    /// Offset at which the next record begins, bytes.
     pub end: usize,
 }
 
@@ -34,7 +38,7 @@
     bytes
 }
 
-/// The record that begins at an offset, if there is one and it is whole.
+/// The record that begins at an offset, if it is complete and its checksum matches.
 pub(super) fn locate(bytes: &[u8], offset: usize) -> Option<Located<'_>> {
     let length = read_u32(bytes, offset)? as usize;
     let expected = read_u32(bytes, offset + LENGTH_BYTES)?;
@@ -47,12 +51,12 @@
     (checksum(body) == expected).then_some(Located { body, end })
 }
 
-/// Decodes a body; `file` and `offset` say in the error where it stands.
+/// Decodes a body; `file` and `offset` locate it in the error.
 pub(super) fn decode<T: DeserializeOwned>(body: &[u8], file: &str, offset: usize) -> Result<T> {
     postcard::from_bytes(body).map_err(|_| Error::Corrupt {
         file: file.to_owned(),
         offset: offset as u64,
-        reason: "it is of another kind",
+        reason: Damage::WrongType,
     })
 }
 
@@ -65,6 +69,6 @@
 }
 
 fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
-    let word = bytes.get(offset..offset + 4)?;
-    word.try_into().ok().map(u32::from_le_bytes)
+    let field = bytes.get(offset..offset + 4)?;
+    field.try_into().ok().map(u32::from_le_bytes)
 }
--- a/counter/src/log/recovery.rs
+++ b/counter/src/log/recovery.rs
@@ -1,9 +1,9 @@
-//! Recovery at the start: reads the newest snapshot and the log files, and decides what of a damaged end was never acknowledged.
+//! Recovery at startup: reads the newest snapshot and replays the log files. A damaged end that was never acknowledged is dropped.
 use super::files::{self, IndexedFile};
 use super::record::{self, Record};
 use super::{Entry, HardState, Snapshot};
 use crate::disk::Disk;
-use crate::{Error, Result};
+use crate::{Damage, Error, Result};
 use serde::de::DeserializeOwned;
 
 /// What a log held when it was opened.
@@ -19,8 +19,9 @@
     pub dropped_bytes: u64,
 }
 
-/// What recovery found, and the file to write on to.
+/// The result of recovery, and the file to append to.
 pub(super) struct Recovery<S, C> {
+    /// The recovered state.
     pub recovered: Recovered<S, C>,
     /// The newest log file, if there is one.
     pub newest_log: Option<String>,
@@ -70,14 +71,14 @@
     };
     let bytes = disk.read(&name)?;
     let corrupt = |reason| Error::Corrupt { file: name.clone(), offset: 0, reason };
-    let located = record::locate(&bytes, 0).ok_or_else(|| corrupt("its checksum does not fit"))?;
+    let located = record::locate(&bytes, 0).ok_or_else(|| corrupt(Damage::ChecksumMismatch))?;
     if located.end != bytes.len() {
-        return Err(corrupt("there is something behind it"));
+        return Err(corrupt(Damage::TrailingBytes));
     }
     record::decode(located.body, &name, 0)
 }
 
-/// Replays a log file: its size after that, bytes.
+/// Replays a log file; returns its size after a dropped end, bytes.
 fn read_log<D: Disk, S, C: DeserializeOwned>(
     disk: &mut D,
     file: &IndexedFile,
@@ -88,10 +89,10 @@
     let mut offset = 0;
     while offset < bytes.len() {
         let Some(located) = record::locate(&bytes, offset) else {
-            // Nobody writes on before the last write is synced, so nothing whole follows an unfinished one.
+            // The log appends only after the write before was synced, so no complete record follows an unfinished one.
             let is_unfinished_write = is_newest && !has_record_after(&bytes, offset);
             if !is_unfinished_write {
-                return Err(corrupt_at(&file.name, offset, "its checksum does not fit"));
+                return Err(corrupt_at(&file.name, offset, Damage::ChecksumMismatch));
             }
             recovered.dropped_bytes += (bytes.len() - offset) as u64;
             disk.truncate(&file.name, offset as u64)?;
@@ -109,21 +110,21 @@
     (offset + 1..bytes.len()).any(|later| record::locate(bytes, later).is_some())
 }
 
-fn corrupt_at(file: &str, offset: usize, reason: &'static str) -> Error {
+fn corrupt_at(file: &str, offset: usize, reason: Damage) -> Error {
     Error::Corrupt { file: file.to_owned(), offset: offset as u64, reason }
 }
 
-/// Takes a record in; the error says what does not fit.
-fn replay<S, C>(recovered: &mut Recovered<S, C>, record: Record<C>) -> std::result::Result<(), &'static str> {
+/// Applies a record to what was recovered so far.
+fn replay<S, C>(recovered: &mut Recovered<S, C>, record: Record<C>) -> std::result::Result<(), Damage> {
     match record {
         Record::HardState(hard_state) => recovered.hard_state = hard_state,
         Record::TruncateFrom(index) => recovered.entries.retain(|entry| entry.index < index),
         Record::Entry(entry) => {
-            // A log that was begun with a snapshot repeats the end of the log before it.
+            // A log file that was begun by a snapshot repeats the last entries of the file before it.
             recovered.entries.retain(|earlier| earlier.index < entry.index);
             let last = recovered.entries.last();
             if last.is_some_and(|last| last.index + 1 != entry.index) {
-                return Err("an entry is missing before it");
+                return Err(Damage::MissingEntry);
             }
             recovered.entries.push(entry);
         }
@@ -131,7 +132,7 @@
     Ok(())
 }
 
-/// Drops the entries that the snapshot includes; those left have to follow it without a gap.
+/// Drops the entries that the snapshot includes; the remaining ones have to follow it without a gap.
 fn drop_included_entries<S, C>(recovered: &mut Recovered<S, C>, newest_log: Option<&str>) -> Result<()> {
     let included = recovered.snapshot.last_included.index;
     recovered.entries.retain(|entry| entry.index > included);
@@ -139,7 +140,7 @@
         Some(first) if first.index != included + 1 => Err(Error::Corrupt {
             file: newest_log.unwrap_or_default().to_owned(),
             offset: first.index,
-            reason: "entries between the snapshot and the log are missing",
+            reason: Damage::SnapshotGap,
         }),
         _ => Ok(()),
     }
--- a/counter/src/main.rs
+++ b/counter/src/main.rs
@@ -37,11 +37,11 @@
         #[arg(long = "member", value_parser = parse_member)]
         members: Vec<(u64, SocketAddr)>,
         /// Seconds without a word of the leader, at least, before another one stands.
-        #[arg(long, default_value_t = Timing::default().election_timeout)]
-        patience: f64,
+        #[arg(long = "patience", value_name = "PATIENCE", default_value_t = Timing::default().election_timeout)]
+        election_timeout: f64,
         /// The longest that a name lives, seconds; budgets of longer periods need more.
-        #[arg(long, default_value_t = Timing::default().max_lifetime)]
-        longest_life: f64,
+        #[arg(long = "longest-life", value_name = "LONGEST_LIFE", default_value_t = Timing::default().max_lifetime)]
+        max_lifetime: f64,
     },
     /// Look whether a folder's files are whole.
     Verify { data: PathBuf },
@@ -54,7 +54,7 @@
     },
 }
 
-/// The text of a member that is not ID=ADDRESS.
+/// The text of a `--member` option that is not of the form ID=ADDRESS.
 #[derive(Debug, thiserror::Error)]
 #[error("'{0}': expected ID=ADDRESS")]
 struct InvalidMember(String);
@@ -67,14 +67,14 @@
 
 fn run(command: Command) -> Result<String, Box<dyn std::error::Error>> {
     match command {
-        Command::Serve { listen, data, id, members, patience, longest_life } => {
+        Command::Serve { listen, data, id, members, election_timeout, max_lifetime } => {
             let options = ServeOptions {
                 id,
                 client_address: listen,
                 members,
                 directory: data,
-                election_timeout: patience,
-                max_lifetime: longest_life,
+                election_timeout,
+                max_lifetime,
             };
             serve::serve(options)?;
             Ok("stopped".into())
--- a/counter/src/raft/effects.rs
+++ b/counter/src/raft/effects.rs
@@ -1,27 +1,27 @@
-//! What the caller of a node has to do after a step.
+//! The effects of a step, which the caller of a node has to execute.
 use super::{Message, NodeId};
 use crate::log::{Entry, HardState, LogPosition};
 
-/// The work that steps of a node leave to the caller, in this order: persist and sync, then send, then apply and answer.
+/// The effects of one or more steps. They have to be executed in this order: persist and sync, then send, then apply and answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Effects<C> {
     /// The term and vote to persist.
     pub hard_state: Option<HardState>,
-    /// Entries from this index on no longer hold.
+    /// Entries from this index on are to be truncated, before `entries` are persisted.
     pub truncate_from: Option<u64>,
     /// Entries to persist.
     pub entries: Vec<Entry<C>>,
-    /// A snapshot of the leader's that replaces the state and the log.
+    /// A snapshot of the leader that replaces the state and the log.
     pub installed_snapshot: Option<InstalledSnapshot>,
-    /// Messages to send.
+    /// Messages to send, with their recipients.
     pub messages: Vec<(NodeId, Message<C>)>,
-    /// Followers that need a snapshot, which the caller sends.
+    /// Followers that need a snapshot; the caller sends them its own.
     pub snapshot_targets: Vec<NodeId>,
     /// The new commit index.
     pub commit_index: Option<u64>,
 }
 
-/// A state that was received as a whole.
+/// A snapshot that was received from the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstalledSnapshot {
     /// The last entry that the state includes.
--- a/counter/src/raft/election.rs
+++ b/counter/src/raft/election.rs
@@ -1,10 +1,10 @@
-//! Elections: timeouts, votes, and a leader that has lost its quorum.
+//! Elections: timeouts, votes, and the step-down of a leader that has lost its quorum.
 use super::{Effects, Fault, Message, Node, NodeId, Role};
 use crate::log::{HardState, LogPosition};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<C: Clone + PartialEq> Node<C> {
-    /// No leader was heard of within the election timeout: stands for election.
+    /// The election timeout has passed without a message of a leader: begins an election as a candidate.
     pub fn election_timeout(&mut self, effects: &mut Effects<C>) {
         if self.is_leader() {
             return;
@@ -17,8 +17,7 @@
         self.become_leader_if_elected(effects);
     }
 
-    /// Steps down if no quorum answered since the last call. To be called once in the time after which followers take a leader for
-    /// lost.
+    /// Steps down if no quorum has responded since the last call. To be called once per longest election timeout of the followers.
     pub fn check_quorum(&mut self) {
         let Role::Leader { active, .. } = &mut self.role else { return };
         let active_nodes = std::mem::take(active).len() + 1;
@@ -65,7 +64,7 @@
             match_index: BTreeMap::new(),
             active: BTreeSet::new(),
         };
-        // What earlier leaders left is committed together with the first entry of the new term.
+        // Entries of earlier terms are committed only together with the first entry of the new term.
         self.append(None, effects);
         self.replicate(effects);
     }
--- a/counter/src/raft/fault.rs
+++ b/counter/src/raft/fault.rs
@@ -1,15 +1,15 @@
-//! Faults that tests inject, to show that their checks find them.
+//! Fault injection: deliberate faults with which tests show that their checks detect them.
 
 /// A deliberate fault of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// The algorithm as it is.
+    /// No fault.
     #[default]
     None,
-    /// Votes for every candidate, however far its log is behind.
+    /// Votes for every candidate, even if its log is not up to date.
     VotesBlindly,
-    /// Commits what it alone holds.
+    /// Commits entries without a quorum.
     CommitsAlone,
-    /// Forgets its vote over a restart.
+    /// Loses its vote in a restart.
     ForgetsVote,
 }
--- a/counter/src/raft/message.rs
+++ b/counter/src/raft/message.rs
@@ -2,17 +2,17 @@
 use crate::log::LogPosition;
 use serde::{Deserialize, Serialize};
 
-/// A message of one node to another; `term` is the sender's term.
+/// A message between nodes; `term` is the sender's term. The encoding follows the order of the variants, which must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message<C> {
     /// A candidate asks for a vote.
     RequestVote {
         /// The candidate's term.
         term: u64,
-        /// Where the candidate's log ends.
+        /// Position of the last entry of the candidate's log.
         last: LogPosition,
     },
-    /// The answer to a candidate.
+    /// The response to a candidate.
     Vote {
         /// The voter's term.
         term: u64,
@@ -30,16 +30,16 @@
         /// The leader's commit index.
         commit_index: u64,
     },
-    /// The answer to entries and to a snapshot.
+    /// The response to entries and to a snapshot.
     AppendResponse {
         /// The follower's term.
         term: u64,
-        /// Up to where the follower's log equals the leader's; none if the entries did not fit.
+        /// Highest index up to which the follower's log matches the leader's; none if the entries conflict.
         match_index: Option<u64>,
-        /// Index from which the leader is to try again if the entries did not fit.
+        /// Index from which the leader has to retry if the entries conflict.
         retry_from: u64,
     },
-    /// The whole state, for a follower that is further behind than the leader's log reaches.
+    /// A snapshot, for a follower that lacks entries which the leader's log no longer has.
     InstallSnapshot {
         /// The leader's term.
         term: u64,
@@ -50,12 +50,12 @@
     },
 }
 
-/// An entry as a message carries it; its index follows from its place in the message.
+/// An entry within a message; its index follows from its position in the message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReplicatedEntry<C> {
     /// Term in which the entry was proposed.
     pub term: u64,
-    /// None: the entry with which a leader begins its term.
+    /// The command; none in the entry with which a leader begins its term.
     pub command: Option<C>,
 }
 
--- a/counter/src/raft/mod.rs
+++ b/counter/src/raft/mod.rs
@@ -1,6 +1,6 @@
-//! One node of the replicated counter: the published Raft algorithm with fixed membership. There is no clock and no I/O here: the
-//! caller reports timeouts, persists what [`Effects`] holds before it sends anything, and carries the messages. A deposed leader is
-//! fenced by the algorithm alone: without a majority nothing that it proposes is committed, and so nothing is answered.
+//! A node of the Raft consensus algorithm with fixed membership, free of clock and I/O: the caller reports timeouts, persists what
+//! [`Effects`] holds before it sends anything, and transports the messages. A deposed leader is fenced by the algorithm itself:
+//! without a quorum none of its proposals is committed, so no call is answered.
 mod effects;
 mod election;
 mod fault;
@@ -16,12 +16,12 @@
 /// Identifies a node of the cluster.
 pub type NodeId = u64;
 
-/// What a node is in its current term, with what it knows only in that role.
+/// The role of a node in its current term, with the state that belongs to the role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// Accepts entries of a leader.
+    /// Accepts the entries of a leader.
     Follower {
-        /// The leader of the current term, once it was heard of.
+        /// The leader of the current term, once it is known.
         leader: Option<NodeId>,
     },
     /// Stands for election.
@@ -35,7 +35,7 @@
         next_index: BTreeMap<NodeId, u64>,
         /// Highest index known to be replicated, by follower.
         match_index: BTreeMap<NodeId, u64>,
-        /// Followers that answered since the last check of the quorum.
+        /// Followers that have responded since the last quorum check.
         active: BTreeSet<NodeId>,
     },
 }
@@ -43,14 +43,14 @@
 /// The state of one node; `C` is a command of the replicated state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node<C> {
-    /// This node.
+    /// The id of this node.
     pub id: NodeId,
     peers: Vec<NodeId>,
     /// Term and vote, which have to be persisted.
     pub hard_state: HardState,
     /// Its role in the current term.
     pub role: Role,
-    /// The last entry that a snapshot stands for; entries up to it are not held.
+    /// Position of the last entry that the snapshot includes; entries up to it are not in the log.
     pub snapshot_position: LogPosition,
     entries: Vec<Entry<C>>,
     /// Index of the last committed entry.
@@ -60,7 +60,7 @@
 }
 
 impl<C: Clone + PartialEq> Node<C> {
-    /// A follower with the state that was persisted before; `members` includes this node.
+    /// A follower with the state that was recovered from the log; `members` includes this node.
     pub fn new(
         id: NodeId,
         members: &[NodeId],
@@ -99,19 +99,19 @@
         self.entries.last().map_or(self.snapshot_position, Entry::position)
     }
 
-    /// The entry with this index, if it is held.
+    /// The entry with an index, if it is in the log.
     pub fn entry(&self, index: u64) -> Option<&Entry<C>> {
         let offset = index.checked_sub(self.snapshot_position.index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// The entries that follow an index.
+    /// The entries after an index.
     pub fn entries_after(&self, index: u64) -> &[Entry<C>] {
         let offset = index.saturating_sub(self.snapshot_position.index) as usize;
         &self.entries[offset.min(self.entries.len())..]
     }
 
-    /// Drops the entries up to a committed index, once a snapshot stands for them.
+    /// Drops the entries up to a committed index, once a snapshot includes them.
     pub fn compact(&mut self, index: u64) {
         let Some(term) = self.term_at(index) else { return };
         if index <= self.snapshot_position.index || index > self.commit_index {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Restarts after a crash with what was persisted.
+    /// Restarts after a crash: keeps only the persisted state.
     pub fn restart(&mut self) {
         if self.fault == Fault::ForgetsVote {
             self.hard_state.vote = None;
--- a/counter/src/raft/replication.rs
+++ b/counter/src/raft/replication.rs
@@ -2,19 +2,19 @@
 use super::{Effects, Fault, InstalledSnapshot, Message, Node, NodeId, ReplicatedEntry, Role};
 use crate::log::{Entry, LogPosition};
 
-/// The most entries of one message: some 50 KB with the longest names, so that a heartbeat is not held up behind it for long.
+/// The most entries of one message: about 50 KB with the longest names, so that a heartbeat is not delayed behind it for long.
 const MAX_ENTRIES_PER_MESSAGE: usize = 512;
 
-/// Whether a leader's entries fit the log.
+/// The outcome of appending a leader's entries.
 enum AppendOutcome {
-    /// The log equals the leader's up to here.
+    /// The log matches the leader's up to `index`.
     Matched { index: u64 },
-    /// The leader is to try again from here.
+    /// The log conflicts with the leader's, which has to retry from `retry_from`.
     Conflict { retry_from: u64 },
 }
 
 impl<C: Clone + PartialEq> Node<C> {
-    /// Appends a command on the leader: the index under which it will be committed, if it is. None if this is not the leader.
+    /// Appends a command on the leader and returns the index at which it may be committed. None if this node is not the leader.
     pub fn propose(&mut self, command: C, effects: &mut Effects<C>) -> Option<u64> {
         if !self.is_leader() {
             return None;
@@ -22,7 +22,7 @@
         Some(self.append(Some(command), effects))
     }
 
-    /// Replicates what was proposed; once for all commands that were proposed together.
+    /// Replicates proposed commands; to be called once for a batch of proposals.
     pub fn replicate(&mut self, effects: &mut Effects<C>) {
         if self.is_leader() {
             self.heartbeat(effects);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A leader's heartbeat: each follower hears of it and gets the entries it lacks.
+    /// Sends each follower the entries that it lacks; without any the message is a heartbeat.
     pub fn heartbeat(&mut self, effects: &mut Effects<C>) {
         for peer in self.peers.clone() {
             self.send_entries(peer, effects);
@@ -61,11 +61,11 @@
             .take(MAX_ENTRIES_PER_MESSAGE)
             .map(|entry| ReplicatedEntry { term: entry.term, command: entry.command.clone() })
             .collect();
-        let after_last = self.last_position().index + 1;
-        let after_sent = (first + entries.len() as u64).min(after_last);
-        // Taken for received until the follower says otherwise, so that more may follow at once.
+        let end_of_log = self.last_position().index + 1;
+        let next_unsent = (first + entries.len() as u64).min(end_of_log);
+        // Pipelining: the entries count as received until the follower reports a conflict.
         if let Role::Leader { next_index, .. } = &mut self.role {
-            next_index.insert(to, after_sent);
+            next_index.insert(to, next_unsent);
         }
         let message = Message::AppendEntries {
             term: self.hard_state.term,
@@ -109,7 +109,7 @@
         };
         let known = matched.entry(follower).or_default();
         *known = (*known).max(index);
-        // What is already on its way is not sent again.
+        // Entries in flight are not sent again.
         let next = next_index.entry(follower).or_insert(1);
         *next = (*next).max(*known + 1);
         let lacks_entries = *next <= self.last_position().index;
@@ -156,7 +156,7 @@
         effects: &mut Effects<C>,
     ) -> AppendOutcome {
         if previous.index < self.snapshot_position.index {
-            // What a snapshot stands for was committed and is the same on the leader.
+            // Entries that the snapshot includes were committed, so they match the leader's.
             let included = (self.snapshot_position.index - previous.index) as usize;
             if included > entries.len() {
                 return AppendOutcome::Matched { index: self.snapshot_position.index };
@@ -178,7 +178,7 @@
         AppendOutcome::Matched { index }
     }
 
-    /// Where the leader is to try again, if the log has no such entry.
+    /// The index from which the leader has to retry, if the log has no entry at this position.
     fn conflict_at(&self, position: LogPosition) -> Option<u64> {
         let Some(term) = self.term_at(position.index) else {
             return Some(self.last_position().index + 1);
@@ -186,17 +186,17 @@
         if term == position.term {
             return None;
         }
-        // Back over the whole term that does not fit.
+        // Skips the complete conflicting term, to save round trips.
         let first_of_term = self.entries.iter().find(|entry| entry.term == term);
         let first = first_of_term.map_or(position.index, |entry| entry.index);
         Some(first.max(self.snapshot_position.index + 1).min(position.index))
     }
 
-    /// Appends an entry; entries that another leader left from its index on are dropped.
+    /// Appends an entry; conflicting entries of another leader are truncated from its index on.
     fn replace_from(&mut self, entry: Entry<C>, effects: &mut Effects<C>) {
         let index = entry.index;
         if self.entry(index).is_some() {
-            self.entries.retain(|kept| kept.index < index);
+            self.entries.retain(|earlier| earlier.index < index);
             let truncated = effects.truncate_from.map_or(index, |earlier| earlier.min(index));
             effects.truncate_from = Some(truncated);
         }
@@ -204,7 +204,7 @@
         effects.entries.push(entry);
     }
 
-    /// Commits what a quorum holds of the leader's own term, and with it all that comes before.
+    /// Commits the entries that a quorum has. Only an entry of the leader's own term is committed directly; those before it follow.
     fn advance_commit_index(&mut self, effects: &mut Effects<C>) {
         let Role::Leader { match_index, .. } = &self.role else { return };
         let replicated = |peer: &NodeId| match_index.get(peer).copied().unwrap_or(0);
--- a/counter/src/serve.rs
+++ b/counter/src/serve.rs
@@ -1,4 +1,4 @@
-//! The `serve` command.
+//! The `serve` command: checks its options, binds the sockets and runs a server until a signal ends it.
 use quillramp_counter::disk::Directory;
 use quillramp_counter::server::{Listeners, ReplicaConfig, Server, Timing};
 use quillramp_counter::Error;
@@ -11,58 +11,66 @@
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Replicas at the most: more than three are not built for.
+/// The most replicas: larger clusters are not supported.
 const MAX_MEMBERS: usize = 3;
-/// Election timeouts that are accepted, seconds: above what a sync takes, below what clients wait.
+/// Accepted election timeouts, seconds: longer than a sync of the disk, shorter than clients wait.
 const ELECTION_TIMEOUTS: RangeInclusive<f64> = 0.02..=60.0;
-/// Lifetimes that are accepted as the longest, seconds: up to some three years.
+/// Accepted maximum lifetimes, seconds: up to about three years.
 const MAX_LIFETIMES: RangeInclusive<f64> = 1.0..=1e8;
-/// Heartbeats of a leader in the shortest election timeout, so that some may be lost.
+/// Heartbeats of a leader within the shortest election timeout: several, so that a few may be lost.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: f64 = 7.0;
 
 /// The options of the command.
 pub struct ServeOptions {
-    /// This replica.
+    /// The id of this replica.
     pub id: u64,
-    /// Where clients call.
+    /// The address on which clients are accepted.
     pub client_address: SocketAddr,
-    /// All replicas, this one included; none: alone.
+    /// The ids and peer addresses of all replicas, this one included; empty if it runs alone.
     pub members: Vec<(u64, SocketAddr)>,
     /// The directory of the log.
     pub directory: PathBuf,
     /// The shortest election timeout, seconds.
     pub election_timeout: f64,
-    /// The longest lifetime of a name, seconds.
+    /// The maximum lifetime of a name, seconds.
     pub max_lifetime: f64,
 }
 
-/// What keeps the command from serving.
+/// Why the command does not serve, or stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
+    /// An id is given twice, or there are too many members.
     #[error("--member: expected each id once, three at the most")]
     Members,
+    /// The election timeout is out of range, seconds.
     #[error("--patience: expected 0.02 to 60 seconds, found {0}")]
     ElectionTimeout(f64),
+    /// The maximum lifetime is out of range, seconds.
     #[error("--longest-life: expected 1 to 1e8 seconds, found {0}")]
     MaxLifetime(f64),
+    /// The id of this replica is not among the members.
     #[error("--id {0}: no --member has it")]
     UnknownId(u64),
+    /// A socket can't be bound.
     #[error("{address}: {source}")]
     Bind { address: SocketAddr, source: io::Error },
+    /// The directory can't be opened or created.
     #[error("{directory}: {source}")]
     Directory { directory: String, source: io::Error },
+    /// The signal handlers can't be installed.
     #[error("{0}")]
     Signals(io::Error),
+    /// The server could not start, or its disk failed.
     #[error("{directory}: {source}")]
     Counter { directory: String, source: Error },
 }
 
-/// Serves until a signal ends it.
+/// Serves until SIGTERM or SIGINT.
 pub fn serve(options: ServeOptions) -> Result<(), ServeError> {
     let peer_addresses = peer_addresses(&options)?;
     let timing = timing(&options)?;
-    let own_address = *peer_addresses.get(&options.id).ok_or(ServeError::UnknownId(options.id))?;
-    let listeners = Listeners { clients: bind(options.client_address)?, peers: bind(own_address)? };
+    let peer_address = *peer_addresses.get(&options.id).ok_or(ServeError::UnknownId(options.id))?;
+    let listeners = Listeners { clients: bind(options.client_address)?, peers: bind(peer_address)? };
     let directory = options.directory.display().to_string();
     let disk = Directory::new(&options.directory)
         .map_err(|source| ServeError::Directory { directory: directory.clone(), source })?;
--- a/counter/src/server/acceptor.rs
+++ b/counter/src/server/acceptor.rs
@@ -1,32 +1,32 @@
-//! Accepts connections and gives each a thread.
+//! Accepts connections and spawns a thread for each.
 use super::ShutdownFlag;
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Pause after a connection could not be accepted, for example because descriptors ran out.
+/// Pause after a failed accept, for example when descriptors ran out.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 
-/// The open connections of a server, so that it can end them.
+/// The open connections of a server, so that it can close them on shutdown.
 #[derive(Clone, Default)]
 pub(super) struct OpenConnections(Arc<Mutex<Vec<TcpStream>>>);
 
 impl OpenConnections {
-    /// Takes all connections out.
+    /// Removes and returns all connections.
     pub(super) fn take_all(&self) -> Vec<TcpStream> {
-        std::mem::take(&mut *self.0.lock().unwrap_or_else(|e| e.into_inner()))
+        std::mem::take(&mut *self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
     }
 
-    /// Adds a connection; those that have ended are dropped.
+    /// Adds a connection and drops those that have ended.
     fn add(&self, stream: &TcpStream) {
-        let mut open = self.0.lock().unwrap_or_else(|e| e.into_inner());
+        let mut open = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         open.retain(|earlier| earlier.peer_addr().is_ok());
         open.extend(stream.try_clone());
     }
 }
 
-/// Accepts connections until the server ends; each is served by a thread of its own.
+/// Accepts connections until shutdown; each is served by a thread of its own.
 pub(super) fn spawn(
     listener: TcpListener,
     connections: OpenConnections,
@@ -42,7 +42,7 @@
                 std::thread::sleep(ACCEPT_RETRY);
                 continue;
             };
-            let _ = stream.set_nodelay(true); // without it responses wait for each other
+            let _ = stream.set_nodelay(true); // without it, responses are delayed by Nagle's algorithm
             connections.add(&stream);
             let serve = serve.clone();
             std::thread::spawn(move || serve(stream));
--- a/counter/src/server/client.rs
+++ b/counter/src/server/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection: pipelined calls go to the replica as they are read, responses leave in the order of the calls.
+//! Client connections: pipelined calls go to the replica as they are read, responses are written in the order of the calls.
 use super::Event;
 use crate::http::{self, Request, Response};
 use crate::totals::Add;
@@ -9,7 +9,7 @@
 use std::thread::spawn;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Where the response of a call goes: its place in the order of its connection.
+/// Takes the response of one call and keeps its position in the order of the connection.
 #[derive(Clone)]
 pub(super) struct ResponseSlot {
     responses: Sender<OrderedResponse>,
@@ -22,13 +22,13 @@
 }
 
 impl ResponseSlot {
-    /// Hands the response over; false if the connection has ended.
+    /// Sends the response; false if the connection has ended.
     pub(super) fn respond(&self, response: Response) -> bool {
         self.responses.send(OrderedResponse { sequence: self.sequence, response }).is_ok()
     }
 }
 
-/// Serves a connection until it ends.
+/// Serves a connection until it ends. `max_lifetime` caps the lifetime of a call, seconds.
 pub(super) fn serve(stream: TcpStream, replica: &Sender<Event>, max_lifetime: f64) {
     let Ok(output) = stream.try_clone() else { return };
     let (responses, received) = channel();
@@ -58,7 +58,7 @@
     }
 }
 
-/// The command of a request, if it is a valid call.
+/// The command of a request, if the request is a valid call.
 fn command(request: Request, max_lifetime: f64) -> Option<Add> {
     let Request::Add { name, amount, lifetime } = request else { return None };
     let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
@@ -72,18 +72,18 @@
     let mut bytes = vec![];
     while let Ok(first) = received.recv() {
         early.insert(first.sequence, first.response);
-        for more in received.try_iter() {
-            early.insert(more.sequence, more.response);
+        for another in received.try_iter() {
+            early.insert(another.sequence, another.response);
         }
-        let mut ends = false;
+        let mut is_last = false;
         while let Some(response) = early.remove(&next) {
             next += 1;
-            ends = !response.encode(&mut bytes);
-            if ends {
+            is_last = !response.encode(&mut bytes);
+            if is_last {
                 break;
             }
         }
-        if output.write_all(&bytes).is_err() || ends {
+        if output.write_all(&bytes).is_err() || is_last {
             break;
         }
         bytes.clear();
--- a/counter/src/server/config.rs
+++ b/counter/src/server/config.rs
@@ -1,38 +1,38 @@
-//! Where a replica and its peers are, and its times.
+//! Configuration of a replica: addresses, sockets and timing.
 use crate::raft::NodeId;
 use crate::totals::DEFAULT_MAX_LIFETIME;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 
-/// One replica and its peers.
+/// Addresses of a replica and its peers.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// This replica.
+    /// The id of this replica.
     pub id: NodeId,
-    /// Where clients call.
+    /// The address on which clients are accepted.
     pub client_address: SocketAddr,
-    /// Where each replica hears its peers, this one included.
+    /// The address on which each replica accepts its peers, by id; this one included.
     pub peer_addresses: BTreeMap<NodeId, SocketAddr>,
 }
 
 /// The bound sockets of a replica.
 pub struct Listeners {
-    /// Accepts clients.
+    /// The socket on which clients are accepted.
     pub clients: TcpListener,
-    /// Accepts peers.
+    /// The socket on which peers are accepted.
     pub peers: TcpListener,
 }
 
-/// Times of a replica, all in seconds.
+/// Intervals and timeouts of a replica, all in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How often a leader sends a heartbeat.
+    /// Interval between the heartbeats of a leader.
     pub heartbeat_interval: f64,
-    /// A leader that was not heard of for between once and twice this long is taken for lost.
+    /// The shortest election timeout; the one in use is drawn between once and twice this value.
     pub election_timeout: f64,
-    /// A call that is not committed within this time is given up: its connection ends, for it may be committed yet.
+    /// A call that is not committed within this time is abandoned: its connection is closed, because it may still be committed.
     pub request_timeout: f64,
-    /// The longest lifetime of a name.
+    /// The maximum lifetime of a name.
     pub max_lifetime: f64,
 }
 
--- a/counter/src/server/mod.rs
+++ b/counter/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! The counter as a server: one thread owns the node, the log and the totals; connections of clients and of peers have threads that
-//! only do I/O. Calls that arrive together are replicated and synced together.
+//! The counter as a server. One thread owns the node, the log and the totals; the threads of client and peer connections only do
+//! I/O. Calls that arrive together are replicated and synced as one batch.
 mod acceptor;
 mod client;
 mod config;
@@ -23,19 +23,22 @@
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
 
-/// What reaches the thread of the replica.
+/// An event for the thread of the replica.
 enum Event {
+    /// A client has sent a valid call.
     ClientCall { add: Add, response: ResponseSlot },
+    /// A peer has sent a message.
     PeerMessage { from: NodeId, message: PeerMessage },
+    /// The server is to end.
     Shutdown,
 }
 
-/// Set once the server ends; the threads of connections look at it.
+/// Set once the server shuts down; the threads of connections check it.
 type ShutdownFlag = Arc<AtomicBool>;
 
-/// A running server; it ends when this is dropped.
+/// A running server; dropping it shuts it down.
 pub struct Server {
-    /// Where clients call.
+    /// The address on which clients are accepted.
     pub client_address: SocketAddr,
     peer_address: SocketAddr,
     events: Sender<Event>,
@@ -45,7 +48,7 @@
 }
 
 impl Server {
-    /// Opens the log and serves. `seed` spreads the election timeouts. Fails if the log is damaged or the disk does not work.
+    /// Opens the log and serves. `seed` randomizes the election timeouts. Fails if the log is damaged or the disk fails.
     pub fn start<D: Disk + Send + 'static>(
         disk: D,
         config: ReplicaConfig,
@@ -76,18 +79,18 @@
         Ok(Server { client_address, peer_address, events, replica: Some(thread), shutdown, connections })
     }
 
-    /// Ends it: what was committed is on the disk.
+    /// Shuts the server down; what was committed is on the disk.
     pub fn stop(mut self) -> Result<()> {
         self.shut_down()
     }
 
-    /// Waits until it ends by itself, as it does when its disk fails.
+    /// Waits until the server ends by itself, as it does after a fault of its disk, which is the error.
     pub fn wait(&mut self) -> Result<()> {
         let Some(replica) = self.replica.take() else { return Ok(()) };
         replica.join().unwrap_or(Ok(()))
     }
 
-    /// Ends it from another thread.
+    /// A function that shuts the server down from another thread.
     pub fn stopper(&self) -> impl FnOnce() + Send + 'static {
         let events = self.events.clone();
         move || drop(events.send(Event::Shutdown)) // it may have ended
--- a/counter/src/server/peer.rs
+++ b/counter/src/server/peer.rs
@@ -1,4 +1,4 @@
-//! Connections between the replicas: each sends on a connection of its own and receives on those that its peers opened.
+//! Connections between the replicas: each sends on the connections that it opened and receives on those that its peers opened.
 use super::{Event, ReplicaConfig, ShutdownFlag};
 use crate::frame;
 use crate::raft::{Message, NodeId};
@@ -11,38 +11,38 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// A peer that does not accept by then is tried again with the next message; below the election timeout.
+/// Timeout of a connection attempt, shorter than an election timeout; the next message makes another attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// A peer that reads nothing for so long loses its connection.
+/// A connection on which a write blocks for longer is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What replicas send each other.
+/// A message between replicas. The encoding follows the order of the variants, which must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum PeerMessage {
-    /// A message of the replication.
+    /// A message of the Raft node.
     Raft(Message<Add>),
-    /// A client's call, forwarded to the leader; `call_id` is the sender's.
+    /// A client's call, forwarded to the leader; `call_id` is assigned by the sender.
     ForwardedCall { call_id: u64, add: Add },
-    /// The leader's answer to a forwarded call.
+    /// The leader's response to a forwarded call.
     ForwardedOutcome { call_id: u64, outcome: CallOutcome },
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum CallOutcome {
-    /// Committed: the total after it.
+    /// It was committed; the total after it.
     Total(f64),
     /// Nothing was added.
     NotAdded,
-    /// It may be added yet.
+    /// Unknown: it may still be committed.
     Unknown,
 }
 
-/// Sends to the peers; messages that can't be sent at once are lost.
+/// Sends to the peers. Delivery is best effort: while a peer can't be reached its messages are lost, which Raft tolerates.
 pub(super) struct PeerLinks(BTreeMap<NodeId, Sender<PeerMessage>>);
 
 impl PeerLinks {
-    /// Starts a thread for each peer.
+    /// Spawns a sending thread for each peer.
     pub(super) fn connect(config: &ReplicaConfig, shutdown: &ShutdownFlag) -> PeerLinks {
         let mut links = BTreeMap::new();
         for (id, address) in &config.peer_addresses {
@@ -50,8 +50,10 @@
                 continue;
             }
             let (sender, messages) = channel();
-            let (own_id, address, shutdown) = (config.id, *address, shutdown.clone());
-            std::thread::spawn(move || send_messages(own_id, address, &messages, &shutdown));
+            let local_id = config.id;
+            let address = *address;
+            let shutdown = shutdown.clone();
+            std::thread::spawn(move || send_messages(local_id, address, &messages, &shutdown));
             links.insert(*id, sender);
         }
         PeerLinks(links)
@@ -70,7 +72,7 @@
     }
 }
 
-/// Receives the messages of a peer until its connection ends.
+/// Receives the messages of a peer until its connection ends; the first frame is the peer's id.
 pub(super) fn receive(stream: TcpStream, replica: &Sender<Event>) {
     let mut reader = BufReader::new(stream);
     let Ok(Some(from)) = frame::read::<NodeId>(&mut reader) else { return };
@@ -82,7 +84,7 @@
 }
 
 fn send_messages(
-    own_id: NodeId,
+    local_id: NodeId,
     address: SocketAddr,
     messages: &Receiver<PeerMessage>,
     shutdown: &ShutdownFlag,
@@ -97,12 +99,12 @@
         if connection.is_none() {
             connection = open(address);
             if connection.is_some() {
-                frame::encode(&own_id, &mut bytes);
+                frame::encode(&local_id, &mut bytes);
             }
         }
         frame::encode(&first, &mut bytes);
-        for more in messages.try_iter() {
-            frame::encode(&more, &mut bytes);
+        for message in messages.try_iter() {
+            frame::encode(&message, &mut bytes);
         }
         let is_lost = connection.as_mut().is_some_and(|stream| stream.write_all(&bytes).is_err());
         if is_lost {
--- a/counter/src/server/replica.rs
+++ b/counter/src/server/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: turns events and time into steps of the node, and carries out their effects on the log, the peers and the clients.
+//! The replica: turns events and time into steps of the node, and executes their effects on the log, the peers and the clients.
 use super::peer::{CallOutcome, PeerLinks, PeerMessage};
 use super::pending::{ForwardedCalls, Proposal, Proposals, ReplyTo};
 use super::{Event, ReplicaConfig, Timing};
@@ -13,15 +13,15 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// A log file of this size is replaced by a snapshot, bytes.
+/// Size above which a log file is replaced by a snapshot, bytes.
 const MAX_LOG_BYTES: u64 = 64 << 20;
-/// Events that are handled before their effects are persisted together, so that a client waits for a sync no longer than these take.
+/// The most events of a batch, whose effects are persisted with one sync; bounds how long a client waits for that sync.
 const MAX_BATCH: usize = 4096;
-/// The replica looks at its clock this many times in a heartbeat interval.
+/// Ticks of the replica per heartbeat interval.
 const TICKS_PER_HEARTBEAT: f64 = 4.0;
-/// The shortest wait between two looks at the clock, seconds.
+/// The shortest tick, seconds.
 const MIN_TICK: f64 = 0.001;
-/// A leader checks its quorum once in so many election timeouts: a follower waits up to two before it stands for election.
+/// Interval between a leader's quorum checks, in election timeouts: a follower stands for election after at most two.
 const QUORUM_CHECK_TIMEOUTS: f64 = 2.0;
 
 pub(super) struct Replica<D> {
@@ -38,11 +38,11 @@
     peers: PeerLinks,
     proposals: Proposals,
     forwarded: ForwardedCalls,
-    /// The leader that was logged last.
+    /// The leader in the latest log line about a change.
     logged_leader: Option<NodeId>,
 }
 
-/// When something is due, seconds since the start.
+/// When the next election, heartbeat and quorum check are due, seconds since the start.
 #[derive(Default)]
 struct Deadlines {
     election: f64,
@@ -81,7 +81,7 @@
         replica
     }
 
-    /// Handles events until it is shut down or the disk fails.
+    /// Handles events until shutdown, or until the disk fails, which is the error.
     pub(super) fn run(mut self, events: &Receiver<Event>) -> Result<()> {
         let tick =
             Duration::from_secs_f64((self.timing.heartbeat_interval / TICKS_PER_HEARTBEAT).max(MIN_TICK));
@@ -111,11 +111,11 @@
                 self.node.replicate(&mut effects);
             }
             self.tick(&mut effects);
-            self.carry_out(effects)?;
+            self.execute(effects)?;
         }
     }
 
-    /// Handles a peer's message; whether something was proposed.
+    /// Handles a peer's message; true if a command was proposed.
     fn handle_peer_message(
         &mut self,
         from: NodeId,
@@ -132,7 +132,7 @@
             }
             PeerMessage::Raft(message) => {
                 self.step_node(from, message, effects);
-                self.carry_out(std::mem::take(effects))?;
+                self.execute(std::mem::take(effects))?;
                 Ok(false)
             }
         }
@@ -141,10 +141,10 @@
     fn step_node(&mut self, from: NodeId, message: Message<Add>, effects: &mut Effects<Add>) {
         let is_from_leader =
             matches!(message, Message::AppendEntries { .. } | Message::InstallSnapshot { .. });
-        let before = self.node.hard_state;
+        let previous = self.node.hard_state;
         self.node.step(from, message, effects);
-        let after = self.node.hard_state;
-        let has_granted_vote = after != before && after.vote == Some(from);
+        let current = self.node.hard_state;
+        let has_granted_vote = current != previous && current.vote == Some(from);
         if has_granted_vote || is_from_leader && self.node.leader() == Some(from) {
             self.reset_election_timeout();
         }
@@ -159,7 +159,7 @@
             self.node.election_timeout(effects);
             self.clock.quorum_check = now + QUORUM_CHECK_TIMEOUTS * self.timing.election_timeout;
         }
-        self.give_up_late_calls(now);
+        self.abandon_late_calls(now);
         self.log_leader_change();
     }
 
@@ -177,14 +177,14 @@
         }
     }
 
-    /// A leader was heard of, or there is none: so long until the next election.
+    /// Draws a new election timeout that begins now.
     fn reset_election_timeout(&mut self) {
         let timeout = self.timing.election_timeout * self.rng.gen_range(1.0..2.0);
         self.clock.election = self.now() + timeout;
     }
 
-    /// What was not committed in time may be yet: nobody can say what came of it.
-    fn give_up_late_calls(&mut self, now: f64) {
+    /// Abandons calls that were not committed in time; they may still be committed, so their outcome is unknown.
+    fn abandon_late_calls(&mut self, now: f64) {
         let limit = now - self.timing.request_timeout;
         while let Some(proposal) = self.proposals.pop_before(limit) {
             self.answer(proposal.reply_to, CallOutcome::Unknown);
@@ -205,7 +205,7 @@
         self.logged_leader = leader;
     }
 
-    /// Proposes a call on the leader, else forwards it there; whether something was proposed.
+    /// Proposes a call on the leader, else forwards it to the leader; true if it was proposed.
     fn propose_or_forward(&mut self, add: Add, reply_to: ReplyTo, effects: &mut Effects<Add>) -> bool {
         let now = self.now();
         if let Some(index) = self.node.propose(add.clone(), effects) {
@@ -221,7 +221,7 @@
                 let call_id = self.forwarded.insert(now, response);
                 self.peers.send(leader, PeerMessage::ForwardedCall { call_id, add });
             }
-            // Nobody leads, or no longer the replica that it was forwarded to: nothing was added.
+            // There is no known leader, or the replica that a call was forwarded to is not the leader any more.
             (reply_to, _) => self.answer(reply_to, CallOutcome::NotAdded),
         }
         false
@@ -244,8 +244,9 @@
         }
     }
 
-    /// Carries effects out: persists, then sends, then applies what is committed and answers.
-    fn carry_out(&mut self, effects: Effects<Add>) -> Result<()> {
+    /// Executes effects: persists, then sends, then applies committed entries and answers their calls. The order is what makes Raft
+    /// safe.
+    fn execute(&mut self, effects: Effects<Add>) -> Result<()> {
         if let Some(installed) = &effects.installed_snapshot {
             self.install(installed)?;
         }
@@ -267,7 +268,7 @@
         self.compact_large_log()
     }
 
-    /// Replaces the totals by those of the leader.
+    /// Replaces the totals by the snapshot of the leader.
     fn install(&mut self, installed: &InstalledSnapshot) -> Result<()> {
         let state: Totals = postcard::from_bytes(&installed.state).unwrap_or_default();
         self.save_snapshot(installed.last_included, state.clone())?;
@@ -300,7 +301,7 @@
         self.applied_index = index;
         let total = command.map(|add| self.totals.add(&add));
         let Some(proposal) = self.proposals.remove(index) else { return };
-        // If another leader's entry took the place, nobody here knows what became of the proposal.
+        // The entry of another leader has replaced the proposal: it may be committed at another index, or not at all.
         let outcome = match total {
             Some(total) if proposal.term == term => CallOutcome::Total(total),
             _ => CallOutcome::Unknown,
--- a/counter/src/totals.rs
+++ b/counter/src/totals.rs
@@ -1,15 +1,15 @@
-//! What a counter holds: totals by name, each with its lifetime. It is plain state, changed by commands in their order and by nothing
-//! else, so that every node that applies the same commands holds the same. The time is in the commands.
+//! The replicated state machine: totals by name, each with a lifetime. It is deterministic: only commands change it, and they carry
+//! the time, so that all nodes that apply the same commands in the same order have the same state.
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest lifetime of a name unless a counter is configured otherwise, seconds; the platform's counter has it so.
+/// The default maximum lifetime of a name, seconds; that of the platform's counter.
 pub const DEFAULT_MAX_LIFETIME: f64 = 60.0;
-/// The longest name, bytes; the platform's counter has it so.
+/// The longest name, bytes; that of the platform's counter.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The largest amount either way; the platform's counter has it so.
+/// The largest absolute value of an amount; that of the platform's counter.
 pub const MAX_AMOUNT: f64 = 1e9;
-/// The shortest lifetime, seconds: the unit of the platform's calls.
+/// The shortest lifetime, seconds: one millisecond, the unit of the platform's calls.
 const MIN_LIFETIME: f64 = 0.001;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -18,16 +18,16 @@
 pub struct Add {
     /// The name of the total.
     pub name: Vec<u8>,
-    /// What is added; may be negative.
+    /// The amount to add; may be negative.
     pub amount: f64,
-    /// How long a new name lives, seconds.
+    /// Lifetime of the total if it is new, seconds.
     pub lifetime: f64,
-    /// The clock of the node that took the call, seconds since 1970.
+    /// Unix time at the node that received the call, seconds.
     pub time: f64,
 }
 
 impl Add {
-    /// Whether it is within the limits of a counter.
+    /// Whether name, amount, lifetime and time are within the limits of a counter.
     pub fn is_valid(&self) -> bool {
         (1..=MAX_NAME_BYTES).contains(&self.name.len())
             && self.amount.is_finite()
@@ -40,24 +40,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Total {
     value: f64,
-    /// Microseconds since 1970.
+    /// Unix time, microseconds.
     expires_at: u64,
 }
 
-/// Totals by name; a total that has expired is as if it had never been there.
+/// Totals by name. An expired total is indistinguishable from one that never existed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
     by_name: BTreeMap<Vec<u8>, Total>,
-    /// Names in the order in which they expire.
+    /// Expiry (Unix time, microseconds) and name of each total, in the order of expiry.
     by_expiry: BTreeSet<(u64, Vec<u8>)>,
-    /// The latest time of a command, microseconds since 1970; never runs back.
+    /// The latest time of any command, Unix time in microseconds; monotonic.
     now: u64,
 }
 
 impl Totals {
-    /// Applies a command: the total after it.
+    /// Applies a command and returns the total after it.
     pub fn add(&mut self, add: &Add) -> f64 {
-        // A clock that stepped back, or another node's that is behind, expires nothing sooner and nothing later.
+        // Monotonic: clocks that step back, or that differ between nodes, neither hasten nor delay an expiry.
         self.now = self.now.max(microseconds(add.time.max(0.0)));
         self.expire();
         let expires_at = self.now + microseconds(add.lifetime);
--- a/counter/tests/help/mod.rs
+++ b/counter/tests/help/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the counter share; each uses a part of it.
+//! Fixtures that the tests of the counter share; each test file uses a part of them.
 #![allow(dead_code)]
 use quillramp_counter::disk::{Directory, MemoryDisk};
 use quillramp_counter::log::{Entry, Log};
@@ -10,149 +10,166 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-pub fn add(name: &str, by: f64, at: f64) -> Add {
-    Add { name: name.into(), amount: by, lifetime: 60.0, time: at }
+pub fn add(name: &str, amount: f64, at: f64) -> Add {
+    Add { name: name.into(), amount, lifetime: 60.0, time: at }
 }
 
-pub fn entry(index: u64, by: f64) -> Entry<Add> {
-    Entry { index, term: 1, command: Some(add("a", by, 1000.0)) }
+pub fn entry(index: u64, amount: f64) -> Entry<Add> {
+    Entry { index, term: 1, command: Some(add("a", amount, 1000.0)) }
 }
 
 pub fn log(disk: MemoryDisk) -> Log<MemoryDisk> {
     Log::open::<quillramp_counter::totals::Totals, Add>(disk).expect("it opens").0
 }
 
-pub fn folder(name: &str) -> PathBuf {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("counter-{name}"));
-    let _ = std::fs::remove_dir_all(&folder);
-    folder
+pub fn directory(name: &str) -> PathBuf {
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("counter-{name}"));
+    let _ = std::fs::remove_dir_all(&directory);
+    directory
 }
 
-/// What came of a call: the total, that nothing was added, or that nobody knows.
+/// The outcome of a call as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Came {
+pub enum Outcome {
+    /// Committed; the total after it.
     Total(f64),
+    /// Nothing was added.
     Nothing,
+    /// The connection ended without a response.
     Unknown,
 }
 
-pub struct Caller {
-    at: SocketAddr,
-    link: Option<(TcpStream, BufReader<TcpStream>)>,
+/// A client with one connection, which it opens again after it ended.
+pub struct Client {
+    address: SocketAddr,
+    connection: Option<(TcpStream, BufReader<TcpStream>)>,
 }
 
-impl Caller {
-    pub fn new(at: SocketAddr) -> Caller {
-        Caller { at, link: None }
+impl Client {
+    pub fn new(address: SocketAddr) -> Client {
+        Client { address, connection: None }
     }
 
-    pub fn add(&mut self, name: &str, by: f64) -> Came {
+    pub fn add(&mut self, name: &str, amount: f64) -> Outcome {
         self.raw(&format!(
-            "POST /counters/{name}?by={by}&expire_ms=60000 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+            "POST /counters/{name}?by={amount}&expire_ms=60000 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
         ))
     }
 
-    pub fn raw(&mut self, call: &str) -> Came {
-        if self.link.is_none() {
-            let Ok(to) = TcpStream::connect_timeout(&self.at, Duration::from_millis(200)) else {
-                return Came::Nothing;
+    pub fn raw(&mut self, call: &str) -> Outcome {
+        if self.connection.is_none() {
+            let Ok(stream) = TcpStream::connect_timeout(&self.address, Duration::from_millis(200)) else {
+                return Outcome::Nothing;
             };
-            to.set_nodelay(true).expect("a socket");
-            to.set_read_timeout(Some(Duration::from_secs(3))).expect("a socket");
-            let from = BufReader::new(to.try_clone().expect("a second handle"));
-            self.link = Some((to, from));
+            stream.set_nodelay(true).expect("a socket");
+            stream.set_read_timeout(Some(Duration::from_secs(3))).expect("a socket");
+            let reader = BufReader::new(stream.try_clone().expect("a second handle"));
+            self.connection = Some((stream, reader));
         }
-        let (to, from) = self.link.as_mut().expect("just made");
-        let came = to.write_all(call.as_bytes()).and_then(|()| answer(from)).unwrap_or(Came::Unknown);
-        if came == Came::Unknown {
-            self.link = None;
+        let (stream, reader) = self.connection.as_mut().expect("just made");
+        let outcome = stream
+            .write_all(call.as_bytes())
+            .and_then(|()| read_response(reader))
+            .unwrap_or(Outcome::Unknown);
+        if outcome == Outcome::Unknown {
+            self.connection = None;
         }
-        came
+        outcome
     }
 }
 
-fn answer(from: &mut impl BufRead) -> std::io::Result<Came> {
+fn read_response(reader: &mut impl BufRead) -> std::io::Result<Outcome> {
     let mut line = String::new();
-    if from.read_line(&mut line)? == 0 {
-        return Ok(Came::Unknown);
+    if reader.read_line(&mut line)? == 0 {
+        return Ok(Outcome::Unknown);
     }
-    let status: u16 = line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+    let status: u16 = line.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
     let mut length = 0;
     loop {
         line.clear();
-        from.read_line(&mut line)?;
+        reader.read_line(&mut line)?;
         if line.trim().is_empty() {
             break;
         }
-        if let Some(n) = line.strip_prefix("Content-Length: ") {
-            length = n.trim().parse().unwrap_or(0);
+        if let Some(text) = line.strip_prefix("Content-Length: ") {
+            length = text.trim().parse().unwrap_or(0);
         }
     }
     let mut body = vec![0; length];
-    from.read_exact(&mut body)?;
+    reader.read_exact(&mut body)?;
     let total = String::from_utf8_lossy(&body).parse().ok();
     Ok(match (status, total) {
-        (200, Some(total)) => Came::Total(total),
-        (503 | 400, _) => Came::Nothing,
-        _ => Came::Unknown,
+        (200, Some(total)) => Outcome::Total(total),
+        (503 | 400, _) => Outcome::Nothing,
+        _ => Outcome::Unknown,
     })
 }
 
-/// Members on loopback, each with a folder of its own.
+/// Members on loopback, each with a directory of its own.
 pub struct Cluster {
-    pub members: BTreeMap<u64, SocketAddr>,
-    pub calls: BTreeMap<u64, SocketAddr>,
-    pub running: BTreeMap<u64, Server>,
+    /// Peer address of each member.
+    pub peer_addresses: BTreeMap<u64, SocketAddr>,
+    /// Client address of each member.
+    pub client_addresses: BTreeMap<u64, SocketAddr>,
+    pub servers: BTreeMap<u64, Server>,
     name: String,
 }
 
 impl Cluster {
     pub fn start(name: &str, number: u64) -> Cluster {
-        let (mut members, mut calls) = (BTreeMap::new(), BTreeMap::new());
-        let mut kept = vec![];
+        let mut peer_addresses = BTreeMap::new();
+        let mut client_addresses = BTreeMap::new();
+        let mut reserved = vec![];
         for id in 1..=number {
-            let (a, b) = (bound(), bound());
-            members.insert(id, a.local_addr().expect("an address"));
-            calls.insert(id, b.local_addr().expect("an address"));
-            kept.push((a, b));
+            let for_peers = any_port();
+            let for_clients = any_port();
+            peer_addresses.insert(id, for_peers.local_addr().expect("an address"));
+            client_addresses.insert(id, for_clients.local_addr().expect("an address"));
+            // All ports are reserved until each member has its own.
+            reserved.push((for_peers, for_clients));
         }
-        drop(kept);
-        let mut cluster = Cluster { members, calls, running: BTreeMap::new(), name: name.into() };
-        (1..=number).for_each(|id| drop(std::fs::remove_dir_all(cluster.folder(id))));
-        (1..=number).for_each(|id| cluster.up(id));
+        drop(reserved);
+        let mut cluster =
+            Cluster { peer_addresses, client_addresses, servers: BTreeMap::new(), name: name.into() };
+        (1..=number).for_each(|id| drop(std::fs::remove_dir_all(cluster.directory(id))));
+        (1..=number).for_each(|id| cluster.start_member(id));
         cluster
     }
 
-    pub fn folder(&self, id: u64) -> PathBuf {
+    pub fn directory(&self, id: u64) -> PathBuf {
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("counter-{}-{id}", self.name))
     }
 
-    pub fn up(&mut self, id: u64) {
-        let config =
-            ReplicaConfig { id, client_address: self.calls[&id], peer_addresses: self.members.clone() };
-        let disk = Directory::new(&self.folder(id)).expect("a folder");
-        let listeners = Listeners { clients: bind(self.calls[&id]), peers: bind(self.members[&id]) };
+    pub fn start_member(&mut self, id: u64) {
+        let config = ReplicaConfig {
+            id,
+            client_address: self.client_addresses[&id],
+            peer_addresses: self.peer_addresses.clone(),
+        };
+        let disk = Directory::new(&self.directory(id)).expect("a directory");
+        let listeners =
+            Listeners { clients: bind(self.client_addresses[&id]), peers: bind(self.peer_addresses[&id]) };
         let server = Server::start(disk, config, Timing::default(), listeners, 7 * id).expect("it starts");
-        self.running.insert(id, server);
+        self.servers.insert(id, server);
     }
 
-    pub fn down(&mut self, id: u64) {
-        drop(self.running.remove(&id));
+    pub fn stop_member(&mut self, id: u64) {
+        drop(self.servers.remove(&id));
     }
 
-    pub fn caller(&self, id: u64) -> Caller {
-        Caller::new(self.calls[&id])
+    pub fn client(&self, id: u64) -> Client {
+        Client::new(self.client_addresses[&id])
     }
 
-    /// Waits until a call at this member is answered with a total.
-    pub fn answers(&self, id: u64) -> f64 {
-        let mut caller = self.caller(id);
-        let from = Instant::now();
+    /// Waits until a call at a member is answered with a total.
+    pub fn wait_until_ready(&self, id: u64) -> f64 {
+        let mut client = self.client(id);
+        let began = Instant::now();
         loop {
-            if let Came::Total(total) = caller.add("ready", 0.0) {
+            if let Outcome::Total(total) = client.add("ready", 0.0) {
                 return total;
             }
-            assert!(from.elapsed() < Duration::from_secs(15), "member {id} answers no call");
+            assert!(began.elapsed() < Duration::from_secs(15), "member {id} answers no call");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -160,21 +177,21 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        self.running.clear();
-        self.members.keys().for_each(|id| drop(std::fs::remove_dir_all(self.folder(*id))));
+        self.servers.clear();
+        self.peer_addresses.keys().for_each(|id| drop(std::fs::remove_dir_all(self.directory(*id))));
     }
 }
 
-fn bound() -> TcpListener {
+fn any_port() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-fn bind(at: SocketAddr) -> TcpListener {
-    let from = Instant::now();
+fn bind(address: SocketAddr) -> TcpListener {
+    let began = Instant::now();
     loop {
-        match TcpListener::bind(at) {
+        match TcpListener::bind(address) {
             Ok(listener) => return listener,
-            Err(e) => assert!(from.elapsed() < Duration::from_secs(10), "{at}: {e}"),
+            Err(error) => assert!(began.elapsed() < Duration::from_secs(10), "{address}: {error}"),
         }
         std::thread::sleep(Duration::from_millis(10));
     }
--- a/counter/tests/log.rs
+++ b/counter/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log on a disk that dies: at each of its steps, with any part of what was not synced; torn, flipped and full.
+//! The log on a faulty disk: crashes at every step with any share of the unsynced bytes, flipped bits, and a full disk.
 use quillramp_counter::disk::{Disk, MemoryDisk};
 use quillramp_counter::log::{HardState, Log, LogPosition, Snapshot};
 use quillramp_counter::totals::{Add, Totals};
@@ -7,180 +7,202 @@
 mod help;
 use help::{add, entry, log};
 
-type Found = quillramp_counter::log::Recovered<Totals, Add>;
+type Recovered = quillramp_counter::log::Recovered<Totals, Add>;
 
-fn opened(disk: MemoryDisk) -> Result<(Log<MemoryDisk>, Found), Error> {
+fn open(disk: MemoryDisk) -> Result<(Log<MemoryDisk>, Recovered), Error> {
     Log::open::<Totals, Add>(disk)
 }
 
-/// A life of a log: entries in batches, a vow, a cut, snapshots. Tells `kept` what was promised after each flush.
-fn live(disk: MemoryDisk, mut kept: impl FnMut(u64, f64, HardState)) -> (Result<(), Error>, MemoryDisk) {
-    let (mut log, _) = match opened(disk.clone()) {
+/// What the log acknowledged with a flush.
+#[derive(Clone, Copy, Default)]
+struct Acknowledged {
+    last_index: u64,
+    hard_state: HardState,
+}
+
+/// Runs a workload on a log: batches of entries, a vote, snapshots. Reports to `acknowledge` what each flush made durable.
+fn run_workload(
+    disk: MemoryDisk,
+    mut acknowledge: impl FnMut(Acknowledged),
+) -> (Result<(), Error>, MemoryDisk) {
+    let (mut log, _) = match open(disk.clone()) {
         Ok(opened) => opened,
-        Err(e) => return (Err(e), disk),
+        Err(error) => return (Err(error), disk),
     };
     let mut totals = Totals::default();
-    let mut vow = HardState::default();
-    let mut all = vec![];
-    let mut done = || -> Result<(), Error> {
+    let mut hard_state = HardState::default();
+    let mut entries = vec![];
+    let mut workload = || -> Result<(), Error> {
         for batch in 0..6u64 {
             for i in 1..=3 {
-                let e = entry(3 * batch + i, 1.0);
-                log.entry(&e);
-                all.push(e);
+                let entry = entry(3 * batch + i, 1.0);
+                log.entry(&entry);
+                entries.push(entry);
             }
             if batch == 1 {
-                vow = HardState { term: 2, vote: Some(3) };
-                log.hard_state(vow);
+                hard_state = HardState { term: 2, vote: Some(3) };
+                log.hard_state(hard_state);
             }
             log.flush()?;
-            kept(3 * batch + 3, (3 * batch + 3) as f64, vow);
+            acknowledge(Acknowledged { last_index: 3 * batch + 3, hard_state });
             if batch == 2 || batch == 4 {
-                // A state up to two entries before the end: the rest goes into the new log.
-                let upto = 3 * batch + 1;
+                // The snapshot ends two entries before the log does: these go into the new log file.
+                let included = 3 * batch + 1;
                 totals = Totals::default();
-                all.iter().filter(|e| e.index <= upto).for_each(|e| {
-                    totals.add(e.command.as_ref().expect("one"));
+                entries.iter().filter(|entry| entry.index <= included).for_each(|entry| {
+                    totals.add(entry.command.as_ref().expect("one"));
                 });
-                let rest: Vec<_> = all.iter().filter(|e| e.index > upto).cloned().collect();
+                let following: Vec<_> =
+                    entries.iter().filter(|entry| entry.index > included).cloned().collect();
                 log.snapshot(
-                    &Snapshot { last_included: LogPosition { index: upto, term: 1 }, state: totals.clone() },
-                    vow,
-                    &rest,
+                    &Snapshot {
+                        last_included: LogPosition { index: included, term: 1 },
+                        state: totals.clone(),
+                    },
+                    hard_state,
+                    &following,
                 )?;
             }
         }
         Ok(())
     };
-    let result = done();
+    let result = workload();
     (result, log.into_disk())
 }
 
-/// The last entry and the total of what a log holds.
-fn holds(found: &Found) -> (u64, f64) {
-    let mut totals = found.snapshot.state.clone();
-    for e in &found.entries {
-        totals.add(e.command.as_ref().expect("a command"));
+/// The index of the last entry in a log, and the total after it.
+fn last_and_total(recovered: &Recovered) -> (u64, f64) {
+    let mut totals = recovered.snapshot.state.clone();
+    for entry in &recovered.entries {
+        totals.add(entry.command.as_ref().expect("a command"));
     }
-    let last = found.entries.last().map_or(found.snapshot.last_included.index, |e| e.index);
-    let total = totals.iter().next().map_or(0.0, |t| t.1);
+    let last = recovered.entries.last().map_or(recovered.snapshot.last_included.index, |entry| entry.index);
+    let total = totals.iter().next().map_or(0.0, |(_, total)| total);
     (last, total)
 }
 
 #[test]
-fn what_was_flushed_is_there_whichever_step_the_disk_dies_at() {
-    let (result, disk) = live(MemoryDisk::default(), |_, _, _| {});
+fn flushed_records_survive_a_crash_at_any_step() {
+    let (result, disk) = run_workload(MemoryDisk::default(), |_| {});
     result.expect("it lives");
     let steps = disk.steps();
     assert!(steps > 30, "{steps}");
-    let mut seen = 0;
-    for dies_at in 1..=steps {
-        for keeps in [0, 1, 100, 128, 200, 254, 255] {
-            let (mut promised, mut vowed) = ((0, 0.0), HardState::default());
-            let disk = MemoryDisk::failing_at(dies_at, keeps);
-            let (result, disk) = live(disk, |last, total, vow| (promised, vowed) = ((last, total), vow));
-            assert!(result.is_err(), "step {dies_at}");
-            let (log, found) =
-                opened(disk.after_crash()).unwrap_or_else(|e| panic!("step {dies_at}, {keeps}: {e}"));
-            let (last, total) = holds(&found);
-            assert!(last >= promised.0, "step {dies_at}, {keeps}: {last} of {}", promised.0);
-            assert_eq!(total, last as f64, "step {dies_at}, {keeps}: each entry once");
-            assert!(found.hard_state.term >= vowed.term, "step {dies_at}, {keeps}: {:?}", found.hard_state);
-            // It goes on from there, and is found again.
-            let mut log = log;
+    let mut crashes = 0;
+    for fails_at in 1..=steps {
+        for survivors in [0, 1, 100, 128, 200, 254, 255] {
+            let mut acknowledged = Acknowledged::default();
+            let disk = MemoryDisk::failing_at(fails_at, survivors);
+            let (result, disk) = run_workload(disk, |latest| acknowledged = latest);
+            assert!(result.is_err(), "step {fails_at}");
+            let (mut log, recovered) =
+                open(disk.after_crash()).unwrap_or_else(|e| panic!("step {fails_at}, {survivors}: {e}"));
+            let (last, total) = last_and_total(&recovered);
+            assert!(
+                last >= acknowledged.last_index,
+                "step {fails_at}, {survivors}: {last} of {}",
+                acknowledged.last_index
+            );
+            assert_eq!(total, last as f64, "step {fails_at}, {survivors}: each entry once");
+            assert!(
+                recovered.hard_state.term >= acknowledged.hard_state.term,
+                "step {fails_at}, {survivors}: {:?}",
+                recovered.hard_state
+            );
+            // The log can be written on, and is recovered again.
             log.entry(&entry(last + 1, 1.0));
             log.flush().expect("a disk that is well");
-            let (_, again) = opened(log.into_disk()).expect("it opens");
-            assert_eq!(holds(&again), (last + 1, total + 1.0), "step {dies_at}, {keeps}");
-            seen += 1;
+            let (_, again) = open(log.into_disk()).expect("it opens");
+            assert_eq!(last_and_total(&again), (last + 1, total + 1.0), "step {fails_at}, {survivors}");
+            crashes += 1;
         }
     }
-    assert!(seen > 200, "{seen}");
+    assert!(crashes > 200, "{crashes}");
 }
 
 #[test]
-fn a_flipped_bit_anywhere_but_in_the_last_write_is_told() {
-    let (result, disk) = live(MemoryDisk::default(), |_, _, _| {});
+fn a_flipped_bit_is_detected_except_in_the_last_write() {
+    let (result, disk) = run_workload(MemoryDisk::default(), |_| {});
     result.expect("it lives");
     let mut copy = disk.clone();
     let names = copy.names().expect("names");
-    let (mut told, mut dropped) = (0, 0);
+    let mut detected = 0;
+    let mut dropped = 0;
     for name in &names {
         let bits = disk.size(name) * 8;
         for bit in (0..bits).step_by(3) {
             let mut disk = disk.clone();
             disk.flip_bit(name, bit);
-            match opened(disk) {
+            match open(disk) {
                 Err(Error::Corrupt { file, .. }) => {
                     assert_eq!(&file, name);
-                    told += 1;
+                    detected += 1;
                 }
                 Err(e) => panic!("{e}"),
-                // Only the very last record can't be told from a write that was cut short.
-                Ok((_, found)) => {
+                // Damage to the very last record is indistinguishable from an unfinished write.
+                Ok((_, recovered)) => {
                     assert!(
-                        found.dropped_bytes > 0 && holds(&found).0 == 17,
+                        recovered.dropped_bytes > 0 && last_and_total(&recovered).0 == 17,
                         "{name}, bit {bit}: {:?}",
-                        holds(&found)
+                        last_and_total(&recovered)
                     );
                     dropped += 1;
                 }
             }
         }
     }
-    assert!(told > 5 * dropped && dropped > 0, "{told} {dropped}");
+    assert!(detected > 5 * dropped && dropped > 0, "{detected} {dropped}");
 }
 
 #[test]
-fn a_full_disk_is_an_error_and_what_was_there_stays() {
+fn a_full_disk_is_an_error_and_flushed_records_survive() {
     let mut small = MemoryDisk::default();
     small.capacity = Some(300);
     let mut log = log(small);
     let mut last = 0;
     let full = (1..100).find_map(|i| {
         log.entry(&entry(i, 1.0));
-        let done = log.flush();
-        last = if done.is_ok() { i } else { last };
-        done.err()
+        let flushed = log.flush();
+        last = if flushed.is_ok() { i } else { last };
+        flushed.err()
     });
     assert!(matches!(full, Some(Error::Io(e)) if e.kind() == std::io::ErrorKind::StorageFull));
     let mut disk = log.into_disk();
     disk.capacity = None;
-    let (_, found) = opened(disk).expect("it opens");
-    assert!(found.dropped_bytes > 0);
-    assert_eq!(holds(&found), (last, last as f64));
+    let (_, recovered) = open(disk).expect("it opens");
+    assert!(recovered.dropped_bytes > 0);
+    assert_eq!(last_and_total(&recovered), (last, last as f64));
 }
 
 #[test]
-fn cuts_and_gaps() {
-    let mut l = log(MemoryDisk::default());
-    (1..=5).for_each(|i| l.entry(&entry(i, 1.0)));
-    l.truncate_from(3);
-    l.entry(&entry(3, 10.0));
-    l.flush().expect("well");
-    let (_, found) = opened(l.into_disk()).expect("it opens");
-    assert_eq!(holds(&found), (3, 12.0));
-    let mut l = log(MemoryDisk::default());
-    l.entry(&entry(1, 1.0));
-    l.entry(&entry(3, 1.0));
-    l.flush().expect("well");
-    let gap = opened(l.into_disk()).err().expect("a gap");
+fn truncated_entries_are_dropped_and_gaps_are_errors() {
+    let mut log = help::log(MemoryDisk::default());
+    (1..=5).for_each(|i| log.entry(&entry(i, 1.0)));
+    log.truncate_from(3);
+    log.entry(&entry(3, 10.0));
+    log.flush().expect("well");
+    let (_, recovered) = open(log.into_disk()).expect("it opens");
+    assert_eq!(last_and_total(&recovered), (3, 12.0));
+    let mut log = help::log(MemoryDisk::default());
+    log.entry(&entry(1, 1.0));
+    log.entry(&entry(3, 1.0));
+    log.flush().expect("well");
+    let gap = open(log.into_disk()).err().expect("a gap");
     assert!(gap.to_string().contains("an entry is missing before it"), "{gap}");
 }
 
 #[test]
-fn totals_live_as_long_as_they_may_and_time_never_runs_back() {
-    let mut t = Totals::default();
+fn totals_expire_and_time_is_monotonic() {
+    let mut totals = Totals::default();
     let short = |by: f64, at: f64| Add { lifetime: 2.0, ..add("a", by, at) };
-    assert_eq!(t.add(&short(3.0, 100.0)), 3.0);
-    assert_eq!(t.add(&short(4.0, 101.9)), 7.0, "its life is its first call's");
-    assert_eq!(t.add(&short(1.0, 50.0)), 8.0, "a clock that stepped back");
-    assert_eq!(t.add(&short(1.0, 102.0)), 1.0, "forgotten");
-    t.add(&Add { lifetime: 60.0, ..add("b", 1.0, 102.0) });
-    t.add(&short(0.0, 161.9));
-    assert_eq!(t.len(), 2);
-    t.add(&short(0.0, 162.1));
-    assert_eq!(t.len(), 1);
+    assert_eq!(totals.add(&short(3.0, 100.0)), 3.0);
+    assert_eq!(totals.add(&short(4.0, 101.9)), 7.0, "its life is its first call's");
+    assert_eq!(totals.add(&short(1.0, 50.0)), 8.0, "a clock that stepped back");
+    assert_eq!(totals.add(&short(1.0, 102.0)), 1.0, "forgotten");
+    totals.add(&Add { lifetime: 60.0, ..add("b", 1.0, 102.0) });
+    totals.add(&short(0.0, 161.9));
+    assert_eq!(totals.len(), 2);
+    totals.add(&short(0.0, 162.1));
+    assert_eq!(totals.len(), 1);
     for bad in
         [add("", 1.0, 1.0), add(&"x".repeat(65), 1.0, 1.0), add("a", f64::NAN, 1.0), add("a", 2e9, 1.0)]
     {
