--- a/operator/src/admission.rs
+++ b/operator/src/admission.rs
@@ -1,55 +1,58 @@
-//! The section on admission of connections.
+//! The section `[admission]`: limits of connections.
 use crate::document::Section;
 use quillramp_admission::{Limits, Network};
 
-/// Descriptors that clients can't have: for backends, the counter, the list, operators and the process itself.
+/// File descriptors that are not for clients: those of backends, the counter, discovery, the admin interface and the process
+/// itself.
 const OTHER_DESCRIPTORS: usize = 64;
-/// Of the connections of an address, one in so many may be without a command, unless the file says otherwise.
+/// Default of `strangers`: one in so many connections of an address may be without a command.
 const CONNECTIONS_PER_STRANGER: usize = 4;
-/// Unanswered commands of an address for each of its connections, unless the file says otherwise.
+/// Default of `unfinished`: pending commands of an address for each of its connections.
 const UNFINISHED_PER_CONNECTION: usize = 4;
 
-/// What a number may be at the least, and is where the file does not say it.
+/// The range and the default of a number.
 struct Setting {
-    least: f64,
+    min: f64,
     default: f64,
 }
 
-/// New connections of an address a second.
-const RATE: Setting = Setting { least: 0.001, default: 50.0 };
-/// New connections of an address at once.
-const BURST: Setting = Setting { least: 1.0, default: 100.0 };
-/// Seconds for the first command.
-const FIRST_WORD: Setting = Setting { least: 0.05, default: 2.0 };
-/// Seconds that an address stays known.
-const KNOWN_FOR: Setting = Setting { least: 0.0, default: 600.0 };
+/// New connections of an address per second.
+const RATE: Setting = Setting { min: 0.001, default: 50.0 };
+/// New connections of an address in a burst.
+const BURST: Setting = Setting { min: 1.0, default: 100.0 };
+/// Time for the first command of a connection, seconds.
+const FIRST_COMMAND_TIMEOUT: Setting = Setting { min: 0.05, default: 2.0 };
+/// Time for which an address stays known, seconds.
+const KNOWN_FOR: Setting = Setting { min: 0.0, default: 600.0 };
 
-/// Reads the limits, for a gateway instance with so many descriptors, where that is known; none where something is wrong.
+/// Reads the limits; `descriptors` is the limit of file descriptors of a gateway instance, if it is known. None if `connections` is
+/// missing or invalid; faults are reported to the section's document.
 pub(crate) fn read(section: Section, descriptors: Option<usize>) -> Option<Limits> {
-    let most = descriptors.map_or(usize::MAX, |n| n.saturating_sub(OTHER_DESCRIPTORS).max(1));
+    let available =
+        descriptors.map_or(usize::MAX, |descriptors| descriptors.saturating_sub(OTHER_DESCRIPTORS).max(1));
     section.require(&["connections"]);
-    let connections = section.integer("connections", 1..=usize::MAX).map(|n| n.value);
-    if let (Some(found), Some(descriptors)) = (connections.filter(|n| *n > most), descriptors) {
+    let connections = section.integer("connections", 1..=usize::MAX).map(|integer| integer.value);
+    if let (Some(found), Some(descriptors)) = (connections.filter(|found| *found > available), descriptors) {
         let reason = format!("as {descriptors} descriptors are allowed and {OTHER_DESCRIPTORS} serve else");
-        section.report("connections", format!("expected 1 to {most}, {reason}, found {found}"));
+        section.report("connections", format!("expected 1 to {available}, {reason}, found {found}"));
     }
-    let all = connections.unwrap_or(most);
-    let reserve = section.integer("reserve", 0..=usize::MAX).map_or(0, |n| n.value);
-    if reserve >= all {
+    let connection_limit = connections.unwrap_or(available);
+    let reserve = section.integer("reserve", 0..=usize::MAX).map_or(0, |integer| integer.value);
+    if reserve >= connection_limit {
         section.report("reserve", "leaves no connection to others than the known");
     }
-    let per_address = count(&section, "per_address", all, all);
-    let unfinished = per_address.saturating_mul(UNFINISHED_PER_CONNECTION);
-    let strangers = (per_address / CONNECTIONS_PER_STRANGER).max(1);
+    let per_address = count(&section, "per_address", connection_limit, connection_limit);
+    let default_unfinished = per_address.saturating_mul(UNFINISHED_PER_CONNECTION);
+    let default_strangers = (per_address / CONNECTIONS_PER_STRANGER).max(1);
     let limits = Limits {
-        connections: all,
+        connections: connection_limit,
         reserve,
         per_address,
-        strangers: count(&section, "strangers", per_address, strangers),
-        unfinished: count(&section, "unfinished", usize::MAX, unfinished),
+        strangers: count(&section, "strangers", per_address, default_strangers),
+        unfinished: count(&section, "unfinished", usize::MAX, default_unfinished),
         rate: number(&section, "new_per_second", RATE),
         burst: number(&section, "burst", BURST),
-        first_word: number(&section, "first_word", FIRST_WORD),
+        first_word: number(&section, "first_word", FIRST_COMMAND_TIMEOUT),
         known_for: number(&section, "known_for", KNOWN_FOR),
         known: networks(&section),
     };
@@ -61,12 +64,12 @@
     connections.map(|_| limits)
 }
 
-fn count(section: &Section, key: &'static str, most: usize, default: usize) -> usize {
-    section.integer(key, 1..=most).map_or(default, |n| n.value)
+fn count(section: &Section, key: &'static str, max: usize, default: usize) -> usize {
+    section.integer(key, 1..=max).map_or(default, |integer| integer.value)
 }
 
 fn number(section: &Section, key: &'static str, setting: Setting) -> f64 {
-    section.number(key, setting.least..=f64::INFINITY).map_or(setting.default, |n| n.value)
+    section.number(key, setting.min..=f64::INFINITY).map_or(setting.default, |number| number.value)
 }
 
 fn networks(section: &Section) -> Vec<Network> {
--- a/operator/src/broker.rs
+++ b/operator/src/broker.rs
@@ -1,4 +1,4 @@
-//! The sections on the broker: its capacity, and the contracts.
+//! The sections `[broker]` (capacity) and `[[contract]]` (contracts between teams).
 use crate::document::{Choice, Document, Located, Section};
 use crate::routes::Platform;
 use quillramp_broker::budget::COUNT_LIFETIME_PERIODS;
@@ -6,40 +6,42 @@
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// How long the platform's counter lets a name live, seconds.
+/// Maximum lifetime of a name on the platform's counter, seconds.
 const COUNTER_LIFETIME: f64 = 60.0;
-/// Rates and bursts that a file may declare, units a second and units.
+/// Accepted rates (units per second) and bursts (units).
 const RATES: RangeInclusive<f64> = 0.001..=1e9;
-/// Weights that a file may declare.
+/// Accepted weights of contracts.
 const WEIGHTS: RangeInclusive<f64> = 0.001..=1e6;
-/// Units that a budget may have.
+/// Accepted units of a budget.
 const BUDGET_UNITS: RangeInclusive<f64> = 1.0..=1e15;
-/// Periods that a budget may have, seconds: up to a year.
+/// Accepted periods of a budget, seconds: up to a year.
 const BUDGET_PERIODS: RangeInclusive<f64> = 1.0..=3.2e7;
 
-const STRANGERS: [Choice<bool>; 2] =
-    [Choice { word: "pass", value: true }, Choice { word: "refuse", value: false }];
+/// What `strangers` may be: whether requests of customers without a team pass.
+const UNKNOWN_CUSTOMERS: [Choice<bool>; 2] =
+    [Choice { name: "pass", value: true }, Choice { name: "refuse", value: false }];
 
-/// What the file says of the broker.
+/// Settings of the broker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrokerSettings {
     /// The contracts between teams.
     pub contracts: Contracts,
-    /// Units a second of all gateway instances together.
+    /// Capacity of all gateway instances together, units per second.
     pub capacity: f64,
-    /// Requests of customers for whom no team speaks are taken as without a broker.
+    /// Whether requests of customers that no contract names pass as if there were no broker.
     pub strangers: bool,
 }
 
-/// What contracts are checked against.
+/// The facts against which contracts are checked.
 struct ContractCheck<'a> {
     document: &'a Document,
     platform: Option<&'a Platform>,
-    /// How long the counter lets a name live, seconds.
+    /// Maximum lifetime of a name on the counter, seconds.
     counter_lifetime: f64,
 }
 
-/// Reads the settings, where there is a section [broker].
+/// Reads the settings. None without a section `[broker]`, or if something in it or in a contract is invalid; faults are reported to
+/// the document. `counter_lifetime` is the maximum lifetime of a name on the counter, seconds.
 pub(crate) fn read(
     document: &Document,
     file: &Section,
@@ -55,7 +57,7 @@
     };
     section.require(&["capacity"]);
     let capacity = section.number("capacity", RATES).map(|capacity| capacity.value);
-    let strangers = section.choice("strangers", &STRANGERS).is_some_and(|choice| choice.value);
+    let strangers = section.choice("strangers", &UNKNOWN_CUSTOMERS).is_some_and(|choice| choice.value);
     section.finish();
     let check = ContractCheck { document, platform, counter_lifetime };
     let lines: Vec<usize> = sections.iter().map(|section| section.line).collect();
@@ -71,6 +73,7 @@
     }
 }
 
+/// Reports a conflict between contracts at the line of the later one.
 fn report_conflict(document: &Document, lines: &[usize], conflict: &Conflict) {
     let line = match conflict {
         Conflict::DuplicateVersion { second, .. } | Conflict::SharedCustomer { second, .. } => lines[*second],
@@ -80,7 +83,7 @@
 }
 
 impl ContractCheck<'_> {
-    /// Contracts without a section [broker] are wrong; what else is wrong with them is reported too.
+    /// Reports that contracts need a section `[broker]`, and all other faults in them.
     fn read_without_broker(&self, sections: Vec<Section>) {
         if let Some(first) = sections.first() {
             let message = "there is no section [broker] that would hold anybody to it";
@@ -97,7 +100,8 @@
         if team.as_ref().is_some_and(String::is_empty) {
             section.report("team", "expected a name");
         }
-        let version = section.integer("version", 1..=u32::MAX as usize).map_or(1, |n| n.value as u32);
+        let version =
+            section.integer("version", 1..=u32::MAX as usize).map_or(1, |version| version.value as u32);
         let valid_from = section.timestamp("from").map_or(0.0, |time| time.value);
         let valid_until = section.timestamp("until").map_or(f64::INFINITY, |time| time.value);
         if valid_until <= valid_from {
--- a/operator/src/counter.rs
+++ b/operator/src/counter.rs
@@ -1,24 +1,26 @@
-//! The section on the counter.
+//! The section `[counter]`.
 use crate::document::Section;
 use std::ops::RangeInclusive;
 
-/// Intervals of the membership, seconds: below, calls would take a notable part of one; above, absence would be noticed too late.
+/// Accepted membership intervals, seconds: in shorter ones the calls would take a notable part, in longer ones absence would be
+/// detected too late.
 const INTERVALS: RangeInclusive<f64> = 0.5..=10.0;
-/// How long a counter may let a name live, seconds: no shorter than the platform's.
+/// Accepted maximum lifetimes of a name on the counter, seconds: at least that of the platform's counter.
 const LIFETIMES: RangeInclusive<f64> = 60.0..=1e9;
 
-/// What the file says of the counter.
+/// Settings of the counter.
 #[derive(Default)]
 pub(crate) struct CounterSettings {
-    /// The interval of the membership, seconds.
+    /// Heartbeat interval of the membership, seconds; none: no membership.
     pub membership_interval: Option<f64>,
-    /// How long the counter lets a name live, seconds.
+    /// Maximum lifetime of a name on the counter, seconds.
     pub lifetime: Option<f64>,
 }
 
+/// Reads the settings; faults are reported to the section's document.
 pub(crate) fn read(section: Section) -> CounterSettings {
-    let membership_interval = section.number("presence", INTERVALS).map(|n| n.value);
-    let lifetime = section.number("longest_life", LIFETIMES).map(|n| n.value);
+    let membership_interval = section.number("presence", INTERVALS).map(|interval| interval.value);
+    let lifetime = section.number("longest_life", LIFETIMES).map(|lifetime| lifetime.value);
     section.finish();
     CounterSettings { membership_interval, lifetime }
 }
--- a/operator/src/document/diagnostic.rs
+++ b/operator/src/document/diagnostic.rs
@@ -1,14 +1,14 @@
-//! What is wrong with a file.
+//! Diagnostics about a file.
 
-/// One thing that is wrong with an operator's file.
+/// A fault in an operator's file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("line {line}: {}{message}", key_prefix(.key))]
 pub struct Diagnostic {
     /// The line, counted from 1.
     pub line: usize,
-    /// Where it stands in the file, as `class[2].attempts`; empty where the file as a whole can't be read.
+    /// Path of the key, such as `class[2].attempts`; empty if the file as a whole can't be read.
     pub key: String,
-    /// What is wrong.
+    /// The reason.
     pub message: String,
 }
 
--- a/operator/src/document/mod.rs
+++ b/operator/src/document/mod.rs
@@ -1,5 +1,5 @@
-//! Reads TOML by key, and collects all that is wrong with its line, its key and the reason. (serde ends at the first error;
-//! `toml_edit`, on which the `toml` crate stands, keeps where everything is.)
+//! Reads TOML key by key and collects every fault with its line, its key and the reason. (serde stops at the first error;
+//! `toml_edit`, on which the `toml` crate is built, keeps the position of every item.)
 mod diagnostic;
 mod section;
 mod timestamp;
@@ -13,15 +13,16 @@
 use std::ops::Range;
 use toml_edit::ImDocument;
 
-/// A file that is TOML, and what was found wrong with it.
+/// A parsed TOML file and the diagnostics that were reported for it.
 pub(crate) struct Document {
-    /// Where lines end, bytes.
+    /// Offsets of the line ends, bytes.
     line_ends: Vec<usize>,
     toml: ImDocument<String>,
     diagnostics: RefCell<Vec<Diagnostic>>,
 }
 
 impl Document {
+    /// Parses a file; the error is the syntax error, with its line.
     pub fn parse(text: &str) -> Result<Document, Vec<Diagnostic>> {
         let line_ends: Vec<usize> = text.match_indices('\n').map(|(offset, _)| offset).collect();
         let toml = ImDocument::parse(text.to_owned()).map_err(|error| {
@@ -32,18 +33,18 @@
         Ok(Document { line_ends, toml, diagnostics: RefCell::default() })
     }
 
-    /// The file as a section without a name.
+    /// The top level of the file, as a section without a name.
     pub fn root(&self) -> Section<'_> {
         Section::new(self, String::new(), self.toml.as_table(), 1)
     }
 
-    /// Something is wrong.
+    /// Adds a diagnostic.
     pub fn report(&self, line: usize, key: impl Into<String>, message: impl Into<String>) {
         let diagnostic = Diagnostic { line, key: key.into(), message: message.into() };
         self.diagnostics.borrow_mut().push(diagnostic);
     }
 
-    /// All that was found wrong, by line.
+    /// All diagnostics, by line.
     pub fn into_diagnostics(self) -> Vec<Diagnostic> {
         let mut diagnostics = self.diagnostics.into_inner();
         diagnostics.sort_by_key(|diagnostic| diagnostic.line);
@@ -55,7 +56,7 @@
     }
 }
 
-/// Lines are counted from 1.
+/// The line at an offset, counted from 1.
 fn line_at(line_ends: &[usize], offset: usize) -> usize {
     line_ends.partition_point(|end| *end < offset) + 1
 }
--- a/operator/src/document/section.rs
+++ b/operator/src/document/section.rs
@@ -1,4 +1,4 @@
-//! Tables of the file.
+//! Sections: tables of the file.
 use super::values::type_name;
 use super::Document;
 use std::cell::RefCell;
@@ -6,14 +6,15 @@
 use std::ops::Range;
 use toml_edit::{Item, TableLike, Value};
 
-/// A table of the file. Keys that are read are known; what else is there is reported by [`finish`](Section::finish).
+/// A table of the file. Every key that is read counts as known; [`finish`](Section::finish) reports all others.
 pub(crate) struct Section<'a> {
     pub(super) document: &'a Document,
-    /// Its key in the file, empty for the file itself.
+    /// Path of its key in the file; empty for the top level.
     path: String,
     pub(super) table: &'a dyn TableLike,
-    /// The line on which it begins.
+    /// The line on which it begins, counted from 1.
     pub line: usize,
+    /// Keys that were read.
     known_keys: RefCell<Vec<&'static str>>,
 }
 
@@ -27,12 +28,12 @@
         Section { document, path, table, line, known_keys: RefCell::default() }
     }
 
-    /// Something is wrong with the value of a key, or it is missing.
+    /// Adds a diagnostic about a key: its value is invalid, or it is missing.
     pub fn report(&self, key: &str, message: impl Into<String>) {
         self.document.report(self.line_of(key), self.path_of(key), message);
     }
 
-    /// Reports the keys that are missing.
+    /// Reports each of these keys that is missing.
     pub fn require(&self, keys: &[&str]) {
         for key in keys {
             if !self.contains(key) {
@@ -41,12 +42,12 @@
         }
     }
 
-    /// Whether a key is there.
+    /// Whether a key is present.
     pub fn contains(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
-    /// A table under a key.
+    /// The table under a key; none if it is missing, or if it is no table, which is reported.
     pub fn section(&self, key: &'static str) -> Option<Section<'a>> {
         let item = self.item(key)?;
         let path = self.path_of(key);
@@ -58,7 +59,7 @@
         Some(Section::new(self.document, path, table, line))
     }
 
-    /// The tables of a list of tables, in their order.
+    /// The tables of a list of tables, in order; empty if it is missing, or if it is no such list, which is reported.
     pub fn sections(&self, key: &'static str) -> Vec<Section<'a>> {
         let Some(item) = self.item(key) else { return vec![] };
         let Some(tables) = tables_of(item) else {
@@ -70,7 +71,7 @@
         tables.into_iter().enumerate().map(element).collect()
     }
 
-    /// All keys that it may have were read: reports what else is there.
+    /// Reports unknown keys. To be called once all keys that the section may have were read.
     pub fn finish(self) {
         let known: BTreeSet<&str> = self.known_keys.borrow().iter().copied().collect();
         let quoted: Vec<String> = known.iter().map(|key| format!("'{key}'")).collect();
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The line of a key, or of the section where the key is missing.
+    /// The line of a key, or of the section if the key is missing.
     pub fn line_of(&self, key: &str) -> usize {
         let entry = self.table.get_key_value(key);
         let span = entry.and_then(|(key, item)| key.span().or(item.span()));
@@ -94,7 +95,7 @@
         self.table.get(key)
     }
 
-    /// A key with the path of the section before it.
+    /// The full path of a key.
     pub(super) fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
--- a/operator/src/document/timestamp.rs
+++ b/operator/src/document/timestamp.rs
@@ -1,13 +1,14 @@
-//! Dates of the file.
+//! Dates as Unix time.
 use time::{Date, Month, PrimitiveDateTime, Time};
 use toml_edit::{Datetime, Offset};
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
-/// Unix seconds; none without a date, a time and an offset, or where there is no such day.
+/// A date as Unix seconds; none if it lacks a date, a time or an offset, or if there is no such day.
 pub(super) fn unix_seconds(datetime: &Datetime) -> Option<f64> {
-    let (date, time) = (datetime.date?, datetime.time?);
+    let date = datetime.date?;
+    let time = datetime.time?;
     let offset_minutes = match datetime.offset? {
         Offset::Z => 0,
         Offset::Custom { minutes } => minutes,
--- a/operator/src/document/values.rs
+++ b/operator/src/document/values.rs
@@ -1,10 +1,10 @@
-//! Values of the file.
+//! Typed access to the values of a section. All accessors return none if the key is missing, and report values of another type.
 use super::timestamp::unix_seconds;
 use super::Section;
 use std::ops::RangeInclusive;
 use toml_edit::{Array, Item, Value};
 
-/// Hexadecimal digits of a customer.
+/// Hexadecimal digits of a customer's id.
 const CUSTOMER_DIGITS: usize = 16;
 
 /// A value with the line on which it stands.
@@ -16,21 +16,23 @@
     pub line: usize,
 }
 
-/// A word that a key may have, and what it stands for.
+/// One of the names that a key accepts, with the value it stands for.
 pub(crate) struct Choice<T> {
-    pub word: &'static str,
+    /// The name in the file.
+    pub name: &'static str,
+    /// The value.
     pub value: T,
 }
 
 impl Section<'_> {
-    /// A number within these bounds.
+    /// A finite number within bounds.
     pub fn number(&self, key: &'static str, bounds: RangeInclusive<f64>) -> Option<Located<f64>> {
         let number = |value: &Value| value.as_float().or(value.as_integer().map(|integer| integer as f64));
         let found = self.value(key, "a number", number)?;
         if !bounds.contains(&found.value) {
-            let (least, most) = (bounds.start(), bounds.end());
-            let expected =
-                if most.is_finite() { format!("{least} to {most}") } else { format!("{least} or more") };
+            let min = bounds.start();
+            let max = bounds.end();
+            let expected = if max.is_finite() { format!("{min} to {max}") } else { format!("{min} or more") };
             self.report(key, format!("expected {expected}, found {}", found.value));
             return None;
         }
@@ -41,20 +43,21 @@
         Some(found)
     }
 
-    /// A whole number within these bounds.
+    /// An integer within bounds.
     pub fn integer(&self, key: &'static str, bounds: RangeInclusive<usize>) -> Option<Located<usize>> {
         let found = self.value(key, "a whole number", Value::as_integer)?;
         let value = usize::try_from(found.value).ok().filter(|value| bounds.contains(value));
         if value.is_none() {
-            let (least, most) = (bounds.start(), bounds.end());
+            let min = bounds.start();
+            let max = bounds.end();
             let expected =
-                if *most == usize::MAX { format!("{least} or more") } else { format!("{least} to {most}") };
+                if *max == usize::MAX { format!("{min} or more") } else { format!("{min} to {max}") };
             self.report(key, format!("expected {expected}, found {}", found.value));
         }
         value.map(|value| Located { value, line: found.line })
     }
 
-    /// True or false.
+    /// A boolean.
     pub fn boolean(&self, key: &'static str) -> Option<Located<bool>> {
         self.value(key, "true or false", Value::as_bool)
     }
@@ -64,42 +67,42 @@
         self.value(key, "a text in quotes", |value| value.as_str().map(str::to_owned))
     }
 
-    /// One of these words.
+    /// The value of one of several names.
     pub fn choice<T: Copy>(&self, key: &'static str, choices: &[Choice<T>]) -> Option<Located<T>> {
         let found = self.string(key)?;
-        let Some(choice) = choices.iter().find(|choice| choice.word == found.value) else {
-            let words: Vec<String> = choices.iter().map(|choice| format!("'{}'", choice.word)).collect();
-            self.report(key, format!("expected {}, found '{}'", words.join(" or "), found.value));
+        let Some(choice) = choices.iter().find(|choice| choice.name == found.value) else {
+            let names: Vec<String> = choices.iter().map(|choice| format!("'{}'", choice.name)).collect();
+            self.report(key, format!("expected {}, found '{}'", names.join(" or "), found.value));
             return None;
         };
         Some(Located { value: choice.value, line: found.line })
     }
 
-    /// A date with its time and its offset, as Unix seconds.
+    /// A date with time and offset, as Unix seconds.
     pub fn timestamp(&self, key: &'static str) -> Option<Located<f64>> {
         let expected = "a date with time and offset, 2026-12-01T00:00:00Z";
         self.value(key, expected, |value| unix_seconds(value.as_datetime()?))
     }
 
-    /// A list of strings; none where the key is missing or something else stands there.
+    /// A list of strings; none if the key is missing, or if an element is no string.
     pub fn strings(&self, key: &'static str) -> Option<Vec<Located<String>>> {
         let item = self.item(key)?;
         let Some(array) = item.as_array() else {
             self.report(key, format!("expected a list of texts, found {}", type_name(item)));
             return None;
         };
-        // All that are no strings are reported, not only the first.
+        // Every element that is no string is reported, not only the first.
         let strings: Vec<Option<Located<String>>> =
             array.iter().enumerate().map(|(index, value)| self.string_at(key, index, value)).collect();
         strings.into_iter().collect()
     }
 
-    /// Whether a list stands under a key, and nothing in it.
+    /// Whether the value of a key is an empty list.
     pub fn is_empty_list(&self, key: &str) -> bool {
         self.table.get(key).and_then(Item::as_array).is_some_and(Array::is_empty)
     }
 
-    /// A list of customers, as 16 hexadecimal digits each; those that are none are reported and left out.
+    /// A list of customer ids, 16 hexadecimal digits each; invalid ones are reported and left out.
     pub fn customers(&self, key: &'static str) -> Vec<u64> {
         let mut customers = vec![];
         for text in self.strings(key).unwrap_or_default() {
@@ -148,7 +151,7 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// What stands there, in words.
+/// The type of an item, as diagnostics name it.
 pub(super) fn type_name(item: &Item) -> &'static str {
     match item {
         Item::Value(Value::String(_)) => "a text",
--- a/operator/src/identity.rs
+++ b/operator/src/identity.rs
@@ -1,26 +1,31 @@
-//! The section on who callers are.
+//! The section `[identity]`: against what the tokens of callers are checked.
 use crate::document::{Choice, Section};
 use quillramp_identity::{Key, SignatureAlgorithm, Trust};
 use std::ops::RangeInclusive;
 
-/// Seconds that clocks may differ, and what it is where the file does not say it: clocks that are kept by NTP differ by less.
+/// Accepted tolerances for clock skew, seconds.
 const LEEWAYS: RangeInclusive<f64> = 0.0..=60.0;
+/// Default tolerance for clock skew, seconds: clocks that NTP keeps differ by less.
 const DEFAULT_LEEWAY: f64 = 2.0;
-/// Seconds that a token may be valid for, and what it is where the file does not say it.
+/// Accepted maximum lifetimes of a token, seconds.
 const MAX_LIFETIMES: RangeInclusive<f64> = 1.0..=1e7;
+/// Default maximum lifetime of a token, seconds.
 const DEFAULT_MAX_LIFETIME: f64 = 3600.0;
 
+/// The signature algorithms by their names in the file.
 const ALGORITHMS: [Choice<SignatureAlgorithm>; 2] = [
-    Choice { word: "EdDSA", value: SignatureAlgorithm::EdDsa },
-    Choice { word: "ES256", value: SignatureAlgorithm::Es256 },
+    Choice { name: "EdDSA", value: SignatureAlgorithm::EdDsa },
+    Choice { name: "ES256", value: SignatureAlgorithm::Es256 },
 ];
 
-/// Reads what tokens are checked against; none where a name is missing.
+/// Reads the issuer, the keys and the rules for tokens. None if `issuer` or `audience` is missing; faults are reported to the
+/// section's document.
 pub(crate) fn read(section: Section) -> Option<Trust> {
     let issuer = read_name(&section, "issuer");
     let audience = read_name(&section, "audience");
-    let leeway = section.number("leeway", LEEWAYS).map_or(DEFAULT_LEEWAY, |n| n.value);
-    let max_lifetime = section.number("longest", MAX_LIFETIMES).map_or(DEFAULT_MAX_LIFETIME, |n| n.value);
+    let leeway = section.number("leeway", LEEWAYS).map_or(DEFAULT_LEEWAY, |leeway| leeway.value);
+    let max_lifetime =
+        section.number("longest", MAX_LIFETIMES).map_or(DEFAULT_MAX_LIFETIME, |lifetime| lifetime.value);
     let single_use = section.boolean("once").is_some_and(|once| once.value);
     let revoked = section.strings("revoked").unwrap_or_default();
     let revoked = revoked.into_iter().map(|name| name.value).collect();
@@ -62,13 +67,20 @@
 fn read_key(section: &Section) -> Option<Key> {
     section.require(&["id", "signs", "x"]);
     let id = section.string("id");
-    let x = section.string("x");
-    let y = section.string("y").map(|y| y.value).unwrap_or_default();
+    let x_coordinate = section.string("x");
+    let y_coordinate = section.string("y").map(|coordinate| coordinate.value).unwrap_or_default();
     let algorithm = section.choice("signs", &ALGORITHMS);
     let valid_from = section.timestamp("from").map_or(0.0, |time| time.value);
     let valid_until = section.timestamp("until").map_or(f64::INFINITY, |time| time.value);
     if valid_until <= valid_from {
         section.report("until", "it ends before it begins");
     }
-    Some(Key { id: id?.value, algorithm: algorithm?.value, x: x?.value, y, valid_from, valid_until })
+    Some(Key {
+        id: id?.value,
+        algorithm: algorithm?.value,
+        x: x_coordinate?.value,
+        y: y_coordinate,
+        valid_from,
+        valid_until,
+    })
 }
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operator's file: one TOML file with a section for each part that is switched on. A part without a section is as it is without the
-//! file. Reading touches nothing: text in, plain limits or all that is wrong out.
+//! The operator's file: one TOML file with a section for each optional part. A part without a section keeps its default behavior.
+//! The parser is a pure function from the text to the settings, or to the complete list of faults.
 #![warn(missing_docs)]
 mod admission;
 pub mod broker;
@@ -23,24 +23,24 @@
 /// The longest file, bytes.
 pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 
-/// What the file switches on.
+/// The settings of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// Limits of connections.
+    /// Limits of connections; none: no admission control.
     pub admission: Option<Limits>,
-    /// The log.
+    /// Settings of the log; none: the defaults.
     pub log: Option<LogSettings>,
     /// Limits of requests.
     pub routes: Routes,
-    /// The interval of the membership on the counter, seconds.
+    /// Heartbeat interval of the membership on the counter, seconds; none: no membership.
     pub presence: Option<f64>,
-    /// Contracts between teams.
+    /// Contracts between teams; none: no broker.
     pub broker: Option<BrokerSettings>,
-    /// What callers' tokens are checked against.
+    /// Issuer, keys and rules for the tokens of callers; none: callers need no token.
     pub identity: Option<Trust>,
 }
 
-/// Reads a file, for a platform where that is known; or says all that is wrong.
+/// Reads a file and checks it, against a platform's configuration if it is given. The error has all faults, by line.
 pub fn read(text: &str, platform: Option<&Platform>) -> Result<OperatorSettings, Vec<Diagnostic>> {
     if text.len() > MAX_FILE_BYTES {
         let message = format!("the file has {} bytes, {MAX_FILE_BYTES} at the most", text.len());
--- a/operator/src/log.rs
+++ b/operator/src/log.rs
@@ -1,7 +1,7 @@
-//! The section on the log: its format, and which lines it has.
+//! The section `[log]`: format and levels of log lines.
 use crate::document::{Choice, Section};
 
-/// How a line is written.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Format {
     /// Time, level, text.
@@ -13,7 +13,7 @@
     Json,
 }
 
-/// The lowest level of lines.
+/// The least severe level of lines that are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
     /// No lines.
@@ -22,9 +22,9 @@
     Error,
     /// Warnings.
     Warn,
-    /// What happens.
+    /// Events of normal operation.
     Info,
-    /// What is of use in looking for a fault.
+    /// Details that help to find a fault.
     Debug,
     /// Everything.
     Trace,
@@ -44,35 +44,37 @@
     }
 }
 
-/// A level for the lines of some modules.
+/// The level of the lines of some modules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LevelRule {
-    /// The beginning of the modules' paths; empty: all modules of ours.
+    /// Prefix of the modules' paths; empty: all modules of the project.
     pub prefix: String,
-    /// The lowest level of their lines.
+    /// The least severe level that they log.
     pub level: Level,
 }
 
-/// What the file says of the log.
+/// Settings of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogSettings {
-    /// How a line is written.
+    /// Format of the lines.
     pub format: Format,
-    /// Levels; of several that match a module the one with the longest prefix holds. Empty: as without the file.
+    /// Levels by module; the rule with the longest matching prefix applies. Empty: the default levels.
     pub levels: Vec<LevelRule>,
 }
 
+/// The formats by their names in the file.
 const FORMATS: [Choice<Format>; 3] = [
-    Choice { word: "plain", value: Format::Plain },
-    Choice { word: "key-value", value: Format::KeyValue },
-    Choice { word: "json", value: Format::Json },
+    Choice { name: "plain", value: Format::Plain },
+    Choice { name: "key-value", value: Format::KeyValue },
+    Choice { name: "json", value: Format::Json },
 ];
 
 const LEVELS: [Level; 6] = [Level::Off, Level::Error, Level::Warn, Level::Info, Level::Debug, Level::Trace];
 
-/// What can't be in a prefix: it separates the rules of a filter.
+/// Characters that a prefix may not contain, because they separate the rules of a filter.
 const SEPARATORS: [char; 3] = [',', '=', ' '];
 
+/// Reads the settings; faults are reported to the section's document.
 pub(crate) fn read(section: Section) -> LogSettings {
     let format = section.choice("form", &FORMATS).map(|format| format.value).unwrap_or_default();
     let mut levels = vec![];
@@ -91,7 +93,8 @@
     let prefix = section.string("from");
     let level = read_level(section);
     section.require(&["from", "level"]);
-    let (prefix, level) = (prefix?.value, level?);
+    let prefix = prefix?.value;
+    let level = level?;
     if prefix.is_empty() || prefix.contains(SEPARATORS) {
         section.report("from", format!("'{prefix}': expected the beginning of where lines come from"));
     }
@@ -99,6 +102,6 @@
 }
 
 fn read_level(section: &Section) -> Option<Level> {
-    let choices = LEVELS.map(|level| Choice { word: level.name(), value: level });
+    let choices = LEVELS.map(|level| Choice { name: level.name(), value: level });
     section.choice("level", &choices).map(|level| level.value)
 }
--- a/operator/src/routes/check.rs
+++ b/operator/src/routes/check.rs
@@ -1,38 +1,42 @@
-//! A class against the rules, for an operation that is routed to it.
+//! Checks of a class against the retry rules and the platform's configuration, for an operation that is routed to it.
 use super::class::value_or;
 use super::platform::group_name;
 use super::{Class, Operation, Platform};
 use crate::document::Document;
 use quillramp::types::{Idempotency, KeyScope};
 
-/// A class that a route leads an operation to.
+/// The check of one class for one operation.
 pub(super) struct ClassCheck<'a> {
+    /// Takes the diagnostics.
     pub document: &'a Document,
+    /// The class to check.
     pub class: &'a Class,
-    /// The line of the route.
+    /// The line of the first route that leads to it.
     pub route_line: usize,
+    /// The operation that is routed to it.
     pub operation: &'a Operation,
+    /// The configuration that it may only narrow.
     pub platform: &'a Platform,
 }
 
 impl ClassCheck<'_> {
-    /// Reports all that the rules or the platform's configuration do not allow.
+    /// Reports every limit that the retry rules or the platform's configuration do not allow.
     pub fn run(&self) {
         self.check_attempts();
-        self.check_second_copies();
-        self.check_per_try_effect();
+        self.check_hedging();
+        self.check_attempt_timeout_allowed();
         match self.operation.effect {
-            Idempotency::Keyed { scope: group, window } => self.check_tokened_repeats(group, window),
-            Idempotency::NonIdempotent => self.check_no_repeats(),
-            Idempotency::Idempotent => self.check_idempotent_repeats(),
+            Idempotency::Keyed { scope, window } => self.check_keyed_retries(scope, window),
+            Idempotency::NonIdempotent => self.check_no_retries(),
+            Idempotency::Idempotent => self.check_idempotent_retries(),
         }
         self.check_timeout();
         self.check_objective();
-        self.check_per_try_time();
+        self.check_attempt_timeout_length();
     }
 
     fn check_attempts(&self) {
-        let Some(attempts) = self.class.attempts.as_ref().filter(|attempts| attempts.value > 1) else {
+        let Some(attempts) = self.class.max_attempts.as_ref().filter(|attempts| attempts.value > 1) else {
             return;
         };
         if self.operation.effect == Idempotency::NonIdempotent {
@@ -47,8 +51,8 @@
         }
     }
 
-    fn check_second_copies(&self) {
-        let Some(copies) = self.class.second_copies.as_ref().filter(|copies| copies.value) else { return };
+    fn check_hedging(&self) {
+        let Some(hedging) = self.class.hedging.as_ref().filter(|hedging| hedging.value) else { return };
         let name = &self.operation.name;
         let message = match self.operation.effect {
             Idempotency::NonIdempotent => {
@@ -58,50 +62,51 @@
             Idempotency::Idempotent if self.platform.second_copies => return,
             Idempotency::Idempotent => "the configuration allows none".into(),
         };
-        self.report(copies.line, "second_copies", &message);
+        self.report(hedging.line, "second_copies", &message);
     }
 
-    fn check_per_try_effect(&self) {
-        let Some(per_try) = &self.class.per_try else { return };
+    fn check_attempt_timeout_allowed(&self) {
+        let Some(attempt_timeout) = &self.class.attempt_timeout else { return };
         if self.operation.effect != Idempotency::Idempotent {
             let name = &self.operation.name;
             let message = format!(
                 "'{name}' is not idempotent: a delivery of it that is out is not given up for another"
             );
-            self.report(per_try.line, "per_try", &message);
+            self.report(attempt_timeout.line, "per_try", &message);
         }
     }
 
-    fn check_tokened_repeats(&self, group: KeyScope, window: f64) {
+    fn check_keyed_retries(&self, scope: KeyScope, window: f64) {
         let name = &self.operation.name;
-        if let Some(within) = self.class.repeat_within.as_ref().filter(|within| within.value > window) {
+        if let Some(within) = self.class.retry_window.as_ref().filter(|within| within.value > window) {
             let message =
                 format!("the token of '{name}' is remembered for {window} s, not for {} s", within.value);
             self.report(within.line, "repeat_within", &message);
         }
-        if let Some(declared) = self.class.repeat_group.as_ref().filter(|declared| declared.value != group) {
-            let (own, other) = (group_name(group), group_name(declared.value));
+        if let Some(declared) = self.class.key_scope.as_ref().filter(|declared| declared.value != scope) {
+            let actual = group_name(scope);
+            let other = group_name(declared.value);
             let message = format!(
-                "a repeat of '{name}' is known within its own group, which is '{own}', not '{other}'"
+                "a repeat of '{name}' is known within its own group, which is '{actual}', not '{other}'"
             );
             self.report(declared.line, "repeat_group", &message);
         }
     }
 
-    fn check_no_repeats(&self) {
+    fn check_no_retries(&self) {
         let message = format!("'{}' is non-idempotent: it has no repeats", self.operation.name);
-        if let Some(within) = &self.class.repeat_within {
+        if let Some(within) = &self.class.retry_window {
             self.report(within.line, "repeat_within", &message);
         }
-        if let Some(group) = &self.class.repeat_group {
-            self.report(group.line, "repeat_group", &message);
+        if let Some(scope) = &self.class.key_scope {
+            self.report(scope.line, "repeat_group", &message);
         }
     }
 
-    fn check_idempotent_repeats(&self) {
-        if let Some(group) = &self.class.repeat_group {
+    fn check_idempotent_retries(&self) {
+        if let Some(scope) = &self.class.key_scope {
             let message = format!("'{}' is idempotent: its repeats may go anywhere", self.operation.name);
-            self.report(group.line, "repeat_group", &message);
+            self.report(scope.line, "repeat_group", &message);
         }
     }
 
@@ -116,7 +121,7 @@
     }
 
     fn check_objective(&self) {
-        let Some(objective) = &self.class.objective else { return };
+        let Some(objective) = &self.class.latency_objective else { return };
         let Operation { name, objective: longest, .. } = self.operation;
         let timeout = self.timeout();
         if objective.value > *longest {
@@ -129,34 +134,36 @@
         }
     }
 
-    fn check_per_try_time(&self) {
-        let Some(per_try) = &self.class.per_try else { return };
+    fn check_attempt_timeout_length(&self) {
+        let Some(attempt_timeout) = &self.class.attempt_timeout else { return };
         if self.operation.effect != Idempotency::Idempotent {
             return;
         }
-        let (name, timeout) = (&self.operation.name, self.timeout());
-        let attempts = value_or(&self.class.attempts, usize::MAX).min(self.platform.attempts);
-        let is_declared = self.class.attempts.is_some();
-        if attempts > 1 && per_try.value >= timeout {
+        let name = &self.operation.name;
+        let timeout = self.timeout();
+        let attempts = value_or(&self.class.max_attempts, usize::MAX).min(self.platform.attempts);
+        let is_declared = self.class.max_attempts.is_some();
+        if attempts > 1 && attempt_timeout.value >= timeout {
             let message = format!(
                 "{} s leaves no time for another try before clients of '{name}' give up at {timeout} s",
-                per_try.value
+                attempt_timeout.value
             );
-            self.report(per_try.line, "per_try", &message);
-        } else if is_declared && per_try.value * attempts as f64 > timeout {
+            self.report(attempt_timeout.line, "per_try", &message);
+        } else if is_declared && attempt_timeout.value * attempts as f64 > timeout {
             let message = format!(
                 "{attempts} attempts of {} s cannot end before clients of '{name}' give up at {timeout} s",
-                per_try.value
+                attempt_timeout.value
             );
-            self.report(per_try.line, "per_try", &message);
+            self.report(attempt_timeout.line, "per_try", &message);
         }
     }
 
-    /// The longest that a request is worked on, seconds.
+    /// Time after which a request gets its final answer, seconds.
     fn timeout(&self) -> f64 {
         value_or(&self.class.timeout, f64::INFINITY).min(self.operation.timeout)
     }
 
+    /// Reports a limit of the class.
     fn report(&self, line: usize, key: &str, message: &str) {
         let key = format!("class '{}'.{key}", self.class.name);
         let message = format!("{message} (by the route on line {})", self.route_line);
--- a/operator/src/routes/class.rs
+++ b/operator/src/routes/class.rs
@@ -1,57 +1,58 @@
-//! Classes of limits.
+//! The sections `[[class]]`: named sets of request limits.
 use crate::document::{Choice, Located, Section};
 use quillramp::types::{KeyScope, RequestLimits};
 use std::collections::BTreeMap;
 
-/// The most attempts that a file may declare.
+/// The most attempts that a class may declare.
 const MAX_ATTEMPTS: usize = 32;
-/// The shortest time that a file may declare, seconds.
+/// The shortest time that a class may declare, seconds.
 const MIN_SECONDS: f64 = 0.001;
-/// The longest time that a file may declare, seconds.
+/// The longest time that a class may declare, seconds.
 const MAX_SECONDS: f64 = 600.0;
 
-/// Limits for the requests that are routed to it. What is left out is as without the file. Times are seconds.
+/// Limits of the requests that are routed to it. Limits that are none are those of the platform's configuration. Times are seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Its name, which routes refer to.
+    /// The name by which routes refer to it.
     pub name: String,
-    /// The line on which it begins.
+    /// The line on which it begins, counted from 1.
     pub line: usize,
-    /// Attempts of a request, the first one included.
-    pub attempts: Option<Located<usize>>,
-    /// A second attempt may be out beside the first.
-    pub second_copies: Option<Located<bool>>,
-    /// An attempt that is out for longer is given up.
-    pub per_try: Option<Located<f64>>,
+    /// The most attempts of a request, the first one included.
+    pub max_attempts: Option<Located<usize>>,
+    /// Whether a hedged request may be sent while the first attempt is in flight.
+    pub hedging: Option<Located<bool>>,
+    /// Time after which an attempt in flight is abandoned.
+    pub attempt_timeout: Option<Located<f64>>,
     /// The latency objective.
-    pub objective: Option<Located<f64>>,
-    /// The longest that a request is worked on.
+    pub latency_objective: Option<Located<f64>>,
+    /// Time after which a request gets its final answer.
     pub timeout: Option<Located<f64>>,
-    /// A request is repeated within this time of its first attempt.
-    pub repeat_within: Option<Located<f64>>,
-    /// The group of backends in which a repeat is known.
-    pub repeat_group: Option<Located<KeyScope>>,
+    /// Time after the first attempt within which a request may be retried.
+    pub retry_window: Option<Located<f64>>,
+    /// The group of backends in which an idempotency key is known.
+    pub key_scope: Option<Located<KeyScope>>,
 }
 
 impl Class {
-    /// The class as `quillramp::decide` takes it.
-    pub fn declared(&self) -> RequestLimits {
+    /// The limits in the form that the policy engine takes.
+    pub fn limits(&self) -> RequestLimits {
         let default = RequestLimits::default();
         RequestLimits {
-            max_attempts: value_or(&self.attempts, default.max_attempts),
-            hedging: value_or(&self.second_copies, default.hedging),
-            attempt_timeout: value_or(&self.per_try, default.attempt_timeout),
-            latency_objective: value_or(&self.objective, default.latency_objective),
-            retry_window: value_or(&self.repeat_within, default.retry_window),
+            max_attempts: value_or(&self.max_attempts, default.max_attempts),
+            hedging: value_or(&self.hedging, default.hedging),
+            attempt_timeout: value_or(&self.attempt_timeout, default.attempt_timeout),
+            latency_objective: value_or(&self.latency_objective, default.latency_objective),
+            retry_window: value_or(&self.retry_window, default.retry_window),
         }
     }
 }
 
+/// The value of a limit, or a default if it is not declared.
 pub(crate) fn value_or<T: Copy>(located: &Option<Located<T>>, default: T) -> T {
     located.as_ref().map_or(default, |located| located.value)
 }
 
-/// Reads all classes.
+/// Reads all classes; faults are reported to the document.
 pub(super) fn read_all(file: &Section) -> Vec<Class> {
     let mut classes: Vec<Class> = vec![];
     let mut lines: BTreeMap<String, usize> = BTreeMap::new();
@@ -66,39 +67,39 @@
 
 fn read(section: &Section) -> Class {
     let seconds = |key: &'static str| section.number(key, MIN_SECONDS..=MAX_SECONDS);
-    let groups = [
-        Choice { word: "all", value: KeyScope::All },
-        Choice { word: "zone", value: KeyScope::Zone },
-        Choice { word: "cell", value: KeyScope::Cell },
+    let scopes = [
+        Choice { name: "all", value: KeyScope::All },
+        Choice { name: "zone", value: KeyScope::Zone },
+        Choice { name: "cell", value: KeyScope::Cell },
     ];
     let class = Class {
         name: section.string("name").map(|name| name.value).unwrap_or_default(),
         line: section.line,
-        attempts: section.integer("attempts", 1..=MAX_ATTEMPTS),
-        second_copies: section.boolean("second_copies"),
-        per_try: seconds("per_try"),
-        objective: seconds("objective"),
+        max_attempts: section.integer("attempts", 1..=MAX_ATTEMPTS),
+        hedging: section.boolean("second_copies"),
+        attempt_timeout: seconds("per_try"),
+        latency_objective: seconds("objective"),
         timeout: seconds("timeout"),
-        repeat_within: seconds("repeat_within"),
-        repeat_group: section.choice("repeat_group", &groups),
+        retry_window: seconds("repeat_within"),
+        key_scope: section.choice("repeat_group", &scopes),
     };
     check(section, &class);
     class
 }
 
-/// Checks what a class says by itself.
+/// Checks a class for limits that contradict each other.
 fn check(section: &Section, class: &Class) {
-    if let (Some(objective), Some(timeout)) = (&class.objective, &class.timeout) {
+    if let (Some(objective), Some(timeout)) = (&class.latency_objective, &class.timeout) {
         if objective.value > timeout.value {
             let message = format!("{} s lies past the time-out of {} s", objective.value, timeout.value);
             section.report("objective", message);
         }
     }
-    let is_single_attempt = class.attempts.as_ref().is_some_and(|attempts| attempts.value == 1);
+    let is_single_attempt = class.max_attempts.as_ref().is_some_and(|attempts| attempts.value == 1);
     if !is_single_attempt {
         return;
     }
-    if value_or(&class.second_copies, false) {
+    if value_or(&class.hedging, false) {
         section.report("second_copies", "a second copy is a second attempt, and attempts = 1");
     }
     for key in ["per_try", "repeat_within", "repeat_group"] {
@@ -118,7 +119,7 @@
     }
 }
 
-/// The place of the class that a route names.
+/// The index of the class that a route names; none if it names none that exists, which is reported.
 pub(super) fn find(section: &Section, classes: &[Class]) -> Option<usize> {
     let Some(name) = section.string("class") else {
         if !section.contains("class") {
@@ -126,9 +127,9 @@
         }
         return None;
     };
-    let place = classes.iter().position(|class| class.name == name.value);
-    if place.is_none() {
+    let index = classes.iter().position(|class| class.name == name.value);
+    if index.is_none() {
         section.report("class", format!("no class is called '{}'", name.value));
     }
-    place
+    index
 }
--- a/operator/src/routes/mod.rs
+++ b/operator/src/routes/mod.rs
@@ -1,5 +1,5 @@
-//! Classes of limits, and the routes that lead to them: read, and checked against the rules and the platform's configuration. A class
-//! can only narrow. Nothing here decides on a request; `quillramp::decide` is told what is declared.
+//! Classes of request limits and the routes that lead to them. Both are checked against the retry rules and the platform's
+//! configuration, which a class can only narrow. The policy engine (`quillramp::policy`) applies the limits to requests.
 mod check;
 mod class;
 mod platform;
@@ -20,13 +20,13 @@
 /// All classes and routes of a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routes {
-    /// The classes, in their order.
+    /// The classes, in the order of the file.
     pub classes: Vec<Class>,
-    /// The routes, in their order; the first that matches holds.
+    /// The routes, in the order of the file; the first that matches a request applies.
     pub routes: Vec<Route>,
 }
 
-/// Reads classes and routes; what is wrong with them is reported.
+/// Reads classes and routes; faults are reported to the document. Names are checked only against a given platform.
 pub(crate) fn read(document: &Document, file: &Section, platform: Option<&Platform>) -> Routes {
     let classes = class::read_all(file);
     let routes = route::read_all(document, file, &classes, platform);
@@ -37,7 +37,7 @@
     routes
 }
 
-/// Checks each class for each operation that is routed to it, once however many routes do.
+/// Checks each class for each operation that is routed to it, once however many routes lead there.
 fn check_routed(document: &Document, routes: &Routes, platform: &Platform) {
     let mut checked = HashSet::new();
     for route in &routes.routes {
--- a/operator/src/routes/platform.rs
+++ b/operator/src/routes/platform.rs
@@ -1,16 +1,16 @@
-//! What the platform's configuration allows, as far as a file is checked against it.
+//! The part of the platform's configuration against which a file is checked.
 use quillramp::types::{Idempotency, KeyScope};
 
-/// An operation as the platform's configuration has it.
+/// An operation of the platform's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
     /// Its name.
     pub name: String,
-    /// What a repeat of it does.
+    /// Whether it may be retried.
     pub effect: Idempotency,
     /// Its latency objective, seconds.
     pub objective: f64,
-    /// When its clients give up, seconds.
+    /// Time after which its clients give up, seconds.
     pub timeout: f64,
 }
 
@@ -21,17 +21,17 @@
     pub operations: Vec<Operation>,
     /// Names of all plans.
     pub plans: Vec<String>,
-    /// Attempts of a request, the first one included.
+    /// The most attempts of a request, the first one included.
     pub attempts: usize,
-    /// A second attempt may be out beside the first.
+    /// Whether hedged requests are allowed.
     pub second_copies: bool,
-    /// Descriptors of a gateway instance.
+    /// File descriptors that a gateway instance may have.
     pub sockets: usize,
 }
 
-/// A group's name in the file.
-pub(crate) fn group_name(group: KeyScope) -> &'static str {
-    match group {
+/// The name in the file of a group of backends that shares idempotency keys.
+pub(crate) fn group_name(scope: KeyScope) -> &'static str {
+    match scope {
         KeyScope::All => "all",
         KeyScope::Zone => "zone",
         KeyScope::Cell => "cell",
--- a/operator/src/routes/route.rs
+++ b/operator/src/routes/route.rs
@@ -1,29 +1,30 @@
-//! Routes: which requests a class is for.
+//! The sections `[[route]]`: to which requests a class applies.
 use super::class::{self, Class};
 use super::Platform;
 use crate::document::{Document, Located, Section};
 use quillramp_broker::contract::matches_any;
 use std::collections::{HashMap, HashSet};
 
-const EMPTY_LIST: &str = "an empty list takes nothing; leave it out to take all";
+/// The diagnostic about a list without elements.
+const EMPTY_LIST_MESSAGE: &str = "an empty list takes nothing; leave it out to take all";
 
-/// Which requests a class is for; an empty list stands for all.
+/// Matches requests by operation, plan and customer; an empty list matches all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// The line on which it begins.
+    /// The line on which it begins, counted from 1.
     pub line: usize,
     /// Patterns of operations, see [`matches_any`].
     pub operations: Vec<String>,
     /// Names of plans.
     pub plans: Vec<String>,
-    /// Customers.
+    /// Ids of customers.
     pub customers: Vec<u64>,
-    /// The place of its class among all classes.
+    /// The index of its class in [`Routes::classes`](super::Routes::classes).
     pub class: usize,
 }
 
 impl Route {
-    /// Whether it takes all that a later route takes.
+    /// Whether it matches every request that a later route matches.
     fn covers(&self, later: &Route) -> bool {
         let covers_customers = self.customers.is_empty()
             || !later.customers.is_empty() && later.customers.iter().all(|id| self.customers.contains(id));
@@ -39,14 +40,14 @@
     patterns.is_empty() || !later.is_empty() && later.iter().all(covers)
 }
 
-/// Reads all routes.
+/// Reads all routes; faults, also routes that can't be reached, are reported to the document.
 pub(super) fn read_all(
     document: &Document,
     file: &Section,
     classes: &[Class],
     platform: Option<&Platform>,
 ) -> Vec<Route> {
-    let mut routes = RouteList::default();
+    let mut routes = RouteIndex::default();
     for section in file.sections("route") {
         if let Some(route) = read(document, &section, classes, platform) {
             if let Some(line) = routes.line_that_covers(&route) {
@@ -60,33 +61,33 @@
     routes.routes
 }
 
-/// Routes in their order, by the customers that they name.
+/// Routes in the order of the file, indexed by the customers that they name: files may have thousands.
 #[derive(Default)]
-struct RouteList {
+struct RouteIndex {
     routes: Vec<Route>,
-    /// Places of the routes that name a customer, and of those that name none.
+    /// Indexes of the routes that name a customer; under none, of those that name no customer.
     by_customer: HashMap<Option<u64>, Vec<usize>>,
 }
 
-impl RouteList {
-    /// The first line of a route that takes all that another one takes.
+impl RouteIndex {
+    /// The line of the first route that matches every request of a later one.
     fn line_that_covers(&self, later: &Route) -> Option<usize> {
-        // Only those can that name no customer, and those that name its first.
+        // Only routes that name no customer, or the first customer of the later one, can cover it.
         let for_all = self.by_customer.get(&None);
         let first_customer = later.customers.first();
         let naming_first = first_customer.and_then(|customer| self.by_customer.get(&Some(*customer)));
-        let places = for_all.into_iter().chain(naming_first).flatten();
-        let earlier = places.map(|place| &self.routes[*place]);
+        let candidates = for_all.into_iter().chain(naming_first).flatten();
+        let earlier = candidates.map(|index| &self.routes[*index]);
         earlier.filter(|route| route.covers(later)).map(|route| route.line).min()
     }
 
     fn push(&mut self, route: Route) {
-        let place = self.routes.len();
+        let index = self.routes.len();
         if route.customers.is_empty() {
-            self.by_customer.entry(None).or_default().push(place);
+            self.by_customer.entry(None).or_default().push(index);
         }
         for customer in &route.customers {
-            self.by_customer.entry(Some(*customer)).or_default().push(place);
+            self.by_customer.entry(Some(*customer)).or_default().push(index);
         }
         self.routes.push(route);
     }
@@ -101,8 +102,8 @@
     let operations = read_names(section, "operations");
     let plans = read_names(section, "plans");
     let customers = read_customers(section);
-    report_repeated(document, "operations", &operations);
-    report_repeated(document, "plans", &plans);
+    report_duplicates(document, "operations", &operations);
+    report_duplicates(document, "plans", &plans);
     if let Some(platform) = platform {
         check_operations(document, &operations, platform);
         check_plans(document, &plans, platform);
@@ -115,7 +116,7 @@
 fn read_names(section: &Section, key: &'static str) -> Vec<Located<String>> {
     let names = section.strings(key);
     if names.as_ref().is_some_and(Vec::is_empty) {
-        section.report(key, EMPTY_LIST);
+        section.report(key, EMPTY_LIST_MESSAGE);
     }
     names.unwrap_or_default()
 }
@@ -123,7 +124,7 @@
 fn read_customers(section: &Section) -> Vec<u64> {
     let customers = section.customers("customers");
     if section.is_empty_list("customers") {
-        section.report("customers", EMPTY_LIST);
+        section.report("customers", EMPTY_LIST_MESSAGE);
     }
     let mut seen = HashSet::new();
     if let Some(repeated) = customers.iter().find(|customer| !seen.insert(**customer)) {
@@ -132,7 +133,7 @@
     customers
 }
 
-fn report_repeated(document: &Document, key: &str, names: &[Located<String>]) {
+fn report_duplicates(document: &Document, key: &str, names: &[Located<String>]) {
     let mut seen = HashSet::new();
     for name in names.iter().filter(|name| !seen.insert(&name.value)) {
         document.report(name.line, key, format!("'{}' stands here twice", name.value));
--- a/operator/src/routes/table.rs
+++ b/operator/src/routes/table.rs
@@ -1,39 +1,39 @@
-//! Routes by index, for the gateway: a look-up by operation and plan, and one by customer.
+//! The routing table of the gateway: one lookup by operation and plan, and one by customer.
 use super::{Class, Platform, Route, Routes};
 use quillramp::types::RequestLimits;
 use quillramp_broker::contract::matches_any;
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-/// What holds for a request that a route takes.
+/// The limits of a request that a route matches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EffectiveLimits {
-    /// What `quillramp::decide` is told.
+    /// The limits that the policy engine applies.
     pub declared: RequestLimits,
-    /// The longest that the request is worked on, seconds.
+    /// Time after which the request gets its final answer, seconds.
     pub timeout: f64,
 }
 
-/// An operation and a plan, by their places in the platform's configuration.
+/// An operation and a plan, by their indexes in the platform's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OperationAndPlan {
     operation: usize,
     plan: usize,
 }
 
-/// Places of the classes for one operation and plan.
+/// Indexes of the classes for one operation and plan.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct CustomerRoutes {
-    /// For the customers that are named.
+    /// For customers that a route names.
     named: HashMap<u64, usize>,
-    /// For all others.
+    /// For all other customers.
     others: Option<usize>,
 }
 
-/// All routes, by operation, plan and customer.
+/// All routes, indexed by operation, plan and customer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// By the place of the class.
+    /// By the index of the class.
     limits: Vec<EffectiveLimits>,
     routes: HashMap<OperationAndPlan, CustomerRoutes>,
 }
@@ -47,10 +47,10 @@
 }
 
 impl Table {
-    /// The routes of a file that was checked for this platform.
+    /// Builds the table from the routes of a file that was checked against this platform.
     pub fn new(routes: &Routes, platform: &Platform) -> Table {
         let limits = |class: &Class| EffectiveLimits {
-            declared: class.declared(),
+            declared: class.limits(),
             timeout: class.timeout.as_ref().map_or(f64::INFINITY, |timeout| timeout.value),
         };
         let mut table = Table { limits: routes.classes.iter().map(limits).collect(), routes: HashMap::new() };
@@ -60,7 +60,7 @@
         table
     }
 
-    /// What holds for a request; none where no route takes it.
+    /// The limits of a request; none if no route matches it.
     pub fn lookup(&self, operation: usize, plan: usize, customer: u64) -> Option<EffectiveLimits> {
         let routes = self.routes.get(&OperationAndPlan { operation, plan })?;
         let class = routes.named.get(&customer).copied().or(routes.others)?;
@@ -70,8 +70,8 @@
     fn add(&mut self, route: &Route, platform: &Platform) {
         let operations = platform.operations.iter().map(|operation| operation.name.as_str());
         let plans = platform.plans.iter().map(String::as_str);
-        let plans = places(plans, &route.plans);
-        for operation in places(operations, &route.operations) {
+        let plans = matching_indexes(plans, &route.plans);
+        for operation in matching_indexes(operations, &route.operations) {
             for plan in &plans {
                 let key = OperationAndPlan { operation, plan: *plan };
                 self.routes.entry(key).or_default().add(route);
@@ -82,7 +82,7 @@
 
 impl CustomerRoutes {
     fn add(&mut self, route: &Route) {
-        // What follows a route for all customers is never reached.
+        // A route for all customers hides the routes after it.
         if self.others.is_some() {
             return;
         }
@@ -93,8 +93,8 @@
     }
 }
 
-/// Places of the names that match.
-fn places<'a>(names: impl Iterator<Item = &'a str>, patterns: &[String]) -> Vec<usize> {
+/// Indexes of the names that match.
+fn matching_indexes<'a>(names: impl Iterator<Item = &'a str>, patterns: &[String]) -> Vec<usize> {
     let matching = names.enumerate().filter(|(_, name)| matches_any(patterns, name));
-    matching.map(|(place, _)| place).collect()
+    matching.map(|(index, _)| index).collect()
 }
--- a/operator/src/show/mod.rs
+++ b/operator/src/show/mod.rs
@@ -1,11 +1,11 @@
-//! What holds once a file is taken up, and where each value came from; for people.
+//! The text of the `show` command: the effective settings, and the source of each value.
 mod operations;
 mod sections;
 
 use crate::routes::Platform;
 use crate::OperatorSettings;
 
-/// All that a file sets and, for a platform, what holds for each operation.
+/// Describes the settings of a file and, if a platform is given, the effective limits of each of its operations.
 pub fn show(settings: &OperatorSettings, platform: Option<&Platform>) -> String {
     let mut text = sections::show(settings);
     match platform {
--- a/operator/src/show/operations.rs
+++ b/operator/src/show/operations.rs
@@ -1,4 +1,4 @@
-//! The limits that hold for each operation, by route.
+//! The effective limits of each operation, by route.
 use crate::document::Located;
 use crate::routes::{group_name, value_or, Class, Operation, Platform, Route, Routes};
 use quillramp::types::Idempotency;
@@ -9,7 +9,7 @@
 }
 
 fn show_operation(routes: &Routes, operation: &Operation, platform: &Platform) -> String {
-    let mut text = format!("\n{}, {}\n", operation.name, effect(operation.effect));
+    let mut text = format!("\n{}, {}\n", operation.name, idempotency(operation.effect));
     let matching = routes.routes.iter().filter(|route| matches_any(&route.operations, &operation.name));
     for route in matching {
         let class = &routes.classes[route.class];
@@ -22,16 +22,17 @@
     text
 }
 
-fn effect(effect: Idempotency) -> String {
-    match effect {
+fn idempotency(idempotency: Idempotency) -> String {
+    match idempotency {
         Idempotency::Idempotent => "idempotent".into(),
         Idempotency::NonIdempotent => "non-idempotent".into(),
-        Idempotency::Keyed { scope: group, window } => {
-            format!("tokened, in group '{}' for {window} s", group_name(group))
+        Idempotency::Keyed { scope, window } => {
+            format!("tokened, in group '{}' for {window} s", group_name(scope))
         }
     }
 }
 
+/// The plans and customers that a route matches.
 fn customers(route: &Route) -> String {
     let plans = if route.plans.is_empty() { "all plans".into() } else { route.plans.join(", ") };
     match route.customers[..] {
@@ -41,23 +42,23 @@
     }
 }
 
-/// A line for each limit: what holds, and where it came from.
+/// A line for each limit: its effective value and its source.
 fn limits(operation: &Operation, class: &Class, platform: &Platform) -> String {
-    let attempts = value_or(&class.attempts, platform.attempts).min(platform.attempts);
-    let allows_copies = platform.second_copies && operation.effect == Idempotency::Idempotent;
-    let second_copies = if allows_copies && value_or(&class.second_copies, true) { "yes" } else { "no" };
-    let objective = value_or(&class.objective, operation.objective);
+    let attempts = value_or(&class.max_attempts, platform.attempts).min(platform.attempts);
+    let allows_hedging = platform.second_copies && operation.effect == Idempotency::Idempotent;
+    let hedging = if allows_hedging && value_or(&class.hedging, true) { "yes" } else { "no" };
+    let objective = value_or(&class.latency_objective, operation.objective);
     let timeout = value_or(&class.timeout, operation.timeout);
-    let mut text = limit("attempts", &attempts.to_string(), &class.attempts);
-    text += &limit("second copies", second_copies, &class.second_copies);
-    text += &declared_limit("per try", &class.per_try);
-    text += &limit("latency objective", &format!("{objective} s"), &class.objective);
+    let mut text = limit("attempts", &attempts.to_string(), &class.max_attempts);
+    text += &limit("second copies", hedging, &class.hedging);
+    text += &declared_limit("per try", &class.attempt_timeout);
+    text += &limit("latency objective", &format!("{objective} s"), &class.latency_objective);
     text += &limit("integration timeout", &format!("{timeout} s"), &class.timeout);
-    text += &declared_limit("repeats within", &class.repeat_within);
+    text += &declared_limit("repeats within", &class.retry_window);
     text
 }
 
-/// A limit in seconds that there is only where it is declared.
+/// The line of a limit in seconds that exists only if it is declared.
 fn declared_limit(name: &str, seconds: &Option<Located<f64>>) -> String {
     match seconds {
         Some(located) => limit(name, &format!("{} s", located.value), seconds),
--- a/operator/src/show/sections.rs
+++ b/operator/src/show/sections.rs
@@ -1,4 +1,4 @@
-//! A line or more for each section of the file.
+//! The lines for each section of the file but the request limits.
 use crate::broker::BrokerSettings;
 use crate::log::{LevelRule, LogSettings};
 use crate::OperatorSettings;
@@ -59,7 +59,8 @@
 
 fn identity(trust: &Trust) -> String {
     let Trust { issuer, audience, max_lifetime, .. } = trust;
-    let (keys, revoked) = (trust.keys.len(), trust.revoked.len());
+    let keys = trust.keys.len();
+    let revoked = trust.revoked.len();
     let single_use = if trust.single_use { ", each used once" } else { "" };
     format!(
         "callers: tokens of {issuer} for {audience}, {keys} keys, {revoked} revoked, of {max_lifetime} s at the \
@@ -68,10 +69,10 @@
 }
 
 fn broker(settings: &BrokerSettings) -> String {
-    let strangers = if settings.strangers { "pass" } else { "are refused" };
+    let unknown_customers = if settings.strangers { "pass" } else { "are refused" };
     let capacity = settings.capacity;
     let contracts: String = settings.contracts.all().iter().map(contract).collect();
-    format!("broker: {capacity} units a second in all; strangers {strangers}{contracts}")
+    format!("broker: {capacity} units a second in all; strangers {unknown_customers}{contracts}")
 }
 
 fn contract(contract: &Contract) -> String {
--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files that are right, and files that are wrong and say why.
+//! Valid files, and invalid files with their diagnostics.
 use expect_test::{expect, expect_file, Expect};
 use proptest::prelude::*;
 use quillramp::types::{Idempotency, KeyScope, RequestLimits};
@@ -33,26 +33,28 @@
     }
 }
 
-/// All that is said of it, a line each.
-fn said(text: &str) -> Result<OperatorSettings, String> {
-    let lines = |all: Vec<Diagnostic>| all.iter().map(|d| format!("{d}\n")).collect();
+/// The settings of a file, or its diagnostics, a line each.
+fn read_file(text: &str) -> Result<OperatorSettings, String> {
+    let lines = |diagnostics: Vec<Diagnostic>| {
+        diagnostics.iter().map(|diagnostic| format!("{diagnostic}\n")).collect()
+    };
     read(text, Some(&platform())).map_err(lines)
 }
 
-fn wrong(text: &str, expected: Expect) {
-    expected.assert_eq(&said(text).expect_err("it is wrong"));
+fn assert_diagnostics(text: &str, expected: Expect) {
+    expected.assert_eq(&read_file(text).expect_err("it is wrong"));
 }
 
 #[test]
-fn nothing_is_switched_on_by_an_empty_file() {
-    assert_eq!(said(""), Ok(OperatorSettings::default()));
-    assert_eq!(said("# nothing yet\n"), Ok(OperatorSettings::default()));
+fn an_empty_file_has_default_settings() {
+    assert_eq!(read_file(""), Ok(OperatorSettings::default()));
+    assert_eq!(read_file("# nothing yet\n"), Ok(OperatorSettings::default()));
     assert_eq!(Table::new(&OperatorSettings::default().routes, &platform()).lookup(0, 0, 7), None);
 }
 
 #[test]
-fn what_is_left_out_has_a_plain_value() {
-    let limits = said("[admission]\nconnections = 400\nknown = [\"10.2.0.0/16\"]\n");
+fn missing_admission_keys_have_defaults() {
+    let limits = read_file("[admission]\nconnections = 400\nknown = [\"10.2.0.0/16\"]\n");
     let limits = limits.expect("right").admission.expect("switched on");
     assert_eq!(
         (limits.reserve, limits.per_address, limits.strangers, limits.unfinished),
@@ -63,15 +65,15 @@
 }
 
 #[test]
-fn the_example_under_deploy_is_right() {
+fn the_example_under_deploy_is_valid() {
     let text = include_str!("../../deploy/operator.example.toml");
     let operator = read(text, None).expect("right");
     assert!(operator.admission.is_some() && operator.log.is_some() && !operator.routes.routes.is_empty());
 }
 
 #[test]
-fn all_that_is_wrong_is_said_at_once() {
-    wrong(
+fn all_faults_are_reported_at_once() {
+    assert_diagnostics(
         "[admission]\nconnections = 1000\nreserve = 1000\nper_address = 2000\nstrangers = 0\nnew_per_second = -1.0\n\
          burst = 0.5\nfirst_word = 0.0\nknown_for = 0.0\nknown = [\"10.2.0.1/16\", \"ten\"]\nspeed = 3\n",
         expect![[r#"
@@ -90,17 +92,17 @@
     );
 }
 
-/// Guards: without a configuration the number of connections has no bound, and four times as many overflowed.
+/// Regression test: without a configuration the number of connections has no bound, and four times as many overflowed.
 #[test]
-fn an_admission_section_without_connections_says_so() {
-    let all = read("[admission]\n", None).expect_err("it is wrong");
-    let texts: Vec<String> = all.iter().map(Diagnostic::to_string).collect();
+fn a_missing_connections_key_is_reported() {
+    let diagnostics = read("[admission]\n", None).expect_err("it is wrong");
+    let texts: Vec<String> = diagnostics.iter().map(Diagnostic::to_string).collect();
     assert_eq!(texts, ["line 1: admission.connections: is missing"]);
 }
 
-/// Each file of the folder has one thing wrong with it, or more, and says so; all of it at once.
+/// Each file of the directory has one or more faults, all of which are reported.
 #[test]
-fn wrong_files_say_why() {
+fn invalid_files_are_reported_with_reasons() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/wrong");
     let files = std::fs::read_dir(&folder).expect("there").map(|f| f.expect("readable").path());
     let mut files: Vec<_> = files.filter(|p| p.extension().is_some_and(|e| e == "toml")).collect();
@@ -109,7 +111,7 @@
     let mut text = String::new();
     for path in files {
         let name = path.file_stem().expect("a name").to_string_lossy().into_owned();
-        let why = said(&std::fs::read_to_string(&path).expect("readable")).err();
+        let why = read_file(&std::fs::read_to_string(&path).expect("readable")).err();
         let _ = writeln!(text, "{name}\n{}", why.unwrap_or_else(|| panic!("{name} is taken for right")));
     }
     expect_file!["wrong/expected.txt"].assert_eq(&text);
@@ -159,28 +161,30 @@
 "#;
 
 #[test]
-fn the_first_route_that_fits_holds() {
-    let operator = said(GOOD).expect("right");
+fn the_first_matching_route_applies() {
+    let operator = read_file(GOOD).expect("right");
     let log = operator.log.clone().expect("there");
     assert_eq!(log.format, Format::Json);
     let memory = LevelRule { prefix: "quillramp_gateway::memory".into(), level: Level::Debug };
     assert_eq!(log.levels[1], memory);
     let table = Table::new(&operator.routes, &platform());
-    let attempts = |o, p, c| table.lookup(o, p, c).map(|h| h.declared.max_attempts);
+    let attempts = |operation, plan, customer| {
+        table.lookup(operation, plan, customer).map(|limits| limits.declared.max_attempts)
+    };
     assert_eq!(attempts(0, 0, 0xb4d65521), Some(1), "named");
     assert_eq!(attempts(0, 1, 0xb4d65521), Some(1), "under any plan");
     assert_eq!(attempts(0, 0, 1), Some(3));
     assert_eq!(attempts(0, 1, 1), None, "another plan");
     assert_eq!(attempts(4, 1, 1), Some(1), "by a star");
-    let held = table.lookup(2, 0, 1).expect("routed");
-    assert_eq!(held.declared, RequestLimits { retry_window: 1.0, ..RequestLimits::default() });
-    assert_eq!(held.timeout, f64::INFINITY);
+    let limits = table.lookup(2, 0, 1).expect("routed");
+    assert_eq!(limits.declared, RequestLimits { retry_window: 1.0, ..RequestLimits::default() });
+    assert_eq!(limits.timeout, f64::INFINITY);
     assert_eq!(table.lookup(1, 0, 1).expect("routed").timeout, 1.0);
 }
 
 #[test]
-fn what_holds_is_shown_with_where_it_came_from() {
-    let operator = said(GOOD).expect("right");
+fn effective_limits_are_shown_with_their_sources() {
+    let operator = read_file(GOOD).expect("right");
     expect![[r#"
         admission: off
         log: Json, levels warn, quillramp_gateway::memory debug
@@ -252,6 +256,11 @@
             integration timeout 3 s (configuration)
     "#]]
     .assert_eq(&show(&operator, Some(&platform())));
+}
+
+#[test]
+fn without_a_platform_only_the_sections_are_shown() {
+    let operator = read_file(GOOD).expect("right");
     expect![[r#"
         admission: off
         log: Json, levels warn, quillramp_gateway::memory debug
@@ -263,37 +272,41 @@
     .assert_eq(&show(&operator, None));
 }
 
-/// Without a configuration what a file says by itself is checked, and no name is looked up.
+/// Names are not looked up without a platform; contradictions within the file are reported.
 #[test]
-fn a_file_is_checked_alone_as_far_as_that_goes() {
+fn without_a_platform_only_the_file_itself_is_checked() {
     assert!(read(
         "[[class]]\nname = \"c\"\nattempts = 3\n[[route]]\noperations = [\"any\"]\nclass = \"c\"\n",
         None
     )
     .is_ok());
-    let faults = read("[[class]]\nname = \"c\"\nattempts = 1\nper_try = 1.0\n", None).expect_err("wrong");
-    assert_eq!((faults.len(), faults[0].line, faults[0].key.as_str()), (1, 4, "class[0].per_try"));
+    let diagnostics =
+        read("[[class]]\nname = \"c\"\nattempts = 1\nper_try = 1.0\n", None).expect_err("wrong");
+    assert_eq!(
+        (diagnostics.len(), diagnostics[0].line, diagnostics[0].key.as_str()),
+        (1, 4, "class[0].per_try")
+    );
 }
 
 #[test]
-fn a_file_may_be_large_and_not_larger() {
+fn files_up_to_the_size_limit_are_accepted() {
     let mut text = String::from("[[class]]\nname = \"c\"\nattempts = 1\n");
     for i in 0..1000 {
         let _ =
             write!(text, "[[route]]\noperations = [\"look\"]\ncustomers = [\"{i:016x}\"]\nclass = \"c\"\n");
     }
-    let operator = said(&text).expect("right");
+    let operator = read_file(&text).expect("right");
     let table = Table::new(&operator.routes, &platform());
     assert!((0..1000).all(|i| table.lookup(0, 1, i).is_some()) && table.lookup(0, 1, 1000).is_none());
     let filled = text.clone() + &"#".repeat(MAX_FILE_BYTES - text.len());
-    assert!(said(&filled).is_ok());
+    assert!(read_file(&filled).is_ok());
     assert_eq!(
-        said(&(filled + "#")),
+        read_file(&(filled + "#")),
         Err(format!("line 1: the file has {} bytes, {MAX_FILE_BYTES} at the most\n", MAX_FILE_BYTES + 1))
     );
 }
 
-fn a_class() -> impl Strategy<Value = String> {
+fn class_section() -> impl Strategy<Value = String> {
     let time = || proptest::option::of(prop_oneof![0.01f64..0.6, 0.01f64..4.0]);
     let group = proptest::option::of(prop_oneof![Just("all"), Just("zone"), Just("cell")]);
     (
@@ -326,43 +339,43 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever classes and routes there are: what is accepted declares no repeat of what is non-idempotent, nothing past a token's
-    /// window or the client's time, and nothing wider than the configuration.
+    /// For arbitrary classes and routes: accepted files declare no retry of a non-idempotent operation, none past a key's window or
+    /// the client's timeout, and no limit wider than the configuration.
     #[test]
-    fn what_is_accepted_widens_nothing(
-        classes in proptest::collection::vec(a_class(), 1..4),
+    fn accepted_files_never_widen_a_limit(
+        classes in proptest::collection::vec(class_section(), 1..4),
         routes in proptest::collection::vec((0usize..5, 0usize..4, any::<bool>()), 0..5),
     ) {
-        let p = platform();
+        let platform = platform();
         let mut text = String::new();
         for (i, class) in classes.iter().enumerate() {
             let _ = write!(text, "[[class]]\nname = \"c{i}\"\n{class}\n");
         }
-        for (o, c, all) in &routes {
-            let wanted = if *all { String::new() } else { format!("operations = [\"{}\"]\n", p.operations[*o].name) };
-            let _ = write!(text, "[[route]]\n{wanted}class = \"c{}\"\n", c % classes.len());
+        for (operation, class, matches_all) in &routes {
+            let wanted = if *matches_all { String::new() } else { format!("operations = [\"{}\"]\n", platform.operations[*operation].name) };
+            let _ = write!(text, "[[route]]\n{wanted}class = \"c{}\"\n", class % classes.len());
         }
-        let Ok(operator) = read(&text, Some(&p)) else { return Ok(()) };
-        let table = Table::new(&operator.routes, &p);
-        for (i, o) in p.operations.iter().enumerate() {
-            let Some(held) = table.lookup(i, 0, 1) else { continue };
-            let d = held.declared;
-            let timeout = held.timeout.min(o.timeout);
-            prop_assert!(held.timeout.is_infinite() || held.timeout <= o.timeout);
-            prop_assert!(d.latency_objective.is_infinite() || d.latency_objective <= o.objective && d.latency_objective <= timeout);
-            prop_assert!(d.max_attempts == usize::MAX || d.max_attempts <= p.attempts);
-            if d.attempt_timeout.is_finite() {
-                prop_assert_eq!(o.effect, Idempotency::Idempotent);
-                prop_assert!(d.attempt_timeout < timeout || d.max_attempts.min(p.attempts) == 1);
-                prop_assert!(d.max_attempts == usize::MAX || d.attempt_timeout * d.max_attempts as f64 <= timeout);
+        let Ok(operator) = read(&text, Some(&platform)) else { return Ok(()) };
+        let table = Table::new(&operator.routes, &platform);
+        for (index, operation) in platform.operations.iter().enumerate() {
+            let Some(limits) = table.lookup(index, 0, 1) else { continue };
+            let declared = limits.declared;
+            let timeout = limits.timeout.min(operation.timeout);
+            prop_assert!(limits.timeout.is_infinite() || limits.timeout <= operation.timeout);
+            prop_assert!(declared.latency_objective.is_infinite() || declared.latency_objective <= operation.objective && declared.latency_objective <= timeout);
+            prop_assert!(declared.max_attempts == usize::MAX || declared.max_attempts <= platform.attempts);
+            if declared.attempt_timeout.is_finite() {
+                prop_assert_eq!(operation.effect, Idempotency::Idempotent);
+                prop_assert!(declared.attempt_timeout < timeout || declared.max_attempts.min(platform.attempts) == 1);
+                prop_assert!(declared.max_attempts == usize::MAX || declared.attempt_timeout * declared.max_attempts as f64 <= timeout);
             }
-            match o.effect {
+            match operation.effect {
                 Idempotency::NonIdempotent => {
-                    prop_assert!(d.max_attempts == 1 || d.max_attempts == usize::MAX, "{} attempts declared", d.max_attempts);
-                    prop_assert!(d.retry_window.is_infinite());
+                    prop_assert!(declared.max_attempts == 1 || declared.max_attempts == usize::MAX, "{} attempts declared", declared.max_attempts);
+                    prop_assert!(declared.retry_window.is_infinite());
                 }
                 Idempotency::Keyed { window, .. } => {
-                    prop_assert!(d.retry_window.is_infinite() || d.retry_window <= window);
+                    prop_assert!(declared.retry_window.is_infinite() || declared.retry_window <= window);
                 }
                 Idempotency::Idempotent => {}
             }
