--- a/gateway/src/process/operator.rs
+++ b/gateway/src/process/operator.rs
@@ -14,16 +14,16 @@
 pub fn platform(about: &InstanceSettings, sockets: usize) -> Platform {
     let operation = |o: &quillramp::settings::OfferedOperation| Operation {
         name: o.name.clone(),
-        effect: o.idempotency,
-        objective: o.latency_objective,
+        idempotency: o.idempotency,
+        latency_objective: o.latency_objective,
         timeout: o.timeout,
     };
     Platform {
         operations: about.operations.iter().map(operation).collect(),
         plans: about.plans.clone(),
-        attempts: about.max_attempts,
-        second_copies: about.hedging,
-        sockets,
+        max_attempts: about.max_attempts,
+        hedging: about.hedging,
+        descriptors: sockets,
     }
 }
 
--- a/gateway/src/state/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -123,7 +123,7 @@
         let operation = &self.instance.operations[ask.operation].name;
         let team = match team {
             Some(team) => team,
-            None if b.terms.strangers => return Ok(None),
+            None if b.terms.admits_unknown_customers => return Ok(None),
             None => return Err(denied(Reason::NoContract)),
         };
         let request = Request { operation, customer: call.customer, units: ask.units };
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -79,7 +79,7 @@
         let held = self.routes.lookup(operation, plan, call.customer);
         let longest = held.map_or(f64::INFINITY, |h| h.timeout);
         let until = (now + (call.timeout_ms / 1e3).min(longest)).min(self.shutdown_deadline);
-        let declared = held.map(|h| h.declared).unwrap_or_default();
+        let declared = held.map(|h| h.request_limits).unwrap_or_default();
         let absent = self.presence.as_mut().map_or(0.0, |r| r.absent(now, of));
         Ok(RequestAttributes {
             operation,
--- a/operator/src/broker.rs
+++ b/operator/src/broker.rs
@@ -29,7 +29,7 @@
     /// Capacity of all gateway instances together, units per second.
     pub capacity: f64,
     /// Whether requests of customers that no contract names pass as if there were no broker.
-    pub strangers: bool,
+    pub admits_unknown_customers: bool,
 }
 
 /// The facts against which contracts are checked.
@@ -57,7 +57,8 @@
     };
     section.require(&["capacity"]);
     let capacity = section.number("capacity", RATES).map(|capacity| capacity.value);
-    let strangers = section.choice("strangers", &UNKNOWN_CUSTOMERS).is_some_and(|choice| choice.value);
+    let admits_unknown_customers =
+        section.choice("strangers", &UNKNOWN_CUSTOMERS).is_some_and(|choice| choice.value);
     section.finish();
     let check = ContractCheck { document, platform, counter_lifetime };
     let lines: Vec<usize> = sections.iter().map(|section| section.line).collect();
@@ -65,7 +66,7 @@
     let capacity = capacity?;
     let contracts: Vec<Contract> = contracts.into_iter().collect::<Option<_>>()?;
     match Contracts::new(contracts, capacity) {
-        Ok(contracts) => Some(BrokerSettings { contracts, capacity, strangers }),
+        Ok(contracts) => Some(BrokerSettings { contracts, capacity, admits_unknown_customers }),
         Err(conflicts) => {
             conflicts.iter().for_each(|conflict| report_conflict(document, &lines, conflict));
             None
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -57,7 +57,7 @@
 }
 
 fn read_sections(document: &Document, file: Section, platform: Option<&Platform>) -> OperatorSettings {
-    let descriptors = platform.map(|platform| platform.sockets);
+    let descriptors = platform.map(|platform| platform.descriptors);
     let admission = file.section("admission").and_then(|section| admission::read(section, descriptors));
     let log = file.section("log").map(log::read);
     let routes = routes::read(document, &file, platform);
--- a/operator/src/routes/check.rs
+++ b/operator/src/routes/check.rs
@@ -25,7 +25,7 @@
         self.check_attempts();
         self.check_hedging();
         self.check_attempt_timeout_allowed();
-        match self.operation.effect {
+        match self.operation.idempotency {
             Idempotency::Keyed { scope, window } => self.check_keyed_retries(scope, window),
             Idempotency::NonIdempotent => self.check_no_retries(),
             Idempotency::Idempotent => self.check_idempotent_retries(),
@@ -39,13 +39,13 @@
         let Some(attempts) = self.class.max_attempts.as_ref().filter(|attempts| attempts.value > 1) else {
             return;
         };
-        if self.operation.effect == Idempotency::NonIdempotent {
+        if self.operation.idempotency == Idempotency::NonIdempotent {
             let name = &self.operation.name;
             let message =
                 format!("'{name}' is non-idempotent: a second delivery could have its effect twice");
             self.report(attempts.line, "attempts", &message);
         }
-        let allowed = self.platform.attempts;
+        let allowed = self.platform.max_attempts;
         if attempts.value > allowed {
             self.report(attempts.line, "attempts", &format!("the configuration allows {allowed}"));
         }
@@ -54,12 +54,12 @@
     fn check_hedging(&self) {
         let Some(hedging) = self.class.hedging.as_ref().filter(|hedging| hedging.value) else { return };
         let name = &self.operation.name;
-        let message = match self.operation.effect {
+        let message = match self.operation.idempotency {
             Idempotency::NonIdempotent => {
                 format!("'{name}' is non-idempotent: a second copy could have its effect twice")
             }
             Idempotency::Keyed { .. } => format!("'{name}' is tokened: only what is idempotent is copied"),
-            Idempotency::Idempotent if self.platform.second_copies => return,
+            Idempotency::Idempotent if self.platform.hedging => return,
             Idempotency::Idempotent => "the configuration allows none".into(),
         };
         self.report(hedging.line, "second_copies", &message);
@@ -67,7 +67,7 @@
 
     fn check_attempt_timeout_allowed(&self) {
         let Some(attempt_timeout) = &self.class.attempt_timeout else { return };
-        if self.operation.effect != Idempotency::Idempotent {
+        if self.operation.idempotency != Idempotency::Idempotent {
             let name = &self.operation.name;
             let message = format!(
                 "'{name}' is not idempotent: a delivery of it that is out is not given up for another"
@@ -122,7 +122,7 @@
 
     fn check_objective(&self) {
         let Some(objective) = &self.class.latency_objective else { return };
-        let Operation { name, objective: longest, .. } = self.operation;
+        let Operation { name, latency_objective: longest, .. } = self.operation;
         let timeout = self.timeout();
         if objective.value > *longest {
             let message =
@@ -136,12 +136,12 @@
 
     fn check_attempt_timeout_length(&self) {
         let Some(attempt_timeout) = &self.class.attempt_timeout else { return };
-        if self.operation.effect != Idempotency::Idempotent {
+        if self.operation.idempotency != Idempotency::Idempotent {
             return;
         }
         let name = &self.operation.name;
         let timeout = self.timeout();
-        let attempts = value_or(&self.class.max_attempts, usize::MAX).min(self.platform.attempts);
+        let attempts = value_or(&self.class.max_attempts, usize::MAX).min(self.platform.max_attempts);
         let is_declared = self.class.max_attempts.is_some();
         if attempts > 1 && attempt_timeout.value >= timeout {
             let message = format!(
--- a/operator/src/routes/platform.rs
+++ b/operator/src/routes/platform.rs
@@ -7,9 +7,9 @@
     /// Its name.
     pub name: String,
     /// Whether it may be retried.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// Its latency objective, seconds.
-    pub objective: f64,
+    pub latency_objective: f64,
     /// Time after which its clients give up, seconds.
     pub timeout: f64,
 }
@@ -22,11 +22,11 @@
     /// Names of all plans.
     pub plans: Vec<String>,
     /// The most attempts of a request, the first one included.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Whether hedged requests are allowed.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// File descriptors that a gateway instance may have.
-    pub sockets: usize,
+    pub descriptors: usize,
 }
 
 /// The name in the file of a group of backends that shares idempotency keys.
--- a/operator/src/routes/table.rs
+++ b/operator/src/routes/table.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EffectiveLimits {
     /// The limits that the policy engine applies.
-    pub declared: RequestLimits,
+    pub request_limits: RequestLimits,
     /// Time after which the request gets its final answer, seconds.
     pub timeout: f64,
 }
@@ -50,7 +50,7 @@
     /// Builds the table from the routes of a file that was checked against this platform.
     pub fn new(routes: &Routes, platform: &Platform) -> Table {
         let limits = |class: &Class| EffectiveLimits {
-            declared: class.limits(),
+            request_limits: class.limits(),
             timeout: class.timeout.as_ref().map_or(f64::INFINITY, |timeout| timeout.value),
         };
         let mut table = Table { limits: routes.classes.iter().map(limits).collect(), routes: HashMap::new() };
--- a/operator/src/show/operations.rs
+++ b/operator/src/show/operations.rs
@@ -9,7 +9,7 @@
 }
 
 fn show_operation(routes: &Routes, operation: &Operation, platform: &Platform) -> String {
-    let mut text = format!("\n{}, {}\n", operation.name, idempotency(operation.effect));
+    let mut text = format!("\n{}, {}\n", operation.name, idempotency(operation.idempotency));
     let matching = routes.routes.iter().filter(|route| matches_any(&route.operations, &operation.name));
     for route in matching {
         let class = &routes.classes[route.class];
@@ -44,10 +44,10 @@
 
 /// A line for each limit: its effective value and its source.
 fn limits(operation: &Operation, class: &Class, platform: &Platform) -> String {
-    let attempts = value_or(&class.max_attempts, platform.attempts).min(platform.attempts);
-    let allows_hedging = platform.second_copies && operation.effect == Idempotency::Idempotent;
+    let attempts = value_or(&class.max_attempts, platform.max_attempts).min(platform.max_attempts);
+    let allows_hedging = platform.hedging && operation.idempotency == Idempotency::Idempotent;
     let hedging = if allows_hedging && value_or(&class.hedging, true) { "yes" } else { "no" };
-    let objective = value_or(&class.latency_objective, operation.objective);
+    let objective = value_or(&class.latency_objective, operation.latency_objective);
     let timeout = value_or(&class.timeout, operation.timeout);
     let mut text = limit("attempts", &attempts.to_string(), &class.max_attempts);
     text += &limit("second copies", hedging, &class.hedging);
--- a/operator/src/show/sections.rs
+++ b/operator/src/show/sections.rs
@@ -69,7 +69,7 @@
 }
 
 fn broker(settings: &BrokerSettings) -> String {
-    let unknown_customers = if settings.strangers { "pass" } else { "are refused" };
+    let unknown_customers = if settings.admits_unknown_customers { "pass" } else { "are refused" };
     let capacity = settings.capacity;
     let contracts: String = settings.contracts.all().iter().map(contract).collect();
     format!("broker: {capacity} units a second in all; strangers {unknown_customers}{contracts}")
--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -21,15 +21,15 @@
         operations: operations
             .map(|(name, effect, objective, timeout)| Operation {
                 name: name.into(),
-                effect,
-                objective,
+                idempotency: effect,
+                latency_objective: objective,
                 timeout,
             })
             .into(),
         plans: vec!["small".into(), "large".into()],
-        attempts: 5,
-        second_copies: true,
-        sockets: 1024,
+        max_attempts: 5,
+        hedging: true,
+        descriptors: 1024,
     }
 }
 
@@ -169,7 +169,7 @@
     assert_eq!(log.levels[1], memory);
     let table = Table::new(&operator.routes, &platform());
     let attempts = |operation, plan, customer| {
-        table.lookup(operation, plan, customer).map(|limits| limits.declared.max_attempts)
+        table.lookup(operation, plan, customer).map(|limits| limits.request_limits.max_attempts)
     };
     assert_eq!(attempts(0, 0, 0xb4d65521), Some(1), "named");
     assert_eq!(attempts(0, 1, 0xb4d65521), Some(1), "under any plan");
@@ -177,7 +177,7 @@
     assert_eq!(attempts(0, 1, 1), None, "another plan");
     assert_eq!(attempts(4, 1, 1), Some(1), "by a star");
     let limits = table.lookup(2, 0, 1).expect("routed");
-    assert_eq!(limits.declared, RequestLimits { retry_window: 1.0, ..RequestLimits::default() });
+    assert_eq!(limits.request_limits, RequestLimits { retry_window: 1.0, ..RequestLimits::default() });
     assert_eq!(limits.timeout, f64::INFINITY);
     assert_eq!(table.lookup(1, 0, 1).expect("routed").timeout, 1.0);
 }
@@ -359,17 +359,17 @@
         let table = Table::new(&operator.routes, &platform);
         for (index, operation) in platform.operations.iter().enumerate() {
             let Some(limits) = table.lookup(index, 0, 1) else { continue };
-            let declared = limits.declared;
+            let declared = limits.request_limits;
             let timeout = limits.timeout.min(operation.timeout);
             prop_assert!(limits.timeout.is_infinite() || limits.timeout <= operation.timeout);
-            prop_assert!(declared.latency_objective.is_infinite() || declared.latency_objective <= operation.objective && declared.latency_objective <= timeout);
-            prop_assert!(declared.max_attempts == usize::MAX || declared.max_attempts <= platform.attempts);
+            prop_assert!(declared.latency_objective.is_infinite() || declared.latency_objective <= operation.latency_objective && declared.latency_objective <= timeout);
+            prop_assert!(declared.max_attempts == usize::MAX || declared.max_attempts <= platform.max_attempts);
             if declared.attempt_timeout.is_finite() {
-                prop_assert_eq!(operation.effect, Idempotency::Idempotent);
-                prop_assert!(declared.attempt_timeout < timeout || declared.max_attempts.min(platform.attempts) == 1);
+                prop_assert_eq!(operation.idempotency, Idempotency::Idempotent);
+                prop_assert!(declared.attempt_timeout < timeout || declared.max_attempts.min(platform.max_attempts) == 1);
                 prop_assert!(declared.max_attempts == usize::MAX || declared.attempt_timeout * declared.max_attempts as f64 <= timeout);
             }
-            match operation.effect {
+            match operation.idempotency {
                 Idempotency::NonIdempotent => {
                     prop_assert!(declared.max_attempts == 1 || declared.max_attempts == usize::MAX, "{} attempts declared", declared.max_attempts);
                     prop_assert!(declared.retry_window.is_infinite());
