--- a/drill/src/codes.rs
+++ b/drill/src/codes.rs
@@ -1,35 +1,36 @@
-//! Codes of the records on the wire.
+//! Codes of the records on the wire, under the names of the wire.
 
-/// What an event record reports.
+/// Kind of an event record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventCode {
-    /// The records that follow are of this instance.
+    /// Selects the instance of the records that follow.
     Instance,
-    /// A timer rings.
+    /// A timer fired.
     Timer,
-    /// A client is gone.
+    /// A client aborted its request.
     Aborted,
-    /// Another instance has sent a message.
+    /// A peer sent a message.
     PeerMessage,
-    /// An instance ends.
+    /// An instance stops.
     Stopped,
     /// An instance starts.
     Started,
-    /// A probe has ended.
+    /// A health check ended.
     Probed,
-    /// A delivery has ended.
+    /// An attempt (a delivery, on the wire) ended.
     Completed,
-    /// A list of backends.
+    /// An endpoint list arrived, or could not be fetched.
     Listed,
-    /// A counter call has ended.
+    /// A counter call ended.
     Counted,
-    /// A backend's answer is passed on as it comes.
+    /// A backend began to stream its response.
     Streaming,
-    /// A client has sent a request.
+    /// A client submitted a request.
     Submitted,
 }
 
 impl EventCode {
+    /// The event with a code on the wire; none if it is unknown.
     pub fn decode(code: u8) -> Option<EventCode> {
         match code {
             10 => Some(EventCode::Instance),
@@ -49,30 +50,30 @@
     }
 }
 
-/// What an action record asks for.
+/// Kind of an action record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum ActionCode {
     /// Set a timer.
     SetTimer = 10,
-    /// Answer a client with an error.
+    /// Respond to a client with an error.
     Error = 30,
-    /// Ask for the list of backends.
+    /// Fetch the endpoint list.
     FetchList = 60,
     /// Call the counter.
     CounterCall = 70,
-    /// Answer a client that it is throttled.
+    /// Respond to a client that it is throttled.
     Throttle = 80,
-    /// Send a message to another instance.
+    /// Send a message to a peer.
     PeerMessage = 90,
-    /// The records that follow are of this instance.
+    /// Names the instance of the records that follow.
     Instance = 100,
-    /// Cancel a delivery.
+    /// Cancel an attempt.
     Cancel = 110,
     /// Write a log line.
     Log = 120,
-    /// A frame could not be read.
+    /// Report a malformed frame.
     Malformed = 130,
-    /// Deliver a request to a backend.
+    /// Forward a request to a backend.
     Deliver = 140,
 }
--- a/drill/src/events.rs
+++ b/drill/src/events.rs
@@ -1,36 +1,42 @@
-//! Event records as typed values. Fields that can be wrong are checked by whoever knows what they refer to.
-use crate::frame::{seconds, Malformed, Record, ADDRESS_BYTES};
+//! Decodes event records into typed values. Times are seconds. Indexes are checked where they are used, against the settings.
+use crate::frame::{seconds, Malformed, Record, RecordFault, ADDRESS_BYTES};
 use quillramp::types::{AttemptResult, CounterResult, EndpointStatus};
 
-/// Bytes of an entry of a list.
-const LIST_ENTRY_BYTES: usize = 23;
+/// Size of an entry of an endpoint list, bytes.
+const ENDPOINT_BYTES: usize = 23;
 
 /// The number of a request on the wire.
 pub(crate) type RequestId = u32;
 /// A backend's address on the wire.
 pub(crate) type Address = [u8; ADDRESS_BYTES];
 
-/// A client has sent a request.
+/// A client submitted a request.
 pub(crate) struct Submitted {
+    /// The id of the request on the wire.
     pub id: RequestId,
     /// The first of the instances that share the customer's quota.
     pub first_instance: usize,
-    /// How many these are.
+    /// Number of these instances, which follow each other.
     pub instances: usize,
-    /// How long its client waits, seconds.
-    pub wait: f64,
+    /// Time that its client waits for the response, seconds.
+    pub client_timeout: f64,
+    /// Units that it is expected to cost.
     pub units: f64,
+    /// Id of the customer.
     pub customer: u64,
+    /// Index of the plan in the settings.
     pub plan: usize,
+    /// Index of the operation in the settings.
     pub operation: usize,
 }
 
 impl Submitted {
+    /// Decodes a record; any bytes are valid.
     pub fn decode(record: &Record) -> Submitted {
         Submitted {
             id: record.u32(1),
             first_instance: record.f32(5) as usize,
-            wait: record.seconds(9),
+            client_timeout: record.seconds(9),
             units: record.f32(13),
             customer: record.u64(17),
             plan: usize::from(record.u16(25)),
@@ -40,51 +46,53 @@
     }
 }
 
-/// A delivery has ended.
+/// An attempt ended.
 pub(crate) struct Completed {
-    /// Which of the request's deliveries, counted from 0.
-    pub delivery: usize,
+    /// Index of the attempt within its request, counted from 0.
+    pub attempt: usize,
+    /// The backend of the attempt.
     pub address: Address,
-    /// How long it took, seconds.
-    pub took: f64,
-    /// The request is answered.
+    /// Duration of the attempt, seconds.
+    pub duration: f64,
+    /// Whether the request has its response.
     pub is_closed: bool,
-    /// The units that it took, where the backend told.
-    pub units: Option<f64>,
-    /// How many figures of the backend's report follow.
-    pub report_length: usize,
+    /// Units that the backend billed, if it reported them.
+    pub billed_units: Option<f64>,
+    /// Number of values in the backend's load report.
+    pub load_report_length: usize,
 }
 
 impl Completed {
+    /// Decodes a record, without the [`result`](Completed::result) and the load report.
     pub fn decode(record: &Record) -> Completed {
         let units = record.u16(22);
         Completed {
-            delivery: usize::from(record.u16(5)),
+            attempt: usize::from(record.u16(5)),
             address: record.address(7),
-            took: record.seconds(15),
+            duration: record.seconds(15),
             is_closed: record.u8(19) != 0,
-            units: (units > 0).then(|| f64::from(units)),
-            report_length: usize::from(record.u8(24)),
+            billed_units: (units > 0).then(|| f64::from(units)),
+            load_report_length: usize::from(record.u8(24)),
         }
     }
 
-    /// How the delivery ended.
-    pub fn ending(record: &Record) -> Result<AttemptResult, Malformed> {
-        ending(record, 13)
+    /// The result of the attempt.
+    pub fn result(record: &Record) -> Result<AttemptResult, Malformed> {
+        attempt_result(record, 13)
     }
 
-    /// A figure of the backend's report.
-    pub fn report_figure(record: &Record, place: usize) -> f64 {
-        record.f32(25 + 4 * place)
+    /// A value of the backend's load report, by its index.
+    pub fn load_report_value(record: &Record, index: usize) -> f64 {
+        record.f32(25 + 4 * index)
     }
 }
 
-/// A probe has ended; only that it can be read is checked.
+/// Checks that the result of a health check is valid; the policy engine does not use it.
 pub(crate) fn check_probed(record: &Record) -> Result<(), Malformed> {
-    ending(record, 7).map(drop)
+    attempt_result(record, 7).map(drop)
 }
 
-fn ending(record: &Record, offset: usize) -> Result<AttemptResult, Malformed> {
+fn attempt_result(record: &Record, offset: usize) -> Result<AttemptResult, Malformed> {
     match record.u16(offset) {
         1 => Ok(AttemptResult::Succeeded),
         2 => Ok(AttemptResult::Errored),
@@ -94,100 +102,113 @@
         6 => Ok(AttemptResult::Broken),
         7 => Ok(AttemptResult::Cancelled),
         8 => Ok(AttemptResult::NotSent),
-        other => Err(record.malformed(format!("unknown outcome {other}"))),
+        other => Err(record.malformed(RecordFault::UnknownOutcome(other))),
     }
 }
 
-/// The number of the request that an event is about.
+/// The id of the request that an event is about.
 pub(crate) fn request_id(record: &Record) -> RequestId {
     record.u32(1)
 }
 
-/// The number of the timer that rings.
+/// The number of the timer that fired.
 pub(crate) fn timer_number(record: &Record) -> u64 {
     record.u64(1)
 }
 
-/// The body of a message of another instance.
+/// The body of a peer's message.
 pub(crate) fn message_body<'a>(record: &Record<'a>) -> Result<&'a [u8], Malformed> {
     record.tail(5, 1)
 }
 
-/// A counter call has ended.
+/// A counter call ended.
 pub(crate) struct CounterReply {
     /// The name of the count.
     pub name: u64,
+    /// The outcome of the call.
     pub result: CounterResult,
 }
 
 impl CounterReply {
+    /// Decodes a record; fails on an unknown outcome.
     pub fn decode(record: &Record) -> Result<CounterReply, Malformed> {
         let result = match record.u16(13) {
             1 => CounterResult::Total(record.f32(15)),
             3 | 5 => CounterResult::NotApplied,
             4 => CounterResult::Unanswered,
-            other => return Err(record.malformed(format!("unknown outcome {other}"))),
+            other => return Err(record.malformed(RecordFault::UnknownOutcome(other))),
         };
         Ok(CounterReply { name: record.u64(5), result })
     }
 }
 
-/// What came of asking for the list of backends.
-pub(crate) enum ListResult {
+/// The outcome of an endpoint fetch.
+pub(crate) enum FetchOutcome {
+    /// The fetch failed.
     Failed,
-    /// Changes since the last list.
+    /// The entries are changes since the last list.
     Changes,
-    /// All backends.
-    Whole,
+    /// The entries are a complete snapshot of all endpoints.
+    Snapshot,
 }
 
-impl ListResult {
-    pub fn decode(record: &Record) -> Result<ListResult, Malformed> {
+impl FetchOutcome {
+    /// Decodes a record, without its entries; fails on an unknown kind.
+    pub fn decode(record: &Record) -> Result<FetchOutcome, Malformed> {
         match record.u8(5) {
-            0 => Ok(ListResult::Failed),
-            1 => Ok(ListResult::Changes),
-            2 | 3 => Ok(ListResult::Whole),
-            other => Err(record.malformed(format!("unknown kind of list {other}"))),
+            0 => Ok(FetchOutcome::Failed),
+            1 => Ok(FetchOutcome::Changes),
+            2 | 3 => Ok(FetchOutcome::Snapshot),
+            other => Err(record.malformed(RecordFault::UnknownListKind(other))),
         }
     }
 }
 
-/// A backend of a list.
-pub(crate) struct ListEntry {
+/// An entry of an endpoint list.
+pub(crate) struct EndpointEntry {
+    /// Index of its cell.
     pub cell: usize,
+    /// Index of its zone.
     pub zone: usize,
+    /// Its address.
     pub address: Address,
-    pub standing: EndpointStatus,
-    /// When it started, seconds on the simulator's clock, where that is known.
-    pub started: Option<f64>,
-    pub size: f64,
+    /// Its status.
+    pub status: EndpointStatus,
+    /// Time of its start, seconds of the simulator's clock; none if it is unknown.
+    pub started_at: Option<f64>,
+    /// Its capacity relative to other endpoints.
+    pub weight: f64,
 }
 
-impl ListEntry {
-    /// All entries of a list, in their order.
+impl EndpointEntry {
+    /// All entries of a list, in order; iteration fails at an entry with an unknown status.
     pub fn decode_all<'a>(
         record: &Record<'a>,
-    ) -> Result<impl Iterator<Item = Result<ListEntry, Malformed>> + 'a, Malformed> {
+    ) -> Result<impl Iterator<Item = Result<EndpointEntry, Malformed>> + 'a, Malformed> {
         let record = *record;
-        let entries = record.tail(6, LIST_ENTRY_BYTES)?.chunks_exact(LIST_ENTRY_BYTES);
-        Ok(entries.enumerate().map(move |(index, bytes)| ListEntry::decode(&record, index, bytes)))
+        let entries = record.tail(6, ENDPOINT_BYTES)?.chunks_exact(ENDPOINT_BYTES);
+        Ok(entries.enumerate().map(move |(index, bytes)| EndpointEntry::decode(&record, index, bytes)))
     }
 
-    fn decode(record: &Record, index: usize, bytes: &[u8]) -> Result<ListEntry, Malformed> {
-        let standing = match bytes[9] {
+    fn decode(record: &Record, index: usize, bytes: &[u8]) -> Result<EndpointEntry, Malformed> {
+        let status = match bytes[9] {
             0 => EndpointStatus::Removed,
             1 => EndpointStatus::Ready,
             2 => EndpointStatus::Draining,
-            other => return Err(record.malformed(format!("entry {index}: unknown state {other}"))),
+            other => {
+                return Err(
+                    record.malformed(RecordFault::UnknownEndpointStatus { entry: index, status: other })
+                )
+            }
         };
-        let started = u64::from_le_bytes(bytes[10..18].try_into().expect("eight bytes"));
-        Ok(ListEntry {
+        let started_at = u64::from_le_bytes(bytes[10..18].try_into().expect("eight bytes"));
+        Ok(EndpointEntry {
             cell: usize::from(u16::from_le_bytes([bytes[0], bytes[1]])),
             zone: usize::from(bytes[2]),
             address: bytes[3..9].try_into().expect("six bytes"),
-            standing,
-            started: (started > 0).then(|| seconds(started)),
-            size: f64::from(f32::from_le_bytes(bytes[19..23].try_into().expect("four bytes"))),
+            status,
+            started_at: (started_at > 0).then(|| seconds(started_at)),
+            weight: f64::from(f32::from_le_bytes(bytes[19..23].try_into().expect("four bytes"))),
         })
     }
 }
--- a/drill/src/frame/record.rs
+++ b/drill/src/frame/record.rs
@@ -1,40 +1,48 @@
-//! Event records.
-use super::{seconds, Malformed, ADDRESS_BYTES};
-use std::fmt;
+//! Event records: access to their fields.
+use super::{seconds, Malformed, RecordFault, ADDRESS_BYTES};
 
-/// One event record. Offsets are bytes from its beginning, where its code stands.
+/// One event record. Offsets are bytes from its beginning; its code is at offset 0. Offsets past the end of a record panic: the
+/// callers use constants.
 #[derive(Clone, Copy)]
 pub(crate) struct Record<'a> {
+    /// Position in its frame, counted from 0.
     index: usize,
     bytes: &'a [u8],
     tail: &'a [u8],
 }
 
 impl<'a> Record<'a> {
+    /// A record of [`EVENT_BYTES`](super::EVENT_BYTES), with the tail of its frame.
     pub fn new(index: usize, bytes: &'a [u8], tail: &'a [u8]) -> Record<'a> {
         Record { index, bytes, tail }
     }
 
+    /// The code that tells which event it is.
     pub fn code(&self) -> u8 {
         self.bytes[0]
     }
 
+    /// An unsigned integer of one byte.
     pub fn u8(&self, offset: usize) -> u8 {
         self.bytes[offset]
     }
 
+    /// An unsigned integer of two bytes.
     pub fn u16(&self, offset: usize) -> u16 {
         u16::from_le_bytes(self.field(offset))
     }
 
+    /// An unsigned integer of four bytes.
     pub fn u32(&self, offset: usize) -> u32 {
         u32::from_le_bytes(self.field(offset))
     }
 
+    /// An unsigned integer of eight bytes.
     pub fn u64(&self, offset: usize) -> u64 {
         u64::from_le_bytes(self.field(offset))
     }
 
+    /// A floating-point number of four bytes.
     pub fn f32(&self, offset: usize) -> f64 {
         f64::from(f32::from_le_bytes(self.field(offset)))
     }
@@ -44,27 +52,25 @@
         self.field(offset)
     }
 
-    /// Microseconds in the record, as seconds.
+    /// A duration: microseconds in the record, returned as seconds.
     pub fn seconds(&self, offset: usize) -> f64 {
         seconds(u64::from(self.u32(offset)))
     }
 
-    /// What a field says of the tail: where its items begin and how many there are, each of `item_bytes`.
+    /// The part of the tail that a field refers to by the offset and the number of items of `item_bytes` each.
     pub fn tail(&self, offset: usize, item_bytes: usize) -> Result<&'a [u8], Malformed> {
         let begin = self.u32(offset) as usize;
         let items = self.u32(offset + 4) as usize;
         let end = items.checked_mul(item_bytes).and_then(|bytes| bytes.checked_add(begin));
         end.and_then(|end| self.tail.get(begin..end)).ok_or_else(|| {
-            let all = self.tail.len();
-            self.malformed(format!(
-                "offset {begin} with {items} x {item_bytes} bytes lies outside the tail of {all}"
-            ))
+            let tail_bytes = self.tail.len();
+            self.malformed(RecordFault::OutsideTail { offset: begin, items, item_bytes, tail_bytes })
         })
     }
 
-    /// Something is wrong with this record.
-    pub fn malformed(&self, reason: impl fmt::Display) -> Malformed {
-        Malformed(format!("record {} (code {}): {reason}", self.index, self.code()))
+    /// The error for a fault of this record.
+    pub fn malformed(&self, fault: RecordFault) -> Malformed {
+        Malformed::Record { index: self.index, code: self.code(), fault }
     }
 
     fn field<const N: usize>(&self, offset: usize) -> [u8; N] {
--- a/drill/src/frame/reply.rs
+++ b/drill/src/frame/reply.rs
@@ -1,34 +1,36 @@
-//! Frames of actions.
+//! Frames of actions: encoding.
 use super::{microseconds, Malformed, ACTION_BYTES};
 use crate::codes::ActionCode;
 
+/// Size of the header of an action frame, bytes.
 const HEADER_BYTES: usize = 8;
-/// The longest time that a field holds, microseconds: 4,200 s.
+/// The longest duration that a field holds, microseconds: 4,200 s.
 const MAX_MICROSECONDS: f64 = 4_200_000_000.0;
-/// Where a record that only names a part of the tail does so.
+/// Offset of the tail reference in a record that has no other field.
 const TAIL_OFFSET: usize = 1;
 
-/// A frame of actions in the making.
+/// Builds a frame of actions.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
-    /// The instance whose actions follow.
+    /// The instance to which the next actions belong.
     instance: u32,
-    /// The instance that the last [`ActionCode::Instance`] record names.
+    /// The instance in the last [`ActionCode::Instance`] record.
     announced: Option<u32>,
 }
 
-/// An action record in the making. Offsets are bytes from its beginning, where its code stands.
+/// Fills in an action record. Offsets are bytes from its beginning; its code is at offset 0.
 pub(crate) struct ActionRecord<'a>(&'a mut [u8]);
 
 impl ActionRecord<'_> {
+    /// Writes bytes at an offset.
     pub fn bytes(self, offset: usize, bytes: &[u8]) -> Self {
         self.0[offset..offset + bytes.len()].copy_from_slice(bytes);
         self
     }
 
-    /// Seconds as microseconds, rounded up, at most what the field holds.
+    /// Writes a duration in seconds as microseconds, rounded up and limited to what the field holds.
     pub fn seconds(self, offset: usize, seconds: f64) -> Self {
         let microseconds = microseconds(seconds.max(0.0)).min(MAX_MICROSECONDS) as u32;
         self.bytes(offset, &microseconds.to_le_bytes())
@@ -36,23 +38,24 @@
 }
 
 impl Reply {
-    /// The whole answer to a frame that could not be read.
+    /// The complete reply to a frame that could not be decoded.
     pub fn of_malformed(malformed: &Malformed) -> Vec<u8> {
         let mut reply = Reply::default();
         reply.add_malformed(malformed);
         reply.into_frame()
     }
 
-    /// The actions that follow are this instance's.
+    /// Selects the instance to which the next actions belong.
     pub(crate) fn set_instance(&mut self, instance: u32) {
         self.instance = instance;
     }
 
+    /// The selected instance.
     pub(crate) fn instance(&self) -> u32 {
         self.instance
     }
 
-    /// A record of the instance in hand, which is named where it changes.
+    /// Adds a record of the selected instance, preceded by an [`ActionCode::Instance`] record if the instance has changed.
     pub(crate) fn add(&mut self, code: ActionCode) -> ActionRecord<'_> {
         if self.announced != Some(self.instance) {
             let instance = self.instance;
@@ -62,7 +65,7 @@
         self.add_record(code)
     }
 
-    /// A record with a part of the tail, which it names at an offset.
+    /// Adds a record with data in the tail, and the reference to the data at an offset.
     pub(crate) fn add_with_tail(
         &mut self,
         code: ActionCode,
@@ -75,15 +78,17 @@
         self.add(code).bytes(offset, &begin.to_le_bytes()).bytes(offset + 4, &length.to_le_bytes())
     }
 
-    /// A record that only has a text in the tail.
+    /// Adds a record whose only field is a text in the tail.
     pub(crate) fn add_text(&mut self, code: ActionCode, text: &str) {
         self.add_with_tail(code, TAIL_OFFSET, text.as_bytes());
     }
 
+    /// Adds a record that reports a fault of the event frame.
     pub(crate) fn add_malformed(&mut self, malformed: &Malformed) {
-        self.add_text(ActionCode::Malformed, &malformed.0);
+        self.add_text(ActionCode::Malformed, &malformed.to_string());
     }
 
+    /// The encoded frame.
     pub(crate) fn into_frame(self) -> Vec<u8> {
         let records = (self.records.len() / ACTION_BYTES) as u32;
         let length = (HEADER_BYTES + self.records.len() + self.tail.len()) as u32;
--- a/drill/src/host.rs
+++ b/drill/src/host.rs
@@ -1,19 +1,20 @@
-//! Hosts instances: each event goes to the instance that it names.
+//! The host of the instances: dispatches each event to its instance.
 use crate::codes::EventCode;
-use crate::frame::{Batch, Malformed, Record, Reply};
+use crate::frame::{Batch, Malformed, Record, RecordFault, Reply};
 use crate::instance::Instance;
 use quillramp::settings;
 use std::collections::BTreeMap;
 
-/// All instances that have started and not stopped, by their number.
+/// All running instances, by their number.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
 }
 
 impl Host {
-    /// Takes a batch of events in: the frame of actions that answers it.
-    pub fn answer(&mut self, batch: &Batch) -> Vec<u8> {
+    /// Handles a batch of events and returns the frame of actions that replies to it. At a malformed record the batch ends, and the
+    /// reply reports the fault.
+    pub fn handle(&mut self, batch: &Batch) -> Vec<u8> {
         let mut reply = Reply::default();
         if let Err(malformed) = self.handle_batch(batch, &mut reply) {
             reply.add_malformed(&malformed);
@@ -28,18 +29,18 @@
             let code = EventCode::decode(record.code());
             if code == Some(EventCode::Instance) {
                 if has_instance {
-                    self.settle(now, reply);
+                    self.poll_instance(now, reply);
                 }
                 reply.set_instance(record.u32(1));
                 has_instance = true;
             } else if has_instance {
                 self.handle_event(now, code, &record, reply)?;
             } else {
-                return Err(record.malformed("no instance was named before it"));
+                return Err(record.malformed(RecordFault::NoInstance));
             }
         }
         if has_instance {
-            self.settle(now, reply);
+            self.poll_instance(now, reply);
         }
         Ok(())
     }
@@ -61,8 +62,8 @@
             code => {
                 let instance = self.instances.get_mut(&number);
                 let instance =
-                    instance.ok_or_else(|| record.malformed(format!("instance {number} has not started")))?;
-                let code = code.ok_or_else(|| record.malformed("unknown code"))?;
+                    instance.ok_or_else(|| record.malformed(RecordFault::InstanceNotStarted(number)))?;
+                let code = code.ok_or_else(|| record.malformed(RecordFault::UnknownCode))?;
                 instance.handle_event(now, code, record, reply)
             }
         }
@@ -71,15 +72,16 @@
     fn start(&mut self, number: u32, record: &Record) -> Result<(), Malformed> {
         let seed = record.u64(1);
         let settings = record.tail(9, 1)?;
-        let start = settings::load(seed, settings).map_err(|error| record.malformed(error))?;
-        self.instances.insert(number, Instance::new(start));
+        let loaded = settings::load(seed, settings)
+            .map_err(|error| record.malformed(RecordFault::Settings(error.to_string())))?;
+        self.instances.insert(number, Instance::new(loaded));
         Ok(())
     }
 
-    /// After an instance's events: requests to decide on again, and the next timer.
-    fn settle(&mut self, now: f64, reply: &mut Reply) {
+    /// Ends the events of the selected instance: polls its policy engine.
+    fn poll_instance(&mut self, now: f64, reply: &mut Reply) {
         if let Some(instance) = self.instances.get_mut(&reply.instance()) {
-            instance.settle(now, reply);
+            instance.poll(now, reply);
         }
     }
 }
--- a/drill/src/instance.rs
+++ b/drill/src/instance.rs
@@ -1,9 +1,11 @@
-//! One instance: its requests, ids and timer. Events become calls of the decisions, their answers become actions; nothing is decided
-//! here.
+//! One gateway instance: its requests, interned ids and timer. Events become calls of the policy engine, and the engine's decisions
+//! and effects become actions; no decision is made here.
 use crate::actions;
 use crate::codes::EventCode;
-use crate::events::{self, Address, Completed, CounterReply, ListEntry, ListResult, RequestId, Submitted};
-use crate::frame::{microseconds, Malformed, Record, Reply};
+use crate::events::{
+    self, Address, Completed, CounterReply, EndpointEntry, FetchOutcome, RequestId, Submitted,
+};
+use crate::frame::{microseconds, Malformed, Record, RecordFault, Reply};
 use quillramp::gossip::{self, WireMessage};
 use quillramp::interner::{Interner, Slab};
 use quillramp::policy::PolicyEngine;
@@ -11,69 +13,73 @@
 use quillramp::types::*;
 use std::collections::HashMap;
 
-/// The lower bits of a count's name are its customer, the others its series.
+/// Low bits of the name of a count that hold the customer's id; the high bits hold the series.
 const CUSTOMER_BITS: u32 = 33;
+/// Selects the customer's id in the name of a count.
 const CUSTOMER_MASK: u64 = (1 << CUSTOMER_BITS) - 1;
-/// The longest timer, seconds: when it rings the decisions are asked again what is due.
+/// The longest timer, seconds; when it fires the engine is polled for the next one.
 const MAX_TIMER_SECONDS: f64 = 3600.0;
 
-/// A request without its answer, or with deliveries that are out.
+/// A request that has no response yet, or still has attempts in flight.
 struct Request {
     id: RequestId,
-    ask: RequestAttributes,
-    /// Deliveries that are out.
-    outstanding: usize,
-    /// Deliveries that were ever sent.
-    sent: usize,
-    /// It is answered, or its client is gone.
+    attributes: RequestAttributes,
+    /// Attempts in flight.
+    in_flight: usize,
+    /// Attempts until now.
+    attempts: usize,
+    /// Whether it has its response, or was aborted by its client.
     is_closed: bool,
 }
 
 /// The timer that is set.
 #[derive(Default)]
 struct Timer {
-    /// When it rings, microseconds of the simulator's clock; none if none is set.
-    rings_at: Option<u64>,
-    /// Its number: timers that were set until now.
+    /// When it fires, microseconds of the simulator's clock; none if no timer is set.
+    fires_at: Option<u64>,
+    /// Its number: the count of timers set until now. Earlier timers are ignored when they fire.
     number: u64,
 }
 
+/// A gateway instance of the simulator.
 pub(crate) struct Instance {
-    decisions: PolicyEngine,
+    engine: PolicyEngine,
     /// Number of all instances.
     instances: usize,
-    /// This instance.
-    own: usize,
-    /// Number of operations.
+    /// Index of this instance.
+    instance_index: usize,
+    /// Number of operations in the settings.
     operations: usize,
-    /// Number of plans.
+    /// Number of plans in the settings.
     plans: usize,
-    /// Names of the figures of a backend's report.
-    report: Vec<String>,
+    /// Names of the values of a backend's load report, in order.
+    load_report_fields: Vec<String>,
     requests: Slab<Request>,
-    by_id: HashMap<RequestId, RequestIndex>,
+    request_indexes: HashMap<RequestId, RequestIndex>,
     backends: Interner<Address>,
     customers: Interner<u64>,
     timer: Timer,
 }
 
 impl Instance {
-    pub fn new(start: settings::Loaded) -> Instance {
+    /// An instance without requests.
+    pub fn new(loaded: settings::Loaded) -> Instance {
         Instance {
-            decisions: start.engine,
-            instances: start.instance.instances,
-            own: start.instance.instance_index,
-            operations: start.instance.operations.len(),
-            plans: start.instance.plans.len(),
-            report: start.instance.load_report_fields,
+            engine: loaded.engine,
+            instances: loaded.instance.instances,
+            instance_index: loaded.instance.instance_index,
+            operations: loaded.instance.operations.len(),
+            plans: loaded.instance.plans.len(),
+            load_report_fields: loaded.instance.load_report_fields,
             requests: Slab::default(),
-            by_id: HashMap::new(),
+            request_indexes: HashMap::new(),
             backends: Interner::default(),
             customers: Interner::default(),
             timer: Timer::default(),
         }
     }
 
+    /// Handles one event; fails if its record is invalid. `now` is the simulator's clock, seconds.
     pub fn handle_event(
         &mut self,
         now: f64,
@@ -82,197 +88,192 @@
         reply: &mut Reply,
     ) -> Result<(), Malformed> {
         match code {
-            EventCode::Listed => self.listed(now, record),
-            EventCode::Submitted => self.submitted(now, record, reply),
-            EventCode::Streaming => self.streaming(now, record),
-            EventCode::Completed => self.completed(now, record, reply),
-            EventCode::Counted => self.counted(now, record),
-            EventCode::PeerMessage => self.peer_message(now, record),
+            EventCode::Listed => self.endpoints_fetched(now, record),
+            EventCode::Submitted => self.request_submitted(now, record, reply),
+            EventCode::Streaming => self.response_started(now, record),
+            EventCode::Completed => self.attempt_ended(now, record, reply),
+            EventCode::Counted => self.counter_answered(now, record),
+            EventCode::PeerMessage => self.gossip_received(now, record),
             EventCode::Probed => events::check_probed(record),
             EventCode::Aborted => {
-                self.aborted(now, record);
+                self.request_aborted(now, record);
                 Ok(())
             }
             EventCode::Timer => {
-                self.timer_rings(record);
+                self.timer_fired(record);
                 Ok(())
             }
-            // The host handles these itself.
+            // The host handles these.
             EventCode::Instance | EventCode::Started | EventCode::Stopped => Ok(()),
         }
     }
 
-    /// After a batch of events: decides on requests again, and sets the next timer.
-    pub fn settle(&mut self, now: f64, reply: &mut Reply) {
+    /// Polls the engine after a batch of events: applies its effects, routes requests that it reconsiders, and sets the next timer.
+    pub fn poll(&mut self, now: f64, reply: &mut Reply) {
         loop {
-            let wait = self.decisions.poll(now);
-            self.carry_out_errands(wait.effects, reply);
-            for customer in wait.evicted_customers {
+            let output = self.engine.poll(now);
+            self.apply_effects(output.effects, reply);
+            for customer in output.evicted_customers {
                 self.customers.release(customer);
             }
-            if wait.reconsider.is_empty() {
-                return self.set_timer(now, wait.next_poll_in, reply);
+            if output.reconsider.is_empty() {
+                return self.set_timer(now, output.next_poll_in, reply);
             }
-            for request in wait.reconsider {
-                self.decide_again(now, request, reply);
+            for request in output.reconsider {
+                self.route_again(now, request, reply);
             }
         }
     }
 
-    fn listed(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
-        let is_whole = match ListResult::decode(record)? {
-            ListResult::Failed => {
-                self.decisions.endpoint_fetch_failed(now);
+    fn endpoints_fetched(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
+        let is_snapshot = match FetchOutcome::decode(record)? {
+            FetchOutcome::Failed => {
+                self.engine.endpoint_fetch_failed(now);
                 return Ok(());
             }
-            ListResult::Changes => false,
-            ListResult::Whole => true,
+            FetchOutcome::Changes => false,
+            FetchOutcome::Snapshot => true,
         };
-        let mut listed = Vec::new();
-        for entry in ListEntry::decode_all(record)? {
-            let ListEntry { cell, zone, address, standing, started, size } = entry?;
-            let tgt = self.backends.intern(&address);
-            listed.push(Endpoint {
-                backend: tgt,
-                status: standing,
-                zone,
-                cell,
-                weight: size,
-                started_at: started,
-            });
+        let mut endpoints = Vec::new();
+        for entry in EndpointEntry::decode_all(record)? {
+            let EndpointEntry { cell, zone, address, status, started_at, weight } = entry?;
+            let backend = self.backends.intern(&address);
+            endpoints.push(Endpoint { backend, status, zone, cell, weight, started_at });
         }
-        self.decisions.update_endpoints(now, is_whole, &listed);
+        self.engine.update_endpoints(now, is_snapshot, &endpoints);
         Ok(())
     }
 
-    fn submitted(&mut self, now: f64, record: &Record, reply: &mut Reply) -> Result<(), Malformed> {
+    fn request_submitted(&mut self, now: f64, record: &Record, reply: &mut Reply) -> Result<(), Malformed> {
         let event = Submitted::decode(record);
         let Submitted { id, operation, plan, units, .. } = event;
         if operation >= self.operations {
-            return Err(record.malformed(format!("operation {operation} of {}", self.operations)));
+            let operations = self.operations;
+            return Err(record.malformed(RecordFault::UnknownOperation { operation, operations }));
         }
         if plan >= self.plans {
-            return Err(record.malformed(format!("plan {plan} of {}", self.plans)));
+            return Err(record.malformed(RecordFault::UnknownPlan { plan, plans: self.plans }));
         }
         if !units.is_finite() || units < 0.0 {
-            return Err(record.malformed(format!("{units} units")));
+            return Err(record.malformed(RecordFault::InvalidUnits(units)));
         }
         let customer = self.customers.intern(&event.customer);
-        let of = InstanceRange { first: event.first_instance, count: event.instances };
-        let ask = RequestAttributes {
+        let attributes = RequestAttributes {
             operation,
             plan,
             customer,
             units,
-            instances: of,
-            deadline: now + event.wait,
+            instances: InstanceRange { first: event.first_instance, count: event.instances },
+            deadline: now + event.client_timeout,
             ..RequestAttributes::default()
         };
-        let request = self.requests.insert(Request { id, ask, outstanding: 0, sent: 0, is_closed: false });
-        self.by_id.insert(id, request);
-        let answer = self.decisions.route(now, request, &ask);
-        self.carry_out(request, answer, reply);
+        let request = Request { id, attributes, in_flight: 0, attempts: 0, is_closed: false };
+        let index = self.requests.insert(request);
+        self.request_indexes.insert(id, index);
+        let output = self.engine.route(now, index, &attributes);
+        self.apply(index, output, reply);
         Ok(())
     }
 
-    fn streaming(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
-        let request = self.request(record)?;
-        self.decisions.response_started(now, request);
+    fn response_started(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
+        let index = self.request_index(record)?;
+        self.engine.response_started(now, index);
         Ok(())
     }
 
-    fn completed(&mut self, now: f64, record: &Record, reply: &mut Reply) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, now: f64, record: &Record, reply: &mut Reply) -> Result<(), Malformed> {
         let event = Completed::decode(record);
-        let index = self.request(record)?;
-        let address = event.address;
-        let Some(tgt) = self.backends.get(&address) else {
-            return Err(record.malformed(format!("backend {address:?} was never listed")));
+        let index = self.request_index(record)?;
+        let Some(backend) = self.backends.get(&event.address) else {
+            return Err(record.malformed(RecordFault::UnknownBackend(event.address)));
         };
-        let ending = Completed::ending(record)?;
+        let result = Completed::result(record)?;
         let request = self.requests[index].as_mut().expect("an id leads to a held request");
-        if event.delivery >= request.sent {
-            return Err(record.malformed(format!("delivery {} of {}", event.delivery, request.sent)));
+        if event.attempt >= request.attempts {
+            let fault = RecordFault::UnknownAttempt { attempt: event.attempt, attempts: request.attempts };
+            return Err(record.malformed(fault));
         }
-        request.outstanding = request.outstanding.saturating_sub(1);
+        request.in_flight = request.in_flight.saturating_sub(1);
         request.is_closed |= event.is_closed;
-        let reported = &self.report[..self.report.len().min(event.report_length)];
+        let reported = self.load_report_fields.len().min(event.load_report_length);
+        let load_report = settings::load_report(&self.load_report_fields[..reported], |index, _| {
+            Some(Completed::load_report_value(record, index))
+        });
         let outcome = AttemptOutcome {
-            attempt: event.delivery,
-            backend: tgt,
-            result: ending,
-            duration: event.took,
+            attempt: event.attempt,
+            backend,
+            result,
+            duration: event.duration,
             request_closed: event.is_closed,
-            billed_units: event.units,
-            load_report: settings::load_report(reported, |place, _| {
-                Some(Completed::report_figure(record, place))
-            }),
+            billed_units: event.billed_units,
+            load_report,
         };
-        let answer = self.decisions.attempt_ended(now, index, &outcome);
-        self.carry_out(index, answer, reply);
+        let output = self.engine.attempt_ended(now, index, &outcome);
+        self.apply(index, output, reply);
         Ok(())
     }
 
-    fn aborted(&mut self, now: f64, record: &Record) {
-        let Some(&index) = self.by_id.get(&events::request_id(record)) else { return };
-        self.decisions.request_closed(now, index);
+    fn request_aborted(&mut self, now: f64, record: &Record) {
+        let Some(&index) = self.request_indexes.get(&events::request_id(record)) else { return };
+        self.engine.request_closed(now, index);
         if let Some(request) = self.requests[index].as_mut() {
             request.is_closed = true;
         }
-        self.release_if_over(index);
+        self.release_if_done(index);
     }
 
-    fn timer_rings(&mut self, record: &Record) {
+    fn timer_fired(&mut self, record: &Record) {
         if events::timer_number(record) == self.timer.number {
-            self.timer.rings_at = None;
+            self.timer.fires_at = None;
         }
     }
 
-    fn counted(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
+    fn counter_answered(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
         let CounterReply { name, result } = CounterReply::decode(record)?;
         if let Some(customer) = self.customers.get(&(name & CUSTOMER_MASK)) {
             let series = (name >> CUSTOMER_BITS) as u32;
-            self.decisions.counter_answered(now, CounterKey { customer, series }, result);
+            self.engine.counter_answered(now, CounterKey { customer, series }, result);
         }
         Ok(())
     }
 
-    fn peer_message(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
+    fn gossip_received(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
         match gossip::decode(events::message_body(record)?) {
             Some(WireMessage::BackendRecovered(address)) => {
-                if let Some(tgt) = self.backends.get(&address[..]) {
-                    self.decisions.gossip_received(now, GossipMessage::BackendRecovered { backend: tgt });
+                if let Some(backend) = self.backends.get(&address[..]) {
+                    self.engine.gossip_received(now, GossipMessage::BackendRecovered { backend });
                 }
             }
-            Some(WireMessage::CounterTotal { customer, plan, instances: of, series, total })
+            Some(WireMessage::CounterTotal { customer, plan, instances, series, total })
                 if plan < self.plans =>
             {
-                let name = CounterKey { customer: self.customers.intern(&customer), series };
-                self.decisions.gossip_received(
-                    now,
-                    GossipMessage::CounterTotal { key: name, plan, instances: of, total },
-                );
+                let key = CounterKey { customer: self.customers.intern(&customer), series };
+                let message = GossipMessage::CounterTotal { key, plan, instances, total };
+                self.engine.gossip_received(now, message);
             }
+            // A plan that is not in this instance's settings.
             Some(_) => {}
-            None => return Err(record.malformed("no word of ours")),
+            None => return Err(record.malformed(RecordFault::InvalidGossip)),
         }
         Ok(())
     }
 
-    fn decide_again(&mut self, now: f64, index: RequestIndex, reply: &mut Reply) {
+    fn route_again(&mut self, now: f64, index: RequestIndex, reply: &mut Reply) {
         let open = self.requests[index].as_ref().filter(|request| !request.is_closed);
-        if let Some(ask) = open.map(|request| request.ask) {
-            let answer = self.decisions.route(now, index, &ask);
-            self.carry_out(index, answer, reply);
+        if let Some(attributes) = open.map(|request| request.attributes) {
+            let output = self.engine.route(now, index, &attributes);
+            self.apply(index, output, reply);
         }
     }
 
-    fn carry_out(&mut self, index: RequestIndex, answer: PolicyOutput, reply: &mut Reply) {
+    /// Turns the engine's decision on a request, and its effects, into actions.
+    fn apply(&mut self, index: RequestIndex, output: PolicyOutput, reply: &mut Reply) {
         let request = self.requests[index].as_mut().expect("decided on a held request");
-        match answer.decision {
-            Decision::Forward { backend: tgt } => {
-                request.outstanding += 1;
-                request.sent += 1;
-                let address = self.backends.resolve(tgt).expect("the decisions name listed backends");
+        match output.decision {
+            Decision::Forward { backend } => {
+                request.in_flight += 1;
+                request.attempts += 1;
+                let address = self.backends.resolve(backend).expect("the engine names listed backends");
                 actions::deliver(reply, request.id, address);
             }
             Decision::Pending => {}
@@ -285,84 +286,86 @@
                 actions::error(reply, request.id);
             }
         }
-        self.carry_out_errands(answer.effects, reply);
-        self.release_if_over(index);
+        self.apply_effects(output.effects, reply);
+        self.release_if_done(index);
     }
 
-    fn carry_out_errands(&self, errands: Effects, reply: &mut Reply) {
-        for call in errands.counter_calls {
+    fn apply_effects(&self, effects: Effects, reply: &mut Reply) {
+        for call in effects.counter_calls {
             let series = u64::from(call.key.series) << CUSTOMER_BITS;
-            let name = self.customer_key(call.key.customer) | series;
+            let name = self.customer_id(call.key.customer) | series;
             actions::counter_call(reply, name, call.delta, call.lifetime);
         }
-        for word in errands.gossip {
-            self.send_word(word, reply);
+        for message in effects.gossip {
+            self.send_gossip(message, reply);
         }
-        for (index, delivery) in errands.cancellations {
+        for (index, attempt) in effects.cancellations {
             if let Some(request) = self.requests[index].as_ref() {
-                actions::cancel(reply, request.id, delivery);
+                actions::cancel(reply, request.id, attempt);
             }
         }
-        if errands.fetch_endpoints {
-            actions::fetch_list(reply);
+        if effects.fetch_endpoints {
+            actions::fetch_endpoints(reply);
         }
-        for line in errands.log {
+        for line in effects.log {
             actions::log(reply, &line);
         }
     }
 
-    fn send_word(&self, word: GossipMessage, reply: &mut Reply) {
-        match word {
-            GossipMessage::BackendRecovered { backend: tgt } => {
-                let address = self.backends.resolve(tgt).expect("the decisions name listed backends");
+    /// Sends gossip: a recovered backend to all peers, a customer's total to the instances that share the customer.
+    fn send_gossip(&self, message: GossipMessage, reply: &mut Reply) {
+        match message {
+            GossipMessage::BackendRecovered { backend } => {
+                let address = self.backends.resolve(backend).expect("the engine names listed backends");
                 actions::broadcast(reply, &gossip::encode(&WireMessage::BackendRecovered(address.to_vec())));
             }
-            GossipMessage::CounterTotal { key: name, plan, instances: of, total } => {
-                let customer = self.customer_key(name.customer);
+            GossipMessage::CounterTotal { key, plan, instances, total } => {
+                let customer = self.customer_id(key.customer);
                 let body = gossip::encode(&WireMessage::CounterTotal {
                     customer,
                     plan,
-                    instances: of,
-                    series: name.series,
+                    instances,
+                    series: key.series,
                     total,
                 });
-                let sharing = (of.first..of.first + of.count).map(|instance| instance % self.instances);
-                for peer in sharing.filter(|peer| *peer != self.own) {
+                let sharing = (instances.first..instances.first + instances.count)
+                    .map(|instance| instance % self.instances);
+                for peer in sharing.filter(|peer| *peer != self.instance_index) {
                     actions::send(reply, peer, &body);
                 }
             }
         }
     }
 
-    /// Timers can't be cancelled: a new one is set only where it rings before the one that is set.
+    /// Sets a timer. Timers can't be cancelled, so a new one is set only if it fires before the one that is set.
     fn set_timer(&mut self, now: f64, seconds: Option<f64>, reply: &mut Reply) {
         let Some(seconds) = seconds else { return };
         let seconds = seconds.clamp(0.0, MAX_TIMER_SECONDS);
-        let rings_at = microseconds(now + seconds) as u64;
-        if self.timer.rings_at.is_none_or(|earlier| rings_at < earlier) {
+        let fires_at = microseconds(now + seconds) as u64;
+        if self.timer.fires_at.is_none_or(|earlier| fires_at < earlier) {
             self.timer.number += 1;
-            self.timer.rings_at = Some(rings_at);
+            self.timer.fires_at = Some(fires_at);
             actions::set_timer(reply, self.timer.number, seconds);
         }
     }
 
-    /// The request that an event is about.
-    fn request(&self, record: &Record) -> Result<RequestIndex, Malformed> {
+    /// The index of the request that an event is about.
+    fn request_index(&self, record: &Record) -> Result<RequestIndex, Malformed> {
         let id = events::request_id(record);
-        let index = self.by_id.get(&id).copied();
-        index.ok_or_else(|| record.malformed(format!("invocation {id} is not held")))
+        let index = self.request_indexes.get(&id).copied();
+        index.ok_or_else(|| record.malformed(RecordFault::UnknownRequest(id)))
     }
 
-    /// Forgets a request once it is closed and no delivery of it is out.
-    fn release_if_over(&mut self, index: RequestIndex) {
-        let is_over = |request: &Request| request.is_closed && request.outstanding == 0;
-        if self.requests[index].as_ref().is_some_and(is_over) {
+    /// Forgets a request once it is closed and has no attempt in flight.
+    fn release_if_done(&mut self, index: RequestIndex) {
+        let is_done = |request: &Request| request.is_closed && request.in_flight == 0;
+        if self.requests[index].as_ref().is_some_and(is_done) {
             let request = self.requests.release(index).expect("it is held");
-            self.by_id.remove(&request.id);
+            self.request_indexes.remove(&request.id);
         }
     }
 
-    fn customer_key(&self, customer: CustomerIndex) -> u64 {
-        *self.customers.resolve(customer).expect("the decisions name customers in hand")
+    fn customer_id(&self, customer: CustomerIndex) -> u64 {
+        *self.customers.resolve(customer).expect("the engine names known customers")
     }
 }
--- a/drill/src/lib.rs
+++ b/drill/src/lib.rs
@@ -1,5 +1,5 @@
-//! The simulator's adapter: hosts instances of quillramp's decisions behind the wire of the bench. Frames of events come in, frames of
-//! actions go out; what to do is decided by `quillramp::decide` alone.
+//! The simulator adapter: runs instances of the policy engine behind the wire protocol of the bench. It translates frames of events
+//! into calls of `quillramp::policy`, and the engine's decisions and effects into frames of actions.
 #![warn(missing_docs)]
 mod actions;
 mod codes;
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,15 +1,16 @@
-//! Speaks the wire of the bench on standard input and output.
+//! quillramp-drill: the simulator adapter on standard input and output.
 use quillramp_drill::frame::{self, Reply};
 use quillramp_drill::Host;
 use std::io::{self, Write};
 use std::process::ExitCode;
 
 fn run() -> io::Result<()> {
-    let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
+    let mut input = io::stdin().lock();
+    let mut output = io::stdout().lock();
     let mut host = Host::default();
     while let Some(batch) = frame::read(&mut input)? {
         let reply = match batch {
-            Ok(batch) => host.answer(&batch),
+            Ok(batch) => host.handle(&batch),
             Err(malformed) => Reply::of_malformed(&malformed),
         };
         output.write_all(&reply)?;
@@ -21,8 +22,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("quillramp-drill: {e}");
+        Err(error) => {
+            eprintln!("quillramp-drill: {error}");
             ExitCode::FAILURE
         }
     }
--- a/drill/tests/malformed.rs
+++ b/drill/tests/malformed.rs
@@ -1,4 +1,4 @@
-//! Frames that are malformed: each is named, and none is a panic.
+//! Malformed frames: each fault is reported, and none panics.
 use expect_test::expect;
 use quillramp_drill::frame::{self, ACTION_BYTES, EVENT_BYTES};
 use quillramp_drill::Host;
@@ -6,8 +6,8 @@
 const HEADER_BYTES: usize = 16;
 const CLOCK: u64 = 7_000_000;
 
-/// What the host says of a frame of these event records and this tail.
-fn said(records: &[Vec<u8>], tail: &[u8]) -> String {
+/// The fault that is reported for a frame of these event records and this tail.
+fn reported_fault(records: &[Vec<u8>], tail: &[u8]) -> String {
     let length = HEADER_BYTES + records.len() * EVENT_BYTES + tail.len();
     let mut bytes = (records.len() as u32).to_le_bytes().to_vec();
     bytes.extend((length as u32).to_le_bytes());
@@ -18,11 +18,11 @@
     }
     bytes.extend(tail);
     match frame::read(&mut &bytes[..]) {
-        Err(e) => format!("stop: {e}\n"),
+        Err(error) => format!("stop: {error}\n"),
         Ok(None) => "end\n".into(),
-        Ok(Some(Err(e))) => format!("broken: {e}\n"),
+        Ok(Some(Err(error))) => format!("broken: {error}\n"),
         Ok(Some(Ok(batch))) => {
-            let reply = Host::default().answer(&batch);
+            let reply = Host::default().handle(&batch);
             let actions = u32::from_le_bytes(reply[..4].try_into().expect("four bytes")) as usize;
             format!("broken: {}\n", String::from_utf8_lossy(&reply[8 + actions * ACTION_BYTES..]))
         }
@@ -30,16 +30,16 @@
 }
 
 #[test]
-fn malformed_input_is_named_and_never_a_panic() {
+fn malformed_frames_are_reported_without_a_panic() {
     let instance = vec![10, 3, 0, 0, 0];
-    let start = |n: u8| [vec![60], vec![0; 8], vec![0, 0, 0, 0, n, 0, 0, 0]].concat();
-    let mut all = said(&[vec![120]], &[]);
-    all += &said(&[instance.clone(), vec![120]], &[]);
-    all += &said(&[instance.clone(), start(9)], b"short");
-    all += &said(&[instance.clone(), start(5)], b"short");
-    all += &said(&[instance, start(13)], b"{\"tiers\": []}");
-    let cut = frame::read(&mut &[1u8, 0, 0][..]).map(|_| ()).expect_err("cut short");
-    all += &format!("stop: {cut}\n");
+    let start = |length: u8| [vec![60], vec![0; 8], vec![0, 0, 0, 0, length, 0, 0, 0]].concat();
+    let mut faults = reported_fault(&[vec![120]], &[]);
+    faults += &reported_fault(&[instance.clone(), vec![120]], &[]);
+    faults += &reported_fault(&[instance.clone(), start(9)], b"short");
+    faults += &reported_fault(&[instance.clone(), start(5)], b"short");
+    faults += &reported_fault(&[instance, start(13)], b"{\"tiers\": []}");
+    let truncated = frame::read(&mut &[1u8, 0, 0][..]).map(|_| ()).expect_err("cut short");
+    faults += &format!("stop: {truncated}\n");
     expect![[r#"
         broken: record 0 (code 120): no instance was named before it
         broken: record 1 (code 120): instance 3 has not started
@@ -48,5 +48,5 @@
         broken: record 1 (code 60): settings: missing field `balancers` at line 1 column 13
         stop: frame header cut short: 3 of 16 bytes
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&faults);
 }
