--- a/admission/src/audit.rs
+++ b/admission/src/audit.rs
@@ -1,35 +1,35 @@
-//! Checks that the counts of a controller agree with each other, for tests.
+//! A consistency check of the controller's counts, for tests.
 use crate::address::Address;
 use crate::connection::Connection;
 use crate::AdmissionController;
 use std::net::IpAddr;
 
-/// Counts that do not agree.
+/// An inconsistency between counts.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum AuditError {
     /// The connections of an address.
-    #[error("{from}: {open} connections, {counted} known of, {strangers} strangers")]
+    #[error("{from}: {open} connections, {counted} known of, {unidentified} strangers")]
     Connections {
         /// The address.
         from: IpAddr,
         /// Open connections that come from it.
         open: usize,
-        /// Connections that it counts.
+        /// Connections that the address counts.
         counted: usize,
-        /// Open connections without a command.
-        strangers: usize,
+        /// Open connections that have not sent a command yet.
+        unidentified: usize,
     },
-    /// The unanswered commands of an address.
-    #[error("{from}: {unanswered} unfinished, by caller {by_customer:?}")]
+    /// The pending commands of an address.
+    #[error("{from}: {pending} unfinished, by caller {by_customer:?}")]
     Commands {
         /// The address.
         from: IpAddr,
-        /// Unanswered commands that it counts.
-        unanswered: usize,
+        /// Pending commands that the address counts.
+        pending: usize,
         /// The same by customer.
         by_customer: Vec<usize>,
     },
-    /// More connections of unknown addresses than there are.
+    /// There are more connections of unknown addresses than open connections.
     #[error("{unknown} unknown of {open}")]
     Unknown {
         /// Connections of unknown addresses.
@@ -40,7 +40,7 @@
 }
 
 impl AdmissionController {
-    /// Checks that its counts agree with its connections.
+    /// Checks that the counts are consistent with the open connections.
     pub fn audit(&self, now: f64) -> Result<(), AuditError> {
         for (from, address) in &self.addresses {
             self.audit_connections(*from, address)?;
@@ -57,22 +57,24 @@
 
     fn audit_connections(&self, from: IpAddr, address: &Address) -> Result<(), AuditError> {
         let of_address = |connection: &&Connection| connection.from == from;
-        let own: Vec<&Connection> = self.connections.values().filter(of_address).collect();
-        let strangers = own.iter().filter(|connection| connection.customer.is_none()).count();
+        let connections: Vec<&Connection> = self.connections.values().filter(of_address).collect();
+        let unidentified = connections.iter().filter(|connection| connection.customer.is_none()).count();
         let with_customer = address.connections_by_customer.total();
-        let (open, counted) = (own.len(), address.connections.len());
-        if open != counted || strangers != address.strangers || with_customer + strangers != open {
-            return Err(AuditError::Connections { from, open, counted, strangers });
+        let open = connections.len();
+        let counted = address.connections.len();
+        if open != counted || unidentified != address.unidentified || with_customer + unidentified != open {
+            return Err(AuditError::Connections { from, open, counted, unidentified });
         }
         Ok(())
     }
 
     fn audit_commands(&self, from: IpAddr, address: &Address) -> Result<(), AuditError> {
-        let unanswered = address.unanswered;
-        let most = 2 * self.limits.unfinished.max(1);
-        if address.unanswered_by_customer.total() > unanswered || unanswered > most {
-            let by_customer = address.unanswered_by_customer.values();
-            return Err(AuditError::Commands { from, unanswered, by_customer });
+        let pending = address.pending;
+        // Fairness admits customers below their part beyond the limit, but never beyond twice the limit.
+        let max_pending = 2 * self.limits.unfinished.max(1);
+        if address.pending_by_customer.total() > pending || pending > max_pending {
+            let by_customer = address.pending_by_customer.values();
+            return Err(AuditError::Commands { from, pending, by_customer });
         }
         Ok(())
     }
--- a/admission/src/connection.rs
+++ b/admission/src/connection.rs
@@ -1,56 +1,59 @@
-//! The state of one connection.
+//! The state of one client connection.
 use crate::{ConnectionId, CustomerId};
 use std::net::IpAddr;
 
-/// A connection that was open before the controller was there.
+/// A connection that was open before the controller was created.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenConnection {
-    /// Its number.
+    /// Its id.
     pub id: ConnectionId,
-    /// Where it comes from.
+    /// The address of the client.
     pub from: IpAddr,
-    /// It has sent something whole.
+    /// Whether it has sent a complete command or greeting.
     pub has_spoken: bool,
-    /// The customers of its commands without an answer, once for each command.
+    /// The customers of its pending commands, one entry for each command.
     pub unanswered: Vec<CustomerId>,
 }
 
+/// An open connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Connection {
+    /// The address of the client.
     pub from: IpAddr,
     /// The customer of its last command.
     pub customer: Option<CustomerId>,
-    /// It has sent something whole, if only a greeting.
+    /// Whether it has sent a complete command or greeting.
     pub has_spoken: bool,
-    /// The customers of its commands without an answer, once for each command.
-    pub unanswered: Vec<CustomerId>,
-    /// Commands that were read and are not decided on yet.
-    pub undecided: usize,
-    /// When the command began that has not come whole yet.
+    /// The customers of its pending commands, one entry for each command.
+    pub pending: Vec<CustomerId>,
+    /// Commands that were read and not yet passed to the controller for a verdict.
+    pub queued: usize,
+    /// Time at which the beginning of an incomplete command was read, seconds.
     pub partial_since: Option<f64>,
-    /// When it was opened, was answered or last sent something whole.
+    /// Time of its opening, its last response or its last complete command, seconds.
     pub last_active: f64,
 }
 
 impl Connection {
+    /// A connection that has sent nothing.
     pub fn new(now: f64, from: IpAddr) -> Connection {
         Connection {
             from,
             customer: None,
             has_spoken: false,
-            unanswered: vec![],
-            undecided: 0,
+            pending: vec![],
+            queued: 0,
             partial_since: None,
             last_active: now,
         }
     }
 
-    /// It is owed no answer, as far as is known.
+    /// Whether it has no pending command, as far as the controller knows.
     pub fn is_idle(&self) -> bool {
-        self.unanswered.is_empty() && self.undecided == 0
+        self.pending.is_empty() && self.queued == 0
     }
 
-    /// It is idle and has sent nothing, not even the beginning of a command.
+    /// Whether it is idle and has sent nothing, not even an incomplete command.
     pub fn is_silent(&self) -> bool {
         !self.has_spoken && self.partial_since.is_none() && self.is_idle()
     }
--- a/admission/src/controller.rs
+++ b/admission/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller: what it is told, and the questions it answers.
+//! The admission controller: the events that are reported to it, and its verdicts.
 use crate::address::Address;
 use crate::connection::Connection;
 use crate::{
@@ -8,30 +8,30 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// Beyond so many addresses those without a connection are forgotten, which bounds the memory.
+/// Addresses above which those without a connection are forgotten; bounds the memory.
 const MAX_ADDRESSES: usize = 4096;
-/// Seconds after which a deferred command may be sent again: long against an answer, short against a client's time-out.
-const RETRY_AFTER: f64 = 0.05;
+/// Delay after which a deferred command may be retried, seconds: long compared to a response, short compared to a client's timeout.
+const DEFERRED_RETRY_DELAY: f64 = 0.05;
 
-/// Decides on connections and commands of clients.
+/// Decides which connections and commands of clients are admitted. All times are seconds.
 pub struct AdmissionController {
     pub(crate) limits: Limits,
     pub(crate) connections: BTreeMap<ConnectionId, Connection>,
     pub(crate) addresses: BTreeMap<IpAddr, Address>,
-    /// Connections of addresses that are not known.
+    /// Number of connections from unknown addresses.
     unknown_connections: usize,
-    /// The latest time that was given with an event.
+    /// The time of the latest event, seconds.
     now: f64,
     /// Counters of its decisions.
     pub metrics: Metrics,
 }
 
-/// How much a controller holds.
+/// The amount of state of a controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sizes {
     /// Open connections.
     pub connections: usize,
-    /// Addresses that are remembered.
+    /// Addresses with state.
     pub addresses: usize,
 }
 
@@ -48,26 +48,26 @@
         }
     }
 
-    /// Adds a connection that was open before the controller was there; it is kept whatever the limits say.
+    /// Adds a connection that was open before the controller was created; it is kept even beyond the limits.
     pub fn add_open(&mut self, now: f64, open: OpenConnection) {
         self.now = now;
-        let OpenConnection { id, from, has_spoken, unanswered } = open;
-        let customer = unanswered.last().copied();
+        let OpenConnection { id, from, has_spoken, unanswered: pending } = open;
+        let customer = pending.last().copied();
         let address = self.address_or_new(now, from);
         address.connections.insert(id);
-        address.unanswered += unanswered.len();
-        unanswered.iter().for_each(|customer| address.unanswered_by_customer.increment(*customer));
+        address.pending += pending.len();
+        pending.iter().for_each(|customer| address.pending_by_customer.increment(*customer));
         match customer {
-            None => address.strangers += 1,
+            None => address.unidentified += 1,
             Some(customer) => address.connections_by_customer.increment(customer),
         }
         let is_known = address.is_known(now);
         self.unknown_connections += usize::from(!is_known);
-        let connection = Connection { customer, has_spoken, unanswered, ..Connection::new(now, from) };
+        let connection = Connection { customer, has_spoken, pending, ..Connection::new(now, from) };
         self.connections.insert(id, connection);
     }
 
-    /// Replaces the limits. Connections above them stay open; none is added, and they are closed first when descriptors run short.
+    /// Replaces the limits. Connections beyond the new limits stay open, but no further ones are admitted.
     pub fn set_limits(&mut self, now: f64, limits: Limits) {
         for (from, address) in &mut self.addresses {
             address.is_listed = limits.lists(*from);
@@ -76,39 +76,40 @@
         self.refresh_known(now);
     }
 
-    /// So many whole commands were read from a connection; they are decided on later.
+    /// Reports that complete commands were read from a connection; their verdicts follow later.
     pub fn commands_read(&mut self, id: ConnectionId, commands: usize) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.undecided += commands;
+            connection.queued += commands;
         }
     }
 
-    /// A whole command that was read is about to be decided on.
+    /// Reports that one of the commands read is about to be decided on.
     pub fn command_started(&mut self, now: f64, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.undecided = connection.undecided.saturating_sub(1);
+            connection.queued = connection.queued.saturating_sub(1);
             connection.partial_since = None;
             connection.last_active = now;
             connection.has_spoken = true;
         }
     }
 
-    /// The beginning of a command was read, and not yet the rest.
+    /// Reports that an incomplete command was read.
     pub fn partial_command(&mut self, now: f64, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.partial_since = connection.partial_since.or(Some(now));
         }
     }
 
-    /// A command has its final answer; `served` if it was served well.
+    /// Reports the final response of a command; `served` if it was successful, which makes the address known.
     pub fn command_answered(&mut self, now: f64, id: ConnectionId, customer: CustomerId, served: bool) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.last_active = now;
-        let Some(i) = connection.unanswered.iter().position(|c| *c == customer) else { return };
-        connection.unanswered.swap_remove(i);
+        let answered = connection.pending.iter().position(|pending| *pending == customer);
+        let Some(answered) = answered else { return };
+        connection.pending.swap_remove(answered);
         let Some(address) = self.addresses.get_mut(&connection.from) else { return };
-        address.unanswered = address.unanswered.saturating_sub(1);
-        address.unanswered_by_customer.decrement(customer);
+        address.pending = address.pending.saturating_sub(1);
+        address.pending_by_customer.decrement(customer);
         if !served || self.limits.known_for <= 0.0 {
             return;
         }
@@ -119,18 +120,18 @@
         }
     }
 
-    /// A connection is closed, whoever closed it. Its unanswered commands no longer count against its address.
+    /// Reports that a connection is closed, by whichever side. Its pending commands no longer count against its address.
     pub fn connection_closed(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(connection) = self.connections.remove(&id) else { return };
         let Some(address) = self.addresses.get_mut(&connection.from) else { return };
         address.connections.remove(&id);
         match connection.customer {
-            None => address.strangers -= 1,
+            None => address.unidentified -= 1,
             Some(customer) => address.connections_by_customer.decrement(customer),
         }
-        address.unanswered = address.unanswered.saturating_sub(connection.unanswered.len());
-        connection.unanswered.iter().for_each(|customer| address.unanswered_by_customer.decrement(*customer));
+        address.pending = address.pending.saturating_sub(connection.pending.len());
+        connection.pending.iter().for_each(|customer| address.pending_by_customer.decrement(*customer));
         let is_last = address.connections.is_empty();
         if !address.is_known(now) {
             self.unknown_connections = self.unknown_connections.saturating_sub(1);
@@ -142,14 +143,14 @@
         }
     }
 
-    /// Recounts the connections of unknown addresses, which become known and unknown by time alone. To be called now and then.
+    /// Recounts the connections of unknown addresses: an address becomes unknown by the passing of time. To be called periodically.
     pub fn refresh_known(&mut self, now: f64) {
         self.now = now;
         let unknown = self.addresses.values().filter(|address| !address.is_known(now));
         self.unknown_connections = unknown.map(|address| address.connections.len()).sum();
     }
 
-    /// Whether a new connection is accepted; one that is counts from now on.
+    /// Decides on a new connection; an accepted one counts from now on.
     pub fn admit_connection(&mut self, now: f64, id: ConnectionId, from: IpAddr) -> ConnectionVerdict {
         self.now = now;
         let limits = &self.limits;
@@ -159,7 +160,7 @@
             return self.reject(RejectReason::Rate);
         }
         let is_known = address.is_known(now);
-        let replaced = match self.make_room(now, from, is_known) {
+        let replaced = match self.find_replaced(now, from, is_known) {
             Ok(replaced) => replaced,
             Err(reason) => return self.reject(reason),
         };
@@ -171,12 +172,12 @@
         self.connections.insert(id, Connection::new(now, from));
         let address = self.address_or_new(now, from);
         address.connections.insert(id);
-        address.strangers += 1;
+        address.unidentified += 1;
         self.unknown_connections += usize::from(!is_known);
         replaced.map_or(ConnectionVerdict::Accept, ConnectionVerdict::Replace)
     }
 
-    /// Whether a command is taken; one that is counts as unanswered until it is answered.
+    /// Decides on a command; an accepted one is pending until [`command_answered`](Self::command_answered).
     pub fn admit_command(&mut self, now: f64, id: ConnectionId, customer: CustomerId) -> CommandVerdict {
         let Some(connection) = self.connections.get_mut(&id) else { return CommandVerdict::Accept };
         connection.partial_since = None;
@@ -186,64 +187,65 @@
         let Some(address) = self.addresses.get_mut(&connection.from) else { return CommandVerdict::Accept };
         if previous != Some(customer) {
             match previous {
-                None => address.strangers -= 1,
+                None => address.unidentified -= 1,
                 Some(previous) => address.connections_by_customer.decrement(previous),
             }
             address.connections_by_customer.increment(customer);
         }
-        // Max-min: at the limit those are still taken that have less than their part; together they can't pass twice the limit.
-        let own = address.unanswered_by_customer.of(customer);
-        let customers = address.unanswered_by_customer.customers() + usize::from(own == 0);
+        // Max-min fairness: at the limit, customers below their part are still served. Together that is at most twice the limit.
+        let pending_of_customer = address.pending_by_customer.count(customer);
+        let customers = address.pending_by_customer.customers() + usize::from(pending_of_customer == 0);
         let part = (self.limits.unfinished / customers.max(1)).max(1);
-        if address.unanswered >= self.limits.unfinished && own >= part {
+        if address.pending >= self.limits.unfinished && pending_of_customer >= part {
             self.metrics.deferred_commands += 1;
-            return CommandVerdict::RetryAfter(RETRY_AFTER);
+            return CommandVerdict::RetryAfter(DEFERRED_RETRY_DELAY);
         }
-        address.unanswered += 1;
-        address.unanswered_by_customer.increment(customer);
-        connection.unanswered.push(customer);
+        address.pending += 1;
+        address.pending_by_customer.increment(customer);
+        connection.pending.push(customer);
         CommandVerdict::Accept
     }
 
-    /// How much it holds.
+    /// The amount of state that it holds.
     pub fn sizes(&self) -> Sizes {
         Sizes { connections: self.connections.len(), addresses: self.addresses.len() }
     }
 
-    /// Finds room for a connection: none is to be closed for it, or this one; or why there is no room.
-    fn make_room(
+    /// Finds the connection to close so that a new one fits; none if there is capacity. Fails if there is neither.
+    fn find_replaced(
         &self,
         now: f64,
         from: IpAddr,
         is_known: bool,
     ) -> Result<Option<ConnectionId>, RejectReason> {
         match self.address_limit(from) {
-            // Its own address makes room: a silent one goes, or one of the customer that has more than its part.
+            // The connection replaces one of its own address: a silent one, or one of a customer that has more than its part.
             Some(RejectReason::Address) => {
-                let own = self.silent_of(now, from).or_else(|| self.idlest_of_largest_customer(from));
-                own.map(Some).ok_or(RejectReason::Address)
+                let replaced = self.silent_of(now, from).or_else(|| self.idlest_of_largest_customer(from));
+                replaced.map(Some).ok_or(RejectReason::Address)
             }
             Some(reason) => self.silent_of(now, from).map(Some).ok_or(reason),
-            None if self.has_free_place(is_known) => Ok(None),
-            // For a known one an unknown one goes; else none does.
+            None if self.has_capacity(is_known) => Ok(None),
+            // A known address replaces a connection of an unknown one.
             None if is_known => self.first_unknown(now).map(Some).ok_or(RejectReason::Full),
             None => Err(RejectReason::Full),
         }
     }
 
-    /// The limit of its own that an address has reached.
+    /// The limit per address that an address has reached, if one.
     fn address_limit(&self, from: IpAddr) -> Option<RejectReason> {
         let address = self.addresses.get(&from)?;
         if address.connections.len() >= self.limits.per_address {
             Some(RejectReason::Address)
-        } else if address.strangers >= self.limits.strangers {
+        } else if address.unidentified >= self.limits.strangers {
             Some(RejectReason::Strangers)
         } else {
             None
         }
     }
 
-    fn has_free_place(&self, is_known: bool) -> bool {
+    /// Whether there is a free connection, outside of the reserve unless the address is known.
+    fn has_capacity(&self, is_known: bool) -> bool {
         let unreserved = self.limits.connections.saturating_sub(self.limits.reserve);
         let is_free = self.connections.len() < self.limits.connections;
         is_free && (is_known || self.unknown_connections < unreserved)
@@ -259,7 +261,8 @@
         self.addresses.entry(from).or_insert_with(|| Address::new(now, from, limits))
     }
 
-    /// Forgets addresses without a connection: all that may be, then the one that would be known for the shortest time.
+    /// Forgets addresses without connections: all that lose nothing; if these are too few, also the one known for the shortest
+    /// time.
     fn forget_addresses(&mut self, now: f64) {
         let limits = &self.limits;
         self.addresses.retain(|_, address| !address.is_forgettable(now, limits));
--- a/admission/src/eviction.rs
+++ b/admission/src/eviction.rs
@@ -1,54 +1,58 @@
-//! Which connection is closed first to make room. One that is owed an answer never is.
+//! Eviction: the order in which idle connections are closed. A connection with pending commands is never evicted.
 use crate::connection::Connection;
 use crate::{AdmissionController, ConnectionId};
 use std::cmp::Ordering;
 use std::net::IpAddr;
 
-/// How far a connection has come; the lower ones are closed first.
+/// What a connection has sent; lower values are evicted first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Progress {
+    /// Nothing.
     Silent,
+    /// An incomplete command.
     PartialCommand,
+    /// A complete command or greeting.
     HasSpoken,
 }
 
-/// The order in which idle connections are closed, as `docs/admission.md` declares it.
+/// The eviction order of idle connections, as `docs/admission.md` declares it; lower ranks go first. The order of the fields
+/// matters.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     is_known: bool,
     progress: Progress,
-    /// Of addresses with many connections first.
+    /// Connections of the address: addresses with many go first.
     connections: std::cmp::Reverse<usize>,
 }
 
 impl AdmissionController {
-    /// The idle connection to close when descriptors run short, in the order of `docs/admission.md`; none where all are owed an
-    /// answer. It counts no more.
+    /// Selects the idle connection to close when descriptors run short, in the order of `docs/admission.md`, and stops counting it.
+    /// None if all connections have pending commands.
     pub fn evict(&mut self, now: f64) -> Option<ConnectionId> {
         let evicted = self.first_to_evict(now, |_| true)?;
         self.connection_closed(evicted);
         Some(evicted)
     }
 
-    /// Connections that took too long for their first command. They count until they are closed.
+    /// Connections that exceeded the time for their first command. They count until they are closed.
     pub fn overdue(&self, now: f64) -> Vec<ConnectionId> {
         let late = |connection: &Connection| connection.is_silent() && self.is_late(now, connection);
         self.connections.iter().filter(|(_, connection)| late(connection)).map(|(id, _)| *id).collect()
     }
 
-    /// The connection of an unknown address that is closed first.
+    /// The connection of an unknown address that is evicted first.
     pub(crate) fn first_unknown(&self, now: f64) -> Option<ConnectionId> {
         let is_known = |from: IpAddr| self.addresses.get(&from).is_some_and(|address| address.is_known(now));
         self.first_to_evict(now, |from| !is_known(from))
     }
 
-    /// The longest silent connection of an address, of those that had time for a command.
+    /// The connection of an address that has been silent longest, beyond the time for a first command.
     pub(crate) fn silent_of(&self, now: f64, from: IpAddr) -> Option<ConnectionId> {
         let silent = self.connections_of(from).filter(|(_, connection)| connection.is_silent());
         longest_inactive(silent.filter(|(_, connection)| self.is_late(now, connection)))
     }
 
-    /// The longest idle connection of the customer that has most connections of an address, if that is more than its part.
+    /// The longest idle connection of the customer with most connections from an address, if these are more than its part.
     pub(crate) fn idlest_of_largest_customer(&self, from: IpAddr) -> Option<ConnectionId> {
         let address = self.addresses.get(&from)?;
         let largest = address.connections_by_customer.highest()?;
@@ -105,7 +109,7 @@
     connections.min_by(|a, b| by_inactivity(*a, *b)).map(|(id, _)| id)
 }
 
-/// The longest inactive first, then the lowest number.
+/// The longest inactive first, then the lowest id.
 fn by_inactivity(a: (ConnectionId, &Connection), b: (ConnectionId, &Connection)) -> Ordering {
     a.1.last_active.total_cmp(&b.1.last_active).then(a.0.cmp(&b.0))
 }
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -1,12 +1,12 @@
-//! Admission control: which connections are accepted, which commands are taken, and which idle connection is closed first when
-//! descriptors run short. There is no I/O here: the caller reports events by methods that return nothing, and asks
-//! [`AdmissionController`] three questions: [`admit_connection`](AdmissionController::admit_connection),
-//! [`admit_command`](AdmissionController::admit_command) and [`evict`](AdmissionController::evict). The caller keeps the connections
-//! and the timers. Times are seconds, on any clock that goes forward.
+//! Admission control: which connections and commands are accepted, and which idle connection is evicted when file descriptors run
+//! short. There is no I/O here: the caller reports events to [`AdmissionController`] and asks it for verdicts by
+//! [`admit_connection`](AdmissionController::admit_connection),
+//! [`admit_command`](AdmissionController::admit_command) and [`evict`](AdmissionController::evict). The caller owns the
+//! connections and the timers. Times are seconds of any monotonic clock.
 //!
-//! An address is known if it lies in a network that the operator listed, or if commands from it were served lately. Many customers may
-//! share one address (behind a gateway of their own): they share its limits by max-min fairness, told apart by the customer that
-//! their commands name. A connection without a command has no customer yet, and an address may hold few of those.
+//! An address is known if it lies in a network that the operator listed, or if commands from it were served lately. Customers
+//! behind one address (a gateway of their own) share its limits by max-min fairness; they are identified by the customer that their
+//! commands name. A connection has no customer before its first command, and an address may have only a few of those.
 #![warn(missing_docs)]
 mod address;
 mod audit;
@@ -26,7 +26,7 @@
 pub use network::{Network, NetworkError};
 pub use verdict::{CommandVerdict, ConnectionVerdict, RejectReason};
 
-/// Identifies a connection; the caller's numbers.
+/// Identifies a connection; assigned by the caller.
 pub type ConnectionId = u64;
 /// The customer that a command names.
 pub type CustomerId = u64;
--- a/admission/src/limits.rs
+++ b/admission/src/limits.rs
@@ -1,32 +1,33 @@
-//! The limits, named as in the operator's file.
+//! The limits. Fields are named like the keys of the operator's file.
 use crate::Network;
 
-/// The limits of admission. Each is a count unless it says seconds.
+/// The limits of admission control. Numbers are counts unless a unit is given.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Connections of clients in all.
+    /// Connections of all clients.
     pub connections: usize,
-    /// Of these, kept for known addresses.
+    /// Of `connections`, those reserved for known addresses.
     pub reserve: usize,
     /// Connections of one address.
     pub per_address: usize,
-    /// Of these, so many may be without a command yet.
+    /// Of `per_address`, those that may be open before their first command.
     pub strangers: usize,
-    /// New connections of one address a second, once its burst is used up.
+    /// Refill rate of an address's token bucket, new connections per second.
     pub rate: f64,
-    /// New connections of one address at once.
+    /// Capacity of an address's token bucket, new connections.
     pub burst: f64,
-    /// Commands of one address that have no answer yet.
+    /// Pending commands of one address.
     pub unfinished: usize,
-    /// Seconds that a connection may take for its first command.
+    /// Time for the first command of a connection, seconds.
     pub first_word: f64,
-    /// Seconds that an address stays known after a command of it was served; 0: only listed networks are known.
+    /// Time for which an address stays known after a command of it was served, seconds; 0: only listed networks are known.
     pub known_for: f64,
     /// The networks that are always known.
     pub known: Vec<Network>,
 }
 
 impl Limits {
+    /// Whether an address lies in a listed network.
     pub(crate) fn lists(&self, address: std::net::IpAddr) -> bool {
         self.known.iter().any(|network| network.holds(address))
     }
--- a/admission/src/metrics.rs
+++ b/admission/src/metrics.rs
@@ -1,12 +1,12 @@
-//! Counters of what was decided.
+//! Counters of the verdicts.
 use crate::RejectReason;
 
-/// Decisions, counted from the start.
+/// Verdicts, counted from the creation of the controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Metrics {
     /// Connections that were accepted.
     pub accepted: u64,
-    /// Of these, in the place of another one.
+    /// Of these, those that replaced another connection.
     pub replaced: u64,
     /// Rejected with [`RejectReason::Full`].
     pub full: u64,
@@ -16,11 +16,12 @@
     pub strangers: u64,
     /// Rejected with [`RejectReason::Rate`].
     pub rate: u64,
-    /// Commands that were to be sent again later.
+    /// Commands that clients were told to retry later.
     pub deferred_commands: u64,
 }
 
 impl Metrics {
+    /// Counts a rejected connection.
     pub(crate) fn count_rejected(&mut self, reason: RejectReason) {
         let counter = match reason {
             RejectReason::Full => &mut self.full,
--- a/admission/src/network.rs
+++ b/admission/src/network.rs
@@ -1,4 +1,4 @@
-//! A range of addresses, as operators write it: `10.2.0.0/16`, `2001:db8::/32` or one address.
+//! Networks in CIDR notation: `10.2.0.0/16`, `2001:db8::/32`, or a single address.
 use std::net::IpAddr;
 use std::str::FromStr;
 
@@ -12,32 +12,32 @@
     prefix_bits: u8,
 }
 
-/// What is wrong with the text of a network.
+/// Why a text is not a network.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum NetworkError {
-    /// No address, or no number of bits.
+    /// The address or the prefix length can't be parsed.
     #[error("'{0}': expected an address, or one and its bits: 10.2.0.0/16")]
     Malformed(String),
-    /// More bits than such an address has.
-    #[error("'{text}': {most} bits at the most")]
+    /// The prefix is longer than an address.
+    #[error("'{text}': {max_bits} bits at the most")]
     TooManyBits {
         /// The text.
         text: String,
-        /// The bits of such an address.
-        most: u8,
+        /// The length of such an address, bits.
+        max_bits: u8,
     },
-    /// Bits of the address are set that are not of the prefix.
+    /// Bits of the address are set after the prefix.
     #[error("'{text}': bits are set behind the first {prefix_bits}")]
     BitsBehindPrefix {
         /// The text.
         text: String,
-        /// The bits of the prefix.
+        /// The length of the prefix, bits.
         prefix_bits: u8,
     },
 }
 
 impl Network {
-    /// Whether an address lies in it; an IPv4 address that is mapped into IPv6 counts as IPv4.
+    /// Whether an address lies in the network; an IPv4-mapped IPv6 address counts as IPv4.
     pub fn holds(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         let differing = left_aligned(self.address) ^ left_aligned(address);
@@ -45,7 +45,7 @@
     }
 }
 
-/// The bits of an address, the first one highest.
+/// The bits of an address, aligned to the most significant bit.
 fn left_aligned(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(address) => u128::from(address.to_bits()) << (IPV6_BITS - IPV4_BITS),
@@ -57,7 +57,7 @@
     bits.checked_shr(u32::from(IPV6_BITS - count)).unwrap_or(0)
 }
 
-fn bits_behind(bits: u128, count: u8) -> u128 {
+fn bits_after(bits: u128, count: u8) -> u128 {
     bits.checked_shl(u32::from(count)).unwrap_or(0)
 }
 
@@ -71,12 +71,12 @@
             None => (text, None),
         };
         let address: IpAddr = address.parse().map_err(|_| malformed())?;
-        let most = if address.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
-        let prefix_bits: u8 = bits.map_or(Ok(most), str::parse).map_err(|_| malformed())?;
-        if prefix_bits > most {
-            return Err(NetworkError::TooManyBits { text: text.to_owned(), most });
+        let max_bits = if address.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
+        let prefix_bits: u8 = bits.map_or(Ok(max_bits), str::parse).map_err(|_| malformed())?;
+        if prefix_bits > max_bits {
+            return Err(NetworkError::TooManyBits { text: text.to_owned(), max_bits });
         }
-        if bits_behind(left_aligned(address), prefix_bits) != 0 {
+        if bits_after(left_aligned(address), prefix_bits) != 0 {
             return Err(NetworkError::BitsBehindPrefix { text: text.to_owned(), prefix_bits });
         }
         Ok(Network { address, prefix_bits })
--- a/admission/src/verdict.rs
+++ b/admission/src/verdict.rs
@@ -1,14 +1,14 @@
-//! The answers of the controller.
+//! The verdicts of the controller.
 use crate::ConnectionId;
 
-/// What to do with a new connection.
+/// The verdict on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionVerdict {
-    /// Keep it.
+    /// Accept it.
     Accept,
-    /// Keep it, and close that one, which is owed no answer.
+    /// Accept it, and close the connection with this id, which has no pending commands.
     Replace(ConnectionId),
-    /// Close it.
+    /// Reject it.
     Reject(RejectReason),
 }
 
@@ -17,16 +17,16 @@
 pub enum RejectReason {
     /// All connections but those reserved for known addresses are taken.
     Full,
-    /// Its address has as many connections as one may.
+    /// Its address has reached its limit of connections.
     Address,
-    /// Its address has too many connections without a command.
+    /// Its address has reached its limit of connections before their first command.
     Strangers,
-    /// Its address opens connections too fast.
+    /// Its address opens connections faster than its rate limit.
     Rate,
 }
 
 impl RejectReason {
-    /// What the client reads.
+    /// The text that is sent to the client.
     pub fn message(self) -> &'static str {
         match self {
             RejectReason::Full => "full",
@@ -37,11 +37,11 @@
     }
 }
 
-/// What to do with a command.
+/// The verdict on a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandVerdict {
-    /// Take it.
+    /// Accept it.
     Accept,
-    /// Not now; it may be sent again after so many seconds.
+    /// Defer it; the client may retry after this time, seconds.
     RetryAfter(f64),
 }
