--- a/broker/src/broker.rs
+++ b/broker/src/broker.rs
@@ -1,4 +1,4 @@
-//! The broker of one gateway instance.
+//! The broker of one gateway instance: contracts, the fair-share limiter, and budgets.
 use crate::budget::{BudgetAccount, BudgetVerdict, CounterCall};
 use crate::contract::{Contract, Contracts};
 use crate::fair_share::{Available, FairShareLimiter, NoUnits, Source, Terms};
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Decides on requests by the teams' contracts.
+/// Decides on requests of teams by their contracts. Times are Unix seconds.
 pub struct Broker {
     contracts: Arc<Contracts>,
     /// Number of gateway instances that share the contracts.
@@ -14,15 +14,16 @@
     limiter: FairShareLimiter,
     teams: Vec<Team>,
     by_name: HashMap<String, TeamId>,
-    /// When the next contract begins or ends.
+    /// Time at which the next contract begins or ends, Unix seconds.
     next_change: f64,
 }
 
+/// The state of one team; it lasts, also while the team has no contract.
 struct Team {
     name: String,
     /// The version of its contract that is in force.
     version: Option<u32>,
-    /// Limits on single operations, by their place in the contract.
+    /// Limits on single operations, by their index in the contract.
     operation_limiter: FairShareLimiter,
     budget: BudgetAccount,
     usage: Usage,
@@ -41,7 +42,7 @@
 }
 
 impl Broker {
-    /// For one of `instances`; `capacity` in units a second of all together.
+    /// A broker for one of `instances` that share the contracts; `capacity` is that of all instances together, units per second.
     pub fn new(now: f64, contracts: Contracts, instances: usize, capacity: f64) -> Broker {
         let instances = instances.max(1);
         let mut broker = Broker {
@@ -56,8 +57,8 @@
         broker
     }
 
-    /// Replaces the contracts as a whole. Grants are settled under the version they were made under; what a team has spent of a period
-    /// stays spent, also where it had no contract meanwhile.
+    /// Replaces all contracts. Existing grants are settled under the version that granted them. What a team has spent in a budget
+    /// period stays spent, even if it had no contract in between.
     pub fn set_contracts(&mut self, now: f64, contracts: Contracts, capacity: f64) {
         self.contracts = Arc::new(contracts);
         self.limiter.set_capacity(now, capacity / self.instances as f64);
@@ -70,7 +71,7 @@
         self.apply_versions(now);
     }
 
-    /// A team's id; a new name gets one.
+    /// The id of a team; a new name gets a new id.
     pub fn team_id(&mut self, name: &str) -> TeamId {
         if let Some(team) = self.by_name.get(name) {
             return *team;
@@ -81,18 +82,18 @@
         id
     }
 
-    /// The team that speaks for a customer, where a contract names the customer.
+    /// The team whose contract in force names a customer.
     pub fn team_of_customer(&self, now: f64, customer: u64) -> Option<TeamId> {
         let name = self.contracts.team_of_customer(customer, now)?;
         self.by_name.get(name).copied()
     }
 
-    /// A team's name.
+    /// The name of a team; none for an unknown id.
     pub fn team_name(&self, team: TeamId) -> Option<&str> {
         self.teams.get(team).map(|team| team.name.as_str())
     }
 
-    /// Decides on a request.
+    /// Decides on a request. The caller has to make the counter call of the response, if there is one, whatever the verdict.
     pub fn request(&mut self, now: f64, id: TeamId, request: Request) -> Response {
         if now >= self.next_change {
             self.apply_versions(now);
@@ -118,7 +119,7 @@
         response
     }
 
-    /// A grant that was not used.
+    /// Returns the units of a grant that was not used.
     pub fn refund(&mut self, grant: &Grant) {
         self.limiter.refund(grant.team, grant.units, grant.source);
         let team = &mut self.teams[grant.team];
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The units that a grant's request took in the end.
+    /// Corrects a grant to the units that its request took in the end.
     pub fn settle(&mut self, now: f64, grant: &Grant, units: f64) {
         let difference = units - grant.units;
         if difference != 0.0 {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// A call on a team's budget was answered with a total, or not with one; another one may be due.
+    /// Reports the total that a call on a team's budget returned, or none if it failed. Returns a further call that is due.
     pub fn call_answered(
         &mut self,
         now: f64,
@@ -167,30 +168,34 @@
         })
     }
 
-    /// What a team could have now of its contract's rate.
+    /// The units that a team could have now of its contract's rate.
     pub fn available(&self, team: TeamId) -> Available {
         self.limiter.available(team)
     }
 
-    /// Puts the terms of the versions in force into effect.
+    /// Applies the terms of the contract versions that are in force.
     fn apply_versions(&mut self, now: f64) {
         let contracts = self.contracts.clone();
         self.next_change = contracts.next_change(now);
-        let share = 1.0 / self.instances as f64;
+        let instance_fraction = 1.0 / self.instances as f64;
         for (id, team) in self.teams.iter_mut().enumerate() {
             let contract = contracts.in_force(&team.name, now);
-            self.limiter.set_terms(now, id, contract_terms(contract, share));
+            self.limiter.set_terms(now, id, contract_terms(contract, instance_fraction));
             team.version = contract.map(|contract| contract.version);
             let limits = contract.map_or(&[][..], |contract| &contract.operation_limits);
-            for (place, limit) in limits.iter().enumerate() {
-                let terms = Terms { rate: limit.rate * share, burst: limit.burst * share, weight: 1.0 };
-                team.operation_limiter.set_terms(now, place, terms);
+            for (index, limit) in limits.iter().enumerate() {
+                let terms = Terms {
+                    rate: limit.rate * instance_fraction,
+                    burst: limit.burst * instance_fraction,
+                    weight: 1.0,
+                };
+                team.operation_limiter.set_terms(now, index, terms);
             }
         }
     }
 
-    /// The operation's own limit, then the contract's rate, then its budget; what an earlier one gave is refunded where a later one has
-    /// none.
+    /// Takes units from the operation's limit, the contract's rate and its budget, in this order. If one has none, those before it
+    /// are refunded.
     fn request_units(&mut self, now: f64, id: TeamId, contract: &Contract, request: Request) -> Response {
         let units = request.units;
         let operation_limit = contract.operation_limit(request.operation);
@@ -229,7 +234,7 @@
     }
 }
 
-/// The contract in force, if it allows what is asked for.
+/// The contract in force, if it allows the request; else the reason why not.
 fn contract_for<'a>(
     contracts: &'a Contracts,
     now: f64,
@@ -246,12 +251,14 @@
     Ok(contract)
 }
 
-/// An instance's share of a contract's terms; nothing without a contract.
-fn contract_terms(contract: Option<&Contract>, share: f64) -> Terms {
+/// One instance's fraction of a contract's terms; zero without a contract.
+fn contract_terms(contract: Option<&Contract>, instance_fraction: f64) -> Terms {
     match contract {
-        Some(contract) => {
-            Terms { rate: contract.rate * share, burst: contract.burst * share, weight: contract.weight }
-        }
+        Some(contract) => Terms {
+            rate: contract.rate * instance_fraction,
+            burst: contract.burst * instance_fraction,
+            weight: contract.weight,
+        },
         None => Terms { rate: 0.0, burst: 0.0, weight: 1.0 },
     }
 }
--- a/broker/src/budget.rs
+++ b/broker/src/budget.rs
@@ -1,87 +1,89 @@
-//! A team's budget of a period, shared by many gateway instances: each leases parts of it from a count by team and period, as it does
-//! with customers' quotas. While the counter does not answer, an instance spends an even slice of what was left when it last did. At
-//! the turn of a period instances call when they need units, not all at once.
+//! A team's budget for a period, shared by all gateway instances. Each instance leases parts of it from a count per team and period
+//! on the counter, like the quotas of customers. While the counter is unreachable, an instance spends an even slice of what was
+//! left when the counter last answered. In a new period instances lease on demand, which avoids a thundering herd.
 use crate::contract::Budget;
 
-/// The part that one lease takes of an instance's even share: small, so that little is out at a time.
+/// Size of a lease as a fraction of an instance's even slice: small, so that little is leased and unspent at any time.
 const LEASE_FRACTION: f64 = 1.0 / 16.0;
-/// With less than this part of a lease left, the next one is asked for.
+/// Fraction of a lease below which the next one is requested.
 const LOW_LEASE_FRACTION: f64 = 1.0 / 4.0;
-/// A request may be tried again after this while a call is out, seconds: longer than the counter usually takes.
+/// Delay after which a request may be retried while a call is pending, seconds: longer than the counter usually takes.
 const PENDING_RETRY_AFTER: f64 = 0.05;
-/// A call that was not answered within this time is given up, seconds; and none is made again for so long.
+/// Timeout of a call, and the pause after a failed one, seconds.
 const CALL_TIMEOUT: f64 = 1.0;
-/// A period's count lives for so many periods, so that it outlasts its period.
+/// Lifetime of a period's count, in periods: it has to outlast its period.
 pub const COUNT_LIFETIME_PERIODS: f64 = 1.5;
 
 /// A call on the count of a team's period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
-    /// The period's number.
+    /// The index of the period, counted from 1970.
     pub period: u64,
-    /// What is added to its count; negative to give units back.
+    /// The amount to add to the count; negative to return units.
     pub amount: f64,
-    /// How long a new count lives, seconds.
+    /// Lifetime of the count if it is new, seconds.
     pub lifetime: f64,
 }
 
 /// Whether a budget has units for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BudgetVerdict {
-    /// They are spent on it.
+    /// The units are granted and count as spent.
     Granted,
-    /// It is spent.
+    /// The budget of the period is spent.
     Exhausted {
-        /// When the next period begins, seconds from now.
+        /// Time until the next period begins, seconds.
         retry_after: f64,
     },
-    /// A call is out.
+    /// No units are leased, and a call is pending.
     Pending {
-        /// When to try again, seconds from now.
+        /// Delay after which to retry, seconds.
         retry_after: f64,
     },
 }
 
-/// The verdict on a request, and a call on the count that is due.
+/// The verdict on a request, and a counter call that is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetResponse {
-    /// Whether there are units.
+    /// The verdict.
     pub verdict: BudgetVerdict,
-    /// The call.
+    /// The call that the caller has to make, if one is due.
     pub counter_call: Option<CounterCall>,
 }
 
-/// What one instance has of a team's budget.
+/// One instance's account of a team's budget, for the current period.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetAccount {
+    /// The index of the current period.
     period: u64,
-    /// Units that are leased and not spent; negative where requests took more than was granted.
+    /// Units that are leased and unspent; negative if requests took more than was granted.
     leased: f64,
-    /// What all instances have leased, as far as the counter last answered.
+    /// Units that all instances have leased, as of the counter's last answer.
     total_leased: f64,
-    /// The counter has answered in this period.
+    /// Whether the counter has answered in this period.
     has_total: bool,
-    /// Units of the even slice that were spent without a lease, and have to be added to the count.
+    /// Units of the even slice that were spent without a lease and still have to be added to the count.
     debt: f64,
     outstanding: Option<OutstandingCall>,
-    /// No call before then, seconds.
+    /// Earliest time of the next call, seconds.
     next_call: f64,
     /// Units that this instance has spent in this period.
     pub spent: f64,
 }
 
-/// A call without an answer.
+/// A call whose answer is pending.
 #[derive(Clone, Copy, Debug)]
 struct OutstandingCall {
+    /// Time of the call, seconds.
     since: f64,
     /// Units to lease.
     lease: f64,
-    /// Units that pay debt.
+    /// Units that settle the debt.
     debt: f64,
 }
 
 impl BudgetAccount {
-    /// Spends units, if there are some.
+    /// Spends units for a request, if the account has or may take them.
     pub fn request(&mut self, now: f64, budget: &Budget, instances: usize, units: f64) -> BudgetResponse {
         self.enter_period(now, budget);
         if let Some(excess) = self.take_excess(budget) {
@@ -97,7 +99,7 @@
         self.request_unleased(now, budget, instances, units)
     }
 
-    /// A call was answered with a total, or not with one; another one may be due.
+    /// Reports the total that a call returned, or none if it failed. Returns a further call that is due.
     pub fn call_answered(
         &mut self,
         now: f64,
@@ -114,7 +116,7 @@
         self.debt -= call.debt;
         self.has_total = true;
         self.total_leased = total;
-        // What was leased beyond the budget goes back.
+        // Units that were leased beyond the budget are returned.
         let excess = (total - budget.units).clamp(0.0, call.lease);
         self.leased += call.lease - excess;
         if excess <= 0.0 {
@@ -125,13 +127,13 @@
         Some(self.call(budget, -excess))
     }
 
-    /// Units that were spent and not used.
+    /// Returns units that were spent and not used.
     pub fn refund(&mut self, units: f64) {
         self.leased += units;
         self.spent -= units;
     }
 
-    /// What a request took beside what was granted; may be negative.
+    /// Corrects the account by the difference between the units that a request took and those granted; may be negative.
     pub fn adjust(&mut self, difference: f64) {
         self.leased -= difference;
         self.spent += difference;
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Takes out what is leased beyond a budget that was cut.
+    /// Removes the leased units that exceed a budget that was lowered.
     fn take_excess(&mut self, budget: &Budget) -> Option<f64> {
         let excess = (self.total_leased - budget.units).clamp(0.0, self.leased.max(0.0));
         if excess <= 0.0 {
@@ -155,7 +157,7 @@
         Some(excess)
     }
 
-    /// Without enough units leased: leases some, or spends of the even slice while the counter does not answer.
+    /// Handles a request beyond the leased units: leases more, or spends from the even slice while the counter is unreachable.
     fn request_unleased(
         &mut self,
         now: f64,
@@ -172,7 +174,7 @@
             if now - call.since <= CALL_TIMEOUT {
                 return BudgetResponse { verdict: pending, counter_call: None };
             }
-            // It may have been added: what it leased is lost to this instance, and not granted twice.
+            // The call may have been applied: its lease is forfeited, so that no unit is granted twice.
             self.outstanding = None;
             self.next_call = now + CALL_TIMEOUT;
         }
--- a/broker/src/contract/conflict.rs
+++ b/broker/src/contract/conflict.rs
@@ -1,36 +1,36 @@
-//! Contracts that contradict each other.
+//! Conflicts between contracts.
 
-/// Something that contracts say of each other and that can't be. `first` and `second` are places in the list that was given.
+/// A contradiction between contracts. `first` and `second` are indexes in the list of contracts.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Conflict {
-    /// Two contracts of a team with one version.
+    /// Two contracts of a team have the same version.
     #[error("a version of this team's has this number already")]
     DuplicateVersion {
-        /// The earlier one.
+        /// Index of the earlier contract.
         first: usize,
-        /// The later one.
+        /// Index of the later contract.
         second: usize,
     },
-    /// A customer of two teams at the same time.
+    /// Two teams have the same customer at the same time.
     #[error("customer {customer:016x} is another team's at the same time")]
     SharedCustomer {
         /// The customer.
         customer: u64,
-        /// The earlier contract.
+        /// Index of the earlier contract.
         first: usize,
-        /// The later one.
+        /// Index of the later contract.
         second: usize,
     },
-    /// Together they promise more than the capacity.
+    /// Together the contracts promise more than the capacity.
     #[error(
         "contracts in force at {at} promise {promised} units a second together, of {capacity} that there are"
     )]
     Oversold {
-        /// Units a second of all contracts in force.
+        /// Sum of the rates of all contracts in force, units per second.
         promised: f64,
-        /// Units a second that there are.
+        /// The capacity, units per second.
         capacity: f64,
-        /// When, Unix seconds.
+        /// Time of the highest sum, Unix seconds.
         at: f64,
     },
 }
--- a/broker/src/contract/mod.rs
+++ b/broker/src/contract/mod.rs
@@ -1,31 +1,31 @@
-//! Contracts as they are written: versions of a team's contract, of which one is in force at a time.
+//! Contracts between teams. A team's contract has versions, of which one is in force at a time.
 mod conflict;
 mod registry;
 pub use conflict::Conflict;
 pub use registry::Contracts;
 
-/// One version of a team's contract. Times are Unix seconds; rates are units a second of all gateway instances together.
+/// One version of a team's contract. Times are Unix seconds; rates are those of all gateway instances together, units per second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contract {
     /// The team's name.
     pub team: String,
-    /// Of several versions in force the highest holds.
+    /// Its version; of several valid versions the highest is in force.
     pub version: u32,
-    /// In force from then on.
+    /// Start of its validity.
     pub valid_from: f64,
-    /// In force before then.
+    /// End of its validity, exclusive.
     pub valid_until: f64,
     /// Patterns of the operations that the team may use, see [`matches_any`].
     pub operations: Vec<String>,
-    /// Customers that the team speaks for; none: whichever it names.
+    /// Customers for which the team may send requests; empty: any.
     pub customers: Vec<u64>,
-    /// Units a second.
+    /// The rate, units per second.
     pub rate: f64,
-    /// Units at once.
+    /// The burst, units.
     pub burst: f64,
     /// Lower limits on single operations.
     pub operation_limits: Vec<OperationLimit>,
-    /// Its weight beside others that borrow unused capacity.
+    /// Its weight among teams that borrow unused capacity.
     pub weight: f64,
     /// A limit over a longer period.
     pub budget: Option<Budget>,
@@ -36,13 +36,13 @@
 pub struct OperationLimit {
     /// A name, or a prefix with a star.
     pub operation: String,
-    /// Units a second.
+    /// The rate, units per second.
     pub rate: f64,
-    /// Units at once.
+    /// The burst, units.
     pub burst: f64,
 }
 
-/// So many units in each period; periods are counted from 1970.
+/// A number of units per period; periods are aligned to the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Units in a period.
@@ -52,7 +52,7 @@
 }
 
 impl Contract {
-    /// Whether a time lies between its beginning and its end.
+    /// Whether it is valid at a time.
     pub fn is_valid_at(&self, now: f64) -> bool {
         now >= self.valid_from && now < self.valid_until
     }
@@ -62,11 +62,12 @@
         matches_any(&self.operations, operation)
     }
 
-    /// The place in `operation_limits` of the limit on an operation, where there is one.
+    /// The index in `operation_limits` of the first limit that matches an operation.
     pub fn operation_limit(&self, operation: &str) -> Option<usize> {
         self.operation_limits.iter().position(|limit| matches(&limit.operation, operation))
     }
 
+    /// Whether there is a time at which both are valid.
     fn overlaps(&self, other: &Contract) -> bool {
         other.valid_from < self.valid_until && self.valid_from < other.valid_until
     }
--- a/broker/src/contract/registry.rs
+++ b/broker/src/contract/registry.rs
@@ -1,30 +1,31 @@
-//! All contracts, found by team and by customer.
+//! The registry of all contracts, indexed by team and by customer.
 use super::{Conflict, Contract};
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// What contracts may promise beyond the capacity: sums of rates are not exact.
+/// Relative tolerance when promised rates are compared to the capacity: sums of rates are not exact.
 const ROUNDING: f64 = 1e-9;
 
-/// Contracts that do not contradict each other.
+/// All contracts, free of conflicts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Contracts {
     contracts: Vec<Contract>,
-    /// Places of each team's versions, the highest version first.
+    /// Indexes of each team's versions, the highest version first.
     by_team: HashMap<String, Vec<usize>>,
-    /// Places of the contracts that name a customer.
+    /// Indexes of the contracts that name a customer.
     by_customer: HashMap<u64, Vec<usize>>,
 }
 
-/// What contracts in force promise together.
+/// The sum of the rates of all contracts in force at a time.
 struct Promise {
+    /// The time, Unix seconds.
     at: f64,
-    /// Units a second.
+    /// The sum, units per second.
     rate: f64,
 }
 
 impl Contracts {
-    /// Takes contracts in, with a capacity in units a second; or says all that contradicts.
+    /// Registers contracts. `capacity` is in units per second. The error has all conflicts.
     pub fn new(contracts: Vec<Contract>, capacity: f64) -> Result<Contracts, Vec<Conflict>> {
         let mut registry = Contracts::default();
         let mut conflicts = vec![];
@@ -40,79 +41,79 @@
         }
     }
 
-    /// The version of a team's contract that is in force.
+    /// The version of a team's contract that is in force at a time.
     pub fn in_force(&self, team: &str, now: f64) -> Option<&Contract> {
-        let mut versions = self.by_team.get(team)?.iter().map(|place| &self.contracts[*place]);
+        let mut versions = self.by_team.get(team)?.iter().map(|index| &self.contracts[*index]);
         versions.find(|contract| contract.is_valid_at(now))
     }
 
-    /// The team that speaks for a customer now, where a contract names the customer.
+    /// The team whose contract in force names a customer.
     pub fn team_of_customer(&self, customer: u64, now: f64) -> Option<&str> {
-        let mut naming = self.by_customer.get(&customer)?.iter().map(|place| &self.contracts[*place]);
+        let mut naming = self.by_customer.get(&customer)?.iter().map(|index| &self.contracts[*index]);
         let is_in_force = |contract: &&Contract| {
             self.in_force(&contract.team, now).is_some_and(|in_force| in_force.version == contract.version)
         };
         naming.find(is_in_force).map(|contract| contract.team.as_str())
     }
 
-    /// Whether a contract speaks for a customer: for all, where it names none.
+    /// Whether a contract includes a customer; one that names no customers includes all.
     pub fn covers(&self, contract: &Contract, customer: u64) -> bool {
-        let is_same = |place: &usize| {
-            let other = &self.contracts[*place];
+        let is_same = |index: &usize| {
+            let other = &self.contracts[*index];
             other.team == contract.team && other.version == contract.version
         };
         let names_customer = || self.by_customer.get(&customer).is_some_and(|all| all.iter().any(is_same));
         contract.customers.is_empty() || names_customer()
     }
 
-    /// Names of all teams, in no order.
+    /// The names of all teams, in arbitrary order.
     pub fn teams(&self) -> impl Iterator<Item = &str> {
         self.by_team.keys().map(String::as_str)
     }
 
-    /// All contracts, as they were given.
+    /// All contracts, in the order in which they were registered.
     pub fn all(&self) -> &[Contract] {
         &self.contracts
     }
 
-    /// When the next contract begins or ends, after now; infinite if none does.
+    /// The next time at which a contract begins or ends, Unix seconds; infinite if there is none.
     pub fn next_change(&self, now: f64) -> f64 {
         self.changes().filter(|at| *at > now).fold(f64::INFINITY, f64::min)
     }
 
     fn add(&mut self, contract: Contract, conflicts: &mut Vec<Conflict>) {
-        let place = self.contracts.len();
+        let index = self.contracts.len();
         let versions = self.by_team.entry(contract.team.clone()).or_default();
         let is_duplicate = |other: &&usize| self.contracts[**other].version == contract.version;
         if let Some(first) = versions.iter().find(is_duplicate) {
-            conflicts.push(Conflict::DuplicateVersion { first: *first, second: place });
+            conflicts.push(Conflict::DuplicateVersion { first: *first, second: index });
         }
-        versions.push(place);
+        versions.push(index);
         for customer in &contract.customers {
             let naming = self.by_customer.entry(*customer).or_default();
             let is_shared = |other: &&usize| {
-                // The contract itself, where it names a customer twice, is not there yet.
+                // A contract that names a customer twice finds itself, which is not registered yet.
                 let other = self.contracts.get(**other);
                 other.is_some_and(|other| other.team != contract.team && other.overlaps(&contract))
             };
             if let Some(first) = naming.iter().find(is_shared) {
-                let conflict = Conflict::SharedCustomer { customer: *customer, first: *first, second: place };
+                let conflict = Conflict::SharedCustomer { customer: *customer, first: *first, second: index };
                 conflicts.push(conflict);
             }
-            naming.push(place);
+            naming.push(index);
         }
         self.contracts.push(contract);
     }
 
     fn sort_versions(&mut self) {
         for versions in self.by_team.values_mut() {
-            versions.sort_by_key(|place| Reverse(self.contracts[*place].version));
+            versions.sort_by_key(|index| Reverse(self.contracts[*index].version));
         }
     }
 
-    /// Where the contracts promise most, if that is more than the capacity.
+    /// The conflict at the time with the highest promised rate, if that exceeds the capacity.
     fn oversold(&self, capacity: f64) -> Option<Conflict> {
-        // What is promised changes where a contract begins or ends.
+        // The promised rate changes only when a contract begins or ends.
         let mut changes: Vec<f64> = self.changes().filter(|at| at.is_finite()).collect();
         changes.push(0.0);
         changes.sort_by(f64::total_cmp);
--- a/broker/src/fair_share.rs
+++ b/broker/src/fair_share.rs
@@ -1,69 +1,74 @@
-//! Who may have units now. Each team has a token bucket of its own, refilled at its contract's rate. What a full bucket can't hold
-//! spills, and is divided max-min by weight among the teams that ask for more than their own: one that wants less than its part leaves
-//! the rest to the others.
+//! Fair sharing of capacity. Each team has a token bucket that is refilled at its contract's rate. The overflow of full buckets is
+//! divided among the teams that need more than their own, by weighted max-min fairness: what one of them does not need goes to the
+//! others.
 //!
-//! So what a contract promises is there at once, whatever others do: only what its owner could no longer have held is lent.
+//! What a contract promises is therefore always available at once: only units that their owner's bucket could not hold are lent.
 use crate::TeamId;
 use std::collections::BTreeSet;
 
-/// For so long after it asked for more than its own a team has a part of what spills, seconds.
+/// Time for which a team takes part in the division after it needed more than its own, seconds.
 const BORROWING_TIME: f64 = 1.0;
-/// Borrowers hold so much of what spilled at the most, seconds of the whole capacity. After an owner asks for its own again, no more
-/// than that is taken beside it.
+/// Limit on the borrowed units that all borrowers together accumulate, in seconds of the total capacity. It bounds what is still
+/// taken from lent capacity once the owner uses its own again.
 pub const MAX_BORROWED_SECONDS: f64 = 0.05;
-/// Time is taken in by steps of at least so much, seconds: a shorter one is not worth a look at all buckets.
+/// The shortest refill step, seconds: a shorter one is not worth a pass over the buckets.
 const MIN_STEP: f64 = 0.001;
-/// The smallest weight, so that parts stay finite.
+/// The smallest weight, which keeps quotients finite.
 const MIN_WEIGHT: f64 = 1e-6;
-/// What is left of what spilled below this is not divided further, units: it is rounding.
+/// Remainder below which a division ends, units: it is a rounding error.
 const NEGLIGIBLE_UNITS: f64 = 1e-9;
 
-/// What a team is promised here.
+/// What a team's contract promises at this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Units a second.
+    /// Refill rate of its bucket, units per second.
     pub rate: f64,
-    /// Units at once.
+    /// Capacity of its bucket, units.
     pub burst: f64,
-    /// Its part of what is lent, beside others.
+    /// Its weight beside other borrowers.
     pub weight: f64,
 }
 
-/// Where units came from, so that they can be refunded there.
+/// The source of units, to which they are refunded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Source {
     /// The team's own bucket.
     Own,
-    /// Others' unused capacity.
+    /// The unused capacity of other teams.
     Borrowed,
 }
 
-/// Units that a team could have now.
+/// The units that a team could have now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Available {
-    /// In its own bucket; negative where it took more.
+    /// Units in its own bucket; negative if it is in debt.
     pub own: f64,
-    /// Of others' unused capacity.
+    /// Units borrowed from other teams.
     pub borrowed: f64,
 }
 
-/// There are no units now.
+/// No units are available now.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("no units for {retry_after} s")]
 pub struct NoUnits {
-    /// When the team's own bucket will have them, seconds from now; infinite if never.
+    /// Time until the team's own bucket has them, seconds; infinite if it never will.
     pub retry_after: f64,
 }
 
+/// The token bucket of a team.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
+    /// Refill rate, units per second.
     rate: f64,
+    /// Capacity, units.
     burst: f64,
+    /// Weight beside other borrowers.
     weight: f64,
+    /// Units in it; negative if it is in debt.
     level: f64,
-    /// The team's part of what spilled.
+    /// Borrowed units.
     borrowed: f64,
-    /// It has such a part until then.
+    /// Time until which the team takes part in the division, seconds.
     borrows_until: f64,
 }
 
@@ -72,7 +77,7 @@
         self.level >= self.burst
     }
 
-    /// Refills it for so many seconds: what it can't hold.
+    /// Refills it for a time in seconds and returns the overflow.
     fn refill(&mut self, seconds: f64) -> f64 {
         let level = self.level + self.rate * seconds;
         self.level = level.min(self.burst);
@@ -80,36 +85,37 @@
     }
 }
 
-/// Token buckets of all teams at one instance of the gateway.
+/// The token buckets of all teams at one gateway instance. Times are seconds.
 #[derive(Clone, Debug, Default)]
 pub struct FairShareLimiter {
-    /// Units a second in all.
+    /// Total capacity, units per second.
     capacity: f64,
     buckets: Vec<Bucket>,
     /// Teams whose bucket is not full.
     filling: BTreeSet<TeamId>,
-    /// The sum of the rates of full buckets, units a second: all of it spills.
+    /// Sum of the rates of full buckets, units per second: all of it overflows.
     full_rate: f64,
-    /// The sum of all rates, units a second.
+    /// Sum of all rates, units per second.
     promised_rate: f64,
+    /// Teams that take part in the division.
     borrowers: BTreeSet<TeamId>,
-    /// Time was taken in until then.
+    /// Time up to which the buckets are refilled, seconds.
     advanced_to: f64,
 }
 
 impl FairShareLimiter {
-    /// Without teams; `capacity` in units a second.
+    /// A limiter without teams; `capacity` in units per second.
     pub fn new(now: f64, capacity: f64) -> FairShareLimiter {
         FairShareLimiter { capacity, advanced_to: now, ..FairShareLimiter::default() }
     }
 
-    /// Changes the capacity, units a second.
+    /// Changes the capacity, units per second.
     pub fn set_capacity(&mut self, now: f64, capacity: f64) {
         self.advance(now);
         self.capacity = capacity;
     }
 
-    /// Changes a team's terms. A new team begins with a full bucket; another one keeps its level, as far as the bucket holds it.
+    /// Changes a team's terms. A new team starts with a full bucket; an existing one keeps its level, up to the new burst.
     pub fn set_terms(&mut self, now: f64, team: TeamId, terms: Terms) {
         self.advance(now);
         if self.buckets.len() <= team {
@@ -128,13 +134,13 @@
         self.update_filling(team);
     }
 
-    /// Takes units from the team's own bucket, or from its part of what others leave.
+    /// Takes units from the team's own bucket, or else from its borrowed units.
     pub fn try_take(&mut self, now: f64, team: TeamId, units: f64) -> Result<Source, NoUnits> {
         self.advance(now);
         let Some(bucket) = self.buckets.get_mut(team).filter(|bucket| bucket.rate > 0.0) else {
             return Err(NoUnits { retry_after: f64::INFINITY });
         };
-        // A request for more than the bucket holds takes it into debt once it is full.
+        // A request larger than the bucket is granted once the bucket is full, and takes it into debt.
         let needed = units.min(bucket.burst);
         if bucket.level >= needed {
             bucket.level -= units;
@@ -150,7 +156,7 @@
         Err(NoUnits { retry_after: (needed - bucket.level) / bucket.rate })
     }
 
-    /// Units that were taken and not used.
+    /// Returns units that were taken and not used.
     pub fn refund(&mut self, team: TeamId, units: f64, source: Source) {
         let Some(bucket) = self.buckets.get_mut(team) else { return };
         match source {
@@ -160,7 +166,7 @@
         self.update_filling(team);
     }
 
-    /// What a request took beside what was taken for it; may be negative.
+    /// Corrects a bucket by the difference between the units that a request used and those taken for it; may be negative.
     pub fn adjust(&mut self, now: f64, team: TeamId, difference: f64) {
         self.advance(now);
         if let Some(bucket) = self.buckets.get_mut(team) {
@@ -169,13 +175,13 @@
         }
     }
 
-    /// What a team could have now.
+    /// The units that a team could have now.
     pub fn available(&self, team: TeamId) -> Available {
         let available = |bucket: &Bucket| Available { own: bucket.level, borrowed: bucket.borrowed };
         self.buckets.get(team).map_or(Available::default(), available)
     }
 
-    /// Sorts a team among those whose bucket is full, or not.
+    /// Updates the sets of full and of filling buckets for a team.
     fn update_filling(&mut self, team: TeamId) {
         let bucket = &self.buckets[team];
         if bucket.is_full() && self.filling.remove(&team) {
@@ -185,7 +191,7 @@
         }
     }
 
-    /// Takes time in: refills the buckets, and divides what they can't hold.
+    /// Advances the time: refills the buckets and divides the overflow.
     fn advance(&mut self, now: f64) {
         let step = now - self.advanced_to;
         if step < MIN_STEP {
@@ -193,21 +199,21 @@
         }
         self.advanced_to = now;
         let unpromised_rate = (self.capacity - self.promised_rate).max(0.0);
-        let mut spilled = (self.full_rate + unpromised_rate) * step;
+        let mut overflow = (self.full_rate + unpromised_rate) * step;
         let mut filled = vec![];
         for team in &self.filling {
             let bucket = &mut self.buckets[*team];
-            spilled += bucket.refill(step);
+            overflow += bucket.refill(step);
             if bucket.is_full() {
                 filled.push(*team);
             }
         }
         filled.into_iter().for_each(|team| self.update_filling(team));
         self.end_borrowing(now);
-        self.divide(spilled);
+        self.divide(overflow);
     }
 
-    /// Teams that asked for no more than their own lately have no part of what spills.
+    /// Ends the borrowing of teams that have lately needed no more than their own.
     fn end_borrowing(&mut self, now: f64) {
         let buckets = &mut self.buckets;
         self.borrowers.retain(|team| {
@@ -220,7 +226,7 @@
         });
     }
 
-    /// Divides units max-min by weight: a borrower that can hold no more leaves its part to the others.
+    /// Divides units among the borrowers by weighted max-min fairness: what one can't hold goes to the others.
     fn divide(&mut self, mut units: f64) {
         let total_weight: f64 = self.borrowers.iter().map(|team| self.buckets[*team].weight).sum();
         let max_borrowed = self.capacity * MAX_BORROWED_SECONDS;
@@ -233,11 +239,11 @@
             let mut still_open = vec![];
             for team in open {
                 let bucket = &mut self.buckets[team];
-                let room = (max_borrowed * bucket.weight / total_weight - bucket.borrowed).max(0.0);
+                let headroom = (max_borrowed * bucket.weight / total_weight - bucket.borrowed).max(0.0);
                 let part = units_per_weight * bucket.weight;
-                bucket.borrowed += part.min(room);
-                given += part.min(room);
-                if part < room {
+                bucket.borrowed += part.min(headroom);
+                given += part.min(headroom);
+                if part < headroom {
                     still_open.push(team);
                 } else {
                     open_weight -= bucket.weight;
@@ -245,7 +251,7 @@
             }
             units -= given;
             if open_weight >= weight_before {
-                break; // all had room for their part
+                break; // every borrower could hold its part
             }
             open = still_open;
         }
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -1,8 +1,9 @@
-//! A broker between teams: each team has a contract that says which operations it may use, for which customers, at which rate and within
-//! which budget. A team that asks for more is told when to try again, and the others do not notice. Capacity that nobody uses is lent.
+//! A broker between teams. Each team has a contract that states which operations it may use, for which customers, at which rate and
+//! within which budget. A team that exceeds its contract is told when to retry, and the other teams are not affected. Unused
+//! capacity is lent.
 //!
-//! There is no I/O and no clock here. The broker knows nothing of backends, retries and the customers' own quotas, which are
-//! `quillramp::decide`'s: a request is put to the broker first, and what is refused after that is refunded.
+//! There is no I/O and no clock here. Backends, retries and the quotas of customers belong to the policy engine
+//! (`quillramp::policy`): the broker decides on a request first, and a grant that the engine then rejects is refunded.
 #![warn(missing_docs)]
 mod broker;
 pub mod budget;
--- a/broker/src/usage.rs
+++ b/broker/src/usage.rs
@@ -1,15 +1,15 @@
-//! What teams have used of their contracts.
+//! Usage statistics by team.
 
-/// A team's usage, counted from the start.
+/// A team's usage, counted from the creation of the broker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Requests that were granted.
     pub granted: u64,
     /// Units that were granted.
     pub units: f64,
-    /// Of these, out of others' unused capacity.
+    /// Of these, units borrowed from other teams.
     pub borrowed: f64,
-    /// Requests that were to be tried again later.
+    /// Requests that were told to retry later.
     pub deferred: u64,
     /// Requests that were denied.
     pub denied: u64,
--- a/broker/src/verdict.rs
+++ b/broker/src/verdict.rs
@@ -1,58 +1,59 @@
-//! Requests of teams, and the broker's answers.
+//! Requests of teams, and the broker's verdicts.
 use crate::budget::CounterCall;
 use crate::fair_share::Source;
 use crate::TeamId;
 
-/// What a team asks for.
+/// A request of a team.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request<'a> {
-    /// The operation's name.
+    /// The name of the operation.
     pub operation: &'a str,
-    /// For whom.
+    /// The customer.
     pub customer: u64,
-    /// How many units it is expected to take.
+    /// Units that it is expected to take.
     pub units: f64,
 }
 
-/// The answer to a request.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Whether the team may have it.
+    /// The verdict.
     pub verdict: Verdict,
-    /// A call on the count of its budget that is due, whatever the verdict.
+    /// A call on the count of the team's budget that is due, whatever the verdict.
     pub counter_call: Option<CounterCall>,
 }
 
 impl Response {
+    /// A denial.
     pub(crate) fn deny(reason: Reason) -> Response {
         Response { verdict: Verdict::Deny(reason), counter_call: None }
     }
 }
 
-/// Whether a team may have what it asks for.
+/// The verdict on a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Yes.
+    /// Granted.
     Grant(Grant),
-    /// Not now.
+    /// Deferred: not now.
     RetryAfter {
-        /// When to try again, seconds from now.
+        /// Delay after which to retry, seconds.
         seconds: f64,
-        /// What is used up.
+        /// The limit that is used up.
         reason: Reason,
     },
-    /// Not under its contract.
+    /// Denied: not under the team's contract.
     Deny(Reason),
 }
 
-/// Why a team may not have what it asks for, now or at all.
+/// Why a request is deferred or denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Reason {
-    /// It has no contract in force.
+    /// The team has no contract in force.
     NoContract,
-    /// Its contract does not have the operation.
+    /// The contract does not include the operation.
     Operation,
-    /// It does not speak for the customer.
+    /// The contract does not include the customer.
     Customer,
     /// The rate of its contract is used up.
     Rate,
@@ -63,7 +64,7 @@
 }
 
 impl Reason {
-    /// What the caller reads.
+    /// The text that is sent to the caller.
     pub fn message(self) -> &'static str {
         match self {
             Reason::NoContract => "no contract in force",
@@ -76,17 +77,17 @@
     }
 }
 
-/// Units that were granted for a request, under the contract version that was in force then.
+/// Units that were granted for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
-    /// Who has them.
+    /// The team.
     pub team: TeamId,
-    /// The version of its contract.
+    /// The version of the contract that granted them.
     pub version: u32,
-    /// How many.
+    /// Number of units.
     pub units: f64,
-    /// Where the units of the contract's rate came from.
+    /// The source of the units.
     pub(crate) source: Source,
-    /// The operation limit that they count against too.
+    /// Index of the operation limit that they count against as well.
     pub(crate) operation_limit: Option<usize>,
 }
