--- a/identity/src/authenticator.rs
+++ b/identity/src/authenticator.rs
@@ -1,4 +1,4 @@
-//! Checks tokens.
+//! The authenticator: verifies tokens.
 use crate::claims::Claims;
 use crate::used_tokens::UsedTokens;
 use crate::{Caller, Key, Rejection, Trust};
@@ -9,37 +9,39 @@
 /// The longest token, bytes.
 pub const MAX_TOKEN_BYTES: usize = 4096;
 
-/// Authenticates callers by their tokens.
+/// Authenticates callers by their tokens. Times are Unix seconds.
 pub struct Authenticator {
     trust: Trust,
+    /// Usable keys by id.
     keys: BTreeMap<String, TrustedKey>,
     used_tokens: UsedTokens,
 }
 
+/// A key in the form in which signatures are verified.
 struct TrustedKey {
     key: Key,
     decoding_key: DecodingKey,
 }
 
 impl Authenticator {
-    /// Checks against this trust; keys that are none are left out.
+    /// An authenticator for this trust; invalid keys are left out, see [`Key::check`].
     pub fn new(trust: Trust) -> Authenticator {
         let keys = trusted_keys(&trust);
         Authenticator { trust, keys, used_tokens: UsedTokens::default() }
     }
 
-    /// Replaces keys, revocations and rules. Tokens that were used once stay used.
+    /// Replaces keys, revocations and rules. Single-use tokens that were used stay used.
     pub fn set_trust(&mut self, trust: Trust) {
         self.keys = trusted_keys(&trust);
         self.trust = trust;
     }
 
-    /// What tokens are checked against.
+    /// The issuer, keys and rules against which tokens are checked.
     pub fn trust(&self) -> &Trust {
         &self.trust
     }
 
-    /// Authenticates the bearer of a token, or says why not.
+    /// Authenticates the bearer of a token. With single use, a token counts as used only if it is accepted.
     pub fn authenticate(&mut self, now: f64, token: &[u8]) -> Result<Caller, Rejection> {
         if token.len() > MAX_TOKEN_BYTES {
             return Err(Rejection::TooLong);
@@ -48,7 +50,7 @@
         let header = jsonwebtoken::decode_header(token).map_err(|_| Rejection::Malformed)?;
         let key_id = header.kid.ok_or(Rejection::UnknownKey)?;
         let trusted = self.keys.get(&key_id).ok_or(Rejection::UnknownKey)?;
-        // The key decides on the algorithm; what the token says of it has to be the same.
+        // The key determines the algorithm, never the token: this prevents algorithm confusion (RFC 8725).
         if header.alg != trusted.key.token_algorithm() {
             return Err(Rejection::Algorithm);
         }
@@ -71,7 +73,8 @@
         })
     }
 
-    /// Whether a caller that was authenticated may go on: its time is not up, its key is still trusted, and nothing is revoked.
+    /// Checks that an authenticated caller may continue: its token has not expired, its key is still trusted, and neither token nor
+    /// team is revoked.
     pub fn revalidate(&self, now: f64, caller: &Caller) -> Result<(), Rejection> {
         let trusted = self.keys.get(&caller.key_id).ok_or(Rejection::UnknownKey)?;
         if now - self.trust.leeway >= trusted.key.valid_until {
@@ -98,10 +101,10 @@
 }
 
 impl TrustedKey {
-    /// The claims of a token that this key signed.
+    /// Verifies the signature of a token and returns its claims, which are not checked yet.
     fn verify(&self, token: &str) -> Result<Claims, Rejection> {
         let mut validation = Validation::new(self.key.token_algorithm());
-        // Times and names are checked with the claims, against the caller's clock.
+        // Claims::check checks times and names, against the caller's clock.
         validation.validate_exp = false;
         validation.validate_nbf = false;
         validation.validate_aud = false;
@@ -114,7 +117,7 @@
     }
 }
 
-/// Keys by id; of several with one id the last.
+/// The usable keys by id; of several with the same id the last.
 fn trusted_keys(trust: &Trust) -> BTreeMap<String, TrustedKey> {
     let trusted = |key: &Key| {
         let decoding_key = key.decoding_key()?;
--- a/identity/src/caller.rs
+++ b/identity/src/caller.rs
@@ -1,20 +1,20 @@
-//! Who was authenticated.
+//! Authenticated callers.
 use std::collections::BTreeSet;
 
-/// Who speaks on a connection.
+/// The authenticated caller of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Caller {
-    /// The team that it speaks for.
+    /// Its team.
     pub team: String,
     /// The id of its token.
     pub token_id: String,
     /// The id of the key that signed it.
     pub key_id: String,
-    /// The operations that it may use; none: all of its contract.
+    /// The operations that it may use; none: all that its team's contract includes.
     pub operations: Option<BTreeSet<String>>,
-    /// The customers that it speaks for; none: all of its contract.
+    /// The customers for which it may send requests; none: all that its team's contract includes.
     pub customers: Option<BTreeSet<u64>>,
-    /// When its token ends, with the leeway, Unix seconds.
+    /// Expiry of its token plus the leeway, Unix seconds.
     pub valid_until: f64,
 }
 
--- a/identity/src/claims.rs
+++ b/identity/src/claims.rs
@@ -3,31 +3,36 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-/// Names in one of a token's lists.
-const MAX_LIST_LENGTH: usize = 256;
-/// Hexadecimal digits of a customer.
+/// The most names in a list of a token.
+const MAX_NAMES: usize = 256;
+/// Hexadecimal digits of a customer's id.
 const CUSTOMER_DIGITS: usize = 16;
 
-/// The claims, by their names in RFC 7519; `ops` and `customers` are the project's own.
+/// The claims under their names in RFC 7519; `ops` and `customers` are private claims.
 #[derive(Deserialize)]
 pub(crate) struct Claims {
+    /// The issuer.
     pub iss: String,
+    /// The audience.
     pub aud: Audience,
-    /// The team.
+    /// The subject: the caller's team.
     pub sub: String,
     /// The id of the token.
     pub jti: String,
-    /// When it ends, Unix seconds.
+    /// Expiry, Unix seconds.
     pub exp: f64,
-    /// When it begins, Unix seconds.
+    /// Start of validity, Unix seconds.
     #[serde(default)]
     pub nbf: f64,
-    /// When it was issued, Unix seconds.
+    /// Time of issue, Unix seconds.
     pub iat: Option<f64>,
+    /// Names of the operations that the caller may use; none: no restriction.
     pub ops: Option<Vec<String>>,
+    /// Ids of the customers, in hexadecimal; none: no restriction.
     pub customers: Option<Vec<String>>,
 }
 
+/// An audience: one name, or a list of names.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(crate) enum Audience {
@@ -38,14 +43,14 @@
 impl Audience {
     fn includes(&self, name: &str) -> bool {
         match self {
-            Audience::One(one) => one == name,
-            Audience::Many(all) => all.iter().any(|one| one == name),
+            Audience::One(audience) => audience == name,
+            Audience::Many(audiences) => audiences.iter().any(|audience| audience == name),
         }
     }
 }
 
 impl Claims {
-    /// Checks names, times and revocations.
+    /// Checks issuer, audience, times and revocations.
     pub fn check(&self, now: f64, trust: &Trust) -> Result<(), Rejection> {
         if self.iss != trust.issuer {
             return Err(Rejection::Issuer);
@@ -60,9 +65,10 @@
         Ok(())
     }
 
-    /// Checks that the names are there and the lists are not too long.
+    /// Checks that team and token id are not empty and that the lists are not too long.
     pub fn check_form(&self) -> Result<(), Rejection> {
-        let is_short = |list: &Option<Vec<String>>| list.as_ref().is_none_or(|l| l.len() <= MAX_LIST_LENGTH);
+        let is_short =
+            |list: &Option<Vec<String>>| list.as_ref().is_none_or(|names| names.len() <= MAX_NAMES);
         let has_names = !self.sub.is_empty() && !self.jti.is_empty();
         if !has_names || !is_short(&self.ops) || !is_short(&self.customers) {
             return Err(Rejection::Malformed);
@@ -70,7 +76,7 @@
         Ok(())
     }
 
-    /// The customers as numbers; none if the token does not list them.
+    /// The customers as numbers; none if the token has no list of customers.
     pub fn customer_ids(&self) -> Result<Option<BTreeSet<u64>>, Rejection> {
         let Some(customers) = &self.customers else { return Ok(None) };
         let ids: Option<BTreeSet<u64>> = customers.iter().map(|text| customer_id(text)).collect();
--- a/identity/src/key.rs
+++ b/identity/src/key.rs
@@ -1,13 +1,13 @@
-//! Public keys, as key sets write them (RFC 7517).
+//! Public keys, with the parameters of JSON Web Keys (RFC 7517).
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use jsonwebtoken::{Algorithm, DecodingKey};
 use std::fmt;
 
-/// Bytes of a coordinate, in both kinds of keys.
+/// Size of a coordinate in both kinds of keys, bytes.
 const COORDINATE_BYTES: usize = 32;
 
-/// How a key signs.
+/// A signature algorithm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignatureAlgorithm {
     /// EdDSA with Ed25519 (RFC 8037).
@@ -21,19 +21,19 @@
 pub struct Key {
     /// Its id, which tokens name.
     pub id: String,
-    /// How it signs.
+    /// The algorithm of its signatures.
     pub algorithm: SignatureAlgorithm,
     /// The x coordinate, base64url without padding.
     pub x: String,
     /// The y coordinate, base64url without padding; empty for EdDSA.
     pub y: String,
-    /// Trusted from then on, Unix seconds.
+    /// Start of its validity, Unix seconds.
     pub valid_from: f64,
-    /// Trusted before then, Unix seconds.
+    /// End of its validity, exclusive, Unix seconds.
     pub valid_until: f64,
 }
 
-/// A part of a key.
+/// A component of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyComponent {
     /// The x coordinate.
@@ -43,7 +43,7 @@
 }
 
 impl KeyComponent {
-    /// Its name in key sets.
+    /// Its name in JSON Web Keys and in the operator's file.
     pub fn name(self) -> &'static str {
         match self {
             KeyComponent::X => "x",
@@ -58,32 +58,32 @@
     }
 }
 
-/// Why a part of a key is none.
+/// Why a component of a key is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyProblem {
-    /// Not base64url.
+    /// It is not base64url.
     #[error("expected base64url without padding")]
     Encoding,
-    /// The wrong number of bytes.
+    /// It has the wrong number of bytes.
     #[error("expected 32 bytes, found {0}")]
     Length(usize),
-    /// Such a key has no such part.
+    /// Keys of this algorithm have no such component.
     #[error("an EdDSA key has none")]
     Superfluous,
 }
 
-/// What is wrong with a key.
+/// Why a key is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{component}: {problem}")]
 pub struct KeyError {
-    /// The part that is wrong.
+    /// The invalid component.
     pub component: KeyComponent,
-    /// What is wrong with it.
+    /// The reason.
     pub problem: KeyProblem,
 }
 
 impl Key {
-    /// Checks that its parts are what such a key has.
+    /// Checks that the key has the components of its algorithm, each of the right size.
     pub fn check(&self) -> Result<(), KeyError> {
         check_coordinate(KeyComponent::X, &self.x)?;
         match self.algorithm {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The key to check signatures with, if its parts make one.
+    /// The key in the form in which signatures are verified; none if its components are invalid.
     pub(crate) fn decoding_key(&self) -> Option<DecodingKey> {
         match self.algorithm {
             SignatureAlgorithm::EdDsa => DecodingKey::from_ed_components(&self.x).ok(),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What the header of its tokens names as the algorithm.
+    /// The algorithm that the header of its tokens has to name.
     pub(crate) fn token_algorithm(&self) -> Algorithm {
         match self.algorithm {
             SignatureAlgorithm::EdDsa => Algorithm::EdDSA,
--- a/identity/src/lib.rs
+++ b/identity/src/lib.rs
@@ -1,6 +1,6 @@
-//! Authentication of callers by signed tokens (RFC 7519, with the advice of RFC 8725): which team a caller speaks for, for which
-//! customers, and which operations it may use. Keys come and go in service; tokens are revoked by their id, by their team or with
-//! their key. There is no I/O and no clock here; times are Unix seconds.
+//! Authentication of callers by signed tokens (RFC 7519, following the best practices of RFC 8725). A token states the caller's
+//! team, its customers, and the operations that it may use. Keys can be replaced at run time; tokens are revoked by their id, by
+//! their team or with their key. There is no I/O and no clock here; times are Unix seconds.
 #![warn(missing_docs)]
 mod authenticator;
 mod caller;
--- a/identity/src/trust.rs
+++ b/identity/src/trust.rs
@@ -1,27 +1,28 @@
-//! What tokens are checked against.
+//! The trust configuration: against what tokens are checked.
 use crate::Key;
 use std::collections::BTreeSet;
 
 /// The issuer, the keys and the rules for tokens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trust {
-    /// Who issues tokens.
+    /// The issuer that tokens have to name.
     pub issuer: String,
-    /// Whom tokens have to be meant for.
+    /// The audience that tokens have to name.
     pub audience: String,
     /// The issuer's public keys.
     pub keys: Vec<Key>,
-    /// Ids of tokens, and names of teams, that are revoked.
+    /// Revoked ids of tokens and names of teams.
     pub revoked: BTreeSet<String>,
-    /// Clocks may differ by so much, seconds.
+    /// Tolerance for clock skew, seconds.
     pub leeway: f64,
-    /// A token may be valid for so long at the most, seconds.
+    /// The longest time for which a token may still be valid, seconds.
     pub max_lifetime: f64,
-    /// Each token opens one connection.
+    /// Whether a token is accepted only once.
     pub single_use: bool,
 }
 
 impl Trust {
+    /// Whether a token's id or its team is revoked.
     pub(crate) fn revokes(&self, token_id: &str, team: &str) -> bool {
         self.revoked.contains(token_id) || self.revoked.contains(team)
     }
--- a/identity/src/used_tokens.rs
+++ b/identity/src/used_tokens.rs
@@ -1,19 +1,21 @@
-//! Tokens that may be used once, and were.
+//! The memory of single-use tokens that were used.
 use crate::Rejection;
 use std::collections::{BTreeSet, HashSet};
 
-/// Beyond so many tokens none is accepted until some have expired, which bounds the memory.
+/// The most tokens in the memory; beyond, single-use tokens are rejected until some have expired.
 const MAX_TOKENS: usize = 1 << 16;
 
+/// Ids of used tokens, until they expire.
 #[derive(Default)]
 pub(crate) struct UsedTokens {
     ids: HashSet<String>,
-    /// By the Unix second in which they expire.
+    /// Expiry, rounded up to a Unix second, and id.
     by_expiry: BTreeSet<(u64, String)>,
 }
 
 impl UsedTokens {
-    /// Notes that a token is used; an error if it was before. Tokens that expired before `oldest` are forgotten.
+    /// Marks a token as used; fails if it was used before, or if the memory is full. Tokens that expired before `oldest` are
+    /// forgotten.
     pub fn insert(&mut self, oldest: f64, id: &str, expires_at: f64) -> Result<(), Rejection> {
         self.forget_before(oldest);
         if self.ids.contains(id) {
