--- a/presence/src/call.rs
+++ b/presence/src/call.rs
@@ -1,21 +1,21 @@
-//! Calls on the counter.
+//! Counter calls of the membership.
 
 /// The count of a group of instances in one interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Count {
-    /// The group's number.
+    /// Index of the group.
     pub group: usize,
-    /// The lower 32 bits of the interval's number.
+    /// The low 32 bits of the interval's index.
     pub interval: u32,
 }
 
-/// A call that is due.
+/// A counter call that is due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
-    /// What it adds to.
+    /// The count to add to.
     pub count: Count,
-    /// What it adds; 0 to read.
+    /// The amount to add; 0 only reads.
     pub amount: f64,
-    /// How long a new count lives, seconds.
+    /// Lifetime of the count if it is new, seconds.
     pub lifetime: f64,
 }
--- a/presence/src/lib.rs
+++ b/presence/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which gateway instances the counter hears of. A counter that is split, or that some instances can't reach, looks healthy to each of
-//! them; only the heartbeats that are missing from it tell. So each instance adds a heartbeat to a count once in each interval, and
-//! reads what the count of the last interval stands at. Six instances share a count: one decimal digit each, as totals are exact to
-//! seven digits.
+//! Membership of gateway instances by heartbeats on the counter. A counter that is partitioned, or that some instances can't reach,
+//! looks healthy to each of them; only missing heartbeats reveal it. Each instance therefore adds a heartbeat to a count once per
+//! interval, and reads the total of the previous interval. Six instances share a count, with one decimal digit each, because totals
+//! are exact to seven digits.
 //!
-//! There is no I/O and no clock here: the caller asks which calls are due, makes them, and reports what came of them.
+//! There is no I/O and no clock here: the caller polls for due calls, makes them, and reports their results.
 #![warn(missing_docs)]
 mod call;
 mod group;
--- a/presence/src/membership.rs
+++ b/presence/src/membership.rs
@@ -1,57 +1,58 @@
-//! The instances that the counter hears of, as one instance sees them.
+//! The membership as one instance sees it.
 use crate::group::{group_of, heartbeat_amount, Group, GROUP_SIZE};
 use crate::{Count, CounterCall};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The shortest interval, seconds: below it calls would take a notable part of an interval.
+/// The shortest interval, seconds: in a shorter one the calls would take a notable part.
 const MIN_INTERVAL: f64 = 0.5;
-/// The part of an interval over which the instances spread their calls.
+/// Fraction of an interval over which the calls of all instances are spread.
 const SPREAD: f64 = 0.6;
-/// A group is read for so many intervals after somebody asked about it.
+/// Intervals for which a group is read after it was last watched.
 const WANTED_INTERVALS: u64 = 30;
-/// A count lives for so many intervals: it is read in the one after its own.
+/// Lifetime of a count, in intervals: it is read in the interval after its own.
 const LIFETIME_INTERVALS: f64 = 4.0;
 
-/// What one instance knows of the others.
+/// One instance's view of the others.
 #[derive(Clone, Debug)]
 pub struct Membership {
     /// Number of all instances.
     instances: usize,
-    /// This instance.
-    own: usize,
+    /// Index of this instance.
+    local: usize,
     /// Length of an interval, seconds.
     interval: f64,
-    /// Where in an interval this instance's calls lie, from 0 to 1.
+    /// Position of this instance's calls within an interval, from 0 to 1.
     phase: f64,
-    /// The last interval with a heartbeat of this instance.
+    /// The last interval in which this instance sent a heartbeat.
     last_heartbeat: Option<u64>,
-    /// The last interval in which it read the groups.
+    /// The last interval in which this instance read the groups.
     last_reading: Option<u64>,
+    /// The groups that are read, by index.
     groups: BTreeMap<usize, Group>,
-    /// Readings in which this instance's own heartbeat was missing although the counter had taken it.
+    /// Number of readings that lacked this instance's heartbeat although the counter had accepted it: the counter lost data.
     pub lost_heartbeats: u64,
-    /// The first of the consecutive intervals in which the counter took this instance's heartbeat.
-    taken_since: Option<u64>,
+    /// The first of the consecutive intervals in which the counter accepted this instance's heartbeat.
+    accepted_since: Option<u64>,
 }
 
 impl Membership {
-    /// For instance `own` of `instances`, and intervals of so many seconds (0.5 at least).
-    pub fn new(instances: usize, own: usize, interval: f64) -> Membership {
+    /// The view of instance `local` of `instances`; `interval` in seconds, at least 0.5.
+    pub fn new(instances: usize, local: usize, interval: f64) -> Membership {
         let instances = instances.max(1);
         Membership {
             instances,
-            own,
+            local,
             interval: interval.max(MIN_INTERVAL),
-            phase: SPREAD * own as f64 / instances as f64,
+            phase: SPREAD * local as f64 / instances as f64,
             last_heartbeat: None,
             last_reading: None,
-            groups: BTreeMap::from([(group_of(own), Group::wanted_until(u64::MAX))]),
+            groups: BTreeMap::from([(group_of(local), Group::wanted_until(u64::MAX))]),
             lost_heartbeats: 0,
-            taken_since: None,
+            accepted_since: None,
         }
     }
 
-    /// Somebody shares units between `number` instances from `first` on, counted round: their groups are read for a while.
+    /// Watches `number` consecutive instances from `first` on, wrapping around: their groups are read for a while.
     pub fn watch(&mut self, now: f64, first: usize, number: usize) {
         let until = self.interval_at(now) + WANTED_INTERVALS;
         for instance in self.instances_from(first, number.min(self.instances)) {
@@ -60,27 +61,27 @@
         }
     }
 
-    /// A call was answered with a total, or not with one.
+    /// Reports the total that a call returned, or none if it failed.
     pub fn call_answered(&mut self, now: f64, count: Count, total: Option<f64>) {
         let current = self.interval_at(now);
-        let interval = whole_interval(count.interval, current);
+        let interval = full_interval_index(count.interval, current);
         let is_heartbeat = Some(interval) == self.last_heartbeat;
         let Some(total) = total else {
-            if is_heartbeat && count.group == group_of(self.own) {
-                self.taken_since = None;
+            if is_heartbeat && count.group == group_of(self.local) {
+                self.accepted_since = None;
             }
             return;
         };
         if is_heartbeat && interval == current {
-            self.taken_since = self.taken_since.or(Some(interval));
+            self.accepted_since = self.accepted_since.or(Some(interval));
         }
-        // Only the interval before the current one is complete and recent.
+        // Only the previous interval is both complete and recent.
         if interval + 1 == current {
             self.read(count.group, interval, total);
         }
     }
 
-    /// The calls that are due now.
+    /// The calls that are due; each is returned once.
     pub fn due_calls(&mut self, now: f64) -> Vec<CounterCall> {
         let interval = self.interval_at(now);
         if now < self.calls_at(interval) {
@@ -97,31 +98,32 @@
         calls
     }
 
-    /// When the next call is due, seconds on the clock of `now`.
+    /// Time at which the next call is due, seconds on the clock of `now`.
     pub fn next_call(&self, now: f64) -> f64 {
         let interval = self.interval_at(now);
-        let here = self.calls_at(interval);
-        if now < here {
-            here
+        let in_this_interval = self.calls_at(interval);
+        if now < in_this_interval {
+            in_this_interval
         } else {
             self.calls_at(interval + 1)
         }
     }
 
-    /// Whether the counter does not hear of an instance. Without a recent reading none is taken for absent.
+    /// Whether an instance is absent from the counter. Without a recent reading no instance counts as absent.
     pub fn is_absent(&self, now: f64, instance: usize) -> bool {
         let group = self.groups.get(&group_of(instance));
-        instance != self.own && group.is_some_and(|group| group.is_absent(self.interval_at(now), instance))
+        instance != self.local && group.is_some_and(|group| group.is_absent(self.interval_at(now), instance))
     }
 
-    /// The part, from 0 to 1, of `number` instances from `first` on that the counter hears of; this one is taken for heard of.
+    /// The fraction, from 0 to 1, of `number` consecutive instances from `first` on that are present; this instance counts as
+    /// present.
     pub fn present_fraction(&self, now: f64, first: usize, number: usize) -> f64 {
         let number = number.clamp(1, self.instances);
         let present = self.instances_from(first, number).filter(|instance| !self.is_absent(now, *instance));
         present.count().max(1) as f64 / number as f64
     }
 
-    /// The absent instances of the groups that are read.
+    /// The absent instances among the groups that are read.
     pub fn absent(&self, now: f64) -> BTreeSet<usize> {
         let members = |group: &usize| group * GROUP_SIZE..((group + 1) * GROUP_SIZE).min(self.instances);
         let all = self.groups.keys().flat_map(members);
@@ -130,11 +132,12 @@
 
     fn heartbeat(&mut self, interval: u64) -> CounterCall {
         let is_consecutive = self.last_heartbeat.is_some_and(|last| last + 1 == interval);
-        self.taken_since = self.taken_since.filter(|_| is_consecutive);
+        self.accepted_since = self.accepted_since.filter(|_| is_consecutive);
         self.last_heartbeat = Some(interval);
-        self.call(group_of(self.own), interval, heartbeat_amount(self.own))
+        self.call(group_of(self.local), interval, heartbeat_amount(self.local))
     }
 
+    /// Reads of the previous interval, for each group that is still wanted.
     fn readings(&mut self, interval: u64) -> Vec<CounterCall> {
         self.groups.retain(|_, group| group.wanted_until >= interval);
         self.groups.keys().map(|group| self.call(*group, interval - 1, 0.0)).collect()
@@ -145,23 +148,25 @@
         CounterCall { count, amount, lifetime: LIFETIME_INTERVALS * self.interval }
     }
 
-    fn read(&mut self, number: usize, interval: u64, total: f64) {
-        let Some(group) = self.groups.get_mut(&number) else { return };
+    fn read(&mut self, group_index: usize, interval: u64, total: f64) {
+        let Some(group) = self.groups.get_mut(&group_index) else { return };
         if group.has_read(interval) {
             return;
         }
         group.read(interval, total);
-        let was_taken = self.taken_since.is_some_and(|since| since <= interval);
-        if number == group_of(self.own) && was_taken && group.is_missing(self.own) {
+        let was_accepted = self.accepted_since.is_some_and(|since| since <= interval);
+        if group_index == group_of(self.local) && was_accepted && group.is_missing(self.local) {
             self.lost_heartbeats += 1;
-            self.taken_since = None;
+            self.accepted_since = None;
         }
     }
 
+    /// The index of the interval at a time.
     fn interval_at(&self, now: f64) -> u64 {
         (now / self.interval) as u64
     }
 
+    /// Time of this instance's calls in an interval.
     fn calls_at(&self, interval: u64) -> f64 {
         (interval as f64 + self.phase) * self.interval
     }
@@ -172,8 +177,8 @@
     }
 }
 
-/// The number of an interval that is not after the current one, from its lower 32 bits.
-fn whole_interval(lower: u32, current: u64) -> u64 {
+/// The index of an interval that is not after the current one, from its low 32 bits.
+fn full_interval_index(lower: u32, current: u64) -> u64 {
     let age = (current as u32).wrapping_sub(lower);
     current.saturating_sub(u64::from(age))
 }
