--- a/counter/src/main.rs
+++ b/counter/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Parser, Subcommand};
 use quillramp_counter::server::Timing;
-use serve::ServeOptions;
+use serve::{Member, ServeOptions};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -35,7 +35,7 @@
         id: u64,
         /// All members, this one included, as ID=ADDRESS; left out: alone.
         #[arg(long = "member", value_parser = parse_member)]
-        members: Vec<(u64, SocketAddr)>,
+        members: Vec<Member>,
         /// Seconds without a word of the leader, at least, before another one stands.
         #[arg(long = "patience", value_name = "PATIENCE", default_value_t = Timing::default().election_timeout)]
         election_timeout: f64,
@@ -59,9 +59,10 @@
 #[error("'{0}': expected ID=ADDRESS")]
 struct InvalidMember(String);
 
-fn parse_member(text: &str) -> Result<(u64, SocketAddr), InvalidMember> {
+fn parse_member(text: &str) -> Result<Member, InvalidMember> {
     let parts = text.split_once('=');
-    let member = parts.and_then(|(id, address)| Some((id.parse().ok()?, address.parse().ok()?)));
+    let member =
+        parts.and_then(|(id, address)| Some(Member { id: id.parse().ok()?, address: address.parse().ok()? }));
     member.ok_or_else(|| InvalidMember(text.to_owned()))
 }
 
--- a/counter/src/raft/effects.rs
+++ b/counter/src/raft/effects.rs
@@ -13,14 +13,23 @@
     pub entries: Vec<Entry<C>>,
     /// A snapshot of the leader that replaces the state and the log.
     pub installed_snapshot: Option<InstalledSnapshot>,
-    /// Messages to send, with their recipients.
-    pub messages: Vec<(NodeId, Message<C>)>,
+    /// Messages to send.
+    pub messages: Vec<OutgoingMessage<C>>,
     /// Followers that need a snapshot; the caller sends them its own.
     pub snapshot_targets: Vec<NodeId>,
     /// The new commit index.
     pub commit_index: Option<u64>,
 }
 
+/// A message with its recipient.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OutgoingMessage<C> {
+    /// The recipient.
+    pub to: NodeId,
+    /// The message.
+    pub message: Message<C>,
+}
+
 /// A snapshot that was received from the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstalledSnapshot {
@@ -30,6 +39,13 @@
     pub state: Vec<u8>,
 }
 
+impl<C> Effects<C> {
+    /// Adds a message to send.
+    pub(super) fn send(&mut self, to: NodeId, message: Message<C>) {
+        self.messages.push(OutgoingMessage { to, message });
+    }
+}
+
 impl<C> Default for Effects<C> {
     fn default() -> Effects<C> {
         Effects {
--- a/counter/src/raft/election.rs
+++ b/counter/src/raft/election.rs
@@ -13,7 +13,9 @@
         effects.hard_state = Some(self.hard_state);
         self.role = Role::Candidate { votes: BTreeSet::from([self.id]) };
         let request = Message::RequestVote { term: self.hard_state.term, last: self.last_position() };
-        effects.messages.extend(self.peers.iter().map(|peer| (*peer, request.clone())));
+        for peer in &self.peers {
+            effects.send(*peer, request.clone());
+        }
         self.become_leader_if_elected(effects);
     }
 
@@ -41,7 +43,7 @@
             self.hard_state.vote = Some(candidate);
             effects.hard_state = Some(self.hard_state);
         }
-        effects.messages.push((candidate, Message::Vote { term: self.hard_state.term, granted }));
+        effects.send(candidate, Message::Vote { term: self.hard_state.term, granted });
     }
 
     pub(super) fn handle_vote(&mut self, voter: NodeId, granted: bool, effects: &mut Effects<C>) {
--- a/counter/src/raft/mod.rs
+++ b/counter/src/raft/mod.rs
@@ -6,7 +6,7 @@
 mod fault;
 mod message;
 mod replication;
-pub use effects::{Effects, InstalledSnapshot};
+pub use effects::{Effects, InstalledSnapshot, OutgoingMessage};
 pub use fault::Fault;
 pub use message::{Message, ReplicatedEntry};
 
--- a/counter/src/raft/replication.rs
+++ b/counter/src/raft/replication.rs
@@ -73,7 +73,7 @@
             entries,
             commit_index: self.commit_index,
         };
-        effects.messages.push((to, message));
+        effects.send(to, message);
     }
 
     pub(super) fn reject_append(&mut self, leader: NodeId, effects: &mut Effects<C>) {
@@ -145,7 +145,7 @@
             AppendOutcome::Conflict { retry_from } => (None, retry_from),
         };
         let term = self.hard_state.term;
-        effects.messages.push((leader, Message::AppendResponse { term, match_index, retry_from }));
+        effects.send(leader, Message::AppendResponse { term, match_index, retry_from });
     }
 
     fn accept_entries(
--- a/counter/src/serve.rs
+++ b/counter/src/serve.rs
@@ -20,6 +20,15 @@
 /// Heartbeats of a leader within the shortest election timeout: several, so that a few may be lost.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: f64 = 7.0;
 
+/// A replica, as the option `--member` names it.
+#[derive(Clone, Copy)]
+pub struct Member {
+    /// Its id.
+    pub id: u64,
+    /// The address on which it accepts its peers.
+    pub address: SocketAddr,
+}
+
 /// The options of the command.
 pub struct ServeOptions {
     /// The id of this replica.
@@ -27,7 +36,7 @@
     /// The address on which clients are accepted.
     pub client_address: SocketAddr,
     /// The ids and peer addresses of all replicas, this one included; empty if it runs alone.
-    pub members: Vec<(u64, SocketAddr)>,
+    pub members: Vec<Member>,
     /// The directory of the log.
     pub directory: PathBuf,
     /// The shortest election timeout, seconds.
@@ -92,7 +101,8 @@
 }
 
 fn peer_addresses(options: &ServeOptions) -> Result<BTreeMap<u64, SocketAddr>, ServeError> {
-    let members: BTreeMap<u64, SocketAddr> = options.members.iter().copied().collect();
+    let members: BTreeMap<u64, SocketAddr> =
+        options.members.iter().map(|member| (member.id, member.address)).collect();
     if members.len() < options.members.len() || members.len() > MAX_MEMBERS {
         return Err(ServeError::Members);
     }
--- a/counter/tests/agreement.rs
+++ b/counter/tests/agreement.rs
@@ -1,6 +1,6 @@
 //! Model checks of the replication: all orders of events in small clusters, with elections, lost and late messages, and crashes.
 use quillramp_counter::log::{HardState, LogPosition};
-use quillramp_counter::raft::{Effects, Fault, Message, Node, NodeId};
+use quillramp_counter::raft::{Effects, Fault, Message, Node, NodeId, OutgoingMessage};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -50,7 +50,7 @@
     /// Executes the effects of a member's step and checks the safety properties.
     fn execute(&mut self, member: usize, effects: Effects<Command>) {
         let id = self.members[member].id;
-        for (to, message) in effects.messages {
+        for OutgoingMessage { to, message } in effects.messages {
             self.in_flight.insert((id, to, message));
         }
         for to in effects.snapshot_targets {
@@ -311,13 +311,13 @@
     // Delivers every message of the leader to the follower and every response to the leader, until none is left.
     let mut sent = 0;
     let mut in_flight: std::collections::VecDeque<_> = effects.messages.into();
-    while let Some((to, message)) = in_flight.pop_front() {
+    while let Some(OutgoingMessage { to, message }) = in_flight.pop_front() {
         let (Message::AppendEntries { entries, .. }, 2) = (&message, to) else { continue };
         sent += entries.len();
         let mut responses = Effects::default();
         let mut more = Effects::default();
         follower.step(1, message, &mut responses);
-        responses.messages.into_iter().for_each(|(_, response)| leader.step(2, response, &mut more));
+        responses.messages.into_iter().for_each(|response| leader.step(2, response.message, &mut more));
         in_flight.extend(more.messages);
     }
     assert_eq!(
