--- a/operator/src/broker.rs
+++ b/operator/src/broker.rs
@@ -103,11 +103,7 @@
         }
         let version =
             section.integer("version", 1..=u32::MAX as usize).map_or(1, |version| version.value as u32);
-        let valid_from = section.timestamp("from").map_or(0.0, |time| time.value);
-        let valid_until = section.timestamp("until").map_or(f64::INFINITY, |time| time.value);
-        if valid_until <= valid_from {
-            section.report("until", "it ends before it begins");
-        }
+        let validity = section.validity();
         let operations = self.read_operations(&section);
         let customers = section.customers("customers");
         let rate = section.number("rate", RATES).map(|rate| rate.value);
@@ -120,8 +116,8 @@
         Some(Contract {
             team: team?,
             version,
-            valid_from,
-            valid_until,
+            valid_from: validity.from,
+            valid_until: validity.until,
             operations,
             customers,
             rate,
--- a/operator/src/document/values.rs
+++ b/operator/src/document/values.rs
@@ -24,6 +24,14 @@
     pub value: T,
 }
 
+/// A period of validity, Unix seconds.
+pub(crate) struct Validity {
+    /// Its start.
+    pub from: f64,
+    /// Its end, exclusive; infinite if there is none.
+    pub until: f64,
+}
+
 impl Section<'_> {
     /// A finite number within bounds.
     pub fn number(&self, key: &'static str, bounds: RangeInclusive<f64>) -> Option<Located<f64>> {
@@ -84,6 +92,16 @@
         self.value(key, expected, |value| unix_seconds(value.as_datetime()?))
     }
 
+    /// The period between the keys `from` and `until`, either of which may be missing. One that ends before it begins is reported.
+    pub fn validity(&self) -> Validity {
+        let from = self.timestamp("from").map_or(0.0, |time| time.value);
+        let until = self.timestamp("until").map_or(f64::INFINITY, |time| time.value);
+        if until <= from {
+            self.report("until", "it ends before it begins");
+        }
+        Validity { from, until }
+    }
+
     /// A list of strings; none if the key is missing, or if an element is no string.
     pub fn strings(&self, key: &'static str) -> Option<Vec<Located<String>>> {
         let item = self.item(key)?;
--- a/operator/src/identity.rs
+++ b/operator/src/identity.rs
@@ -70,17 +70,13 @@
     let x_coordinate = section.string("x");
     let y_coordinate = section.string("y").map(|coordinate| coordinate.value).unwrap_or_default();
     let algorithm = section.choice("signs", &ALGORITHMS);
-    let valid_from = section.timestamp("from").map_or(0.0, |time| time.value);
-    let valid_until = section.timestamp("until").map_or(f64::INFINITY, |time| time.value);
-    if valid_until <= valid_from {
-        section.report("until", "it ends before it begins");
-    }
+    let validity = section.validity();
     Some(Key {
         id: id?.value,
         algorithm: algorithm?.value,
         x: x_coordinate?.value,
         y: y_coordinate,
-        valid_from,
-        valid_until,
+        valid_from: validity.from,
+        valid_until: validity.until,
     })
 }
