--- a/counter/src/log/files.rs
+++ b/counter/src/log/files.rs
@@ -15,6 +15,7 @@
     pub name: String,
 }
 
+/// The name of the file of a kind that begins at an index.
 pub(super) fn name(kind: &str, index: u64) -> String {
     format!("{kind}{index:020}")
 }
--- a/counter/src/log/record.rs
+++ b/counter/src/log/record.rs
@@ -29,6 +29,7 @@
     pub end: usize,
 }
 
+/// Encodes a value as a record.
 pub(super) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let body = postcard::to_stdvec(value).expect("plain data can be encoded");
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
--- a/counter/src/raft/election.rs
+++ b/counter/src/raft/election.rs
@@ -28,6 +28,7 @@
         }
     }
 
+    /// Grants a candidate the vote of the term if it is free and the candidate's log is up to date.
     pub(super) fn handle_request_vote(
         &mut self,
         candidate: NodeId,
@@ -46,6 +47,7 @@
         effects.send(candidate, Message::Vote { term: self.hard_state.term, granted });
     }
 
+    /// Counts a vote, if this node is still a candidate.
     pub(super) fn handle_vote(&mut self, voter: NodeId, granted: bool, effects: &mut Effects<C>) {
         if let Role::Candidate { votes } = &mut self.role {
             if granted {
--- a/counter/src/raft/message.rs
+++ b/counter/src/raft/message.rs
@@ -60,6 +60,7 @@
 }
 
 impl<C> Message<C> {
+    /// The sender's term.
     pub(super) fn term(&self) -> u64 {
         match self {
             Message::RequestVote { term, .. }
--- a/counter/src/raft/replication.rs
+++ b/counter/src/raft/replication.rs
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Appends an entry of the current term and returns its index.
     pub(super) fn append(&mut self, command: Option<C>, effects: &mut Effects<C>) -> u64 {
         let index = self.last_position().index + 1;
         let entry = Entry { index, term: self.hard_state.term, command };
@@ -76,10 +77,12 @@
         effects.send(to, message);
     }
 
+    /// Rejects entries or a snapshot of a stale leader, which learns of the newer term by the response.
     pub(super) fn reject_append(&mut self, leader: NodeId, effects: &mut Effects<C>) {
         self.respond(leader, AppendOutcome::Conflict { retry_from: 0 }, effects);
     }
 
+    /// Appends a leader's entries, if they continue this log, and responds.
     pub(super) fn handle_append_entries(
         &mut self,
         leader: NodeId,
@@ -93,6 +96,7 @@
         self.respond(leader, outcome, effects);
     }
 
+    /// Records a follower's progress, and sends it further entries if it lacks some.
     pub(super) fn handle_append_response(
         &mut self,
         follower: NodeId,
@@ -119,6 +123,7 @@
         }
     }
 
+    /// Replaces the log up to a snapshot of the leader, unless the entries in it are committed here already, and responds.
     pub(super) fn handle_install_snapshot(
         &mut self,
         leader: NodeId,
--- a/counter/src/server/replica/calls.rs
+++ b/counter/src/server/replica/calls.rs
@@ -35,12 +35,14 @@
         false
     }
 
+    /// Answers the client of a forwarded call; a call that was answered before is ignored.
     pub(super) fn answer_forwarded(&mut self, call_id: u64, outcome: CallOutcome) {
         if let Some(response) = self.forwarded.remove(call_id) {
             self.answer(ReplyTo::Client(response), outcome);
         }
     }
 
+    /// Sends the outcome of a call to its recipient.
     pub(super) fn answer(&self, reply_to: ReplyTo, outcome: CallOutcome) {
         match reply_to {
             ReplyTo::Client(slot) => {
--- a/counter/src/server/replica/clock.rs
+++ b/counter/src/server/replica/clock.rs
@@ -12,12 +12,16 @@
 /// When the next election, heartbeat and quorum check are due, seconds since the start.
 #[derive(Default)]
 pub(super) struct Deadlines {
+    /// The next election, unless a leader is heard of before.
     pub election: f64,
+    /// The next heartbeat, as a leader.
     pub heartbeat: f64,
+    /// The next quorum check, as a leader.
     pub quorum_check: f64,
 }
 
 impl<D: Disk> Replica<D> {
+    /// Does what is due by now.
     pub(super) fn tick(&mut self, effects: &mut Effects<Add>) {
         let now = self.now();
         if self.node.is_leader() {
--- a/identity/tests/help/mod.rs
+++ b/identity/tests/help/mod.rs
@@ -19,14 +19,16 @@
 }
 
 impl Signer {
-    pub fn ed25519(id: &str, seed: u8) -> Signer {
+    /// A signer with an Ed25519 key, which the seed determines.
+    pub fn ed(id: &str, seed: u8) -> Signer {
         Signer {
             id: id.into(),
             pair: KeyPair::Ed25519(Ed25519KeyPair::from_seed_unchecked(&[seed; 32]).expect("a seed")),
         }
     }
 
-    pub fn p256(id: &str) -> Signer {
+    /// A signer with a random P-256 key.
+    pub fn ec(id: &str) -> Signer {
         let rng = SystemRandom::new();
         let algorithm = &ECDSA_P256_SHA256_FIXED_SIGNING;
         let bytes = EcdsaKeyPair::generate_pkcs8(algorithm, &rng).expect("a key");
--- a/identity/tests/tokens.rs
+++ b/identity/tests/tokens.rs
@@ -39,8 +39,8 @@
 
 #[test]
 fn both_signature_algorithms_are_accepted() {
-    let ed25519 = Signer::ed25519("a", 1);
-    let p256 = Signer::p256("b");
+    let ed25519 = Signer::ed("a", 1);
+    let p256 = Signer::ec("b");
     let mut authenticator = Authenticator::new(trust(vec![ed25519.key(), p256.key()]));
     for signer in [&ed25519, &p256] {
         signer.key().check().expect("a key");
@@ -55,8 +55,8 @@
 
 #[test]
 fn claims_are_rejected_with_their_reason() {
-    let ours = Signer::ed25519("a", 1);
-    let mut authenticator = Authenticator::new(trust(vec![ours.key(), Signer::p256("b").key()]));
+    let ours = Signer::ed("a", 1);
+    let mut authenticator = Authenticator::new(trust(vec![ours.key(), Signer::ec("b").key()]));
     let rejection_with = |authenticator: &mut Authenticator, changes: Value| {
         rejection(authenticator, &ours.token(&claims_with(changes)))
     };
@@ -75,14 +75,11 @@
 
 #[test]
 fn foreign_and_malformed_tokens_are_rejected_with_their_reason() {
-    let ours = Signer::ed25519("a", 1);
-    let mut authenticator = Authenticator::new(trust(vec![ours.key(), Signer::p256("b").key()]));
-    let theirs = Signer::ed25519("a", 2);
+    let ours = Signer::ed("a", 1);
+    let mut authenticator = Authenticator::new(trust(vec![ours.key(), Signer::ec("b").key()]));
+    let theirs = Signer::ed("a", 2);
     assert_eq!(rejection(&mut authenticator, &theirs.token(&claims())), Rejection::Signature);
-    assert_eq!(
-        rejection(&mut authenticator, &Signer::ed25519("z", 1).token(&claims())),
-        Rejection::UnknownKey
-    );
+    assert_eq!(rejection(&mut authenticator, &Signer::ed("z", 1).token(&claims())), Rejection::UnknownKey);
     assert_eq!(rejection(&mut authenticator, &"x".repeat(MAX_TOKEN_BYTES + 1)), Rejection::TooLong);
     assert_eq!(
         rejection(
@@ -97,8 +94,8 @@
 
 #[test]
 fn other_algorithms_and_altered_tokens_are_rejected() {
-    let ours = Signer::ed25519("a", 1);
-    let mut authenticator = Authenticator::new(trust(vec![ours.key(), Signer::p256("b").key()]));
+    let ours = Signer::ed("a", 1);
+    let mut authenticator = Authenticator::new(trust(vec![ours.key(), Signer::ec("b").key()]));
     // Algorithms: none, a shared secret derived from the public key, that of another key.
     let head = |alg: &str, kid: &str| json!({"alg": alg, "typ": "JWT", "kid": kid});
     assert_eq!(rejection(&mut authenticator, &ours.sign(head("none", "a"), &claims())), Rejection::Malformed);
@@ -132,8 +129,7 @@
 #[test]
 fn keys_are_rotated_in_service() {
     let ids = ["k0", "k1", "k2", "k3", "k4", "k5", "k6", "k7"];
-    let signers: Vec<Signer> =
-        ids.iter().enumerate().map(|(i, id)| Signer::ed25519(id, i as u8 + 1)).collect();
+    let signers: Vec<Signer> = ids.iter().enumerate().map(|(i, id)| Signer::ed(id, i as u8 + 1)).collect();
     let mut authenticator = Authenticator::new(trust(vec![signers[0].key()]));
     let mut callers = vec![];
     for round in 0..signers.len() - 1 {
@@ -170,7 +166,7 @@
 
 #[test]
 fn revocations_take_effect_at_once() {
-    let signer = Signer::ed25519("a", 1);
+    let signer = Signer::ed("a", 1);
     let mut authenticator = Authenticator::new(trust(vec![signer.key()]));
     let caller = authenticator.authenticate(NOW, signer.token(&claims()).as_bytes()).expect("taken");
     for revoked in ["t-1", "radiology"] {
@@ -193,7 +189,7 @@
 
 #[test]
 fn single_use_tokens_are_accepted_once() {
-    let signer = Signer::ed25519("a", 1);
+    let signer = Signer::ed("a", 1);
     let mut authenticator = Authenticator::new(Trust { single_use: true, ..trust(vec![signer.key()]) });
     let token = signer.token(&claims());
     assert!(authenticator.authenticate(NOW, token.as_bytes()).is_ok());
@@ -212,7 +208,7 @@
 
 #[test]
 fn invalid_keys_are_reported_with_reasons() {
-    let valid = Signer::ed25519("a", 1).key();
+    let valid = Signer::ed("a", 1).key();
     let error = |key: Key| key.check().expect_err("no key").to_string();
     assert!(error(Key { x: "???".into(), ..valid.clone() }).contains("base64url"));
     assert!(error(Key { x: "AAAA".into(), ..valid.clone() }).contains("32 bytes, found 3"));
@@ -226,7 +222,7 @@
     /// For arbitrary bytes: nobody is authenticated by bytes that no trusted key has signed, and nothing panics.
     #[test]
     fn unsigned_bytes_authenticate_nobody(bytes in proptest::collection::vec(any::<u8>(), 0..300), offset in 0usize..400, bit in 0u8..8) {
-        let signer = Signer::ed25519("a", 1);
+        let signer = Signer::ed("a", 1);
         let mut authenticator = Authenticator::new(trust(vec![signer.key()]));
         prop_assert!(authenticator.authenticate(NOW, &bytes).is_err());
         let mut token = signer.token(&claims()).into_bytes();
--- a/operator/src/document/section.rs
+++ b/operator/src/document/section.rs
@@ -19,6 +19,7 @@
 }
 
 impl<'a> Section<'a> {
+    /// A section of a document, none of whose keys was read.
     pub(super) fn new(
         document: &'a Document,
         path: String,
@@ -90,6 +91,7 @@
         self.document.line_of(span, self.line)
     }
 
+    /// The item of a key, which counts as known from now on.
     pub(super) fn item(&self, key: &'static str) -> Option<&'a Item> {
         self.known_keys.borrow_mut().push(key);
         self.table.get(key)
--- a/operator/src/show/operations.rs
+++ b/operator/src/show/operations.rs
@@ -4,6 +4,7 @@
 use quillramp::types::Idempotency;
 use quillramp_broker::contract::matches_any;
 
+/// The lines for each operation of the platform.
 pub(super) fn show(routes: &Routes, platform: &Platform) -> String {
     platform.operations.iter().map(|operation| show_operation(routes, operation, platform)).collect()
 }
--- a/operator/src/show/sections.rs
+++ b/operator/src/show/sections.rs
@@ -6,6 +6,7 @@
 use quillramp_broker::contract::Contract;
 use quillramp_identity::Trust;
 
+/// The lines for all sections.
 pub(super) fn show(settings: &OperatorSettings) -> String {
     let lines = [
         settings.admission.as_ref().map_or("admission: off".into(), admission),
