--- a/counter/src/raft/election.rs
+++ b/counter/src/raft/election.rs
@@ -1,10 +1,10 @@
-//! Elections: timeouts, votes, and a leader that has lost its quorum.
+//! Elections: timeouts, votes, and the step-down of a leader that has lost its quorum.
 use super::{Effects, Fault, Message, Node, NodeId, Role};
 use crate::log::{HardState, LogPosition};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<C: Clone + PartialEq> Node<C> {
-    /// No leader was heard of within the election timeout: stands for election.
+    /// The election timeout has passed without a message of a leader: begins an election as a candidate.
     pub fn election_timeout(&mut self, effects: &mut Effects<C>) {
         if self.is_leader() {
             return;
@@ -13,12 +13,13 @@
         effects.hard_state = Some(self.hard_state);
         self.role = Role::Candidate { votes: BTreeSet::from([self.id]) };
         let request = Message::RequestVote { term: self.hard_state.term, last: self.last_position() };
-        effects.messages.extend(self.peers.iter().map(|peer| (*peer, request.clone())));
+        for peer in &self.peers {
+            effects.send(*peer, request.clone());
+        }
         self.become_leader_if_elected(effects);
     }
 
-    /// Steps down if no quorum answered since the last call. To be called once in the time after which followers take a leader for
-    /// lost.
+    /// Steps down if no quorum has responded since the last call. To be called once per longest election timeout of the followers.
     pub fn check_quorum(&mut self) {
         let Role::Leader { active, .. } = &mut self.role else { return };
         let active_nodes = std::mem::take(active).len() + 1;
@@ -27,6 +28,7 @@
         }
     }
 
+    /// Grants a candidate the vote of the term if it is free and the candidate's log is up to date.
     pub(super) fn handle_request_vote(
         &mut self,
         candidate: NodeId,
@@ -42,9 +44,10 @@
             self.hard_state.vote = Some(candidate);
             effects.hard_state = Some(self.hard_state);
         }
-        effects.messages.push((candidate, Message::Vote { term: self.hard_state.term, granted }));
+        effects.send(candidate, Message::Vote { term: self.hard_state.term, granted });
     }
 
+    /// Counts a vote, if this node is still a candidate.
     pub(super) fn handle_vote(&mut self, voter: NodeId, granted: bool, effects: &mut Effects<C>) {
         if let Role::Candidate { votes } = &mut self.role {
             if granted {
@@ -65,7 +68,7 @@
             match_index: BTreeMap::new(),
             active: BTreeSet::new(),
         };
-        // What earlier leaders left is committed together with the first entry of the new term.
+        // Entries of earlier terms are committed only together with the first entry of the new term.
         self.append(None, effects);
         self.replicate(effects);
     }
