--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -1,7 +1,7 @@
 //! The broker at the real program: twenty teams of which one floods, and contracts that change under load.
 use quillramp_load::experiment::Experiment;
-use quillramp_load::generator::{Outcome, Row};
-use quillramp_load::play::{play, Played};
+use quillramp_load::generator::{Outcome, RequestRow};
+use quillramp_load::run::{run_variant, RunResult};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -39,8 +39,8 @@
     Experiment::read(&text).expect("a good experiment")
 }
 
-fn succeeded(p: &Played, of: impl Fn(&Row) -> bool) -> (usize, usize) {
-    let own: Vec<&Row> = p.rows.iter().filter(|r| of(r)).collect();
+fn succeeded(p: &RunResult, of: impl Fn(&RequestRow) -> bool) -> (usize, usize) {
+    let own: Vec<&RequestRow> = p.rows.iter().filter(|r| of(r)).collect();
     (own.iter().filter(|r| r.outcome == Outcome::Succeeded).count(), own.len())
 }
 
@@ -51,9 +51,9 @@
     let file = at.join("operator.toml");
     std::fs::write(&file, contracts(16.0)).expect("written");
     let e = experiment(&file, 6.0, "[traffic.flood]\ncustomer = 0\nrate = 300.0\nfrom = 0.5\n");
-    let [flooded, calm] = [0, 1].map(|i| play(&e, (&e.variants[i], 0), &at).expect("played"));
+    let [flooded, calm] = [0, 1].map(|i| run_variant(&e, &e.variants[i], 0, &at).expect("played"));
     std::fs::remove_dir_all(&at).expect("ours");
-    let others = |p: &Played| succeeded(p, |r| r.customer != 0);
+    let others = |p: &RunResult| succeeded(p, |r| r.customer != 0);
     let ((served, all), (served_calm, all_calm)) = (others(&flooded), others(&calm));
     assert_eq!(all, all_calm, "the same invocations");
     let differs = (served as f64 - served_calm as f64).abs() / served_calm as f64;
@@ -67,7 +67,7 @@
         asked > 1200 && own * 4 < asked,
         "{own} of {asked}: the flood is held to its contract and what is lent"
     );
-    assert_eq!((flooded.play.twice, flooded.play.died), (0, 0));
+    assert_eq!((flooded.summary.duplicates, flooded.summary.died), (0, 0));
     let unanswered = flooded.rows.iter().filter(|r| r.outcome == Outcome::NoAnswer).count();
     assert_eq!(unanswered, 0);
 }
@@ -105,12 +105,12 @@
                 std::thread::sleep(std::time::Duration::from_millis(40));
             }
         });
-        let played = play(&e, (&e.variants[0], 0), &at);
+        let played = run_variant(&e, &e.variants[0], 0, &at);
         over.store(true, std::sync::atomic::Ordering::Relaxed);
         played.expect("played")
     });
     std::fs::remove_dir_all(&at).expect("ours");
-    assert_eq!((played.play.twice, played.play.died), (0, 0));
+    assert_eq!((played.summary.duplicates, played.summary.died), (0, 0));
     let of = |o: Outcome| played.rows.iter().filter(|r| r.outcome == o).count();
     assert_eq!((of(Outcome::NoAnswer), of(Outcome::NotConnected)), (0, 0));
     assert!(
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! The real program, a fleet of it, among the load tool's stand-ins, while faults strike: what the rules allow and no more.
 use quillramp_load::experiment::Experiment;
 use quillramp_load::generator::Outcome;
-use quillramp_load::play::{play, Played};
+use quillramp_load::run::{run_variant, RunResult};
 
 /// Three front doors that talk to each other, before six backends; 120 invocations a second, a third of them orders.
-fn played(name: &str, seconds: f64, faults: &str) -> Played {
+fn played(name: &str, seconds: f64, faults: &str) -> RunResult {
     let program = env!("CARGO_BIN_EXE_quillramp");
     let text = format!(
         "seed = 11\nrepetitions = 1\n[world]\ndoors = 3\nbackends = 6\nservice = 0.01\nwarm_after = 1.0\ncustomers = 40\n\
@@ -14,9 +14,9 @@
     let e = Experiment::read(&text).expect("a good experiment");
     let folder = std::env::temp_dir().join(format!("quillramp-fleet-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let played = play(&e, (&e.variants[0], 0), &folder).expect("played");
+    let played = run_variant(&e, &e.variants[0], 0, &folder).expect("played");
     std::fs::remove_dir_all(&folder).expect("ours");
-    assert_eq!((played.play.twice, played.play.died), (0, 0));
+    assert_eq!((played.summary.duplicates, played.summary.died), (0, 0));
     played
 }
 
@@ -24,7 +24,7 @@
     format!("[[fault]]\nat = {at:.1}\nkind = \"{kind}\"\n{rest}\n")
 }
 
-fn share(p: &Played, of: Outcome) -> f64 {
+fn share(p: &RunResult, of: Outcome) -> f64 {
     p.rows.iter().filter(|r| r.outcome == of).count() as f64 / p.rows.len() as f64
 }
 
@@ -54,8 +54,8 @@
     let killed = played("killed", 2.5, &strike(0.8, "kill", "door = 0\nlasts = 0.5"));
     let lost = killed.rows.iter().filter(|r| r.outcome == Outcome::NoAnswer).count();
     assert!(lost <= 16, "{lost} of what was at the one that died, one a connection at the most");
-    assert!(killed.rows.iter().all(|r| r.outcome != Outcome::NoAnswer || r.door == 0));
-    let back = killed.rows.iter().filter(|r| r.door == 0 && r.at > 1.8).count();
+    assert!(killed.rows.iter().all(|r| r.outcome != Outcome::NoAnswer || r.front_door == 0));
+    let back = killed.rows.iter().filter(|r| r.front_door == 0 && r.at > 1.8).count();
     assert!(back > 10, "it serves again: {back}");
 
     let stopped = played("stopped", 2.5, &strike(0.8, "term", "door = 1\nlasts = 1.0"));
@@ -75,7 +75,11 @@
         let p = played(name, 2.0, &faults);
         assert_eq!(share(&p, Outcome::NoAnswer) + share(&p, Outcome::NotConnected), 0.0, "{name}");
         assert!(share(&p, Outcome::Succeeded) > 0.85, "{name}: {}", share(&p, Outcome::Succeeded));
-        assert!(p.play.worst < 1.0, "{name}: one customer had {:.0}% above its quota", 100.0 * p.play.worst);
+        assert!(
+            p.summary.worst_excess < 1.0,
+            "{name}: one customer had {:.0}% above its quota",
+            100.0 * p.summary.worst_excess
+        );
     }
 }
 
@@ -101,15 +105,15 @@
         let both = [0, 1].map(|i| {
             let (e, at) = (&e, folder.join(i.to_string()));
             std::fs::create_dir_all(&at).expect("a folder");
-            all.spawn(move || play(e, (&e.variants[i], 0), &at).expect("played"))
+            all.spawn(move || run_variant(e, &e.variants[i], 0, &at).expect("played"))
         });
         both.map(|p| p.join().expect("played"))
     });
     std::fs::remove_dir_all(&folder).expect("ours");
     // Two hospitals are at 24 units a second and 48 at once, and ask for more than four times that.
-    let small = |p: &Played| {
-        let of = p.had.iter().filter(|h| h.plan == "small");
-        of.map(|h| h.beyond).fold(0.0, f64::max)
+    let small = |p: &RunResult| {
+        let of = p.customers.iter().filter(|h| h.plan == "small");
+        of.map(|h| h.beyond_quota).fold(0.0, f64::max)
     };
     let (without, with) = (small(&without), small(&with));
     let bound = 3.0 * 48.0 + 24.0 * (4.0 * 0.5 + 1.0);
--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -2,7 +2,7 @@
 use expect_test::{expect, Expect};
 use quillramp_load::experiment::Experiment;
 use quillramp_load::generator::Outcome;
-use quillramp_load::play::play;
+use quillramp_load::run::run_variant;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -182,13 +182,13 @@
                 std::thread::sleep(std::time::Duration::from_millis(7));
             }
         });
-        let played = play(&e, (&e.variants[0], 0), &at);
+        let played = run_variant(&e, &e.variants[0], 0, &at);
         over.store(true, std::sync::atomic::Ordering::Relaxed);
         played
     });
     let played = played.expect("played");
     std::fs::remove_dir_all(&at).expect("ours");
-    assert_eq!((played.play.twice, played.play.died), (0, 0));
+    assert_eq!((played.summary.duplicates, played.summary.died), (0, 0));
     assert!(played.rows.len() > 200);
     let of = |o: Outcome| played.rows.iter().filter(|r| r.outcome == o).count();
     assert_eq!((of(Outcome::NoAnswer), of(Outcome::NotConnected)), (0, 0));
--- a/load/src/bin/quillramp-load.rs
+++ b/load/src/bin/quillramp-load.rs
@@ -1,8 +1,9 @@
 //! quillramp-load: plays experiments and keeps what came of them.
 use clap::{Parser, Subcommand};
-use quillramp_load::experiment::Experiment;
-use quillramp_load::play;
-use quillramp_load::results::{self, Session};
+use quillramp_load::error::RunError;
+use quillramp_load::experiment::{Experiment, ExperimentError};
+use quillramp_load::results::{self, Session, SessionError};
+use quillramp_load::run::run_variant;
 use quillramp_load::scale::command::{self, Scale};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -16,11 +17,11 @@
 #[command(version)]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Play an experiment: each variant so often, in turns.
     Run {
         experiment: PathBuf,
@@ -39,70 +40,107 @@
     },
 }
 
-fn read(path: &Path) -> Result<Experiment, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Experiment::read(&text).map_err(|e| {
-        let lines: Vec<String> = e.lines().map(|l| format!("{}: {l}", path.display())).collect();
-        lines.join("\n")
-    })
+/// Why a command failed; what is printed to the user.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    /// A file or folder could not be read or made.
+    #[error("{}: {source}", path.display())]
+    File { path: PathBuf, source: std::io::Error },
+    /// A file is no experiment; each line names the file.
+    #[error("{}", prefix_lines(path, error))]
+    Experiment { path: PathBuf, error: ExperimentError },
+    /// A variant could not be run; the runs until then are kept.
+    #[error("{variant}: {error}; {done} plays are kept in {}", folder.display())]
+    Run { variant: String, error: RunError, done: usize, folder: PathBuf },
+    /// Several experiments are wrong.
+    #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
+    Check(Vec<CommandError>),
+    #[error(transparent)]
+    Session(#[from] SessionError),
+    #[error("{0}")]
+    Scale(String),
+}
+
+fn prefix_lines(path: &Path, error: &ExperimentError) -> String {
+    let text = error.to_string();
+    let lines: Vec<String> = text.lines().map(|line| format!("{}: {line}", path.display())).collect();
+    lines.join("\n")
+}
+
+fn read(path: &Path) -> Result<Experiment, CommandError> {
+    let file = |source| CommandError::File { path: path.to_owned(), source };
+    let text = std::fs::read_to_string(path).map_err(file)?;
+    Experiment::read(&text).map_err(|error| CommandError::Experiment { path: path.to_owned(), error })
 }
 
-fn run(path: &Path, folder: &Path) -> Result<ExitCode, String> {
+fn run(path: &Path, folder: &Path) -> Result<ExitCode, CommandError> {
     let experiment = read(path)?;
-    std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+    let file = |source| CommandError::File { path: folder.to_owned(), source };
+    std::fs::create_dir_all(folder).map_err(file)?;
     let mut session = Session::default();
     let all = experiment.repetitions * experiment.variants.len();
     let start = Instant::now();
     for repetition in 0..experiment.repetitions {
         for variant in &experiment.variants {
-            let done = session.plays.len();
-            let so_far = start.elapsed().as_secs_f64();
-            let left = so_far / done.max(1) as f64 * (all - done) as f64;
-            let left = if done == 0 { String::new() } else { format!(", about {left:.0} s to go") };
+            let done = session.runs.len();
+            let left = time_left(start, done, all);
             eprintln!("play {} of {all}: {}, repetition {}{left}", done + 1, variant.name, repetition + 1);
-            match play::play(&experiment, (variant, repetition), folder) {
-                Ok(played) => session.add(played),
-                // What there is, is kept, and says so.
-                Err(why) => {
-                    session.write(folder)?;
-                    let kept = format!("{done} plays are kept in {}", folder.display());
-                    return Err(format!("{}: {why}; {kept}", variant.name));
+            match run_variant(&experiment, variant, repetition, folder) {
+                Ok(result) => session.add(result),
+                Err(error) => {
+                    session.write(folder)?; // the summary says that the session was interrupted
+                    let variant = variant.name.clone();
+                    return Err(CommandError::Run { variant, error, done, folder: folder.to_owned() });
                 }
             }
-            session.whole = session.plays.len() == all;
+            session.complete = session.runs.len() == all;
             session.write(folder)?;
         }
     }
     let _ = writeln!(std::io::stdout(), "{}", results::summary(&session));
-    let bad = session.plays.iter().any(|p| p.twice > 0 || p.died > 0);
+    let bad = session.runs.iter().any(|run| run.duplicates > 0 || run.died > 0);
     Ok(if bad { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-fn compare(first: &Path, second: &Path) -> Result<ExitCode, String> {
-    let text = results::between(&Session::read(first)?, &Session::read(second)?)?;
+/// How long the remaining runs will take, once one is done.
+fn time_left(start: Instant, done: usize, all: usize) -> String {
+    if done == 0 {
+        return String::new();
+    }
+    let left = start.elapsed().as_secs_f64() / done as f64 * (all - done) as f64;
+    format!(", about {left:.0} s to go")
+}
+
+fn compare(first: &Path, second: &Path) -> Result<ExitCode, CommandError> {
+    let text = results::compare_sessions(&Session::read(first)?, &Session::read(second)?)?;
     let _ = writeln!(std::io::stdout(), "{text}");
     Ok(ExitCode::SUCCESS)
 }
 
+fn check(paths: &[PathBuf]) -> Result<ExitCode, CommandError> {
+    let errors: Vec<CommandError> = paths.iter().filter_map(|path| read(path).err()).collect();
+    if errors.is_empty() {
+        Ok(ExitCode::SUCCESS)
+    } else {
+        Err(CommandError::Check(errors))
+    }
+}
+
+fn scale(what: &Scale) -> Result<ExitCode, CommandError> {
+    let text = command::run(what).map_err(CommandError::Scale)?;
+    let _ = write!(std::io::stdout(), "{text}");
+    Ok(ExitCode::SUCCESS)
+}
+
 fn main() -> ExitCode {
-    let done = match Cli::parse().what {
-        What::Run { experiment, out } => run(&experiment, &out),
-        What::Compare { first, second } => compare(&first, &second),
-        What::Scale { what } => command::run(&what).map(|text| {
-            let _ = write!(std::io::stdout(), "{text}");
-            ExitCode::SUCCESS
-        }),
-        What::Check { experiments } => {
-            let wrong: Vec<String> = experiments.iter().filter_map(|p| read(p).err()).collect();
-            if wrong.is_empty() {
-                Ok(ExitCode::SUCCESS)
-            } else {
-                Err(wrong.join("\n"))
-            }
-        }
+    let done = match Cli::parse().command {
+        Command::Run { experiment, out } => run(&experiment, &out),
+        Command::Compare { first, second } => compare(&first, &second),
+        Command::Scale { what } => scale(&what),
+        Command::Check { experiments } => check(&experiments),
     };
-    done.unwrap_or_else(|why| {
-        why.lines().for_each(|line| eprintln!("quillramp-load: {line}"));
+    done.unwrap_or_else(|error| {
+        error.to_string().lines().for_each(|line| eprintln!("quillramp-load: {line}"));
         ExitCode::from(2)
     })
 }
--- a/load/src/charts.rs
+++ b/load/src/charts.rs
@@ -1,128 +1,191 @@
 //! Charts of a session, by plotters: latency by percentile, service over time, load by backend over time.
 use crate::generator::Outcome;
-use crate::results::{histogram, Session};
-use crate::stage::COLUMN;
+use crate::results::{histogram, quantile_ms, record, Session, WriteResult};
+use crate::test_bed::COLUMN_SECONDS;
 use hdrhistogram::Histogram;
+use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::path::Path;
 
-pub type Done = Result<(), Box<dyn std::error::Error>>;
+/// Width of a chart, and height of a chart that has its file to itself, pixels.
+const WIDTH: u32 = 760;
+const HEIGHT: u32 = 420;
+/// Height of one of several charts in a file, pixels.
+const STACKED_HEIGHT: u32 = 300;
+/// The least length of an axis.
+const LEAST_AXIS: f64 = 0.001;
+/// Room above the highest point, as a factor.
+const HEADROOM: f64 = 1.05;
 
-/// A line of a chart: its name, whether it is drawn thin, its points.
-type Line = (String, bool, Vec<(f64, f64)>);
+/// A line of a chart.
+struct Line {
+    name: String,
+    thin: bool,
+    points: Vec<(f64, f64)>,
+}
+
+/// An axis that begins at 0.
+struct Axis {
+    label: &'static str,
+    max: f64,
+}
 
 struct Axes {
     title: String,
-    x: (&'static str, f64),
-    y: (&'static str, f64),
+    x: Axis,
+    y: Axis,
 }
 
-/// Lines over two axes that begin at 0.
-fn lines<B: DrawingBackend>(area: &DrawingArea<B, plotters::coord::Shift>, axes: &Axes, all: &[Line]) -> Done
+/// Draws lines over two axes.
+fn draw<B: DrawingBackend>(area: &DrawingArea<B, Shift>, axes: &Axes, lines: &[Line]) -> WriteResult
 where
     B::ErrorType: 'static,
 {
-    let (x_most, y_most) = (axes.x.1.max(0.001), axes.y.1.max(0.001) * 1.05);
+    let x_max = axes.x.max.max(LEAST_AXIS);
+    let y_max = axes.y.max.max(LEAST_AXIS) * HEADROOM;
     let mut chart = ChartBuilder::on(area)
         .caption(&axes.title, ("sans-serif", 16))
         .margin(8)
         .x_label_area_size(36)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..x_most, 0.0..y_most)?;
-    chart.configure_mesh().x_desc(axes.x.0).y_desc(axes.y.0).draw()?;
-    for (i, (name, thin, points)) in all.iter().enumerate() {
-        let color = Palette99::pick(i).to_rgba();
-        let style = color.stroke_width(if *thin { 1 } else { 2 });
-        let line = chart.draw_series(LineSeries::new(points.iter().copied(), style))?;
-        line.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
+        .build_cartesian_2d(0.0..x_max, 0.0..y_max)?;
+    chart.configure_mesh().x_desc(axes.x.label).y_desc(axes.y.label).draw()?;
+    for (index, line) in lines.iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
+        let style = color.stroke_width(if line.thin { 1 } else { 2 });
+        let series = chart.draw_series(LineSeries::new(line.points.iter().copied(), style))?;
+        series.label(&line.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
     Ok(())
 }
 
-/// Latency by percentile, a line a variant.
-pub fn percentiles(path: &Path, session: &Session) -> Done {
-    let mut taken: BTreeMap<&str, Histogram<u64>> = BTreeMap::new();
+/// Draws a chart that has its file to itself.
+fn draw_file(path: &Path, axes: &Axes, lines: &[Line]) -> WriteResult {
+    let root = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
+    root.fill(&WHITE)?;
+    draw(&root, axes, lines)?;
+    root.present()?;
+    Ok(())
+}
+
+/// Latency by percentile, a line for each variant.
+pub(crate) fn percentiles(path: &Path, session: &Session) -> WriteResult {
+    let mut latencies: BTreeMap<&str, Histogram<u64>> = BTreeMap::new();
     for name in session.variants() {
-        taken.insert(name, histogram());
+        latencies.insert(name, histogram());
     }
-    for r in session.rows.iter().filter(|r| r.outcome == Outcome::Succeeded) {
-        if let Some(line) = taken.get_mut(r.variant.as_str()) {
-            line.saturating_record((r.took * 1e6) as u64 + 1);
+    for row in session.rows.iter().filter(|row| row.outcome == Outcome::Succeeded) {
+        if let Some(histogram) = latencies.get_mut(row.variant.as_str()) {
+            record(histogram, row.took);
         }
     }
-    let most = taken.values().map(|h| h.value_at_quantile(0.999)).max().unwrap_or(1) as f64 / 1e3;
+    let max = latencies.values().map(|h| h.value_at_quantile(0.999)).max().unwrap_or(1) as f64 / 1e3;
     let line = |name: &&str| {
-        let at =
-            |p: u32| (f64::from(p) / 10.0, taken[name].value_at_quantile(f64::from(p) / 1e3) as f64 / 1e3);
-        ((*name).to_owned(), false, (0..=999).map(at).collect())
+        let point = |per_mille: u32| {
+            let quantile = f64::from(per_mille) / 1e3;
+            (f64::from(per_mille) / 10.0, quantile_ms(&latencies[name], quantile))
+        };
+        Line { name: (*name).to_owned(), thin: false, points: (0..=999).map(point).collect() }
     };
-    let all: Vec<Line> = session.variants().iter().map(line).collect();
-    let root = SVGBackend::new(path, (760, 420)).into_drawing_area();
-    root.fill(&WHITE)?;
-    let title = "Latency from the intended start, succeeded".into();
-    lines(&root, &Axes { title, x: ("percentile", 100.0), y: ("ms", most) }, &all)?;
-    root.present()?;
-    Ok(())
+    let lines: Vec<Line> = session.variants().iter().map(line).collect();
+    let axes = Axes {
+        title: "Latency from the intended start, succeeded".into(),
+        x: Axis { label: "percentile", max: 100.0 },
+        y: Axis { label: "ms", max },
+    };
+    draw_file(path, &axes, &lines)
+}
+
+/// What came of the invocations of one column of time.
+#[derive(Clone, Copy, Default)]
+struct ColumnCounts {
+    all: f64,
+    succeeded: f64,
+    throttled: f64,
 }
 
-/// By time of arrival: the shares that succeeded and that were throttled, over all repetitions.
-pub fn service(path: &Path, session: &Session) -> Done {
-    let last = session.rows.iter().map(|r| r.at).fold(0.0, f64::max);
-    let columns = (last / COLUMN) as usize + 1;
-    let mut all: Vec<Line> = vec![];
+/// By time of arrival: the fractions that succeeded and that were throttled, over all repetitions.
+pub(crate) fn service(path: &Path, session: &Session) -> WriteResult {
+    let last = session.rows.iter().map(|row| row.at).fold(0.0, f64::max);
+    let columns = column(last) + 1;
+    let mut lines: Vec<Line> = vec![];
     for name in session.variants() {
-        let mut counts = vec![(0.0, 0.0, 0.0); columns];
-        for r in session.rows.iter().filter(|r| r.variant == name) {
-            let c = &mut counts[(r.at / COLUMN) as usize];
-            c.0 += 1.0;
-            c.1 += f64::from(u8::from(r.outcome == Outcome::Succeeded));
-            c.2 += f64::from(u8::from(r.outcome == Outcome::Throttled));
+        let mut counts = vec![ColumnCounts::default(); columns];
+        for row in session.rows.iter().filter(|row| row.variant == name) {
+            let count = &mut counts[column(row.at)];
+            count.all += 1.0;
+            count.succeeded += f64::from(u8::from(row.outcome == Outcome::Succeeded));
+            count.throttled += f64::from(u8::from(row.outcome == Outcome::Throttled));
         }
-        let over = |of: &dyn Fn(&(f64, f64, f64)) -> f64| {
-            let seen = counts.iter().enumerate().filter(|(_, c)| c.0 > 0.0);
-            seen.map(|(i, c)| (i as f64 * COLUMN, of(c) / c.0)).collect::<Vec<_>>()
+        let points = |value: &dyn Fn(&ColumnCounts) -> f64| {
+            let seen = counts.iter().enumerate().filter(|(_, count)| count.all > 0.0);
+            seen.map(|(i, count)| (i as f64 * COLUMN_SECONDS, value(count) / count.all)).collect::<Vec<_>>()
         };
-        all.push((format!("{name}: succeeded"), false, over(&|c| c.1)));
-        if counts.iter().any(|c| c.2 > 0.0) {
-            all.push((format!("{name}: throttled"), true, over(&|c| c.2)));
+        let succeeded = points(&|count| count.succeeded);
+        lines.push(Line { name: format!("{name}: succeeded"), thin: false, points: succeeded });
+        if counts.iter().any(|count| count.throttled > 0.0) {
+            let throttled = points(&|count| count.throttled);
+            lines.push(Line { name: format!("{name}: throttled"), thin: true, points: throttled });
         }
     }
-    let root = SVGBackend::new(path, (760, 420)).into_drawing_area();
-    root.fill(&WHITE)?;
-    let title = "What came of invocations, by their time of arrival".into();
-    lines(&root, &Axes { title, x: ("seconds", last), y: ("share", 1.0) }, &all)?;
-    root.present()?;
-    Ok(())
+    let axes = Axes {
+        title: "What came of invocations, by their time of arrival".into(),
+        x: Axis { label: "seconds", max: last },
+        y: Axis { label: "share", max: 1.0 },
+    };
+    draw_file(path, &axes, &lines)
 }
 
-/// Units that each backend began, a picture a variant, the mean of its repetitions.
-pub fn backends(path: &Path, session: &Session) -> Done {
-    let names = session.variants();
-    let last = session.loads.iter().map(|l| l.at).fold(0.0, f64::max);
-    let columns = (last / COLUMN) as usize + 1;
-    let mut pictures: Vec<(&str, Vec<Line>, f64)> = vec![];
-    for name in &names {
-        let plays = session.plays.iter().filter(|p| p.variant == *name).count().max(1) as f64;
-        let mut by: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-        for l in session.loads.iter().filter(|l| l.variant == *name) {
-            by.entry(l.backend).or_insert_with(|| vec![0.0; columns])[(l.at / COLUMN) as usize] +=
-                l.units / plays;
-        }
-        let most = by.values().flatten().copied().fold(0.0, f64::max);
-        let line = |(b, units): (usize, Vec<f64>)| {
-            let points = units.iter().enumerate().map(|(i, u)| (i as f64 * COLUMN, u / COLUMN)).collect();
-            (format!("backend {b}"), true, points)
-        };
-        pictures.push((name, by.into_iter().map(line).collect(), most / COLUMN));
+/// The column of time that a time in seconds belongs to.
+fn column(at: f64) -> usize {
+    (at / COLUMN_SECONDS) as usize
+}
+
+/// The chart of one variant's backends.
+struct BackendChart<'a> {
+    variant: &'a str,
+    lines: Vec<Line>,
+    max: f64,
+}
+
+/// The load of a variant's backends, the mean of its repetitions.
+fn backend_chart<'a>(session: &Session, variant: &'a str, columns: usize) -> BackendChart<'a> {
+    let runs = session.runs.iter().filter(|run| run.variant == variant).count().max(1) as f64;
+    let mut by_backend: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
+    for load in session.loads.iter().filter(|load| load.variant == variant) {
+        let units = by_backend.entry(load.backend).or_insert_with(|| vec![0.0; columns]);
+        units[column(load.at)] += load.units / runs;
     }
-    let most = pictures.iter().map(|p| p.2).fold(0.0, f64::max);
-    let root = SVGBackend::new(path, (760, 300 * names.len().max(1) as u32)).into_drawing_area();
+    let max = by_backend.values().flatten().copied().fold(0.0, f64::max);
+    let line = |(backend, units): (usize, Vec<f64>)| {
+        let point = |(i, units): (usize, &f64)| (i as f64 * COLUMN_SECONDS, units / COLUMN_SECONDS);
+        let points = units.iter().enumerate().map(point).collect();
+        Line { name: format!("backend {backend}"), thin: true, points }
+    };
+    let lines = by_backend.into_iter().map(line).collect();
+    BackendChart { variant, lines, max: max / COLUMN_SECONDS }
+}
+
+/// Units that each backend began, a chart for each variant.
+pub(crate) fn backends(path: &Path, session: &Session) -> WriteResult {
+    let variants = session.variants();
+    let last = session.loads.iter().map(|load| load.at).fold(0.0, f64::max);
+    let columns = column(last) + 1;
+    let charts: Vec<BackendChart> =
+        variants.iter().map(|variant| backend_chart(session, variant, columns)).collect();
+    let max = charts.iter().map(|chart| chart.max).fold(0.0, f64::max);
+    let count = charts.len().max(1);
+    let root = SVGBackend::new(path, (WIDTH, STACKED_HEIGHT * count as u32)).into_drawing_area();
     root.fill(&WHITE)?;
-    for (area, (name, all, _)) in root.split_evenly((names.len().max(1), 1)).iter().zip(&pictures) {
-        let title = format!("Load by backend: {name}");
-        lines(area, &Axes { title, x: ("seconds", last), y: ("units a second", most) }, all)?;
+    for (area, chart) in root.split_evenly((count, 1)).iter().zip(&charts) {
+        let axes = Axes {
+            title: format!("Load by backend: {}", chart.variant),
+            x: Axis { label: "seconds", max: last },
+            y: Axis { label: "units a second", max },
+        };
+        draw(area, &axes, &chart.lines)?;
     }
     root.present()?;
     Ok(())
--- /dev/null
+++ b/load/src/fault_schedule.rs
@@ -0,0 +1,93 @@
+//! When which fault of an experiment begins and ends: the emulator's fault kinds, as far as sockets and processes can have them. No I/O:
+//! the schedule is computed here, and carried out by `test_bed::TestBed::inject` and `fleet::Fleet::inject`.
+use quillramp_emulator::script::{Fault, Kind, World};
+
+/// The least part of its capacity that a backend has while it is warming up.
+const LEAST_CAPACITY: f64 = 0.01;
+
+/// Whether this tool can inject the kind; the others are the emulator's alone.
+pub fn is_supported(kind: Kind) -> bool {
+    use Kind::*;
+    matches!(
+        kind,
+        Crash
+            | Vanish
+            | Slow
+            | Swallow
+            | Spoil
+            | Err
+            | TurnAway
+            | Drain
+            | ZoneLoss
+            | Kill
+            | Term
+            | Stall
+            | Reload
+            | CounterDown
+            | CounterSilent
+            | CounterSlow
+            | CounterLost
+            | CounterSplit
+            | CounterDeaf
+            | CounterTurnsAway
+            | ListDown
+            | Burst
+    )
+}
+
+/// A fault begins or ends.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FaultStep {
+    /// Seconds since the start of the traffic.
+    pub at: f64,
+    /// The kind of the fault.
+    pub kind: Kind,
+    /// Whether it begins, or else ends.
+    pub begins: bool,
+    /// The index of the backend or the front door, where it concerns one.
+    pub target: usize,
+    /// How strong it is, as its kind has it: a factor or a fraction.
+    pub magnitude: f64,
+}
+
+/// All steps in their order; of two at one time, the one that ends a fault comes first.
+pub fn schedule(faults: &[Fault], world: &World) -> Vec<FaultStep> {
+    let mut steps = vec![];
+    for fault in faults.iter().filter(|fault| fault.kind != Kind::Burst) {
+        let kind = if fault.kind == Kind::ZoneLoss { Kind::Crash } else { fault.kind };
+        for target in targets(fault, world) {
+            let magnitude = fault.by.unwrap_or(1.0);
+            let step = FaultStep { at: fault.at, kind, begins: true, target, magnitude };
+            let end =
+                fault.lasts.map(|lasts| FaultStep { at: fault.at + lasts, begins: false, ..step.clone() });
+            steps.push(step);
+            steps.extend(end);
+        }
+    }
+    steps.sort_by(|a, b| a.at.total_cmp(&b.at).then(a.begins.cmp(&b.begins)));
+    steps
+}
+
+/// The backends or the front door that a fault concerns.
+fn targets(fault: &Fault, world: &World) -> Vec<usize> {
+    match fault.kind {
+        Kind::ZoneLoss => {
+            (0..world.backends).filter(|b| Some(b % world.zones.max(1)) == fault.zone).collect()
+        }
+        _ => vec![fault.backend.or(fault.door).unwrap_or(0)],
+    }
+}
+
+/// Factor on the rate of invocations at a time, seconds since the start of the traffic.
+pub fn burst_factor(faults: &[Fault], at: f64) -> f64 {
+    let active = |fault: &&Fault| {
+        fault.kind == Kind::Burst && at >= fault.at && at < fault.at + fault.lasts.unwrap_or(0.0)
+    };
+    faults.iter().filter(active).map(|fault| fault.by.unwrap_or(1.0)).product()
+}
+
+/// The part of its capacity that a backend has, by the seconds since its start.
+pub fn warm_capacity(world: &World, age: Option<f64>) -> f64 {
+    let from = world.cold_from;
+    age.map_or(1.0, |age| (from + (1.0 - from) * age / world.warm_after).clamp(LEAST_CAPACITY, 1.0))
+}
--- /dev/null
+++ b/load/src/fleet/configuration.rs
@@ -0,0 +1,88 @@
+//! The configuration files of the front doors.
+use crate::error::RunError;
+use crate::experiment::Experiment;
+use crate::test_bed::loopback::{bind_datagram, bind_listener};
+use crate::test_bed::peer_relay;
+use quillramp_emulator::play::settings;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+/// Processor cores that a front door believes to have.
+const CORES: f64 = 1.0;
+/// Memory that a front door believes to have, MB.
+const MEMORY_MB: u64 = 192;
+/// The least number of descriptors of a front door.
+const LEAST_DESCRIPTORS: usize = 1024;
+
+/// Where the services of the test bed are.
+pub struct Services {
+    /// The two counters; front doors use them in turns.
+    pub counters: [SocketAddr; 2],
+    /// The list service.
+    pub discovery: SocketAddr,
+    /// The endpoint list that the front doors know at their start.
+    pub endpoints: Value,
+}
+
+/// Configuration files, one for each front door.
+pub(super) struct Written {
+    pub addresses: Vec<SocketAddr>,
+    pub files: Vec<PathBuf>,
+}
+
+/// Addresses for the front doors to listen at: for clients, and for gossip.
+struct Addresses {
+    clients: Vec<SocketAddr>,
+    gossip: Vec<SocketAddr>,
+}
+
+/// Chooses addresses for so many front doors. All are bound at once, so that they differ, and are free again afterwards.
+fn choose_addresses(front_doors: usize) -> Result<Addresses, RunError> {
+    let mut clients = vec![];
+    let mut gossip = vec![];
+    let mut bound = vec![];
+    for _ in 0..front_doors {
+        let listener = bind_listener()?;
+        let datagram = bind_datagram()?;
+        clients.push(listener.address);
+        gossip.push(datagram.address);
+        bound.push((listener, datagram));
+    }
+    drop(bound);
+    Ok(Addresses { clients, gossip })
+}
+
+/// Writes the configuration files, and starts the relay for gossip where front doors have peers.
+pub(super) fn write(
+    experiment: &Experiment,
+    folder: &Path,
+    services: &Services,
+) -> Result<Written, RunError> {
+    let world = &experiment.world;
+    let mut settings = settings(world, None);
+    let Addresses { clients, gossip } = choose_addresses(world.doors)?;
+    let relay = bind_datagram()?;
+    if world.peers {
+        peer_relay::start(relay.socket, gossip.clone());
+    }
+    let peers: Vec<SocketAddr> = gossip.iter().copied().chain([relay.address]).collect();
+    let mut files = vec![];
+    for index in 0..world.doors {
+        settings["slot_no"] = json!(index);
+        let seed = format!("{:016x}", experiment.seed + index as u64);
+        let mut text = json!({"name": format!("n{index}"), "listen": clients[index],
+            "discovery": services.discovery, "seed": seed,
+            "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": world.sockets.max(LEAST_DESCRIPTORS)},
+            "counter": services.counters[index % 2], "known": services.endpoints, "settings": settings});
+        if world.peers {
+            text["peer_listen"] = json!(gossip[index]);
+            text["peers"] = json!(peers);
+            text["peers_all"] = json!(relay.address);
+        }
+        let file = folder.join(format!("door-{index}.json"));
+        std::fs::write(&file, text.to_string()).map_err(RunError::file(&file))?;
+        files.push(file);
+    }
+    Ok(Written { addresses: clients, files })
+}
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -1,17 +1,26 @@
-//! Drives front doors over their protocol, among stand-ins of its own on loopback, by experiments that are files; keeps rows,
+//! Drives front doors over their protocol, among stand-in servers of its own on loopback, by experiments that are files; keeps rows,
 //! summaries and charts. Its figures are called by its name.
+//!
+//! * `experiment` reads an experiment and draws the arrivals of its invocations; `fault_schedule` says when which fault begins and ends.
+//! * `run` makes one run of a variant: the stand-ins of `test_bed`, the processes of `fleet`, the clients of `generator`; `usage` holds
+//!   what the customers used against their quotas.
+//! * `results` writes, reads, sums up and compares the runs of a session; `charts` draws them.
+//! * `scale` measures what one front door of a large fleet costs.
 mod charts;
+pub mod error;
 pub mod experiment;
-pub mod faults;
+pub mod fault_schedule;
 mod fleet;
 pub mod generator;
-pub mod play;
+mod process_stat;
 pub mod results;
+pub mod run;
 pub mod scale;
-pub mod stage;
-mod standins;
+mod sync;
+pub mod test_bed;
+pub mod usage;
 
-/// The toy world's parts serve here too.
+/// The servers of the example deployment serve here too.
 #[allow(dead_code)]
 #[path = "../../examples/toy.rs"]
 mod toy;
--- /dev/null
+++ b/load/src/results/figures.rs
@@ -0,0 +1,146 @@
+//! The figures of a run, which are summed up and compared.
+use crate::generator::{Outcome, RequestRow};
+use crate::run::RunSummary;
+use hdrhistogram::Histogram;
+
+/// The longest time that a histogram tells from longer ones, microseconds.
+const LONGEST_MICROSECONDS: u64 = 60_000_000;
+/// Microseconds of a second, milliseconds of a second, and microseconds of a millisecond.
+const MICROSECONDS: f64 = 1e6;
+const MILLISECONDS: f64 = 1e3;
+const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
+/// The shortest span that a rate is calculated over, seconds.
+const LEAST_SECONDS: f64 = 0.001;
+
+/// Figures of one run.
+#[derive(Clone, Debug, Default)]
+pub struct Figures {
+    /// Fraction of invocations that succeeded.
+    pub succeeded: f64,
+    /// Fraction of invocations that were rejected.
+    pub throttled: f64,
+    /// Fraction of invocations that errored or got no answer.
+    pub failed: f64,
+    /// Median latency of those that succeeded, milliseconds.
+    pub median: f64,
+    /// 99th percentile of the latency of those that succeeded, milliseconds.
+    pub p99: f64,
+    /// Succeeded a second.
+    pub rate: f64,
+    /// By how much the generator was late, 99th percentile, milliseconds: latencies below it mean nothing.
+    pub late: f64,
+    /// Processor time of the front doors for one invocation, milliseconds.
+    pub processor: f64,
+    /// Memory of one front door, MiB.
+    pub memory: f64,
+    /// Executions at backends for one invocation.
+    pub deliveries: f64,
+    /// Counter calls for one invocation.
+    pub counter_calls: f64,
+    /// Connections to backends that one front door made.
+    pub connections: f64,
+    /// Fraction of the units that ran beyond quotas.
+    pub beyond_quota: f64,
+    /// The worst customer's fraction above its quota.
+    pub worst_excess: f64,
+}
+
+/// A figure by its name in summaries.
+pub struct NamedFigure {
+    /// The name, with its unit.
+    pub name: &'static str,
+    /// Its value.
+    pub value: fn(&Figures) -> f64,
+}
+
+const fn named(name: &'static str, value: fn(&Figures) -> f64) -> NamedFigure {
+    NamedFigure { name, value }
+}
+
+/// What is summed up and compared, by name.
+pub const FIGURES: [NamedFigure; 14] = [
+    named("succeeded, share", |f| f.succeeded),
+    named("throttled, share", |f| f.throttled),
+    named("failed, share", |f| f.failed),
+    named("median, ms", |f| f.median),
+    named("99th percentile, ms", |f| f.p99),
+    named("succeeded a second", |f| f.rate),
+    named("generator late, 99th percentile, ms", |f| f.late),
+    named("processor of front doors, ms an invocation", |f| f.processor),
+    named("memory of a front door, MB", |f| f.memory),
+    named("deliveries an invocation", |f| f.deliveries),
+    named("counter calls an invocation", |f| f.counter_calls),
+    named("connections to backends, a front door", |f| f.connections),
+    named("units beyond quotas, share", |f| f.beyond_quota),
+    named("worst customer above its quota, share", |f| f.worst_excess),
+];
+
+/// Microseconds up to a minute, to three digits.
+pub(crate) fn histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, 3).expect("bounds that hold")
+}
+
+/// Records a time in seconds.
+pub(crate) fn record(histogram: &mut Histogram<u64>, seconds: f64) {
+    histogram.saturating_record((seconds * MICROSECONDS) as u64 + 1);
+}
+
+/// A quantile in milliseconds.
+pub(crate) fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+    histogram.value_at_quantile(quantile) as f64 / MICROSECONDS_PER_MILLISECOND
+}
+
+/// The figures of a run; of the rows, those of other runs are passed over.
+pub fn figures(run: &RunSummary, rows: &[RequestRow]) -> Figures {
+    let is_own = |row: &&RequestRow| row.variant == run.variant && row.repetition == run.repetition;
+    let own: Vec<&RequestRow> = rows.iter().filter(is_own).collect();
+    let invocations = own.len().max(1) as f64;
+    let front_doors = run.front_doors.max(1) as f64;
+    let fraction = |of: Outcome| own.iter().filter(|row| row.outcome == of).count() as f64 / invocations;
+    let mut took = histogram();
+    let mut late = histogram();
+    for row in &own {
+        record(&mut late, row.late.max(0.0));
+        if row.outcome == Outcome::Succeeded {
+            record(&mut took, row.took);
+        }
+    }
+    let seconds = own.iter().map(|row| row.at).fold(0.0, f64::max).max(LEAST_SECONDS);
+    let succeeded = fraction(Outcome::Succeeded);
+    let throttled = fraction(Outcome::Throttled);
+    Figures {
+        succeeded,
+        throttled,
+        failed: 1.0 - succeeded - throttled,
+        median: quantile_ms(&took, 0.5),
+        p99: quantile_ms(&took, 0.99),
+        rate: succeeded * own.len() as f64 / seconds,
+        late: quantile_ms(&late, 0.99),
+        processor: MILLISECONDS * run.processor / invocations,
+        memory: run.memory_mb / front_doors,
+        deliveries: run.deliveries as f64 / invocations,
+        counter_calls: run.counter_calls as f64 / invocations,
+        connections: run.connections as f64 / front_doors,
+        beyond_quota: run.beyond_quota / run.units.max(1.0),
+        worst_excess: run.worst_excess,
+    }
+}
+
+/// The figures of all runs of a variant.
+pub(super) struct VariantFigures<'a> {
+    pub name: &'a str,
+    pub runs: Vec<Figures>,
+}
+
+/// The figures by variant, in the order in which the variants were first run.
+pub(super) fn by_variant<'a>(runs: &'a [RunSummary], rows: &[RequestRow]) -> Vec<VariantFigures<'a>> {
+    let mut all: Vec<VariantFigures> = vec![];
+    for run in runs {
+        let own = figures(run, rows);
+        match all.iter_mut().find(|variant| variant.name == run.variant) {
+            Some(variant) => variant.runs.push(own),
+            None => all.push(VariantFigures { name: &run.variant, runs: vec![own] }),
+        }
+    }
+    all
+}
--- /dev/null
+++ b/load/src/results/mod.rs
@@ -0,0 +1,123 @@
+//! The results of a session in a folder: raw rows, a row for each run, load by backend, a summary with median and spread, and charts.
+mod comparison;
+mod figures;
+mod summary;
+
+pub use comparison::{compare, compare_sessions, Comparison};
+pub use figures::{figures, Figures, NamedFigure, FIGURES};
+pub(crate) use figures::{histogram, quantile_ms, record};
+pub use summary::summary;
+
+use crate::charts;
+use crate::generator::RequestRow;
+use crate::run::{RunResult, RunSummary};
+use crate::test_bed::BackendLoad;
+use crate::usage::CustomerUsage;
+use serde::de::DeserializeOwned;
+use std::path::{Path, PathBuf};
+use summary::INTERRUPTED;
+
+/// All that was run in a session, or is read back from a folder.
+#[derive(Clone, Debug, Default)]
+pub struct Session {
+    /// A row for each run.
+    pub runs: Vec<RunSummary>,
+    /// A row for each invocation.
+    pub rows: Vec<RequestRow>,
+    /// What the backends executed over time.
+    pub loads: Vec<BackendLoad>,
+    /// What the customers used.
+    pub customers: Vec<CustomerUsage>,
+    /// All runs that were intended were made.
+    pub complete: bool,
+}
+
+/// Why a session could not be written, read or compared.
+#[derive(Debug, thiserror::Error)]
+pub enum SessionError {
+    /// A file of the folder could not be written.
+    #[error("{}: {source}", path.display())]
+    Write {
+        /// The file.
+        path: PathBuf,
+        /// What the system, the table's writer or the chart's backend said.
+        source: Box<dyn std::error::Error>,
+    },
+    /// A table of the folder could not be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the table's reader said.
+        source: csv::Error,
+    },
+    /// Two sessions have nothing to compare.
+    #[error("no variant is in both")]
+    NoCommonVariant,
+}
+
+/// What a file's writer returns.
+pub(crate) type WriteResult = Result<(), Box<dyn std::error::Error>>;
+
+impl Session {
+    /// Adds the results of a run.
+    pub fn add(&mut self, result: RunResult) {
+        self.runs.push(result.summary);
+        self.rows.extend(result.rows);
+        self.loads.extend(result.loads);
+        self.customers.extend(result.customers);
+    }
+
+    /// Writes all of it into the folder.
+    pub fn write(&self, folder: &Path) -> Result<(), SessionError> {
+        let write = |name: &str, write: &dyn Fn(&Path) -> WriteResult| {
+            let path = folder.join(name);
+            write(&path).map_err(|source| SessionError::Write { path, source })
+        };
+        write("rows.csv", &|path| write_table(path, &self.rows))?;
+        write("plays.csv", &|path| write_table(path, &self.runs))?;
+        write("backends.csv", &|path| write_table(path, &self.loads))?;
+        write("customers.csv", &|path| write_table(path, &self.customers))?;
+        write("summary.md", &|path| std::fs::write(path, summary(self)).map_err(Into::into))?;
+        write("percentiles.svg", &|path| charts::percentiles(path, self))?;
+        write("service.svg", &|path| charts::service(path, self))?;
+        write("backends.svg", &|path| charts::backends(path, self))
+    }
+
+    /// Reads a folder back.
+    pub fn read(folder: &Path) -> Result<Session, SessionError> {
+        let summary = std::fs::read_to_string(folder.join("summary.md")).unwrap_or_default();
+        Ok(Session {
+            runs: read_table(folder.join("plays.csv"))?,
+            rows: read_table(folder.join("rows.csv"))?,
+            loads: read_table(folder.join("backends.csv"))?,
+            customers: read_table(folder.join("customers.csv"))?,
+            complete: !summary.is_empty() && !summary.contains(INTERRUPTED),
+        })
+    }
+
+    /// Variants in the order in which they were first run.
+    pub fn variants(&self) -> Vec<&str> {
+        let mut names: Vec<&str> = vec![];
+        for run in &self.runs {
+            if !names.contains(&run.variant.as_str()) {
+                names.push(&run.variant);
+            }
+        }
+        names
+    }
+}
+
+fn write_table<T: serde::Serialize>(path: &Path, rows: &[T]) -> WriteResult {
+    let mut out = csv::Writer::from_path(path)?;
+    for row in rows {
+        out.serialize(row)?;
+    }
+    out.flush()?;
+    Ok(())
+}
+
+fn read_table<T: DeserializeOwned>(path: PathBuf) -> Result<Vec<T>, SessionError> {
+    let read = |path: &Path| csv::Reader::from_path(path)?.deserialize().collect::<Result<_, _>>();
+    read(&path).map_err(|source| SessionError::Read { path, source })
+}
--- /dev/null
+++ b/load/src/results/summary.rs
@@ -0,0 +1,88 @@
+//! The summary of a session: median and spread of each figure by variant, and each variant against the first one.
+use super::comparison::section;
+use super::figures::{by_variant, VariantFigures, FIGURES};
+use super::Session;
+use crate::run::RunSummary;
+use std::fmt::Write;
+
+/// Marks the summary of a session that is not complete; a session that is read back is told by it.
+pub(super) const INTERRUPTED: &str = "Interrupted";
+/// Lateness of the generator from which the summary warns, milliseconds.
+const LATE_WARNING: f64 = 5.0;
+
+/// The middle of some values, and how far the least and the greatest lie apart.
+struct MedianSpread {
+    median: f64,
+    spread: f64,
+}
+
+impl MedianSpread {
+    fn of(values: &[f64]) -> MedianSpread {
+        let mut sorted = values.to_vec();
+        sorted.sort_by(f64::total_cmp);
+        let Some((first, last)) = sorted.first().zip(sorted.last()) else {
+            return MedianSpread { median: 0.0, spread: 0.0 };
+        };
+        let middle = sorted.len() / 2;
+        let median =
+            if sorted.len() % 2 == 1 { sorted[middle] } else { (sorted[middle - 1] + sorted[middle]) / 2.0 };
+        MedianSpread { median, spread: last - first }
+    }
+}
+
+/// The summary as Markdown.
+pub fn summary(session: &Session) -> String {
+    let all = by_variant(&session.runs, &session.rows);
+    let mut text = String::from(
+        "# Results of quillramp-load\n\nFigures of this tool, among its own stand-ins; no other's.\n\n",
+    );
+    if !session.complete {
+        let _ = writeln!(text, "**{INTERRUPTED}: what was played until then.**\n");
+    }
+    write_figures(&mut text, &all);
+    write_sums(&mut text, &all, &session.runs);
+    if let Some((first, others)) = all.split_first() {
+        others.iter().for_each(|other| text += &section(first, other));
+    }
+    let latest = all.iter().flat_map(|v| &v.runs).map(|f| f.late).fold(0.0, f64::max);
+    if latest > LATE_WARNING {
+        let _ = writeln!(text, "\nThe generator was late by up to {latest:.1} ms (99th percentile of a play): too few cores for it.");
+    }
+    text
+}
+
+/// The head of the table, and a line for each figure.
+fn write_figures(text: &mut String, all: &[VariantFigures]) {
+    let names: Vec<&str> = all.iter().map(|variant| variant.name).collect();
+    let _ = writeln!(
+        text,
+        "| median (spread) | {} |\n| --- |{}",
+        names.join(" | "),
+        " --- |".repeat(names.len())
+    );
+    for figure in FIGURES {
+        let cell = |variant: &VariantFigures| {
+            let values: Vec<f64> = variant.runs.iter().map(figure.value).collect();
+            let MedianSpread { median, spread } = MedianSpread::of(&values);
+            format!("{median:.3} ({spread:.3})")
+        };
+        let cells: Vec<String> = all.iter().map(cell).collect();
+        let _ = writeln!(text, "| {} | {} |", figure.name, cells.join(" | "));
+    }
+}
+
+/// The lines that sum up the runs of each variant.
+fn write_sums(text: &mut String, all: &[VariantFigures], runs: &[RunSummary]) {
+    let sum = |value: &dyn Fn(&RunSummary) -> u64| {
+        let of = |variant: &VariantFigures| {
+            let own = runs.iter().filter(|run| run.variant == variant.name);
+            own.map(value).sum::<u64>().to_string()
+        };
+        all.iter().map(of).collect::<Vec<_>>().join(" | ")
+    };
+    let _ = writeln!(text, "| plays | {} |", sum(&|_| 1));
+    let _ = writeln!(text, "| invocations | {} |", sum(&|run| run.sent));
+    let _ = writeln!(text, "| counter calls | {} |", sum(&|run| run.counter_calls));
+    let _ = writeln!(text, "| effects twice | {} |", sum(&|run| run.duplicates));
+    let _ = writeln!(text, "| front doors that died | {} |", sum(&|run| run.died as u64));
+}
--- /dev/null
+++ b/load/src/run.rs
@@ -0,0 +1,201 @@
+//! One run of one variant: stand-ins and front doors start, clients send at their times, faults begin and end, and the results are
+//! collected.
+use crate::error::RunError;
+use crate::experiment::{Experiment, Variant};
+use crate::fault_schedule::{self, FaultStep};
+use crate::fleet::{Fleet, FleetUsage, Services};
+use crate::generator::{self, RequestRow, RunLabel};
+use crate::sync::lock;
+use crate::test_bed::counter::CounterInstance;
+use crate::test_bed::loopback::bind_listener;
+use crate::test_bed::{backend, counter, discovery, BackendLoad, TestBed};
+use crate::usage::{self, CustomerUsage};
+use quillramp_emulator::script::Kind;
+use serde::{Deserialize, Serialize};
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::thread::{scope, sleep};
+use std::time::Duration;
+
+/// How often the injection of faults looks whether the next step is due.
+const FAULT_POLL: Duration = Duration::from_millis(2);
+
+/// A row of `plays.csv`: the figures of one run.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct RunSummary {
+    /// Name of the variant.
+    pub variant: String,
+    /// Repetition, from 0.
+    pub repetition: usize,
+    /// Front doors of the fleet.
+    #[serde(rename = "doors")]
+    pub front_doors: usize,
+    /// Invocations that clients sent.
+    pub sent: u64,
+    /// Calls that the counters received.
+    pub counter_calls: u64,
+    /// Invocations that backends executed, duplicates included.
+    pub deliveries: u64,
+    /// Connections that front doors made to backends.
+    pub connections: u64,
+    /// Effects beyond the first, of invocations that are not idempotent.
+    #[serde(rename = "twice")]
+    pub duplicates: u64,
+    /// Units that were executed.
+    pub units: f64,
+    /// Units beyond the customers' quotas.
+    #[serde(rename = "beyond")]
+    pub beyond_quota: f64,
+    /// The worst customer's fraction above what its quota allowed.
+    #[serde(rename = "worst")]
+    pub worst_excess: f64,
+    /// Seconds of processor time of all front doors.
+    pub processor: f64,
+    /// Memory of all front doors at the end, MiB.
+    pub memory_mb: f64,
+    /// Front doors that ended by themselves.
+    pub died: usize,
+    /// Deliveries of each backend, separated by blanks.
+    pub by_backend: String,
+}
+
+/// The results of a run.
+pub struct RunResult {
+    /// Figures of the run.
+    pub summary: RunSummary,
+    /// What each customer with a quota used.
+    pub customers: Vec<CustomerUsage>,
+    /// What came of each invocation.
+    pub rows: Vec<RequestRow>,
+    /// What each backend executed over time.
+    pub loads: Vec<BackendLoad>,
+}
+
+/// Runs one variant once. The folder gets the configuration files of the front doors.
+pub fn run_variant(
+    experiment: &Experiment,
+    variant: &Variant,
+    repetition: usize,
+    folder: &Path,
+) -> Result<RunResult, RunError> {
+    let experiment = &experiment.of(variant);
+    let test_bed = start_backends(experiment, repetition)?;
+    let services = start_services(&test_bed)?;
+    let run = Run { experiment, variant, repetition, test_bed: &test_bed };
+    let result = run.measure(folder, &services);
+    test_bed.finish();
+    result
+}
+
+fn start_backends(experiment: &Experiment, repetition: usize) -> Result<Arc<TestBed>, RunError> {
+    let world = &experiment.world;
+    let mut listeners = vec![];
+    for _ in 0..world.backends {
+        listeners.push(bind_listener()?);
+    }
+    let addresses: Vec<_> = listeners.iter().map(|listener| listener.address).collect();
+    let test_bed = TestBed::new(world, experiment.seed.wrapping_add(repetition as u64), &addresses);
+    for (index, listener) in listeners.into_iter().enumerate() {
+        backend::start(listener.socket, index, test_bed.clone());
+    }
+    Ok(test_bed)
+}
+
+fn start_services(test_bed: &Arc<TestBed>) -> Result<Services, RunError> {
+    let first = bind_listener()?;
+    let second = bind_listener()?;
+    let list = bind_listener()?;
+    counter::start(first.socket, CounterInstance::First, test_bed.clone());
+    counter::start(second.socket, CounterInstance::Second, test_bed.clone());
+    discovery::start(list.socket, test_bed.clone());
+    let endpoints = test_bed.endpoints.snapshot().unwrap_or_default();
+    Ok(Services { counters: [first.address, second.address], discovery: list.address, endpoints })
+}
+
+/// A run among stand-ins that are there.
+struct Run<'a> {
+    experiment: &'a Experiment,
+    variant: &'a Variant,
+    repetition: usize,
+    test_bed: &'a TestBed,
+}
+
+impl Run<'_> {
+    fn measure(&self, folder: &Path, services: &Services) -> Result<RunResult, RunError> {
+        let fleet = Fleet::start(self.experiment, self.variant, folder, services)?;
+        let _idle = generator::open_idle_connections(&fleet.routes, self.experiment.traffic.idle)?;
+        let rows = self.drive(&fleet)?;
+        let died = fleet.died();
+        let used = fleet.usage();
+        drop(fleet);
+        let customers = self.customers();
+        let summary = self.summary(rows.len(), died, used, &customers);
+        let loads = lock(&self.test_bed.executions).loads(&self.variant.name, self.repetition);
+        Ok(RunResult { summary, customers: customers.rows, rows, loads })
+    }
+
+    /// Sends the invocations, and injects the faults meanwhile.
+    fn drive(&self, fleet: &Fleet) -> Result<Vec<RequestRow>, RunError> {
+        let start = self.test_bed.now();
+        let steps = fault_schedule::schedule(&self.experiment.faults, &self.experiment.world);
+        let finished = AtomicBool::new(false);
+        let label = RunLabel { variant: self.variant.name.clone(), repetition: self.repetition };
+        scope(|threads| {
+            threads.spawn(|| self.inject(&steps, fleet, start, &finished));
+            let rows = generator::drive(self.experiment, &label, &fleet.routes);
+            finished.store(true, Ordering::Relaxed);
+            rows
+        })
+    }
+
+    /// Carries the steps out at their times; those that are not due when the traffic ends are dropped.
+    fn inject(&self, steps: &[FaultStep], fleet: &Fleet, start: f64, finished: &AtomicBool) {
+        for step in steps {
+            while self.test_bed.now() < start + step.at {
+                if finished.load(Ordering::Relaxed) {
+                    return;
+                }
+                sleep(FAULT_POLL);
+            }
+            match step.kind {
+                Kind::Kill | Kind::Term | Kind::Stall | Kind::Reload => fleet.inject(step),
+                _ => self.test_bed.inject(step),
+            }
+        }
+    }
+
+    fn customers(&self) -> usage::FleetQuotas {
+        let label = RunLabel { variant: self.variant.name.clone(), repetition: self.repetition };
+        usage::against_quotas(&self.experiment.world, &label, &lock(&self.test_bed.executions).units)
+    }
+
+    fn summary(
+        &self,
+        sent: usize,
+        died: usize,
+        used: FleetUsage,
+        customers: &usage::FleetQuotas,
+    ) -> RunSummary {
+        let counter_calls = *lock(&self.test_bed.counter_calls);
+        let executions = lock(&self.test_bed.executions);
+        let by_backend: Vec<String> = executions.by_backend.iter().map(u64::to_string).collect();
+        RunSummary {
+            variant: self.variant.name.clone(),
+            repetition: self.repetition,
+            front_doors: self.experiment.world.doors,
+            sent: sent as u64,
+            counter_calls,
+            deliveries: executions.deliveries,
+            connections: executions.connections,
+            duplicates: executions.duplicates,
+            units: customers.units,
+            beyond_quota: customers.beyond_quota,
+            worst_excess: customers.worst_excess,
+            processor: used.processor,
+            memory_mb: used.memory_mb,
+            died,
+            by_backend: by_backend.join(" "),
+        }
+    }
+}
--- a/load/src/scale/process.rs
+++ b/load/src/scale/process.rs
@@ -1,5 +1,5 @@
-//! What a process has used, as the system tells.
-
+//! What a process has used, and an address of its own.
+use crate::process_stat::{self, KIB_PER_MIB, TICKS_PER_SECOND};
 use std::net::Ipv4Addr;
 
 /// An address of loopback that no other process of these runs has: ports that one has chosen are not taken by another.
@@ -11,8 +11,9 @@
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Seconds of processor time, in user mode and in the kernel.
+    /// Seconds of processor time in user mode.
     pub user: f64,
+    /// Seconds of processor time in the kernel.
     pub system: f64,
     /// Resident memory, MiB.
     pub resident: f64,
@@ -25,18 +26,12 @@
     }
 }
 
-/// The system's clock ticks a second (`USER_HZ`, 100 on Linux).
-const TICKS: f64 = 100.0;
-
 /// What the process has used until now; zeros where it is gone.
 pub fn usage(process: u32) -> Usage {
-    let read = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap_or_default();
-    let status = read("status");
-    let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    let kilobytes = resident.and_then(|l| l.split_whitespace().next()?.parse::<f64>().ok()).unwrap_or(0.0);
-    let stat = read("stat");
-    // The name in parentheses may hold blanks; the fields are counted behind it.
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0) / TICKS;
-    Usage { user: ticks(11), system: ticks(12), resident: kilobytes / 1024.0 }
+    let stat = process_stat::read(process);
+    Usage {
+        user: stat.user_ticks / TICKS_PER_SECOND,
+        system: stat.system_ticks / TICKS_PER_SECOND,
+        resident: stat.resident_kib / KIB_PER_MIB,
+    }
 }
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -6,7 +6,7 @@
 use super::stand_ins::{Backends, StandIns};
 use super::steady::{self, Spent};
 use super::traffic::{Arrivals, Clients, Population};
-use crate::stage::held;
+use crate::sync::lock;
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -117,7 +117,7 @@
     let clients = asks.then(|| Clients::start(at, Arrivals::new(point, &population, 0)?)).transpose()?;
     sleep(Duration::from_secs_f64(span.warm_up));
     if let Some(clients) = &clients {
-        held(&clients.took).reset();
+        lock(&clients.took).reset();
     }
     let (tallies, used, from) = (stand_ins.tallies.read(), front_door.usage(), Instant::now());
     let answered = clients.as_ref().map(|c| c.answers.read()).unwrap_or_default();
@@ -135,7 +135,7 @@
     rows.add("processor, kernel", (used_now.system - used.system) / seconds, "cores");
     rows.add("memory", used_now.resident, "MiB");
     if let Some(clients) = &clients {
-        let took = held(&clients.took);
+        let took = lock(&clients.took);
         for quantile in [0.5, 0.99] {
             let what = format!("answered within, quantile {quantile}");
             rows.add(&what, took.value_at_quantile(quantile) as f64 / 1e3, "ms");
--- a/load/src/scale/stand_ins.rs
+++ b/load/src/scale/stand_ins.rs
@@ -6,7 +6,7 @@
 use super::process::own_loopback;
 use super::servers;
 use super::tally::{Role, Tallies};
-use crate::stage::held;
+use crate::sync::lock;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Registry, Token};
 use quillramp_gateway::wire::ProtocolError;
@@ -111,7 +111,7 @@
 
     /// When each version of the list was written, from version 2 on; Unix time in seconds.
     pub fn written(&self) -> Vec<f64> {
-        held(&self.changes.written).clone()
+        lock(&self.changes.written).clone()
     }
 }
 
@@ -277,7 +277,7 @@
 
     /// Writes the changes that were asked for since it last looked.
     fn change(&mut self) {
-        let mut written = held(&self.changes.written);
+        let mut written = lock(&self.changes.written);
         while written.len() < self.changes.wanted.load(Ordering::Relaxed) {
             self.discovery.change();
             written.push(unix_now());
--- a/load/src/scale/traffic.rs
+++ b/load/src/scale/traffic.rs
@@ -1,6 +1,7 @@
 //! Clients of one front door: requests at times that wait for no answer, over a few connections, tenants drawn by seed.
 use super::point::{plan_name, Point, Tenant};
-use crate::standins::reply;
+use crate::sync::lock;
+use crate::test_bed::loopback::read_reply;
 use hdrhistogram::Histogram;
 use rand::distributions::{Distribution, WeightedIndex};
 use rand::SeedableRng;
@@ -165,7 +166,7 @@
                 at += arrivals.gap();
                 sleep(Duration::from_secs_f64(at).saturating_sub(start.elapsed()));
                 let (stream, waiting) = &mut streams[n % CONNECTIONS];
-                crate::stage::held(waiting).push_back(Instant::now());
+                lock(waiting).push_back(Instant::now());
                 if stopped.load(Ordering::Relaxed) || stream.write_all(&arrivals.request()).is_err() {
                     return;
                 }
@@ -187,15 +188,15 @@
 
 fn read_answers(from: TcpStream, asked: &Waiting, answers: &Answers, took: &Mutex<Histogram<u64>>) {
     let mut from = BufReader::new(from);
-    while let Ok((kind, line)) = reply(&mut from) {
-        let count = match kind {
+    while let Ok(reply) = read_reply(&mut from) {
+        let count = match reply.kind {
             b'$' => &answers.served,
-            _ if line.starts_with(b"-BUSY") => &answers.throttled,
+            _ if reply.bytes.starts_with(b"-BUSY") => &answers.throttled,
             _ => &answers.errored,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        if let Some(at) = crate::stage::held(asked).pop_front() {
-            crate::stage::held(took).saturating_record(at.elapsed().as_micros() as u64);
+        if let Some(at) = lock(asked).pop_front() {
+            lock(took).saturating_record(at.elapsed().as_micros() as u64);
         }
     }
 }
--- /dev/null
+++ b/load/src/test_bed/backend.rs
@@ -0,0 +1,190 @@
+//! A backend of the test bed: so many slots, so much work for an invocation.
+use super::condition::BackendOutcome;
+use super::executions::Invocation;
+use super::loopback::spawn_connection;
+use super::TestBed;
+use crate::sync::lock;
+use crate::toy::command;
+use std::io::{BufReader, Result, Write};
+use std::net::{Shutdown, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread::{sleep, spawn};
+use std::time::Duration;
+
+/// How often something that waits for a fault to end looks again.
+const POLL: Duration = Duration::from_millis(5);
+
+/// The slots of a backend: invocations beyond them wait.
+struct Slots {
+    free: Mutex<usize>,
+    freed: Condvar,
+}
+
+impl Slots {
+    fn acquire(&self) {
+        let mut free = lock(&self.free);
+        while *free == 0 {
+            free = self.freed.wait(free).unwrap_or_else(|e| e.into_inner());
+        }
+        *free -= 1;
+    }
+
+    fn release(&self) {
+        *lock(&self.free) += 1;
+        self.freed.notify_one();
+    }
+}
+
+/// Serves a backend; while its process is gone its address refuses connections.
+pub fn start(listener: TcpListener, index: usize, test_bed: Arc<TestBed>) {
+    let slots = Arc::new(Slots { free: Mutex::new(test_bed.world.slots), freed: Condvar::new() });
+    spawn(move || listen(listener, index, &test_bed, &slots));
+}
+
+fn listen(listener: TcpListener, index: usize, test_bed: &Arc<TestBed>, slots: &Arc<Slots>) -> Result<()> {
+    let address = listener.local_addr()?;
+    let mut listener = Some(listener);
+    let gone = Arc::new(AtomicBool::new(false));
+    loop {
+        if test_bed.finished() {
+            return Ok(());
+        }
+        let Some(open) = listener.take() else {
+            if test_bed.condition(index).down {
+                sleep(POLL);
+            } else if let Ok(again) = TcpListener::bind(address) {
+                listener = Some(again);
+            } else {
+                sleep(POLL);
+            }
+            continue;
+        };
+        gone.store(false, Ordering::Relaxed);
+        close_when_down(&open, index, test_bed.clone(), gone.clone())?;
+        while let Ok((stream, _)) = open.accept() {
+            if gone.load(Ordering::Relaxed) {
+                break;
+            }
+            test_bed.record_connection(index, &stream);
+            let test_bed = test_bed.clone();
+            let slots = slots.clone();
+            spawn_connection(stream, move |stream| Connection { index, test_bed, slots }.serve(stream));
+        }
+    }
+}
+
+/// Shuts the listener down when the process goes, which wakes its accept.
+fn close_when_down(
+    listener: &TcpListener,
+    index: usize,
+    test_bed: Arc<TestBed>,
+    gone: Arc<AtomicBool>,
+) -> Result<()> {
+    let listener = listener.try_clone()?;
+    spawn(move || {
+        while !test_bed.condition(index).down {
+            sleep(POLL);
+        }
+        gone.store(true, Ordering::Relaxed);
+        let _ = socket2::SockRef::from(&listener).shutdown(Shutdown::Both);
+    });
+    Ok(())
+}
+
+/// A connection of a front door to this backend.
+struct Connection {
+    index: usize,
+    test_bed: Arc<TestBed>,
+    slots: Arc<Slots>,
+}
+
+impl Connection {
+    fn serve(&self, mut stream: TcpStream) -> Result<()> {
+        let process = self.process();
+        let mut from = BufReader::new(stream.try_clone()?);
+        while let Some(words) = command(&mut from)? {
+            // An unresponsive machine does nothing either; its connections end when it is back.
+            while self.test_bed.condition(self.index).unresponsive && !self.test_bed.finished() {
+                sleep(POLL);
+            }
+            if self.process() != process {
+                return Ok(());
+            }
+            if words.first().is_some_and(|word| word == "PING") {
+                stream.write_all(b"+PONG\r\n")?;
+                continue;
+            }
+            let Some(invocation) = invocation(&words) else { return Ok(()) };
+            let outcome = self.outcome(invocation.units);
+            let work = match outcome {
+                BackendOutcome::Reject => {
+                    stream.write_all(b"-BUSY\r\n")?;
+                    continue;
+                }
+                BackendOutcome::Serve(work)
+                | BackendOutcome::Swallow(work)
+                | BackendOutcome::Malformed(work)
+                | BackendOutcome::Fail(work) => work,
+            };
+            if !self.execute(process, &invocation, work) {
+                return Ok(());
+            }
+            answer(&mut stream, outcome, &words[2], invocation.units)?;
+        }
+        Ok(())
+    }
+
+    /// Counts the processes of this backend.
+    fn process(&self) -> u64 {
+        self.test_bed.condition(self.index).process
+    }
+
+    fn outcome(&self, units: f64) -> BackendOutcome {
+        if self.test_bed.condition(self.index).draining {
+            BackendOutcome::Reject
+        } else {
+            self.test_bed.draw_outcome(self.index, units)
+        }
+    }
+
+    /// Works on an invocation in a slot; not where the process has ended meanwhile, which is `false`.
+    fn execute(&self, process: u64, invocation: &Invocation, work: Duration) -> bool {
+        self.slots.acquire();
+        let alive = self.process() == process;
+        if alive {
+            self.test_bed.record_execution(self.index, invocation);
+            sleep(work);
+        }
+        self.slots.release();
+        alive
+    }
+}
+
+/// The invocation of a command; none where words are missing.
+fn invocation(words: &[String]) -> Option<Invocation<'_>> {
+    let customer = words.get(1)?;
+    let id = words.get(2)?;
+    let attributes = words.get(3)?;
+    let attribute = |name: &str| attributes.split(',').find_map(|p| p.strip_prefix(name));
+    let hex = |text: &str| u64::from_str_radix(text, 16).unwrap_or(0);
+    Some(Invocation {
+        id: hex(id),
+        customer: hex(customer),
+        plan: attribute("t=").unwrap_or(""),
+        units: attribute("units=").and_then(|units| units.parse().ok()).unwrap_or(1.0),
+        once: words[0] == "CALL.POST",
+    })
+}
+
+fn answer(stream: &mut TcpStream, outcome: BackendOutcome, id: &str, units: f64) -> Result<()> {
+    match outcome {
+        BackendOutcome::Swallow(_) => Ok(()),
+        BackendOutcome::Fail(_) => stream.write_all(b"-ERR failed\r\n"),
+        BackendOutcome::Malformed(_) => stream.write_all(b"?what\r\n"),
+        BackendOutcome::Serve(_) | BackendOutcome::Reject => {
+            let cost = format!("cost={units}");
+            write!(stream, "*3\r\n$16\r\n{id}\r\n${}\r\n{cost}\r\n$-1\r\n", cost.len())
+        }
+    }
+}
--- /dev/null
+++ b/load/src/test_bed/counter.rs
@@ -0,0 +1,70 @@
+//! The counters of the test bed.
+use super::loopback::spawn_connection;
+use super::TestBed;
+use crate::sync::lock;
+use crate::toy::{number, target};
+use std::io::{BufReader, Result, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::Arc;
+use std::thread::{sleep, spawn};
+use std::time::Duration;
+
+/// How often an unresponsive counter looks whether the fault is over.
+const POLL: Duration = Duration::from_millis(5);
+
+/// Which of the two counters: while they are split, the second one has counts of its own.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CounterInstance {
+    /// Uses the first set of counts.
+    First,
+    /// Uses the second set of counts while the counters are split.
+    Second,
+}
+
+/// Serves a counter.
+pub fn start(listener: TcpListener, instance: CounterInstance, test_bed: Arc<TestBed>) {
+    spawn(move || {
+        for stream in listener.incoming().flatten() {
+            if lock(&test_bed.counter).down {
+                continue; // it ends at once
+            }
+            let test_bed = test_bed.clone();
+            spawn_connection(stream, move |stream| serve(stream, instance, &test_bed));
+        }
+    });
+}
+
+fn serve(mut stream: TcpStream, instance: CounterInstance, test_bed: &TestBed) -> Result<()> {
+    let mut from = BufReader::new(stream.try_clone()?);
+    while let Some(target) = target(&mut from)? {
+        let condition = lock(&test_bed.counter).clone();
+        if condition.down {
+            return Ok(());
+        }
+        while lock(&test_bed.counter).unresponsive && !test_bed.finished() {
+            sleep(POLL);
+        }
+        sleep(Duration::from_secs_f64(condition.delay));
+        *lock(&test_bed.counter_calls) += 1;
+        if test_bed.draw_counter_fault(condition.reject) {
+            stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")?;
+            continue;
+        }
+        let own_counts = instance == CounterInstance::Second && condition.split;
+        let total = add(test_bed, &target, usize::from(own_counts)).to_string();
+        if test_bed.draw_counter_fault(condition.unanswered) {
+            return Ok(());
+        }
+        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{total}", total.len())?;
+    }
+    Ok(())
+}
+
+/// Adds to the count that the target names, in one of the two sets; the new total.
+fn add(test_bed: &TestBed, target: &str, set: usize) -> f64 {
+    let name = target.split('?').next().unwrap_or("").to_owned();
+    let mut counts = lock(&test_bed.counts);
+    let total = counts[set].entry(name).or_default();
+    *total += number(target, "by");
+    *total
+}
--- /dev/null
+++ b/load/src/test_bed/discovery.rs
@@ -0,0 +1,32 @@
+//! The list service of the test bed.
+use super::loopback::spawn_connection;
+use super::TestBed;
+use crate::toy::{number, target};
+use std::io::{BufReader, Result, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::Arc;
+use std::thread::spawn;
+use std::time::Duration;
+
+/// Serves the endpoint list.
+pub fn start(listener: TcpListener, test_bed: Arc<TestBed>) {
+    spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let test_bed = test_bed.clone();
+            spawn_connection(stream, move |stream| serve(stream, &test_bed));
+        }
+    });
+}
+
+fn serve(mut stream: TcpStream, test_bed: &TestBed) -> Result<()> {
+    let mut from = BufReader::new(stream.try_clone()?);
+    while let Some(target) = target(&mut from)? {
+        let since = number(&target, "since") as u64;
+        let wait = Duration::from_millis(number(&target, "timeout_ms") as u64);
+        let answer =
+            if since == 0 { test_bed.endpoints.snapshot() } else { test_bed.endpoints.watch(since, wait) };
+        let Some(body) = answer.map(|a| a.to_string()) else { return Ok(()) };
+        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/load/src/test_bed/endpoint_list.rs
@@ -0,0 +1,166 @@
+//! The endpoint list that the list service serves: whole, or as watch events.
+use crate::sync::lock;
+use quillramp_emulator::script::World;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::sync::{Condvar, Mutex};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// The longest that a watch waits.
+const LONGEST_WATCH: Duration = Duration::from_secs(60);
+
+/// The status of an endpoint, as the list names it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Status {
+    /// It takes invocations.
+    Serving,
+    /// It is about to stop.
+    Draining,
+    /// It is gone for good.
+    Deleted,
+}
+
+impl Status {
+    fn name(self) -> &'static str {
+        match self {
+            Status::Serving => "SERVING",
+            Status::Draining => "DRAINING",
+            Status::Deleted => "DELETED",
+        }
+    }
+}
+
+#[derive(Clone)]
+struct Entry {
+    name: String,
+    /// The stand-in that listens at the address.
+    backend: usize,
+    address: SocketAddr,
+    zone: String,
+    group: usize,
+    status: Status,
+    since_ms: u64,
+    /// The index of the list's last change of this entry.
+    changed: u64,
+}
+
+impl Entry {
+    fn to_json(&self) -> Value {
+        json!({"name": self.name, "address": self.address, "zone": self.zone, "type": "m", "group": self.group,
+               "status": self.status.name(), "weight": 1.0, "since_ms": self.since_ms})
+    }
+}
+
+#[derive(Default)]
+struct State {
+    index: u64,
+    entries: Vec<Entry>,
+    /// Names that were given, to give each new process one of its own.
+    names: usize,
+    down: bool,
+}
+
+/// The list, and whoever waits for its changes.
+pub struct EndpointList {
+    state: Mutex<State>,
+    changed: Condvar,
+}
+
+impl EndpointList {
+    /// All backends serve.
+    pub fn new(world: &World, backends: &[SocketAddr]) -> EndpointList {
+        let entry = |(backend, address): (usize, &SocketAddr)| Entry {
+            name: format!("s{backend}"),
+            backend,
+            address: *address,
+            zone: format!("z{}", backend % world.zones.max(1)),
+            group: backend % world.cells.max(1),
+            status: Status::Serving,
+            since_ms: 0,
+            changed: 1,
+        };
+        let entries = backends.iter().enumerate().map(entry).collect();
+        let state = State { index: 1, entries, names: backends.len(), down: false };
+        EndpointList { state: Mutex::new(state), changed: Condvar::new() }
+    }
+
+    /// The whole list; none while the list service is down.
+    pub fn snapshot(&self) -> Option<Value> {
+        let state = lock(&self.state);
+        let live = state.entries.iter().filter(|e| e.status != Status::Deleted);
+        let endpoints: Vec<Value> = live.map(Entry::to_json).collect();
+        (!state.down).then(|| json!({"index": state.index, "snapshot": true, "endpoints": endpoints}))
+    }
+
+    /// What has changed after an index, or nothing once the wait is over; none while the list service is down.
+    pub fn watch(&self, since: u64, wait: Duration) -> Option<Value> {
+        let until = Instant::now() + wait.min(LONGEST_WATCH);
+        let mut state = lock(&self.state);
+        loop {
+            if state.down {
+                return None;
+            }
+            let left = until.saturating_duration_since(Instant::now());
+            if state.index > since || left.is_zero() {
+                let changed = state.entries.iter().filter(|e| e.changed > since);
+                let endpoints: Vec<Value> = changed.map(Entry::to_json).collect();
+                return Some(json!({"index": state.index, "snapshot": false, "endpoints": endpoints}));
+            }
+            state = self.changed.wait_timeout(state, left).unwrap_or_else(|e| e.into_inner()).0;
+        }
+    }
+
+    /// Stops or starts the list service.
+    pub fn set_down(&self, down: bool) {
+        self.update(|state| state.down = down);
+    }
+
+    fn update(&self, change: impl FnOnce(&mut State)) {
+        let mut state = lock(&self.state);
+        state.index += 1;
+        change(&mut state);
+        drop(state);
+        self.changed.notify_all();
+    }
+
+    /// Sets the status of the newest endpoint of a backend; `restarted` dates it from now.
+    pub fn set_status(&self, backend: usize, status: Status, restarted: bool) {
+        let since_ms = unix_ms();
+        self.update(|state| {
+            let index = state.index;
+            let Some(entry) = state.live(backend) else { return };
+            entry.status = status;
+            entry.changed = index;
+            if restarted {
+                entry.since_ms = since_ms;
+            }
+        });
+    }
+
+    /// A new process, with a new name, takes the place of a backend's endpoint.
+    pub fn replace(&self, backend: usize, status: Status) {
+        let since_ms = unix_ms();
+        self.update(|state| {
+            let index = state.index;
+            let name = format!("s{}", state.names);
+            let Some(old) = state.live(backend) else { return };
+            old.status = Status::Deleted;
+            old.changed = index;
+            let new = Entry { name, status, since_ms, ..old.clone() };
+            state.names += 1;
+            state.entries.push(new);
+        });
+    }
+}
+
+impl State {
+    /// The entry of a backend that is not deleted.
+    fn live(&mut self, backend: usize) -> Option<&mut Entry> {
+        self.entries.iter_mut().find(|e| e.backend == backend && e.status != Status::Deleted)
+    }
+}
+
+/// Unix time in milliseconds.
+fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+}
--- /dev/null
+++ b/load/src/test_bed/executions.rs
@@ -0,0 +1,117 @@
+//! What the backends executed, all together.
+use serde::{Deserialize, Serialize};
+use std::collections::HashMap;
+
+/// Seconds of one column of the charts over time.
+pub const COLUMN_SECONDS: f64 = 0.25;
+
+/// An invocation as a backend reads it.
+#[derive(Clone, Copy, Debug)]
+pub struct Invocation<'a> {
+    /// The request id.
+    pub id: u64,
+    /// The customer's number.
+    pub customer: u64,
+    /// The name of the customer's plan.
+    pub plan: &'a str,
+    /// Its cost in units.
+    pub units: f64,
+    /// It is not idempotent: it must take effect once at the most.
+    pub once: bool,
+}
+
+/// Units that came at a time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TimedUnits {
+    /// Seconds since the start of the run.
+    pub at: f64,
+    /// Units.
+    pub units: f64,
+}
+
+/// A customer under one of its plans.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct CustomerPlan {
+    /// The customer's number.
+    pub customer: u64,
+    /// The name of the plan.
+    pub plan: String,
+}
+
+/// What all backends executed.
+#[derive(Default)]
+pub struct Executions {
+    /// How often an invocation took effect, by its id.
+    times: HashMap<u64, u32>,
+    /// Effects beyond the first, of invocations that are not idempotent.
+    pub duplicates: u64,
+    /// Invocations that were executed, duplicates included.
+    pub deliveries: u64,
+    /// Connections that were made.
+    pub connections: u64,
+    /// Deliveries by backend.
+    pub by_backend: Vec<u64>,
+    /// Units by backend and column of time.
+    pub columns: Vec<Vec<f64>>,
+    /// When units of a customer were first executed.
+    pub units: HashMap<CustomerPlan, Vec<TimedUnits>>,
+}
+
+impl Executions {
+    /// Nothing was executed yet.
+    pub fn new(backends: usize) -> Executions {
+        Executions { by_backend: vec![0; backends], columns: vec![vec![]; backends], ..Executions::default() }
+    }
+
+    /// Records an execution. Its units count for the customer when it is the first of this invocation.
+    pub fn record(&mut self, at: f64, backend: usize, invocation: &Invocation) {
+        self.deliveries += 1;
+        self.by_backend[backend] += 1;
+        let column = (at / COLUMN_SECONDS) as usize;
+        let columns = &mut self.columns[backend];
+        if columns.len() <= column {
+            columns.resize(column + 1, 0.0);
+        }
+        columns[column] += invocation.units;
+        let times = self.times.entry(invocation.id).or_default();
+        *times += 1;
+        let times = *times;
+        self.duplicates += u64::from(invocation.once && times > 1);
+        if times == 1 {
+            let key = CustomerPlan { customer: invocation.customer, plan: invocation.plan.to_owned() };
+            self.units.entry(key).or_default().push(TimedUnits { at, units: invocation.units });
+        }
+    }
+
+    /// What each backend executed over time.
+    pub fn loads(&self, variant: &str, repetition: usize) -> Vec<BackendLoad> {
+        let mut loads = vec![];
+        for (backend, columns) in self.columns.iter().enumerate() {
+            for (column, units) in columns.iter().enumerate() {
+                loads.push(BackendLoad {
+                    variant: variant.to_owned(),
+                    repetition,
+                    at: column as f64 * COLUMN_SECONDS,
+                    backend,
+                    units: *units,
+                });
+            }
+        }
+        loads
+    }
+}
+
+/// A row of `backends.csv`: what one backend executed in one column of time.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct BackendLoad {
+    /// Name of the variant.
+    pub variant: String,
+    /// Repetition, from 0.
+    pub repetition: usize,
+    /// Start of the column, seconds since the start of the run.
+    pub at: f64,
+    /// The backend's index.
+    pub backend: usize,
+    /// Units that it executed.
+    pub units: f64,
+}
--- /dev/null
+++ b/load/src/test_bed/loopback.rs
@@ -0,0 +1,59 @@
+//! Loopback sockets, and the protocol's replies as a client reads them.
+use crate::error::RunError;
+use std::io::{BufRead, Error, ErrorKind, Result};
+use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+
+/// Stack of a thread that serves one connection, bytes.
+const STACK_BYTES: usize = 128 * 1024;
+
+/// Serves a connection on a small thread of its own.
+pub fn spawn_connection(stream: TcpStream, serve: impl FnOnce(TcpStream) -> Result<()> + Send + 'static) {
+    let _ = stream.set_nodelay(true); // replies in several writes would wait for each other
+    let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
+    let _ = thread.spawn(move || serve(stream)); // it ends with its connection; with no thread left it ends now
+}
+
+/// A bound socket with its address.
+pub struct Bound<S> {
+    /// The socket.
+    pub socket: S,
+    /// Where it is bound.
+    pub address: SocketAddr,
+}
+
+/// A listener at any free port.
+pub fn bind_listener() -> std::result::Result<Bound<TcpListener>, RunError> {
+    let socket = TcpListener::bind("127.0.0.1:0").map_err(RunError::Port)?;
+    let address = socket.local_addr().map_err(RunError::Port)?;
+    Ok(Bound { socket, address })
+}
+
+/// A datagram socket at any free port.
+pub fn bind_datagram() -> std::result::Result<Bound<UdpSocket>, RunError> {
+    let socket = UdpSocket::bind("127.0.0.1:0").map_err(RunError::Port)?;
+    let address = socket.local_addr().map_err(RunError::Port)?;
+    Ok(Bound { socket, address })
+}
+
+/// A reply of a front door.
+pub struct Reply {
+    /// Its first byte: `$` a value, `-` an error, `+` a status.
+    pub kind: u8,
+    /// The value, or for the other kinds the whole line.
+    pub bytes: Vec<u8>,
+}
+
+/// Reads one reply of a front door.
+pub fn read_reply(from: &mut impl BufRead) -> Result<Reply> {
+    let mut line = Vec::new();
+    if from.read_until(b'\n', &mut line)? == 0 {
+        return Err(Error::from(ErrorKind::UnexpectedEof));
+    }
+    if line[0] == b'$' {
+        let length = std::str::from_utf8(&line[1..]).ok().and_then(|t| t.trim().parse::<usize>().ok());
+        let mut value = vec![0; length.unwrap_or(0) + 2];
+        from.read_exact(&mut value)?;
+        return Ok(Reply { kind: b'$', bytes: value });
+    }
+    Ok(Reply { kind: line[0], bytes: line })
+}
--- /dev/null
+++ b/load/src/usage.rs
@@ -0,0 +1,92 @@
+//! What the customers used, held against their quotas: calculated after a run from what came to the backends, by an exact token bucket
+//! for each customer.
+use crate::generator::RunLabel;
+use crate::test_bed::{CustomerPlan, TimedUnits};
+use quillramp_emulator::play::settings;
+use quillramp_emulator::quota::Store;
+use quillramp_emulator::script::World;
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+use std::collections::HashMap;
+
+/// A row of `customers.csv`: what one customer with a quota used.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct CustomerUsage {
+    /// Name of the variant.
+    pub variant: String,
+    /// Repetition, from 0.
+    pub repetition: usize,
+    /// The customer's number.
+    pub customer: u64,
+    /// The name of its plan.
+    pub plan: String,
+    /// Units that were executed.
+    pub units: f64,
+    /// Units beyond its quota.
+    #[serde(rename = "beyond")]
+    pub beyond_quota: f64,
+    /// Units beyond its quota, as a fraction of what the quota allowed in the time.
+    pub overshoot: f64,
+}
+
+/// What all customers used.
+pub(crate) struct FleetQuotas {
+    /// Units of all customers.
+    pub units: f64,
+    /// Units beyond quotas.
+    pub beyond_quota: f64,
+    /// The worst customer's fraction above what its quota allowed.
+    pub worst_excess: f64,
+    /// The customers with a quota, by their numbers.
+    pub rows: Vec<CustomerUsage>,
+}
+
+/// A plan's quota, as the settings of the front doors have it.
+struct Quota {
+    /// Units a second; 0: unlimited.
+    rate: f64,
+    /// Units at once.
+    burst: f64,
+}
+
+impl Quota {
+    fn of(settings: &Value, plan: &str) -> Quota {
+        let plans = settings["tariffs"].as_array();
+        let plan = plans.and_then(|all| all.iter().find(|t| t["name"] == plan));
+        let figure = |name: &str| plan.and_then(|t| t[name].as_f64()).unwrap_or(0.0);
+        Quota { rate: figure("per_second"), burst: figure("depth") }
+    }
+}
+
+/// Holds what came against the quotas of the world's plans.
+pub(crate) fn against_quotas(
+    world: &World,
+    label: &RunLabel,
+    units: &HashMap<CustomerPlan, Vec<TimedUnits>>,
+) -> FleetQuotas {
+    let settings = settings(world, None);
+    let mut all = FleetQuotas { units: 0.0, beyond_quota: 0.0, worst_excess: 0.0, rows: vec![] };
+    for (key, came) in units {
+        let Quota { rate, burst } = Quota::of(&settings, &key.plan);
+        all.units += came.iter().map(|c| c.units).sum::<f64>();
+        if rate <= 0.0 {
+            continue;
+        }
+        let came: Vec<(f64, f64)> = came.iter().map(|c| (c.at, c.units)).collect();
+        let bucket = Store::of(&came, rate, burst);
+        all.beyond_quota += bucket.beyond;
+        all.worst_excess = all.worst_excess.max(bucket.worst);
+        let (.., span) = bucket.quota();
+        all.rows.push(CustomerUsage {
+            variant: label.variant.clone(),
+            repetition: label.repetition,
+            customer: key.customer,
+            plan: key.plan.clone(),
+            units: bucket.units,
+            beyond_quota: bucket.beyond,
+            overshoot: bucket.beyond / (burst + rate * span),
+        });
+    }
+    all.rows.sort_by_key(|row| row.customer);
+    all
+}
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -3,10 +3,10 @@
 use quillramp_emulator::quota::Store;
 use quillramp_emulator::script::Kind;
 use quillramp_load::experiment::Experiment;
-use quillramp_load::faults::{burst, played as can_play, schedule, warmth};
-use quillramp_load::generator::{Outcome, Row};
-use quillramp_load::play::{play, Play, Played};
-use quillramp_load::results::{between, beyond, figures, summary, Session};
+use quillramp_load::fault_schedule::{burst_factor, is_supported, schedule, warm_capacity};
+use quillramp_load::generator::{Outcome, RequestRow};
+use quillramp_load::results::{compare, compare_sessions, figures, summary, Session};
+use quillramp_load::run::{run_variant, RunResult, RunSummary};
 use std::path::PathBuf;
 
 const RELAY: &str = env!("CARGO_BIN_EXE_quillramp-relay");
@@ -30,10 +30,11 @@
     folder
 }
 
-fn played(experiment: &Experiment, name: &str) -> Vec<(Play, Vec<Row>)> {
+fn run_all(experiment: &Experiment, name: &str) -> Vec<(RunSummary, Vec<RequestRow>)> {
     let folder = folder(name);
-    let split = |p: Played| (p.play, p.rows);
-    let all = experiment.variants.iter().map(|v| split(play(experiment, (v, 0), &folder).expect("played")));
+    let split = |result: RunResult| (result.summary, result.rows);
+    let all =
+        experiment.variants.iter().map(|v| split(run_variant(experiment, v, 0, &folder).expect("played")));
     let all = all.collect();
     std::fs::remove_dir_all(&folder).expect("ours");
     all
@@ -47,29 +48,31 @@
     assert_ne!(a, e.arrivals(1));
     assert!((90..150).contains(&a.len()), "{}", a.len());
     assert!(
-        a.windows(2).all(|w| w[0].at <= w[1].at) && a.iter().any(|a| a.order) && a.iter().any(|a| !a.order)
+        a.windows(2).all(|w| w[0].at <= w[1].at)
+            && a.iter().any(|a| a.non_idempotent)
+            && a.iter().any(|a| !a.non_idempotent)
     );
 }
 
 #[test]
 fn a_known_delay_is_measured() {
     let e = experiment(&(variant("usual", "") + &variant("slowed", "RELAY_DELAY_MS = \"40\"")));
-    let all = played(&e, "delay");
+    let all = run_all(&e, "delay");
     let of = |i: usize| figures(&all[i].0, &all[i].1);
     let (usual, slowed) = (of(0), of(1));
     assert_eq!((usual.failed, slowed.failed), (0.0, 0.0));
     let more = slowed.median - usual.median;
     assert!((38.0..60.0).contains(&more), "{more:.1} ms more; {usual:?} {slowed:?}");
-    assert_eq!((all[0].0.twice, all[0].0.died), (0, 0));
+    assert_eq!((all[0].0.duplicates, all[0].0.died), (0, 0));
 }
 
 #[test]
 fn an_effect_that_is_there_twice_is_reported() {
     let e = experiment(&variant("twice", "RELAY_TWICE = \"1\""));
-    let (play, rows) = played(&e, "twice").remove(0);
-    let orders = rows.iter().filter(|r| r.order && r.outcome == Outcome::Succeeded).count() as u64;
-    assert!(orders > 20 && play.twice == orders, "{} of {orders}", play.twice);
-    let session = Session { plays: vec![play], rows, whole: true, ..Session::default() };
+    let (run, rows) = run_all(&e, "twice").remove(0);
+    let orders = rows.iter().filter(|r| r.non_idempotent && r.outcome == Outcome::Succeeded).count() as u64;
+    assert!(orders > 20 && run.duplicates == orders, "{} of {orders}", run.duplicates);
+    let session = Session { runs: vec![run], rows, complete: true, ..Session::default() };
     assert!(summary(&session).contains("| effects twice | "));
 }
 
@@ -78,7 +81,7 @@
     let text = "[[variant]]\nname = \"dead\"\nprogram = \"/bin/false\"\n";
     let e = experiment(text);
     let folder = folder("dead");
-    let why = play(&e, (&e.variants[0], 0), &folder).err().expect("it never accepts");
+    let why = run_variant(&e, &e.variants[0], 0, &folder).err().expect("it never accepts").to_string();
     assert!(why.contains("/bin/false ended"), "{why}");
     Session::default().write(&folder).expect("written");
     let said = std::fs::read_to_string(folder.join("summary.md")).expect("there");
@@ -88,10 +91,10 @@
 
 #[test]
 fn noise_is_told_from_a_difference() {
-    assert!(!beyond(&[10.0, 11.0, 9.0], &[10.5, 10.0, 9.6]).1);
-    assert!(beyond(&[10.0, 11.0, 9.0], &[15.0, 16.4, 14.1]).1);
-    assert!(!beyond(&[10.0, 11.0], &[15.0, 16.0]).1, "two pairs say nothing");
-    let (mean, _) = beyond(&[1.0, 2.0], &[2.0, 4.0]);
+    assert!(!compare(&[10.0, 11.0, 9.0], &[10.5, 10.0, 9.6]).significant);
+    assert!(compare(&[10.0, 11.0, 9.0], &[15.0, 16.4, 14.1]).significant);
+    assert!(!compare(&[10.0, 11.0], &[15.0, 16.0]).significant, "two pairs say nothing");
+    let mean = compare(&[1.0, 2.0], &[2.0, 4.0]).mean_difference;
     assert!((mean - 1.5).abs() < 1e-9);
 }
 
@@ -99,7 +102,7 @@
 fn a_wrong_experiment_says_all_that_is_wrong() {
     let wrong = "seed = 1\nrepetitions = 0\n[world]\ndoors = 0\n[traffic]\nseconds = 0.0\nrate = 1e6\nconnections = 0\norders = 2.0\n\
                  [[variant]]\nname = \"a\"\nslowed = 0.5\n[[variant]]\nname = \"a\"\n";
-    let said = Experiment::read(wrong).expect_err("wrong");
+    let said = Experiment::read(wrong).expect_err("wrong").to_string();
     for what in [
         "traffic.seconds",
         "traffic.rate",
@@ -114,6 +117,7 @@
     }
     assert!(Experiment::read("seed = 1\nspeed = 2\n[traffic]\nseconds = 1.0\nconnections = 1\n")
         .expect_err("wrong")
+        .to_string()
         .contains("speed"));
 }
 
@@ -122,21 +126,24 @@
     let e = experiment(&variant("usual", ""));
     let at = folder("session");
     let mut session = Session::default();
-    session.add(play(&e, (&e.variants[0], 0), &at).expect("played"));
-    session.whole = true;
+    session.add(run_variant(&e, &e.variants[0], 0, &at).expect("played"));
+    session.complete = true;
     session.write(&at).expect("written");
     let again = Session::read(&at).expect("read");
-    assert!(again.whole && again.rows.len() == session.rows.len() && again.loads == session.loads);
-    let said = between(&session, &again).expect("the same variant");
+    assert!(again.complete && again.rows.len() == session.rows.len() && again.loads == session.loads);
+    let said = compare_sessions(&session, &again).expect("the same variant");
     assert!(said.contains("| succeeded, share | +0.000 | no |"), "{said}");
     let mut other = again.clone();
-    other.plays.iter_mut().for_each(|p| p.variant = "another".into());
-    assert_eq!(between(&session, &other), Err("no variant is in both".into()));
+    other.runs.iter_mut().for_each(|p| p.variant = "another".into());
+    assert_eq!(
+        compare_sessions(&session, &other).map_err(|e| e.to_string()),
+        Err("no variant is in both".into())
+    );
     for chart in ["percentiles.svg", "service.svg", "backends.svg"] {
         assert!(std::fs::read_to_string(at.join(chart)).expect(chart).contains("<svg"), "{chart}");
     }
     std::fs::remove_dir_all(&at).expect("ours");
-    assert!(Session::read(&at).expect_err("gone").contains("plays.csv"));
+    assert!(Session::read(&at).expect_err("gone").to_string().contains("plays.csv"));
 }
 
 /// Three backends in turns, of which one is struck: what the tool must see, and when.
@@ -147,13 +154,13 @@
     let faults = "[[fault]]\nat = 0.5\nkind = \"crash\"\nbackend = 1\nlasts = 0.5\n";
     let e = experiment(&(text + faults));
     let at = folder("crash");
-    let [struck, spared] = [0, 1].map(|i| play(&e, (&e.variants[i], 0), &at).expect("played"));
+    let [struck, spared] = [0, 1].map(|i| run_variant(&e, &e.variants[i], 0, &at).expect("played"));
     std::fs::remove_dir_all(&at).expect("ours");
-    let failed = |p: &Played| p.rows.iter().filter(|r| r.outcome == Outcome::Errored).count();
+    let failed = |p: &RunResult| p.rows.iter().filter(|r| r.outcome == Outcome::Errored).count();
     assert!(failed(&struck) > 3 && failed(&spared) == 0, "{} {}", failed(&struck), failed(&spared));
     // Afterwards the baseline's old connections there end one by one; before, nothing is amiss.
     assert!(struck.rows.iter().all(|r| r.outcome == Outcome::Succeeded || r.at > 0.45));
-    let did = |p: &Played, b: usize| -> f64 {
+    let did = |p: &RunResult, b: usize| -> f64 {
         p.loads.iter().filter(|l| l.backend == b && l.at >= 0.75 && l.at < 1.0).map(|l| l.units).sum()
     };
     assert_eq!(did(&struck, 1), 0.0);
@@ -164,11 +171,11 @@
 fn a_front_door_that_is_killed_is_left_out_and_comes_back() {
     let faults = "[[fault]]\nat = 0.4\nkind = \"kill\"\ndoor = 0\nlasts = 0.4\n";
     let e = experiment(&(variant("one", "") + faults));
-    let (play, rows) = played(&e, "kill").remove(0);
-    assert_eq!(play.died, 0, "it was meant");
+    let (run, rows) = run_all(&e, "kill").remove(0);
+    assert_eq!(run.died, 0, "it was meant");
     let at = |door: usize, from: f64, to: f64| {
         rows.iter()
-            .filter(|r| r.door == door && r.at >= from && r.at < to && r.outcome == Outcome::Succeeded)
+            .filter(|r| r.front_door == door && r.at >= from && r.at < to && r.outcome == Outcome::Succeeded)
             .count()
     };
     assert_eq!(at(0, 0.45, 0.75), 0);
@@ -179,11 +186,12 @@
 fn a_front_door_that_stands_still_is_not_hidden() {
     let faults = "[[fault]]\nat = 0.4\nkind = \"stall\"\ndoor = 0\nlasts = 0.4\n";
     let e = experiment(&(variant("one", "") + faults));
-    let (_, rows) = played(&e, "stall").remove(0);
+    let (_, rows) = run_all(&e, "stall").remove(0);
     // Whoever came to it early in its stand has waited for nearly all of it.
-    let waited = rows.iter().filter(|r| r.door == 0 && (0.4..0.6).contains(&r.at) && r.took > 0.15).count();
+    let waited =
+        rows.iter().filter(|r| r.front_door == 0 && (0.4..0.6).contains(&r.at) && r.took > 0.15).count();
     assert!(waited > 3, "{waited}");
-    assert!(rows.iter().all(|r| r.door == 0 || r.took < 0.15));
+    assert!(rows.iter().all(|r| r.front_door == 0 || r.took < 0.15));
 }
 
 #[test]
@@ -193,12 +201,12 @@
     };
     let faults = strike("err", 0) + &strike("turn-away", 1) + &strike("spoil", 2);
     let e = experiment(&(variant("all ill", "RELAY_POLICY = \"round-robin\"") + &faults));
-    let (play, rows) = played(&e, "ill").remove(0);
+    let (run, rows) = run_all(&e, "ill").remove(0);
     let of = |o: Outcome| rows.iter().filter(|r| r.outcome == o).count();
     assert_eq!(of(Outcome::Succeeded), 0);
     assert!(of(Outcome::Throttled) > 20 && of(Outcome::Errored) > 40, "{rows:?}");
     // What was turned away did not run.
-    assert_eq!(play.by_backend.split(' ').nth(1), Some("0"));
+    assert_eq!(run.by_backend.split(' ').nth(1), Some("0"));
 }
 
 #[test]
@@ -212,7 +220,7 @@
     let steps: Vec<String> = schedule(&e.faults, &e.world)
         .iter()
         .map(|s| {
-            format!("{} {} {} {}", s.at, s.kind.name(), s.whom, if s.begins { "begins" } else { "over" })
+            format!("{} {} {} {}", s.at, s.kind.name(), s.target, if s.begins { "begins" } else { "over" })
         })
         .collect();
     expect![[r#"
@@ -223,12 +231,18 @@
         3 crash 1 over
         3 crash 3 over"#]]
     .assert_eq(&steps.join("\n"));
-    assert_eq!((burst(&e.faults, 3.9), burst(&e.faults, 4.5), burst(&e.faults, 5.0)), (1.0, 2.0, 1.0));
+    assert_eq!(
+        (burst_factor(&e.faults, 3.9), burst_factor(&e.faults, 4.5), burst_factor(&e.faults, 5.0)),
+        (1.0, 2.0, 1.0)
+    );
     let come = e.arrivals(0).iter().filter(|a| (4.0..5.0).contains(&a.at)).count();
     assert!(come > 12, "{come}");
-    assert!(can_play(Kind::CounterSplit) && !can_play(Kind::Upgrade));
+    assert!(is_supported(Kind::CounterSplit) && !is_supported(Kind::Upgrade));
     let w = &e.world;
-    assert_eq!((warmth(w, None), warmth(w, Some(0.0)), warmth(w, Some(99.0))), (1.0, w.cold_from, 1.0));
+    assert_eq!(
+        (warm_capacity(w, None), warm_capacity(w, Some(0.0)), warm_capacity(w, Some(99.0))),
+        (1.0, w.cold_from, 1.0)
+    );
 }
 
 #[test]
@@ -262,5 +276,5 @@
         fault 1 (upgrade): needs world.passed = true
         fault 2 (burst): a closed loop has no rate that could grow
         fault 2 (burst): at: expected a time within the run"#]]
-    .assert_eq(&Experiment::read(wrong).expect_err("wrong"));
+    .assert_eq(&Experiment::read(wrong).expect_err("wrong").to_string());
 }
