--- a/load/src/bin/quillramp-load.rs
+++ b/load/src/bin/quillramp-load.rs
@@ -5,6 +5,7 @@
 use quillramp_load::results::{self, Session, SessionError};
 use quillramp_load::run::run_variant;
 use quillramp_load::scale::command::{self, Scale};
+use quillramp_load::scale::error::ScaleError;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -57,8 +58,8 @@
     Check(Vec<CommandError>),
     #[error(transparent)]
     Session(#[from] SessionError),
-    #[error("{0}")]
-    Scale(String),
+    #[error(transparent)]
+    Scale(#[from] ScaleError),
 }
 
 fn prefix_lines(path: &Path, error: &ExperimentError) -> String {
@@ -127,7 +128,7 @@
 }
 
 fn scale(what: &Scale) -> Result<ExitCode, CommandError> {
-    let text = command::run(what).map_err(CommandError::Scale)?;
+    let text = command::run(what)?;
     let _ = write!(std::io::stdout(), "{text}");
     Ok(ExitCode::SUCCESS)
 }
--- /dev/null
+++ b/load/src/scale/clients.rs
@@ -0,0 +1,129 @@
+//! Clients of one front door: requests at times that wait for no answer, over a few connections.
+use super::error::ScaleError;
+use super::outcomes::OutcomeCounters;
+use super::requests::RequestSource;
+use crate::sync::lock;
+use crate::test_bed::loopback::read_reply;
+use hdrhistogram::Histogram;
+use std::collections::VecDeque;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::{sleep, spawn, JoinHandle};
+use std::time::{Duration, Instant};
+
+/// Connections of the clients; each has its answers in order, so a slow one holds up only those behind it.
+const CONNECTIONS: usize = 64;
+/// The longest latency that is told from longer ones.
+const LONGEST_MICROSECONDS: u64 = 60_000_000;
+
+/// When the requests of a connection that are not answered yet were written.
+type PendingRequests = Arc<Mutex<VecDeque<Instant>>>;
+
+struct Connection {
+    stream: TcpStream,
+    pending: PendingRequests,
+}
+
+/// Clients that send requests until this is dropped.
+pub struct Clients {
+    /// What became of the requests.
+    pub outcomes: Arc<OutcomeCounters>,
+    /// Microseconds from a request's write to its answer, all outcomes.
+    pub latencies: Arc<Mutex<Histogram<u64>>>,
+    stop: Arc<AtomicBool>,
+    writer: Option<JoinHandle<()>>,
+}
+
+impl Clients {
+    /// Connects to a front door and sends it requests.
+    pub fn start(address: SocketAddr, source: RequestSource) -> Result<Clients, ScaleError> {
+        let histogram =
+            Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, 3).map_err(ScaleError::Histogram)?;
+        let outcomes = Arc::new(OutcomeCounters::default());
+        let latencies = Arc::new(Mutex::new(histogram));
+        let stop = Arc::new(AtomicBool::new(false));
+        let mut connections = vec![];
+        for _ in 0..CONNECTIONS {
+            let connection = connect(address, &outcomes, &latencies).map_err(ScaleError::Client)?;
+            connections.push(connection);
+        }
+        let writer = spawn({
+            let outcomes = outcomes.clone();
+            let stop = stop.clone();
+            move || write_requests(source, connections, &outcomes, &stop)
+        });
+        Ok(Clients { outcomes, latencies, stop, writer: Some(writer) })
+    }
+}
+
+impl Drop for Clients {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::Relaxed);
+        if let Some(writer) = self.writer.take() {
+            let _ = writer.join(); // its panic was printed
+        }
+    }
+}
+
+/// Connects, and reads the answers on a thread of their own.
+fn connect(
+    address: SocketAddr,
+    outcomes: &Arc<OutcomeCounters>,
+    latencies: &Arc<Mutex<Histogram<u64>>>,
+) -> std::io::Result<Connection> {
+    let stream = TcpStream::connect(address)?;
+    stream.set_nodelay(true)?;
+    let pending = PendingRequests::default();
+    let reader = stream.try_clone()?;
+    spawn({
+        let outcomes = outcomes.clone();
+        let latencies = latencies.clone();
+        let pending = pending.clone();
+        move || read_answers(reader, &pending, &outcomes, &latencies)
+    });
+    Ok(Connection { stream, pending })
+}
+
+/// Writes the requests at their times, over the connections in turns.
+fn write_requests(
+    mut source: RequestSource,
+    mut connections: Vec<Connection>,
+    outcomes: &OutcomeCounters,
+    stop: &AtomicBool,
+) {
+    let mut at = 0.0;
+    let start = Instant::now();
+    for number in 0.. {
+        at += source.next_gap();
+        sleep(Duration::from_secs_f64(at).saturating_sub(start.elapsed()));
+        let connection = &mut connections[number % CONNECTIONS];
+        lock(&connection.pending).push_back(Instant::now());
+        if stop.load(Ordering::Relaxed) || connection.stream.write_all(&source.next_request()).is_err() {
+            return;
+        }
+        outcomes.sent.fetch_add(1, Ordering::Relaxed);
+    }
+}
+
+fn read_answers(
+    stream: TcpStream,
+    pending: &PendingRequests,
+    outcomes: &OutcomeCounters,
+    latencies: &Mutex<Histogram<u64>>,
+) {
+    let mut reader = BufReader::new(stream);
+    while let Ok(reply) = read_reply(&mut reader) {
+        let count = match reply.kind {
+            b'$' => &outcomes.served,
+            _ if reply.bytes.starts_with(b"-BUSY") => &outcomes.throttled,
+            _ => &outcomes.errored,
+        };
+        count.fetch_add(1, Ordering::Relaxed);
+        let sent_at = lock(pending).pop_front();
+        if let Some(sent_at) = sent_at {
+            lock(latencies).saturating_record(sent_at.elapsed().as_micros() as u64);
+        }
+    }
+}
--- a/load/src/scale/command.rs
+++ b/load/src/scale/command.rs
@@ -1,14 +1,16 @@
-//! The `scale` commands of the program.
+//! The `scale` commands of the program. On the command line an embedded front door is called hollow.
+use super::embedded_run::{self, Transport};
+use super::error::ScaleError;
 use super::fit::{self, Factor};
-use super::hollow_run::{self, Ground};
-use super::point::Point;
-use super::real::{self, Span};
-use super::report;
+use super::operating_point::OperatingPoint;
+use super::propagation::{self, Burst};
+use super::real;
 use super::rows::{self, Row, Source};
-use super::spreading::{self, Burst};
-use super::sweep::{self, Bounds};
+use super::slope_report;
+use super::span::Span;
+use super::sweep::{self, Bounds, Plan};
 use clap::Subcommand;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 /// What can be measured.
 #[derive(Subcommand)]
@@ -16,7 +18,7 @@
     /// One front door of the program at a point of the fleet's sizes, among stand-ins on loopback.
     Real {
         #[command(flatten)]
-        point: Point,
+        point: OperatingPoint,
         #[command(flatten)]
         span: Span,
         /// The name of the run in its rows.
@@ -32,15 +34,15 @@
     /// Hollow front doors of the same fleet.
     Hollow {
         #[command(flatten)]
-        point: Point,
+        point: OperatingPoint,
         #[command(flatten)]
         span: Span,
         /// The name of the run in its rows.
         #[arg(long, default_value = "hollow")]
         run: String,
         /// What they run on.
-        #[arg(long, value_enum, default_value_t = Ground::InProcess)]
-        on: Ground,
+        #[arg(long, value_enum, default_value_t = Transport::InProcess)]
+        on: Transport,
         /// Front doors that are there; the counter reckons the rest of the fleet.
         #[arg(long, default_value_t = 4)]
         hollow: usize,
@@ -54,7 +56,7 @@
         #[arg(value_enum)]
         factors: Vec<Factor>,
         #[command(flatten)]
-        base: Point,
+        base: OperatingPoint,
         #[command(flatten)]
         span: Span,
         #[command(flatten)]
@@ -69,7 +71,7 @@
     /// A burst of changes of the list while front doors restart: seconds from write to in force. Hollow ones, on sockets.
     Changes {
         #[command(flatten)]
-        point: Point,
+        point: OperatingPoint,
         #[command(flatten)]
         burst: Burst,
         /// The name of the run in its rows.
@@ -92,48 +94,49 @@
     Beside { rows: PathBuf, real: String, hollow: String },
 }
 
-/// Measures, keeps the rows and says what they are.
-pub fn run(what: &Scale) -> Result<String, String> {
-    match what {
+/// Measures and appends the rows to their file; the text for standard output.
+pub fn run(command: &Scale) -> Result<String, ScaleError> {
+    match command {
         Scale::Real { point, span, run, program, out } => {
-            let measured = real::measure(program, run, point, span)?;
-            rows::append(out, &measured)?;
-            Ok(text(&measured))
+            keep(out, &real::measure(program, run, point, span)?)
         }
         Scale::Hollow { point, span, run, on, hollow, out } => {
             let measured = match on {
-                Ground::InProcess => hollow_run::in_process(run, point, *hollow, span)?,
-                Ground::Sockets => hollow_run::on_sockets(run, point, *hollow, span)?,
+                Transport::InProcess => embedded_run::in_process(run, point, *hollow, span)?,
+                Transport::Sockets => embedded_run::on_sockets(run, point, *hollow, span)?,
             };
-            rows::append(out, &measured)?;
-            Ok(text(&measured))
+            keep(out, &measured)
         }
         Scale::Sweep { factors, base, span, bounds, hollow, out } => {
-            let missing = sweep::sweep(base, factors, (span, *hollow, bounds), out)?;
+            let plan = Plan { base, factors, span, front_doors: *hollow, bounds };
+            let missing = sweep::sweep(&plan, out)?;
             Ok(missing.iter().map(|line| format!("missing: {line}\n")).collect())
         }
         Scale::Changes { point, burst, run, hollow, out } => {
-            let measured = spreading::measure(run, point, *hollow, burst)?;
-            rows::append(out, &measured)?;
-            Ok(text(&measured))
-        }
-        Scale::Fit { rows, folder } => {
-            let rows = rows::read(rows)?;
-            let source = rows.first().map_or(Source::InProcess, |r| r.source);
-            let fits = fit::fits(&rows);
-            report::slopes(&folder.join("slopes.csv"), &fits, source)?;
-            report::charts(folder, &fits)?;
-            Ok(report::table(&fits, source))
+            keep(out, &propagation::measure(run, point, *hollow, burst)?)
         }
+        Scale::Fit { rows, folder } => fit(rows, folder),
         Scale::Beside { rows, real, hollow } => {
             let rows = rows::read(rows)?;
             let of = |run: &str| -> Vec<Row> { rows.iter().filter(|r| r.run == run).cloned().collect() };
-            Ok(report::beside(&of(real), &of(hollow)))
+            Ok(slope_report::compare_runs(&of(real), &of(hollow)))
         }
     }
 }
 
-fn text(rows: &[Row]) -> String {
-    let line = |r: &Row| format!("{}: {} {:.4} {}\n", r.run, r.what, r.value, r.unit);
-    rows.iter().map(line).collect()
+/// Writes the slopes and the charts of a sweep into the folder; the slopes as a table.
+fn fit(rows: &Path, folder: &Path) -> Result<String, ScaleError> {
+    let rows = rows::read(rows)?;
+    let source = rows.first().map_or(Source::InProcess, |r| r.source);
+    let fits = fit::fits(&rows);
+    slope_report::write_slopes(&folder.join("slopes.csv"), &fits, source)?;
+    slope_report::draw_charts(folder, &fits)?;
+    Ok(slope_report::table(&fits, source))
+}
+
+/// Appends measured rows to a file; a line for each.
+fn keep(out: &Path, rows: &[Row]) -> Result<String, ScaleError> {
+    rows::append(out, rows)?;
+    let line = |r: &Row| format!("{}: {} {:.4} {}\n", r.run, r.figure, r.value, r.unit);
+    Ok(rows.iter().map(line).collect())
 }
--- a/load/src/scale/counts.rs
+++ b/load/src/scale/counts.rs
@@ -1,17 +1,20 @@
-//! The counts of a stand-in counter. Where one front door stands for a fleet, what the others would have added is reckoned:
-//! what they spend of each tenant's quota, and their lifts of a count that lags behind what its store regained. So the
-//! front doors that are there make hardly any lifts; of those of a whole fleet each would have its part.
-use super::point::{burst, quota, Tenant};
+//! The counts of a stand-in counter. Where one front door stands for a fleet, what the others would have added is estimated:
+//! what they spend of each tenant's quota, and how they correct upwards a count that lags behind what its token bucket regained. So the
+//! front doors that are there make hardly any corrections; of those of a whole fleet each would make its part.
+use super::operating_point::{burst, quota, Tenant};
 use std::collections::HashMap;
 
 /// Seconds that one name of a count is in use, as the decisions have it (`WINDOW` in `src/decide.rs`).
 const WINDOW: f64 = 30.0;
-/// The part of the burst by which a count may lag behind what its store regained before somebody lifts it
+/// The part of the burst by which a count may lag behind what its token bucket regained before a front door corrects it
 /// (`SPILL` in `src/decide.rs`).
 const LAG: f64 = 1.0 / 8.0;
+/// Windows after which a count is forgotten.
+const EXPIRY_WINDOWS: f64 = 2.0;
 
 struct Level {
     units: f64,
+    /// When it was last asked for, Unix time in seconds.
     at: f64,
 }
 
@@ -19,63 +22,69 @@
 pub struct Counts {
     levels: HashMap<String, Level>,
     tenants: Vec<Tenant>,
-    /// The share of each tenant's requests that other front doors would get; none where they are not reckoned.
-    others: Option<f64>,
+    /// The fraction of each tenant's requests that absent front doors would get; none where they are not estimated.
+    absent: Option<f64>,
 }
 
 impl Counts {
-    /// Counts for these tenants, with the share of the requests that is reckoned for front doors that are not there.
-    pub fn new(tenants: Vec<Tenant>, others: Option<f64>) -> Counts {
-        Counts { levels: HashMap::new(), tenants, others }
+    /// Counts for these tenants, with the fraction of the requests that is estimated for front doors that are not there.
+    pub fn new(tenants: Vec<Tenant>, absent: Option<f64>) -> Counts {
+        Counts { levels: HashMap::new(), tenants, absent }
     }
 
-    /// Adds to a count (`tenant.series`, the tenant in hexadecimal) and says what it stands at. `now` is Unix time in
-    /// seconds.
+    /// Adds to a count (`tenant.series`, the tenant in hexadecimal); its new total. `now` is Unix time in seconds.
     pub fn add(&mut self, now: f64, name: &str, by: f64) -> f64 {
-        let reckoned = self.others.and_then(|share| self.reckon(name, share));
-        let began = reckoned.map_or(now, |r| r.began);
+        let estimate = self.absent.and_then(|fraction| self.estimate(name, fraction));
+        let began = estimate.map_or(now, |e| e.began);
         if !self.levels.contains_key(name) {
             self.levels.insert(name.to_owned(), Level { units: 0.0, at: began });
         }
         let Some(level) = self.levels.get_mut(name) else { return by };
-        if let Some(r) = reckoned {
-            level.units = r.level(now, level);
+        if let Some(estimate) = estimate {
+            level.units = estimate.units(now, level);
         }
         level.at = now;
         level.units += by;
         level.units
     }
 
-    /// Forgets counts whose window is past, as their life would end.
+    /// Forgets counts whose window is past, as their time to live would end.
     pub fn expire(&mut self, now: f64) {
-        self.levels.retain(|_, level| now - level.at < 2.0 * WINDOW);
+        self.levels.retain(|_, level| now - level.at < EXPIRY_WINDOWS * WINDOW);
     }
 
-    fn reckon(&self, name: &str, share: f64) -> Option<Reckoned> {
+    fn estimate(&self, name: &str, fraction: f64) -> Option<FleetEstimate> {
         let (tenant, series) = name.split_once('.')?;
         let tenant = self.tenants.get(usize::from_str_radix(tenant, 16).ok()?)?;
         let began = series.parse::<f64>().ok()? * WINDOW;
-        let (quota, burst) = (quota(tenant.plan), burst(tenant.plan));
-        Some(Reckoned { began, quota, burst, spends: tenant.offered * share })
+        Some(FleetEstimate {
+            began,
+            quota: quota(tenant.plan),
+            burst: burst(tenant.plan),
+            spends: tenant.offered * fraction,
+        })
     }
 }
 
-/// What is known of the tenant of a count.
+/// What the absent front doors do with a count.
 #[derive(Clone, Copy)]
-struct Reckoned {
+struct FleetEstimate {
+    /// Begin of the count's window, Unix time in seconds.
     began: f64,
+    /// Units a second of the tenant's plan.
     quota: f64,
+    /// Units at once of the tenant's plan.
     burst: f64,
-    /// Units a second at the other front doors.
+    /// Units a second at the absent front doors.
     spends: f64,
 }
 
-impl Reckoned {
-    /// Where the count stands now, with what the others spent and lifted since it was last asked about.
-    fn level(&self, now: f64, last: &Level) -> f64 {
+impl FleetEstimate {
+    /// Where the count stands now, with what the others spent and corrected since it was last asked for.
+    fn units(&self, now: f64, last: &Level) -> f64 {
         let regained = |at: f64| self.quota * (at - self.began).max(0.0);
         let lag = regained(now) - last.units - self.spends * (now - last.at);
-        // Whoever of them sees it lag so far lifts it to what was regained, again and again.
+        // Whichever of them sees it lag so far corrects it to what was regained, again and again.
         let lag = if lag > LAG * self.burst { lag % (LAG * self.burst) } else { lag };
         regained(now) - lag.max(-self.burst)
     }
--- /dev/null
+++ b/load/src/scale/embedded.rs
@@ -0,0 +1,282 @@
+//! An embedded front door, `hollow` on the command line and in the rows: the reducer, the decisions and the codecs of a real one, without
+//! sockets, threads or a process of its own. Whoever runs it moves the bytes and passes the time.
+use super::clock::thread_cpu_time;
+use super::error::ScaleError;
+use super::operating_point::OperatingPoint;
+use super::operator_file;
+use super::outcomes::OutcomeCounts;
+use quillramp::settings::{self, InstanceSettings};
+use quillramp_gateway::process::operator;
+use quillramp_gateway::state::event::{CloseReason, ConnectionId, Effect, Event, OperatorUpdate};
+use quillramp_gateway::state::framing::{MessageReader, MessageSink};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::wire::endpoints::EndpointList;
+use quillramp_gateway::wire::resp::ClientReply;
+use std::collections::HashMap;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::time::Duration;
+
+/// Client connections of one front door, as many as a real one has in these runs.
+const CLIENTS: u64 = 64;
+/// Descriptors it believes to have: enough for a connection to each backend.
+pub const DESCRIPTORS: usize = 8_192;
+/// Read buffers larger than this, in bytes, are released, as in a real one's connections.
+const RETAINED_BUFFER: usize = 16 * 1024;
+/// Sets the seeds of front doors apart.
+const FRONT_DOOR_SEED: u64 = 7919;
+
+/// What an embedded front door wants done with its connections.
+#[derive(Debug, PartialEq)]
+pub enum ConnectionCommand {
+    /// Open a connection to an address.
+    Connect(ConnectionId, SocketAddr),
+    /// Send bytes on a connection.
+    Send(ConnectionId, Vec<u8>),
+    /// Close a connection.
+    Close(ConnectionId),
+}
+
+/// Where the services are.
+#[derive(Clone, Copy, Debug)]
+pub struct Services {
+    /// The counter.
+    pub counter: SocketAddr,
+    /// The list service.
+    pub discovery: SocketAddr,
+}
+
+/// What an embedded front door has done until some time.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Reading {
+    /// What became of the requests.
+    pub outcomes: OutcomeCounts,
+    /// Processor time of the reducer, the decisions and the codecs.
+    pub processor: Duration,
+}
+
+impl Reading {
+    /// Adds another front door's, or an earlier process's, reading.
+    pub fn add(&mut self, other: &Reading) {
+        self.outcomes = self.outcomes.plus(&other.outcomes);
+        self.processor += other.processor;
+    }
+
+    /// What came since an earlier reading.
+    pub fn since(&self, earlier: &Reading) -> Reading {
+        Reading {
+            outcomes: self.outcomes.since(&earlier.outcomes),
+            processor: self.processor.saturating_sub(earlier.processor),
+        }
+    }
+}
+
+/// What a front door has to do after a step.
+pub struct Step {
+    /// When it is to be stepped next at the latest, Unix time in seconds; none where nothing is scheduled.
+    pub next_at: Option<f64>,
+    /// What is to be done now.
+    pub commands: Vec<ConnectionCommand>,
+}
+
+struct Stream {
+    reader: MessageReader,
+    input: Vec<u8>,
+    output: Vec<u8>,
+}
+
+impl Stream {
+    fn new(connection: ConnectionId) -> Stream {
+        Stream { reader: MessageReader::new(connection), input: vec![], output: vec![] }
+    }
+}
+
+/// Collects the events that a codec finds; no value here is long enough to pass through in pieces.
+struct EventCollector<'a>(&'a mut Vec<Event>);
+
+impl MessageSink for EventCollector<'_> {
+    fn event(&mut self, event: Event, _long: usize) {
+        self.0.push(event);
+    }
+    fn body_chunk(&mut self, _bytes: &[u8], _end: bool) {}
+}
+
+/// What the operator's file of a point declares; none where there is no such file.
+fn operator_update(
+    point: &OperatingPoint,
+    instance: &InstanceSettings,
+) -> Result<Option<OperatorUpdate>, ScaleError> {
+    let Some(text) = operator_file::render(point) else { return Ok(None) };
+    let platform = operator::platform(instance, DESCRIPTORS);
+    let read = quillramp_operator::read(&text, Some(&platform));
+    let read = read.map_err(|diagnostics| {
+        ScaleError::OperatorFile(operator::faults("operator's file", &diagnostics).join("; "))
+    })?;
+    Ok(Some(operator::operator_update(read, &platform)))
+}
+
+/// One front door without its sockets.
+pub struct EmbeddedFrontDoor {
+    reducer: Reducer,
+    streams: HashMap<ConnectionId, Stream>,
+    inbox: Vec<Event>,
+    /// The host that its HTTP requests name.
+    host: SocketAddr,
+    last_client: u64,
+    reading: Reading,
+}
+
+impl EmbeddedFrontDoor {
+    /// One that has just started with an empty list. `now` is Unix time in seconds, here and below.
+    pub fn new(
+        now: f64,
+        point: &OperatingPoint,
+        front_door: usize,
+        services: Services,
+    ) -> Result<EmbeddedFrontDoor, ScaleError> {
+        let seed = point.seed.wrapping_mul(FRONT_DOOR_SEED).wrapping_add(front_door as u64);
+        let loaded = settings::load(seed, point.settings(front_door).to_string().as_bytes())
+            .map_err(|e| ScaleError::Settings(e.to_string()))?;
+        let update = operator_update(point, &loaded.instance)?;
+        let config = ReducerConfig {
+            peers: vec![],
+            peer_broadcast: None,
+            counter: Some(services.counter),
+            discovery: services.discovery,
+            max_descriptors: DESCRIPTORS,
+            inherited_listener: false,
+            admin_enabled: false,
+            saves_changes: false,
+        };
+        let known = EndpointList { index: 0, snapshot: true, endpoints: vec![] };
+        let mut new = EmbeddedFrontDoor {
+            reducer: Reducer::new(now, loaded, config, &known),
+            streams: HashMap::new(),
+            inbox: vec![],
+            host: services.discovery,
+            last_client: 0,
+            reading: Reading::default(),
+        };
+        for client in 0..CLIENTS {
+            new.streams.insert(ConnectionId::Client(client), Stream::new(ConnectionId::Client(client)));
+            new.inbox.push(Event::ClientAccepted(client, IpAddr::V4(Ipv4Addr::LOCALHOST)));
+        }
+        if let Some(declares) = update {
+            new.reducer.declares(now, declares);
+        }
+        Ok(new)
+    }
+
+    /// What it has done until now.
+    pub fn reading(&self) -> &Reading {
+        &self.reading
+    }
+
+    /// A request comes on the next client's connection.
+    pub fn request(&mut self, bytes: &[u8]) {
+        self.last_client = (self.last_client + 1) % CLIENTS;
+        self.reading.outcomes.sent += 1;
+        self.received(ConnectionId::Client(self.last_client), bytes);
+    }
+
+    /// A connection that it opened is established.
+    pub fn connected(&mut self, connection: ConnectionId) {
+        if self.streams.contains_key(&connection) {
+            self.inbox.push(Event::Connected(connection));
+        }
+    }
+
+    /// Bytes came on a connection.
+    pub fn received(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        let start = thread_cpu_time();
+        let Some(stream) = self.streams.get_mut(&connection) else { return };
+        stream.input.extend_from_slice(bytes);
+        let decoded = stream.reader.decode(&stream.input, &mut EventCollector(&mut self.inbox));
+        match decoded {
+            Ok(used) => drop(stream.input.drain(..used)),
+            Err(reason) => self.ended(connection, reason),
+        }
+        if let Some(stream) = self.streams.get_mut(&connection) {
+            if stream.input.is_empty() && stream.input.capacity() > RETAINED_BUFFER {
+                stream.input = vec![];
+            }
+        }
+        self.reading.processor += thread_cpu_time().saturating_sub(start);
+    }
+
+    /// A connection ended that it did not close itself.
+    pub fn ended(&mut self, connection: ConnectionId, reason: CloseReason) {
+        if let Some(stream) = self.streams.remove(&connection) {
+            let unsent = !stream.output.is_empty();
+            self.inbox.push(Event::ConnectionEnded { connection, reason, unsent });
+        }
+    }
+
+    /// Processes what has come.
+    pub fn step(&mut self, now: f64) -> Step {
+        let start = thread_cpu_time();
+        let mut events = std::mem::take(&mut self.inbox);
+        self.reducer.handle_batch(now, &mut events);
+        self.inbox = events; // empty by now, its allocation is used again
+        let (next_at, effects) = self.reducer.poll(now);
+        let mut commands = vec![];
+        let mut written = vec![];
+        for effect in effects {
+            self.apply(effect, &mut commands, &mut written);
+        }
+        written.sort_unstable();
+        written.dedup();
+        for connection in written {
+            if let Some(stream) = self.streams.get_mut(&connection) {
+                commands.push(ConnectionCommand::Send(connection, std::mem::take(&mut stream.output)));
+            }
+        }
+        self.reading.processor += thread_cpu_time().saturating_sub(start);
+        Step { next_at, commands }
+    }
+
+    fn apply(
+        &mut self,
+        effect: Effect,
+        commands: &mut Vec<ConnectionCommand>,
+        written: &mut Vec<ConnectionId>,
+    ) {
+        let mut write = |connection: ConnectionId, encode: &dyn Fn(&mut Vec<u8>)| {
+            if let Some(stream) = self.streams.get_mut(&connection) {
+                encode(&mut stream.output);
+                written.push(connection);
+            }
+        };
+        match effect {
+            Effect::Reply(_, reply) => self.count(&reply),
+            // What has been written leaves with the batch, so nothing can be withdrawn later.
+            Effect::SendAttempt { connection, call, timeout_ms, .. } => {
+                write(ConnectionId::Backend(connection), &|out| call.encode(timeout_ms, out))
+            }
+            Effect::HttpRequest(connection, request) => {
+                write(connection, &|out| request.encode(self.host, out))
+            }
+            Effect::Connect(connection, address) => {
+                self.streams.insert(connection, Stream::new(connection));
+                commands.push(ConnectionCommand::Connect(connection, address));
+            }
+            Effect::Close(connection) => {
+                self.streams.remove(&connection);
+                commands.push(ConnectionCommand::Close(connection));
+            }
+            // Its clients stay, and there are no logs, no operator and no process.
+            _ => {}
+        }
+    }
+
+    fn count(&mut self, reply: &ClientReply) {
+        // Encoded and dropped: a real one encodes it too.
+        let mut out = vec![];
+        reply.encode(&mut out);
+        let outcomes = &mut self.reading.outcomes;
+        match reply {
+            ClientReply::Value(_) | ClientReply::Streamed => outcomes.served += 1,
+            ClientReply::Busy { .. } => outcomes.throttled += 1,
+            _ => outcomes.errored += 1,
+        }
+    }
+}
--- /dev/null
+++ b/load/src/scale/embedded_run.rs
@@ -0,0 +1,139 @@
+//! Embedded front doors in the steady state: what each of them costs at a point.
+use super::clock::{sleep_until, unix_now};
+use super::embedded::Reading;
+use super::error::ScaleError;
+use super::operating_point::OperatingPoint;
+use super::process::usage;
+use super::requests::Population;
+use super::rows::{Row, Rows, Source};
+use super::server_load::{LoadReadings, Role};
+use super::simulation::Simulation;
+use super::socket_group::{partition, Group};
+use super::span::Span;
+use super::stand_ins::{Backends, StandIns};
+use super::steady_state::{self, SpanUsage};
+use std::thread::scope;
+
+/// What embedded front doors are run on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
+pub enum Transport {
+    /// Stand-ins in this process, on a clock of their own.
+    InProcess,
+    /// A counter and a list service on loopback, in real time.
+    Sockets,
+}
+
+/// Something that was read at the begin and at the end of a span.
+#[derive(Clone, Copy, Default)]
+struct AtBounds<T> {
+    begin: T,
+    end: T,
+}
+
+/// When a span is counted, Unix time in seconds.
+type Bounds = AtBounds<f64>;
+
+/// Measures so many embedded front doors on sockets. Memory is what this process grew by, its stand-ins with it.
+pub fn on_sockets(
+    run: &str,
+    point: &OperatingPoint,
+    front_doors: usize,
+    span: &Span,
+) -> Result<Vec<Row>, ScaleError> {
+    let mut rows = Rows::new(run, Source::Socket, point);
+    let process = std::process::id();
+    let before = usage(process);
+    let stand_ins = StandIns::start(point, front_doors, Backends::Listed)?;
+    let population = Population::new(point)?;
+    let begin = unix_now() + span.warm_up;
+    let bounds = Bounds { begin, end: begin + span.seconds };
+    let mut loads: AtBounds<LoadReadings> = AtBounds::default();
+    let mut readings = vec![];
+    let resident = scope(|threads| -> Result<f64, ScaleError> {
+        let mut groups = vec![];
+        for members in partition(front_doors) {
+            let services = stand_ins.services();
+            let population = &population;
+            groups.push(threads.spawn(move || {
+                let group = Group::start(point, population, members, services)?;
+                Ok(read_group(group, bounds))
+            }));
+        }
+        sleep_until(bounds.begin);
+        loads.begin = stand_ins.loads.read();
+        sleep_until(bounds.end);
+        loads.end = stand_ins.loads.read();
+        let resident = usage(process).resident;
+        for group in groups {
+            readings.push(group.join().map_err(|_| ScaleError::GroupPanicked)??);
+        }
+        Ok(resident)
+    })?;
+    rows.add("hollow front doors", front_doors as f64, "1");
+    let span_usage = socket_usage(span, front_doors, loads, &readings);
+    steady_state::add_rows(&mut rows, &span_usage);
+    rows.add("memory", (resident - before.resident) / front_doors as f64, "MiB");
+    Ok(rows.all)
+}
+
+/// Runs a group over the span.
+fn read_group(mut group: Group, bounds: Bounds) -> AtBounds<Reading> {
+    group.run(bounds.begin);
+    let begin = group.read();
+    group.run(bounds.end);
+    AtBounds { begin, end: group.read() }
+}
+
+fn socket_usage(
+    span: &Span,
+    front_doors: usize,
+    loads: AtBounds<LoadReadings>,
+    readings: &[AtBounds<Reading>],
+) -> SpanUsage {
+    let mut usage = SpanUsage {
+        seconds: span.seconds,
+        front_doors,
+        outcomes: Default::default(),
+        loads: loads.end.since(&loads.begin),
+        processor: 0.0,
+    };
+    for reading in readings {
+        let counted = reading.end.since(&reading.begin);
+        usage.outcomes = usage.outcomes.plus(&counted.outcomes);
+        usage.processor += counted.processor.as_secs_f64();
+    }
+    usage
+}
+
+/// Measures so many embedded front doors, with their stand-ins in this process. Memory is what this process grew by.
+pub fn in_process(
+    run: &str,
+    point: &OperatingPoint,
+    front_doors: usize,
+    span: &Span,
+) -> Result<Vec<Row>, ScaleError> {
+    let mut rows = Rows::new(run, Source::InProcess, point);
+    let process = std::process::id();
+    let mut simulation = Simulation::new(point, front_doors)?;
+    let before = usage(process); // tenants and their distribution, which all front doors share, are there by now
+    simulation.run(span.warm_up)?;
+    let warm_up = simulation.loads.read();
+    let list_bytes = warm_up.of(Role::Discovery).sent;
+    rows.add("hollow front doors", front_doors as f64, "1");
+    rows.add("list sent until counted", list_bytes as f64 / front_doors as f64, "bytes");
+    simulation.begin_changes(point.changes);
+    let loads = simulation.loads.read();
+    let reading = simulation.read();
+    simulation.run(span.seconds)?;
+    let counted = simulation.read().since(&reading);
+    let span_usage = SpanUsage {
+        seconds: span.seconds,
+        front_doors,
+        outcomes: counted.outcomes,
+        loads: simulation.loads.read().since(&loads),
+        processor: counted.processor.as_secs_f64(),
+    };
+    steady_state::add_rows(&mut rows, &span_usage);
+    rows.add("memory", (usage(process).resident - before.resident) / front_doors as f64, "MiB");
+    Ok(rows.all)
+}
--- a/load/src/scale/fit.rs
+++ b/load/src/scale/fit.rs
@@ -5,13 +5,15 @@
 /// A line through the points of one figure over one factor, and how far they lie off it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// By one more of the factor.
+    /// Growth of the figure with the factor.
     pub slope: f64,
+    /// The figure where the factor is 0.
     pub intercept: f64,
     /// Root of the mean square of the points' distances from the line.
     pub residual: f64,
     /// The same as a part of the mean of the points.
     pub relative_residual: f64,
+    /// Points that the line is fitted through.
     pub points: usize,
 }
 
@@ -28,9 +30,9 @@
         Some(Line { slope, intercept, residual, relative_residual, points: points.len() })
     }
 
-    /// What the line says at that value of the factor.
-    pub fn at(&self, x: f64) -> f64 {
-        self.intercept + self.slope * x
+    /// The figure at that value of the factor, by the line.
+    pub fn at(&self, factor: f64) -> f64 {
+        self.intercept + self.slope * factor
     }
 }
 
@@ -113,10 +115,15 @@
 /// A fitted line with what it is of.
 #[derive(Clone, Debug)]
 pub struct Fit {
+    /// What was varied.
     pub factor: Factor,
-    pub what: String,
+    /// The name of the figure.
+    pub figure: String,
+    /// The unit of the figure.
     pub unit: String,
+    /// The factor and the figure of each measurement.
     pub points: Vec<(f64, f64)>,
+    /// The line through the points.
     pub line: Line,
 }
 
@@ -127,11 +134,11 @@
         let run = factor.run();
         let mut points: BTreeMap<(&str, &str), Vec<(f64, f64)>> = BTreeMap::new();
         for row in rows.iter().filter(|r| r.run == run) {
-            points.entry((&row.what, &row.unit)).or_default().push((factor.of(row), row.value));
+            points.entry((&row.figure, &row.unit)).or_default().push((factor.of(row), row.value));
         }
-        for ((what, unit), points) in points {
+        for ((figure, unit), points) in points {
             if let Some(line) = Line::through(&points) {
-                all.push(Fit { factor, what: what.into(), unit: unit.into(), points, line });
+                all.push(Fit { factor, figure: figure.into(), unit: unit.into(), points, line });
             }
         }
     }
--- a/load/src/scale/mod.rs
+++ b/load/src/scale/mod.rs
@@ -1,27 +1,37 @@
 //! Scale runs: what one front door of a large fleet costs, measured at sizes that no single machine can run whole.
 //!
-//! A *real* front door is the program itself, beside the stand-ins of this module on loopback. Every figure is a row
-//! with the command that gave it; `rows` has the format.
-pub mod agenda;
+//! * `real` measures the program itself, beside the stand-ins of `stand_ins` on loopback.
+//! * `embedded` is a front door without sockets and a process of its own; the command line and the rows call it `hollow`.
+//!   `simulation` runs some of them on a simulated clock, `socket_group` with real sockets; `embedded_run` measures both.
+//! * `propagation` measures how long a change of the endpoint list takes to be in force.
+//! * `sweep` measures over one factor after another, `fit` puts lines through the figures, `slope_report` prints and draws them.
+//!
+//! Every figure is a row with the command that gave it; `rows` has the format.
+mod clients;
+mod clock;
 pub mod command;
 pub mod counts;
-pub mod cpu;
-pub mod discovery;
+mod embedded;
+pub mod embedded_run;
+mod endpoint_rotation;
+pub mod error;
+mod event_queue;
 pub mod fit;
-pub mod hollow;
-pub mod hollow_run;
-pub mod in_process;
-pub mod on_sockets;
-pub mod operator_file;
-pub mod point;
-pub mod process;
+pub mod operating_point;
+mod operator_file;
+mod outcomes;
+mod process;
+pub mod propagation;
 pub mod real;
-pub mod report;
+mod requests;
 pub mod rows;
-pub mod servers;
-pub mod spreading;
-pub mod stand_ins;
-pub mod steady;
+mod server_load;
+mod server_protocol;
+mod simulation;
+mod slope_report;
+mod socket_group;
+pub mod span;
+mod stand_ins;
+mod steady_state;
+mod stream_io;
 pub mod sweep;
-pub mod tally;
-pub mod traffic;
--- a/load/src/scale/point.rs
+++ b/load/src/scale/operating_point.rs
@@ -1,4 +1,5 @@
-//! One point of a scale run: the sizes of the fleet, its traffic and how that is spread over the tenants.
+//! The operating point of a scale run: the sizes of the fleet, its traffic and how that is spread over the tenants.
+use super::error::ScaleError;
 use quillramp_emulator::play::settings;
 use quillramp_emulator::script::World;
 use rand::distributions::WeightedIndex;
@@ -23,9 +24,9 @@
     }
 }
 
-/// The sizes of one measurement.
+/// The sizes and the traffic of one measurement.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Point {
+pub struct OperatingPoint {
     /// Seed of traffic and decisions.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
@@ -72,14 +73,14 @@
 
 /// Quotas there are: the smallest in units a second, each next one twice the one before; 7 is one of them.
 const SMALLEST_QUOTA: f64 = 7.0 / 16.0;
-/// How many: the largest is above the share that Zipf's first of 900 tenants has of 97,000 requests.
+/// How many: the largest is above the rate that Zipf's first of 900 tenants has of 97,000 requests.
 const PLANS: usize = 16;
 /// Seconds of its quota that a tenant may have at once, as the emulator's plans have it.
 const BURST_SECONDS: f64 = 2.0;
 /// Units that any tenant may have at once: a request of one unit fits.
 const LEAST_BURST: f64 = 2.0;
-/// The slowest that a backend of these runs answers, seconds.
-pub const SERVICE: f64 = 0.005;
+/// How long a backend of these runs takes to answer, seconds.
+pub const BACKEND_SECONDS: f64 = 0.005;
 
 /// Units a second of a plan.
 pub fn quota(plan: usize) -> f64 {
@@ -96,8 +97,8 @@
     format!("plan{plan}")
 }
 
-impl Point {
-    /// The arguments that say the same again.
+impl OperatingPoint {
+    /// The command-line arguments for the same point.
     pub fn arguments(&self) -> Vec<String> {
         let numbers = [
             ("--seed", self.seed.to_string()),
@@ -111,13 +112,13 @@
             ("--spread", self.spread.name().to_owned()),
         ];
         let mut words: Vec<String> =
-            numbers.into_iter().flat_map(|(name, is)| [name.to_owned(), is]).collect();
+            numbers.into_iter().flat_map(|(name, value)| [name.to_owned(), value]).collect();
         words.extend(self.without_counter.then(|| "--without-counter".to_owned()));
         words.extend(self.alone.then(|| "--alone".to_owned()));
         words
     }
 
-    /// The share of all requests that each tenant makes, not normed.
+    /// The weight of each tenant among all requests, not normalized.
     fn weights(&self) -> Vec<f64> {
         let weight = |rank: usize| match self.spread {
             Spread::Uniform => 1.0,
@@ -126,12 +127,19 @@
         (1..=self.tenants).map(weight).collect()
     }
 
-    /// Draws tenants by their shares; an error where there are none.
-    pub fn draw(&self) -> Result<WeightedIndex<f64>, String> {
-        WeightedIndex::new(self.weights()).map_err(|e| format!("tenants: {e}"))
+    /// The distribution that tenants are drawn by; an error where there are none.
+    pub fn distribution(&self) -> Result<WeightedIndex<f64>, ScaleError> {
+        WeightedIndex::new(self.weights()).map_err(ScaleError::Tenants)
     }
 
-    /// Each tenant with the smallest quota that holds what the fleet gets for it.
+    /// The fraction of the fleet that is absent where so many front doors are there, for the counter to estimate; none where nothing is
+    /// to be estimated.
+    pub fn absent_fraction(&self, front_doors: usize) -> Option<f64> {
+        let absent = 1.0 - front_doors as f64 / self.front_doors as f64;
+        (absent > 0.0 && !self.alone).then_some(absent)
+    }
+
+    /// Each tenant, with the smallest quota that covers the requests that the fleet gets for it.
     pub fn tenants(&self) -> Vec<Tenant> {
         let weights = self.weights();
         let all: f64 = weights.iter().sum();
@@ -143,18 +151,18 @@
         weights.into_iter().map(tenant).collect()
     }
 
-    /// What the configuration of a front door says of the platform.
-    pub fn settings(&self, slot: usize) -> Value {
+    /// The settings in the configuration of the front door of that number.
+    pub fn settings(&self, front_door: usize) -> Value {
         let world =
             World { doors: self.front_doors, backends: self.backends, peers: false, ..World::default() };
-        let mut told = settings(&world, None);
-        told["slot_no"] = json!(slot);
-        told["extra"]["counter"] = json!(!self.without_counter);
+        let mut settings = settings(&world, None);
+        settings["slot_no"] = json!(front_door);
+        settings["extra"]["counter"] = json!(!self.without_counter);
         let plan = |p: usize| {
             json!({"name": plan_name(p), "per_second": quota(p), "depth": burst(p), "parallel": 0,
                    "ceiling_rate": 0.0, "ceiling_slack": 0.0, "hard_burst": 0.0})
         };
-        told["tariffs"] = (0..PLANS).map(plan).collect();
-        told
+        settings["tariffs"] = (0..PLANS).map(plan).collect();
+        settings
     }
 }
--- a/load/src/scale/operator_file.rs
+++ b/load/src/scale/operator_file.rs
@@ -1,12 +1,12 @@
-//! An operator's file with so many routes, each for a few tenants of its own.
-use super::point::Point;
+//! An operator's file with as many routes as the point has, each for a few tenants of its own.
+use super::operating_point::OperatingPoint;
 use std::fmt::Write;
 
 /// Tenants that a route names at the most; the rest has none.
 const TENANTS_OF_A_ROUTE: usize = 14;
 
 /// The text of the file; none where the point has no routes.
-pub fn text(point: &Point) -> Option<String> {
+pub fn render(point: &OperatingPoint) -> Option<String> {
     if point.routes == 0 {
         return None;
     }
--- /dev/null
+++ b/load/src/scale/outcomes.rs
@@ -0,0 +1,63 @@
+//! What became of the requests.
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// Counters of what became of the requests.
+#[derive(Default)]
+pub struct OutcomeCounters {
+    /// Requests that were sent.
+    pub sent: AtomicU64,
+    /// Requests that were answered with a value.
+    pub served: AtomicU64,
+    /// Requests that were rejected.
+    pub throttled: AtomicU64,
+    /// Requests that were answered with an error.
+    pub errored: AtomicU64,
+}
+
+/// The values of `OutcomeCounters` at one time.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct OutcomeCounts {
+    /// Requests that were sent.
+    pub sent: u64,
+    /// Requests that were answered with a value.
+    pub served: u64,
+    /// Requests that were rejected.
+    pub throttled: u64,
+    /// Requests that were answered with an error.
+    pub errored: u64,
+}
+
+impl OutcomeCounters {
+    /// The values now.
+    pub fn read(&self) -> OutcomeCounts {
+        let now = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        OutcomeCounts {
+            sent: now(&self.sent),
+            served: now(&self.served),
+            throttled: now(&self.throttled),
+            errored: now(&self.errored),
+        }
+    }
+}
+
+impl OutcomeCounts {
+    /// Both together.
+    pub fn plus(&self, other: &OutcomeCounts) -> OutcomeCounts {
+        OutcomeCounts {
+            sent: self.sent + other.sent,
+            served: self.served + other.served,
+            throttled: self.throttled + other.throttled,
+            errored: self.errored + other.errored,
+        }
+    }
+
+    /// What came since an earlier reading.
+    pub fn since(&self, earlier: &OutcomeCounts) -> OutcomeCounts {
+        OutcomeCounts {
+            sent: self.sent - earlier.sent,
+            served: self.served - earlier.served,
+            throttled: self.throttled - earlier.throttled,
+            errored: self.errored - earlier.errored,
+        }
+    }
+}
--- a/load/src/scale/spreading.rs
+++ b/load/src/scale/propagation.rs
@@ -1,16 +1,16 @@
-//! How long a change of the list takes to be in force on every front door: a burst of changes while some front doors
-//! restart. Hollow front doors on sockets, one list service.
-use super::hollow::Parts;
-use super::on_sockets::{unix_now, Group, InForce, Restart};
-use super::point::Point;
+//! How long a change of the endpoint list takes to be in force on every front door: a burst of changes while some front doors
+//! restart. Embedded front doors on sockets, one list service.
+use super::clock::{sleep_until, unix_now};
+use super::error::ScaleError;
+use super::operating_point::OperatingPoint;
 use super::process::usage;
+use super::requests::Population;
 use super::rows::{Row, Rows, Source};
+use super::socket_group::{partition, Group, InForce, Restart};
 use super::stand_ins::{Backends, StandIns};
-use super::traffic::Population;
-use std::thread::{scope, sleep};
-use std::time::Duration;
+use std::thread::scope;
 
-/// The burst.
+/// The burst of changes.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Burst {
     /// Changes, evenly over the span.
@@ -28,8 +28,7 @@
 }
 
 /// Seconds after the span in which changes may still come into force; the longest watch is shorter.
-const AFTER: f64 = 7.0;
-const THREADS: usize = 6;
+const DRAIN_SECONDS: f64 = 7.0;
 
 /// Front doors that restart, evenly over the span.
 fn restarts(front_doors: usize, burst: &Burst, begin: f64) -> Vec<Restart> {
@@ -42,11 +41,12 @@
     which.into_iter().enumerate().map(|(n, front_door)| Restart { at: at(n), front_door }).collect()
 }
 
-/// Seconds from write to in force, sorted, of the front doors that `counts` takes.
-fn delays(written: &[f64], in_force: &[InForce], counts: impl Fn(usize) -> bool) -> Vec<f64> {
+/// Seconds from write to in force, sorted, of the front doors that `is_counted` accepts.
+fn delays(written: &[f64], in_force: &[InForce], is_counted: impl Fn(usize) -> bool) -> Vec<f64> {
     // Version 1 is the list that all start with.
     let delay = |seen: &InForce| Some(seen.at - written.get((seen.version as usize).checked_sub(2)?)?);
-    let mut all: Vec<f64> = in_force.iter().filter(|s| counts(s.front_door)).filter_map(delay).collect();
+    let counted = in_force.iter().filter(|seen| is_counted(seen.front_door));
+    let mut all: Vec<f64> = counted.filter_map(delay).collect();
     all.sort_by(f64::total_cmp);
     all
 }
@@ -56,52 +56,69 @@
     sorted.get((quantile * last as f64).ceil() as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// Measures the burst with so many hollow front doors.
-pub fn measure(run: &str, point: &Point, front_doors: usize, burst: &Burst) -> Result<Vec<Row>, String> {
+/// Measures the burst with so many embedded front doors.
+pub fn measure(
+    run: &str,
+    point: &OperatingPoint,
+    front_doors: usize,
+    burst: &Burst,
+) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::Socket, point);
     let stand_ins = StandIns::start(point, front_doors, Backends::Listed)?;
     let population = Population::new(point)?;
-    let parts = Parts { counter: stand_ins.counter, list: stand_ins.list };
     let begin = unix_now() + burst.warm_up;
-    let end = begin + burst.over + AFTER;
+    let end = begin + burst.over + DRAIN_SECONDS;
     let restarts = restarts(front_doors, burst, begin);
-    let threads = THREADS.min(front_doors);
-    let in_force = scope(|all| -> Result<Vec<InForce>, String> {
+    let in_force = scope(|threads| -> Result<Vec<InForce>, ScaleError> {
         let mut groups = vec![];
-        for n in 0..threads {
-            let own = n * front_doors / threads..(n + 1) * front_doors / threads;
-            let (population, restarts) = (&population, &restarts);
-            groups.push(all.spawn(move || -> Result<Vec<InForce>, String> {
-                let mut group = Group::start(point, population, own, parts)?;
-                group.restart(restarts);
+        for members in partition(front_doors) {
+            let services = stand_ins.services();
+            let population = &population;
+            let restarts = &restarts;
+            groups.push(threads.spawn(move || -> Result<Vec<InForce>, ScaleError> {
+                let mut group = Group::start(point, population, members, services)?;
+                group.schedule_restarts(restarts);
                 group.run(end);
                 Ok(group.in_force)
             }));
         }
-        for n in 0..burst.burst {
-            let at = begin + burst.over * n as f64 / burst.burst as f64;
-            sleep(Duration::from_secs_f64((at - unix_now()).max(0.0)));
-            stand_ins.change();
-        }
+        write_changes(&stand_ins, burst, begin);
         let mut seen = vec![];
         for group in groups {
-            seen.extend(group.join().map_err(|_| "a group of front doors has panicked")??);
+            seen.extend(group.join().map_err(|_| ScaleError::GroupPanicked)??);
         }
         Ok(seen)
     })?;
-    let written = stand_ins.written();
+    add_rows(&mut rows, front_doors, &stand_ins.written(), &in_force, &restarts);
+    Ok(rows.all)
+}
+
+/// Changes the list, evenly over the span.
+fn write_changes(stand_ins: &StandIns, burst: &Burst, begin: f64) {
+    for n in 0..burst.burst {
+        sleep_until(begin + burst.over * n as f64 / burst.burst as f64);
+        stand_ins.change();
+    }
+}
+
+fn add_rows(
+    rows: &mut Rows,
+    front_doors: usize,
+    written: &[f64],
+    in_force: &[InForce],
+    restarts: &[Restart],
+) {
     let restarted = |front_door: usize| restarts.iter().any(|r| r.front_door == front_door);
     let expected = written.len() * front_doors;
     rows.add("hollow front doors", front_doors as f64, "1");
     rows.add("changes written", written.len() as f64, "1");
     rows.add("front doors restarted", restarts.len() as f64, "1");
-    let all = delays(&written, &in_force, |_| true);
+    let all = delays(written, in_force, |_| true);
     rows.add("changes not in force at the end", (expected - all.len()) as f64, "of front door and change");
-    for (who, delays) in [("all", all), ("not restarted", delays(&written, &in_force, |f| !restarted(f)))] {
+    for (who, delays) in [("all", all), ("not restarted", delays(written, in_force, |f| !restarted(f)))] {
         rows.add(&format!("write to in force, {who}: median"), quantile(&delays, 0.5), "s");
         rows.add(&format!("write to in force, {who}: p99"), quantile(&delays, 0.99), "s");
         rows.add(&format!("write to in force, {who}: most"), quantile(&delays, 1.0), "s");
     }
     rows.add("memory of the process", usage(std::process::id()).resident, "MiB");
-    Ok(rows.all)
 }
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -1,11 +1,15 @@
-//! One real front door at a point: the program as it is built, among the stand-ins, asked at its share of the fleet's rate.
+//! One real front door at a point: the program as it is built, among the stand-ins, at its fraction of the fleet's rate.
+use super::clients::Clients;
+use super::error::ScaleError;
+use super::operating_point::OperatingPoint;
 use super::operator_file;
-use super::point::Point;
 use super::process::{own_loopback, usage, Usage};
+use super::requests::{Population, RequestSource};
 use super::rows::{Row, Rows, Source};
+use super::server_load::Role;
+use super::span::Span;
 use super::stand_ins::{Backends, StandIns};
-use super::steady::{self, Spent};
-use super::traffic::{Arrivals, Clients, Population};
+use super::steady_state::{self, SpanUsage};
 use crate::sync::lock;
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,79 +18,71 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a measurement takes.
-#[derive(Clone, Debug, clap::Args)]
-pub struct Span {
-    /// Seconds of traffic before anything is counted: the pace of counter calls is learnt in them.
-    #[arg(long, default_value_t = 10.0)]
-    pub warm_up: f64,
-    /// Seconds that are counted.
-    #[arg(long, default_value_t = 15.0)]
-    pub seconds: f64,
-}
-
-impl Span {
-    /// The arguments that say the same again.
-    pub fn arguments(&self) -> [String; 4] {
-        ["--warm-up".to_owned(), self.warm_up.to_string(), "--seconds".to_owned(), self.seconds.to_string()]
-    }
-}
-
 /// Descriptors of the front door: enough for a connection to each backend.
 const DESCRIPTORS: usize = 8_192;
+/// Memory that the front door believes to have, MB.
 const MEMORY_MB: usize = 256;
-/// The longest that a front door may take to accept.
-const START: Duration = Duration::from_secs(20);
-const LOOK: Duration = Duration::from_millis(1);
+/// The longest that a front door may take to accept connections.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// How often a starting front door is dialled.
+const START_POLL: Duration = Duration::from_millis(1);
+/// Time for the front door to take in the endpoint list.
+const SETTLE: Duration = Duration::from_secs(1);
 
-struct FrontDoor {
+struct FrontDoorProcess {
     process: Child,
-    file: PathBuf,
+    configuration: PathBuf,
 }
 
-impl Drop for FrontDoor {
+impl Drop for FrontDoorProcess {
     fn drop(&mut self) {
         let _ = self.process.kill(); // it may have ended
         let _ = self.process.wait();
-        let _ = std::fs::remove_file(&self.file);
-        let _ = std::fs::remove_file(self.file.with_extension("toml")); // it may not be there
+        let _ = std::fs::remove_file(&self.configuration);
+        let _ = std::fs::remove_file(self.configuration.with_extension("toml"));
+        // it may not be there
     }
 }
 
-impl FrontDoor {
-    /// Starts the program with an empty list, so that all of the list crosses its connection; waits until it accepts.
+impl FrontDoorProcess {
+    /// Starts the program with an empty list, so that all of the list crosses its connection; waits until it accepts connections.
     fn start(
         program: &Path,
-        point: &Point,
+        point: &OperatingPoint,
         stand_ins: &StandIns,
-        at: SocketAddr,
-    ) -> Result<FrontDoor, String> {
-        let file = std::env::temp_dir().join(format!("quillramp-scale-{}.json", std::process::id()));
-        let text = json!({"name": "n0", "listen": at, "discovery": stand_ins.list, "counter": stand_ins.counter,
-            "seed": format!("{:016x}", point.seed),
+        address: SocketAddr,
+    ) -> Result<FrontDoorProcess, ScaleError> {
+        let path = std::env::temp_dir().join(format!("quillramp-scale-{}.json", std::process::id()));
+        let text = json!({"name": "n0", "listen": address, "discovery": stand_ins.discovery,
+            "counter": stand_ins.counter, "seed": format!("{:016x}", point.seed),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS},
             "known": {"index": 0, "snapshot": true, "endpoints": []}, "settings": point.settings(0)});
-        std::fs::write(&file, text.to_string()).map_err(|e| format!("{}: {e}", file.display()))?;
-        let operator = operator_file::text(point).map(|text| (file.with_extension("toml"), text));
+        std::fs::write(&path, text.to_string()).map_err(ScaleError::file(&path))?;
         let mut command = Command::new(program);
-        if let Some((operator, text)) = &operator {
-            std::fs::write(operator, text).map_err(|e| format!("{}: {e}", operator.display()))?;
+        if let Some(text) = operator_file::render(point) {
+            let operator = path.with_extension("toml");
+            std::fs::write(&operator, text).map_err(ScaleError::file(&operator))?;
             command.env("EDGE_OPERATOR", operator);
         }
-        command.env("EDGE_CONFIG", &file).stdout(Stdio::null()).stderr(Stdio::null());
-        let process = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
-        let mut front_door = FrontDoor { process, file };
-        let until = Instant::now() + START;
-        while TcpStream::connect(at).is_err() {
-            if let Ok(Some(status)) = front_door.process.try_wait() {
-                return Err(format!("{} ended at its start: {status}", program.display()));
+        command.env("EDGE_CONFIG", &path).stdout(Stdio::null()).stderr(Stdio::null());
+        let process = command.spawn().map_err(ScaleError::file(program))?;
+        let mut front_door = FrontDoorProcess { process, configuration: path };
+        front_door.wait_until_accepting(program, address)?;
+        Ok(front_door)
+    }
+
+    fn wait_until_accepting(&mut self, program: &Path, address: SocketAddr) -> Result<(), ScaleError> {
+        let until = Instant::now() + START_TIMEOUT;
+        while TcpStream::connect(address).is_err() {
+            if let Ok(Some(status)) = self.process.try_wait() {
+                return Err(ScaleError::EndedAtStart { program: program.to_owned(), status });
             }
             if Instant::now() > until {
-                return Err(format!("{} does not accept at {at}", program.display()));
+                return Err(ScaleError::NotAccepting { program: program.to_owned(), address });
             }
-            sleep(LOOK);
+            sleep(START_POLL);
         }
-        Ok(front_door)
+        Ok(())
     }
 
     fn usage(&self) -> Usage {
@@ -95,51 +91,82 @@
 }
 
 /// A port of this process's own address. Nobody else chooses there, so it is still free when the front door takes it.
-fn free_port() -> Result<SocketAddr, String> {
-    let listener = TcpListener::bind((own_loopback(), 0)).map_err(|e| format!("a port: {e}"))?;
-    listener.local_addr().map_err(|e| format!("a port: {e}"))
+fn free_port() -> Result<SocketAddr, ScaleError> {
+    let listener = TcpListener::bind((own_loopback(), 0)).map_err(ScaleError::Port)?;
+    listener.local_addr().map_err(ScaleError::Port)
 }
 
 /// Measures one front door of the program at a point.
-pub fn measure(program: &Path, run: &str, point: &Point, span: &Span) -> Result<Vec<Row>, String> {
+pub fn measure(
+    program: &Path,
+    run: &str,
+    point: &OperatingPoint,
+    span: &Span,
+) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::Real, point);
     let stand_ins = StandIns::start(point, 1, Backends::Served)?;
-    let at = free_port()?;
-    let front_door = FrontDoor::start(program, point, &stand_ins, at)?;
-    sleep(Duration::from_secs(1));
-    let [_, list, _] = stand_ins.tallies.read();
-    rows.add("whole list", stand_ins.list_bytes as f64, "bytes");
-    rows.add("list sent at start", list.sent as f64, "bytes");
-    rows.add("processor to the list in force", front_door.usage().processor(), "s");
-    rows.add("memory after start", front_door.usage().resident, "MiB");
+    let address = free_port()?;
+    let front_door = FrontDoorProcess::start(program, point, &stand_ins, address)?;
+    sleep(SETTLE);
+    add_start_rows(&mut rows, &stand_ins, &front_door);
     let population = Population::new(point)?;
-    let asks = point.requests > 0.0;
-    let clients = asks.then(|| Clients::start(at, Arrivals::new(point, &population, 0)?)).transpose()?;
+    let clients = if point.requests > 0.0 {
+        Some(Clients::start(address, RequestSource::new(point, &population, 0)?)?)
+    } else {
+        None
+    };
     sleep(Duration::from_secs_f64(span.warm_up));
     if let Some(clients) = &clients {
-        lock(&clients.took).reset();
+        lock(&clients.latencies).reset();
+    }
+    add_steady_rows(&mut rows, &stand_ins, &front_door, clients.as_ref(), span);
+    if let Some(clients) = &clients {
+        add_latency_rows(&mut rows, clients);
     }
-    let (tallies, used, from) = (stand_ins.tallies.read(), front_door.usage(), Instant::now());
-    let answered = clients.as_ref().map(|c| c.answers.read()).unwrap_or_default();
+    Ok(rows.all)
+}
+
+/// What the start cost.
+fn add_start_rows(rows: &mut Rows, stand_ins: &StandIns, front_door: &FrontDoorProcess) {
+    let list_bytes = stand_ins.loads.read().of(Role::Discovery).sent;
+    rows.add("whole list", stand_ins.list_bytes as f64, "bytes");
+    rows.add("list sent at start", list_bytes as f64, "bytes");
+    rows.add("processor to the list in force", front_door.usage().processor(), "s");
+    rows.add("memory after start", front_door.usage().resident, "MiB");
+}
+
+/// Counts over the span.
+fn add_steady_rows(
+    rows: &mut Rows,
+    stand_ins: &StandIns,
+    front_door: &FrontDoorProcess,
+    clients: Option<&Clients>,
+    span: &Span,
+) {
+    let outcomes = || clients.map(|c| c.outcomes.read()).unwrap_or_default();
+    let loads = stand_ins.loads.read();
+    let used_before = front_door.usage();
+    let start = Instant::now();
+    let outcomes_before = outcomes();
     sleep(Duration::from_secs_f64(span.seconds));
-    let (seconds, used_now) = (from.elapsed().as_secs_f64(), front_door.usage());
-    let answered = clients.as_ref().map(|c| c.answers.read()).unwrap_or_default().since(&answered);
-    let spent = Spent {
+    let seconds = start.elapsed().as_secs_f64();
+    let used = front_door.usage();
+    let usage = SpanUsage {
         seconds,
         front_doors: 1,
-        answered,
-        counted: steady::since(&stand_ins.tallies.read(), &tallies),
-        processor: used_now.processor() - used.processor(),
+        outcomes: outcomes().since(&outcomes_before),
+        loads: stand_ins.loads.read().since(&loads),
+        processor: used.processor() - used_before.processor(),
     };
-    steady::add(&mut rows, &spent);
-    rows.add("processor, kernel", (used_now.system - used.system) / seconds, "cores");
-    rows.add("memory", used_now.resident, "MiB");
-    if let Some(clients) = &clients {
-        let took = lock(&clients.took);
-        for quantile in [0.5, 0.99] {
-            let what = format!("answered within, quantile {quantile}");
-            rows.add(&what, took.value_at_quantile(quantile) as f64 / 1e3, "ms");
-        }
+    steady_state::add_rows(rows, &usage);
+    rows.add("processor, kernel", (used.system - used_before.system) / seconds, "cores");
+    rows.add("memory", used.resident, "MiB");
+}
+
+fn add_latency_rows(rows: &mut Rows, clients: &Clients) {
+    let latencies = lock(&clients.latencies);
+    for quantile in [0.5, 0.99] {
+        let figure = format!("answered within, quantile {quantile}");
+        rows.add(&figure, latencies.value_at_quantile(quantile) as f64 / 1e3, "ms");
     }
-    Ok(rows.all)
 }
--- a/load/src/scale/rows.rs
+++ b/load/src/scale/rows.rs
@@ -1,17 +1,18 @@
 //! Rows of a scale run: one figure each, with the point it belongs to, where it came from and the command.
-use super::point::Point;
+use super::error::ScaleError;
+use super::operating_point::OperatingPoint;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// How a figure was had.
+/// How a figure was measured.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
     /// The real program, on sockets.
     Real,
-    /// Hollow front doors, on sockets.
+    /// Embedded front doors, on sockets.
     Socket,
-    /// Hollow front doors, stand-ins in the same process.
+    /// Embedded front doors, stand-ins in the same process.
     InProcess,
     /// The emulator's clock.
     VirtualClock,
@@ -34,18 +35,32 @@
 pub struct Row {
     /// Name of the run.
     pub run: String,
+    /// How the figure was measured.
     pub source: Source,
+    /// Front doors of the fleet.
     pub front_doors: usize,
+    /// Backends on the list.
     pub backends: usize,
+    /// Tenants of the fleet.
     pub tenants: usize,
+    /// Routes in the operator's file.
     pub routes: usize,
+    /// Requests a second at one front door.
     pub requests: f64,
+    /// Changes of the endpoint list a second.
     pub changes: f64,
+    /// How requests are spread over tenants.
     pub spread: String,
+    /// Whether the front door has a counter.
     pub counter: bool,
-    pub what: String,
+    /// The name of the figure.
+    #[serde(rename = "what")]
+    pub figure: String,
+    /// Its value.
     pub value: f64,
+    /// Its unit.
     pub unit: String,
+    /// The command that gave it.
     pub command: String,
 }
 
@@ -53,17 +68,19 @@
 pub struct Rows {
     run: String,
     source: Source,
-    point: Point,
+    point: OperatingPoint,
+    /// The rows until now.
     pub all: Vec<Row>,
 }
 
 impl Rows {
-    pub fn new(run: &str, source: Source, point: &Point) -> Rows {
+    /// No figures yet, of the run of that name.
+    pub fn new(run: &str, source: Source, point: &OperatingPoint) -> Rows {
         Rows { run: run.to_owned(), source, point: point.clone(), all: vec![] }
     }
 
     /// Adds a figure.
-    pub fn add(&mut self, what: &str, value: f64, unit: &str) {
+    pub fn add(&mut self, figure: &str, value: f64, unit: &str) {
         let point = &self.point;
         self.all.push(Row {
             run: self.run.clone(),
@@ -76,7 +93,7 @@
             changes: point.changes,
             spread: point.spread.name().to_owned(),
             counter: !point.without_counter,
-            what: what.to_owned(),
+            figure: figure.to_owned(),
             value,
             unit: unit.to_owned(),
             command: command(),
@@ -86,26 +103,24 @@
 
 /// The command line of this process, its program without the folder.
 fn command() -> String {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    format!("quillramp-load {}", words.join(" "))
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    format!("quillramp-load {}", arguments.join(" "))
 }
 
-/// Appends to a file of rows, which is made with its head if need be.
-pub fn append(path: &Path, rows: &[Row]) -> Result<(), String> {
-    let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-    let fresh = !path.exists();
+/// Appends to a file of rows, which is made with its header if need be.
+pub fn append(path: &Path, rows: &[Row]) -> Result<(), ScaleError> {
+    let is_new = !path.exists();
     let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
-    let file = file.map_err(|e| failed(&e))?;
-    let mut writer = csv::WriterBuilder::new().has_headers(fresh).from_writer(file);
+    let file = file.map_err(ScaleError::file(path))?;
+    let mut writer = csv::WriterBuilder::new().has_headers(is_new).from_writer(file);
     for row in rows {
-        writer.serialize(row).map_err(|e| failed(&e))?;
+        writer.serialize(row).map_err(ScaleError::table(path))?;
     }
-    writer.flush().map_err(|e| failed(&e))
+    writer.flush().map_err(ScaleError::file(path))
 }
 
 /// Reads a file of rows.
-pub fn read(path: &Path) -> Result<Vec<Row>, String> {
-    let failed = |e: csv::Error| format!("{}: {e}", path.display());
-    let mut reader = csv::Reader::from_path(path).map_err(failed)?;
-    reader.deserialize().collect::<Result<Vec<Row>, csv::Error>>().map_err(failed)
+pub fn read(path: &Path) -> Result<Vec<Row>, ScaleError> {
+    let mut reader = csv::Reader::from_path(path).map_err(ScaleError::table(path))?;
+    reader.deserialize().collect::<Result<Vec<Row>, csv::Error>>().map_err(ScaleError::table(path))
 }
--- /dev/null
+++ b/load/src/scale/simulation/mod.rs
@@ -0,0 +1,154 @@
+//! Embedded front doors and their stand-ins in one process, on a simulated clock: nothing waits, so a run takes as long as its decisions
+//! do, and its figures do not depend on what else the machine has to do.
+mod front_doors;
+mod servers;
+
+use super::counts::Counts;
+use super::embedded::{EmbeddedFrontDoor, Reading};
+use super::endpoint_rotation::EndpointRotation;
+use super::error::ScaleError;
+use super::event_queue::EventQueue;
+use super::operating_point::OperatingPoint;
+use super::requests::{Population, RequestSource};
+use super::server_load::ServerLoads;
+use quillramp_gateway::state::event::ConnectionId;
+use servers::PendingWatch;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// When a run begins on its clock: Unix time at the edge of a count's window, so that windows are seen alike.
+const BEGIN: f64 = 1_700_000_010.0;
+/// Front doors start one after another within this, seconds.
+const START_SPREAD: f64 = 1.0;
+/// The port of the first backend; ports below it are the other servers'.
+const FIRST_BACKEND_PORT: u16 = 1_024;
+
+/// Something that happens at a time.
+enum SimulationEvent {
+    /// A front door processes what has come.
+    Step(usize),
+    /// A client of a front door sends a request.
+    Request(usize),
+    /// A connection of a front door is established.
+    Connected(Port),
+    /// Bytes come to a front door.
+    Receive(Port, Arc<[u8]>),
+    /// Bytes come to a server.
+    Serve(Port, Vec<u8>),
+    /// A watch of the list has waited for as long as it was to.
+    WatchTimeout(Port),
+    /// The list changes.
+    ChangeList,
+    /// A front door starts.
+    Start(usize),
+}
+
+/// A connection of a front door.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Port {
+    front_door: usize,
+    connection: ConnectionId,
+}
+
+/// A front door of the fleet.
+struct Slot {
+    /// None until it starts.
+    front_door: Option<EmbeddedFrontDoor>,
+    requests: RequestSource,
+    /// When it is stepped next.
+    step_at: f64,
+}
+
+/// Some front doors of a fleet, or all of them, on a simulated clock.
+pub struct Simulation {
+    point: OperatingPoint,
+    events: EventQueue<SimulationEvent>,
+    slots: Vec<Slot>,
+    counts: Counts,
+    endpoints: EndpointRotation,
+    watches: Vec<PendingWatch>,
+    /// Answers of the list service until the next change, by the version that the caller had.
+    list_answers: HashMap<u64, Arc<[u8]>>,
+    /// What crossed the connections of the servers.
+    pub loads: ServerLoads,
+}
+
+/// An address that nobody dials: servers are told apart by what a connection is for.
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+impl Simulation {
+    /// So many front doors of the point's fleet; the counter estimates what the rest of it would add.
+    pub fn new(point: &OperatingPoint, front_doors: usize) -> Result<Simulation, ScaleError> {
+        let population = Population::new(point)?;
+        let mut slots = vec![];
+        for front_door in 0..front_doors {
+            let requests = RequestSource::new(point, &population, front_door)?;
+            slots.push(Slot { front_door: None, requests, step_at: f64::INFINITY });
+        }
+        let backend = |index: usize| address(FIRST_BACKEND_PORT + index as u16);
+        let backends: Vec<SocketAddr> = (0..point.backends).map(backend).collect();
+        let mut new = Simulation {
+            point: point.clone(),
+            events: EventQueue::new(BEGIN),
+            slots,
+            counts: Counts::new(point.tenants(), point.absent_fraction(front_doors)),
+            endpoints: EndpointRotation::new(&backends),
+            watches: vec![],
+            list_answers: HashMap::new(),
+            loads: ServerLoads::default(),
+        };
+        for slot in 0..front_doors {
+            let at = BEGIN + START_SPREAD * slot as f64 / front_doors as f64;
+            new.events.push(at, SimulationEvent::Start(slot));
+        }
+        Ok(new)
+    }
+
+    /// Lets the list change so many times a second from now on.
+    pub fn begin_changes(&mut self, per_second: f64) {
+        self.point.changes = per_second;
+        self.schedule_change();
+    }
+
+    /// Runs for so many seconds of its own clock.
+    pub fn run(&mut self, seconds: f64) -> Result<(), ScaleError> {
+        let until = self.events.now + seconds;
+        while let Some(event) = self.events.pop_due(until) {
+            self.handle(event)?;
+        }
+        self.events.now = until;
+        Ok(())
+    }
+
+    /// What all front doors have done until now.
+    pub fn read(&self) -> Reading {
+        let mut all = Reading::default();
+        for front_door in self.slots.iter().filter_map(|slot| slot.front_door.as_ref()) {
+            all.add(front_door.reading());
+        }
+        all
+    }
+
+    fn handle(&mut self, event: SimulationEvent) -> Result<(), ScaleError> {
+        match event {
+            SimulationEvent::Start(slot) => self.start(slot)?,
+            SimulationEvent::Step(slot) => self.step(slot),
+            SimulationEvent::Request(slot) => self.request(slot),
+            SimulationEvent::Connected(port) => {
+                self.with_front_door(port, |front_door| front_door.connected(port.connection))
+            }
+            SimulationEvent::Receive(port, bytes) => {
+                self.with_front_door(port, |front_door| front_door.received(port.connection, &bytes))
+            }
+            SimulationEvent::Serve(port, bytes) => self.serve(port, &bytes).map_err(|error| {
+                ScaleError::Protocol { connection: format!("{:?}", port.connection), reason: error.0 }
+            })?,
+            SimulationEvent::WatchTimeout(port) => self.end_watch(port),
+            SimulationEvent::ChangeList => self.change_list(),
+        }
+        Ok(())
+    }
+}
--- a/load/src/scale/report.rs
+++ b/load/src/scale/slope_report.rs
@@ -1,11 +1,17 @@
-//! Slopes as a table and as charts.
+//! Slopes as a table, a file and charts.
+use super::error::ScaleError;
 use super::fit::{Fit, FACTORS};
 use super::rows::{Row, Source};
 use plotters::prelude::*;
 use std::fmt::Write;
 use std::path::Path;
 
-const SIZE: (u32, u32) = (640, 360);
+/// Width and height of a chart, pixels.
+const WIDTH: u32 = 640;
+const HEIGHT: u32 = 360;
+/// The least length of an axis, and room beyond the farthest point as a factor.
+const LEAST_AXIS: f64 = 1e-9;
+const HEADROOM: f64 = 1.1;
 /// The figures that have a chart.
 const CHARTED: [&str; 7] = [
     "counter: calls a request",
@@ -29,7 +35,7 @@
             text,
             "| {} | {} | {:.4e} {} | {} | {:.4} | {} to {} | {} | {:.1}% | {} |",
             fit.factor.name(),
-            fit.what,
+            fit.figure,
             fit.line.slope,
             fit.unit,
             fit.factor.unit(),
@@ -45,9 +51,9 @@
 }
 
 /// Slopes as rows of a file.
-pub fn slopes(path: &Path, fits: &[Fit], source: Source) -> Result<(), String> {
-    let failed = |e: csv::Error| format!("{}: {e}", path.display());
-    let mut writer = csv::Writer::from_path(path).map_err(failed)?;
+pub fn write_slopes(path: &Path, fits: &[Fit], source: Source) -> Result<(), ScaleError> {
+    let failed = ScaleError::table(path);
+    let mut writer = csv::Writer::from_path(path).map_err(&failed)?;
     let head = [
         "factor",
         "figure",
@@ -59,63 +65,69 @@
         "points",
         "source",
     ];
-    writer.write_record(head).map_err(failed)?;
+    writer.write_record(head).map_err(&failed)?;
     for fit in fits {
         let line = &fit.line;
         let numbers =
             [line.slope, line.intercept, line.residual, line.relative_residual].map(|n| n.to_string());
-        let mut record = vec![fit.factor.name().to_owned(), fit.what.clone(), fit.unit.clone()];
+        let mut record = vec![fit.factor.name().to_owned(), fit.figure.clone(), fit.unit.clone()];
         record.extend(numbers);
         record.extend([line.points.to_string(), source.name().to_owned()]);
-        writer.write_record(record).map_err(failed)?;
+        writer.write_record(record).map_err(&failed)?;
     }
-    writer.flush().map_err(|e| format!("{}: {e}", path.display()))
+    writer.flush().map_err(ScaleError::file(path))
 }
 
 /// A chart for each factor and charted figure: the points and the line through them.
-pub fn charts(folder: &Path, fits: &[Fit]) -> Result<(), String> {
+pub fn draw_charts(folder: &Path, fits: &[Fit]) -> Result<(), ScaleError> {
     for factor in FACTORS {
-        for fit in fits.iter().filter(|f| f.factor == factor && CHARTED.contains(&f.what.as_str())) {
-            let name =
-                format!("{}-{}.svg", fit.factor.name(), fit.what).replace([' ', ':'], "-").replace("--", "-");
-            chart(&folder.join(&name), fit).map_err(|e| format!("{name}: {e}"))?;
+        for fit in fits.iter().filter(|f| f.factor == factor && CHARTED.contains(&f.figure.as_str())) {
+            let name = format!("{}-{}.svg", fit.factor.name(), fit.figure)
+                .replace([' ', ':'], "-")
+                .replace("--", "-");
+            let drawn = draw_chart(&folder.join(&name), fit);
+            drawn.map_err(|source| ScaleError::Chart { name, source })?;
         }
     }
     Ok(())
 }
 
-fn chart(path: &Path, fit: &Fit) -> Result<(), Box<dyn std::error::Error>> {
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+fn draw_chart(path: &Path, fit: &Fit) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
+    let area = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = |of: &dyn Fn(&(f64, f64)) -> f64| fit.points.iter().map(of).fold(1e-9, f64::max) * 1.1;
-    let (x_most, y_most) = (most(&|p| p.0), most(&|p| p.1));
+    let max =
+        |of: &dyn Fn(&(f64, f64)) -> f64| fit.points.iter().map(of).fold(LEAST_AXIS, f64::max) * HEADROOM;
+    let x_max = max(&|point| point.0);
+    let y_max = max(&|point| point.1);
     let title =
-        format!("{} over {}: {:.3e} a {}", fit.what, fit.factor.name(), fit.line.slope, fit.factor.unit());
+        format!("{} over {}: {:.3e} a {}", fit.figure, fit.factor.name(), fit.line.slope, fit.factor.unit());
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 15))
         .margin(8)
         .x_label_area_size(36)
         .y_label_area_size(64)
-        .build_cartesian_2d(0.0..x_most, 0.0..y_most)?;
+        .build_cartesian_2d(0.0..x_max, 0.0..y_max)?;
     chart.configure_mesh().x_desc(fit.factor.name()).y_desc(&fit.unit).draw()?;
-    let ends = [0.0, x_most].map(|x| (x, fit.line.at(x)));
+    let ends = [0.0, x_max].map(|x| (x, fit.line.at(x)));
     chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))?;
     chart.draw_series(fit.points.iter().map(|point| Circle::new(*point, 4, RED.filled())))?;
     area.present()?;
     Ok(())
 }
 
-/// Rows of one run beside those of another at the same point, and by how much they differ.
-pub fn beside(real: &[Row], hollow: &[Row]) -> String {
+/// Rows of a run of the program beside those of embedded front doors at the same point, and their ratios.
+pub fn compare_runs(real: &[Row], embedded: &[Row]) -> String {
     let mut text =
         String::from("| figure | unit | real | hollow | hollow / real |\n| --- | --- | --- | --- | --- |\n");
     for row in real {
-        let Some(other) = hollow.iter().find(|h| h.what == row.what && h.unit == row.unit) else { continue };
+        let Some(other) = embedded.iter().find(|h| h.figure == row.figure && h.unit == row.unit) else {
+            continue;
+        };
         let ratio = if row.value == 0.0 { "-".to_owned() } else { format!("{:.2}", other.value / row.value) };
         let _ = writeln!(
             text,
             "| {} | {} | {:.4} | {:.4} | {ratio} |",
-            row.what, row.unit, row.value, other.value
+            row.figure, row.unit, row.value, other.value
         );
     }
     text
--- /dev/null
+++ b/load/src/scale/socket_group/sockets.rs
@@ -0,0 +1,149 @@
+//! The sockets of a group of embedded front doors.
+use crate::scale::error::ScaleError;
+use crate::scale::stream_io::{read_available, write_pending};
+use mio::net::TcpStream;
+use mio::{Events, Interest, Poll, Token};
+use quillramp_gateway::state::event::{CloseReason, ConnectionId};
+use std::collections::HashMap;
+use std::io::{ErrorKind, Result};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Buffer of one read, bytes.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+
+/// The front door and the connection that a socket belongs to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Owner {
+    pub slot: usize,
+    pub connection: ConnectionId,
+}
+
+struct Socket {
+    owner: Owner,
+    stream: TcpStream,
+    /// What is not written yet.
+    output: Vec<u8>,
+    established: bool,
+}
+
+/// How far a connection has come.
+pub(super) enum Progress {
+    /// It was established before.
+    Established,
+    /// It is established by now.
+    Connected,
+    /// It is not established yet.
+    Pending,
+    /// It cannot be established.
+    Failed,
+}
+
+/// The sockets of a group, by their tokens and by their owners.
+pub(super) struct Sockets {
+    poll: Poll,
+    sockets: HashMap<Token, Socket>,
+    tokens: HashMap<Owner, Token>,
+    next_token: usize,
+    read_buffer: Vec<u8>,
+}
+
+impl Sockets {
+    pub fn new() -> std::result::Result<Sockets, ScaleError> {
+        Ok(Sockets {
+            poll: Poll::new().map_err(ScaleError::Poll)?,
+            sockets: HashMap::new(),
+            tokens: HashMap::new(),
+            next_token: 0,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+        })
+    }
+
+    pub fn poll(&mut self, events: &mut Events, timeout: Duration) -> Result<()> {
+        self.poll.poll(events, Some(timeout))
+    }
+
+    pub fn connect(&mut self, slot: usize, connection: ConnectionId, address: SocketAddr) -> Result<()> {
+        let mut stream = TcpStream::connect(address)?;
+        stream.set_nodelay(true)?;
+        let token = Token(self.next_token);
+        self.next_token += 1;
+        self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
+        let owner = Owner { slot, connection };
+        self.sockets.insert(token, Socket { owner, stream, output: vec![], established: false });
+        self.tokens.insert(owner, token);
+        Ok(())
+    }
+
+    /// The owner of a socket that is open.
+    pub fn owner(&self, token: Token) -> Option<Owner> {
+        self.sockets.get(&token).map(|socket| socket.owner)
+    }
+
+    /// Looks whether a connection is established.
+    pub fn finish_connect(&mut self, token: Token) -> Progress {
+        let Some(socket) = self.sockets.get_mut(&token) else { return Progress::Failed };
+        if socket.established {
+            return Progress::Established;
+        }
+        match (socket.stream.take_error(), socket.stream.peer_addr()) {
+            (Ok(None), Ok(_)) => {
+                socket.established = true;
+                Progress::Connected
+            }
+            (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => Progress::Pending,
+            _ => Progress::Failed,
+        }
+    }
+
+    /// Reads all that has come and writes what is pending; why the connection is over, if it is.
+    pub fn exchange(&mut self, token: Token, received: impl FnMut(&[u8])) -> Option<CloseReason> {
+        let socket = self.sockets.get_mut(&token)?;
+        let read = read_available(&mut socket.stream, &mut self.read_buffer, received);
+        match read.and_then(|()| self.flush(token)) {
+            Ok(()) => None,
+            Err(e) if e.kind() == ErrorKind::UnexpectedEof => Some(CloseReason::Closed),
+            Err(_) => Some(CloseReason::Reset),
+        }
+    }
+
+    /// Sends bytes, now or once the connection is established. The error is the token of a connection that is over.
+    pub fn send(
+        &mut self,
+        slot: usize,
+        connection: ConnectionId,
+        bytes: &[u8],
+    ) -> std::result::Result<(), Token> {
+        let Some(token) = self.tokens.get(&Owner { slot, connection }).copied() else { return Ok(()) };
+        if let Some(socket) = self.sockets.get_mut(&token) {
+            socket.output.extend_from_slice(bytes);
+        }
+        self.flush(token).map_err(|_| token)
+    }
+
+    fn flush(&mut self, token: Token) -> Result<()> {
+        let Some(socket) = self.sockets.get_mut(&token).filter(|s| s.established) else { return Ok(()) };
+        write_pending(&mut socket.stream, &mut socket.output).map(drop)
+    }
+
+    /// Closes a connection of a front door, if it is open.
+    pub fn close(&mut self, slot: usize, connection: ConnectionId) {
+        if let Some(token) = self.tokens.get(&Owner { slot, connection }).copied() {
+            self.remove(token);
+        }
+    }
+
+    /// Closes all connections of a front door.
+    pub fn close_all(&mut self, slot: usize) {
+        let own: Vec<Owner> = self.tokens.keys().filter(|owner| owner.slot == slot).copied().collect();
+        own.into_iter().for_each(|owner| self.close(owner.slot, owner.connection));
+    }
+
+    /// Ends a socket; its owner, if it was open.
+    pub fn remove(&mut self, token: Token) -> Option<Owner> {
+        let mut socket = self.sockets.remove(&token)?;
+        let _ = self.poll.registry().deregister(&mut socket.stream); // it ends now in any case
+        self.tokens.remove(&socket.owner);
+        Some(socket.owner)
+    }
+}
--- /dev/null
+++ b/load/src/scale/stand_ins/connection.rs
@@ -0,0 +1,44 @@
+//! The connections of the stand-ins.
+use crate::scale::server_load::{Role, ServerLoads};
+use crate::scale::stream_io::{read_available, write_pending};
+use mio::net::TcpStream;
+use std::io::Result;
+
+/// A connection of a front door to a stand-in.
+pub(super) struct Connection {
+    /// The server that it leads to.
+    pub role: Role,
+    /// The socket.
+    pub stream: TcpStream,
+    /// What is not served yet.
+    pub input: Vec<u8>,
+    output: Vec<u8>,
+}
+
+impl Connection {
+    pub fn new(role: Role, stream: TcpStream) -> Connection {
+        Connection { role, stream, input: vec![], output: vec![] }
+    }
+
+    /// Reads all that has come; an error where the connection is over.
+    pub fn read(&mut self, buffer: &mut [u8], loads: &ServerLoads) -> Result<()> {
+        let load = loads.of(self.role);
+        let input = &mut self.input;
+        read_available(&mut self.stream, buffer, |bytes| {
+            load.count_received(bytes.len());
+            input.extend_from_slice(bytes);
+        })
+    }
+
+    /// Adds an answer to what is to be written.
+    pub fn respond(&mut self, answer: &[u8]) {
+        self.output.extend_from_slice(answer);
+    }
+
+    /// Writes what is pending, as far as the socket takes it.
+    pub fn flush(&mut self, loads: &ServerLoads) -> Result<()> {
+        let written = write_pending(&mut self.stream, &mut self.output)?;
+        loads.of(self.role).count_sent(written);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/load/src/scale/stream_io.rs
@@ -0,0 +1,35 @@
+//! Reads and writes of non-blocking streams.
+use mio::net::TcpStream;
+use std::io::{ErrorKind, Read, Result, Write};
+
+/// Reads all that has come, and hands it on in pieces; `UnexpectedEof` where the other side closed the connection.
+pub fn read_available(
+    stream: &mut TcpStream,
+    buffer: &mut [u8],
+    mut received: impl FnMut(&[u8]),
+) -> Result<()> {
+    loop {
+        match stream.read(buffer) {
+            Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
+            Ok(length) => received(&buffer[..length]),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
+            Err(e) if e.kind() == ErrorKind::Interrupted => {}
+            Err(e) => return Err(e),
+        }
+    }
+}
+
+/// Writes what is pending, as far as the socket takes it; how many bytes that were.
+pub fn write_pending(stream: &mut TcpStream, pending: &mut Vec<u8>) -> Result<usize> {
+    let mut done = 0;
+    while done < pending.len() {
+        match stream.write(&pending[done..]) {
+            Ok(length) => done += length,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => break,
+            Err(e) if e.kind() == ErrorKind::Interrupted => {}
+            Err(e) => return Err(e),
+        }
+    }
+    pending.drain(..done);
+    Ok(done)
+}
--- a/load/src/scale/sweep.rs
+++ b/load/src/scale/sweep.rs
@@ -1,17 +1,20 @@
-//! Runs hollow front doors over the factors, one factor at a time. Each point has a process of its own, so that memory
-//! is told apart; so many of them run at once.
+//! Runs embedded front doors over the factors, one factor at a time. Each point has a process of its own, so that its memory
+//! is told apart; a few of them run at once.
+use super::error::ScaleError;
 use super::fit::{Factor, FACTORS};
-use super::point::Point;
+use super::operating_point::OperatingPoint;
 use super::process::usage;
-use super::real::Span;
+use super::rows;
+use super::span::Span;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 /// Memory that all points together may take, MiB: half of the machine's.
-const MOST_MEMORY: f64 = 12.0 * 1024.0;
-const LOOK: Duration = Duration::from_millis(100);
+const MAX_MEMORY: f64 = 12.0 * 1024.0;
+/// How often the running points are looked at.
+const POLL: Duration = Duration::from_millis(100);
 
 /// What a sweep is bounded by.
 #[derive(Clone, Debug, clap::Args)]
@@ -24,91 +27,159 @@
     pub longest: f64,
 }
 
-/// The arguments of `scale hollow` for one size of a factor.
-fn arguments(base: &Point, factor: Factor, size: f64, span: &Span, hollow: usize, out: &Path) -> Vec<String> {
-    let mut point = base.clone();
-    let whole = size as usize;
-    match factor {
-        // Each front door gets what it got, so the fleet's traffic and the quotas grow with it.
-        Factor::FrontDoors => {
-            point.fleet_requests = base.fleet_requests * size / base.front_doors as f64;
-            point.front_doors = whole;
+/// What a sweep measures.
+pub struct Plan<'a> {
+    /// The point that each factor is varied at.
+    pub base: &'a OperatingPoint,
+    /// What is varied; all factors, where none is named.
+    pub factors: &'a [Factor],
+    /// How long each point is measured.
+    pub span: &'a Span,
+    /// Embedded front doors at each point.
+    pub front_doors: usize,
+    /// What the sweep is bounded by.
+    pub bounds: &'a Bounds,
+}
+
+impl Plan<'_> {
+    /// The arguments of `scale hollow` for one size of a factor.
+    fn arguments(&self, factor: Factor, size: f64, out: &Path) -> Vec<String> {
+        let named = |name: &str, value: String| [name.to_owned(), value];
+        let mut words = vec!["scale".to_owned(), "hollow".to_owned()];
+        words.extend(named("--run", factor.run()));
+        words.extend(named("--hollow", self.front_doors.to_string()));
+        words.extend(named("--out", out.display().to_string()));
+        words.extend(self.span.arguments());
+        words.extend(self.point(factor, size).arguments());
+        words
+    }
+
+    /// The base with one size of a factor.
+    fn point(&self, factor: Factor, size: f64) -> OperatingPoint {
+        let mut point = self.base.clone();
+        let count = size as usize;
+        match factor {
+            // Each front door gets what it got, so the fleet's traffic and the quotas grow with it.
+            Factor::FrontDoors => {
+                point.fleet_requests = self.base.fleet_requests * size / self.base.front_doors as f64;
+                point.front_doors = count;
+            }
+            Factor::Backends => point.backends = count,
+            Factor::Tenants => point.tenants = count,
+            Factor::Routes => point.routes = count,
+            Factor::Changes => point.changes = size,
+            Factor::Requests => point.requests = size,
         }
-        Factor::Backends => point.backends = whole,
-        Factor::Tenants => point.tenants = whole,
-        Factor::Routes => point.routes = whole,
-        Factor::Changes => point.changes = size,
-        Factor::Requests => point.requests = size,
+        point
+    }
+}
+
+/// A measurement that was not begun.
+struct Waiting {
+    factor: Factor,
+    size: f64,
+}
+
+impl Waiting {
+    fn name(&self) -> String {
+        format!("{} {}", self.factor.name(), self.size)
     }
-    let out = out.display().to_string();
-    let (run, hollow) = (factor.run(), hollow.to_string());
-    let mut words = vec!["scale".to_owned(), "hollow".to_owned()];
-    words.extend(["--run".to_owned(), run, "--hollow".to_owned(), hollow, "--out".to_owned(), out]);
-    words.extend(span.arguments());
-    words.extend(point.arguments());
-    words
 }
 
+/// A measurement that runs.
 struct Running {
     process: Child,
     name: String,
     rows: PathBuf,
 }
 
-/// Plays all sizes of these factors (all, where none is named); each point's rows are put at the end of `out`. Says which points did not come to
-/// their end, and why.
-pub fn sweep(
-    base: &Point,
-    factors: &[Factor],
-    (span, hollow, bounds): (&Span, usize, &Bounds),
-    out: &Path,
-) -> Result<Vec<String>, String> {
-    let factors = if factors.is_empty() { &FACTORS } else { factors };
-    let program = std::env::current_exe().map_err(|e| format!("this program: {e}"))?;
-    let mut waiting: Vec<(Factor, f64)> =
-        factors.iter().flat_map(|f| f.sizes().map(|size| (*f, size))).rev().collect();
-    let (mut running, mut missing): (Vec<Running>, Vec<String>) = (vec![], vec![]);
-    let until = Instant::now() + Duration::from_secs_f64(bounds.longest);
-    while !(waiting.is_empty() && running.is_empty()) {
-        while running.len() < bounds.at_once.max(1) {
-            let Some((factor, size)) = waiting.pop() else { break };
-            let rows = out.with_extension(format!("{}-{size}.part", factor.name().replace(' ', "-")));
-            let mut command = Command::new(&program);
-            command.args(arguments(base, factor, size, span, hollow, &rows)).stdout(Stdio::null());
-            let process = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
-            running.push(Running { process, name: format!("{} {size}", factor.name()), rows });
+struct Sweep<'a> {
+    plan: &'a Plan<'a>,
+    out: &'a Path,
+    program: PathBuf,
+    until: Instant,
+    /// The next one is the last.
+    waiting: Vec<Waiting>,
+    running: Vec<Running>,
+    missing: Vec<String>,
+}
+
+/// Measures all sizes of the factors; each point's rows are appended to `out`. Returns which points did not complete, and why.
+pub fn sweep(plan: &Plan, out: &Path) -> Result<Vec<String>, ScaleError> {
+    let factors = if plan.factors.is_empty() { &FACTORS } else { plan.factors };
+    let points = factors.iter().flat_map(|f| f.sizes().map(|size| Waiting { factor: *f, size }));
+    let mut sweep = Sweep {
+        plan,
+        out,
+        program: std::env::current_exe().map_err(ScaleError::CurrentProgram)?,
+        waiting: points.rev().collect(),
+        running: vec![],
+        missing: vec![],
+        until: Instant::now() + Duration::from_secs_f64(plan.bounds.longest),
+    };
+    while !(sweep.waiting.is_empty() && sweep.running.is_empty()) {
+        sweep.launch()?;
+        sleep(POLL);
+        if let Some(reason) = sweep.exceeded() {
+            sweep.stop(&reason);
         }
-        sleep(LOOK);
-        let memory: f64 = running.iter().map(|r| usage(r.process.id()).resident).sum();
-        let stop = if memory > MOST_MEMORY {
-            Some(format!("{memory:.0} MiB in all"))
-        } else {
-            (Instant::now() > until).then(|| format!("not done in {} s", bounds.longest))
-        };
-        if let Some(why) = stop {
-            missing
-                .extend(waiting.drain(..).map(|(f, size)| format!("{} {size}: not begun, {why}", f.name())));
-            for r in &mut running {
-                let _ = r.process.kill(); // it may have ended
-                missing.push(format!("{}: stopped, {why}", r.name));
-            }
+        sweep.collect()?;
+    }
+    Ok(sweep.missing)
+}
+
+impl Sweep<'_> {
+    /// Starts as many points as may run at once.
+    fn launch(&mut self) -> Result<(), ScaleError> {
+        while self.running.len() < self.plan.bounds.at_once.max(1) {
+            let Some(next) = self.waiting.pop() else { break };
+            let Waiting { factor, size } = next;
+            let rows = self.out.with_extension(format!("{}-{size}.part", factor.name().replace(' ', "-")));
+            let mut command = Command::new(&self.program);
+            command.args(self.plan.arguments(factor, size, &rows)).stdout(Stdio::null());
+            let process = command.spawn().map_err(ScaleError::file(&self.program))?;
+            self.running.push(Running { process, name: next.name(), rows });
         }
-        let mut still = vec![];
-        for mut r in running.drain(..) {
-            match r.process.try_wait().map_err(|e| format!("{}: {e}", r.name))? {
-                None => still.push(r),
-                Some(status) if status.success() => gather(&r.rows, out)?,
-                Some(status) => missing.push(format!("{}: {status}", r.name)),
+        Ok(())
+    }
+
+    /// Which bound is exceeded, if one is.
+    fn exceeded(&self) -> Option<String> {
+        let memory: f64 = self.running.iter().map(|r| usage(r.process.id()).resident).sum();
+        if memory > MAX_MEMORY {
+            return Some(format!("{memory:.0} MiB in all"));
+        }
+        (Instant::now() > self.until).then(|| format!("not done in {} s", self.plan.bounds.longest))
+    }
+
+    fn stop(&mut self, reason: &str) {
+        for waiting in self.waiting.drain(..) {
+            self.missing.push(format!("{}: not begun, {reason}", waiting.name()));
+        }
+        for running in &mut self.running {
+            let _ = running.process.kill(); // it may have ended
+            self.missing.push(format!("{}: stopped, {reason}", running.name));
+        }
+    }
+
+    /// Takes the rows of the points that have ended.
+    fn collect(&mut self) -> Result<(), ScaleError> {
+        for mut point in std::mem::take(&mut self.running) {
+            let status = point.process.try_wait();
+            let status = status.map_err(|source| ScaleError::Wait { name: point.name.clone(), source })?;
+            match status {
+                None => self.running.push(point),
+                Some(status) if status.success() => self.append(&point.rows)?,
+                Some(status) => self.missing.push(format!("{}: {status}", point.name)),
             }
         }
-        running = still;
+        Ok(())
     }
-    Ok(missing)
-}
 
-/// Puts the rows of one point at the end of all.
-fn gather(part: &Path, out: &Path) -> Result<(), String> {
-    let rows = super::rows::read(part)?;
-    super::rows::append(out, &rows)?;
-    std::fs::remove_file(part).map_err(|e| format!("{}: {e}", part.display()))
+    /// Appends the rows of one point to those of the sweep.
+    fn append(&self, part: &Path) -> Result<(), ScaleError> {
+        let measured = rows::read(part)?;
+        rows::append(self.out, &measured)?;
+        std::fs::remove_file(part).map_err(ScaleError::file(part))
+    }
 }
--- a/load/tests/scale.rs
+++ b/load/tests/scale.rs
@@ -1,14 +1,14 @@
-//! Scale runs, small: hollow front doors with their stand-ins in process and on sockets, slopes, a burst of changes.
+//! Scale runs, small: embedded front doors with their stand-ins in process and on sockets, slopes, a burst of changes.
 use quillramp_load::scale::counts::Counts;
+use quillramp_load::scale::embedded_run;
 use quillramp_load::scale::fit::{fits, Factor, Line};
-use quillramp_load::scale::hollow_run;
-use quillramp_load::scale::point::{burst, quota, Point, Spread, Tenant};
-use quillramp_load::scale::real::Span;
+use quillramp_load::scale::operating_point::{burst, quota, OperatingPoint, Spread, Tenant};
+use quillramp_load::scale::propagation::{self, Burst};
 use quillramp_load::scale::rows::{self, Row};
-use quillramp_load::scale::spreading::{self, Burst};
+use quillramp_load::scale::span::Span;
 
-fn point() -> Point {
-    Point {
+fn point() -> OperatingPoint {
+    OperatingPoint {
         seed: 5,
         front_doors: 20,
         backends: 60,
@@ -24,18 +24,18 @@
 }
 
 fn figure(rows: &[Row], what: &str) -> f64 {
-    rows.iter().find(|r| r.what == what).map(|r| r.value).unwrap_or_else(|| panic!("no row '{what}'"))
+    rows.iter().find(|r| r.figure == what).map(|r| r.value).unwrap_or_else(|| panic!("no row '{what}'"))
 }
 
-fn in_process(point: &Point, seconds: f64) -> Vec<Row> {
-    hollow_run::in_process("test", point, 3, &Span { warm_up: 8.0, seconds }).expect("measured")
+fn in_process(point: &OperatingPoint, seconds: f64) -> Vec<Row> {
+    embedded_run::in_process("test", point, 3, &Span { warm_up: 8.0, seconds }).expect("measured")
 }
 
 #[test]
 fn the_clock_of_its_own_repeats_itself() {
     let counted = |rows: Vec<Row>| -> Vec<(String, f64)> {
-        let machine = |r: &Row| r.what == "processor" || r.what == "memory";
-        rows.into_iter().filter(|r| !machine(r)).map(|r| (r.what, r.value)).collect()
+        let machine = |r: &Row| r.figure == "processor" || r.figure == "memory";
+        rows.into_iter().filter(|r| !machine(r)).map(|r| (r.figure, r.value)).collect()
     };
     assert_eq!(counted(in_process(&point(), 4.0)), counted(in_process(&point(), 4.0)));
 }
@@ -76,21 +76,21 @@
 
 #[test]
 fn without_a_counter_none_is_asked() {
-    let rows = in_process(&Point { without_counter: true, ..point() }, 3.0);
+    let rows = in_process(&OperatingPoint { without_counter: true, ..point() }, 3.0);
     assert_eq!(figure(&rows, "counter: calls"), 0.0);
 }
 
 #[test]
 fn changes_of_the_list_cost_bytes() {
     let calm = figure(&in_process(&point(), 5.0), "list: bytes in");
-    let busy = figure(&in_process(&Point { changes: 4.0, ..point() }, 5.0), "list: bytes in");
+    let busy = figure(&in_process(&OperatingPoint { changes: 4.0, ..point() }, 5.0), "list: bytes in");
     assert!(busy > calm + 4.0 * 100.0, "{calm:.0} B/s calm, {busy:.0} B/s with four changes a second");
 }
 
 #[test]
 fn a_tenants_quota_holds_what_the_fleet_gets_for_it() {
     for spread in [Spread::Uniform, Spread::Zipf] {
-        let point = Point { spread, fleet_requests: 97_000.0, tenants: 14_000, ..point() };
+        let point = OperatingPoint { spread, fleet_requests: 97_000.0, tenants: 14_000, ..point() };
         let tenants = point.tenants();
         let all: f64 = tenants.iter().map(|t| t.offered).sum();
         assert!((all - 97_000.0).abs() < 1.0, "{all}");
@@ -102,8 +102,8 @@
 #[test]
 fn sockets_and_the_clock_of_its_own_agree() {
     let span = Span { warm_up: 6.0, seconds: 4.0 };
-    let sockets = hollow_run::on_sockets("test", &point(), 3, &span).expect("measured");
-    let clock = hollow_run::in_process("test", &point(), 3, &span).expect("measured");
+    let sockets = embedded_run::on_sockets("test", &point(), 3, &span).expect("measured");
+    let clock = embedded_run::in_process("test", &point(), 3, &span).expect("measured");
     assert!(figure(&sockets, "served") > 0.9, "{sockets:?}");
     let bytes = |rows: &[Row]| figure(rows, "counter: bytes out") / figure(rows, "counter: calls");
     let ratio = bytes(&sockets) / bytes(&clock);
@@ -113,8 +113,8 @@
 #[test]
 fn a_burst_of_changes_is_in_force_everywhere_while_some_restart() {
     let burst = Burst { burst: 4, over: 2.0, one_in: 5, warm_up: 1.0 };
-    let point = Point { requests: 5.0, ..point() };
-    let rows = spreading::measure("test", &point, 10, &burst).expect("measured");
+    let point = OperatingPoint { requests: 5.0, ..point() };
+    let rows = propagation::measure("test", &point, 10, &burst).expect("measured");
     assert_eq!(figure(&rows, "changes written"), 4.0);
     assert_eq!(figure(&rows, "front doors restarted"), 2.0);
     assert_eq!(figure(&rows, "changes not in force at the end"), 0.0, "{rows:?}");
@@ -134,7 +134,7 @@
 fn rows_come_back_as_they_were_kept_and_are_fitted_by_their_factor() {
     let mut all = vec![];
     for backends in [60, 120] {
-        let mut rows = in_process(&Point { backends, ..point() }, 1.0);
+        let mut rows = in_process(&OperatingPoint { backends, ..point() }, 1.0);
         rows.iter_mut().for_each(|r| r.run = Factor::Backends.run());
         all.extend(rows);
     }
@@ -143,6 +143,6 @@
     assert_eq!(rows::read(&path).expect("read"), all);
     std::fs::remove_file(&path).expect("ours");
     let fits = fits(&all);
-    let list = fits.iter().find(|f| f.what == "list sent until counted").expect("fitted");
+    let list = fits.iter().find(|f| f.figure == "list sent until counted").expect("fitted");
     assert!((100.0..150.0).contains(&list.line.slope), "{:.1} bytes a backend", list.line.slope);
 }
