--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -54,8 +54,8 @@
     let killed = played("killed", 2.5, &strike(0.8, "kill", "door = 0\nlasts = 0.5"));
     let lost = killed.rows.iter().filter(|r| r.outcome == Outcome::NoAnswer).count();
     assert!(lost <= 16, "{lost} of what was at the one that died, one a connection at the most");
-    assert!(killed.rows.iter().all(|r| r.outcome != Outcome::NoAnswer || r.front_door == 0));
-    let back = killed.rows.iter().filter(|r| r.front_door == 0 && r.at > 1.8).count();
+    assert!(killed.rows.iter().all(|r| r.outcome != Outcome::NoAnswer || r.instance == 0));
+    let back = killed.rows.iter().filter(|r| r.instance == 0 && r.at > 1.8).count();
     assert!(back > 10, "it serves again: {back}");
 
     let stopped = played("stopped", 2.5, &strike(0.8, "term", "door = 1\nlasts = 1.0"));
--- a/load/src/error.rs
+++ b/load/src/error.rs
@@ -18,7 +18,7 @@
         /// What the system said.
         source: io::Error,
     },
-    /// The program of the front doors could not be started.
+    /// The program of the instances could not be started.
     #[error("{program}: {source}")]
     Launch {
         /// The program.
@@ -26,7 +26,7 @@
         /// What the system said.
         source: io::Error,
     },
-    /// A front door ended before it accepted connections.
+    /// An instance ended before it accepted connections.
     #[error("a front door of {program} ended at its start: {status}")]
     EndedAtStart {
         /// The program.
@@ -34,7 +34,7 @@
         /// How it ended.
         status: ExitStatus,
     },
-    /// A front door did not accept connections in time.
+    /// An instance did not accept connections in time.
     #[error("a front door of {program} does not accept at {address}")]
     NotAccepting {
         /// The program.
@@ -45,9 +45,9 @@
     /// An idle connection could not be opened.
     #[error("idle connection {number} at {address}: {source}")]
     IdleConnection {
-        /// Counted from 1, over all front doors.
+        /// Counted from 1, over all instances.
         number: usize,
-        /// The front door.
+        /// The instance.
         address: SocketAddr,
         /// What the system said.
         source: io::Error,
--- a/load/src/experiment/arrivals.rs
+++ b/load/src/experiment/arrivals.rs
@@ -54,9 +54,9 @@
     }
 
     fn draw_arrival_of(&self, rng: &mut ChaCha8Rng, at: f64, customer: u64) -> Arrival {
-        let front_door = (customer as usize + rng.gen_range(0..self.spread())) % self.world.doors;
+        let instance = (customer as usize + rng.gen_range(0..self.spread())) % self.world.doors;
         let units = rng.gen_range(1..=2);
         let non_idempotent = rng.gen_bool(self.traffic.non_idempotent);
-        Arrival { at, front_door, customer, units, non_idempotent }
+        Arrival { at, instance, customer, units, non_idempotent }
     }
 }
--- a/load/src/experiment/check.rs
+++ b/load/src/experiment/check.rs
@@ -8,12 +8,12 @@
 /// The highest rate, invocations a second.
 const HIGHEST_RATE: f64 = 20_000.0;
 /// The largest fleet that one machine can carry.
-const MAX_FRONT_DOORS: usize = 300;
+const MAX_INSTANCES: usize = 300;
 /// The most threads of the generator that one machine can carry.
 const MAX_THREADS: usize = 12_000;
 /// The most backends.
 const MAX_BACKENDS: usize = 64;
-/// The least number of descriptors of a front door.
+/// The least number of descriptors of an instance.
 const LEAST_DESCRIPTORS: usize = 1024;
 
 /// Collects what is wrong, a line each.
@@ -88,15 +88,15 @@
     /// The sizes that variants may change; `prefix` names the variant.
     fn check_sizes(&self, prefix: &str, violations: &mut Violations) {
         let traffic = &self.traffic;
-        let front_doors = self.world.doors;
+        let instances = self.world.doors;
         let descriptors = self.world.sockets.max(LEAST_DESCRIPTORS);
         let connections = traffic.connections + traffic.idle;
         violations.require(
-            (1..=MAX_FRONT_DOORS).contains(&front_doors),
-            format!("{prefix}world.doors: expected 1 to {MAX_FRONT_DOORS}, found {front_doors}"),
+            (1..=MAX_INSTANCES).contains(&instances),
+            format!("{prefix}world.doors: expected 1 to {MAX_INSTANCES}, found {instances}"),
         );
         violations.require(
-            traffic.connections > 0 && traffic.connections * front_doors <= MAX_THREADS,
+            traffic.connections > 0 && traffic.connections * instances <= MAX_THREADS,
             format!(
                 "{prefix}traffic.connections: expected 1 or more, {MAX_THREADS} at all front doors at the most"
             ),
@@ -120,7 +120,7 @@
             variant.slowed >= 1.0 && variant.slowed.is_finite(),
             format!("variant {number}: slowed: expected 1 or more"),
         );
-        if variant.front_doors.or(variant.connections).or(variant.idle).is_some() {
+        if variant.instances.or(variant.connections).or(variant.idle).is_some() {
             self.of(variant).check_sizes(&format!("variant {number}: "), violations);
         }
     }
--- a/load/src/experiment/mod.rs
+++ b/load/src/experiment/mod.rs
@@ -16,7 +16,7 @@
     /// How often each variant is run; the variants take turns.
     #[serde(default = "default_repetitions")]
     pub repetitions: usize,
-    /// The deployment, as the emulator has it: front doors, backends, their work, the customers. What it says of the network is
+    /// The deployment, as the emulator has it: instances, backends, their work, the customers. What it says of the network is
     /// the emulator's alone.
     #[serde(default)]
     pub world: World,
@@ -43,15 +43,15 @@
     /// Open loop: invocations a second, at times that do not wait for answers; closed loop: 0.
     #[serde(default)]
     pub rate: f64,
-    /// Connections to each front door. Closed loop: each sends again as soon as it is answered.
+    /// Connections to each instance. Closed loop: each sends again as soon as it is answered.
     pub connections: usize,
-    /// Connections to each front door beside these, that have sent one command and then nothing.
+    /// Connections to each instance beside these, that have sent one command and then nothing.
     #[serde(default)]
     pub idle: usize,
     /// The fraction of invocations that are not idempotent.
     #[serde(default, rename = "orders")]
     pub non_idempotent: f64,
-    /// Front doors that a customer's invocations come in through; 0: all.
+    /// Instances that a customer's invocations come in through; 0: all.
     #[serde(default)]
     pub spread: usize,
     /// One customer sends more beside all this; open loop only.
@@ -77,7 +77,7 @@
 pub struct Variant {
     /// Its name in the results.
     pub name: String,
-    /// The front door's program; else `target/release/quillramp`.
+    /// The instance's program; else `target/release/quillramp`.
     pub program: Option<String>,
     /// An operator's file for it.
     pub operator: Option<String>,
@@ -87,12 +87,12 @@
     /// Factor on the backends' work, for a variant that is slower by a known amount.
     #[serde(default = "default_slowed")]
     pub slowed: f64,
-    /// Front doors, if other than the experiment's.
+    /// Instances, if other than the experiment's.
     #[serde(rename = "doors")]
-    pub front_doors: Option<usize>,
-    /// Connections to each front door, if other than the experiment's.
+    pub instances: Option<usize>,
+    /// Connections to each instance, if other than the experiment's.
     pub connections: Option<usize>,
-    /// Idle connections to each front door, if other than the experiment's.
+    /// Idle connections to each instance, if other than the experiment's.
     pub idle: Option<usize>,
     /// It is run without faults and without the flood.
     #[serde(default)]
@@ -108,8 +108,8 @@
 pub struct Arrival {
     /// Seconds from the start.
     pub at: f64,
-    /// Index of the front door that it comes to first.
-    pub front_door: usize,
+    /// Index of the instance that it comes to first.
+    pub instance: usize,
     /// The customer's number.
     pub customer: u64,
     /// Its cost in units.
@@ -144,7 +144,7 @@
     /// What a variant runs: the experiment with what the variant changes.
     pub fn of(&self, variant: &Variant) -> Experiment {
         let mut changed = self.clone();
-        changed.world.doors = variant.front_doors.unwrap_or(changed.world.doors);
+        changed.world.doors = variant.instances.unwrap_or(changed.world.doors);
         changed.world.service *= variant.slowed;
         changed.traffic.connections = variant.connections.unwrap_or(changed.traffic.connections);
         changed.traffic.idle = variant.idle.unwrap_or(changed.traffic.idle);
@@ -160,7 +160,7 @@
         self.traffic.rate > 0.0
     }
 
-    /// Front doors of each customer.
+    /// Instances of each customer.
     pub fn spread(&self) -> usize {
         let all = self.world.doors;
         if self.traffic.spread == 0 {
--- a/load/src/fault_schedule.rs
+++ b/load/src/fault_schedule.rs
@@ -44,7 +44,7 @@
     pub kind: Kind,
     /// Whether it begins, or else ends.
     pub begins: bool,
-    /// The index of the backend or the front door, where it concerns one.
+    /// The index of the backend or the instance, where it concerns one.
     pub target: usize,
     /// How strong it is, as its kind has it: a factor or a fraction.
     pub magnitude: f64,
@@ -68,7 +68,7 @@
     steps
 }
 
-/// The backends or the front door that a fault concerns.
+/// The backends or the instance that a fault concerns.
 fn targets(fault: &Fault, world: &World) -> Vec<usize> {
     match fault.kind {
         Kind::ZoneLoss => {
--- a/load/src/fleet/configuration.rs
+++ b/load/src/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration files of the front doors.
+//! The configuration files of the instances.
 use crate::error::RunError;
 use crate::experiment::Experiment;
 use crate::test_bed::loopback::{bind_datagram, bind_listener};
@@ -8,41 +8,41 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Processor cores that a front door believes to have.
+/// Processor cores that an instance believes to have.
 const CORES: f64 = 1.0;
-/// Memory that a front door believes to have, MB.
+/// Memory that an instance believes to have, MB.
 const MEMORY_MB: u64 = 192;
-/// The least number of descriptors of a front door.
+/// The least number of descriptors of an instance.
 const LEAST_DESCRIPTORS: usize = 1024;
 
 /// Where the services of the test bed are.
 pub struct Services {
-    /// The two counters; front doors use them in turns.
+    /// The two counters; instances use them in turns.
     pub counters: [SocketAddr; 2],
     /// The list service.
     pub discovery: SocketAddr,
-    /// The endpoint list that the front doors know at their start.
+    /// The endpoint list that the instances know at their start.
     pub endpoints: Value,
 }
 
-/// Configuration files, one for each front door.
+/// Configuration files, one for each instance.
 pub(super) struct Written {
     pub addresses: Vec<SocketAddr>,
     pub files: Vec<PathBuf>,
 }
 
-/// Addresses for the front doors to listen at: for clients, and for gossip.
+/// Addresses for the instances to listen at: for clients, and for gossip.
 struct Addresses {
     clients: Vec<SocketAddr>,
     gossip: Vec<SocketAddr>,
 }
 
-/// Chooses addresses for so many front doors. All are bound at once, so that they differ, and are free again afterwards.
-fn choose_addresses(front_doors: usize) -> Result<Addresses, RunError> {
+/// Chooses addresses for so many instances. All are bound at once, so that they differ, and are free again afterwards.
+fn choose_addresses(instances: usize) -> Result<Addresses, RunError> {
     let mut clients = vec![];
     let mut gossip = vec![];
     let mut bound = vec![];
-    for _ in 0..front_doors {
+    for _ in 0..instances {
         let listener = bind_listener()?;
         let datagram = bind_datagram()?;
         clients.push(listener.address);
@@ -53,7 +53,7 @@
     Ok(Addresses { clients, gossip })
 }
 
-/// Writes the configuration files, and starts the relay for gossip where front doors have peers.
+/// Writes the configuration files, and starts the relay for gossip where instances have peers.
 pub(super) fn write(
     experiment: &Experiment,
     folder: &Path,
--- a/load/src/fleet/mod.rs
+++ b/load/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The front doors of one run: processes that are started, killed, stopped, suspended and started again, and what they used.
+//! The instances of one run: processes that are started, killed, stopped, suspended and started again, and what they used.
 mod configuration;
 mod process;
 mod routes;
@@ -23,11 +23,11 @@
 
 /// A process that was asked to terminate is killed after so long.
 const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
-/// Longest for a front door to accept connections after its start.
+/// Longest for an instance to accept connections after its start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a starting front door is dialled.
+/// How often a starting instance is dialled.
 const START_POLL: Duration = Duration::from_millis(10);
-/// Time for all front doors to settle once the last one accepts.
+/// Time for all instances to settle once the last one accepts.
 const SETTLE: Duration = Duration::from_millis(200);
 /// How often an ending process is looked at.
 const EXIT_POLL: Duration = Duration::from_millis(2);
@@ -41,17 +41,17 @@
     end_expected: bool,
 }
 
-/// The front doors of one run.
+/// The instances of one run.
 pub struct Fleet {
     members: Arc<Vec<Mutex<Member>>>,
     launcher: Launcher,
-    /// Where the front doors are, and which take invocations.
+    /// Where the instances are, and which take invocations.
     pub routes: Arc<Routes>,
     /// Seconds of processor time of processes that have ended on purpose.
     ended_processor: Arc<Mutex<f64>>,
 }
 
-/// What all front doors of a run have used.
+/// What all instances of a run have used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetUsage {
     /// Seconds of processor time.
@@ -61,7 +61,7 @@
 }
 
 impl Fleet {
-    /// Writes the configuration files into the folder, starts the front doors, and waits until all of them accept connections.
+    /// Writes the configuration files into the folder, starts the instances, and waits until all of them accept connections.
     pub fn start(
         experiment: &Experiment,
         variant: &Variant,
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    /// Carries out a step that concerns a front door.
+    /// Carries out a step that concerns an instance.
     pub fn inject(&self, step: &FaultStep) {
         match (step.kind, step.begins) {
             (Kind::Stall, true) => self.signal(step.target, Signal::SIGSTOP),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Starts a front door again, once the old process is gone: the new one has its address.
+    /// Starts an instance again, once the old process is gone: the new one has its address.
     fn restart(&self, index: usize) {
         let members = self.members.clone();
         let launcher = self.launcher.clone();
--- a/load/src/fleet/process.rs
+++ b/load/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! The process of a front door: how it is launched, and what it has used.
+//! The process of an instance: how it is launched, and what it has used.
 use super::FleetUsage;
 use crate::error::RunError;
 use crate::experiment::Variant;
@@ -6,13 +6,13 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// The program of a front door, where a variant names no other.
+/// The program of an instance, where a variant names no other.
 const DEFAULT_PROGRAM: &str = "target/release/quillramp";
 
-/// Launches the front doors of a variant.
+/// Launches the instances of a variant.
 #[derive(Clone)]
 pub(super) struct Launcher {
-    /// The program of the front doors.
+    /// The program of the instances.
     pub program: String,
     variant: Variant,
 }
@@ -23,7 +23,7 @@
         Launcher { program, variant: variant.clone() }
     }
 
-    /// Starts a front door with this configuration file.
+    /// Starts an instance with this configuration file.
     pub fn launch(&self, configuration: &Path) -> Result<Child, RunError> {
         let mut command = Command::new(&self.program);
         command.envs(&self.variant.environment).env("EDGE_CONFIG", configuration);
--- a/load/src/fleet/routes.rs
+++ b/load/src/fleet/routes.rs
@@ -1,4 +1,4 @@
-//! Where the front doors are, and which of them take invocations: what a load balancer before them would know.
+//! Where the instances are, and which of them take invocations: what a load balancer before them would know.
 use crate::test_bed::loopback::read_reply;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,14 +7,14 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// How often a front door that was found down is checked again; also the longest to connect to it.
+/// How often an instance that was found down is checked again; also the longest to connect to it.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// The longest for the answer to a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The addresses of the front doors, and which are up.
+/// The addresses of the instances, and which are up.
 pub struct Routes {
-    /// The address of each front door.
+    /// The address of each instance.
     pub addresses: Vec<SocketAddr>,
     up: Vec<AtomicBool>,
     stopped: AtomicBool,
@@ -27,7 +27,7 @@
         Routes { addresses, up, stopped: AtomicBool::new(false) }
     }
 
-    /// The preferred front door, or the next one that is up of the `spread` ones from `first` on.
+    /// The preferred instance, or the next one that is up of the `spread` ones from `first` on.
     pub fn pick(&self, preferred: usize, first: usize, spread: usize) -> usize {
         let all = self.addresses.len();
         let position = (preferred + all - first) % all;
@@ -35,12 +35,12 @@
         candidates.find(|index| self.up[*index].load(Ordering::Relaxed)).unwrap_or(preferred)
     }
 
-    /// A front door did not connect: nothing is sent there until it answers a health check.
+    /// An instance did not connect: nothing is sent there until it answers a health check.
     pub fn mark_down(&self, index: usize) {
         self.up[index].store(false, Ordering::Relaxed);
     }
 
-    /// Checks the front doors that were found down until the checks are stopped.
+    /// Checks the instances that were found down until the checks are stopped.
     pub(super) fn spawn_health_checks(routes: &Arc<Routes>) {
         let routes = routes.clone();
         spawn(move || {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether a front door answers PING with PONG, so it takes invocations.
+/// Whether an instance answers PING with PONG, so it takes invocations.
 fn is_healthy(address: SocketAddr) -> bool {
     let ping = || -> std::io::Result<bool> {
         let mut to = TcpStream::connect_timeout(&address, HEALTH_CHECK_INTERVAL)?;
--- a/load/src/generator/client.rs
+++ b/load/src/generator/client.rs
@@ -1,4 +1,4 @@
-//! A client of the front doors: one connection, one invocation after another.
+//! A client of the instances: one connection, one invocation after another.
 use super::Outcome;
 use crate::error::RunError;
 use crate::experiment::Arrival;
@@ -23,39 +23,39 @@
 /// Numbers the invocations of this process.
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// The front doors as a customer uses them.
+/// The instances as a customer uses them.
 pub(super) struct CustomerRoutes<'a> {
     pub routes: &'a Routes,
-    /// Front doors of each customer.
+    /// Instances of each customer.
     pub spread: usize,
 }
 
 impl CustomerRoutes<'_> {
-    /// The first of a customer's front doors.
+    /// The first of a customer's instances.
     fn first(&self, customer: u64) -> usize {
         customer as usize % self.routes.addresses.len()
     }
 }
 
-/// What came back, and from which front door.
+/// What came back, and from which instance.
 pub(super) struct Answer {
-    pub front_door: usize,
+    pub instance: usize,
     pub outcome: Outcome,
 }
 
 struct Connection {
-    front_door: usize,
+    instance: usize,
     writer: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Connection {
-    fn open(address: SocketAddr, front_door: usize) -> Result<Connection> {
+    fn open(address: SocketAddr, instance: usize) -> Result<Connection> {
         let writer = TcpStream::connect(address)?;
         writer.set_nodelay(true)?;
         writer.set_read_timeout(Some(Duration::from_secs_f64(CLIENT_TIMEOUT + READ_GRACE)))?;
         let reader = BufReader::with_capacity(READ_BUFFER_BYTES, writer.try_clone()?);
-        Ok(Connection { front_door, writer, reader })
+        Ok(Connection { instance, writer, reader })
     }
 
     /// Sends an invocation and reads what comes back.
@@ -74,7 +74,7 @@
 /// What came of one attempt on a connection.
 enum Exchange {
     Answered(Outcome),
-    /// The front door is about to stop and took nothing.
+    /// The instance is about to stop and took nothing.
     Draining,
     /// The connection ended, or the time was up.
     Lost,
@@ -90,36 +90,36 @@
         Client { connection: None }
     }
 
-    /// Sends an invocation to a front door of the customer's that is up.
+    /// Sends an invocation to an instance of the customer's that is up.
     pub fn send(&mut self, to: &CustomerRoutes, arrival: &Arrival) -> Answer {
         let text = invocation(arrival, to);
         let first = to.first(arrival.customer);
-        let mut front_door = arrival.front_door;
+        let mut instance = arrival.instance;
         for _ in 0..=to.spread {
-            front_door = to.routes.pick(arrival.front_door, first, to.spread);
-            let Some(connection) = self.connect(to.routes, front_door) else { continue };
+            instance = to.routes.pick(arrival.instance, first, to.spread);
+            let Some(connection) = self.connect(to.routes, instance) else { continue };
             match connection.exchange(&text) {
-                Exchange::Answered(outcome) => return Answer { front_door, outcome },
+                Exchange::Answered(outcome) => return Answer { instance, outcome },
                 Exchange::Draining => {
-                    to.routes.mark_down(front_door);
+                    to.routes.mark_down(instance);
                     self.connection = None;
                 }
                 Exchange::Lost => {
                     self.connection = None;
-                    return Answer { front_door, outcome: Outcome::NoAnswer };
+                    return Answer { instance, outcome: Outcome::NoAnswer };
                 }
             }
         }
-        Answer { front_door, outcome: Outcome::NotConnected }
+        Answer { instance, outcome: Outcome::NotConnected }
     }
 
-    /// The connection to a front door, opened if need be; none where the front door cannot be reached.
-    fn connect(&mut self, routes: &Routes, front_door: usize) -> Option<&mut Connection> {
-        if self.connection.as_ref().is_none_or(|c| c.front_door != front_door) {
-            match Connection::open(routes.addresses[front_door], front_door) {
+    /// The connection to an instance, opened if need be; none where the instance cannot be reached.
+    fn connect(&mut self, routes: &Routes, instance: usize) -> Option<&mut Connection> {
+        if self.connection.as_ref().is_none_or(|c| c.instance != instance) {
+            match Connection::open(routes.addresses[instance], instance) {
                 Ok(connection) => self.connection = Some(connection),
                 Err(_) => {
-                    routes.mark_down(front_door);
+                    routes.mark_down(instance);
                     return None;
                 }
             }
@@ -128,7 +128,7 @@
     }
 }
 
-/// An invocation as a client writes it. A customer's front doors begin at its own number.
+/// An invocation as a client writes it. A customer's instances begin at its own number.
 fn invocation(arrival: &Arrival, to: &CustomerRoutes) -> String {
     let (verb, words, name, body) = if arrival.non_idempotent {
         ("CALL.POST", 5, "order", "$1\r\nx\r\n")
@@ -154,10 +154,10 @@
 /// Connections that have sent one command and then nothing; open as long as the result is held.
 pub fn open_idle_connections(routes: &Routes, each: usize) -> std::result::Result<Vec<TcpStream>, RunError> {
     let mut all = vec![];
-    for (front_door, address) in routes.addresses.iter().enumerate() {
+    for (instance, address) in routes.addresses.iter().enumerate() {
         for _ in 0..each {
             let number = all.len() + 1;
-            let opened = open_idle(*address, front_door);
+            let opened = open_idle(*address, instance);
             all.push(opened.map_err(|source| RunError::IdleConnection {
                 number,
                 address: *address,
@@ -168,8 +168,8 @@
     Ok(all)
 }
 
-fn open_idle(address: SocketAddr, front_door: usize) -> Result<TcpStream> {
-    let mut connection = Connection::open(address, front_door)?;
+fn open_idle(address: SocketAddr, instance: usize) -> Result<TcpStream> {
+    let mut connection = Connection::open(address, instance)?;
     connection.writer.write_all(b"*1\r\n$4\r\nPING\r\n")?;
     read_reply(&mut connection.reader)?;
     Ok(connection.writer)
--- a/load/src/generator/mod.rs
+++ b/load/src/generator/mod.rs
@@ -30,12 +30,12 @@
     Errored,
     /// The connection ended, or the time was up, without an answer.
     NoAnswer,
-    /// No front door of the customer's could be reached.
+    /// No instance of the customer's could be reached.
     NotConnected,
 }
 
 /// A row of `rows.csv`: what came of one invocation. Times are seconds; `took` counts from the intended start, so that no stall of a
-/// front door is hidden.
+/// instance is hidden.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestRow {
     /// Name of the variant.
@@ -48,9 +48,9 @@
     pub late: f64,
     /// From the intended start to the answer.
     pub took: f64,
-    /// Index of the front door that was asked last.
+    /// Index of the instance that was asked last.
     #[serde(rename = "door")]
-    pub front_door: usize,
+    pub instance: usize,
     /// The customer's number.
     pub customer: u64,
     /// It is not idempotent.
@@ -83,8 +83,8 @@
     label: RunLabel,
     routes: Arc<Routes>,
     start: Instant,
-    /// The front door whose queue or whose customers it serves.
-    front_door: usize,
+    /// The instance whose queue or whose customers it serves.
+    instance: usize,
     source: Source,
     rows: mpsc::Sender<RequestRow>,
 }
@@ -103,7 +103,7 @@
                 at: arrival.at,
                 late,
                 took,
-                front_door: answer.front_door,
+                instance: answer.instance,
                 customer: arrival.customer,
                 non_idempotent: arrival.non_idempotent,
                 outcome: answer.outcome,
@@ -126,12 +126,12 @@
             Source::Drawn(_) if now >= self.experiment.traffic.seconds => None,
             Source::Drawn(rng) => {
                 let arrival = self.experiment.draw_arrival(rng, now);
-                // Its own front door's customers: those whose set holds it.
+                // Its own instance's customers: those whose set holds it.
                 let all = self.routes.addresses.len();
                 let first = arrival.customer as usize % all;
-                let within = (self.front_door + all - first) % all < self.experiment.spread();
-                let front_door = if within { self.front_door } else { arrival.front_door };
-                Some(Arrival { front_door, ..arrival })
+                let within = (self.instance + all - first) % all < self.experiment.spread();
+                let instance = if within { self.instance } else { arrival.instance };
+                Some(Arrival { instance, ..arrival })
             }
         }
     }
@@ -139,7 +139,7 @@
 
 /// The threads of the generator, and the queues of an open loop.
 struct Workers {
-    /// By front door: one that stalls holds up nobody else's invocations.
+    /// By instance: one that stalls holds up nobody else's invocations.
     queues: Vec<mpsc::Sender<Arrival>>,
     /// Held so that a queue takes arrivals also when its threads have panicked; that is reported at the end.
     _receivers: Vec<Arc<Mutex<mpsc::Receiver<Arrival>>>>,
@@ -162,9 +162,9 @@
         }
         let mut threads = vec![];
         for index in 0..traffic.connections * routes.addresses.len() {
-            let front_door = index % routes.addresses.len();
+            let instance = index % routes.addresses.len();
             let source = if experiment.is_open_loop() {
-                Source::Queue(receivers[front_door].clone())
+                Source::Queue(receivers[instance].clone())
             } else {
                 Source::Drawn(worker_rng(experiment, label.repetition, index))
             };
@@ -173,7 +173,7 @@
                 label: label.clone(),
                 routes: routes.clone(),
                 start,
-                front_door,
+                instance,
                 source,
                 rows: rows_sender.clone(),
             };
@@ -183,14 +183,14 @@
         Ok(Workers { queues, _receivers: receivers, threads, rows, start })
     }
 
-    /// Puts each arrival into the queue of its front door at its time.
+    /// Puts each arrival into the queue of its instance at its time.
     fn feed(&self, arrivals: Vec<Arrival>) -> Result<(), RunError> {
         for arrival in arrivals {
             let wait = arrival.at - self.start.elapsed().as_secs_f64();
             if wait > 0.0 {
                 sleep(Duration::from_secs_f64(wait));
             }
-            let queue = &self.queues[arrival.front_door];
+            let queue = &self.queues[arrival.instance];
             queue.send(arrival).map_err(|_| RunError::GeneratorEnded)?;
         }
         Ok(())
@@ -213,7 +213,7 @@
     Box::new(ChaCha8Rng::seed_from_u64(seed))
 }
 
-/// Drives the front doors through one run.
+/// Drives the instances through one run.
 pub fn drive(
     experiment: &Experiment,
     label: &RunLabel,
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -1,11 +1,12 @@
-//! Drives front doors over their protocol, among stand-in servers of its own on loopback, by experiments that are files; keeps rows,
-//! summaries and charts. Its figures are called by its name.
+//! Drives gateway instances over their protocol, among stand-in servers of its own on loopback, by experiments that are files; keeps
+//! rows, summaries and charts. Its figures are called by its name. Experiment files, tables and the command line call an instance a
+//! door or front door, and a run a play.
 //!
 //! * `experiment` reads an experiment and draws the arrivals of its invocations; `fault_schedule` says when which fault begins and ends.
 //! * `run` makes one run of a variant: the stand-ins of `test_bed`, the processes of `fleet`, the clients of `generator`; `usage` holds
 //!   what the customers used against their quotas.
 //! * `results` writes, reads, sums up and compares the runs of a session; `charts` draws them.
-//! * `scale` measures what one front door of a large fleet costs.
+//! * `scale` measures what one instance of a large fleet costs.
 mod charts;
 pub mod error;
 pub mod experiment;
--- a/load/src/results/figures.rs
+++ b/load/src/results/figures.rs
@@ -29,15 +29,15 @@
     pub rate: f64,
     /// By how much the generator was late, 99th percentile, milliseconds: latencies below it mean nothing.
     pub late: f64,
-    /// Processor time of the front doors for one invocation, milliseconds.
+    /// Processor time of the instances for one invocation, milliseconds.
     pub processor: f64,
-    /// Memory of one front door, MiB.
+    /// Memory of one instance, MiB.
     pub memory: f64,
     /// Executions at backends for one invocation.
     pub deliveries: f64,
     /// Counter calls for one invocation.
     pub counter_calls: f64,
-    /// Connections to backends that one front door made.
+    /// Connections to backends that one instance made.
     pub connections: f64,
     /// Fraction of the units that ran beyond quotas.
     pub beyond_quota: f64,
@@ -95,7 +95,7 @@
     let is_own = |row: &&RequestRow| row.variant == run.variant && row.repetition == run.repetition;
     let own: Vec<&RequestRow> = rows.iter().filter(is_own).collect();
     let invocations = own.len().max(1) as f64;
-    let front_doors = run.front_doors.max(1) as f64;
+    let instances = run.instances.max(1) as f64;
     let fraction = |of: Outcome| own.iter().filter(|row| row.outcome == of).count() as f64 / invocations;
     let mut took = histogram();
     let mut late = histogram();
@@ -117,10 +117,10 @@
         rate: succeeded * own.len() as f64 / seconds,
         late: quantile_ms(&late, 0.99),
         processor: MILLISECONDS * run.processor / invocations,
-        memory: run.memory_mb / front_doors,
+        memory: run.memory_mb / instances,
         deliveries: run.deliveries as f64 / invocations,
         counter_calls: run.counter_calls as f64 / invocations,
-        connections: run.connections as f64 / front_doors,
+        connections: run.connections as f64 / instances,
         beyond_quota: run.beyond_quota / run.units.max(1.0),
         worst_excess: run.worst_excess,
     }
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of one variant: stand-ins and front doors start, clients send at their times, faults begin and end, and the results are
+//! One run of one variant: stand-ins and instances start, clients send at their times, faults begin and end, and the results are
 //! collected.
 use crate::error::RunError;
 use crate::experiment::{Experiment, Variant};
@@ -28,16 +28,16 @@
     pub variant: String,
     /// Repetition, from 0.
     pub repetition: usize,
-    /// Front doors of the fleet.
+    /// Instances of the fleet.
     #[serde(rename = "doors")]
-    pub front_doors: usize,
+    pub instances: usize,
     /// Invocations that clients sent.
     pub sent: u64,
     /// Calls that the counters received.
     pub counter_calls: u64,
     /// Invocations that backends executed, duplicates included.
     pub deliveries: u64,
-    /// Connections that front doors made to backends.
+    /// Connections that instances made to backends.
     pub connections: u64,
     /// Effects beyond the first, of invocations that are not idempotent.
     #[serde(rename = "twice")]
@@ -50,11 +50,11 @@
     /// The worst customer's fraction above what its quota allowed.
     #[serde(rename = "worst")]
     pub worst_excess: f64,
-    /// Seconds of processor time of all front doors.
+    /// Seconds of processor time of all instances.
     pub processor: f64,
-    /// Memory of all front doors at the end, MiB.
+    /// Memory of all instances at the end, MiB.
     pub memory_mb: f64,
-    /// Front doors that ended by themselves.
+    /// Instances that ended by themselves.
     pub died: usize,
     /// Deliveries of each backend, separated by blanks.
     pub by_backend: String,
@@ -72,7 +72,7 @@
     pub loads: Vec<BackendLoad>,
 }
 
-/// Runs one variant once. The folder gets the configuration files of the front doors.
+/// Runs one variant once. The folder gets the configuration files of the instances.
 pub fn run_variant(
     experiment: &Experiment,
     variant: &Variant,
@@ -183,7 +183,7 @@
         RunSummary {
             variant: self.variant.name.clone(),
             repetition: self.repetition,
-            front_doors: self.experiment.world.doors,
+            instances: self.experiment.world.doors,
             sent: sent as u64,
             counter_calls,
             deliveries: executions.deliveries,
--- a/load/src/scale/clients.rs
+++ b/load/src/scale/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of one front door: requests at times that wait for no answer, over a few connections.
+//! Clients of one instance: requests at times that wait for no answer, over a few connections.
 use super::error::ScaleError;
 use super::outcomes::OutcomeCounters;
 use super::requests::RequestSource;
@@ -37,7 +37,7 @@
 }
 
 impl Clients {
-    /// Connects to a front door and sends it requests.
+    /// Connects to an instance and sends it requests.
     pub fn start(address: SocketAddr, source: RequestSource) -> Result<Clients, ScaleError> {
         let histogram =
             Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, 3).map_err(ScaleError::Histogram)?;
--- a/load/src/scale/command.rs
+++ b/load/src/scale/command.rs
@@ -1,4 +1,4 @@
-//! The `scale` commands of the program. On the command line an embedded front door is called hollow.
+//! The `scale` commands of the program. On the command line an instance is called a front door, and an embedded one hollow.
 use super::embedded_run::{self, Transport};
 use super::error::ScaleError;
 use super::fit::{self, Factor};
@@ -108,7 +108,7 @@
             keep(out, &measured)
         }
         Scale::Sweep { factors, base, span, bounds, hollow, out } => {
-            let plan = Plan { base, factors, span, front_doors: *hollow, bounds };
+            let plan = Plan { base, factors, span, instances: *hollow, bounds };
             let missing = sweep::sweep(&plan, out)?;
             Ok(missing.iter().map(|line| format!("missing: {line}\n")).collect())
         }
--- a/load/src/scale/counts.rs
+++ b/load/src/scale/counts.rs
@@ -1,12 +1,12 @@
-//! The counts of a stand-in counter. Where one front door stands for a fleet, what the others would have added is estimated:
+//! The counts of a stand-in counter. Where one instance stands for a fleet, what the others would have added is estimated:
 //! what they spend of each tenant's quota, and how they correct upwards a count that lags behind what its token bucket regained. So the
-//! front doors that are there make hardly any corrections; of those of a whole fleet each would make its part.
+//! instances that are there make hardly any corrections; of those of a whole fleet each would make its part.
 use super::operating_point::{burst, quota, Tenant};
 use std::collections::HashMap;
 
 /// Seconds that one name of a count is in use, as the decisions have it (`WINDOW` in `src/decide.rs`).
 const WINDOW: f64 = 30.0;
-/// The part of the burst by which a count may lag behind what its token bucket regained before a front door corrects it
+/// The part of the burst by which a count may lag behind what its token bucket regained before an instance corrects it
 /// (`SPILL` in `src/decide.rs`).
 const LAG: f64 = 1.0 / 8.0;
 /// Windows after which a count is forgotten.
@@ -22,12 +22,12 @@
 pub struct Counts {
     levels: HashMap<String, Level>,
     tenants: Vec<Tenant>,
-    /// The fraction of each tenant's requests that absent front doors would get; none where they are not estimated.
+    /// The fraction of each tenant's requests that absent instances would get; none where they are not estimated.
     absent: Option<f64>,
 }
 
 impl Counts {
-    /// Counts for these tenants, with the fraction of the requests that is estimated for front doors that are not there.
+    /// Counts for these tenants, with the fraction of the requests that is estimated for instances that are not there.
     pub fn new(tenants: Vec<Tenant>, absent: Option<f64>) -> Counts {
         Counts { levels: HashMap::new(), tenants, absent }
     }
@@ -66,7 +66,7 @@
     }
 }
 
-/// What the absent front doors do with a count.
+/// What the absent instances do with a count.
 #[derive(Clone, Copy)]
 struct FleetEstimate {
     /// Begin of the count's window, Unix time in seconds.
@@ -75,7 +75,7 @@
     quota: f64,
     /// Units at once of the tenant's plan.
     burst: f64,
-    /// Units a second at the absent front doors.
+    /// Units a second at the absent instances.
     spends: f64,
 }
 
--- a/load/src/scale/embedded.rs
+++ b/load/src/scale/embedded.rs
@@ -1,4 +1,4 @@
-//! An embedded front door, `hollow` on the command line and in the rows: the reducer, the decisions and the codecs of a real one, without
+//! An embedded instance, `hollow` on the command line and in the rows: the reducer, the decisions and the codecs of a real one, without
 //! sockets, threads or a process of its own. Whoever runs it moves the bytes and passes the time.
 use super::clock::thread_cpu_time;
 use super::error::ScaleError;
@@ -16,16 +16,16 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Client connections of one front door, as many as a real one has in these runs.
+/// Client connections of one instance, as many as a real one has in these runs.
 const CLIENTS: u64 = 64;
 /// Descriptors it believes to have: enough for a connection to each backend.
 pub const DESCRIPTORS: usize = 8_192;
 /// Read buffers larger than this, in bytes, are released, as in a real one's connections.
 const RETAINED_BUFFER: usize = 16 * 1024;
-/// Sets the seeds of front doors apart.
-const FRONT_DOOR_SEED: u64 = 7919;
+/// Sets the seeds of instances apart.
+const INSTANCE_SEED: u64 = 7919;
 
-/// What an embedded front door wants done with its connections.
+/// What an embedded instance wants done with its connections.
 #[derive(Debug, PartialEq)]
 pub enum ConnectionCommand {
     /// Open a connection to an address.
@@ -45,7 +45,7 @@
     pub discovery: SocketAddr,
 }
 
-/// What an embedded front door has done until some time.
+/// What an embedded instance has done until some time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reading {
     /// What became of the requests.
@@ -55,7 +55,7 @@
 }
 
 impl Reading {
-    /// Adds another front door's, or an earlier process's, reading.
+    /// Adds another instance's, or an earlier process's, reading.
     pub fn add(&mut self, other: &Reading) {
         self.outcomes = self.outcomes.plus(&other.outcomes);
         self.processor += other.processor;
@@ -70,7 +70,7 @@
     }
 }
 
-/// What a front door has to do after a step.
+/// What an instance has to do after a step.
 pub struct Step {
     /// When it is to be stepped next at the latest, Unix time in seconds; none where nothing is scheduled.
     pub next_at: Option<f64>,
@@ -114,8 +114,8 @@
     Ok(Some(operator::operator_update(read, &platform)))
 }
 
-/// One front door without its sockets.
-pub struct EmbeddedFrontDoor {
+/// One instance without its sockets.
+pub struct EmbeddedInstance {
     reducer: Reducer,
     streams: HashMap<ConnectionId, Stream>,
     inbox: Vec<Event>,
@@ -125,16 +125,16 @@
     reading: Reading,
 }
 
-impl EmbeddedFrontDoor {
+impl EmbeddedInstance {
     /// One that has just started with an empty list. `now` is Unix time in seconds, here and below.
     pub fn new(
         now: f64,
         point: &OperatingPoint,
-        front_door: usize,
+        instance: usize,
         services: Services,
-    ) -> Result<EmbeddedFrontDoor, ScaleError> {
-        let seed = point.seed.wrapping_mul(FRONT_DOOR_SEED).wrapping_add(front_door as u64);
-        let loaded = settings::load(seed, point.settings(front_door).to_string().as_bytes())
+    ) -> Result<EmbeddedInstance, ScaleError> {
+        let seed = point.seed.wrapping_mul(INSTANCE_SEED).wrapping_add(instance as u64);
+        let loaded = settings::load(seed, point.settings(instance).to_string().as_bytes())
             .map_err(|e| ScaleError::Settings(e.to_string()))?;
         let update = operator_update(point, &loaded.instance)?;
         let config = ReducerConfig {
@@ -148,7 +148,7 @@
             saves_changes: false,
         };
         let known = EndpointList { index: 0, snapshot: true, endpoints: vec![] };
-        let mut new = EmbeddedFrontDoor {
+        let mut new = EmbeddedInstance {
             reducer: Reducer::new(now, loaded, config, &known),
             streams: HashMap::new(),
             inbox: vec![],
--- a/load/src/scale/embedded_run.rs
+++ b/load/src/scale/embedded_run.rs
@@ -1,4 +1,4 @@
-//! Embedded front doors in the steady state: what each of them costs at a point.
+//! Embedded instances in the steady state: what each of them costs at a point.
 use super::clock::{sleep_until, unix_now};
 use super::embedded::Reading;
 use super::error::ScaleError;
@@ -14,7 +14,7 @@
 use super::steady_state::{self, SpanUsage};
 use std::thread::scope;
 
-/// What embedded front doors are run on.
+/// What embedded instances are run on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Transport {
     /// Stand-ins in this process, on a clock of their own.
@@ -33,17 +33,17 @@
 /// When a span is counted, Unix time in seconds.
 type Bounds = AtBounds<f64>;
 
-/// Measures so many embedded front doors on sockets. Memory is what this process grew by, its stand-ins with it.
+/// Measures so many embedded instances on sockets. Memory is what this process grew by, its stand-ins with it.
 pub fn on_sockets(
     run: &str,
     point: &OperatingPoint,
-    front_doors: usize,
+    instances: usize,
     span: &Span,
 ) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::Socket, point);
     let process = std::process::id();
     let before = usage(process);
-    let stand_ins = StandIns::start(point, front_doors, Backends::Listed)?;
+    let stand_ins = StandIns::start(point, instances, Backends::Listed)?;
     let population = Population::new(point)?;
     let begin = unix_now() + span.warm_up;
     let bounds = Bounds { begin, end: begin + span.seconds };
@@ -51,7 +51,7 @@
     let mut readings = vec![];
     let resident = scope(|threads| -> Result<f64, ScaleError> {
         let mut groups = vec![];
-        for members in partition(front_doors) {
+        for members in partition(instances) {
             let services = stand_ins.services();
             let population = &population;
             groups.push(threads.spawn(move || {
@@ -69,10 +69,10 @@
         }
         Ok(resident)
     })?;
-    rows.add("hollow front doors", front_doors as f64, "1");
-    let span_usage = socket_usage(span, front_doors, loads, &readings);
+    rows.add("hollow front doors", instances as f64, "1");
+    let span_usage = socket_usage(span, instances, loads, &readings);
     steady_state::add_rows(&mut rows, &span_usage);
-    rows.add("memory", (resident - before.resident) / front_doors as f64, "MiB");
+    rows.add("memory", (resident - before.resident) / instances as f64, "MiB");
     Ok(rows.all)
 }
 
@@ -86,13 +86,13 @@
 
 fn socket_usage(
     span: &Span,
-    front_doors: usize,
+    instances: usize,
     loads: AtBounds<LoadReadings>,
     readings: &[AtBounds<Reading>],
 ) -> SpanUsage {
     let mut usage = SpanUsage {
         seconds: span.seconds,
-        front_doors,
+        instances,
         outcomes: Default::default(),
         loads: loads.end.since(&loads.begin),
         processor: 0.0,
@@ -105,22 +105,22 @@
     usage
 }
 
-/// Measures so many embedded front doors, with their stand-ins in this process. Memory is what this process grew by.
+/// Measures so many embedded instances, with their stand-ins in this process. Memory is what this process grew by.
 pub fn in_process(
     run: &str,
     point: &OperatingPoint,
-    front_doors: usize,
+    instances: usize,
     span: &Span,
 ) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::InProcess, point);
     let process = std::process::id();
-    let mut simulation = Simulation::new(point, front_doors)?;
-    let before = usage(process); // tenants and their distribution, which all front doors share, are there by now
+    let mut simulation = Simulation::new(point, instances)?;
+    let before = usage(process); // tenants and their distribution, which all instances share, are there by now
     simulation.run(span.warm_up)?;
     let warm_up = simulation.loads.read();
     let list_bytes = warm_up.of(Role::Discovery).sent;
-    rows.add("hollow front doors", front_doors as f64, "1");
-    rows.add("list sent until counted", list_bytes as f64 / front_doors as f64, "bytes");
+    rows.add("hollow front doors", instances as f64, "1");
+    rows.add("list sent until counted", list_bytes as f64 / instances as f64, "bytes");
     simulation.begin_changes(point.changes);
     let loads = simulation.loads.read();
     let reading = simulation.read();
@@ -128,12 +128,12 @@
     let counted = simulation.read().since(&reading);
     let span_usage = SpanUsage {
         seconds: span.seconds,
-        front_doors,
+        instances,
         outcomes: counted.outcomes,
         loads: simulation.loads.read().since(&loads),
         processor: counted.processor.as_secs_f64(),
     };
     steady_state::add_rows(&mut rows, &span_usage);
-    rows.add("memory", (usage(process).resident - before.resident) / front_doors as f64, "MiB");
+    rows.add("memory", (usage(process).resident - before.resident) / instances as f64, "MiB");
     Ok(rows.all)
 }
--- a/load/src/scale/error.rs
+++ b/load/src/scale/error.rs
@@ -37,7 +37,7 @@
         /// What the chart's backend said.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The front door ended before it accepted connections.
+    /// The instance ended before it accepted connections.
     #[error("{} ended at its start: {status}", program.display())]
     EndedAtStart {
         /// The program.
@@ -45,7 +45,7 @@
         /// How it ended.
         status: ExitStatus,
     },
-    /// The front door did not accept connections in time.
+    /// The instance did not accept connections in time.
     #[error("{} does not accept at {address}", program.display())]
     NotAccepting {
         /// The program.
@@ -65,13 +65,13 @@
     /// The rate of requests is out of range.
     #[error("requests: {0}")]
     Requests(#[source] rand_distr::ExpError),
-    /// The settings of an embedded front door are wrong.
+    /// The settings of an embedded instance are wrong.
     #[error("{0}")]
     Settings(String),
-    /// The operator's file of an embedded front door is wrong.
+    /// The operator's file of an embedded instance is wrong.
     #[error("{0}")]
     OperatorFile(String),
-    /// An embedded front door sent what a server cannot read.
+    /// An embedded instance sent what a server cannot read.
     #[error("{connection}: {reason}")]
     Protocol {
         /// The connection's id.
@@ -79,7 +79,7 @@
         /// What is wrong with the bytes.
         reason: &'static str,
     },
-    /// A thread that runs embedded front doors panicked.
+    /// A thread that runs embedded instances panicked.
     #[error("a group of front doors has panicked")]
     GroupPanicked,
     /// This program's own file is not known.
--- a/load/src/scale/fit.rs
+++ b/load/src/scale/fit.rs
@@ -39,7 +39,8 @@
 /// What is varied, one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum Factor {
-    FrontDoors,
+    #[value(name = "front-doors")]
+    Instances,
     Backends,
     Tenants,
     Routes,
@@ -48,20 +49,14 @@
 }
 
 /// All factors.
-pub const FACTORS: [Factor; 6] = [
-    Factor::FrontDoors,
-    Factor::Backends,
-    Factor::Tenants,
-    Factor::Routes,
-    Factor::Changes,
-    Factor::Requests,
-];
+pub const FACTORS: [Factor; 6] =
+    [Factor::Instances, Factor::Backends, Factor::Tenants, Factor::Routes, Factor::Changes, Factor::Requests];
 
 impl Factor {
     /// Its name, as runs and charts have it.
     pub fn name(self) -> &'static str {
         match self {
-            Factor::FrontDoors => "front doors",
+            Factor::Instances => "front doors",
             Factor::Backends => "backends",
             Factor::Tenants => "tenants",
             Factor::Routes => "routes",
@@ -73,7 +68,7 @@
     /// The unit of one more of it.
     pub fn unit(self) -> &'static str {
         match self {
-            Factor::FrontDoors => "front door",
+            Factor::Instances => "front door",
             Factor::Backends => "backend",
             Factor::Tenants => "tenant",
             Factor::Routes => "route",
@@ -82,10 +77,10 @@
         }
     }
 
-    /// Five sizes up to the target's. The target's 231 requests a second are the most that a front door is measured at.
+    /// Five sizes up to the target's. The target's 231 requests a second are the most that an instance is measured at.
     pub fn sizes(self) -> [f64; 5] {
         match self {
-            Factor::FrontDoors => [25.0, 60.0, 120.0, 240.0, 420.0],
+            Factor::Instances => [25.0, 60.0, 120.0, 240.0, 420.0],
             Factor::Backends => [240.0, 600.0, 1_200.0, 2_400.0, 3_800.0],
             Factor::Tenants => [900.0, 2_000.0, 4_500.0, 9_000.0, 14_000.0],
             Factor::Routes => [60.0, 150.0, 300.0, 600.0, 1_000.0],
@@ -97,7 +92,7 @@
     /// The value of this factor at the point of a row.
     pub fn of(self, row: &Row) -> f64 {
         match self {
-            Factor::FrontDoors => row.front_doors as f64,
+            Factor::Instances => row.instances as f64,
             Factor::Backends => row.backends as f64,
             Factor::Tenants => row.tenants as f64,
             Factor::Routes => row.routes as f64,
--- a/load/src/scale/mod.rs
+++ b/load/src/scale/mod.rs
@@ -1,7 +1,7 @@
-//! Scale runs: what one front door of a large fleet costs, measured at sizes that no single machine can run whole.
+//! Scale runs: what one instance of a large fleet costs, measured at sizes that no single machine can run whole.
 //!
 //! * `real` measures the program itself, beside the stand-ins of `stand_ins` on loopback.
-//! * `embedded` is a front door without sockets and a process of its own; the command line and the rows call it `hollow`.
+//! * `embedded` is an instance without sockets and a process of its own; the command line and the rows call it `hollow`.
 //!   `simulation` runs some of them on a simulated clock, `socket_group` with real sockets; `embedded_run` measures both.
 //! * `propagation` measures how long a change of the endpoint list takes to be in force.
 //! * `sweep` measures over one factor after another, `fit` puts lines through the figures, `slope_report` prints and draws them.
--- a/load/src/scale/operating_point.rs
+++ b/load/src/scale/operating_point.rs
@@ -31,8 +31,8 @@
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Front doors that each front door believes to be in the fleet.
-    #[arg(long, default_value_t = 420)]
-    pub front_doors: usize,
+    #[arg(long = "front-doors", value_name = "FRONT_DOORS", default_value_t = 420)]
+    pub instances: usize,
     /// Backends on the list.
     #[arg(long, default_value_t = 3_800)]
     pub backends: usize,
@@ -67,7 +67,7 @@
 pub struct Tenant {
     /// Index of its plan in `PLANS`.
     pub plan: usize,
-    /// Requests a second at all front doors together.
+    /// Requests a second at all instances together.
     pub offered: f64,
 }
 
@@ -102,7 +102,7 @@
     pub fn arguments(&self) -> Vec<String> {
         let numbers = [
             ("--seed", self.seed.to_string()),
-            ("--front-doors", self.front_doors.to_string()),
+            ("--front-doors", self.instances.to_string()),
             ("--backends", self.backends.to_string()),
             ("--tenants", self.tenants.to_string()),
             ("--fleet-requests", self.fleet_requests.to_string()),
@@ -132,10 +132,10 @@
         WeightedIndex::new(self.weights()).map_err(ScaleError::Tenants)
     }
 
-    /// The fraction of the fleet that is absent where so many front doors are there, for the counter to estimate; none where nothing is
+    /// The fraction of the fleet that is absent where so many instances are there, for the counter to estimate; none where nothing is
     /// to be estimated.
-    pub fn absent_fraction(&self, front_doors: usize) -> Option<f64> {
-        let absent = 1.0 - front_doors as f64 / self.front_doors as f64;
+    pub fn absent_fraction(&self, instances: usize) -> Option<f64> {
+        let absent = 1.0 - instances as f64 / self.instances as f64;
         (absent > 0.0 && !self.alone).then_some(absent)
     }
 
@@ -151,12 +151,12 @@
         weights.into_iter().map(tenant).collect()
     }
 
-    /// The settings in the configuration of the front door of that number.
-    pub fn settings(&self, front_door: usize) -> Value {
+    /// The settings in the configuration of the instance of that number.
+    pub fn settings(&self, instance: usize) -> Value {
         let world =
-            World { doors: self.front_doors, backends: self.backends, peers: false, ..World::default() };
+            World { doors: self.instances, backends: self.backends, peers: false, ..World::default() };
         let mut settings = settings(&world, None);
-        settings["slot_no"] = json!(front_door);
+        settings["slot_no"] = json!(instance);
         settings["extra"]["counter"] = json!(!self.without_counter);
         let plan = |p: usize| {
             json!({"name": plan_name(p), "per_second": quota(p), "depth": burst(p), "parallel": 0,
--- a/load/src/scale/propagation.rs
+++ b/load/src/scale/propagation.rs
@@ -1,5 +1,5 @@
-//! How long a change of the endpoint list takes to be in force on every front door: a burst of changes while some front doors
-//! restart. Embedded front doors on sockets, one list service.
+//! How long a change of the endpoint list takes to be in force on every instance: a burst of changes while some instances
+//! restart. Embedded instances on sockets, one list service.
 use super::clock::{sleep_until, unix_now};
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
@@ -31,21 +31,21 @@
 const DRAIN_SECONDS: f64 = 7.0;
 
 /// Front doors that restart, evenly over the span.
-fn restarts(front_doors: usize, burst: &Burst, begin: f64) -> Vec<Restart> {
+fn restarts(instances: usize, burst: &Burst, begin: f64) -> Vec<Restart> {
     if burst.one_in == 0 {
         return vec![];
     }
-    let which: Vec<usize> = (0..front_doors).step_by(burst.one_in).collect();
+    let which: Vec<usize> = (0..instances).step_by(burst.one_in).collect();
     let count = which.len() as f64;
     let at = |n: usize| begin + burst.over * (n as f64 + 0.5) / count;
-    which.into_iter().enumerate().map(|(n, front_door)| Restart { at: at(n), front_door }).collect()
+    which.into_iter().enumerate().map(|(n, instance)| Restart { at: at(n), instance }).collect()
 }
 
-/// Seconds from write to in force, sorted, of the front doors that `is_counted` accepts.
+/// Seconds from write to in force, sorted, of the instances that `is_counted` accepts.
 fn delays(written: &[f64], in_force: &[InForce], is_counted: impl Fn(usize) -> bool) -> Vec<f64> {
     // Version 1 is the list that all start with.
     let delay = |seen: &InForce| Some(seen.at - written.get((seen.version as usize).checked_sub(2)?)?);
-    let counted = in_force.iter().filter(|seen| is_counted(seen.front_door));
+    let counted = in_force.iter().filter(|seen| is_counted(seen.instance));
     let mut all: Vec<f64> = counted.filter_map(delay).collect();
     all.sort_by(f64::total_cmp);
     all
@@ -56,22 +56,22 @@
     sorted.get((quantile * last as f64).ceil() as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// Measures the burst with so many embedded front doors.
+/// Measures the burst with so many embedded instances.
 pub fn measure(
     run: &str,
     point: &OperatingPoint,
-    front_doors: usize,
+    instances: usize,
     burst: &Burst,
 ) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::Socket, point);
-    let stand_ins = StandIns::start(point, front_doors, Backends::Listed)?;
+    let stand_ins = StandIns::start(point, instances, Backends::Listed)?;
     let population = Population::new(point)?;
     let begin = unix_now() + burst.warm_up;
     let end = begin + burst.over + DRAIN_SECONDS;
-    let restarts = restarts(front_doors, burst, begin);
+    let restarts = restarts(instances, burst, begin);
     let in_force = scope(|threads| -> Result<Vec<InForce>, ScaleError> {
         let mut groups = vec![];
-        for members in partition(front_doors) {
+        for members in partition(instances) {
             let services = stand_ins.services();
             let population = &population;
             let restarts = &restarts;
@@ -89,7 +89,7 @@
         }
         Ok(seen)
     })?;
-    add_rows(&mut rows, front_doors, &stand_ins.written(), &in_force, &restarts);
+    add_rows(&mut rows, instances, &stand_ins.written(), &in_force, &restarts);
     Ok(rows.all)
 }
 
@@ -101,16 +101,10 @@
     }
 }
 
-fn add_rows(
-    rows: &mut Rows,
-    front_doors: usize,
-    written: &[f64],
-    in_force: &[InForce],
-    restarts: &[Restart],
-) {
-    let restarted = |front_door: usize| restarts.iter().any(|r| r.front_door == front_door);
-    let expected = written.len() * front_doors;
-    rows.add("hollow front doors", front_doors as f64, "1");
+fn add_rows(rows: &mut Rows, instances: usize, written: &[f64], in_force: &[InForce], restarts: &[Restart]) {
+    let restarted = |instance: usize| restarts.iter().any(|r| r.instance == instance);
+    let expected = written.len() * instances;
+    rows.add("hollow front doors", instances as f64, "1");
     rows.add("changes written", written.len() as f64, "1");
     rows.add("front doors restarted", restarts.len() as f64, "1");
     let all = delays(written, in_force, |_| true);
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -1,4 +1,4 @@
-//! One real front door at a point: the program as it is built, among the stand-ins, at its fraction of the fleet's rate.
+//! One real instance at a point: the program as it is built, among the stand-ins, at its fraction of the fleet's rate.
 use super::clients::Clients;
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
@@ -18,23 +18,23 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Descriptors of the front door: enough for a connection to each backend.
+/// Descriptors of the instance: enough for a connection to each backend.
 const DESCRIPTORS: usize = 8_192;
-/// Memory that the front door believes to have, MB.
+/// Memory that the instance believes to have, MB.
 const MEMORY_MB: usize = 256;
-/// The longest that a front door may take to accept connections.
+/// The longest that an instance may take to accept connections.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a starting front door is dialled.
+/// How often a starting instance is dialled.
 const START_POLL: Duration = Duration::from_millis(1);
-/// Time for the front door to take in the endpoint list.
+/// Time for the instance to take in the endpoint list.
 const SETTLE: Duration = Duration::from_secs(1);
 
-struct FrontDoorProcess {
+struct InstanceProcess {
     process: Child,
     configuration: PathBuf,
 }
 
-impl Drop for FrontDoorProcess {
+impl Drop for InstanceProcess {
     fn drop(&mut self) {
         let _ = self.process.kill(); // it may have ended
         let _ = self.process.wait();
@@ -44,14 +44,14 @@
     }
 }
 
-impl FrontDoorProcess {
+impl InstanceProcess {
     /// Starts the program with an empty list, so that all of the list crosses its connection; waits until it accepts connections.
     fn start(
         program: &Path,
         point: &OperatingPoint,
         stand_ins: &StandIns,
         address: SocketAddr,
-    ) -> Result<FrontDoorProcess, ScaleError> {
+    ) -> Result<InstanceProcess, ScaleError> {
         let path = std::env::temp_dir().join(format!("quillramp-scale-{}.json", std::process::id()));
         let text = json!({"name": "n0", "listen": address, "discovery": stand_ins.discovery,
             "counter": stand_ins.counter, "seed": format!("{:016x}", point.seed),
@@ -66,9 +66,9 @@
         }
         command.env("EDGE_CONFIG", &path).stdout(Stdio::null()).stderr(Stdio::null());
         let process = command.spawn().map_err(ScaleError::file(program))?;
-        let mut front_door = FrontDoorProcess { process, configuration: path };
-        front_door.wait_until_accepting(program, address)?;
-        Ok(front_door)
+        let mut instance = InstanceProcess { process, configuration: path };
+        instance.wait_until_accepting(program, address)?;
+        Ok(instance)
     }
 
     fn wait_until_accepting(&mut self, program: &Path, address: SocketAddr) -> Result<(), ScaleError> {
@@ -90,13 +90,13 @@
     }
 }
 
-/// A port of this process's own address. Nobody else chooses there, so it is still free when the front door takes it.
+/// A port of this process's own address. Nobody else chooses there, so it is still free when the instance takes it.
 fn free_port() -> Result<SocketAddr, ScaleError> {
     let listener = TcpListener::bind((own_loopback(), 0)).map_err(ScaleError::Port)?;
     listener.local_addr().map_err(ScaleError::Port)
 }
 
-/// Measures one front door of the program at a point.
+/// Measures one instance of the program at a point.
 pub fn measure(
     program: &Path,
     run: &str,
@@ -106,9 +106,9 @@
     let mut rows = Rows::new(run, Source::Real, point);
     let stand_ins = StandIns::start(point, 1, Backends::Served)?;
     let address = free_port()?;
-    let front_door = FrontDoorProcess::start(program, point, &stand_ins, address)?;
+    let instance = InstanceProcess::start(program, point, &stand_ins, address)?;
     sleep(SETTLE);
-    add_start_rows(&mut rows, &stand_ins, &front_door);
+    add_start_rows(&mut rows, &stand_ins, &instance);
     let population = Population::new(point)?;
     let clients = if point.requests > 0.0 {
         Some(Clients::start(address, RequestSource::new(point, &population, 0)?)?)
@@ -119,7 +119,7 @@
     if let Some(clients) = &clients {
         lock(&clients.latencies).reset();
     }
-    add_steady_rows(&mut rows, &stand_ins, &front_door, clients.as_ref(), span);
+    add_steady_rows(&mut rows, &stand_ins, &instance, clients.as_ref(), span);
     if let Some(clients) = &clients {
         add_latency_rows(&mut rows, clients);
     }
@@ -127,33 +127,33 @@
 }
 
 /// What the start cost.
-fn add_start_rows(rows: &mut Rows, stand_ins: &StandIns, front_door: &FrontDoorProcess) {
+fn add_start_rows(rows: &mut Rows, stand_ins: &StandIns, instance: &InstanceProcess) {
     let list_bytes = stand_ins.loads.read().of(Role::Discovery).sent;
     rows.add("whole list", stand_ins.list_bytes as f64, "bytes");
     rows.add("list sent at start", list_bytes as f64, "bytes");
-    rows.add("processor to the list in force", front_door.usage().processor(), "s");
-    rows.add("memory after start", front_door.usage().resident, "MiB");
+    rows.add("processor to the list in force", instance.usage().processor(), "s");
+    rows.add("memory after start", instance.usage().resident, "MiB");
 }
 
 /// Counts over the span.
 fn add_steady_rows(
     rows: &mut Rows,
     stand_ins: &StandIns,
-    front_door: &FrontDoorProcess,
+    instance: &InstanceProcess,
     clients: Option<&Clients>,
     span: &Span,
 ) {
     let outcomes = || clients.map(|c| c.outcomes.read()).unwrap_or_default();
     let loads = stand_ins.loads.read();
-    let used_before = front_door.usage();
+    let used_before = instance.usage();
     let start = Instant::now();
     let outcomes_before = outcomes();
     sleep(Duration::from_secs_f64(span.seconds));
     let seconds = start.elapsed().as_secs_f64();
-    let used = front_door.usage();
+    let used = instance.usage();
     let usage = SpanUsage {
         seconds,
-        front_doors: 1,
+        instances: 1,
         outcomes: outcomes().since(&outcomes_before),
         loads: stand_ins.loads.read().since(&loads),
         processor: used.processor() - used_before.processor(),
--- a/load/src/scale/requests.rs
+++ b/load/src/scale/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of one front door's clients: tenants and gaps in time drawn by seed.
+//! The requests of one instance's clients: tenants and gaps in time drawn by seed.
 use super::error::ScaleError;
 use super::operating_point::{plan_name, OperatingPoint, Tenant};
 use rand::distributions::{Distribution, WeightedIndex};
@@ -9,10 +9,10 @@
 
 /// Milliseconds that a client waits, as the request says.
 const CLIENT_TIMEOUT_MS: u64 = 1_400;
-/// Sets the seeds of front doors' requests apart from other seeds of the point.
+/// Sets the seeds of instances' requests apart from other seeds of the point.
 const REQUEST_SEED: u64 = 1_000_003;
-/// Request ids hold the number of the front door above so many bits.
-const FRONT_DOOR_SHIFT: u32 = 40;
+/// Request ids hold the number of the instance above so many bits.
+const INSTANCE_SHIFT: u32 = 40;
 
 /// The tenants of a point, and how often each is drawn.
 pub struct Population {
@@ -27,29 +27,29 @@
     }
 }
 
-/// Draws the requests of one front door.
+/// Draws the requests of one instance.
 pub struct RequestSource {
     rng: ChaCha8Rng,
     population: Arc<Population>,
     gaps: Exp<f64>,
-    front_doors: usize,
+    instances: usize,
     last_id: u64,
 }
 
 impl RequestSource {
-    /// The requests of the front door of that number. All front doors serve every tenant.
+    /// The requests of the instance of that number. All instances serve every tenant.
     pub fn new(
         point: &OperatingPoint,
         population: &Arc<Population>,
-        front_door: usize,
+        instance: usize,
     ) -> Result<RequestSource, ScaleError> {
-        let seed = point.seed.wrapping_mul(REQUEST_SEED).wrapping_add(front_door as u64);
+        let seed = point.seed.wrapping_mul(REQUEST_SEED).wrapping_add(instance as u64);
         Ok(RequestSource {
             rng: ChaCha8Rng::seed_from_u64(seed),
             population: population.clone(),
             gaps: Exp::new(point.requests).map_err(ScaleError::Requests)?,
-            front_doors: point.front_doors,
-            last_id: (front_door as u64) << FRONT_DOOR_SHIFT,
+            instances: point.instances,
+            last_id: (instance as u64) << INSTANCE_SHIFT,
         })
     }
 
@@ -63,7 +63,7 @@
         let tenant = self.population.distribution.sample(&mut self.rng);
         self.last_id += 1;
         let plan = plan_name(self.population.tenants[tenant].plan);
-        let spread = self.front_doors;
+        let spread = self.instances;
         let attributes = format!("c=look,t={plan},d={CLIENT_TIMEOUT_MS},units=1,spread={spread},first=0");
         let id = self.last_id;
         format!(
--- a/load/src/scale/rows.rs
+++ b/load/src/scale/rows.rs
@@ -10,9 +10,9 @@
 pub enum Source {
     /// The real program, on sockets.
     Real,
-    /// Embedded front doors, on sockets.
+    /// Embedded instances, on sockets.
     Socket,
-    /// Embedded front doors, stand-ins in the same process.
+    /// Embedded instances, stand-ins in the same process.
     InProcess,
     /// The emulator's clock.
     VirtualClock,
@@ -37,21 +37,22 @@
     pub run: String,
     /// How the figure was measured.
     pub source: Source,
-    /// Front doors of the fleet.
-    pub front_doors: usize,
+    /// Instances of the fleet.
+    #[serde(rename = "front_doors")]
+    pub instances: usize,
     /// Backends on the list.
     pub backends: usize,
     /// Tenants of the fleet.
     pub tenants: usize,
     /// Routes in the operator's file.
     pub routes: usize,
-    /// Requests a second at one front door.
+    /// Requests a second at one instance.
     pub requests: f64,
     /// Changes of the endpoint list a second.
     pub changes: f64,
     /// How requests are spread over tenants.
     pub spread: String,
-    /// Whether the front door has a counter.
+    /// Whether the instance has a counter.
     pub counter: bool,
     /// The name of the figure.
     #[serde(rename = "what")]
@@ -85,7 +86,7 @@
         self.all.push(Row {
             run: self.run.clone(),
             source: self.source,
-            front_doors: point.front_doors,
+            instances: point.instances,
             backends: point.backends,
             tenants: point.tenants,
             routes: point.routes,
--- a/load/src/scale/server_load.rs
+++ b/load/src/scale/server_load.rs
@@ -42,9 +42,9 @@
     pub connections: u64,
     /// Requests that were understood.
     pub calls: u64,
-    /// Bytes from front doors.
+    /// Bytes from instances.
     pub received: u64,
-    /// Bytes to front doors.
+    /// Bytes to instances.
     pub sent: u64,
 }
 
@@ -59,12 +59,12 @@
         self.calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts bytes from a front door.
+    /// Counts bytes from an instance.
     pub fn count_received(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts bytes to a front door.
+    /// Counts bytes to an instance.
     pub fn count_sent(&self, bytes: usize) {
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
--- a/load/src/scale/simulation/front_doors.rs
+++ b/load/src/scale/simulation/instances.rs
@@ -1,13 +1,13 @@
-//! The front doors of a simulation: their starts, requests and steps.
+//! The instances of a simulation: their starts, requests and steps.
 use super::servers::role;
 use super::{address, Port, Simulation, SimulationEvent};
-use crate::scale::embedded::{ConnectionCommand, EmbeddedFrontDoor, Services};
+use crate::scale::embedded::{ConnectionCommand, EmbeddedInstance, Services};
 use crate::scale::error::ScaleError;
 use quillramp_gateway::state::event::ConnectionId;
 
 /// Seconds from one machine to another, one way: within one zone.
 pub(super) const LATENCY: f64 = 0.000_25;
-/// Seconds in which what comes to a front door makes one batch: about what a wake-up takes.
+/// Seconds in which what comes to an instance makes one batch: about what a wake-up takes.
 const BATCH: f64 = 50e-6;
 /// The ports that the services are listed with.
 const COUNTER_PORT: u16 = 1;
@@ -16,8 +16,8 @@
 impl Simulation {
     pub(super) fn start(&mut self, slot: usize) -> Result<(), ScaleError> {
         let services = Services { counter: address(COUNTER_PORT), discovery: address(DISCOVERY_PORT) };
-        let front_door = EmbeddedFrontDoor::new(self.events.now, &self.point, slot, services)?;
-        self.slots[slot].front_door = Some(front_door);
+        let instance = EmbeddedInstance::new(self.events.now, &self.point, slot, services)?;
+        self.slots[slot].instance = Some(instance);
         self.wake(slot, self.events.now);
         if self.point.requests > 0.0 {
             self.schedule_request(slot);
@@ -32,19 +32,19 @@
 
     pub(super) fn request(&mut self, slot: usize) {
         let request = self.slots[slot].requests.next_request();
-        if let Some(front_door) = &mut self.slots[slot].front_door {
-            front_door.request(&request);
+        if let Some(instance) = &mut self.slots[slot].instance {
+            instance.request(&request);
         }
         self.wake(slot, self.events.now + BATCH);
         self.schedule_request(slot);
     }
 
-    /// Does something to the front door that a connection belongs to.
-    pub(super) fn with_front_door(&mut self, port: Port, action: impl FnOnce(&mut EmbeddedFrontDoor)) {
-        if let Some(front_door) = &mut self.slots[port.front_door].front_door {
-            action(front_door);
+    /// Does something to the instance that a connection belongs to.
+    pub(super) fn with_instance(&mut self, port: Port, action: impl FnOnce(&mut EmbeddedInstance)) {
+        if let Some(instance) = &mut self.slots[port.instance].instance {
+            action(instance);
         }
-        self.wake(port.front_door, self.events.now + BATCH);
+        self.wake(port.instance, self.events.now + BATCH);
     }
 
     fn wake(&mut self, slot: usize, at: f64) {
@@ -61,8 +61,8 @@
             return; // it was postponed since
         }
         state.step_at = f64::INFINITY;
-        let Some(front_door) = &mut state.front_door else { return };
-        let step = front_door.step(now);
+        let Some(instance) = &mut state.instance else { return };
+        let step = instance.step(now);
         for command in step.commands {
             self.execute(slot, command);
         }
@@ -71,8 +71,8 @@
         }
     }
 
-    fn execute(&mut self, front_door: usize, command: ConnectionCommand) {
-        let port = |connection: ConnectionId| Port { front_door, connection };
+    fn execute(&mut self, instance: usize, command: ConnectionCommand) {
+        let port = |connection: ConnectionId| Port { instance, connection };
         let now = self.events.now;
         match command {
             ConnectionCommand::Connect(connection, _) => {
--- a/load/src/scale/simulation/mod.rs
+++ b/load/src/scale/simulation/mod.rs
@@ -1,10 +1,10 @@
-//! Embedded front doors and their stand-ins in one process, on a simulated clock: nothing waits, so a run takes as long as its decisions
+//! Embedded instances and their stand-ins in one process, on a simulated clock: nothing waits, so a run takes as long as its decisions
 //! do, and its figures do not depend on what else the machine has to do.
-mod front_doors;
+mod instances;
 mod servers;
 
 use super::counts::Counts;
-use super::embedded::{EmbeddedFrontDoor, Reading};
+use super::embedded::{EmbeddedInstance, Reading};
 use super::endpoint_rotation::EndpointRotation;
 use super::error::ScaleError;
 use super::event_queue::EventQueue;
@@ -19,20 +19,20 @@
 
 /// When a run begins on its clock: Unix time at the edge of a count's window, so that windows are seen alike.
 const BEGIN: f64 = 1_700_000_010.0;
-/// Front doors start one after another within this, seconds.
+/// Instances start one after another within this, seconds.
 const START_SPREAD: f64 = 1.0;
 /// The port of the first backend; ports below it are the other servers'.
 const FIRST_BACKEND_PORT: u16 = 1_024;
 
 /// Something that happens at a time.
 enum SimulationEvent {
-    /// A front door processes what has come.
+    /// An instance processes what has come.
     Step(usize),
-    /// A client of a front door sends a request.
+    /// A client of an instance sends a request.
     Request(usize),
-    /// A connection of a front door is established.
+    /// A connection of an instance is established.
     Connected(Port),
-    /// Bytes come to a front door.
+    /// Bytes come to an instance.
     Receive(Port, Arc<[u8]>),
     /// Bytes come to a server.
     Serve(Port, Vec<u8>),
@@ -40,27 +40,27 @@
     WatchTimeout(Port),
     /// The list changes.
     ChangeList,
-    /// A front door starts.
+    /// An instance starts.
     Start(usize),
 }
 
-/// A connection of a front door.
+/// A connection of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Port {
-    front_door: usize,
+    instance: usize,
     connection: ConnectionId,
 }
 
-/// A front door of the fleet.
+/// An instance of the fleet.
 struct Slot {
     /// None until it starts.
-    front_door: Option<EmbeddedFrontDoor>,
+    instance: Option<EmbeddedInstance>,
     requests: RequestSource,
     /// When it is stepped next.
     step_at: f64,
 }
 
-/// Some front doors of a fleet, or all of them, on a simulated clock.
+/// Some instances of a fleet, or all of them, on a simulated clock.
 pub struct Simulation {
     point: OperatingPoint,
     events: EventQueue<SimulationEvent>,
@@ -80,13 +80,13 @@
 }
 
 impl Simulation {
-    /// So many front doors of the point's fleet; the counter estimates what the rest of it would add.
-    pub fn new(point: &OperatingPoint, front_doors: usize) -> Result<Simulation, ScaleError> {
+    /// So many instances of the point's fleet; the counter estimates what the rest of it would add.
+    pub fn new(point: &OperatingPoint, instances: usize) -> Result<Simulation, ScaleError> {
         let population = Population::new(point)?;
         let mut slots = vec![];
-        for front_door in 0..front_doors {
-            let requests = RequestSource::new(point, &population, front_door)?;
-            slots.push(Slot { front_door: None, requests, step_at: f64::INFINITY });
+        for instance in 0..instances {
+            let requests = RequestSource::new(point, &population, instance)?;
+            slots.push(Slot { instance: None, requests, step_at: f64::INFINITY });
         }
         let backend = |index: usize| address(FIRST_BACKEND_PORT + index as u16);
         let backends: Vec<SocketAddr> = (0..point.backends).map(backend).collect();
@@ -94,14 +94,14 @@
             point: point.clone(),
             events: EventQueue::new(BEGIN),
             slots,
-            counts: Counts::new(point.tenants(), point.absent_fraction(front_doors)),
+            counts: Counts::new(point.tenants(), point.absent_fraction(instances)),
             endpoints: EndpointRotation::new(&backends),
             watches: vec![],
             list_answers: HashMap::new(),
             loads: ServerLoads::default(),
         };
-        for slot in 0..front_doors {
-            let at = BEGIN + START_SPREAD * slot as f64 / front_doors as f64;
+        for slot in 0..instances {
+            let at = BEGIN + START_SPREAD * slot as f64 / instances as f64;
             new.events.push(at, SimulationEvent::Start(slot));
         }
         Ok(new)
@@ -123,11 +123,11 @@
         Ok(())
     }
 
-    /// What all front doors have done until now.
+    /// What all instances have done until now.
     pub fn read(&self) -> Reading {
         let mut all = Reading::default();
-        for front_door in self.slots.iter().filter_map(|slot| slot.front_door.as_ref()) {
-            all.add(front_door.reading());
+        for instance in self.slots.iter().filter_map(|slot| slot.instance.as_ref()) {
+            all.add(instance.reading());
         }
         all
     }
@@ -138,10 +138,10 @@
             SimulationEvent::Step(slot) => self.step(slot),
             SimulationEvent::Request(slot) => self.request(slot),
             SimulationEvent::Connected(port) => {
-                self.with_front_door(port, |front_door| front_door.connected(port.connection))
+                self.with_instance(port, |instance| instance.connected(port.connection))
             }
             SimulationEvent::Receive(port, bytes) => {
-                self.with_front_door(port, |front_door| front_door.received(port.connection, &bytes))
+                self.with_instance(port, |instance| instance.received(port.connection, &bytes))
             }
             SimulationEvent::Serve(port, bytes) => self.serve(port, &bytes).map_err(|error| {
                 ScaleError::Protocol { connection: format!("{:?}", port.connection), reason: error.0 }
--- a/load/src/scale/simulation/servers.rs
+++ b/load/src/scale/simulation/servers.rs
@@ -1,5 +1,5 @@
 //! The servers of a simulation: counter, list service and backends.
-use super::front_doors::LATENCY;
+use super::instances::LATENCY;
 use super::{Port, Simulation, SimulationEvent};
 use crate::scale::operating_point::BACKEND_SECONDS;
 use crate::scale::server_load::Role;
@@ -18,7 +18,7 @@
 }
 
 impl Simulation {
-    /// Serves the requests of these bytes. Requests leave a front door whole, in one piece, and arrive so.
+    /// Serves the requests of these bytes. Requests leave an instance whole, in one piece, and arrive so.
     pub(super) fn serve(&mut self, port: Port, bytes: &[u8]) -> Result<(), ProtocolError> {
         let Some(role) = role(port.connection) else { return Ok(()) };
         let mut used = 0;
@@ -103,7 +103,7 @@
     }
 }
 
-/// The role of the server that a connection leads to; none for connections to the front door.
+/// The role of the server that a connection leads to; none for connections to the instance.
 pub(super) fn role(connection: ConnectionId) -> Option<Role> {
     match connection {
         ConnectionId::Counter(_) => Some(Role::Counter),
--- a/load/src/scale/slope_report.rs
+++ b/load/src/scale/slope_report.rs
@@ -115,7 +115,7 @@
     Ok(())
 }
 
-/// Rows of a run of the program beside those of embedded front doors at the same point, and their ratios.
+/// Rows of a run of the program beside those of embedded instances at the same point, and their ratios.
 pub fn compare_runs(real: &[Row], embedded: &[Row]) -> String {
     let mut text =
         String::from("| figure | unit | real | hollow | hollow / real |\n| --- | --- | --- | --- | --- |\n");
--- a/load/src/scale/socket_group/mod.rs
+++ b/load/src/scale/socket_group/mod.rs
@@ -1,9 +1,9 @@
-//! Embedded front doors with real sockets towards a counter and a list service, many to one thread. Their clients and backends are in
+//! Embedded instances with real sockets towards a counter and a list service, many to one thread. Their clients and backends are in
 //! this process.
 mod sockets;
 
 use super::clock::unix_now;
-use super::embedded::{ConnectionCommand, EmbeddedFrontDoor, Reading, Services};
+use super::embedded::{ConnectionCommand, EmbeddedInstance, Reading, Services};
 use super::error::ScaleError;
 use super::event_queue::EventQueue;
 use super::operating_point::{OperatingPoint, BACKEND_SECONDS};
@@ -16,39 +16,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Threads that the front doors are spread over; the stand-ins have another one.
+/// Threads that the instances are spread over; the stand-ins have another one.
 const THREADS: usize = 6;
-/// Seconds from a front door to a backend in the same process, one way.
+/// Seconds from an instance to a backend in the same process, one way.
 const LATENCY: f64 = 0.000_25;
 /// The longest sleep.
 const LONGEST_SLEEP: Duration = Duration::from_millis(20);
 /// Socket events that are taken at once.
 const EVENT_CAPACITY: usize = 256;
-/// Seconds that a front door is away for a restart.
+/// Seconds that an instance is away for a restart.
 const RESTART_SECONDS: f64 = 1.0;
 
-/// Front doors by thread: consecutive numbers, as evenly as they go.
-pub fn partition(front_doors: usize) -> impl Iterator<Item = Range<usize>> {
-    let threads = THREADS.min(front_doors);
-    (0..threads).map(move |n| n * front_doors / threads..(n + 1) * front_doors / threads)
+/// Instances by thread: consecutive numbers, as evenly as they go.
+pub fn partition(instances: usize) -> impl Iterator<Item = Range<usize>> {
+    let threads = THREADS.min(instances);
+    (0..threads).map(move |n| n * instances / threads..(n + 1) * instances / threads)
 }
 
 enum GroupEvent {
-    /// A front door processes what has come.
+    /// An instance processes what has come.
     Step(usize),
-    /// A client of a front door sends a request.
+    /// A client of an instance sends a request.
     Request(usize),
     /// A connection to a backend is established.
     Connected(BackendPort),
-    /// Bytes of a backend come to a front door.
+    /// Bytes of a backend come to an instance.
     Receive(BackendPort, Vec<u8>),
-    /// A front door is killed.
+    /// An instance is killed.
     Stop(usize),
-    /// A front door starts again.
+    /// An instance starts again.
     Start(usize),
 }
 
-/// A connection to a backend, of one process of a front door.
+/// A connection to a backend, of one process of an instance.
 #[derive(Clone, Copy)]
 struct BackendPort {
     slot: usize,
@@ -56,30 +56,30 @@
     connection: ConnectionId,
 }
 
-/// A front door that is to be killed, and when; it starts again after a second.
+/// An instance that is to be killed, and when; it starts again after a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Restart {
     /// Unix time in seconds.
     pub at: f64,
     /// Its number in the fleet.
-    pub front_door: usize,
+    pub instance: usize,
 }
 
-/// A front door first asked for what comes after a version of the list: it has all until then in force.
+/// An instance first asked for what comes after a version of the list: it has all until then in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InForce {
     /// Its number in the fleet.
-    pub front_door: usize,
+    pub instance: usize,
     /// The version.
     pub version: u64,
     /// Unix time in seconds.
     pub at: f64,
 }
 
-/// A front door of the group.
+/// An instance of the group.
 struct Slot {
     /// None while it restarts.
-    front_door: Option<EmbeddedFrontDoor>,
+    instance: Option<EmbeddedInstance>,
     /// Counts its processes: what is on its way to an earlier one is lost.
     starts: u64,
     /// What earlier processes did.
@@ -91,21 +91,21 @@
     step_at: f64,
 }
 
-/// Front doors of one thread.
+/// Instances of one thread.
 pub struct Group {
     events: EventQueue<GroupEvent>,
     slots: Vec<Slot>,
     sockets: Sockets,
     point: OperatingPoint,
     services: Services,
-    /// The number in the fleet of its first front door.
+    /// The number in the fleet of its first instance.
     first: usize,
-    /// When its front doors had which version of the list in force.
+    /// When its instances had which version of the list in force.
     pub in_force: Vec<InForce>,
 }
 
 impl Group {
-    /// Starts the front doors of these numbers.
+    /// Starts the instances of these numbers.
     pub fn start(
         point: &OperatingPoint,
         population: &Arc<Population>,
@@ -118,9 +118,9 @@
         let mut slots = vec![];
         for number in members {
             let requests = RequestSource::new(point, population, number)?;
-            let front_door = EmbeddedFrontDoor::new(now, point, number, services)?;
+            let instance = EmbeddedInstance::new(now, point, number, services)?;
             slots.push(Slot {
-                front_door: Some(front_door),
+                instance: Some(instance),
                 starts: 0,
                 earlier: Reading::default(),
                 version: 0,
@@ -146,11 +146,11 @@
         Ok(group)
     }
 
-    /// Restarts those of these front doors that are its own.
+    /// Restarts those of these instances that are its own.
     pub fn schedule_restarts(&mut self, restarts: &[Restart]) {
         let own = self.first..self.first + self.slots.len();
-        for restart in restarts.iter().filter(|r| own.contains(&r.front_door)) {
-            self.events.push(restart.at, GroupEvent::Stop(restart.front_door - self.first));
+        for restart in restarts.iter().filter(|r| own.contains(&r.instance)) {
+            self.events.push(restart.at, GroupEvent::Stop(restart.instance - self.first));
         }
     }
 
@@ -179,7 +179,7 @@
         let mut all = Reading::default();
         for slot in &self.slots {
             all.add(&slot.earlier);
-            slot.front_door.iter().for_each(|front_door| all.add(front_door.reading()));
+            slot.instance.iter().for_each(|instance| all.add(instance.reading()));
         }
         all
     }
@@ -189,14 +189,14 @@
             GroupEvent::Step(slot) => self.step(slot),
             GroupEvent::Request(slot) => {
                 let request = self.slots[slot].requests.next_request();
-                self.with_front_door(slot, |front_door| front_door.request(&request));
+                self.with_instance(slot, |instance| instance.request(&request));
                 self.schedule_request(slot, self.events.now);
             }
             GroupEvent::Connected(port) if self.is_current(port) => {
-                self.with_front_door(port.slot, |front_door| front_door.connected(port.connection));
+                self.with_instance(port.slot, |instance| instance.connected(port.connection));
             }
             GroupEvent::Receive(port, bytes) if self.is_current(port) => {
-                self.with_front_door(port.slot, |front_door| front_door.received(port.connection, &bytes));
+                self.with_instance(port.slot, |instance| instance.received(port.connection, &bytes));
             }
             GroupEvent::Connected(_) | GroupEvent::Receive(..) => {}
             GroupEvent::Stop(slot) => self.stop(slot),
@@ -209,10 +209,10 @@
         self.slots[port.slot].starts == port.start
     }
 
-    /// Does something to a front door, if it is there.
-    fn with_front_door(&mut self, slot: usize, action: impl FnOnce(&mut EmbeddedFrontDoor)) {
-        if let Some(front_door) = &mut self.slots[slot].front_door {
-            action(front_door);
+    /// Does something to an instance, if it is there.
+    fn with_instance(&mut self, slot: usize, action: impl FnOnce(&mut EmbeddedInstance)) {
+        if let Some(instance) = &mut self.slots[slot].instance {
+            action(instance);
         }
         self.wake(slot, self.events.now);
     }
@@ -220,28 +220,28 @@
     fn stop(&mut self, slot: usize) {
         let state = &mut self.slots[slot];
         state.starts += 1;
-        if let Some(front_door) = state.front_door.take() {
-            state.earlier.add(front_door.reading());
+        if let Some(instance) = state.instance.take() {
+            state.earlier.add(instance.reading());
         }
         self.sockets.close_all(slot);
         self.events.push(self.events.now + RESTART_SECONDS, GroupEvent::Start(slot));
     }
 
     fn start_again(&mut self, slot: usize) {
-        let started = EmbeddedFrontDoor::new(unix_now(), &self.point, self.first + slot, self.services);
-        self.slots[slot].front_door = started.ok(); // the same settings were read at its first start
+        let started = EmbeddedInstance::new(unix_now(), &self.point, self.first + slot, self.services);
+        self.slots[slot].instance = started.ok(); // the same settings were read at its first start
         self.wake(slot, self.events.now);
     }
 
     /// Records the versions that a watch's caller has in force: all until the one that it knows.
     fn record_in_force(&mut self, slot: usize, bytes: &[u8]) {
         let Ok(Some((watch, _))) = server_protocol::decode_watch(bytes) else { return };
-        let front_door = self.first + slot;
+        let instance = self.first + slot;
         let state = &mut self.slots[slot];
         if watch.since > state.version {
             let at = unix_now();
             let new = state.version + 1..=watch.since;
-            self.in_force.extend(new.map(|version| InForce { front_door, version, at }));
+            self.in_force.extend(new.map(|version| InForce { instance, version, at }));
             state.version = watch.since;
         }
     }
@@ -264,8 +264,8 @@
             return; // it was postponed since
         }
         self.slots[slot].step_at = f64::INFINITY;
-        let Some(front_door) = &mut self.slots[slot].front_door else { return };
-        let step = front_door.step(now);
+        let Some(instance) = &mut self.slots[slot].instance else { return };
+        let step = instance.step(now);
         for command in step.commands {
             self.execute(slot, command);
         }
@@ -283,7 +283,7 @@
             }
             ConnectionCommand::Connect(connection, address) => {
                 if self.sockets.connect(slot, connection, address).is_err() {
-                    self.with_front_door(slot, |f| f.ended(connection, CloseReason::Refused));
+                    self.with_instance(slot, |f| f.ended(connection, CloseReason::Refused));
                 }
             }
             ConnectionCommand::Send(connection @ ConnectionId::Backend(_), bytes) => {
@@ -303,7 +303,7 @@
         BackendPort { slot, start: self.slots[slot].starts, connection }
     }
 
-    /// Answers commands as a backend does. A front door writes whole commands, one or more.
+    /// Answers commands as a backend does. An instance writes whole commands, one or more.
     fn answer_commands(&mut self, port: BackendPort, bytes: &[u8]) {
         let at = self.events.now + 2.0 * LATENCY + BACKEND_SECONDS;
         let mut rest = bytes;
@@ -325,14 +325,14 @@
         match self.sockets.finish_connect(token) {
             sockets::Progress::Established => {}
             sockets::Progress::Connected => {
-                self.with_front_door(owner.slot, |front_door| front_door.connected(owner.connection));
+                self.with_instance(owner.slot, |instance| instance.connected(owner.connection));
             }
             sockets::Progress::Pending => return,
             sockets::Progress::Failed => return self.end(token, CloseReason::Refused),
         }
-        let front_door = &mut self.slots[owner.slot].front_door;
+        let instance = &mut self.slots[owner.slot].instance;
         let received = |bytes: &[u8]| {
-            front_door.iter_mut().for_each(|front_door| front_door.received(owner.connection, bytes))
+            instance.iter_mut().for_each(|instance| instance.received(owner.connection, bytes))
         };
         if let Some(reason) = self.sockets.exchange(token, received) {
             self.end(token, reason);
@@ -340,9 +340,9 @@
         self.wake(owner.slot, self.events.now);
     }
 
-    /// A connection ended, and the front door is notified.
+    /// A connection ended, and the instance is notified.
     fn end(&mut self, token: Token, reason: CloseReason) {
         let Some(owner) = self.sockets.remove(token) else { return };
-        self.with_front_door(owner.slot, |front_door| front_door.ended(owner.connection, reason));
+        self.with_instance(owner.slot, |instance| instance.ended(owner.connection, reason));
     }
 }
--- a/load/src/scale/socket_group/sockets.rs
+++ b/load/src/scale/socket_group/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a group of embedded front doors.
+//! The sockets of a group of embedded instances.
 use crate::scale::error::ScaleError;
 use crate::scale::stream_io::{read_available, write_pending};
 use mio::net::TcpStream;
@@ -12,7 +12,7 @@
 /// Buffer of one read, bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// The front door and the connection that a socket belongs to.
+/// The instance and the connection that a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Owner {
     pub slot: usize,
@@ -126,14 +126,14 @@
         write_pending(&mut socket.stream, &mut socket.output).map(drop)
     }
 
-    /// Closes a connection of a front door, if it is open.
+    /// Closes a connection of an instance, if it is open.
     pub fn close(&mut self, slot: usize, connection: ConnectionId) {
         if let Some(token) = self.tokens.get(&Owner { slot, connection }).copied() {
             self.remove(token);
         }
     }
 
-    /// Closes all connections of a front door.
+    /// Closes all connections of an instance.
     pub fn close_all(&mut self, slot: usize) {
         let own: Vec<Owner> = self.tokens.keys().filter(|owner| owner.slot == slot).copied().collect();
         own.into_iter().for_each(|owner| self.close(owner.slot, owner.connection));
--- a/load/src/scale/stand_ins/connection.rs
+++ b/load/src/scale/stand_ins/connection.rs
@@ -4,7 +4,7 @@
 use mio::net::TcpStream;
 use std::io::Result;
 
-/// A connection of a front door to a stand-in.
+/// A connection of an instance to a stand-in.
 pub(super) struct Connection {
     /// The server that it leads to.
     pub role: Role,
--- a/load/src/scale/stand_ins/mod.rs
+++ b/load/src/scale/stand_ins/mod.rs
@@ -31,7 +31,7 @@
 pub enum Backends {
     /// They listen and answer.
     Served,
-    /// They are on the list only; whoever runs the front doors answers for them.
+    /// They are on the list only; whoever runs the instances answers for them.
     Listed,
 }
 
@@ -59,10 +59,10 @@
 }
 
 impl StandIns {
-    /// Starts them on free ports of loopback. `front_doors` are there; the rest of the fleet is estimated by the counter.
+    /// Starts them on free ports of loopback. `instances` are there; the rest of the fleet is estimated by the counter.
     pub fn start(
         point: &OperatingPoint,
-        front_doors: usize,
+        instances: usize,
         backends: Backends,
     ) -> Result<StandIns, ScaleError> {
         let poll = Poll::new().map_err(ScaleError::Poll)?;
@@ -83,7 +83,7 @@
         let event_loop = EventLoop::new(Setup {
             poll,
             listeners,
-            counts: Counts::new(point.tenants(), point.absent_fraction(front_doors)),
+            counts: Counts::new(point.tenants(), point.absent_fraction(instances)),
             endpoints,
             loads: loads.clone(),
             changes: changes.clone(),
--- a/load/src/scale/sweep.rs
+++ b/load/src/scale/sweep.rs
@@ -1,4 +1,4 @@
-//! Runs embedded front doors over the factors, one factor at a time. Each point has a process of its own, so that its memory
+//! Runs embedded instances over the factors, one factor at a time. Each point has a process of its own, so that its memory
 //! is told apart; a few of them run at once.
 use super::error::ScaleError;
 use super::fit::{Factor, FACTORS};
@@ -35,8 +35,8 @@
     pub factors: &'a [Factor],
     /// How long each point is measured.
     pub span: &'a Span,
-    /// Embedded front doors at each point.
-    pub front_doors: usize,
+    /// Embedded instances at each point.
+    pub instances: usize,
     /// What the sweep is bounded by.
     pub bounds: &'a Bounds,
 }
@@ -47,7 +47,7 @@
         let named = |name: &str, value: String| [name.to_owned(), value];
         let mut words = vec!["scale".to_owned(), "hollow".to_owned()];
         words.extend(named("--run", factor.run()));
-        words.extend(named("--hollow", self.front_doors.to_string()));
+        words.extend(named("--hollow", self.instances.to_string()));
         words.extend(named("--out", out.display().to_string()));
         words.extend(self.span.arguments());
         words.extend(self.point(factor, size).arguments());
@@ -59,10 +59,10 @@
         let mut point = self.base.clone();
         let count = size as usize;
         match factor {
-            // Each front door gets what it got, so the fleet's traffic and the quotas grow with it.
-            Factor::FrontDoors => {
-                point.fleet_requests = self.base.fleet_requests * size / self.base.front_doors as f64;
-                point.front_doors = count;
+            // Each instance gets what it got, so the fleet's traffic and the quotas grow with it.
+            Factor::Instances => {
+                point.fleet_requests = self.base.fleet_requests * size / self.base.instances as f64;
+                point.instances = count;
             }
             Factor::Backends => point.backends = count,
             Factor::Tenants => point.tenants = count,
--- a/load/src/test_bed/backend.rs
+++ b/load/src/test_bed/backend.rs
@@ -92,7 +92,7 @@
     Ok(())
 }
 
-/// A connection of a front door to this backend.
+/// A connection of an instance to this backend.
 struct Connection {
     index: usize,
     test_bed: Arc<TestBed>,
--- a/load/src/test_bed/condition.rs
+++ b/load/src/test_bed/condition.rs
@@ -56,7 +56,7 @@
     pub unanswered: f64,
     /// Fraction of calls that are rejected.
     pub reject: f64,
-    /// Every other front door reaches a second set of counts.
+    /// Every other instance reaches a second set of counts.
     pub split: bool,
 }
 
--- a/load/src/test_bed/inject.rs
+++ b/load/src/test_bed/inject.rs
@@ -11,7 +11,7 @@
 const MILLISECOND: f64 = 0.001;
 
 impl TestBed {
-    /// Carries out a step that concerns stand-ins; steps of front doors are carried out by the fleet.
+    /// Carries out a step that concerns stand-ins; steps of instances are carried out by the fleet.
     pub fn inject(&self, step: &FaultStep) {
         let magnitude = if step.begins { step.magnitude } else { 0.0 };
         match step.kind {
--- a/load/src/test_bed/loopback.rs
+++ b/load/src/test_bed/loopback.rs
@@ -35,7 +35,7 @@
     Ok(Bound { socket, address })
 }
 
-/// A reply of a front door.
+/// A reply of an instance.
 pub struct Reply {
     /// Its first byte: `$` a value, `-` an error, `+` a status.
     pub kind: u8,
@@ -43,7 +43,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Reads one reply of a front door.
+/// Reads one reply of an instance.
 pub fn read_reply(from: &mut impl BufRead) -> Result<Reply> {
     let mut line = Vec::new();
     if from.read_until(b'\n', &mut line)? == 0 {
--- a/load/src/test_bed/mod.rs
+++ b/load/src/test_bed/mod.rs
@@ -1,4 +1,4 @@
-//! The test bed of one run: the state shared by the stand-in servers that surround the front doors on loopback, that is the clock, the
+//! The test bed of one run: the state shared by the stand-in servers that surround the instances on loopback, that is the clock, the
 //! condition of each backend and of the counter, the endpoint list, and what the backends executed.
 //!
 //! The servers (`backend`, `counter`, `discovery`, `peer_relay`) use a thread for each connection. The scale runs have stand-ins of
--- a/load/src/test_bed/peer_relay.rs
+++ b/load/src/test_bed/peer_relay.rs
@@ -1,11 +1,11 @@
-//! The relay for gossip: passes each datagram of a front door on to all the others.
+//! The relay for gossip: passes each datagram of an instance on to all the others.
 use std::net::{SocketAddr, UdpSocket};
 use std::thread::spawn;
 
 /// The longest datagram, bytes.
 const DATAGRAM_BYTES: usize = 512;
 
-/// Relays datagrams. Front doors know the relay's address as a peer's.
+/// Relays datagrams. Instances know the relay's address as a peer's.
 pub fn start(socket: UdpSocket, peers: Vec<SocketAddr>) {
     spawn(move || {
         let mut body = [0; DATAGRAM_BYTES];
--- a/load/src/usage.rs
+++ b/load/src/usage.rs
@@ -41,7 +41,7 @@
     pub rows: Vec<CustomerUsage>,
 }
 
-/// A plan's quota, as the settings of the front doors have it.
+/// A plan's quota, as the settings of the instances have it.
 struct Quota {
     /// Units a second; 0: unlimited.
     rate: f64,
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -175,7 +175,7 @@
     assert_eq!(run.died, 0, "it was meant");
     let at = |door: usize, from: f64, to: f64| {
         rows.iter()
-            .filter(|r| r.front_door == door && r.at >= from && r.at < to && r.outcome == Outcome::Succeeded)
+            .filter(|r| r.instance == door && r.at >= from && r.at < to && r.outcome == Outcome::Succeeded)
             .count()
     };
     assert_eq!(at(0, 0.45, 0.75), 0);
@@ -189,9 +189,9 @@
     let (_, rows) = run_all(&e, "stall").remove(0);
     // Whoever came to it early in its stand has waited for nearly all of it.
     let waited =
-        rows.iter().filter(|r| r.front_door == 0 && (0.4..0.6).contains(&r.at) && r.took > 0.15).count();
+        rows.iter().filter(|r| r.instance == 0 && (0.4..0.6).contains(&r.at) && r.took > 0.15).count();
     assert!(waited > 3, "{waited}");
-    assert!(rows.iter().all(|r| r.front_door == 0 || r.took < 0.15));
+    assert!(rows.iter().all(|r| r.instance == 0 || r.took < 0.15));
 }
 
 #[test]
--- a/load/tests/scale.rs
+++ b/load/tests/scale.rs
@@ -10,7 +10,7 @@
 fn point() -> OperatingPoint {
     OperatingPoint {
         seed: 5,
-        front_doors: 20,
+        instances: 20,
         backends: 60,
         tenants: 200,
         fleet_requests: 1_000.0,
