--- a/load/src/bin/quillramp-relay.rs
+++ b/load/src/bin/quillramp-relay.rs
@@ -1,6 +1,6 @@
-//! quillramp-relay: a baseline, not a front door. Reads the same configuration and passes each command on to a backend by a plain
-//! textbook policy, with no quota, no repeats and no regard for health. To compare with, and for tests: it can be slowed, and it can send
-//! what it should not.
+//! quillramp-relay: a baseline, not the gateway. Reads the same configuration and forwards each command to a backend by a plain
+//! textbook policy, with no quota, no retries and no health checks. To compare with, and for tests: it can be slowed, and it can send
+//! duplicates.
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Error, ErrorKind, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,73 +8,123 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Spreads consecutive numbers over 64 bits.
+const MIX_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Words of a backend's reply; the first one is the value.
+const REPLY_WORDS: usize = 3;
+/// Bytes of a line's end.
+const LINE_END: usize = 2;
+
 struct Backend {
-    at: SocketAddr,
-    out: AtomicUsize,
+    address: SocketAddr,
+    /// Commands in flight.
+    in_flight: AtomicUsize,
+}
+
+/// How a backend is picked.
+#[derive(Clone, Copy)]
+enum Policy {
+    RoundRobin,
+    Random,
+    /// The one with fewer commands in flight of two drawn at random.
+    TwoChoices,
+    /// The one with the fewest commands in flight.
+    LeastInFlight,
+}
+
+impl Policy {
+    /// The policy of that name; without a known one it is `least-out`.
+    fn named(name: &str) -> Policy {
+        match name {
+            "round-robin" => Policy::RoundRobin,
+            "random" => Policy::Random,
+            "two-choices" => Policy::TwoChoices,
+            _ => Policy::LeastInFlight,
+        }
+    }
 }
 
 struct Relay {
     backends: Vec<Backend>,
-    /// `round-robin`, `random`, `two-choices` or `least-out`.
-    policy: String,
-    turn: AtomicUsize,
+    policy: Policy,
+    /// Counts the picks.
+    picks: AtomicUsize,
+    /// Time that each command waits.
     delay: Duration,
-    /// Each command that may not be repeated is sent twice.
-    twice: bool,
+    /// Each command that is not idempotent is sent twice.
+    duplicates: bool,
 }
 
 impl Relay {
     fn random(&self) -> usize {
-        let n = self.turn.fetch_add(1, Ordering::Relaxed) as u64;
-        let mixed = (n ^ (n >> 7)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let pick = self.picks.fetch_add(1, Ordering::Relaxed) as u64;
+        let mixed = (pick ^ (pick >> 7)).wrapping_mul(MIX_MULTIPLIER);
         (mixed >> 33) as usize % self.backends.len()
     }
 
+    /// The index of the backend for the next command.
     fn pick(&self) -> usize {
-        let out = |i: &usize| self.backends[*i].out.load(Ordering::Relaxed);
-        match self.policy.as_str() {
-            "round-robin" => self.turn.fetch_add(1, Ordering::Relaxed) % self.backends.len(),
-            "random" => self.random(),
-            "two-choices" => [self.random(), self.random()].into_iter().min_by_key(out).unwrap_or(0),
-            _ => (0..self.backends.len()).min_by_key(out).unwrap_or(0),
+        let in_flight = |index: &usize| self.backends[*index].in_flight.load(Ordering::Relaxed);
+        match self.policy {
+            Policy::RoundRobin => self.picks.fetch_add(1, Ordering::Relaxed) % self.backends.len(),
+            Policy::Random => self.random(),
+            Policy::TwoChoices => {
+                [self.random(), self.random()].into_iter().min_by_key(in_flight).unwrap_or(0)
+            }
+            Policy::LeastInFlight => (0..self.backends.len()).min_by_key(in_flight).unwrap_or(0),
         }
     }
+
+    /// How often a command is sent.
+    fn copies(&self, command: &[u8]) -> usize {
+        if self.duplicates && contains(command, b"CALL.POST") {
+            2
+        } else {
+            1
+        }
+    }
+}
+
+fn contains(bytes: &[u8], word: &[u8]) -> bool {
+    bytes.windows(word.len()).any(|window| window == word)
+}
+
+/// The number of a line behind its first byte, such as `$16`.
+fn line_number<T: std::str::FromStr>(line: &[u8]) -> Option<T> {
+    std::str::from_utf8(&line[1..]).ok().and_then(|text| text.trim().parse().ok())
 }
 
-/// One whole command as it came; none at the end.
-fn command(from: &mut impl BufRead) -> Result<Option<Vec<u8>>> {
-    let mut all = Vec::new();
-    if from.read_until(b'\n', &mut all)? == 0 {
+/// Reads one whole command as it came; none at the end.
+fn read_command(from: &mut impl BufRead) -> Result<Option<Vec<u8>>> {
+    let mut command = Vec::new();
+    if from.read_until(b'\n', &mut command)? == 0 {
         return Ok(None);
     }
-    let number =
-        |line: &[u8]| std::str::from_utf8(&line[1..]).ok().and_then(|t| t.trim().parse::<usize>().ok());
-    let words = number(&all).ok_or(ErrorKind::InvalidData)?;
+    let words: usize = line_number(&command).ok_or(ErrorKind::InvalidData)?;
     for _ in 0..words {
-        let from_here = all.len();
-        from.read_until(b'\n', &mut all)?;
-        let length = number(&all[from_here..]).ok_or(ErrorKind::InvalidData)?;
-        let end = all.len();
-        all.resize(end + length + 2, 0);
-        from.read_exact(&mut all[end..])?;
+        let head = command.len();
+        from.read_until(b'\n', &mut command)?;
+        let length: usize = line_number(&command[head..]).ok_or(ErrorKind::InvalidData)?;
+        let body = command.len();
+        command.resize(body + length + LINE_END, 0);
+        from.read_exact(&mut command[body..])?;
     }
-    Ok(Some(all))
+    Ok(Some(command))
 }
 
-/// A backend's reply: its value, or the line that it said instead.
-fn reply(from: &mut impl BufRead) -> Result<Vec<u8>> {
+/// Reads a backend's reply: its value, or the line that came instead.
+fn read_reply(from: &mut impl BufRead) -> Result<Vec<u8>> {
     let mut line = Vec::new();
     from.read_until(b'\n', &mut line)?;
     if line.first() != Some(&b'*') {
         return if line.is_empty() { Err(ErrorKind::UnexpectedEof.into()) } else { Ok(line) };
     }
     let mut value = Vec::new();
-    for word in 0..3 {
+    for word in 0..REPLY_WORDS {
         let mut head = Vec::new();
         from.read_until(b'\n', &mut head)?;
-        let length: i64 =
-            std::str::from_utf8(&head[1..]).ok().and_then(|t| t.trim().parse().ok()).unwrap_or(-1);
-        let mut body = vec![0; if length < 0 { 0 } else { length as usize + 2 }];
+        let length: i64 = line_number(&head).unwrap_or(-1);
+        let mut body = vec![0; if length < 0 { 0 } else { length as usize + LINE_END }];
         from.read_exact(&mut body)?;
         if word == 0 {
             value = [head, body].concat();
@@ -83,68 +133,96 @@
     Ok(value)
 }
 
-fn serve(relay: &Relay, stream: TcpStream) -> Result<()> {
-    stream.set_nodelay(true)?;
-    let (mut from, mut to) = (BufReader::new(stream.try_clone()?), stream);
-    let mut links: Vec<Option<(BufReader<TcpStream>, TcpStream)>> =
-        relay.backends.iter().map(|_| None).collect();
-    while let Some(command) = command(&mut from)? {
-        if command.windows(4).any(|w| w == b"PING") {
-            to.write_all(b"+PONG\r\n")?;
+/// A connection to a backend.
+struct Link {
+    reader: BufReader<TcpStream>,
+    writer: TcpStream,
+}
+
+impl Link {
+    fn open(address: SocketAddr) -> Result<Link> {
+        let writer = TcpStream::connect(address)?;
+        writer.set_nodelay(true)?;
+        Ok(Link { reader: BufReader::new(writer.try_clone()?), writer })
+    }
+
+    fn exchange(&mut self, command: &[u8]) -> Result<Vec<u8>> {
+        self.writer.write_all(command)?;
+        read_reply(&mut self.reader)
+    }
+}
+
+/// Forwards a command on a link, which is opened if need be and is gone after an error.
+fn forward(link: &mut Option<Link>, backend: &Backend, command: &[u8]) -> Result<Vec<u8>> {
+    let mut open = match link.take() {
+        Some(open) => open,
+        None => Link::open(backend.address)?,
+    };
+    let reply = open.exchange(command)?;
+    *link = Some(open);
+    Ok(reply)
+}
+
+/// Serves a client's connection.
+fn serve(relay: &Relay, mut client: TcpStream) -> Result<()> {
+    client.set_nodelay(true)?;
+    let mut from = BufReader::new(client.try_clone()?);
+    let mut links: Vec<Option<Link>> = relay.backends.iter().map(|_| None).collect();
+    while let Some(command) = read_command(&mut from)? {
+        if contains(&command, b"PING") {
+            client.write_all(b"+PONG\r\n")?;
             continue;
         }
         std::thread::sleep(relay.delay);
-        let times = if relay.twice && command.windows(9).any(|w| w == b"CALL.POST") { 2 } else { 1 };
-        let mut said = b"-ERR failed\r\n".to_vec();
-        for _ in 0..times {
-            let i = relay.pick();
-            relay.backends[i].out.fetch_add(1, Ordering::Relaxed);
-            let asked = ask(&mut links[i], relay.backends[i].at, &command);
-            relay.backends[i].out.fetch_sub(1, Ordering::Relaxed);
-            match asked {
-                Ok(value) => said = value,
-                Err(_) => links[i] = None,
+        let mut reply = b"-ERR failed\r\n".to_vec();
+        for _ in 0..relay.copies(&command) {
+            let index = relay.pick();
+            let backend = &relay.backends[index];
+            backend.in_flight.fetch_add(1, Ordering::Relaxed);
+            let forwarded = forward(&mut links[index], backend, &command);
+            backend.in_flight.fetch_sub(1, Ordering::Relaxed);
+            if let Ok(value) = forwarded {
+                reply = value;
             }
         }
-        to.write_all(&said)?;
+        client.write_all(&reply)?;
     }
     Ok(())
 }
 
-fn ask(
-    link: &mut Option<(BufReader<TcpStream>, TcpStream)>,
-    at: SocketAddr,
-    command: &[u8],
-) -> Result<Vec<u8>> {
-    if link.is_none() {
-        let stream = TcpStream::connect(at)?;
-        stream.set_nodelay(true)?;
-        *link = Some((BufReader::new(stream.try_clone()?), stream));
-    }
-    let (from, to) = link.as_mut().ok_or(ErrorKind::NotConnected)?;
-    to.write_all(command)?;
-    reply(from)
+fn invalid_input(reason: &str) -> Error {
+    Error::new(ErrorKind::InvalidInput, reason.to_owned())
+}
+
+fn address(value: &Value) -> Option<SocketAddr> {
+    value.as_str().and_then(|text| text.parse().ok())
+}
+
+/// The backends of the endpoint list that the configuration has.
+fn backends(configuration: &Value) -> Result<Vec<Backend>> {
+    let endpoints = configuration["known"]["endpoints"].as_array();
+    let endpoints = endpoints.ok_or_else(|| invalid_input("known.endpoints is missing"))?;
+    let addresses = endpoints.iter().filter_map(|endpoint| address(&endpoint["address"]));
+    Ok(addresses.map(|address| Backend { address, in_flight: AtomicUsize::new(0) }).collect())
 }
 
 fn run() -> Result<()> {
-    let wrong = |why: &str| Error::new(ErrorKind::InvalidInput, why.to_owned());
-    let path = std::env::var("EDGE_CONFIG").map_err(|_| wrong("EDGE_CONFIG names no configuration file"))?;
-    let told: Value = serde_json::from_slice(&std::fs::read(path)?)?;
-    let address = |v: &Value| v.as_str().and_then(|a| a.parse::<SocketAddr>().ok());
-    let entries = told["known"]["endpoints"].as_array().ok_or_else(|| wrong("known.endpoints is missing"))?;
-    let backends: Vec<Backend> = entries
-        .iter()
-        .filter_map(|e| address(&e["address"]))
-        .map(|at| Backend { at, out: AtomicUsize::new(0) })
-        .collect();
-    let listen = address(&told["listen"]).ok_or_else(|| wrong("listen is no address"))?;
+    let path = std::env::var("EDGE_CONFIG");
+    let path = path.map_err(|_| invalid_input("EDGE_CONFIG names no configuration file"))?;
+    let configuration: Value = serde_json::from_slice(&std::fs::read(path)?)?;
+    let backends = backends(&configuration)?;
+    let listen = address(&configuration["listen"]).ok_or_else(|| invalid_input("listen is no address"))?;
     if backends.is_empty() {
-        return Err(wrong("no backend is known"));
+        return Err(invalid_input("no backend is known"));
     }
-    let of = |name: &str| std::env::var(name).unwrap_or_default();
-    let delay = Duration::from_millis(of("RELAY_DELAY_MS").parse().unwrap_or(0));
-    let (policy, turn, twice) = (of("RELAY_POLICY"), AtomicUsize::new(0), !of("RELAY_TWICE").is_empty());
-    let relay = Arc::new(Relay { backends, policy, turn, delay, twice });
+    let variable = |name: &str| std::env::var(name).unwrap_or_default();
+    let relay = Arc::new(Relay {
+        backends,
+        policy: Policy::named(&variable("RELAY_POLICY")),
+        picks: AtomicUsize::new(0),
+        delay: Duration::from_millis(variable("RELAY_DELAY_MS").parse().unwrap_or(0)),
+        duplicates: !variable("RELAY_TWICE").is_empty(),
+    });
     for stream in TcpListener::bind(listen)?.incoming().flatten() {
         let relay = relay.clone();
         std::thread::spawn(move || serve(&relay, stream)); // it ends with its connection
