--- a/load/src/error.rs
+++ b/load/src/error.rs
@@ -60,7 +60,7 @@
         /// What the system said.
         source: io::Error,
     },
-    /// All threads of the generator ended before the last invocation.
+    /// All threads of the generator ended before the last request.
     #[error("the generator's threads have ended")]
     GeneratorEnded,
     /// A thread of the generator panicked.
--- a/load/src/experiment/arrivals.rs
+++ b/load/src/experiment/arrivals.rs
@@ -1,4 +1,4 @@
-//! When which invocation comes, drawn from the experiment's seed.
+//! When which request comes, drawn from the experiment's seed.
 use super::{Arrival, Experiment, Flood};
 use crate::fault_schedule;
 use rand::{Rng, SeedableRng};
@@ -10,7 +10,7 @@
 /// Sets the seeds of the flood apart, from repetition to repetition and from all others' arrivals.
 const FLOOD_REPETITION_SEED: u64 = 31;
 const FLOOD_SEED: u64 = 17;
-/// The least rate that arrivals are drawn by, invocations a second.
+/// The least rate that arrivals are drawn by, requests a second.
 const LEAST_RATE: f64 = 1e-9;
 
 impl Experiment {
--- a/load/src/experiment/check.rs
+++ b/load/src/experiment/check.rs
@@ -5,7 +5,7 @@
 
 /// The longest traffic, seconds.
 const LONGEST_SECONDS: f64 = 300.0;
-/// The highest rate, invocations a second.
+/// The highest rate, requests a second.
 const HIGHEST_RATE: f64 = 20_000.0;
 /// The largest fleet that one machine can carry.
 const MAX_INSTANCES: usize = 300;
--- a/load/src/experiment/mod.rs
+++ b/load/src/experiment/mod.rs
@@ -40,7 +40,7 @@
 pub struct Traffic {
     /// How long they send, seconds.
     pub seconds: f64,
-    /// Open loop: invocations a second, at times that do not wait for answers; closed loop: 0.
+    /// Open loop: requests a second, at times that do not wait for answers; closed loop: 0.
     #[serde(default)]
     pub rate: f64,
     /// Connections to each instance. Closed loop: each sends again as soon as it is answered.
@@ -48,23 +48,23 @@
     /// Connections to each instance beside these, that have sent one command and then nothing.
     #[serde(default)]
     pub idle: usize,
-    /// The fraction of invocations that are not idempotent.
+    /// The fraction of requests that are not idempotent.
     #[serde(default, rename = "orders")]
     pub non_idempotent: f64,
-    /// Instances that a customer's invocations come in through; 0: all.
+    /// Instances that a customer's requests come in through; 0: all.
     #[serde(default)]
     pub spread: usize,
     /// One customer sends more beside all this; open loop only.
     pub flood: Option<Flood>,
 }
 
-/// More invocations of one customer.
+/// More requests of one customer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Flood {
     /// The customer's number, from 0.
     pub customer: u64,
-    /// Invocations a second, beside what it sends as all others do.
+    /// Requests a second, beside what it sends as all others do.
     pub rate: f64,
     /// When it begins, seconds.
     #[serde(default)]
@@ -103,7 +103,7 @@
     1.0
 }
 
-/// One invocation to come.
+/// One request to come.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
     /// Seconds from the start.
@@ -155,7 +155,7 @@
         changed
     }
 
-    /// Whether invocations come at times that do not wait for answers.
+    /// Whether requests come at times that do not wait for answers.
     pub fn is_open_loop(&self) -> bool {
         self.traffic.rate > 0.0
     }
--- a/load/src/fault_schedule.rs
+++ b/load/src/fault_schedule.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Factor on the rate of invocations at a time, seconds since the start of the traffic.
+/// Factor on the rate of requests at a time, seconds since the start of the traffic.
 pub fn burst_factor(faults: &[Fault], at: f64) -> f64 {
     let active = |fault: &&Fault| {
         fault.kind == Kind::Burst && at >= fault.at && at < fault.at + fault.lasts.unwrap_or(0.0)
--- a/load/src/fleet/configuration.rs
+++ b/load/src/fleet/configuration.rs
@@ -27,7 +27,9 @@
 
 /// Configuration files, one for each instance.
 pub(super) struct Written {
+    /// Where the instances are to listen.
     pub addresses: Vec<SocketAddr>,
+    /// The files, in the same order.
     pub files: Vec<PathBuf>,
 }
 
--- a/load/src/fleet/mod.rs
+++ b/load/src/fleet/mod.rs
@@ -45,7 +45,7 @@
 pub struct Fleet {
     members: Arc<Vec<Mutex<Member>>>,
     launcher: Launcher,
-    /// Where the instances are, and which take invocations.
+    /// Where the instances are, and which take requests.
     pub routes: Arc<Routes>,
     /// Seconds of processor time of processes that have ended on purpose.
     ended_processor: Arc<Mutex<f64>>,
--- a/load/src/fleet/process.rs
+++ b/load/src/fleet/process.rs
@@ -18,6 +18,7 @@
 }
 
 impl Launcher {
+    /// The launcher of a variant's program, with its environment.
     pub fn new(variant: &Variant) -> Launcher {
         let program = variant.program.clone().unwrap_or_else(|| DEFAULT_PROGRAM.into());
         Launcher { program, variant: variant.clone() }
--- a/load/src/fleet/routes.rs
+++ b/load/src/fleet/routes.rs
@@ -1,4 +1,4 @@
-//! Where the instances are, and which of them take invocations: what a load balancer before them would know.
+//! Where the instances are, and which of them take requests: what a load balancer before them would know.
 use crate::test_bed::loopback::read_reply;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether an instance answers PING with PONG, so it takes invocations.
+/// Whether an instance answers PING with PONG, so it takes requests.
 fn is_healthy(address: SocketAddr) -> bool {
     let ping = || -> std::io::Result<bool> {
         let mut to = TcpStream::connect_timeout(&address, HEALTH_CHECK_INTERVAL)?;
--- a/load/src/generator/client.rs
+++ b/load/src/generator/client.rs
@@ -1,4 +1,4 @@
-//! A client of the instances: one connection, one invocation after another.
+//! A client of the instances: one connection, one request after another.
 use super::Outcome;
 use crate::error::RunError;
 use crate::experiment::Arrival;
@@ -20,11 +20,12 @@
 /// Spreads consecutive request ids over 64 bits.
 const ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Numbers the invocations of this process.
+/// Numbers the requests of this process.
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
 /// The instances as a customer uses them.
 pub(super) struct CustomerRoutes<'a> {
+    /// Where the instances are.
     pub routes: &'a Routes,
     /// Instances of each customer.
     pub spread: usize,
@@ -39,7 +40,9 @@
 
 /// What came back, and from which instance.
 pub(super) struct Answer {
+    /// Index of the instance.
     pub instance: usize,
+    /// How the request ended.
     pub outcome: Outcome,
 }
 
@@ -58,7 +61,7 @@
         Ok(Connection { instance, writer, reader })
     }
 
-    /// Sends an invocation and reads what comes back.
+    /// Sends a request and reads what comes back.
     fn exchange(&mut self, text: &str) -> Exchange {
         let sent = self.writer.write_all(text.as_bytes());
         let Ok(reply) = sent.and_then(|()| read_reply(&mut self.reader)) else { return Exchange::Lost };
@@ -80,19 +83,20 @@
     Lost,
 }
 
-/// A client; its connection stays open from one invocation to the next.
+/// A client; its connection stays open from one request to the next.
 pub(super) struct Client {
     connection: Option<Connection>,
 }
 
 impl Client {
+    /// A client without a connection.
     pub fn new() -> Client {
         Client { connection: None }
     }
 
-    /// Sends an invocation to an instance of the customer's that is up.
+    /// Sends a request to an instance of the customer's that is up.
     pub fn send(&mut self, to: &CustomerRoutes, arrival: &Arrival) -> Answer {
-        let text = invocation(arrival, to);
+        let text = encode_request(arrival, to);
         let first = to.first(arrival.customer);
         let mut instance = arrival.instance;
         for _ in 0..=to.spread {
@@ -128,8 +132,8 @@
     }
 }
 
-/// An invocation as a client writes it. A customer's instances begin at its own number.
-fn invocation(arrival: &Arrival, to: &CustomerRoutes) -> String {
+/// A request as a client writes it. A customer's instances begin at its own number.
+fn encode_request(arrival: &Arrival, to: &CustomerRoutes) -> String {
     let (verb, words, name, body) = if arrival.non_idempotent {
         ("CALL.POST", 5, "order", "$1\r\nx\r\n")
     } else {
--- a/load/src/generator/mod.rs
+++ b/load/src/generator/mod.rs
@@ -1,4 +1,4 @@
-//! The load generator: clients send invocations at given times, or as fast as they are answered, and what came of each one is a row.
+//! The load generator: clients send requests at given times, or as fast as they are answered, and what came of each one is a row.
 mod client;
 
 pub use client::open_idle_connections;
@@ -18,7 +18,7 @@
 /// Stack of a thread that is one client, bytes.
 const STACK_BYTES: usize = 96 * 1024;
 
-/// How an invocation ended, as its client sees it.
+/// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
@@ -34,7 +34,7 @@
     NotConnected,
 }
 
-/// A row of `rows.csv`: what came of one invocation. Times are seconds; `took` counts from the intended start, so that no stall of a
+/// A row of `rows.csv`: what came of one request. Times are seconds; `took` counts from the intended start, so that no stall of a
 /// instance is hidden.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestRow {
@@ -69,7 +69,7 @@
     pub repetition: usize,
 }
 
-/// Where the invocations of a client come from.
+/// Where the requests of a client come from.
 enum Source {
     /// Open loop: a queue that is filled at the intended times.
     Queue(Arc<Mutex<mpsc::Receiver<Arrival>>>),
@@ -118,7 +118,7 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    /// The next invocation; none at the end of the run.
+    /// The next request; none at the end of the run.
     fn next(&mut self) -> Option<Arrival> {
         let now = self.elapsed();
         match &mut self.source {
@@ -139,7 +139,7 @@
 
 /// The threads of the generator, and the queues of an open loop.
 struct Workers {
-    /// By instance: one that stalls holds up nobody else's invocations.
+    /// By instance: one that stalls holds up nobody else's requests.
     queues: Vec<mpsc::Sender<Arrival>>,
     /// Held so that a queue takes arrivals also when its threads have panicked; that is reported at the end.
     _receivers: Vec<Arc<Mutex<mpsc::Receiver<Arrival>>>>,
--- a/load/src/results/figures.rs
+++ b/load/src/results/figures.rs
@@ -15,11 +15,11 @@
 /// Figures of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
-    /// Fraction of invocations that succeeded.
+    /// Fraction of requests that succeeded.
     pub succeeded: f64,
-    /// Fraction of invocations that were rejected.
+    /// Fraction of requests that were rejected.
     pub throttled: f64,
-    /// Fraction of invocations that errored or got no answer.
+    /// Fraction of requests that errored or got no answer.
     pub failed: f64,
     /// Median latency of those that succeeded, milliseconds.
     pub median: f64,
@@ -29,13 +29,13 @@
     pub rate: f64,
     /// By how much the generator was late, 99th percentile, milliseconds: latencies below it mean nothing.
     pub late: f64,
-    /// Processor time of the instances for one invocation, milliseconds.
+    /// Processor time of the instances for one request, milliseconds.
     pub processor: f64,
     /// Memory of one instance, MiB.
     pub memory: f64,
-    /// Executions at backends for one invocation.
+    /// Executions at backends for one request.
     pub deliveries: f64,
-    /// Counter calls for one invocation.
+    /// Counter calls for one request.
     pub counter_calls: f64,
     /// Connections to backends that one instance made.
     pub connections: f64,
@@ -94,9 +94,9 @@
 pub fn figures(run: &RunSummary, rows: &[RequestRow]) -> Figures {
     let is_own = |row: &&RequestRow| row.variant == run.variant && row.repetition == run.repetition;
     let own: Vec<&RequestRow> = rows.iter().filter(is_own).collect();
-    let invocations = own.len().max(1) as f64;
+    let requests = own.len().max(1) as f64;
     let instances = run.instances.max(1) as f64;
-    let fraction = |of: Outcome| own.iter().filter(|row| row.outcome == of).count() as f64 / invocations;
+    let fraction = |of: Outcome| own.iter().filter(|row| row.outcome == of).count() as f64 / requests;
     let mut took = histogram();
     let mut late = histogram();
     for row in &own {
@@ -116,10 +116,10 @@
         p99: quantile_ms(&took, 0.99),
         rate: succeeded * own.len() as f64 / seconds,
         late: quantile_ms(&late, 0.99),
-        processor: MILLISECONDS * run.processor / invocations,
+        processor: MILLISECONDS * run.processor / requests,
         memory: run.memory_mb / instances,
-        deliveries: run.deliveries as f64 / invocations,
-        counter_calls: run.counter_calls as f64 / invocations,
+        deliveries: run.deliveries as f64 / requests,
+        counter_calls: run.counter_calls as f64 / requests,
         connections: run.connections as f64 / instances,
         beyond_quota: run.beyond_quota / run.units.max(1.0),
         worst_excess: run.worst_excess,
@@ -128,7 +128,9 @@
 
 /// The figures of all runs of a variant.
 pub(super) struct VariantFigures<'a> {
+    /// Name of the variant.
     pub name: &'a str,
+    /// The figures of each run, in the order of the repetitions.
     pub runs: Vec<Figures>,
 }
 
--- a/load/src/results/mod.rs
+++ b/load/src/results/mod.rs
@@ -22,7 +22,7 @@
 pub struct Session {
     /// A row for each run.
     pub runs: Vec<RunSummary>,
-    /// A row for each invocation.
+    /// A row for each request.
     pub rows: Vec<RequestRow>,
     /// What the backends executed over time.
     pub loads: Vec<BackendLoad>,
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -31,15 +31,15 @@
     /// Instances of the fleet.
     #[serde(rename = "doors")]
     pub instances: usize,
-    /// Invocations that clients sent.
+    /// Requests that clients sent.
     pub sent: u64,
     /// Calls that the counters received.
     pub counter_calls: u64,
-    /// Invocations that backends executed, duplicates included.
+    /// Requests that backends executed, duplicates included.
     pub deliveries: u64,
     /// Connections that instances made to backends.
     pub connections: u64,
-    /// Effects beyond the first, of invocations that are not idempotent.
+    /// Effects beyond the first, of requests that are not idempotent.
     #[serde(rename = "twice")]
     pub duplicates: u64,
     /// Units that were executed.
@@ -66,7 +66,7 @@
     pub summary: RunSummary,
     /// What each customer with a quota used.
     pub customers: Vec<CustomerUsage>,
-    /// What came of each invocation.
+    /// What came of each request.
     pub rows: Vec<RequestRow>,
     /// What each backend executed over time.
     pub loads: Vec<BackendLoad>,
@@ -135,7 +135,7 @@
         Ok(RunResult { summary, customers: customers.rows, rows, loads })
     }
 
-    /// Sends the invocations, and injects the faults meanwhile.
+    /// Sends the requests, and injects the faults meanwhile.
     fn drive(&self, fleet: &Fleet) -> Result<Vec<RequestRow>, RunError> {
         let start = self.test_bed.now();
         let steps = fault_schedule::schedule(&self.experiment.faults, &self.experiment.world);
--- a/load/src/scale/server_protocol.rs
+++ b/load/src/scale/server_protocol.rs
@@ -1,7 +1,7 @@
 //! The answers of the counter, the list service and the backends of a scale run: bytes in, bytes out, no sockets.
 use super::counts::Counts;
 use super::endpoint_rotation::EndpointRotation;
-use crate::toy::number;
+use crate::example_servers::number;
 use quillramp_gateway::wire::resp::{self, ClientCommand};
 use quillramp_gateway::wire::{Decoded, ProtocolError};
 use std::time::Duration;
--- a/load/src/scale/simulation/servers.rs
+++ b/load/src/scale/simulation/servers.rs
@@ -10,6 +10,7 @@
 
 /// A watch of the list that waits for a change.
 pub(super) struct PendingWatch {
+    /// The connection that it came on.
     pub port: Port,
     /// The version that the caller knows.
     since: u64,
--- a/load/src/scale/socket_group/sockets.rs
+++ b/load/src/scale/socket_group/sockets.rs
@@ -15,7 +15,9 @@
 /// The instance and the connection that a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Owner {
+    /// Index of the instance in its group.
     pub slot: usize,
+    /// The connection, as the instance names it.
     pub connection: ConnectionId,
 }
 
@@ -49,6 +51,7 @@
 }
 
 impl Sockets {
+    /// No sockets yet.
     pub fn new() -> std::result::Result<Sockets, ScaleError> {
         Ok(Sockets {
             poll: Poll::new().map_err(ScaleError::Poll)?,
@@ -59,10 +62,12 @@
         })
     }
 
+    /// Waits until a socket is ready, or for so long.
     pub fn poll(&mut self, events: &mut Events, timeout: Duration) -> Result<()> {
         self.poll.poll(events, Some(timeout))
     }
 
+    /// Begins to connect an instance to an address.
     pub fn connect(&mut self, slot: usize, connection: ConnectionId, address: SocketAddr) -> Result<()> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
--- a/load/src/scale/stand_ins/connection.rs
+++ b/load/src/scale/stand_ins/connection.rs
@@ -16,6 +16,7 @@
 }
 
 impl Connection {
+    /// A connection that was just accepted.
     pub fn new(role: Role, stream: TcpStream) -> Connection {
         Connection { role, stream, input: vec![], output: vec![] }
     }
--- a/load/src/scale/stand_ins/event_loop.rs
+++ b/load/src/scale/stand_ins/event_loop.rs
@@ -29,18 +29,25 @@
 
 /// A listening socket of a server.
 pub(super) struct Listener {
+    /// The server.
     pub role: Role,
+    /// Its socket.
     pub socket: TcpListener,
 }
 
 /// What the event loop starts with.
 pub(super) struct Setup {
+    /// The poll that the listeners are registered with.
     pub poll: Poll,
     /// Registered with their places as tokens.
     pub listeners: Vec<Listener>,
+    /// The counter's counts.
     pub counts: Counts,
+    /// The endpoint list.
     pub endpoints: EndpointRotation,
+    /// What crosses the connections.
     pub loads: Arc<ServerLoads>,
+    /// Changes of the list that others request.
     pub changes: Arc<Changes>,
     /// Between changes of the list that the loop makes by itself; none where it makes none.
     pub change_interval: Option<Duration>,
@@ -72,6 +79,7 @@
 }
 
 impl EventLoop {
+    /// A loop without connections.
     pub fn new(setup: Setup) -> EventLoop {
         EventLoop {
             next_token: setup.listeners.len(),
--- a/load/src/test_bed/backend.rs
+++ b/load/src/test_bed/backend.rs
@@ -1,10 +1,10 @@
-//! A backend of the test bed: so many slots, so much work for an invocation.
+//! A backend of the test bed: so many slots, so much work for an request.
 use super::condition::BackendOutcome;
-use super::executions::Invocation;
+use super::executions::BackendRequest;
 use super::loopback::spawn_connection;
 use super::TestBed;
+use crate::example_servers::command;
 use crate::sync::lock;
-use crate::toy::command;
 use std::io::{BufReader, Result, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,7 +15,7 @@
 /// How often something that waits for a fault to end looks again.
 const POLL: Duration = Duration::from_millis(5);
 
-/// The slots of a backend: invocations beyond them wait.
+/// The slots of a backend: requests beyond them wait.
 struct Slots {
     free: Mutex<usize>,
     freed: Condvar,
@@ -115,8 +115,8 @@
                 stream.write_all(b"+PONG\r\n")?;
                 continue;
             }
-            let Some(invocation) = invocation(&words) else { return Ok(()) };
-            let outcome = self.outcome(invocation.units);
+            let Some(request) = decode_request(&words) else { return Ok(()) };
+            let outcome = self.outcome(request.units);
             let work = match outcome {
                 BackendOutcome::Reject => {
                     stream.write_all(b"-BUSY\r\n")?;
@@ -127,10 +127,10 @@
                 | BackendOutcome::Malformed(work)
                 | BackendOutcome::Fail(work) => work,
             };
-            if !self.execute(process, &invocation, work) {
+            if !self.execute(process, &request, work) {
                 return Ok(());
             }
-            answer(&mut stream, outcome, &words[2], invocation.units)?;
+            answer(&mut stream, outcome, &words[2], request.units)?;
         }
         Ok(())
     }
@@ -148,12 +148,12 @@
         }
     }
 
-    /// Works on an invocation in a slot; not where the process has ended meanwhile, which is `false`.
-    fn execute(&self, process: u64, invocation: &Invocation, work: Duration) -> bool {
+    /// Works on an request in a slot; not where the process has ended meanwhile, which is `false`.
+    fn execute(&self, process: u64, request: &BackendRequest, work: Duration) -> bool {
         self.slots.acquire();
         let alive = self.process() == process;
         if alive {
-            self.test_bed.record_execution(self.index, invocation);
+            self.test_bed.record_execution(self.index, request);
             sleep(work);
         }
         self.slots.release();
@@ -161,19 +161,19 @@
     }
 }
 
-/// The invocation of a command; none where words are missing.
-fn invocation(words: &[String]) -> Option<Invocation<'_>> {
+/// The request of a command; none where words are missing.
+fn decode_request(words: &[String]) -> Option<BackendRequest<'_>> {
     let customer = words.get(1)?;
     let id = words.get(2)?;
     let attributes = words.get(3)?;
     let attribute = |name: &str| attributes.split(',').find_map(|p| p.strip_prefix(name));
     let hex = |text: &str| u64::from_str_radix(text, 16).unwrap_or(0);
-    Some(Invocation {
+    Some(BackendRequest {
         id: hex(id),
         customer: hex(customer),
         plan: attribute("t=").unwrap_or(""),
         units: attribute("units=").and_then(|units| units.parse().ok()).unwrap_or(1.0),
-        once: words[0] == "CALL.POST",
+        non_idempotent: words[0] == "CALL.POST",
     })
 }
 
--- a/load/src/test_bed/condition.rs
+++ b/load/src/test_bed/condition.rs
@@ -10,15 +10,15 @@
     pub unresponsive: bool,
     /// Factor on the time of its work.
     pub slow: f64,
-    /// Fraction of invocations that are executed and not answered.
+    /// Fraction of requests that are executed and not answered.
     pub swallow: f64,
-    /// Fraction of invocations that are answered with a malformed reply.
+    /// Fraction of requests that are answered with a malformed reply.
     pub malformed: f64,
-    /// Fraction of invocations that fail.
+    /// Fraction of requests that fail.
     pub fail: f64,
-    /// Fraction of invocations that are rejected.
+    /// Fraction of requests that are rejected.
     pub reject: f64,
-    /// It is draining: all invocations are rejected.
+    /// It is draining: all requests are rejected.
     pub draining: bool,
     /// When it last started, seconds since the start of the run; none if long before.
     pub started: Option<f64>,
@@ -60,7 +60,7 @@
     pub split: bool,
 }
 
-/// What comes of one invocation at a backend, with the time of the work.
+/// What comes of one request at a backend, with the time of the work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendOutcome {
     /// Executed and answered.
--- a/load/src/test_bed/counter.rs
+++ b/load/src/test_bed/counter.rs
@@ -1,8 +1,8 @@
 //! The counters of the test bed.
 use super::loopback::spawn_connection;
 use super::TestBed;
+use crate::example_servers::{number, target};
 use crate::sync::lock;
-use crate::toy::{number, target};
 use std::io::{BufReader, Result, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
--- a/load/src/test_bed/discovery.rs
+++ b/load/src/test_bed/discovery.rs
@@ -1,7 +1,7 @@
 //! The list service of the test bed.
 use super::loopback::spawn_connection;
 use super::TestBed;
-use crate::toy::{number, target};
+use crate::example_servers::{number, target};
 use std::io::{BufReader, Result, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
--- a/load/src/test_bed/endpoint_list.rs
+++ b/load/src/test_bed/endpoint_list.rs
@@ -12,7 +12,7 @@
 /// The status of an endpoint, as the list names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It takes invocations.
+    /// It takes requests.
     Serving,
     /// It is about to stop.
     Draining,
--- a/load/src/test_bed/executions.rs
+++ b/load/src/test_bed/executions.rs
@@ -5,9 +5,9 @@
 /// Seconds of one column of the charts over time.
 pub const COLUMN_SECONDS: f64 = 0.25;
 
-/// An invocation as a backend reads it.
+/// An request as a backend reads it.
 #[derive(Clone, Copy, Debug)]
-pub struct Invocation<'a> {
+pub struct BackendRequest<'a> {
     /// The request id.
     pub id: u64,
     /// The customer's number.
@@ -17,7 +17,7 @@
     /// Its cost in units.
     pub units: f64,
     /// It is not idempotent: it must take effect once at the most.
-    pub once: bool,
+    pub non_idempotent: bool,
 }
 
 /// Units that came at a time.
@@ -41,11 +41,11 @@
 /// What all backends executed.
 #[derive(Default)]
 pub struct Executions {
-    /// How often an invocation took effect, by its id.
+    /// How often an request took effect, by its id.
     times: HashMap<u64, u32>,
-    /// Effects beyond the first, of invocations that are not idempotent.
+    /// Effects beyond the first, of requests that are not idempotent.
     pub duplicates: u64,
-    /// Invocations that were executed, duplicates included.
+    /// Requests that were executed, duplicates included.
     pub deliveries: u64,
     /// Connections that were made.
     pub connections: u64,
@@ -63,8 +63,8 @@
         Executions { by_backend: vec![0; backends], columns: vec![vec![]; backends], ..Executions::default() }
     }
 
-    /// Records an execution. Its units count for the customer when it is the first of this invocation.
-    pub fn record(&mut self, at: f64, backend: usize, invocation: &Invocation) {
+    /// Records an execution. Its units count for the customer when it is the first of this request.
+    pub fn record(&mut self, at: f64, backend: usize, request: &BackendRequest) {
         self.deliveries += 1;
         self.by_backend[backend] += 1;
         let column = (at / COLUMN_SECONDS) as usize;
@@ -72,14 +72,14 @@
         if columns.len() <= column {
             columns.resize(column + 1, 0.0);
         }
-        columns[column] += invocation.units;
-        let times = self.times.entry(invocation.id).or_default();
+        columns[column] += request.units;
+        let times = self.times.entry(request.id).or_default();
         *times += 1;
         let times = *times;
-        self.duplicates += u64::from(invocation.once && times > 1);
+        self.duplicates += u64::from(request.non_idempotent && times > 1);
         if times == 1 {
-            let key = CustomerPlan { customer: invocation.customer, plan: invocation.plan.to_owned() };
-            self.units.entry(key).or_default().push(TimedUnits { at, units: invocation.units });
+            let key = CustomerPlan { customer: request.customer, plan: request.plan.to_owned() };
+            self.units.entry(key).or_default().push(TimedUnits { at, units: request.units });
         }
     }
 
--- a/load/src/test_bed/mod.rs
+++ b/load/src/test_bed/mod.rs
@@ -15,7 +15,7 @@
 
 pub use condition::{BackendCondition, BackendOutcome, CounterCondition};
 pub use endpoint_list::EndpointList;
-pub use executions::{BackendLoad, CustomerPlan, Executions, Invocation, TimedUnits, COLUMN_SECONDS};
+pub use executions::{BackendLoad, BackendRequest, CustomerPlan, Executions, TimedUnits, COLUMN_SECONDS};
 
 use crate::fault_schedule;
 use crate::sync::lock;
@@ -28,7 +28,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The longest work of a backend for one invocation, seconds.
+/// The longest work of a backend for one request, seconds.
 const LONGEST_WORK: f64 = 60.0;
 
 /// State shared by the stand-ins of one run.
@@ -108,7 +108,7 @@
         lock(&self.rngs[index]).gen_range(0.0..1.0)
     }
 
-    /// Draws what comes of an invocation that a backend has just begun.
+    /// Draws what comes of an request that a backend has just begun.
     pub fn draw_outcome(&self, backend: usize, units: f64) -> BackendOutcome {
         let condition = self.condition(backend);
         let age = condition.started.map(|started| self.now() - started);
@@ -137,10 +137,10 @@
         fraction > 0.0 && self.random(self.conditions.len()) < fraction
     }
 
-    /// Records that an invocation took effect at a backend.
-    pub fn record_execution(&self, backend: usize, invocation: &Invocation) {
+    /// Records that an request took effect at a backend.
+    pub fn record_execution(&self, backend: usize, request: &BackendRequest) {
         let at = self.now();
-        lock(&self.executions).record(at, backend, invocation);
+        lock(&self.executions).record(at, backend, request);
     }
 
     /// Records a new connection to a backend.
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -1,4 +1,4 @@
-//! The tool finds what is there: arrivals by seed, a known delay, an effect twice, a difference and no difference.
+//! Experiments: arrivals by seed, a known delay, duplicate executions, faults, and what is significant.
 use expect_test::expect;
 use quillramp_emulator::quota::Store;
 use quillramp_emulator::script::Kind;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_effect_that_is_there_twice_is_reported() {
+fn duplicate_executions_are_reported() {
     let e = experiment(&variant("twice", "RELAY_TWICE = \"1\""));
     let (run, rows) = run_all(&e, "twice").remove(0);
     let orders = rows.iter().filter(|r| r.non_idempotent && r.outcome == Outcome::Succeeded).count() as u64;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_front_door_that_dies_is_counted_and_what_was_played_is_kept() {
+fn an_instance_that_ends_at_start_is_an_error_and_the_session_is_still_written() {
     let text = "[[variant]]\nname = \"dead\"\nprogram = \"/bin/false\"\n";
     let e = experiment(text);
     let folder = folder("dead");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn noise_is_told_from_a_difference() {
+fn only_differences_beyond_the_noise_are_significant() {
     assert!(!compare(&[10.0, 11.0, 9.0], &[10.5, 10.0, 9.6]).significant);
     assert!(compare(&[10.0, 11.0, 9.0], &[15.0, 16.4, 14.1]).significant);
     assert!(!compare(&[10.0, 11.0], &[15.0, 16.0]).significant, "two pairs say nothing");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_wrong_experiment_says_all_that_is_wrong() {
+fn an_invalid_experiment_lists_all_violations() {
     let wrong = "seed = 1\nrepetitions = 0\n[world]\ndoors = 0\n[traffic]\nseconds = 0.0\nrate = 1e6\nconnections = 0\norders = 2.0\n\
                  [[variant]]\nname = \"a\"\nslowed = 0.5\n[[variant]]\nname = \"a\"\n";
     let said = Experiment::read(wrong).expect_err("wrong").to_string();
@@ -148,7 +148,7 @@
 
 /// Three backends in turns, of which one is struck: what the tool must see, and when.
 #[test]
-fn a_backend_that_crashes_is_seen_to_do_nothing_meanwhile() {
+fn a_crashed_backend_executes_nothing() {
     let text =
         variant("struck", "RELAY_POLICY = \"round-robin\"") + &variant("spared", "") + "spared = true\n";
     let faults = "[[fault]]\nat = 0.5\nkind = \"crash\"\nbackend = 1\nlasts = 0.5\n";
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_front_door_that_is_killed_is_left_out_and_comes_back() {
+fn a_killed_instance_gets_no_requests_until_it_is_back() {
     let faults = "[[fault]]\nat = 0.4\nkind = \"kill\"\ndoor = 0\nlasts = 0.4\n";
     let e = experiment(&(variant("one", "") + faults));
     let (run, rows) = run_all(&e, "kill").remove(0);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_front_door_that_stands_still_is_not_hidden() {
+fn a_stalled_instance_shows_in_the_latencies() {
     let faults = "[[fault]]\nat = 0.4\nkind = \"stall\"\ndoor = 0\nlasts = 0.4\n";
     let e = experiment(&(variant("one", "") + faults));
     let (_, rows) = run_all(&e, "stall").remove(0);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn shares_of_a_backends_answers_are_spoilt_failed_and_turned_away() {
+fn backend_faults_make_replies_malformed_failed_and_rejected() {
     let strike = |kind: &str, backend: usize| {
         format!("[[fault]]\nat = 0.0\nkind = \"{kind}\"\nbackend = {backend}\nlasts = 9.0\nby = 1.0\n")
     };
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn what_strikes_has_its_times() {
+fn faults_are_scheduled_at_their_times() {
     let text = "seed = 1\n[world]\nbackends = 4\nzones = 2\n[traffic]\nseconds = 9.0\nrate = 10.0\nconnections = 1\n\
                 [[variant]]\nname = \"a\"\n\
                 [[fault]]\nat = 2.0\nkind = \"zone-loss\"\nzone = 1\nlasts = 1.0\n\
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_wrong_fault_or_a_fleet_too_large_is_told() {
+fn an_invalid_fault_and_a_fleet_too_large_are_reported() {
     let wrong =
         "seed = 1\n[traffic]\nseconds = 2.0\nconnections = 90\nidle = 5000\n[[variant]]\nname = \"a\"\n\
                  [[variant]]\nname = \"b\"\ndoors = 301\n\
--- a/load/tests/scale.rs
+++ b/load/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Scale runs, small: embedded front doors with their stand-ins in process and on sockets, slopes, a burst of changes.
+//! Scale runs, small: embedded instances with their stand-ins in process and on sockets, slopes, a burst of changes.
 use quillramp_load::scale::counts::Counts;
 use quillramp_load::scale::embedded_run;
 use quillramp_load::scale::fit::{fits, Factor, Line};
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_clock_of_its_own_repeats_itself() {
+fn the_simulation_is_deterministic() {
     let counted = |rows: Vec<Row>| -> Vec<(String, f64)> {
         let machine = |r: &Row| r.figure == "processor" || r.figure == "memory";
         rows.into_iter().filter(|r| !machine(r)).map(|r| (r.figure, r.value)).collect()
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_absent_front_doors_spend_and_lift_is_reckoned() {
+fn what_absent_instances_spend_and_correct_is_estimated() {
     let tenant = Tenant { plan: 4, offered: 4.0 };
     assert_eq!((quota(4), burst(4)), (7.0, 14.0));
     let began = 1_700_000_010.0;
@@ -75,20 +75,20 @@
 }
 
 #[test]
-fn without_a_counter_none_is_asked() {
+fn without_a_counter_there_are_no_counter_calls() {
     let rows = in_process(&OperatingPoint { without_counter: true, ..point() }, 3.0);
     assert_eq!(figure(&rows, "counter: calls"), 0.0);
 }
 
 #[test]
-fn changes_of_the_list_cost_bytes() {
+fn endpoint_list_changes_cost_bytes() {
     let calm = figure(&in_process(&point(), 5.0), "list: bytes in");
     let busy = figure(&in_process(&OperatingPoint { changes: 4.0, ..point() }, 5.0), "list: bytes in");
     assert!(busy > calm + 4.0 * 100.0, "{calm:.0} B/s calm, {busy:.0} B/s with four changes a second");
 }
 
 #[test]
-fn a_tenants_quota_holds_what_the_fleet_gets_for_it() {
+fn a_tenants_quota_covers_its_requests_at_the_fleet() {
     for spread in [Spread::Uniform, Spread::Zipf] {
         let point = OperatingPoint { spread, fleet_requests: 97_000.0, tenants: 14_000, ..point() };
         let tenants = point.tenants();
@@ -100,7 +100,7 @@
 
 /// How often the counter is asked within four seconds differs by when they begin; how long a call is does not.
 #[test]
-fn sockets_and_the_clock_of_its_own_agree() {
+fn sockets_and_simulation_agree() {
     let span = Span { warm_up: 6.0, seconds: 4.0 };
     let sockets = embedded_run::on_sockets("test", &point(), 3, &span).expect("measured");
     let clock = embedded_run::in_process("test", &point(), 3, &span).expect("measured");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_burst_of_changes_is_in_force_everywhere_while_some_restart() {
+fn a_burst_of_changes_is_in_force_everywhere_while_some_instances_restart() {
     let burst = Burst { burst: 4, over: 2.0, one_in: 5, warm_up: 1.0 };
     let point = OperatingPoint { requests: 5.0, ..point() };
     let rows = propagation::measure("test", &point, 10, &burst).expect("measured");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_line_goes_through_points_on_it_and_says_how_far_others_lie() {
+fn a_line_fits_its_points_and_reports_the_residual() {
     let line = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("a line");
     assert!((line.slope - 2.0).abs() < 1e-9 && (line.intercept - 3.0).abs() < 1e-9 && line.residual < 1e-9);
     let off = Line::through(&[(0.0, 0.0), (1.0, 3.0), (2.0, 0.0)]).expect("a line");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn rows_come_back_as_they_were_kept_and_are_fitted_by_their_factor() {
+fn rows_are_read_as_they_were_written_and_fitted_by_their_factor() {
     let mut all = vec![];
     for backends in [60, 120] {
         let mut rows = in_process(&OperatingPoint { backends, ..point() }, 1.0);
