--- a/load/src/scale/embedded.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -1,10 +1,13 @@
 //! An embedded instance, `hollow` on the command line and in the rows: the reducer, the decisions and the codecs of a real one, without
 //! sockets, threads or a process of its own. Whoever runs it moves the bytes and passes the time.
+mod interface;
+
+pub use interface::{ConnectionCommand, Reading, Services, Step};
+
 use super::clock::thread_cpu_time;
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
 use super::operator_file;
-use super::outcomes::OutcomeCounts;
 use quillramp::settings::{self, InstanceSettings};
 use quillramp_gateway::process::operator;
 use quillramp_gateway::state::event::{CloseReason, ConnectionId, Effect, Event, OperatorUpdate};
@@ -14,7 +17,6 @@
 use quillramp_gateway::wire::resp::ClientReply;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use std::time::Duration;
 
 /// Client connections of one instance, as many as a real one has in these runs.
 const CLIENTS: u64 = 64;
@@ -25,59 +27,6 @@
 /// Sets the seeds of instances apart.
 const INSTANCE_SEED: u64 = 7919;
 
-/// What an embedded instance wants done with its connections.
-#[derive(Debug, PartialEq)]
-pub enum ConnectionCommand {
-    /// Open a connection to an address.
-    Connect(ConnectionId, SocketAddr),
-    /// Send bytes on a connection.
-    Send(ConnectionId, Vec<u8>),
-    /// Close a connection.
-    Close(ConnectionId),
-}
-
-/// Where the services are.
-#[derive(Clone, Copy, Debug)]
-pub struct Services {
-    /// The counter.
-    pub counter: SocketAddr,
-    /// The list service.
-    pub discovery: SocketAddr,
-}
-
-/// What an embedded instance has done until some time.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Reading {
-    /// What became of the requests.
-    pub outcomes: OutcomeCounts,
-    /// Processor time of the reducer, the decisions and the codecs.
-    pub processor: Duration,
-}
-
-impl Reading {
-    /// Adds another instance's, or an earlier process's, reading.
-    pub fn add(&mut self, other: &Reading) {
-        self.outcomes = self.outcomes.plus(&other.outcomes);
-        self.processor += other.processor;
-    }
-
-    /// What came since an earlier reading.
-    pub fn since(&self, earlier: &Reading) -> Reading {
-        Reading {
-            outcomes: self.outcomes.since(&earlier.outcomes),
-            processor: self.processor.saturating_sub(earlier.processor),
-        }
-    }
-}
-
-/// What an instance has to do after a step.
-pub struct Step {
-    /// When it is to be stepped next at the latest, Unix time in seconds; none where nothing is scheduled.
-    pub next_at: Option<f64>,
-    /// What is to be done now.
-    pub commands: Vec<ConnectionCommand>,
-}
-
 struct Stream {
     reader: MessageReader,
     input: Vec<u8>,
--- a/load/src/test_bed/inject.rs
+++ b/load/src/test_bed/inject.rs
@@ -51,30 +51,30 @@
 
     /// The process ends and refuses connections, or a new one starts.
     fn crash(&self, step: &FaultStep) {
-        let now = self.now();
-        self.change(step, |c| {
-            c.process += 1;
-            c.down = step.begins;
-            c.started = if step.begins { c.started } else { Some(now) };
-        });
+        self.change_process(step, |c| c.down = step.begins);
         self.end_connections(step.target);
         if !step.begins {
-            self.restarted(step.target);
+            self.list_restarted(step.target);
         }
     }
 
     /// The machine becomes unresponsive, so its connections stay; or a new process starts.
     fn vanish(&self, step: &FaultStep) {
+        self.change_process(step, |c| c.unresponsive = step.begins);
+        if !step.begins {
+            self.end_connections(step.target);
+            self.list_restarted(step.target);
+        }
+    }
+
+    /// Changes a backend together with its process, which is new when the fault ends.
+    fn change_process(&self, step: &FaultStep, change: impl FnOnce(&mut BackendCondition)) {
         let now = self.now();
         self.change(step, |c| {
             c.process += 1;
-            c.unresponsive = step.begins;
+            change(c);
             c.started = if step.begins { c.started } else { Some(now) };
         });
-        if !step.begins {
-            self.end_connections(step.target);
-            self.restarted(step.target);
-        }
     }
 
     /// The backend drains, or a new one with a new name takes its place.
@@ -95,7 +95,7 @@
         self.endpoints.replace(step.target, Status::Serving);
     }
 
-    fn restarted(&self, backend: usize) {
+    fn list_restarted(&self, backend: usize) {
         let restarted = self.condition(backend).started.is_some();
         self.endpoints.set_status(backend, Status::Serving, restarted);
     }
