--- a/load/src/charts.rs
+++ b/load/src/charts.rs
@@ -98,7 +98,7 @@
     draw_file(path, &axes, &lines)
 }
 
-/// What came of the requests of one column of time.
+/// The outcomes of the requests in one column of time.
 #[derive(Clone, Copy, Default)]
 struct ColumnCounts {
     all: f64,
--- a/load/src/experiment/arrivals.rs
+++ b/load/src/experiment/arrivals.rs
@@ -1,4 +1,4 @@
-//! When which request comes, drawn from the experiment's seed.
+//! When which request arrives, drawn from the experiment's seed.
 use super::{Arrival, Experiment, Flood};
 use crate::fault_schedule;
 use rand::{Rng, SeedableRng};
--- a/load/src/experiment/mod.rs
+++ b/load/src/experiment/mod.rs
@@ -16,7 +16,7 @@
     /// How often each variant is run; the variants take turns.
     #[serde(default = "default_repetitions")]
     pub repetitions: usize,
-    /// The deployment, as the emulator has it: instances, backends, their work, the customers. What it says of the network is
+    /// The deployment, as in the emulator: instances, backends, their work, the customers. What it defines of the network is
     /// the emulator's alone.
     #[serde(default)]
     pub world: World,
@@ -108,7 +108,7 @@
 pub struct Arrival {
     /// Seconds from the start.
     pub at: f64,
-    /// Index of the instance that it comes to first.
+    /// Index of the instance that it is sent to first.
     pub instance: usize,
     /// The customer's number.
     pub customer: u64,
--- a/load/src/fleet/configuration.rs
+++ b/load/src/fleet/configuration.rs
@@ -39,7 +39,7 @@
     gossip: Vec<SocketAddr>,
 }
 
-/// Chooses addresses for so many instances. All are bound at once, so that they differ, and are free again afterwards.
+/// Chooses addresses for the instances. All are bound at once, so that they differ, and are free again afterwards.
 fn choose_addresses(instances: usize) -> Result<Addresses, RunError> {
     let mut clients = vec![];
     let mut gossip = vec![];
--- a/load/src/generator/client.rs
+++ b/load/src/generator/client.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// What came back, and from which instance.
+/// The outcome of a request, and the instance that it comes from.
 pub(super) struct Answer {
     /// Index of the instance.
     pub instance: usize,
@@ -74,7 +74,7 @@
     }
 }
 
-/// What came of one attempt on a connection.
+/// The outcome of one attempt on a connection.
 enum Exchange {
     Answered(Outcome),
     /// The instance is about to stop and took nothing.
--- a/load/src/generator/mod.rs
+++ b/load/src/generator/mod.rs
@@ -1,4 +1,4 @@
-//! The load generator: clients send requests at given times, or as fast as they are answered, and what came of each one is a row.
+//! The load generator: clients send requests at given times, or as fast as they are answered, and the outcome of each one is a row.
 mod client;
 
 pub use client::open_idle_connections;
@@ -34,7 +34,7 @@
     NotConnected,
 }
 
-/// A row of `rows.csv`: what came of one request. Times are seconds; `took` counts from the intended start, so that no stall of a
+/// A row of `rows.csv`: the outcome of one request. Times are seconds; `took` counts from the intended start, so that no stall of a
 /// instance is hidden.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestRow {
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -2,7 +2,7 @@
 //! rows, summaries and charts. Its figures are called by its name. Experiment files, tables and the command line call an instance a
 //! door or front door, and a run a play.
 //!
-//! * `experiment` reads an experiment and draws the arrivals of its requests; `fault_schedule` says when which fault begins and ends.
+//! * `experiment` reads an experiment and draws the arrivals of its requests; `fault_schedule` computes when which fault begins and ends.
 //! * `run` makes one run of a variant: the stand-ins of `test_bed`, the processes of `fleet`, the clients of `generator`; `usage` holds
 //!   what the customers used against their quotas.
 //! * `results` writes, reads, sums up and compares the runs of a session; `charts` draws them.
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -66,7 +66,7 @@
     pub summary: RunSummary,
     /// What each customer with a quota used.
     pub customers: Vec<CustomerUsage>,
-    /// What came of each request.
+    /// The outcome of each request.
     pub rows: Vec<RequestRow>,
     /// What each backend executed over time.
     pub loads: Vec<BackendLoad>,
@@ -113,7 +113,7 @@
     Ok(Services { counters: [first.address, second.address], discovery: list.address, endpoints })
 }
 
-/// A run among stand-ins that are there.
+/// A run among stand-ins that are started.
 struct Run<'a> {
     experiment: &'a Experiment,
     variant: &'a Variant,
--- a/load/src/scale/clients.rs
+++ b/load/src/scale/clients.rs
@@ -28,7 +28,7 @@
 
 /// Clients that send requests until this is dropped.
 pub struct Clients {
-    /// What became of the requests.
+    /// The outcomes of the requests.
     pub outcomes: Arc<OutcomeCounters>,
     /// Microseconds from a request's write to its answer, all outcomes.
     pub latencies: Arc<Mutex<Histogram<u64>>>,
--- a/load/src/scale/counts.rs
+++ b/load/src/scale/counts.rs
@@ -69,7 +69,7 @@
 /// What the absent instances do with a count.
 #[derive(Clone, Copy)]
 struct FleetEstimate {
-    /// Begin of the count's window, Unix time in seconds.
+    /// Beginning of the count's window, Unix time in seconds.
     began: f64,
     /// Units a second of the tenant's plan.
     quota: f64,
--- a/load/src/scale/embedded/interface.rs
+++ b/load/src/scale/embedded/interface.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an embedded instance wants done with its connections.
+/// What an embedded instance requests of its connections.
 #[derive(Debug, PartialEq)]
 pub enum ConnectionCommand {
     /// Open a connection to an address.
@@ -27,7 +27,7 @@
 /// What an embedded instance has done until some time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reading {
-    /// What became of the requests.
+    /// The outcomes of the requests.
     pub outcomes: OutcomeCounts,
     /// Processor time of the reducer, the decisions and the codecs.
     pub processor: Duration,
@@ -40,7 +40,7 @@
         self.processor += other.processor;
     }
 
-    /// What came since an earlier reading.
+    /// The difference from an earlier reading.
     pub fn since(&self, earlier: &Reading) -> Reading {
         Reading {
             outcomes: self.outcomes.since(&earlier.outcomes),
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -120,7 +120,7 @@
         &self.reading
     }
 
-    /// A request comes on the next client's connection.
+    /// A request arrives on the next client's connection.
     pub fn request(&mut self, bytes: &[u8]) {
         self.last_client = (self.last_client + 1) % CLIENTS;
         self.reading.outcomes.sent += 1;
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Bytes came on a connection.
+    /// Bytes arrived on a connection.
     pub fn received(&mut self, connection: ConnectionId, bytes: &[u8]) {
         let start = thread_cpu_time();
         let Some(stream) = self.streams.get_mut(&connection) else { return };
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Processes what has come.
+    /// Processes what it has received.
     pub fn step(&mut self, now: f64) -> Step {
         let start = thread_cpu_time();
         let mut events = std::mem::take(&mut self.inbox);
--- a/load/src/scale/embedded_run.rs
+++ b/load/src/scale/embedded_run.rs
@@ -23,7 +23,7 @@
     Sockets,
 }
 
-/// Something that was read at the begin and at the end of a span.
+/// Values read at the beginning and at the end of a span.
 #[derive(Clone, Copy, Default)]
 struct AtBounds<T> {
     begin: T,
@@ -33,7 +33,7 @@
 /// When a span is counted, Unix time in seconds.
 type Bounds = AtBounds<f64>;
 
-/// Measures so many embedded instances on sockets. Memory is what this process grew by, its stand-ins with it.
+/// Measures `instances` embedded instances on sockets. Memory is what this process grew by, its stand-ins with it.
 pub fn on_sockets(
     run: &str,
     point: &OperatingPoint,
@@ -105,7 +105,7 @@
     usage
 }
 
-/// Measures so many embedded instances, with their stand-ins in this process. Memory is what this process grew by.
+/// Measures `instances` embedded instances, with their stand-ins in this process. Memory is what this process grew by.
 pub fn in_process(
     run: &str,
     point: &OperatingPoint,
--- a/load/src/scale/endpoint_rotation.rs
+++ b/load/src/scale/endpoint_rotation.rs
@@ -41,7 +41,7 @@
         self.version
     }
 
-    /// The answer to a caller that knows a version: the whole list for 0, else what has changed.
+    /// The answer to a caller that knows a version: a snapshot for 0, else what has changed.
     pub fn answer(&self, since: u64) -> Value {
         let changed = self.entries.iter().enumerate().filter(|(_, entry)| entry.changed > since);
         let endpoints: Vec<Value> = changed.map(|(index, entry)| entry.to_json(index)).collect();
--- a/load/src/scale/outcomes.rs
+++ b/load/src/scale/outcomes.rs
@@ -1,7 +1,7 @@
-//! What became of the requests.
+//! The outcomes of the requests.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters of what became of the requests.
+/// Counters of the outcomes of the requests.
 #[derive(Default)]
 pub struct OutcomeCounters {
     /// Requests that were sent.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What came since an earlier reading.
+    /// The difference from an earlier reading.
     pub fn since(&self, earlier: &OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             sent: self.sent - earlier.sent,
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// A port of this process's own address. Nobody else chooses there, so it is still free when the instance takes it.
+/// A port of this process's own address. No other process chooses there, so it is still free when the instance binds it.
 fn free_port() -> Result<SocketAddr, ScaleError> {
     let listener = TcpListener::bind((own_loopback(), 0)).map_err(ScaleError::Port)?;
     listener.local_addr().map_err(ScaleError::Port)
--- a/load/src/scale/requests.rs
+++ b/load/src/scale/requests.rs
@@ -11,7 +11,7 @@
 const CLIENT_TIMEOUT_MS: u64 = 1_400;
 /// Sets the seeds of instances' requests apart from other seeds of the point.
 const REQUEST_SEED: u64 = 1_000_003;
-/// Request ids hold the number of the instance above so many bits.
+/// Request ids hold the number of the instance above this many bits.
 const INSTANCE_SHIFT: u32 = 40;
 
 /// The tenants of a point, and how often each is drawn.
--- a/load/src/scale/server_load.rs
+++ b/load/src/scale/server_load.rs
@@ -82,7 +82,7 @@
 }
 
 impl LoadReading {
-    /// What came since an earlier reading.
+    /// The difference from an earlier reading.
     pub fn since(&self, earlier: &LoadReading) -> LoadReading {
         LoadReading {
             connections: self.connections - earlier.connections,
@@ -119,7 +119,7 @@
         &self.0[role as usize]
     }
 
-    /// What came since an earlier reading.
+    /// The difference from an earlier reading.
     pub fn since(&self, earlier: &LoadReadings) -> LoadReadings {
         LoadReadings(std::array::from_fn(|i| self.0[i].since(&earlier.0[i])))
     }
--- a/load/src/scale/simulation/instances.rs
+++ b/load/src/scale/simulation/instances.rs
@@ -39,7 +39,7 @@
         self.schedule_request(slot);
     }
 
-    /// Does something to the instance that a connection belongs to.
+    /// Calls the instance that a connection belongs to.
     pub(super) fn with_instance(&mut self, port: Port, action: impl FnOnce(&mut EmbeddedInstance)) {
         if let Some(instance) = &mut self.slots[port.instance].instance {
             action(instance);
--- a/load/src/scale/simulation/mod.rs
+++ b/load/src/scale/simulation/mod.rs
@@ -26,7 +26,7 @@
 
 /// Something that happens at a time.
 enum SimulationEvent {
-    /// An instance processes what has come.
+    /// An instance processes what it has received.
     Step(usize),
     /// A client of an instance sends a request.
     Request(usize),
@@ -80,7 +80,7 @@
 }
 
 impl Simulation {
-    /// So many instances of the point's fleet; the counter estimates what the rest of it would add.
+    /// `instances` of the point's fleet; the counter estimates what the rest of it would add.
     pub fn new(point: &OperatingPoint, instances: usize) -> Result<Simulation, ScaleError> {
         let population = Population::new(point)?;
         let mut slots = vec![];
@@ -107,13 +107,13 @@
         Ok(new)
     }
 
-    /// Lets the list change so many times a second from now on.
+    /// Changes the list `per_second` times a second from now on.
     pub fn begin_changes(&mut self, per_second: f64) {
         self.point.changes = per_second;
         self.schedule_change();
     }
 
-    /// Runs for so many seconds of its own clock.
+    /// Runs for some seconds of the simulated clock.
     pub fn run(&mut self, seconds: f64) -> Result<(), ScaleError> {
         let until = self.events.now + seconds;
         while let Some(event) = self.events.pop_due(until) {
--- a/load/src/scale/simulation/servers.rs
+++ b/load/src/scale/simulation/servers.rs
@@ -19,7 +19,7 @@
 }
 
 impl Simulation {
-    /// Serves the requests of these bytes. Requests leave an instance whole, in one piece, and arrive so.
+    /// Serves the requests of these bytes. Requests leave an instance complete, in one piece, and arrive so.
     pub(super) fn serve(&mut self, port: Port, bytes: &[u8]) -> Result<(), ProtocolError> {
         let Some(role) = role(port.connection) else { return Ok(()) };
         let mut used = 0;
@@ -31,7 +31,7 @@
         Ok(())
     }
 
-    /// Serves the first request: how many bytes it took, none where it is not whole.
+    /// Serves the first request: how many bytes it took, none where it is not complete.
     fn serve_first(&mut self, port: Port, role: Role, bytes: &[u8]) -> Result<Option<usize>, ProtocolError> {
         match role {
             Role::Counter => {
--- a/load/src/scale/socket_group/instances.rs
+++ b/load/src/scale/socket_group/instances.rs
@@ -14,7 +14,7 @@
 const RESTART_SECONDS: f64 = 1.0;
 
 impl Group {
-    /// Does something to an instance, if it is there.
+    /// Calls an instance, if it is running.
     pub(super) fn with_instance(&mut self, slot: usize, action: impl FnOnce(&mut EmbeddedInstance)) {
         if let Some(instance) = &mut self.slots[slot].instance {
             action(instance);
@@ -108,7 +108,7 @@
         BackendPort { slot, start: self.slots[slot].starts, connection }
     }
 
-    /// Answers commands as a backend does. An instance writes whole commands, one or more.
+    /// Answers commands as a backend does. An instance writes complete commands, one or more.
     fn answer_commands(&mut self, port: BackendPort, bytes: &[u8]) {
         let at = self.events.now + 2.0 * LATENCY + BACKEND_SECONDS;
         let mut rest = bytes;
--- a/load/src/scale/socket_group/mod.rs
+++ b/load/src/scale/socket_group/mod.rs
@@ -30,7 +30,7 @@
 }
 
 enum GroupEvent {
-    /// An instance processes what has come.
+    /// An instance processes what it has received.
     Step(usize),
     /// A client of an instance sends a request.
     Request(usize),
@@ -61,7 +61,7 @@
     pub instance: usize,
 }
 
-/// An instance first asked for what comes after a version of the list: it has all until then in force.
+/// An instance first requested the changes after a version of the list: all versions until then are in force there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InForce {
     /// Its number in the fleet.
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Whether the process that the connection belongs to is still there.
+    /// Whether the process that the connection belongs to is still running.
     fn is_current(&self, port: BackendPort) -> bool {
         self.slots[port.slot].starts == port.start
     }
--- a/load/src/scale/socket_group/sockets.rs
+++ b/load/src/scale/socket_group/sockets.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Reads all that has come and writes what is pending; why the connection is over, if it is.
+    /// Reads all available bytes and writes what is pending; why the connection is over, if it is.
     pub fn exchange(&mut self, token: Token, received: impl FnMut(&[u8])) -> Option<CloseReason> {
         let socket = self.sockets.get_mut(&token)?;
         let read = read_available(&mut socket.stream, &mut self.read_buffer, received);
--- a/load/src/scale/stand_ins/connection.rs
+++ b/load/src/scale/stand_ins/connection.rs
@@ -21,7 +21,7 @@
         Connection { role, stream, input: vec![], output: vec![] }
     }
 
-    /// Reads all that has come; an error where the connection is over.
+    /// Reads all available bytes; an error where the connection is over.
     pub fn read(&mut self, buffer: &mut [u8], loads: &ServerLoads) -> Result<()> {
         let load = loads.of(self.role);
         let input = &mut self.input;
--- a/load/src/scale/stand_ins/event_loop.rs
+++ b/load/src/scale/stand_ins/event_loop.rs
@@ -39,7 +39,7 @@
 pub(super) struct Setup {
     /// The poll that the listeners are registered with.
     pub poll: Poll,
-    /// Registered with their places as tokens.
+    /// Registered with their indices as tokens.
     pub listeners: Vec<Listener>,
     /// The counter's counts.
     pub counts: Counts,
@@ -158,7 +158,7 @@
         self.watches.retain(|watch| watch.token != token);
     }
 
-    /// Reads all that has come and serves it; an error where the connection is over.
+    /// Reads all available bytes and serves it; an error where the connection is over.
     fn read(&mut self, token: Token) -> Result<()> {
         let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
         connection.read(&mut self.read_buffer, &self.setup.loads)?;
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    /// Serves the first request of these bytes: how many it took, none where it is not whole.
+    /// Serves the first request of these bytes: how many it took, none where it is not complete.
     fn serve(&mut self, token: Token, role: Role, bytes: &[u8]) -> Result<Option<usize>> {
         if bytes.is_empty() {
             return Ok(None);
--- a/load/src/scale/stand_ins/mod.rs
+++ b/load/src/scale/stand_ins/mod.rs
@@ -49,7 +49,7 @@
     pub counter: SocketAddr,
     /// Where the list service is.
     pub discovery: SocketAddr,
-    /// Bytes of the whole list, as the list service writes it.
+    /// Bytes of a snapshot of the list, as the list service writes it.
     pub list_bytes: usize,
     /// What crossed the connections.
     pub loads: Arc<ServerLoads>,
@@ -130,7 +130,7 @@
     }
 }
 
-/// The listeners of the counter, the list service and so many backends, in this order; their tokens are their places.
+/// The listeners of the counter, the list service and the backends, in this order; their tokens are their indices.
 fn listen_all(registry: &Registry, backends: usize) -> Result<Vec<Listener>, ScaleError> {
     let mut listeners = vec![];
     for n in 0..backends + SERVICE_LISTENERS {
--- a/load/src/scale/steady_state.rs
+++ b/load/src/scale/steady_state.rs
@@ -3,13 +3,13 @@
 use super::rows::Rows;
 use super::server_load::{LoadReadings, Role};
 
-/// What came in a span, at all instances that were measured.
+/// What all measured instances did and used in a span.
 pub struct SpanUsage {
     /// Length of the span, seconds.
     pub seconds: f64,
     /// Instances that were measured.
     pub instances: usize,
-    /// What became of the requests.
+    /// The outcomes of the requests.
     pub outcomes: OutcomeCounts,
     /// The load of the servers.
     pub loads: LoadReadings,
--- a/load/src/scale/stream_io.rs
+++ b/load/src/scale/stream_io.rs
@@ -2,7 +2,7 @@
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Result, Write};
 
-/// Reads all that has come, and hands it on in pieces; `UnexpectedEof` where the other side closed the connection.
+/// Reads all available bytes, and hands it on in pieces; `UnexpectedEof` where the other side closed the connection.
 pub fn read_available(
     stream: &mut TcpStream,
     buffer: &mut [u8],
--- a/load/src/test_bed/backend.rs
+++ b/load/src/test_bed/backend.rs
@@ -1,4 +1,4 @@
-//! A backend of the test bed: so many slots, so much work for an request.
+//! A backend of the test bed: a fixed number of slots, and work in proportion to a request's units.
 use super::condition::BackendOutcome;
 use super::executions::BackendRequest;
 use super::loopback::spawn_connection;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Works on an request in a slot; not where the process has ended meanwhile, which is `false`.
+    /// Works on a request in a slot; not where the process has ended meanwhile, which is `false`.
     fn execute(&self, process: u64, request: &BackendRequest, work: Duration) -> bool {
         self.slots.acquire();
         let alive = self.process() == process;
--- a/load/src/test_bed/condition.rs
+++ b/load/src/test_bed/condition.rs
@@ -60,7 +60,7 @@
     pub split: bool,
 }
 
-/// What comes of one request at a backend, with the time of the work.
+/// The outcome of one request at a backend, with the duration of the work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendOutcome {
     /// Executed and answered.
--- a/load/src/test_bed/endpoint_list.rs
+++ b/load/src/test_bed/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that the list service serves: whole, or as watch events.
+//! The endpoint list that the list service serves, as a snapshot or as watch events.
 use crate::sync::lock;
 use quillramp_emulator::script::World;
 use serde_json::{json, Value};
@@ -84,7 +84,7 @@
         EndpointList { state: Mutex::new(state), changed: Condvar::new() }
     }
 
-    /// The whole list; none while the list service is down.
+    /// A snapshot of the list; none while the list service is down.
     pub fn snapshot(&self) -> Option<Value> {
         let state = lock(&self.state);
         let live = state.entries.iter().filter(|e| e.status != Status::Deleted);
--- a/load/src/test_bed/executions.rs
+++ b/load/src/test_bed/executions.rs
@@ -20,7 +20,7 @@
     pub non_idempotent: bool,
 }
 
-/// Units that came at a time.
+/// Units executed at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedUnits {
     /// Seconds since the start of the run.
@@ -41,7 +41,7 @@
 /// What all backends executed.
 #[derive(Default)]
 pub struct Executions {
-    /// How often an request took effect, by its id.
+    /// How often a request took effect, by its id.
     times: HashMap<u64, u32>,
     /// Effects beyond the first, of requests that are not idempotent.
     pub duplicates: u64,
--- a/load/src/test_bed/mod.rs
+++ b/load/src/test_bed/mod.rs
@@ -108,7 +108,7 @@
         lock(&self.rngs[index]).gen_range(0.0..1.0)
     }
 
-    /// Draws what comes of an request that a backend has just begun.
+    /// Draws the outcome of a request that a backend has just begun.
     pub fn draw_outcome(&self, backend: usize, units: f64) -> BackendOutcome {
         let condition = self.condition(backend);
         let age = condition.started.map(|started| self.now() - started);
@@ -137,7 +137,7 @@
         fraction > 0.0 && self.random(self.conditions.len()) < fraction
     }
 
-    /// Records that an request took effect at a backend.
+    /// Records that a request took effect at a backend.
     pub fn record_execution(&self, backend: usize, request: &BackendRequest) {
         let at = self.now();
         lock(&self.executions).record(at, backend, request);
--- a/load/src/usage.rs
+++ b/load/src/usage.rs
@@ -1,4 +1,4 @@
-//! What the customers used, held against their quotas: calculated after a run from what came to the backends, by an exact token bucket
+//! What the customers used, compared with their quotas: calculated after a run from what the backends executed, by an exact token bucket
 //! for each customer.
 use crate::generator::RunLabel;
 use crate::test_bed::{CustomerPlan, TimedUnits};
@@ -58,7 +58,7 @@
     }
 }
 
-/// Holds what came against the quotas of the world's plans.
+/// Compares the units executed with the quotas of the world's plans.
 pub(crate) fn against_quotas(
     world: &World,
     label: &RunLabel,
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -42,10 +42,10 @@
 
 #[test]
 fn the_same_seed_has_the_same_arrivals() {
-    let e = experiment(&variant("one", ""));
-    let (a, b) = (e.arrivals(0), e.arrivals(0));
+    let experiment = experiment(&variant("one", ""));
+    let (a, b) = (experiment.arrivals(0), experiment.arrivals(0));
     assert_eq!(a, b);
-    assert_ne!(a, e.arrivals(1));
+    assert_ne!(a, experiment.arrivals(1));
     assert!((90..150).contains(&a.len()), "{}", a.len());
     assert!(
         a.windows(2).all(|w| w[0].at <= w[1].at)
@@ -56,8 +56,8 @@
 
 #[test]
 fn a_known_delay_is_measured() {
-    let e = experiment(&(variant("usual", "") + &variant("slowed", "RELAY_DELAY_MS = \"40\"")));
-    let all = run_all(&e, "delay");
+    let experiment = experiment(&(variant("usual", "") + &variant("slowed", "RELAY_DELAY_MS = \"40\"")));
+    let all = run_all(&experiment, "delay");
     let of = |i: usize| figures(&all[i].0, &all[i].1);
     let (usual, slowed) = (of(0), of(1));
     assert_eq!((usual.failed, slowed.failed), (0.0, 0.0));
@@ -68,8 +68,8 @@
 
 #[test]
 fn duplicate_executions_are_reported() {
-    let e = experiment(&variant("twice", "RELAY_TWICE = \"1\""));
-    let (run, rows) = run_all(&e, "twice").remove(0);
+    let experiment = experiment(&variant("twice", "RELAY_TWICE = \"1\""));
+    let (run, rows) = run_all(&experiment, "twice").remove(0);
     let orders = rows.iter().filter(|r| r.non_idempotent && r.outcome == Outcome::Succeeded).count() as u64;
     assert!(orders > 20 && run.duplicates == orders, "{} of {orders}", run.duplicates);
     let session = Session { runs: vec![run], rows, complete: true, ..Session::default() };
@@ -79,13 +79,16 @@
 #[test]
 fn an_instance_that_ends_at_start_is_an_error_and_the_session_is_still_written() {
     let text = "[[variant]]\nname = \"dead\"\nprogram = \"/bin/false\"\n";
-    let e = experiment(text);
+    let experiment = experiment(text);
     let folder = folder("dead");
-    let why = run_variant(&e, &e.variants[0], 0, &folder).err().expect("it never accepts").to_string();
+    let why = run_variant(&experiment, &experiment.variants[0], 0, &folder)
+        .err()
+        .expect("it never accepts")
+        .to_string();
     assert!(why.contains("/bin/false ended"), "{why}");
     Session::default().write(&folder).expect("written");
-    let said = std::fs::read_to_string(folder.join("summary.md")).expect("there");
-    assert!(said.contains("Interrupted"), "{said}");
+    let text = std::fs::read_to_string(folder.join("summary.md")).expect("there");
+    assert!(text.contains("Interrupted"), "{text}");
     std::fs::remove_dir_all(&folder).expect("ours");
 }
 
@@ -102,7 +105,7 @@
 fn an_invalid_experiment_lists_all_violations() {
     let wrong = "seed = 1\nrepetitions = 0\n[world]\ndoors = 0\n[traffic]\nseconds = 0.0\nrate = 1e6\nconnections = 0\norders = 2.0\n\
                  [[variant]]\nname = \"a\"\nslowed = 0.5\n[[variant]]\nname = \"a\"\n";
-    let said = Experiment::read(wrong).expect_err("wrong").to_string();
+    let text = Experiment::read(wrong).expect_err("wrong").to_string();
     for what in [
         "traffic.seconds",
         "traffic.rate",
@@ -113,7 +116,7 @@
         "slowed",
         "variant 2: expected a name",
     ] {
-        assert!(said.contains(what), "{what}: {said}");
+        assert!(text.contains(what), "{what}: {text}");
     }
     assert!(Experiment::read("seed = 1\nspeed = 2\n[traffic]\nseconds = 1.0\nconnections = 1\n")
         .expect_err("wrong")
@@ -123,16 +126,16 @@
 
 #[test]
 fn a_session_is_written_and_read_and_compared_with_another() {
-    let e = experiment(&variant("usual", ""));
+    let experiment = experiment(&variant("usual", ""));
     let at = folder("session");
     let mut session = Session::default();
-    session.add(run_variant(&e, &e.variants[0], 0, &at).expect("played"));
+    session.add(run_variant(&experiment, &experiment.variants[0], 0, &at).expect("played"));
     session.complete = true;
     session.write(&at).expect("written");
     let again = Session::read(&at).expect("read");
     assert!(again.complete && again.rows.len() == session.rows.len() && again.loads == session.loads);
-    let said = compare_sessions(&session, &again).expect("the same variant");
-    assert!(said.contains("| succeeded, share | +0.000 | no |"), "{said}");
+    let text = compare_sessions(&session, &again).expect("the same variant");
+    assert!(text.contains("| succeeded, share | +0.000 | no |"), "{text}");
     let mut other = again.clone();
     other.runs.iter_mut().for_each(|p| p.variant = "another".into());
     assert_eq!(
@@ -152,9 +155,10 @@
     let text =
         variant("struck", "RELAY_POLICY = \"round-robin\"") + &variant("spared", "") + "spared = true\n";
     let faults = "[[fault]]\nat = 0.5\nkind = \"crash\"\nbackend = 1\nlasts = 0.5\n";
-    let e = experiment(&(text + faults));
+    let experiment = experiment(&(text + faults));
     let at = folder("crash");
-    let [struck, spared] = [0, 1].map(|i| run_variant(&e, &e.variants[i], 0, &at).expect("played"));
+    let [struck, spared] =
+        [0, 1].map(|i| run_variant(&experiment, &experiment.variants[i], 0, &at).expect("played"));
     std::fs::remove_dir_all(&at).expect("ours");
     let failed = |p: &RunResult| p.rows.iter().filter(|r| r.outcome == Outcome::Errored).count();
     assert!(failed(&struck) > 3 && failed(&spared) == 0, "{} {}", failed(&struck), failed(&spared));
@@ -170,8 +174,8 @@
 #[test]
 fn a_killed_instance_gets_no_requests_until_it_is_back() {
     let faults = "[[fault]]\nat = 0.4\nkind = \"kill\"\ndoor = 0\nlasts = 0.4\n";
-    let e = experiment(&(variant("one", "") + faults));
-    let (run, rows) = run_all(&e, "kill").remove(0);
+    let experiment = experiment(&(variant("one", "") + faults));
+    let (run, rows) = run_all(&experiment, "kill").remove(0);
     assert_eq!(run.died, 0, "it was meant");
     let at = |door: usize, from: f64, to: f64| {
         rows.iter()
@@ -185,8 +189,8 @@
 #[test]
 fn a_stalled_instance_shows_in_the_latencies() {
     let faults = "[[fault]]\nat = 0.4\nkind = \"stall\"\ndoor = 0\nlasts = 0.4\n";
-    let e = experiment(&(variant("one", "") + faults));
-    let (_, rows) = run_all(&e, "stall").remove(0);
+    let experiment = experiment(&(variant("one", "") + faults));
+    let (_, rows) = run_all(&experiment, "stall").remove(0);
     // Whoever came to it early in its stand has waited for nearly all of it.
     let waited =
         rows.iter().filter(|r| r.instance == 0 && (0.4..0.6).contains(&r.at) && r.took > 0.15).count();
@@ -200,8 +204,8 @@
         format!("[[fault]]\nat = 0.0\nkind = \"{kind}\"\nbackend = {backend}\nlasts = 9.0\nby = 1.0\n")
     };
     let faults = strike("err", 0) + &strike("turn-away", 1) + &strike("spoil", 2);
-    let e = experiment(&(variant("all ill", "RELAY_POLICY = \"round-robin\"") + &faults));
-    let (run, rows) = run_all(&e, "ill").remove(0);
+    let experiment = experiment(&(variant("all ill", "RELAY_POLICY = \"round-robin\"") + &faults));
+    let (run, rows) = run_all(&experiment, "ill").remove(0);
     let of = |o: Outcome| rows.iter().filter(|r| r.outcome == o).count();
     assert_eq!(of(Outcome::Succeeded), 0);
     assert!(of(Outcome::Throttled) > 20 && of(Outcome::Errored) > 40, "{rows:?}");
@@ -216,8 +220,8 @@
                 [[fault]]\nat = 2.0\nkind = \"zone-loss\"\nzone = 1\nlasts = 1.0\n\
                 [[fault]]\nat = 1.0\nkind = \"slow\"\nbackend = 0\nlasts = 1.0\nby = 3.0\n\
                 [[fault]]\nat = 4.0\nkind = \"burst\"\nlasts = 1.0\nby = 2.0\n";
-    let e = Experiment::read(text).expect("good");
-    let steps: Vec<String> = schedule(&e.faults, &e.world)
+    let experiment = Experiment::read(text).expect("good");
+    let steps: Vec<String> = schedule(&experiment.faults, &experiment.world)
         .iter()
         .map(|s| {
             format!("{} {} {} {}", s.at, s.kind.name(), s.target, if s.begins { "begins" } else { "over" })
@@ -232,16 +236,20 @@
         3 crash 3 over"#]]
     .assert_eq(&steps.join("\n"));
     assert_eq!(
-        (burst_factor(&e.faults, 3.9), burst_factor(&e.faults, 4.5), burst_factor(&e.faults, 5.0)),
+        (
+            burst_factor(&experiment.faults, 3.9),
+            burst_factor(&experiment.faults, 4.5),
+            burst_factor(&experiment.faults, 5.0)
+        ),
         (1.0, 2.0, 1.0)
     );
-    let come = e.arrivals(0).iter().filter(|a| (4.0..5.0).contains(&a.at)).count();
+    let come = experiment.arrivals(0).iter().filter(|a| (4.0..5.0).contains(&a.at)).count();
     assert!(come > 12, "{come}");
     assert!(is_supported(Kind::CounterSplit) && !is_supported(Kind::Upgrade));
-    let w = &e.world;
+    let world = &experiment.world;
     assert_eq!(
-        (warm_capacity(w, None), warm_capacity(w, Some(0.0)), warm_capacity(w, Some(99.0))),
-        (1.0, w.cold_from, 1.0)
+        (warm_capacity(world, None), warm_capacity(world, Some(0.0)), warm_capacity(world, Some(99.0))),
+        (1.0, world.cold_from, 1.0)
     );
 }
 
