--- a/load/src/results/figures.rs
+++ b/load/src/results/figures.rs
@@ -92,20 +92,20 @@
 
 /// The figures of a run; of the rows, those of other runs are passed over.
 pub fn figures(run: &RunSummary, rows: &[RequestRow]) -> Figures {
-    let is_own = |row: &&RequestRow| row.variant == run.variant && row.repetition == run.repetition;
-    let own: Vec<&RequestRow> = rows.iter().filter(is_own).collect();
-    let requests = own.len().max(1) as f64;
+    let is_of_run = |row: &&RequestRow| row.variant == run.variant && row.repetition == run.repetition;
+    let run_rows: Vec<&RequestRow> = rows.iter().filter(is_of_run).collect();
+    let requests = run_rows.len().max(1) as f64;
     let instances = run.instances.max(1) as f64;
-    let fraction = |of: Outcome| own.iter().filter(|row| row.outcome == of).count() as f64 / requests;
+    let fraction = |of: Outcome| run_rows.iter().filter(|row| row.outcome == of).count() as f64 / requests;
     let mut took = histogram();
     let mut late = histogram();
-    for row in &own {
+    for row in &run_rows {
         record(&mut late, row.late.max(0.0));
         if row.outcome == Outcome::Succeeded {
             record(&mut took, row.took);
         }
     }
-    let seconds = own.iter().map(|row| row.at).fold(0.0, f64::max).max(LEAST_SECONDS);
+    let seconds = run_rows.iter().map(|row| row.at).fold(0.0, f64::max).max(LEAST_SECONDS);
     let succeeded = fraction(Outcome::Succeeded);
     let throttled = fraction(Outcome::Throttled);
     Figures {
@@ -114,7 +114,7 @@
         failed: 1.0 - succeeded - throttled,
         median: quantile_ms(&took, 0.5),
         p99: quantile_ms(&took, 0.99),
-        rate: succeeded * own.len() as f64 / seconds,
+        rate: succeeded * run_rows.len() as f64 / seconds,
         late: quantile_ms(&late, 0.99),
         processor: MILLISECONDS * run.processor / requests,
         memory: run.memory_mb / instances,
@@ -138,10 +138,10 @@
 pub(super) fn by_variant<'a>(runs: &'a [RunSummary], rows: &[RequestRow]) -> Vec<VariantFigures<'a>> {
     let mut all: Vec<VariantFigures> = vec![];
     for run in runs {
-        let own = figures(run, rows);
+        let figures = figures(run, rows);
         match all.iter_mut().find(|variant| variant.name == run.variant) {
-            Some(variant) => variant.runs.push(own),
-            None => all.push(VariantFigures { name: &run.variant, runs: vec![own] }),
+            Some(variant) => variant.runs.push(figures),
+            None => all.push(VariantFigures { name: &run.variant, runs: vec![figures] }),
         }
     }
     all
--- a/load/src/results/summary.rs
+++ b/load/src/results/summary.rs
@@ -75,8 +75,8 @@
 fn write_sums(text: &mut String, all: &[VariantFigures], runs: &[RunSummary]) {
     let sum = |value: &dyn Fn(&RunSummary) -> u64| {
         let of = |variant: &VariantFigures| {
-            let own = runs.iter().filter(|run| run.variant == variant.name);
-            own.map(value).sum::<u64>().to_string()
+            let variant_runs = runs.iter().filter(|run| run.variant == variant.name);
+            variant_runs.map(value).sum::<u64>().to_string()
         };
         all.iter().map(of).collect::<Vec<_>>().join(" | ")
     };
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -109,8 +109,8 @@
             new.streams.insert(ConnectionId::Client(client), Stream::new(ConnectionId::Client(client)));
             new.inbox.push(Event::ClientAccepted(client, IpAddr::V4(Ipv4Addr::LOCALHOST)));
         }
-        if let Some(declares) = update {
-            new.reducer.declares(now, declares);
+        if let Some(update) = update {
+            new.reducer.declares(now, update);
         }
         Ok(new)
     }
--- a/load/src/test_bed/backend.rs
+++ b/load/src/test_bed/backend.rs
@@ -45,7 +45,7 @@
 fn listen(listener: TcpListener, index: usize, test_bed: &Arc<TestBed>, slots: &Arc<Slots>) -> Result<()> {
     let address = listener.local_addr()?;
     let mut listener = Some(listener);
-    let gone = Arc::new(AtomicBool::new(false));
+    let process_ended = Arc::new(AtomicBool::new(false));
     loop {
         if test_bed.finished() {
             return Ok(());
@@ -60,10 +60,10 @@
             }
             continue;
         };
-        gone.store(false, Ordering::Relaxed);
-        close_when_down(&open, index, test_bed.clone(), gone.clone())?;
+        process_ended.store(false, Ordering::Relaxed);
+        close_when_down(&open, index, test_bed.clone(), process_ended.clone())?;
         while let Ok((stream, _)) = open.accept() {
-            if gone.load(Ordering::Relaxed) {
+            if process_ended.load(Ordering::Relaxed) {
                 break;
             }
             test_bed.record_connection(index, &stream);
@@ -79,14 +79,14 @@
     listener: &TcpListener,
     index: usize,
     test_bed: Arc<TestBed>,
-    gone: Arc<AtomicBool>,
+    process_ended: Arc<AtomicBool>,
 ) -> Result<()> {
     let listener = listener.try_clone()?;
     spawn(move || {
         while !test_bed.condition(index).down {
             sleep(POLL);
         }
-        gone.store(true, Ordering::Relaxed);
+        process_ended.store(true, Ordering::Relaxed);
         let _ = socket2::SockRef::from(&listener).shutdown(Shutdown::Both);
     });
     Ok(())
--- a/load/src/test_bed/counter.rs
+++ b/load/src/test_bed/counter.rs
@@ -50,8 +50,8 @@
             stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")?;
             continue;
         }
-        let own_counts = instance == CounterInstance::Second && condition.split;
-        let total = add(test_bed, &target, usize::from(own_counts)).to_string();
+        let uses_second_set = instance == CounterInstance::Second && condition.split;
+        let total = add(test_bed, &target, usize::from(uses_second_set)).to_string();
         if test_bed.draw_counter_fault(condition.unanswered) {
             return Ok(());
         }
