--- a/load/src/fleet/configuration.rs
+++ b/load/src/fleet/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration files of the instances.
 use crate::error::RunError;
 use crate::experiment::Experiment;
-use crate::test_bed::loopback::{bind_datagram, bind_listener};
+use crate::test_bed::loopback::{bind_datagram, bind_datagram_at, bind_listener_at, own_loopback};
 use crate::test_bed::peer_relay;
 use quillramp_emulator::play::settings;
 use serde_json::{json, Value};
@@ -39,14 +39,15 @@
     gossip: Vec<SocketAddr>,
 }
 
-/// Chooses addresses for the instances. All are bound at once, so that they differ, and are free again afterwards.
+/// Chooses addresses for the instances. All are bound at once, so that they differ, and are free again afterwards, until the
+/// instances bind them.
 fn choose_addresses(instances: usize) -> Result<Addresses, RunError> {
     let mut clients = vec![];
     let mut gossip = vec![];
     let mut bound = vec![];
     for _ in 0..instances {
-        let listener = bind_listener()?;
-        let datagram = bind_datagram()?;
+        let listener = bind_listener_at(own_loopback())?;
+        let datagram = bind_datagram_at(own_loopback())?;
         clients.push(listener.address);
         gossip.push(datagram.address);
         bound.push((listener, datagram));
--- a/load/src/scale/process.rs
+++ b/load/src/scale/process.rs
@@ -1,12 +1,5 @@
-//! What a process has used, and an address of its own.
+//! What a process has used.
 use crate::process_stat::{self, KIB_PER_MIB, TICKS_PER_SECOND};
-use std::net::Ipv4Addr;
-
-/// An address of loopback that no other process of these runs has: ports that one has chosen are not taken by another.
-pub fn own_loopback() -> Ipv4Addr {
-    let [_, high, middle, low] = std::process::id().to_be_bytes();
-    Ipv4Addr::new(127, high.wrapping_add(1), middle, low)
-}
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/load/src/test_bed/loopback.rs
+++ b/load/src/test_bed/loopback.rs
@@ -1,7 +1,7 @@
 //! Loopback sockets, and the protocol's replies as a client reads them.
 use crate::error::RunError;
 use std::io::{BufRead, Error, ErrorKind, Result};
-use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 
 /// Stack of a thread that serves one connection, bytes.
 const STACK_BYTES: usize = 128 * 1024;
@@ -13,6 +13,13 @@
     let _ = thread.spawn(move || serve(stream)); // it ends with its connection; with no thread left it ends now
 }
 
+/// An address of loopback that no other process of these runs has: a port that was chosen there and released is not taken by
+/// another process, nor by an outgoing connection, for these have 127.0.0.1.
+pub fn own_loopback() -> Ipv4Addr {
+    let [_, high, middle, low] = std::process::id().to_be_bytes();
+    Ipv4Addr::new(127, high.wrapping_add(1), middle, low)
+}
+
 /// A bound socket with its address.
 pub struct Bound<S> {
     /// The socket.
@@ -23,14 +30,24 @@
 
 /// A listener at any free port.
 pub fn bind_listener() -> std::result::Result<Bound<TcpListener>, RunError> {
-    let socket = TcpListener::bind("127.0.0.1:0").map_err(RunError::Port)?;
+    bind_listener_at(Ipv4Addr::LOCALHOST)
+}
+
+/// A listener at any free port of an address.
+pub fn bind_listener_at(ip: Ipv4Addr) -> std::result::Result<Bound<TcpListener>, RunError> {
+    let socket = TcpListener::bind((ip, 0)).map_err(RunError::Port)?;
     let address = socket.local_addr().map_err(RunError::Port)?;
     Ok(Bound { socket, address })
 }
 
 /// A datagram socket at any free port.
 pub fn bind_datagram() -> std::result::Result<Bound<UdpSocket>, RunError> {
-    let socket = UdpSocket::bind("127.0.0.1:0").map_err(RunError::Port)?;
+    bind_datagram_at(Ipv4Addr::LOCALHOST)
+}
+
+/// A datagram socket at any free port of an address.
+pub fn bind_datagram_at(ip: Ipv4Addr) -> std::result::Result<Bound<UdpSocket>, RunError> {
+    let socket = UdpSocket::bind((ip, 0)).map_err(RunError::Port)?;
     let address = socket.local_addr().map_err(RunError::Port)?;
     Ok(Bound { socket, address })
 }
