--- a/gateway/src/state/list.rs
+++ b/gateway/src/state/list.rs
@@ -181,8 +181,10 @@
                 self.watch(now);
             }
             other => {
-                let why =
-                    other.and_then(Result::err).unwrap_or_else(|| format!("status {}", response.status));
+                let why = other
+                    .and_then(Result::err)
+                    .map(|error| error.to_string())
+                    .unwrap_or_else(|| format!("status {}", response.status));
                 self.effects.push(Effect::Log(format!("list service: {why}")));
                 self.close(ConnectionId::Discovery(id), CloseReason::BadFraming);
                 self.watch_failed(now);
--- a/gateway/src/wire/http.rs
+++ b/gateway/src/wire/http.rs
@@ -1,40 +1,55 @@
-//! HTTP/1.1, as far as the counter and the list service speak it: requests out, whole responses in.
+//! HTTP/1.1, as far as the counter and the list service use it: requests out, complete responses in.
 use super::{Decoded, ProtocolError};
 use std::net::SocketAddr;
 
-const HEAD: usize = 8 * 1024;
-const BODY: usize = 4 * 1024 * 1024;
+/// The longest head of a response, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The longest body of a response, in bytes.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// The most header fields that a response may have.
+const MAX_HEADERS: usize = 32;
 
+/// A response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The body, its chunks joined.
     pub body: Vec<u8>,
     /// The connection ends after it.
     pub closes_connection: bool,
 }
 
-/// What is asked of the counter and of the list service.
+/// A request to the counter or to the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
+    /// Adds to a count of the shared counter.
     AddToCounter {
+        /// The count's name.
         key: String,
+        /// How much is added, in units.
         add: f64,
+        /// How long the count lasts, in milliseconds.
         expire_ms: u64,
     },
+    /// Waits for changes to the endpoint list.
     WatchEndpoints {
+        /// The version that is known.
         since: u64,
+        /// How long to wait, in milliseconds.
         wait_ms: u64,
     },
-    /// The whole list, at once.
+    /// The complete endpoint list, at once.
     List,
 }
 
 impl Request {
+    /// Appends the request as it goes to this host.
     pub fn encode(&self, host: SocketAddr, out: &mut Vec<u8>) {
         let text = match self {
-            Request::AddToCounter { key: name, add, expire_ms: lives_ms } => {
+            Request::AddToCounter { key, add, expire_ms } => {
                 format!(
-                    "POST /counters/{name}?by={add}&expire_ms={lives_ms} HTTP/1.1\r\n\
+                    "POST /counters/{key}?by={add}&expire_ms={expire_ms} HTTP/1.1\r\n\
                      Host: {host}\r\nContent-Length: 0\r\n\r\n"
                 )
             }
@@ -49,75 +64,97 @@
     }
 }
 
-/// One whole response; those that only say that it is on its way (1xx) are passed over.
-#[inline(never)]
+/// One complete response; interim ones (1xx) are skipped.
+#[inline(never)] // the header fields are not to be part of every connection's stack
 pub fn decode_response(bytes: &[u8]) -> Decoded<Response> {
-    let mut at = 0;
+    let mut start = 0;
     loop {
-        match one(&bytes[at..])? {
-            Some((r, n)) if (100..200).contains(&r.status) => at += n,
-            other => return Ok(other.map(|(r, n)| (r, at + n))),
+        match decode_one(&bytes[start..])? {
+            Some((response, length)) if (100..200).contains(&response.status) => start += length,
+            other => return Ok(other.map(|(response, length)| (response, start + length))),
         }
     }
 }
 
-fn one(bytes: &[u8]) -> Decoded<Response> {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
+/// What the head of a response says of the body.
+#[derive(Default)]
+struct Framing {
+    content_length: Option<usize>,
+    chunked: bool,
+    closes_connection: bool,
+}
+
+impl Framing {
+    fn read(head: &httparse::Response) -> Result<Framing, ProtocolError> {
+        let mut framing = Framing { closes_connection: head.version == Some(0), ..Framing::default() };
+        for header in head.headers.iter() {
+            let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+            if header.name.eq_ignore_ascii_case("content-length") {
+                let length = value.parse::<usize>().map_err(|_| ProtocolError("length is no number"))?;
+                framing.content_length = Some(length);
+            } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+                framing.chunked = value.eq_ignore_ascii_case("chunked");
+            } else if header.name.eq_ignore_ascii_case("connection") {
+                framing.closes_connection = value.eq_ignore_ascii_case("close");
+            }
+        }
+        Ok(framing)
+    }
+
+    /// The length of a body that is not chunked, in bytes.
+    fn body_length(&self, status: u16) -> Result<usize, ProtocolError> {
+        match self.content_length {
+            Some(length) if length > MAX_BODY_BYTES => Err(ProtocolError("body too long")),
+            Some(length) => Ok(length),
+            None if status == 204 || status == 304 || status < 200 => Ok(0),
+            None => Err(ProtocolError("response without a length")),
+        }
+    }
+}
+
+fn decode_one(bytes: &[u8]) -> Decoded<Response> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let from = match head.parse(bytes) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if bytes.len() > HEAD => return Err(ProtocolError("head too long")),
+    let body_start = match head.parse(bytes) {
+        Ok(httparse::Status::Complete(length)) => length,
+        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => {
+            return Err(ProtocolError("head too long"))
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(ProtocolError("no HTTP")),
     };
     let status = head.code.unwrap_or(0);
-    let (mut length, mut chunked, mut last) = (None, false, head.version == Some(0));
-    for h in head.headers.iter() {
-        let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("content-length") {
-            length = Some(value.parse::<usize>().map_err(|_| ProtocolError("length is no number"))?);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            chunked = value.eq_ignore_ascii_case("chunked");
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            last = value.eq_ignore_ascii_case("close");
-        }
-    }
-    if chunked {
-        let Some((body, end)) = chunks(bytes, from)? else { return Ok(None) };
-        return Ok(Some((Response { status, body, closes_connection: last }, end)));
-    }
-    let length = match length {
-        Some(n) => n,
-        None if status == 204 || status == 304 || status < 200 => 0,
-        None => return Err(ProtocolError("response without a length")),
-    };
-    if length > BODY {
-        return Err(ProtocolError("body too long"));
+    let framing = Framing::read(&head)?;
+    let closes_connection = framing.closes_connection;
+    if framing.chunked {
+        let Some((body, end)) = decode_chunks(bytes, body_start)? else { return Ok(None) };
+        return Ok(Some((Response { status, body, closes_connection }, end)));
     }
-    let Some(body) = bytes.get(from..from + length) else { return Ok(None) };
-    Ok(Some((Response { status, body: body.to_vec(), closes_connection: last }, from + length)))
+    let end = body_start + framing.body_length(status)?;
+    let Some(body) = bytes.get(body_start..end) else { return Ok(None) };
+    Ok(Some((Response { status, body: body.to_vec(), closes_connection }, end)))
 }
 
-fn chunks(bytes: &[u8], mut at: usize) -> Decoded<Vec<u8>> {
+fn decode_chunks(bytes: &[u8], mut position: usize) -> Decoded<Vec<u8>> {
     let mut body = Vec::new();
     loop {
-        let (from, size) = match httparse::parse_chunk_size(&bytes[at..]) {
-            Ok(httparse::Status::Complete((from, size))) => (at + from, size),
+        let (start, size) = match httparse::parse_chunk_size(&bytes[position..]) {
+            Ok(httparse::Status::Complete((start, size))) => (position + start, size),
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err(ProtocolError("chunk without a size")),
         };
-        if size > (BODY - body.len()) as u64 {
+        if size > (MAX_BODY_BYTES - body.len()) as u64 {
             return Err(ProtocolError("body too long"));
         }
         let size = size as usize;
-        let Some(chunk) = bytes.get(from..from + size + 2) else { return Ok(None) };
+        let Some(chunk) = bytes.get(start..start + size + 2) else { return Ok(None) };
         if &chunk[size..] != b"\r\n" {
             return Err(ProtocolError("chunk without its end"));
         }
         body.extend_from_slice(&chunk[..size]);
-        at = from + size + 2;
+        position = start + size + 2;
         if size == 0 {
-            return Ok(Some((body, at)));
+            return Ok(Some((body, position)));
         }
     }
 }
--- a/gateway/src/wire/mod.rs
+++ b/gateway/src/wire/mod.rs
@@ -1,12 +1,13 @@
-//! What is spoken: pure codecs, bytes to small typed values and back. Datagrams are `quillramp::word`.
+//! The wire formats: pure codecs, from bytes to small typed values and back. Datagrams are `quillramp::gossip`.
 pub mod admin;
 pub mod endpoints;
 pub mod http;
 pub mod resp;
 
 /// Framing that can't be followed any further, and why.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("{0}")]
 pub struct ProtocolError(pub &'static str);
 
-/// A whole message and how many bytes it took; none until more bytes have come.
+/// A complete message and how many bytes it took; none until more bytes have arrived.
 pub type Decoded<T> = Result<Option<(T, usize)>, ProtocolError>;
--- /dev/null
+++ b/gateway/src/wire/resp/extent.rs
@@ -0,0 +1,42 @@
+//! How far a command reaches, from its length lines alone.
+use super::framing::{array_header, bulk_length, is_body, max_item_bytes};
+use super::MAX_MESSAGE_BYTES;
+use crate::wire::ProtocolError;
+
+/// How far a command reaches.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Extent {
+    /// All of it has arrived: its length in bytes.
+    Complete(usize),
+    /// This many bytes are still to arrive.
+    Missing(usize),
+    /// Too little of it has arrived to say.
+    Unknown,
+}
+
+/// How far the first command of these bytes reaches; its contents are not examined.
+pub fn command_extent(bytes: &[u8]) -> Result<Extent, ProtocolError> {
+    match bytes.first() {
+        None => return Ok(Extent::Unknown),
+        Some(b'*') => {}
+        Some(_) => return Err(ProtocolError("expected an array of bulk strings")),
+    }
+    let Some((item_count, mut position)) = array_header(bytes)? else { return Ok(Extent::Unknown) };
+    let item_count = item_count.unwrap_or(0);
+    for index in 0..item_count {
+        if position > MAX_MESSAGE_BYTES {
+            return Err(ProtocolError("message over 64 KiB"));
+        }
+        let max_bytes = max_item_bytes(is_body(index, item_count));
+        let Some((length, start)) = bulk_length(bytes, position, max_bytes)? else {
+            return Ok(Extent::Unknown);
+        };
+        let end = start + length.ok_or(ProtocolError("null in a command"))? + 2;
+        if bytes.len() < end {
+            let last = index + 1 == item_count;
+            return Ok(if last { Extent::Missing(end - bytes.len()) } else { Extent::Unknown });
+        }
+        position = end;
+    }
+    Ok(Extent::Complete(position))
+}
--- a/gateway/tests/help/mod.rs
+++ b/gateway/tests/help/mod.rs
@@ -11,7 +11,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-#[path = "../../../examples/toy.rs"]
+#[path = "../../../examples/example_backend.rs"]
 pub mod toy;
 
 /// A front door that ends with the test, whatever comes of it.
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -230,12 +230,17 @@
         POST /counters/5.1?by=-2.5&expire_ms=45000 HTTP/1.1|Host: 127.0.0.1:80|Content-Length: 0||GET /v1/endpoints?since=41&timeout_ms=20000 HTTP/1.1|Host: 127.0.0.1:80||GET /v1/endpoints HTTP/1.1|Host: 127.0.0.1:80||"#]].assert_eq(&all);
 }
 
+/// An endpoint list, or the text of its error.
+fn decode_list(text: &str) -> Result<endpoints::EndpointList, String> {
+    endpoints::decode(text.as_bytes()).map_err(|error| error.to_string())
+}
+
 #[test]
 fn lists_and_words() {
     let entry = r#"{"name":"s","address":"127.0.0.1:1","zone":"a","group":3,"status":"DRAINING","weight":1,"since_ms":5}"#;
     let list = format!(r#"{{"index":4,"snapshot":false,"endpoints":[{entry}]}}"#);
-    let mut all = format!("{:?}\n", endpoints::decode(list.as_bytes()));
-    all += &format!("{:?}\n", endpoints::decode(list.replace("DRAINING", "GONE").as_bytes()));
+    let mut all = format!("{:?}\n", decode_list(&list));
+    all += &format!("{:?}\n", decode_list(&list.replace("DRAINING", "GONE")));
     let of = InstanceRange { first: 2, count: 3 };
     let count =
         WireMessage::CounterTotal { customer: 1 << 32 | 9, plan: 1, instances: of, series: 7, total: 2.5 };
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -13,5 +13,5 @@
 
 /// The toy world's parts serve here too.
 #[allow(dead_code)]
-#[path = "../../examples/toy.rs"]
+#[path = "../../examples/example_backend.rs"]
 mod toy;
