--- a/gateway/src/wire/resp/command.rs
+++ b/gateway/src/wire/resp/command.rs
@@ -100,7 +100,39 @@
     end: usize,
 }
 
-impl Items<'_> {
+impl<'a> Items<'a> {
+    fn new(bytes: &'a [u8]) -> Items<'a> {
+        let items = [const { Item { start: 0, value: 0..0 } }; MAX_ARRAY_ITEMS];
+        Items { bytes, items, count: 0, end: 0 }
+    }
+
+    /// Finds the items, within the limits on the command's length; false until all of it has arrived. In place: a copy
+    /// would be part of every connection's stack.
+    fn decode(&mut self) -> Result<bool, ProtocolError> {
+        let Some((count, mut position)) = array_header(self.bytes)? else { return Ok(false) };
+        let count = count.unwrap_or(0);
+        for (index, item) in self.items.iter_mut().enumerate().take(count) {
+            item.start = position;
+            let body = is_body(index, count);
+            let Some((value, next)) = bulk_string(self.bytes, position, max_item_bytes(body))? else {
+                let too_long = self.bytes.len() > MAX_MESSAGE_BYTES && !body;
+                return if too_long { Err(ProtocolError("message over 64 KiB")) } else { Ok(false) };
+            };
+            item.value = value.ok_or(ProtocolError("null in a command"))?;
+            position = next;
+        }
+        let last_bounded = count.saturating_sub(1).min(ITEMS_OF_POST - 1);
+        let unbounded_end = count == ITEMS_OF_POST;
+        if self.items[last_bounded].start > MAX_MESSAGE_BYTES
+            || !unbounded_end && position > MAX_MESSAGE_BYTES
+        {
+            return Err(ProtocolError("message over 64 KiB"));
+        }
+        self.count = count;
+        self.end = position;
+        Ok(true)
+    }
+
     fn value(&self, index: usize) -> &[u8] {
         &self.bytes[self.items[index].value.clone()]
     }
@@ -119,7 +151,10 @@
     if bytes[0] != b'*' {
         return Err(ProtocolError("expected an array of bulk strings"));
     }
-    let Some(items) = decode_items(bytes)? else { return Ok(None) };
+    let mut items = Items::new(bytes);
+    if !items.decode()? {
+        return Ok(None);
+    }
     let command = if items.is_named("PING") {
         ClientCommand::Ping
     } else if items.is_named("CALL.GET") && items.count == ITEMS_OF_GET
@@ -137,30 +172,6 @@
     Ok(Some((command, items.end)))
 }
 
-/// The items of one command, within the limits on its length; none until all of it has arrived.
-fn decode_items(bytes: &[u8]) -> Result<Option<Items<'_>>, ProtocolError> {
-    let Some((count, mut position)) = array_header(bytes)? else { return Ok(None) };
-    let count = count.unwrap_or(0);
-    let mut items = [const { Item { start: 0, value: 0..0 } }; MAX_ARRAY_ITEMS];
-    for (index, item) in items.iter_mut().enumerate().take(count) {
-        item.start = position;
-        let body = is_body(index, count);
-        let Some((value, next)) = bulk_string(bytes, position, max_item_bytes(body))? else {
-            let too_long = bytes.len() > MAX_MESSAGE_BYTES && !body;
-            return if too_long { Err(ProtocolError("message over 64 KiB")) } else { Ok(None) };
-        };
-        item.value = value.ok_or(ProtocolError("null in a command"))?;
-        position = next;
-    }
-    let last_bounded = count.saturating_sub(1).min(ITEMS_OF_POST - 1);
-    let too_long = items[last_bounded].start > MAX_MESSAGE_BYTES
-        || count != ITEMS_OF_POST && position > MAX_MESSAGE_BYTES;
-    if too_long {
-        return Err(ProtocolError("message over 64 KiB"));
-    }
-    Ok(Some(Items { bytes, items, count, end: position }))
-}
-
 fn decode_request(items: &Items) -> ClientCommand {
     let request = RequestItems {
         raw: &items.bytes[..items.end],
