--- a/gateway/src/process/mod.rs
+++ b/gateway/src/process/mod.rs
@@ -1,8 +1,11 @@
-//! Start and stop: the configuration, the log, the signals, what the next version takes over.
+//! The life cycle of the process: configuration, log, signals, and the hand-over to its successor.
 pub mod check;
 pub mod configuration;
 pub mod descriptors;
 pub mod handover;
+pub mod inherited_listener;
 pub mod logger;
 pub mod operator;
+pub mod process_identity;
+pub mod shared_file;
 pub mod signals;
--- a/gateway/src/process/operator.rs
+++ b/gateway/src/process/operator.rs
@@ -1,68 +1,136 @@
-//! The operator's file, where the environment names one: read whole, checked against the configuration, told to the front door.
+//! The operator's file, where the environment names one: read complete, checked against the configuration, and handed to
+//! the state.
 use crate::state::event::OperatorUpdate;
-use quillramp::settings::InstanceSettings;
+use quillramp::settings::{InstanceSettings, OfferedOperation};
 use quillramp_operator::routes::{Operation, Platform, Table};
 use quillramp_operator::{Diagnostic, OperatorSettings, MAX_FILE_BYTES};
 use std::fs::File;
-use std::io::Read;
+use std::io::{Error, Read};
+use std::time::SystemTime;
 
+/// The environment variable that names the file.
 pub const PATH_VARIABLE: &str = "EDGE_OPERATOR";
 /// How often a file that changes while it is read is read again.
-const TRIES: usize = 3;
+const MAX_READS: usize = 3;
+/// How much of a file is read: one byte more than it may have shows that it is too long.
+const READ_LIMIT: u64 = MAX_FILE_BYTES as u64 + 1;
 
-/// What the configuration allows, for a file to be checked against.
-pub fn platform(about: &InstanceSettings, sockets: usize) -> Platform {
-    let operation = |o: &quillramp::settings::OfferedOperation| Operation {
-        name: o.name.clone(),
-        effect: o.idempotency,
-        objective: o.latency_objective,
-        timeout: o.timeout,
+/// Why the file can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum OperatorFileError {
+    /// It can't be read.
+    #[error("{path}: {source}")]
+    Read {
+        /// The file.
+        path: String,
+        /// What the file system says.
+        source: Error,
+    },
+    /// It did not stand still.
+    #[error("{path}: it changes while it is read")]
+    Unstable {
+        /// The file.
+        path: String,
+    },
+    /// Its contents are wrong; all of that on one line.
+    #[error("{}", faults(path, diagnostics).join("; "))]
+    Invalid {
+        /// The file.
+        path: String,
+        /// All that is wrong.
+        diagnostics: Vec<Diagnostic>,
+    },
+}
+
+impl OperatorFileError {
+    /// All that is wrong, a line each.
+    pub fn lines(&self) -> Vec<String> {
+        match self {
+            OperatorFileError::Invalid { path, diagnostics } => faults(path, diagnostics),
+            other => vec![other.to_string()],
+        }
+    }
+}
+
+/// What the configuration allows, for a file to be checked against. `sockets`: the configured file descriptors.
+pub fn platform(settings: &InstanceSettings, sockets: usize) -> Platform {
+    let operation = |offered: &OfferedOperation| Operation {
+        name: offered.name.clone(),
+        effect: offered.idempotency,
+        objective: offered.latency_objective,
+        timeout: offered.timeout,
     };
     Platform {
-        operations: about.operations.iter().map(operation).collect(),
-        plans: about.plans.clone(),
-        attempts: about.max_attempts,
-        second_copies: about.hedging,
+        operations: settings.operations.iter().map(operation).collect(),
+        plans: settings.plans.clone(),
+        attempts: settings.max_attempts,
+        second_copies: settings.hedging,
         sockets,
     }
 }
 
-/// The text of a file that did not change meanwhile. One that is longer than it may be is read as far as that shows.
-pub fn text(path: &str) -> Result<String, String> {
-    let told = |e: std::io::Error| format!("{path}: {e}");
-    for _ in 0..TRIES {
-        let mut file = File::open(path).map_err(told)?;
-        let about = |file: &File| file.metadata().map(|m| (m.len(), m.modified().ok()));
-        let before = about(&file).map_err(told)?;
-        let mut text = String::new();
-        (&mut file).take(MAX_FILE_BYTES as u64 + 1).read_to_string(&mut text).map_err(told)?;
-        // The same name may be another file by now; what was read is whole all the same if this one stood still.
-        if about(&file).map_err(told)? == before
-            && text.len() as u64 == before.0.min(MAX_FILE_BYTES as u64 + 1)
-        {
+/// What shows that a file has changed.
+#[derive(PartialEq)]
+struct Version {
+    length: u64,
+    modified: Option<SystemTime>,
+}
+
+impl Version {
+    fn of(file: &File) -> Result<Version, Error> {
+        let metadata = file.metadata()?;
+        Ok(Version { length: metadata.len(), modified: metadata.modified().ok() })
+    }
+}
+
+/// The text of a file that did not change meanwhile. One that is too long is read as far as that shows.
+pub fn text(path: &str) -> Result<String, OperatorFileError> {
+    for _ in 0..MAX_READS {
+        let text =
+            stable_text(path).map_err(|source| OperatorFileError::Read { path: path.into(), source })?;
+        if let Some(text) = text {
             return Ok(text);
         }
     }
-    Err(format!("{path}: it changes while it is read"))
+    Err(OperatorFileError::Unstable { path: path.into() })
+}
+
+/// The text of a file; none if it changed meanwhile.
+fn stable_text(path: &str) -> Result<Option<String>, Error> {
+    let mut file = File::open(path)?;
+    let before = Version::of(&file)?;
+    let mut text = String::new();
+    (&mut file).take(READ_LIMIT).read_to_string(&mut text)?;
+    // The same name may be another file by now; what was read is complete all the same if this one stood still.
+    let stable = Version::of(&file)? == before && text.len() as u64 == before.length.min(READ_LIMIT);
+    Ok(stable.then_some(text))
 }
 
 /// All that is wrong, a line each, with the file's name in front.
 pub fn faults(path: &str, faults: &[Diagnostic]) -> Vec<String> {
-    faults.iter().map(|f| format!("{path}: {f}")).collect()
+    faults.iter().map(|fault| format!("{path}: {fault}")).collect()
+}
+
+/// Reads the file that the environment names; nothing is switched on where none is named.
+pub fn read(platform: &Platform) -> Result<OperatorSettings, OperatorFileError> {
+    match std::env::var(PATH_VARIABLE) {
+        Ok(path) => read_file(&path, Some(platform)),
+        Err(_) => Ok(OperatorSettings::default()),
+    }
 }
 
-/// Reads the file that the environment names; nothing is switched on where none is named. All that is wrong is said on one line.
-pub fn read(platform: &Platform) -> Result<OperatorSettings, String> {
-    let Ok(path) = std::env::var(PATH_VARIABLE) else { return Ok(OperatorSettings::default()) };
-    let text = text(&path)?;
-    quillramp_operator::read(&text, Some(platform)).map_err(|wrong| faults(&path, &wrong).join("; "))
+/// Reads this file, and checks it against the configuration where there is one.
+pub fn read_file(path: &str, platform: Option<&Platform>) -> Result<OperatorSettings, OperatorFileError> {
+    let text = text(path)?;
+    quillramp_operator::read(&text, platform)
+        .map_err(|diagnostics| OperatorFileError::Invalid { path: path.into(), diagnostics })
 }
 
-/// What the front door itself is told of it.
-pub fn operator_update(operator: OperatorSettings, platform: &Platform) -> OperatorUpdate {
-    let OperatorSettings { admission, presence, broker, identity, .. } = operator;
+/// What the state is given of the file.
+pub fn operator_update(settings: OperatorSettings, platform: &Platform) -> OperatorUpdate {
+    let OperatorSettings { admission, presence, broker, identity, .. } = settings;
     OperatorUpdate {
-        routes: Table::new(&operator.routes, platform),
+        routes: Table::new(&settings.routes, platform),
         admission,
         presence_interval: presence,
         broker,
--- /dev/null
+++ b/gateway/src/serve.rs
@@ -0,0 +1,250 @@
+//! Starts the gateway; the main thread then waits for signals.
+use quillramp::settings::Loaded;
+use quillramp_gateway::process::configuration::{self, Configuration, ConfigurationError};
+use quillramp_gateway::process::descriptors;
+use quillramp_gateway::process::handover::{Handover, KeeperError, SharedStateKeeper};
+use quillramp_gateway::process::inherited_listener::{self, InheritedListenerError};
+use quillramp_gateway::process::logger::{self, LoggerError};
+use quillramp_gateway::process::operator::{self, OperatorFileError};
+use quillramp_gateway::process::signals::{self, SignalError, SignalLoop};
+use quillramp_gateway::sockets::acceptor::{self, Acceptor, AcceptorContext, ListenError, ListenerKind};
+use quillramp_gateway::sockets::clock::Clock;
+use quillramp_gateway::sockets::connection::ConnectionContext;
+use quillramp_gateway::sockets::driver::{Connections, Driver};
+use quillramp_gateway::sockets::event_queue::{EventQueue, TimerError};
+use quillramp_gateway::sockets::gossip_socket::{BindError, GossipSocket};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::state::room;
+use quillramp_operator::routes::Platform;
+use quillramp_operator::OperatorSettings;
+use std::convert::Infallible;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+
+/// The stack of a connection's coroutine, in words of 8 bytes.
+const CONNECTION_STACK_WORDS: usize = 0x2000;
+/// The stack of the coroutine that decides, in words of 8 bytes.
+const DRIVER_STACK_WORDS: usize = 0x20000;
+/// Stacks of coroutines that are made at the start and kept for connections to come. Each is mapped, protected and touched
+/// before anything is served, so a start waits for them; the runtime's own figure is 1,000.
+const STACK_POOL: usize = 64;
+/// Bytes of a MiB, as a shift.
+const MEBIBYTE_SHIFT: usize = 20;
+
+/// Why the gateway does not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The inherited listening socket can't be used.
+    #[error(transparent)]
+    InheritedListener(#[from] InheritedListenerError),
+    /// There is no log.
+    #[error(transparent)]
+    Logger(#[from] LoggerError),
+    /// There is no configuration.
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+    /// The configuration's settings can't be used.
+    #[error("{0}")]
+    Settings(String),
+    /// The operator's file can't be used.
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
+    /// Signals can't be handled.
+    #[error(transparent)]
+    Signals(#[from] SignalError),
+    /// There is no timer.
+    #[error(transparent)]
+    Timer(#[from] TimerError),
+    /// Clients can't connect.
+    #[error(transparent)]
+    Listen(#[from] ListenError),
+    /// Operators can't call.
+    #[error("mgmt: {0}")]
+    ListenForOperators(ListenError),
+    /// Peers can't be heard.
+    #[error(transparent)]
+    Gossip(#[from] BindError),
+    /// The thread of the shared file can't be made.
+    #[error(transparent)]
+    Keeper(#[from] KeeperError),
+    /// The coroutine that decides can't be made.
+    #[error("{0}")]
+    Driver(std::io::Error),
+}
+
+/// What the files say.
+struct Files {
+    configuration: Configuration,
+    /// Where operators call.
+    admin: Option<SocketAddr>,
+    loaded: Loaded,
+    platform: Platform,
+    operator: OperatorSettings,
+}
+
+impl Files {
+    fn read() -> Result<Files, StartError> {
+        let configuration = configuration::read()?;
+        let admin = configuration::admin_address(&configuration)?;
+        let settings = configuration.settings.get().as_bytes();
+        let loaded = quillramp::settings::load(configuration.seed, settings)
+            .map_err(|error| StartError::Settings(error.to_string()))?;
+        let platform = operator::platform(&loaded.instance, configuration.limits.sockets);
+        let operator = operator::read(&platform)?;
+        Ok(Files { configuration, admin, loaded, platform, operator })
+    }
+}
+
+/// The sockets that wait for others.
+struct Listeners {
+    clients: TcpListener,
+    operators: Option<TcpListener>,
+    gossip: Option<Arc<GossipSocket>>,
+}
+
+impl Listeners {
+    fn open(inherited: Option<TcpListener>, files: &Files) -> Result<Listeners, StartError> {
+        let shared = inherited.is_some();
+        let clients = match inherited {
+            Some(listener) => listener,
+            None => acceptor::listen(files.configuration.listen)?,
+        };
+        let operators =
+            files.admin.map(acceptor::listen).transpose().map_err(StartError::ListenForOperators)?;
+        let gossip = files.configuration.peer_listen.map(|address| GossipSocket::bind(address, shared));
+        Ok(Listeners { clients, operators, gossip: gossip.transpose()? })
+    }
+}
+
+/// The coroutines that accept, still to be started.
+struct Acceptors {
+    clients: Acceptor,
+    operators: Option<Acceptor>,
+}
+
+/// Starts the gateway, and waits for signals until the process exits.
+pub fn serve() -> Result<Infallible, StartError> {
+    let inherited = inherited_listener::take()?; // first: its descriptor is not to be taken for something of ours
+    logger::start()?;
+    abort_on_panic();
+    let files = Files::read()?;
+    logger::configure(files.operator.log.as_ref());
+    let signals = signals::install()?;
+    may::config()
+        .set_workers(1)
+        .set_stack_size(CONNECTION_STACK_WORDS)
+        .set_pool_capacity(STACK_POOL)
+        .set_worker_pin(false);
+
+    let events = Arc::new(EventQueue::new()?);
+    let configuration = &files.configuration;
+    let max_descriptors = descriptors::allowed(configuration.limits.sockets);
+    let memory_bytes = configuration.limits.memory_mb << MEBIBYTE_SHIFT;
+    let context = ConnectionContext::new(events.clone(), memory_bytes, room::most_clients(max_descriptors));
+    let inherits = inherited.is_some();
+    let listeners = Listeners::open(inherited, &files)?;
+    // Where neither is there, nothing can be changed by hand and no other process takes over.
+    let handover = if inherits || files.admin.is_some() {
+        SharedStateKeeper::start(&configuration.name, events.clone())?
+    } else {
+        Handover::default()
+    };
+    let signal_loop = SignalLoop {
+        signals,
+        events: events.clone(),
+        shared: handover.keeper.as_ref().map(|keeper| keeper.file.clone()),
+        platform: files.platform.clone(),
+    };
+    let shared = AcceptorContext {
+        connections: Arc::new(Connections::default()),
+        context: context.clone(),
+        stop_accepting: Arc::new(AtomicBool::new(false)),
+    };
+    let name = configuration.name.clone();
+    let listen = configuration.listen;
+    let admin = files.admin;
+
+    let clock = Clock::start();
+    let reducer = new_reducer(files, &handover, inherits, max_descriptors, &clock);
+    let acceptors = Acceptors::new(listeners.clients, listeners.operators, inherits, &shared)?;
+    let driver = Driver {
+        clock,
+        context,
+        connections: shared.connections.clone(),
+        gossip: listeners.gossip,
+        stop_accepting: shared.stop_accepting.clone(),
+        keeper: handover.keeper,
+    };
+    start_driver(driver, acceptors, reducer, events)?;
+    tracing::info!("{name} serves at {listen}");
+    if let Some(admin) = admin {
+        tracing::info!("operators call at {admin}");
+    }
+    signal_loop.run()
+}
+
+/// The runtime would end one coroutine and leave a gateway that does nothing.
+fn abort_on_panic() {
+    std::panic::set_hook(Box::new(|panic| {
+        eprintln!("quillramp: {panic}");
+        std::process::abort();
+    }));
+}
+
+fn new_reducer(
+    files: Files,
+    handover: &Handover,
+    inherits: bool,
+    max_descriptors: usize,
+    clock: &Clock,
+) -> Reducer {
+    let configuration = files.configuration;
+    let config = ReducerConfig {
+        peers: configuration.peers,
+        peer_broadcast: configuration.peers_all,
+        counter: configuration.counter,
+        discovery: configuration.discovery,
+        max_descriptors,
+        inherited_listener: inherits,
+        admin_enabled: files.admin.is_some(),
+        saves_changes: handover.keeper.is_some(),
+    };
+    let mut reducer = Reducer::new(clock.now(), files.loaded, config, &configuration.known);
+    reducer.share_is(clock.now(), handover.shared.clone());
+    reducer.declares(clock.now(), operator::operator_update(files.operator, &files.platform));
+    reducer
+}
+
+impl Acceptors {
+    fn new(
+        clients: TcpListener,
+        operators: Option<TcpListener>,
+        inherited: bool,
+        shared: &AcceptorContext,
+    ) -> Result<Acceptors, ListenError> {
+        let clients = Acceptor::new(clients, ListenerKind::Clients { inherited }, shared.clone())?;
+        let operators =
+            operators.map(|listener| Acceptor::new(listener, ListenerKind::Operators, shared.clone()));
+        Ok(Acceptors { clients, operators: operators.transpose()? })
+    }
+}
+
+/// Starts the one coroutine that another thread than the worker makes; it makes the others. The worker waits for a second
+/// one that is half in its queue by a spin (`may_queue::mpsc`, `BlockNode::get`), not by a wait.
+fn start_driver(
+    driver: Driver,
+    acceptors: Acceptors,
+    reducer: Reducer,
+    events: Arc<EventQueue>,
+) -> Result<(), StartError> {
+    let builder = may::coroutine::Builder::new().stack_size(DRIVER_STACK_WORDS);
+    may::go!(builder, move || {
+        driver.gossip.iter().for_each(|gossip| gossip.start(events.clone()));
+        acceptors.clients.start();
+        acceptors.operators.into_iter().for_each(Acceptor::start);
+        driver.run(reducer)
+    })
+    .map_err(StartError::Driver)?;
+    Ok(())
+}
--- a/gateway/src/sockets/acceptor.rs
+++ b/gateway/src/sockets/acceptor.rs
@@ -1,109 +1,157 @@
-//! Takes connections of clients and operators in. Out of descriptors, it waits until one is free again.
-use super::drive::Links;
-use super::link::{Common, Link};
+//! Accepts connections of clients and operators. Without a free descriptor it waits until there is one again.
+use super::connection::{Connection, ConnectionContext};
+use super::driver::Connections;
 use crate::state::event::{ConnectionId, Event};
 use may::io::{CoIo, WaitIo};
 use std::io::ErrorKind;
-use std::net::{SocketAddr, TcpListener};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-const BACKLOG: i32 = 1024;
+/// How many connections the kernel keeps for us to accept.
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// A listening socket, still in blocking mode.
-pub fn listen(at: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM, None)?;
+pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
+    bind(address).map_err(|source| ListenError::Bind { address, source })
+}
+
+fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let domain = socket2::Domain::for_address(address);
+    let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.bind(&address.into())?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
-/// Who connects, and whether another process listens on the same socket.
+/// Nothing can be accepted.
+#[derive(Debug, thiserror::Error)]
+pub enum ListenError {
+    /// The address is taken, or not ours.
+    #[error("{address}: {source}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// What the kernel says.
+        source: std::io::Error,
+    },
+    /// The runtime can't wait for the socket.
+    #[error("listen: {0:?}")]
+    Register(std::io::Error),
+}
+
+/// Who connects to a listening socket.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Who {
-    Clients { passed: bool },
+pub enum ListenerKind {
+    /// Clients.
+    Clients {
+        /// Another process listens on the same socket.
+        inherited: bool,
+    },
+    /// Operators.
     Operators,
 }
 
+/// What acceptors share with the driver.
+#[derive(Clone)]
+pub struct AcceptorContext {
+    /// The open connections.
+    pub connections: Arc<Connections>,
+    /// What all connections share.
+    pub context: Arc<ConnectionContext>,
+    /// Set once no more clients are to be accepted.
+    pub stop_accepting: Arc<AtomicBool>,
+}
+
 /// A listening socket whose coroutine is still to be started.
 pub struct Acceptor {
     listener: CoIo<TcpListener>,
-    who: Who,
-    links: Arc<Links>,
-    common: Arc<Common>,
-    stop: Arc<AtomicBool>,
+    kind: ListenerKind,
+    shared: AcceptorContext,
+    /// The number of the last accepted connection.
+    last_number: u64,
 }
 
 impl Acceptor {
+    /// Takes up a listening socket.
     pub fn new(
-        (listener, who): (TcpListener, Who),
-        links: Arc<Links>,
-        common: Arc<Common>,
-        stop: Arc<AtomicBool>,
-    ) -> Result<Acceptor, String> {
-        let listener = CoIo::new(listener).map_err(|e| format!("listen: {e:?}"))?;
-        common.acceptors.borrow_mut().push(listener.waker());
-        Ok(Acceptor { listener, who, links, common, stop })
+        listener: TcpListener,
+        kind: ListenerKind,
+        shared: AcceptorContext,
+    ) -> Result<Acceptor, ListenError> {
+        let listener = CoIo::new(listener).map_err(|error| ListenError::Register(error.into()))?;
+        shared.context.acceptors.borrow_mut().push(listener.waker());
+        Ok(Acceptor { listener, kind, shared, last_number: 0 })
     }
 
     /// Accepts from now on.
     pub fn start(self) {
-        may::go!(move || serve((&self.listener, self.who), &self.links, &self.common, &self.stop));
+        may::go!(move || self.serve());
     }
-}
 
-fn serve((listener, who): (&CoIo<TcpListener>, Who), links: &Links, common: &Arc<Common>, stop: &AtomicBool) {
-    let mut next = 0;
-    loop {
-        // One look more after the word to stop: what the machine has taken in is ours, unless another process
-        // listens too.
-        let last = who != Who::Operators && stop.load(Ordering::Relaxed);
-        if last && who == (Who::Clients { passed: true }) {
-            return;
+    fn serve(mut self) {
+        loop {
+            // One more round after the stop: what the kernel has accepted is ours, unless another process listens too.
+            let stopping =
+                self.kind != ListenerKind::Operators && self.shared.stop_accepting.load(Ordering::Relaxed);
+            if stopping && self.kind == (ListenerKind::Clients { inherited: true }) {
+                return;
+            }
+            self.accept_all(stopping);
+            if stopping {
+                return;
+            }
+            self.listener.wait_io();
         }
+    }
+
+    /// Accepts all that the kernel has, as far as there is capacity.
+    fn accept_all(&mut self, stopping: bool) {
         loop {
-            // Clients that come in a flood are taken in before the reducer has seen the first of them: what the list, the
-            // counter and backends need is kept from them here. At the stop all are taken in that the machine has.
-            if who != Who::Operators && !last && common.clients_full() {
-                crowded(common);
-                break;
+            // A flood of clients is accepted before the reducer has seen the first of them: descriptors that the list
+            // service, the counter and backends need are reserved here. At the stop all that the kernel has are accepted.
+            let bounded = self.kind != ListenerKind::Operators && !stopping;
+            if bounded && self.shared.context.clients_full() {
+                return self.descriptors_exhausted();
             }
-            match listener.inner().accept() {
-                Ok((stream, from)) => {
-                    next += 1;
-                    let (conn, event) = match who {
-                        Who::Clients { .. } => {
-                            (ConnectionId::Client(next), Event::ClientAccepted(next, from.ip()))
-                        }
-                        Who::Operators => (ConnectionId::Admin(next), Event::AdminConnected(next)),
-                    };
-                    match Link::start((conn, from), stream, true, common) {
-                        Ok(link) => {
-                            links.insert(conn, link);
-                            common.inbox.push(event);
-                        }
-                        Err(e) => tracing::warn!("connection {conn:?} ended: {e}"),
-                    }
-                }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                Err(e) => {
-                    tracing::warn!("accept: {e}");
-                    crowded(common);
-                    break;
+            match self.listener.inner().accept() {
+                Ok((stream, peer)) => self.open(stream, peer),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) if is_transient(error.kind()) => {}
+                Err(error) => {
+                    tracing::warn!("accept: {error}");
+                    return self.descriptors_exhausted();
                 }
             }
         }
-        if last {
-            return;
+    }
+
+    fn open(&mut self, stream: TcpStream, peer: SocketAddr) {
+        self.last_number += 1;
+        let number = self.last_number;
+        let (id, event) = match self.kind {
+            ListenerKind::Clients { .. } => {
+                (ConnectionId::Client(number), Event::ClientAccepted(number, peer.ip()))
+            }
+            ListenerKind::Operators => (ConnectionId::Admin(number), Event::AdminConnected(number)),
+        };
+        match Connection::accepted(id, peer, stream, &self.shared.context) {
+            Ok(connection) => {
+                self.shared.connections.insert(id, connection);
+                self.shared.context.events.push(event);
+            }
+            Err(error) => tracing::warn!("connection {id:?} ended: {error}"),
         }
-        listener.wait_io();
+    }
+
+    /// Somebody may have to go; accepting goes on once a descriptor is free.
+    fn descriptors_exhausted(&self) {
+        self.shared.context.descriptors_exhausted.store(true, Ordering::Relaxed);
+        self.shared.context.events.push(Event::DescriptorsExhausted);
     }
 }
 
-/// Somebody may have to go; accepting goes on once a descriptor is free.
-fn crowded(common: &Common) {
-    common.short.store(true, Ordering::Relaxed);
-    common.inbox.push(Event::DescriptorsExhausted);
+fn is_transient(kind: ErrorKind) -> bool {
+    matches!(kind, ErrorKind::Interrupted | ErrorKind::ConnectionAborted)
 }
--- /dev/null
+++ b/gateway/src/sockets/effects.rs
@@ -0,0 +1,155 @@
+//! Carries out the effects that the reducer asks for.
+use super::connection::Connection;
+use super::driver::{exit, Batch, Driver};
+use crate::state::event::{CloseReason, ClosedConnection, ConnectionId, Effect, Event};
+use crate::wire::resp::ClientReply;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+
+impl Driver {
+    pub(super) fn carry_out(&self, effect: Effect, batch: &mut Batch) {
+        match effect {
+            Effect::Reply(client, reply) => self.reply(client, &reply, batch),
+            Effect::Reject(client, text) => {
+                let reply = ClientReply::Error(text.into());
+                self.write(ConnectionId::Client(client), batch, |connection| {
+                    reply.encode(connection.out.borrow_mut().buffer());
+                });
+            }
+            Effect::SendAttempt { connection, delivery, call, timeout_ms } => {
+                self.write(ConnectionId::Backend(connection), batch, |connection| {
+                    let encode = |buffer: &mut Vec<u8>| call.encode(timeout_ms, buffer);
+                    connection.out.borrow_mut().append(delivery, encode);
+                })
+            }
+            Effect::Withdraw { connection, delivery } => self.withdraw(connection, delivery),
+            Effect::AdminRespond(operator, response) => {
+                self.write(ConnectionId::Admin(operator), batch, |connection| {
+                    response.encode(connection.out.borrow_mut().buffer());
+                    connection.discard_input();
+                })
+            }
+            Effect::SaveChange(call, change) => {
+                if let Some(keeper) = &self.keeper {
+                    keeper.write(call, change);
+                }
+            }
+            Effect::AnnounceDescriptorLimit(limit) => {
+                if let Some(keeper) = &self.keeper {
+                    keeper.announce_descriptor_limit(limit);
+                }
+            }
+            Effect::Stream(backend, client) => self.stream(backend, client, batch),
+            Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
+                self.close_if_stalled(connection, unresponsive_for, stalled_for, batch)
+            }
+            Effect::StopReading(client) => {
+                self.connections.with(ConnectionId::Client(client), |connection| connection.discard_input());
+            }
+            Effect::CloseIfIdle(client, reason) => self.close_if_idle(client, reason, batch),
+            Effect::HttpRequest(id, request) => self.write(id, batch, |connection| {
+                request.encode(connection.peer, connection.out.borrow_mut().buffer())
+            }),
+            Effect::Connect(id, address) => self.connect(id, address),
+            Effect::Close(id) => self.close(id, batch),
+            Effect::SendDatagram(to, body) => {
+                if let Some(gossip) = &self.gossip {
+                    gossip.send(to, &body);
+                }
+            }
+            Effect::Log(line) => tracing::info!("{line}"),
+            Effect::LogClosed(closed) => log_closed(&closed),
+            Effect::StopAccepting => {
+                self.stop_accepting.store(true, Ordering::Relaxed);
+                self.context.wake_acceptors();
+            }
+            Effect::Exit => self.exit_after_flush(batch),
+            Effect::ExitImmediately => exit(),
+        }
+    }
+
+    /// Has `encode` write to the connection's buffer, if it is open; the bytes leave with the batch.
+    fn write(&self, id: ConnectionId, batch: &mut Batch, encode: impl FnOnce(&Connection)) {
+        if self.connections.with(id, |connection| encode(connection)).is_some() {
+            batch.written.push(id);
+        }
+    }
+
+    fn reply(&self, client: u64, reply: &ClientReply, batch: &mut Batch) {
+        self.write(ConnectionId::Client(client), batch, |connection| {
+            reply.encode(connection.out.borrow_mut().buffer());
+            connection.replied();
+        });
+    }
+
+    fn withdraw(&self, backend: u64, attempt: u64) {
+        let withdrawn = self
+            .connections
+            .with(ConnectionId::Backend(backend), |connection| connection.out.borrow_mut().withdraw(attempt));
+        if withdrawn == Some(true) {
+            self.context.events.push(Event::Withdrawn { connection: backend, attempt });
+        }
+    }
+
+    /// Streams the value that has begun on a backend's connection to a client, or to nobody.
+    fn stream(&self, backend: u64, client: Option<u64>, batch: &mut Batch) {
+        let client = client.map(ConnectionId::Client);
+        let streamed = self.connections.with(ConnectionId::Backend(backend), |source| {
+            let target = client.and_then(|id| self.connections.with(id, |connection| connection.clone()));
+            source.stream_to(target);
+        });
+        if streamed.is_some() {
+            batch.written.extend(client);
+        }
+    }
+
+    /// `unresponsive_for`, `stalled_for`: after how many seconds a stream counts as broken.
+    fn close_if_stalled(&self, backend: u64, unresponsive_for: f64, stalled_for: f64, batch: &mut Batch) {
+        let id = ConnectionId::Backend(backend);
+        let stalled = self.connections.with(id, |connection| {
+            let idle = connection.stream_idle_seconds();
+            idle >= stalled_for || idle >= unresponsive_for && connection.is_waiting_for_backend()
+        });
+        if stalled != Some(true) {
+            return;
+        }
+        self.close(id, batch);
+        let reason = CloseReason::StreamStalled;
+        self.context.events.push(Event::ConnectionEnded { connection: id, reason, unsent: false });
+    }
+
+    /// What has arrived meanwhile is read first, answered, and then it is checked again.
+    fn close_if_idle(&self, client: u64, reason: CloseReason, batch: &mut Batch) {
+        let id = ConnectionId::Client(client);
+        let idle = self.connections.with(id, |connection| !connection.has_unread_input());
+        if idle == Some(true) {
+            self.close(id, batch);
+            self.context.events.push(Event::IdleClientClosed(client, reason));
+        }
+    }
+
+    fn connect(&self, id: ConnectionId, address: SocketAddr) {
+        match Connection::connect(id, address, &self.context) {
+            Ok(connection) => self.connections.insert(id, connection),
+            Err(error) => {
+                tracing::warn!("connect to {address}: {error}");
+                let reason = CloseReason::Refused;
+                self.context.events.push(Event::ConnectionEnded { connection: id, reason, unsent: true });
+            }
+        }
+    }
+
+    fn close(&self, id: ConnectionId, batch: &mut Batch) {
+        if let Some(connection) = self.connections.remove(id) {
+            connection.close();
+            if matches!(id, ConnectionId::Client(_)) && !connection.is_flushed() {
+                batch.closing.push(connection);
+            }
+        }
+    }
+}
+
+fn log_closed(closed: &ClosedConnection) {
+    let ClosedConnection { kind, id, name, reason } = closed;
+    tracing::info!(connection = kind, id, name, why = reason.code(), "{closed}");
+}
--- a/gateway/src/sockets/event_queue.rs
+++ b/gateway/src/sockets/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events for the reducer, and its alarm: both wake the one coroutine that drives it.
+//! The queue of events for the reducer, and its timer: both wake the one coroutine that drives it.
 use crate::state::event::Event;
 use atomic_refcell::AtomicRefCell;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
@@ -7,29 +7,49 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-struct Alarm(TimerFd);
+/// The shortest time that the timer is set to, in seconds: zero would stop it.
+const MIN_TIMER_SECONDS: f64 = 1e-6;
+/// The longest time that the timer is set to, in seconds.
+const MAX_TIMER_SECONDS: f64 = 3600.0;
+/// The flag of a readable descriptor, as the runtime reports it.
+const READABLE: usize = 1;
 
-impl AsRawFd for Alarm {
+struct Timer(TimerFd);
+
+impl AsRawFd for Timer {
     fn as_raw_fd(&self) -> RawFd {
         self.0.as_fd().as_raw_fd()
     }
 }
 
-pub struct Inbox {
+/// The timer could not be made.
+#[derive(Debug, thiserror::Error)]
+pub enum TimerError {
+    /// The kernel has none.
+    #[error("alarm: {0}")]
+    Create(nix::errno::Errno),
+    /// The runtime can't wait for it.
+    #[error("alarm: {0:?}")]
+    Register(std::io::Error),
+}
+
+/// Events from all sockets and from other threads.
+pub struct EventQueue {
     events: AtomicRefCell<Vec<Event>>,
     /// From other threads. The worker takes them where it need not wait; it is woken once they are free.
-    told: Mutex<Vec<Event>>,
-    alarm: CoIo<Alarm>,
+    from_threads: Mutex<Vec<Event>>,
+    timer: CoIo<Timer>,
     waker: WaitIoWaker,
 }
 
-impl Inbox {
-    pub fn new() -> Result<Inbox, String> {
+impl EventQueue {
+    /// An empty queue, its timer not set.
+    pub fn new() -> Result<EventQueue, TimerError> {
         let flags = TimerFlags::TFD_NONBLOCK | TimerFlags::TFD_CLOEXEC;
-        let alarm = TimerFd::new(ClockId::CLOCK_MONOTONIC, flags).map_err(|e| format!("alarm: {e}"))?;
-        let alarm = CoIo::new(Alarm(alarm)).map_err(|e| format!("alarm: {e:?}"))?;
-        let waker = alarm.waker();
-        Ok(Inbox { events: AtomicRefCell::default(), told: Mutex::default(), alarm, waker })
+        let timer = TimerFd::new(ClockId::CLOCK_MONOTONIC, flags).map_err(TimerError::Create)?;
+        let timer = CoIo::new(Timer(timer)).map_err(|error| TimerError::Register(error.into()))?;
+        let waker = timer.waker();
+        Ok(EventQueue { events: AtomicRefCell::default(), from_threads: Mutex::default(), timer, waker })
     }
 
     /// From the worker's own coroutines only. The first event wakes the reducer, after all that are ready.
@@ -41,34 +61,34 @@
         }
     }
 
-    /// Has the reducer's coroutine look around, though nothing has happened.
+    /// Wakes the reducer's coroutine without an event.
     pub fn wake(&self) {
         self.waker.wakeup();
     }
 
     /// From any thread.
-    pub fn tell(&self, event: Event) {
-        self.told.lock().unwrap_or_else(|e| e.into_inner()).push(event);
+    pub fn push_from_thread(&self, event: Event) {
+        self.from_threads.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(event);
         self.waker.wakeup();
     }
 
-    /// Waits for events or the alarm; true if it rang.
-    pub fn wait(&self, into: &mut Vec<Event>) -> bool {
-        const READABLE: usize = 1;
+    /// Waits for events or the timer; true if the timer has expired.
+    pub fn wait(&self, events: &mut Vec<Event>) -> bool {
         // Setting it anew clears what it would have us read.
-        let rang = self.alarm.wait_io() & READABLE != 0;
-        std::mem::swap(&mut *self.events.borrow_mut(), into);
-        if let Ok(mut told) = self.told.try_lock() {
-            into.append(&mut told);
+        let expired = self.timer.wait_io() & READABLE != 0;
+        std::mem::swap(&mut *self.events.borrow_mut(), events);
+        if let Ok(mut from_threads) = self.from_threads.try_lock() {
+            events.append(&mut from_threads);
         }
-        rang
+        expired
     }
 
-    pub fn ring_in(&self, seconds: f64) {
-        let after = Duration::from_secs_f64(seconds.clamp(1e-6, 3600.0));
-        let once = Expiration::OneShot(after.into());
-        if let Err(e) = self.alarm.inner().0.set(once, TimerSetTimeFlags::empty()) {
-            tracing::error!("alarm: {e}");
+    /// Sets the timer to expire after this many seconds; an earlier setting is void.
+    pub fn set_timer(&self, seconds: f64) {
+        let delay = Duration::from_secs_f64(seconds.clamp(MIN_TIMER_SECONDS, MAX_TIMER_SECONDS));
+        let expiration = Expiration::OneShot(delay.into());
+        if let Err(error) = self.timer.inner().0.set(expiration, TimerSetTimeFlags::empty()) {
+            tracing::error!("alarm: {error}");
         }
     }
 }
--- a/gateway/src/sockets/gossip_socket.rs
+++ b/gateway/src/sockets/gossip_socket.rs
@@ -1,44 +1,70 @@
-//! Datagrams between front doors.
-use super::inbox::Inbox;
+//! The datagram socket for gossip between gateway instances.
+use super::event_queue::EventQueue;
 use crate::state::event::Event;
 use may::io::{CoIo, WaitIo};
 use quillramp::gossip;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// One byte more than a datagram may have, so that longer ones are known.
-const ROOM: usize = gossip::MAX_DATAGRAM_BYTES + 1;
+/// One byte more than a datagram may have, so that longer ones are recognized.
+const BUFFER_BYTES: usize = gossip::MAX_DATAGRAM_BYTES + 1;
 
-pub struct Peers(CoIo<UdpSocket>);
+/// The socket could not be bound.
+#[derive(Debug, thiserror::Error)]
+pub enum BindError {
+    /// The address is taken, or not ours.
+    #[error("{address}: {source}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// What the kernel says.
+        source: std::io::Error,
+    },
+    /// The runtime can't wait for it.
+    #[error("{address}: {source:?}")]
+    Register {
+        /// The address.
+        address: SocketAddr,
+        /// What the runtime says.
+        source: std::io::Error,
+    },
+}
+
+/// The socket.
+pub struct GossipSocket(CoIo<UdpSocket>);
 
-impl Peers {
-    /// `shared`: another process of this front door may have the address too. Both may send from it; what comes is
-    /// the newest one's.
-    pub fn bind(at: SocketAddr, shared: bool) -> Result<Arc<Peers>, String> {
-        let bind = || -> std::io::Result<UdpSocket> {
-            let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::DGRAM, None)?;
-            socket.set_reuse_address(shared)?;
-            socket.bind(&at.into())?;
-            Ok(socket.into())
-        };
-        let socket = bind().map_err(|e| format!("{at}: {e}"))?;
-        Ok(Arc::new(Peers(CoIo::new(socket).map_err(|e| format!("{at}: {e:?}"))?)))
+impl GossipSocket {
+    /// Binds the socket. `shared`: another process of this instance may have the address too. Both may send from it; what
+    /// arrives is the newest one's.
+    pub fn bind(address: SocketAddr, shared: bool) -> Result<Arc<GossipSocket>, BindError> {
+        let socket = bind(address, shared).map_err(|source| BindError::Bind { address, source })?;
+        let socket =
+            CoIo::new(socket).map_err(|source| BindError::Register { address, source: source.into() })?;
+        Ok(Arc::new(GossipSocket(socket)))
     }
 
-    /// Reads what comes from now on.
-    pub fn start(self: &Arc<Peers>, inbox: Arc<Inbox>) {
-        let own = self.clone();
+    /// Reads datagrams from now on.
+    pub fn start(self: &Arc<GossipSocket>, events: Arc<EventQueue>) {
+        let socket = self.clone();
         may::go!(move || loop {
-            own.0.wait_io();
-            let mut body = [0; ROOM];
-            while let Ok((n, from)) = own.0.inner().recv_from(&mut body) {
-                inbox.push(Event::Datagram { from, body: body[..n].to_vec() });
+            socket.0.wait_io();
+            let mut buffer = [0; BUFFER_BYTES];
+            while let Ok((length, from)) = socket.0.inner().recv_from(&mut buffer) {
+                events.push(Event::Datagram { from, body: buffer[..length].to_vec() });
             }
         });
     }
 
-    /// Late or not at all: a datagram that can't leave now is lost.
+    /// Late or not at all: a datagram that can't be sent now is lost.
     pub fn send(&self, to: SocketAddr, body: &[u8]) {
         let _ = self.0.inner().send_to(body, to);
     }
 }
+
+fn bind(address: SocketAddr, shared: bool) -> std::io::Result<UdpSocket> {
+    let domain = socket2::Domain::for_address(address);
+    let socket = socket2::Socket::new(domain, socket2::Type::DGRAM, None)?;
+    socket.set_reuse_address(shared)?;
+    socket.bind(&address.into())?;
+    Ok(socket.into())
+}
--- a/gateway/src/sockets/mod.rs
+++ b/gateway/src/sockets/mod.rs
@@ -1,8 +1,9 @@
-//! The sockets, each file for one job. All of it runs on the one worker of the coroutine runtime: what is
-//! shared is borrowed between two waits and never across one, and nothing here may stop the thread.
-pub mod accept;
+//! The sockets. All of this runs on the one worker thread of the coroutine runtime: what is shared is borrowed between
+//! two waits and never across one, and nothing here may block the thread.
+pub mod acceptor;
 pub mod clock;
-pub mod drive;
-pub mod inbox;
-pub mod link;
-pub mod peers;
+pub mod connection;
+pub mod driver;
+mod effects;
+pub mod event_queue;
+pub mod gossip_socket;
