--- a/gateway/src/process/logger/line.rs
+++ b/gateway/src/process/logger/line.rs
@@ -68,11 +68,14 @@
 pub(super) struct RecordedEvent {
     /// Plain lines have their text and nothing else: fields cost nothing there.
     skip_fields: bool,
+    /// The text.
     pub text: String,
+    /// The fields, by name.
     pub fields: Vec<(&'static str, Value)>,
 }
 
 impl RecordedEvent {
+    /// Nothing recorded yet, for this format.
     pub fn new(format: Format) -> RecordedEvent {
         RecordedEvent { skip_fields: format == Format::Plain, ..RecordedEvent::default() }
     }
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -131,57 +131,102 @@
     let files = Files::read()?;
     logger::configure(files.operator.log.as_ref());
     let signals = signals::install()?;
+    configure_runtime();
+    let events = Arc::new(EventQueue::new()?);
+    let startup = Startup::prepare(inherited, &files, events.clone())?;
+    let shared = startup.handover.keeper.as_ref().map(|keeper| keeper.file.clone());
+    let signal_loop =
+        SignalLoop { signals, events: events.clone(), shared, platform: files.platform.clone() };
+    let name = files.configuration.name.clone();
+    let listen = files.configuration.listen;
+    let admin = files.admin;
+    startup.run(files, events)?;
+    tracing::info!("{name} serves at {listen}");
+    if let Some(admin) = admin {
+        tracing::info!("operators call at {admin}");
+    }
+    signal_loop.run()
+}
+
+fn configure_runtime() {
     may::config()
         .set_workers(1)
         .set_stack_size(CONNECTION_STACK_WORDS)
         .set_pool_capacity(STACK_POOL)
         .set_worker_pin(false);
+}
 
-    let events = Arc::new(EventQueue::new()?);
-    let configuration = &files.configuration;
-    let max_descriptors = descriptors::allowed(configuration.limits.sockets);
-    let memory_bytes = configuration.limits.memory_mb << MEBIBYTE_SHIFT;
-    let context = ConnectionContext::new(events.clone(), memory_bytes, room::most_clients(max_descriptors));
-    let inherits = inherited.is_some();
-    let listeners = Listeners::open(inherited, &files)?;
-    // Where neither is there, nothing can be changed by hand and no other process takes over.
-    let handover = if inherits || files.admin.is_some() {
-        SharedStateKeeper::start(&configuration.name, events.clone())?
-    } else {
-        Handover::default()
-    };
-    let signal_loop = SignalLoop {
-        signals,
-        events: events.clone(),
-        shared: handover.keeper.as_ref().map(|keeper| keeper.file.clone()),
-        platform: files.platform.clone(),
-    };
-    let shared = AcceptorContext {
-        connections: Arc::new(Connections::default()),
-        context: context.clone(),
-        stop_accepting: Arc::new(AtomicBool::new(false)),
-    };
-    let name = configuration.name.clone();
-    let listen = configuration.listen;
-    let admin = files.admin;
+/// What is ready before anything is served.
+struct Startup {
+    /// How many descriptors the process may hold.
+    max_descriptors: usize,
+    /// Another process listens on the same socket.
+    inherits: bool,
+    listeners: Listeners,
+    handover: Handover,
+    shared: AcceptorContext,
+}
 
-    let clock = Clock::start();
-    let reducer = new_reducer(files, &handover, inherits, max_descriptors, &clock);
-    let acceptors = Acceptors::new(listeners.clients, listeners.operators, inherits, &shared)?;
-    let driver = Driver {
-        clock,
-        context,
-        connections: shared.connections.clone(),
-        gossip: listeners.gossip,
-        stop_accepting: shared.stop_accepting.clone(),
-        keeper: handover.keeper,
-    };
-    start_driver(driver, acceptors, reducer, events)?;
-    tracing::info!("{name} serves at {listen}");
-    if let Some(admin) = admin {
-        tracing::info!("operators call at {admin}");
+impl Startup {
+    fn prepare(
+        inherited: Option<TcpListener>,
+        files: &Files,
+        events: Arc<EventQueue>,
+    ) -> Result<Startup, StartError> {
+        let configuration = &files.configuration;
+        let max_descriptors = descriptors::allowed(configuration.limits.sockets);
+        let memory_bytes = configuration.limits.memory_mb << MEBIBYTE_SHIFT;
+        let max_clients = room::most_clients(max_descriptors);
+        let shared = AcceptorContext {
+            context: ConnectionContext::new(events.clone(), memory_bytes, max_clients),
+            connections: Arc::new(Connections::default()),
+            stop_accepting: Arc::new(AtomicBool::new(false)),
+        };
+        let inherits = inherited.is_some();
+        let listeners = Listeners::open(inherited, files)?;
+        // Where neither is there, nothing can be changed by hand and no other process takes over.
+        let handover = if inherits || files.admin.is_some() {
+            SharedStateKeeper::start(&configuration.name, events)?
+        } else {
+            Handover::default()
+        };
+        Ok(Startup { max_descriptors, inherits, listeners, handover, shared })
+    }
+
+    /// Serves from now on.
+    fn run(self, files: Files, events: Arc<EventQueue>) -> Result<(), StartError> {
+        let clock = Clock::start();
+        let reducer = self.new_reducer(files, &clock);
+        let listeners = self.listeners;
+        let acceptors = Acceptors::new(listeners.clients, listeners.operators, self.inherits, &self.shared)?;
+        let driver = Driver {
+            clock,
+            context: self.shared.context,
+            connections: self.shared.connections,
+            gossip: listeners.gossip,
+            stop_accepting: self.shared.stop_accepting,
+            keeper: self.handover.keeper,
+        };
+        start_driver(driver, acceptors, reducer, events)
+    }
+
+    fn new_reducer(&self, files: Files, clock: &Clock) -> Reducer {
+        let configuration = files.configuration;
+        let config = ReducerConfig {
+            peers: configuration.peers,
+            peer_broadcast: configuration.peers_all,
+            counter: configuration.counter,
+            discovery: configuration.discovery,
+            max_descriptors: self.max_descriptors,
+            inherited_listener: self.inherits,
+            admin_enabled: files.admin.is_some(),
+            saves_changes: self.handover.keeper.is_some(),
+        };
+        let mut reducer = Reducer::new(clock.now(), files.loaded, config, &configuration.known);
+        reducer.share_is(clock.now(), self.handover.shared.clone());
+        reducer.declares(clock.now(), operator::operator_update(files.operator, &files.platform));
+        reducer
     }
-    signal_loop.run()
 }
 
 /// The runtime would end one coroutine and leave a gateway that does nothing.
@@ -192,30 +237,6 @@
     }));
 }
 
-fn new_reducer(
-    files: Files,
-    handover: &Handover,
-    inherits: bool,
-    max_descriptors: usize,
-    clock: &Clock,
-) -> Reducer {
-    let configuration = files.configuration;
-    let config = ReducerConfig {
-        peers: configuration.peers,
-        peer_broadcast: configuration.peers_all,
-        counter: configuration.counter,
-        discovery: configuration.discovery,
-        max_descriptors,
-        inherited_listener: inherits,
-        admin_enabled: files.admin.is_some(),
-        saves_changes: handover.keeper.is_some(),
-    };
-    let mut reducer = Reducer::new(clock.now(), files.loaded, config, &configuration.known);
-    reducer.share_is(clock.now(), handover.shared.clone());
-    reducer.declares(clock.now(), operator::operator_update(files.operator, &files.platform));
-    reducer
-}
-
 impl Acceptors {
     fn new(
         clients: TcpListener,
--- /dev/null
+++ b/gateway/src/sockets/connection/decoding.rs
@@ -0,0 +1,109 @@
+//! Decoding of what a connection has read, and the storage of what can't be decoded yet.
+use super::read_loop::ReadLoop;
+use super::sink::EventSink;
+use super::MAX_KEPT_BUFFER_BYTES;
+use crate::state::backlog::Due;
+use crate::state::event::{CloseReason, Event};
+use crate::wire::resp::ClientCommand;
+use std::sync::atomic::Ordering;
+
+/// By how much the buffer of a long command grows, in bytes.
+const LONG_COMMAND_STEP: usize = 512 * 1024;
+
+impl ReadLoop<'_> {
+    /// Decodes what has been read before, if it may go on now.
+    pub(super) fn decode_postponed(&mut self) -> Result<(), CloseReason> {
+        let connection = self.connection;
+        let postponed =
+            connection.commands.postponed.load(Ordering::Relaxed) && !connection.commands.is_full();
+        let resumed = connection.stream_source.resumed.swap(false, Ordering::Relaxed);
+        if (resumed || postponed) && !self.backlog.is_empty() {
+            let before = self.backlog.len();
+            self.decode_backlog()?;
+            connection.count_partial(before, self.backlog.len());
+        }
+        Ok(())
+    }
+
+    /// Decodes what has been read, and stores what is incomplete.
+    pub(super) fn take_in(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
+        let connection = self.connection;
+        let before = self.backlog.len();
+        if self.backlog.is_empty() {
+            let decoded = self.decode(bytes)?;
+            self.backlog.extend(&bytes[decoded..], LONG_COMMAND_STEP);
+        } else {
+            self.backlog.extend(bytes, LONG_COMMAND_STEP);
+            self.decode_backlog()?;
+        }
+        if self.backlog.drops() {
+            // It is sending a command, stored or not.
+            self.push(Event::BodyProgress(connection.client_number() as u64, true));
+        }
+        if !connection.count_partial(before, self.backlog.len()) {
+            self.protocol_error("too much unfinished");
+        }
+        if self.discards() {
+            connection.count_partial(self.backlog.len(), 0);
+            connection.release_long_bytes(0);
+            self.backlog.clear(MAX_KEPT_BUFFER_BYTES);
+        }
+        self.backlog.shrink(MAX_KEPT_BUFFER_BYTES);
+        Ok(())
+    }
+
+    /// Reports each complete message; how many bytes they took.
+    fn decode(&self, bytes: &[u8]) -> Result<usize, CloseReason> {
+        let connection = self.connection;
+        let decoded = connection.reader.borrow_mut().decode(bytes, &mut EventSink(connection))?;
+        let postponed = connection.commands.is_full() && decoded < bytes.len();
+        connection.commands.postponed.store(postponed, Ordering::Relaxed);
+        Ok(decoded)
+    }
+
+    /// The same of what is stored; what was dropped behind it is rejected in its turn.
+    fn decode_backlog(&mut self) -> Result<(), CloseReason> {
+        let connection = self.connection;
+        loop {
+            let decodable = self.backlog.decodable();
+            let decoded = connection.reader.borrow_mut().decode(decodable, &mut EventSink(connection))?;
+            self.backlog.decoded(decoded);
+            self.reject_dropped();
+            if !self.backlog.stops_dropping() {
+                break;
+            }
+        }
+        let postponed = connection.commands.is_full() && !self.backlog.is_empty();
+        connection.commands.postponed.store(postponed, Ordering::Relaxed);
+        Ok(())
+    }
+
+    /// Rejects the dropped commands whose turn it is.
+    fn reject_dropped(&mut self) {
+        let connection = self.connection;
+        while !connection.commands.is_full() {
+            match self.backlog.next_due() {
+                Some(Due::Refusal) => {
+                    let client = connection.client_number() as u64;
+                    connection.count_command(0);
+                    self.push(Event::ClientCommand(client, ClientCommand::Dropped));
+                }
+                Some(Due::TooMany) => {
+                    self.backlog.clear(MAX_KEPT_BUFFER_BYTES);
+                    self.protocol_error("too many commands at once");
+                }
+                None => break,
+            }
+        }
+    }
+
+    fn protocol_error(&self, text: &'static str) {
+        let connection = self.connection;
+        connection.reader.borrow_mut().protocol_error(text, &mut EventSink(connection));
+    }
+
+    /// Whether input is read and discarded.
+    pub(super) fn discards(&self) -> bool {
+        self.connection.reader.borrow().discard
+    }
+}
--- a/gateway/src/sockets/connection/mod.rs
+++ b/gateway/src/sockets/connection/mod.rs
@@ -1,6 +1,7 @@
 //! One TCP connection of any kind: a coroutine reads and decodes; what is written leaves with the batch.
 mod capacity;
 mod context;
+mod decoding;
 mod lifecycle;
 mod read_loop;
 mod sink;
@@ -22,13 +23,16 @@
 
 /// The flags of epoll, as the runtime reports them.
 mod readiness {
+    /// The socket takes more.
     pub const WRITABLE: usize = 0x4;
+    /// The connection broke.
     pub const ERROR: usize = 0x8;
     const IN: usize = 0x1;
     const HANG_UP: usize = 0x10;
     const PEER_CLOSED: usize = 0x2000;
     /// The peer has ended the connection, or its direction of it.
     pub const ENDED: usize = ERROR | HANG_UP | PEER_CLOSED;
+    /// There is something to read, an end or an error included.
     pub const READABLE: usize = IN | ENDED;
 }
 
--- a/gateway/src/sockets/connection/read_loop.rs
+++ b/gateway/src/sockets/connection/read_loop.rs
@@ -1,18 +1,15 @@
 //! The coroutine of a connection: waits, reads and decodes until the connection ends.
 use super::readiness::{ENDED, ERROR, READABLE, WRITABLE};
-use super::sink::EventSink;
-use super::{Connection, MAX_KEPT_BUFFER_BYTES, SCRATCH_BYTES};
-use crate::state::backlog::{Backlog, Due};
+use super::{Connection, SCRATCH_BYTES};
+use crate::state::backlog::Backlog;
 use crate::state::event::{CloseReason, ConnectionId, Event};
-use crate::wire::resp::{self, ClientCommand};
+use crate::wire::resp;
 use may::io::WaitIo;
 use std::io::{ErrorKind, Read};
 use std::net::Shutdown;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// By how much the buffer of a long command grows, in bytes.
-const LONG_COMMAND_STEP: usize = 512 * 1024;
 /// How much is read at once from a client whose commands are dropped, before others have their turn, in bytes.
 const MAX_READ_TURN_BYTES: usize = 1024 * 1024;
 
@@ -41,7 +38,7 @@
 
 /// The state of the coroutine.
 pub(super) struct ReadLoop<'a> {
-    connection: &'a Arc<Connection>,
+    pub(super) connection: &'a Arc<Connection>,
     /// What has been read and not been decoded yet.
     pub backlog: Backlog,
     /// The connection has been made.
@@ -53,6 +50,7 @@
 }
 
 impl<'a> ReadLoop<'a> {
+    /// The coroutine's state at its start. `established`: the connection need not be waited for.
     pub fn new(connection: &'a Arc<Connection>, established: bool) -> ReadLoop<'a> {
         ReadLoop { connection, backlog: Backlog::default(), established, unread: 0, was_paused: false }
     }
@@ -129,20 +127,6 @@
         Ok(())
     }
 
-    /// Decodes what has been read before, if it may go on now.
-    fn decode_postponed(&mut self) -> Result<(), CloseReason> {
-        let connection = self.connection;
-        let postponed =
-            connection.commands.postponed.load(Ordering::Relaxed) && !connection.commands.is_full();
-        let resumed = connection.stream_source.resumed.swap(false, Ordering::Relaxed);
-        if (resumed || postponed) && !self.backlog.is_empty() {
-            let before = self.backlog.len();
-            self.decode_backlog()?;
-            connection.count_partial(before, self.backlog.len());
-        }
-        Ok(())
-    }
-
     /// Reads what waits on the socket, unless its reader is held back.
     fn read_unread(&mut self, ended: bool) -> Result<(), CloseReason> {
         if self.unread == 0 {
@@ -225,33 +209,6 @@
         }
     }
 
-    /// Decodes what has been read, and stores what is incomplete.
-    fn take_in(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
-        let connection = self.connection;
-        let before = self.backlog.len();
-        if self.backlog.is_empty() {
-            let decoded = self.decode(bytes)?;
-            self.backlog.extend(&bytes[decoded..], LONG_COMMAND_STEP);
-        } else {
-            self.backlog.extend(bytes, LONG_COMMAND_STEP);
-            self.decode_backlog()?;
-        }
-        if self.backlog.drops() {
-            // It is sending a command, stored or not.
-            self.push(Event::BodyProgress(connection.client_number() as u64, true));
-        }
-        if !connection.count_partial(before, self.backlog.len()) {
-            self.protocol_error("too much unfinished");
-        }
-        if self.discards() {
-            connection.count_partial(self.backlog.len(), 0);
-            connection.release_long_bytes(0);
-            self.backlog.clear(MAX_KEPT_BUFFER_BYTES);
-        }
-        self.backlog.shrink(MAX_KEPT_BUFFER_BYTES);
-        Ok(())
-    }
-
     /// Whether reading stops after a read, and what that leaves; none to go on. `short`: the read gave less than it might.
     fn outcome_after(&self, short: bool, ended: bool) -> Option<ReadOutcome> {
         let waits_for_client = &self.connection.stream_source.waits_for_client;
@@ -289,62 +246,7 @@
         too_much || stored > resp::MAX_MESSAGE_BYTES && !connection.has_capacity()
     }
 
-    /// Reports each complete message; how many bytes they took.
-    fn decode(&self, bytes: &[u8]) -> Result<usize, CloseReason> {
-        let connection = self.connection;
-        let decoded = connection.reader.borrow_mut().decode(bytes, &mut EventSink(connection))?;
-        let postponed = connection.commands.is_full() && decoded < bytes.len();
-        connection.commands.postponed.store(postponed, Ordering::Relaxed);
-        Ok(decoded)
-    }
-
-    /// The same of what is stored; what was dropped behind it is rejected in its turn.
-    fn decode_backlog(&mut self) -> Result<(), CloseReason> {
-        let connection = self.connection;
-        loop {
-            let decodable = self.backlog.decodable();
-            let decoded = connection.reader.borrow_mut().decode(decodable, &mut EventSink(connection))?;
-            self.backlog.decoded(decoded);
-            self.reject_dropped();
-            if !self.backlog.stops_dropping() {
-                break;
-            }
-        }
-        let postponed = connection.commands.is_full() && !self.backlog.is_empty();
-        connection.commands.postponed.store(postponed, Ordering::Relaxed);
-        Ok(())
-    }
-
-    /// Rejects the dropped commands whose turn it is.
-    fn reject_dropped(&mut self) {
-        let connection = self.connection;
-        while !connection.commands.is_full() {
-            match self.backlog.next_due() {
-                Some(Due::Refusal) => {
-                    let client = connection.client_number() as u64;
-                    connection.count_command(0);
-                    self.push(Event::ClientCommand(client, ClientCommand::Dropped));
-                }
-                Some(Due::TooMany) => {
-                    self.backlog.clear(MAX_KEPT_BUFFER_BYTES);
-                    self.protocol_error("too many commands at once");
-                }
-                None => break,
-            }
-        }
-    }
-
-    fn protocol_error(&self, text: &'static str) {
-        let connection = self.connection;
-        connection.reader.borrow_mut().protocol_error(text, &mut EventSink(connection));
-    }
-
-    /// Whether input is read and discarded.
-    fn discards(&self) -> bool {
-        self.connection.reader.borrow().discard
-    }
-
-    fn push(&self, event: Event) {
+    pub(super) fn push(&self, event: Event) {
         self.connection.context.events.push(event);
     }
 }
--- a/gateway/src/sockets/connection/streaming.rs
+++ b/gateway/src/sockets/connection/streaming.rs
@@ -23,6 +23,7 @@
 }
 
 impl StreamSource {
+    /// Nothing is streamed yet.
     pub fn new() -> StreamSource {
         StreamSource {
             target: AtomicRefCell::default(),
--- a/gateway/src/sockets/effects.rs
+++ b/gateway/src/sockets/effects.rs
@@ -2,6 +2,7 @@
 use super::connection::Connection;
 use super::driver::{exit, Batch, Driver};
 use crate::state::event::{CloseReason, ClosedConnection, ConnectionId, Effect, Event};
+use crate::wire::admin::AdminResponse;
 use crate::wire::resp::ClientReply;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -10,12 +11,7 @@
     pub(super) fn carry_out(&self, effect: Effect, batch: &mut Batch) {
         match effect {
             Effect::Reply(client, reply) => self.reply(client, &reply, batch),
-            Effect::Reject(client, text) => {
-                let reply = ClientReply::Error(text.into());
-                self.write(ConnectionId::Client(client), batch, |connection| {
-                    reply.encode(connection.out.borrow_mut().buffer());
-                });
-            }
+            Effect::Reject(client, text) => self.reject(client, text, batch),
             Effect::SendAttempt { connection, delivery, call, timeout_ms } => {
                 self.write(ConnectionId::Backend(connection), batch, |connection| {
                     let encode = |buffer: &mut Vec<u8>| call.encode(timeout_ms, buffer);
@@ -23,46 +19,30 @@
                 })
             }
             Effect::Withdraw { connection, delivery } => self.withdraw(connection, delivery),
-            Effect::AdminRespond(operator, response) => {
-                self.write(ConnectionId::Admin(operator), batch, |connection| {
-                    response.encode(connection.out.borrow_mut().buffer());
-                    connection.discard_input();
-                })
-            }
+            Effect::AdminRespond(operator, response) => self.respond(operator, &response, batch),
             Effect::SaveChange(call, change) => {
                 if let Some(keeper) = &self.keeper {
                     keeper.write(call, change);
                 }
             }
             Effect::AnnounceDescriptorLimit(limit) => {
-                if let Some(keeper) = &self.keeper {
-                    keeper.announce_descriptor_limit(limit);
-                }
+                self.keeper.iter().for_each(|keeper| keeper.announce_descriptor_limit(limit))
             }
             Effect::Stream(backend, client) => self.stream(backend, client, batch),
             Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
                 self.close_if_stalled(connection, unresponsive_for, stalled_for, batch)
             }
-            Effect::StopReading(client) => {
-                self.connections.with(ConnectionId::Client(client), |connection| connection.discard_input());
-            }
+            Effect::StopReading(client) => self.stop_reading(client),
             Effect::CloseIfIdle(client, reason) => self.close_if_idle(client, reason, batch),
             Effect::HttpRequest(id, request) => self.write(id, batch, |connection| {
                 request.encode(connection.peer, connection.out.borrow_mut().buffer())
             }),
             Effect::Connect(id, address) => self.connect(id, address),
             Effect::Close(id) => self.close(id, batch),
-            Effect::SendDatagram(to, body) => {
-                if let Some(gossip) = &self.gossip {
-                    gossip.send(to, &body);
-                }
-            }
+            Effect::SendDatagram(to, body) => self.gossip.iter().for_each(|gossip| gossip.send(to, &body)),
             Effect::Log(line) => tracing::info!("{line}"),
             Effect::LogClosed(closed) => log_closed(&closed),
-            Effect::StopAccepting => {
-                self.stop_accepting.store(true, Ordering::Relaxed);
-                self.context.wake_acceptors();
-            }
+            Effect::StopAccepting => self.stop_accepting(),
             Effect::Exit => self.exit_after_flush(batch),
             Effect::ExitImmediately => exit(),
         }
@@ -82,6 +62,29 @@
         });
     }
 
+    fn reject(&self, client: u64, text: &str, batch: &mut Batch) {
+        let reply = ClientReply::Error(text.into());
+        self.write(ConnectionId::Client(client), batch, |connection| {
+            reply.encode(connection.out.borrow_mut().buffer());
+        });
+    }
+
+    fn respond(&self, operator: u64, response: &AdminResponse, batch: &mut Batch) {
+        self.write(ConnectionId::Admin(operator), batch, |connection| {
+            response.encode(connection.out.borrow_mut().buffer());
+            connection.discard_input();
+        });
+    }
+
+    fn stop_reading(&self, client: u64) {
+        self.connections.with(ConnectionId::Client(client), |connection| connection.discard_input());
+    }
+
+    fn stop_accepting(&self) {
+        self.stop_accepting.store(true, Ordering::Relaxed);
+        self.context.wake_acceptors();
+    }
+
     fn withdraw(&self, backend: u64, attempt: u64) {
         let withdrawn = self
             .connections
--- a/gateway/src/wire/resp/arguments.rs
+++ b/gateway/src/wire/resp/arguments.rs
@@ -32,8 +32,11 @@
 pub(super) struct RequestItems<'a> {
     /// The whole message.
     pub raw: &'a [u8],
+    /// Whether the command is the one for idempotent requests.
     pub idempotent: bool,
+    /// The customer's number, in hexadecimal.
     pub customer: &'a [u8],
+    /// The request's id, in hexadecimal.
     pub id: &'a [u8],
     /// Where the length line of the argument list begins.
     pub arguments_line: usize,
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The codecs, each message cut at every byte: none of its beginnings says anything, all of it says the same.
+//! The codecs, each message cut at every byte: no prefix decodes to anything, and the complete message always to the same.
 use expect_test::expect;
 use quillramp::gossip::{self, WireMessage};
 use quillramp::types::InstanceRange;
@@ -7,7 +7,7 @@
 use quillramp_gateway::wire::{endpoints, Decoded};
 use std::fmt::Debug;
 
-fn said<T: Debug + PartialEq>(
+fn decoded<T: Debug + PartialEq>(
     decode: fn(&[u8]) -> Decoded<T>,
     message: &str,
     show: fn(&T) -> String,
@@ -17,20 +17,22 @@
         match decode(&bytes[..cut]) {
             Ok(None) => {}
             Err(broken) => return format!("after {cut} bytes: {broken:?}\n"),
-            Ok(Some((m, n))) => return format!("{} in {n} of {} bytes\n", show(&m), bytes.len()),
+            Ok(Some((message, length))) => {
+                return format!("{} in {length} of {} bytes\n", show(&message), bytes.len())
+            }
         }
     }
     let once = decode(bytes);
     assert_eq!(once, decode(&[bytes, b"*1\r\n"].concat()), "what follows changes nothing");
     match once {
-        Ok(Some((m, n))) => format!("{} in {n} of {} bytes\n", show(&m), bytes.len()),
+        Ok(Some((message, length))) => format!("{} in {length} of {} bytes\n", show(&message), bytes.len()),
         Ok(None) => "more is wanted\n".into(),
         Err(broken) => format!("{broken:?}\n"),
     }
 }
 
 fn command(message: &str) -> String {
-    said(resp::decode_command, message, |c| match c {
+    decoded(resp::decode_command, message, |command| match command {
         ClientCommand::Request(call) => {
             let mut out = vec![];
             call.encode(77, &mut out);
@@ -44,8 +46,8 @@
 fn commands() {
     let mut all = command("*1\r\n$4\r\nping\r\n");
     let call = |customer: &str, id: &str, list: &str| {
-        let [c, i, l] = [customer, id, list].map(str::len);
-        command(&format!("*4\r\n$8\r\nCALL.GET\r\n${c}\r\n{customer}\r\n${i}\r\n{id}\r\n${l}\r\n{list}\r\n"))
+        let items = [customer, id, list].map(|item| format!("${}\r\n{item}\r\n", item.len()));
+        command(&format!("*4\r\n$8\r\nCALL.GET\r\n{}", items.concat()))
     };
     let (customer, id) = ("000000000000001f", "9b1f03aa5c7e2d41");
     all += &call(customer, id, "c=look,d=480,k=z,t=big,units=2.5,spread=3,first=1");
@@ -123,7 +125,7 @@
 
 #[test]
 fn replies() {
-    let reply = |message: &str| said(resp::decode_reply, message, |r| format!("{r:?}"));
+    let reply = |message: &str| decoded(resp::decode_reply, message, |reply| format!("{reply:?}"));
     let mut all = String::new();
     for message in [
         "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n",
@@ -192,12 +194,12 @@
 #[test]
 fn responses() {
     let response = |message: &str| {
-        said(http::decode_response, message, |r| {
+        decoded(http::decode_response, message, |response| {
             format!(
                 "{} {:?}{}",
-                r.status,
-                String::from_utf8_lossy(&r.body),
-                if r.closes_connection { ", the last" } else { "" }
+                response.status,
+                String::from_utf8_lossy(&response.body),
+                if response.closes_connection { ", the last" } else { "" }
             )
         })
     };
@@ -236,7 +238,7 @@
 }
 
 #[test]
-fn lists_and_words() {
+fn endpoint_lists_and_datagrams() {
     let entry = r#"{"name":"s","address":"127.0.0.1:1","zone":"a","group":3,"status":"DRAINING","weight":1,"since_ms":5}"#;
     let list = format!(r#"{{"index":4,"snapshot":false,"endpoints":[{entry}]}}"#);
     let mut all = format!("{:?}\n", decode_list(&list));
@@ -264,7 +266,7 @@
     let told = quillramp_gateway::process::configuration::decode(example.as_bytes()).expect("a good one");
     let with = |feedback: &str| {
         let settings = told.settings.get().replacen('{', &format!("{{\"feedback\": {feedback},"), 1);
-        quillramp::settings::load(1, settings.as_bytes()).map(|s| s.instance.load_report_fields)
+        quillramp::settings::load(1, settings.as_bytes()).map(|loaded| loaded.instance.load_report_fields)
     };
     let names = with(r#"{"source": "piggyback", "fields": ["load_share", "mean_ms", "colour"]}"#);
     let names = names.expect("good settings");
@@ -272,7 +274,10 @@
     for text in ["mean_ms=40,load_share=0.5,colour=3", "load_share=x,mean_ms=-1", "depth=2"] {
         let report =
             quillramp::settings::load_report(&names, |_, name| resp::find_number(text.as_bytes(), name));
-        all += &format!("{:?}\n", report.map(|r| (r.cpu_utilization, r.service_time, r.queued)));
+        all += &format!(
+            "{:?}\n",
+            report.map(|report| (report.cpu_utilization, report.service_time, report.queued))
+        );
     }
     all += &format!("{:?}\n", with(r#"{"source": "silent", "fields": ["depth"]}"#));
     all += &format!("{:?}\n", with(r#"{"source": "loud"}"#));
