--- a/gateway/src/process/configuration.rs
+++ b/gateway/src/process/configuration.rs
@@ -70,7 +70,7 @@
     Read {
         /// The file.
         path: String,
-        /// What the file system says.
+        /// The file system's error.
         source: std::io::Error,
     },
     /// The file can't be decoded.
--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -34,7 +34,7 @@
         self.file.read().map(|record| self.interpret(&record))
     }
 
-    /// What a record says to this process.
+    /// What a record means to this process.
     fn interpret(&self, record: &SharedRecord) -> SharedState {
         let newest = record.newest();
         let other = if newest.pid == std::process::id() { self.predecessor } else { newest };
--- a/gateway/src/process/inherited_listener.rs
+++ b/gateway/src/process/inherited_listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket that the previous process passes on to this one.
+//! The listening socket that this process inherits from the previous one.
 use std::net::TcpListener;
 use std::os::fd::{BorrowedFd, FromRawFd};
 
@@ -18,7 +18,7 @@
     NotOpen {
         /// The descriptor's number.
         descriptor: i32,
-        /// What the kernel says.
+        /// The kernel's error.
         source: nix::errno::Errno,
     },
     /// The descriptor is no socket.
@@ -26,7 +26,7 @@
     NotASocket {
         /// The descriptor's number.
         descriptor: i32,
-        /// What the kernel says.
+        /// The kernel's error.
         source: std::io::Error,
     },
     /// The socket does not listen.
--- a/gateway/src/process/logger/line.rs
+++ b/gateway/src/process/logger/line.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// What an event says: its text, and its fields where the format has them.
+/// The contents of an event: its text, and its fields where the format has them.
 #[derive(Default)]
 pub(super) struct RecordedEvent {
     /// Plain lines have their text and nothing else: fields cost nothing there.
--- a/gateway/src/process/operator.rs
+++ b/gateway/src/process/operator.rs
@@ -23,7 +23,7 @@
     Read {
         /// The file.
         path: String,
-        /// What the file system says.
+        /// The file system's error.
         source: Error,
     },
     /// It did not stand still.
--- a/gateway/src/process/shared_file.rs
+++ b/gateway/src/process/shared_file.rs
@@ -23,7 +23,7 @@
     Io {
         /// The file.
         path: PathBuf,
-        /// What the file system says.
+        /// The file system's error.
         source: std::io::Error,
     },
     /// Another process does not release the lock in time, or there is no locking.
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -73,7 +73,7 @@
     Driver(std::io::Error),
 }
 
-/// What the files say.
+/// The contents of the files.
 struct Files {
     configuration: Configuration,
     /// Where operators call.
--- a/gateway/src/sockets/acceptor.rs
+++ b/gateway/src/sockets/acceptor.rs
@@ -33,7 +33,7 @@
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the kernel says.
+        /// The kernel's error.
         source: std::io::Error,
     },
     /// The runtime can't wait for the socket.
--- a/gateway/src/sockets/connection/streaming.rs
+++ b/gateway/src/sockets/connection/streaming.rs
@@ -14,7 +14,7 @@
 pub(super) struct StreamSource {
     /// The client that the value goes to.
     target: AtomicRefCell<Option<Arc<Connection>>>,
-    /// The backend's connection was told to go on.
+    /// The backend's connection may read on.
     pub resumed: AtomicBool,
     /// When something was last forwarded.
     last_progress: AtomicRefCell<Instant>,
--- a/gateway/src/sockets/gossip_socket.rs
+++ b/gateway/src/sockets/gossip_socket.rs
@@ -17,7 +17,7 @@
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the kernel says.
+        /// The kernel's error.
         source: std::io::Error,
     },
     /// The runtime can't wait for it.
@@ -25,7 +25,7 @@
     Register {
         /// The address.
         address: SocketAddr,
-        /// What the runtime says.
+        /// The runtime's error.
         source: std::io::Error,
     },
 }
--- a/gateway/src/wire/http.rs
+++ b/gateway/src/wire/http.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// What the head of a response says of the body.
+/// How the head of a response frames the body.
 #[derive(Default)]
 struct Framing {
     content_length: Option<usize>,
