--- a/gateway/src/process/check.rs
+++ b/gateway/src/process/check.rs
@@ -1,6 +1,7 @@
 //! What the command line does besides serving: an operator's file is checked, or shown with its effective values.
 use super::configuration::{self, ConfigurationError};
 use super::operator::{self, OperatorFileError};
+use quillramp::settings::SettingsError;
 use quillramp_operator::routes::Platform;
 use quillramp_operator::{show, OperatorSettings};
 
@@ -11,12 +12,12 @@
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
     /// The configuration's settings can't be used.
-    #[error("{path}: {text}")]
+    #[error("{path}: {source}")]
     Settings {
         /// The configuration's file.
         path: String,
         /// What is wrong with the settings.
-        text: String,
+        source: SettingsError,
     },
     /// The operator's file can't be used.
     #[error(transparent)]
@@ -40,7 +41,7 @@
     let configuration = configuration::read_file(&path)?;
     let settings = configuration.settings.get().as_bytes();
     let loaded = quillramp::settings::load(configuration.seed, settings)
-        .map_err(|error| CheckError::Settings { path, text: error.to_string() })?;
+        .map_err(|source| CheckError::Settings { path, source })?;
     Ok(Some(operator::platform(&loaded.instance, configuration.limits.sockets)))
 }
 
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -1,5 +1,6 @@
 //! Starts the gateway; the main thread then waits for signals.
 use quillramp::settings::Loaded;
+use quillramp::settings::SettingsError;
 use quillramp_gateway::process::configuration::{self, Configuration, ConfigurationError};
 use quillramp_gateway::process::descriptors;
 use quillramp_gateway::process::handover::{Handover, KeeperError, SharedStateKeeper};
@@ -45,8 +46,8 @@
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
     /// The configuration's settings can't be used.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
     /// The operator's file can't be used.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
@@ -88,8 +89,7 @@
         let configuration = configuration::read()?;
         let admin = configuration::admin_address(&configuration)?;
         let settings = configuration.settings.get().as_bytes();
-        let loaded = quillramp::settings::load(configuration.seed, settings)
-            .map_err(|error| StartError::Settings(error.to_string()))?;
+        let loaded = quillramp::settings::load(configuration.seed, settings)?;
         let platform = operator::platform(&loaded.instance, configuration.limits.sockets);
         let operator = operator::read(&platform)?;
         Ok(Files { configuration, admin, loaded, platform, operator })
