--- a/emulator/src/door.rs
+++ b/emulator/src/door.rs
@@ -137,8 +137,8 @@
         let known = doctored(known, broken);
         let sockets = parties.max_descriptors;
         let mut reducer = Reducer::new(ctx.now, start, parties, &known);
-        reducer.share_is(ctx.now, shared);
-        reducer.declares(ctx.now, declares);
+        reducer.update_shared_state(ctx.now, shared);
+        reducer.apply_operator_update(ctx.now, declares);
         ctx.rules.booted(index);
         ctx.rules.told(ctx.now, index, &known);
         let process = Process {
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -7,8 +7,8 @@
     accept, accept::Acceptor, accept::Who, clock::Clock, drive::Driver, drive::Links, inbox::Inbox,
 };
 use quillramp_gateway::sockets::{link::Common, peers::Peers};
+use quillramp_gateway::state::descriptors::max_clients;
 use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
-use quillramp_gateway::state::room;
 use std::io::Write;
 use std::process::ExitCode;
 use std::sync::atomic::AtomicBool;
@@ -73,7 +73,7 @@
 
     let inbox = Arc::new(Inbox::new()?);
     let sockets = descriptors::allowed(told.limits.sockets);
-    let common = Common::new(inbox.clone(), told.limits.memory_mb << 20, room::most_clients(sockets));
+    let common = Common::new(inbox.clone(), told.limits.memory_mb << 20, max_clients(sockets));
     let links = Arc::new(Links::default());
     let stop_accepting = Arc::new(AtomicBool::new(false));
     let shares = passed.is_some();
@@ -97,8 +97,8 @@
         saves_changes: keeper.is_some(),
     };
     let mut reducer = Reducer::new(clock.now(), start, parties, &told.known);
-    reducer.share_is(clock.now(), shared);
-    reducer.declares(clock.now(), operator::operator_update(by_operator, &platform));
+    reducer.update_shared_state(clock.now(), shared);
+    reducer.apply_operator_update(clock.now(), operator::operator_update(by_operator, &platform));
     let acceptor =
         |listener, who| Acceptor::new((listener, who), links.clone(), common.clone(), stop_accepting.clone());
     let clients = acceptor(listener, Who::Clients { passed: shares })?;
--- a/gateway/src/state/operators.rs
+++ b/gateway/src/state/admin.rs
@@ -42,12 +42,12 @@
 
 /// The names of all that were ever listed, as far as there is room; those listed again are the youngest.
 #[derive(Default)]
-pub struct Names {
+pub struct KnownBackends {
     known: HashSet<String>,
     by_age: VecDeque<String>,
 }
 
-impl Names {
+impl KnownBackends {
     pub fn add(&mut self, name: &str) {
         if self.known.insert(name.to_owned()) {
             self.by_age.push_back(name.to_owned());
@@ -59,23 +59,23 @@
 }
 
 impl Reducer {
-    pub(super) fn called(&mut self, now: f64, id: u64) {
+    pub(super) fn admin_connected(&mut self, now: f64, id: u64) {
         if self.admin_connections.len() >= MOST {
             let oldest = *self.admin_connections.keys().next().expect("there are some");
-            self.end_call(oldest);
+            self.close_admin_connection(oldest);
         }
-        let ends = self.at(now + CALL, Due::Operator(id));
+        let ends = self.schedule(now + CALL, TimerKind::AdminTimeout(id));
         self.admin_connections.insert(id, ends);
     }
 
-    pub(super) fn end_call(&mut self, id: u64) {
+    pub(super) fn close_admin_connection(&mut self, id: u64) {
         if let Some(ends) = self.admin_connections.remove(&id) {
             self.timers.remove(&ends);
             self.close(ConnectionId::Admin(id), CloseReason::AdminCallEnded);
         }
     }
 
-    pub(super) fn call(&mut self, now: f64, id: u64, call: AdminCall) {
+    pub(super) fn admin_call(&mut self, now: f64, id: u64, call: AdminCall) {
         if !self.admin_connections.contains_key(&id) {
             return;
         }
@@ -83,53 +83,62 @@
             AdminCall::Health => {
                 let takes = !self.shared.drained && !self.stopping;
                 let (status, says) = if takes { (200, "serving\n") } else { (503, "draining\n") };
-                self.respond(now, id, status, says.into());
+                self.respond_to_admin(now, id, status, says.into());
             }
             AdminCall::Stats => {
                 let figures = self.figures() + "\n";
-                self.respond(now, id, 200, figures);
+                self.respond_to_admin(now, id, 200, figures);
             }
             AdminCall::Contracts => {
-                let usage = self.usage() + "\n";
-                self.respond(now, id, 200, usage);
+                let usage = self.contract_usage() + "\n";
+                self.respond_to_admin(now, id, 200, usage);
             }
-            AdminCall::Invalid(status) => self.respond(now, id, status, "no such call\n".into()),
+            AdminCall::Invalid(status) => self.respond_to_admin(now, id, status, "no such call\n".into()),
             AdminCall::EjectBackend(name) | AdminCall::RestoreBackend(name)
                 if !self.known_backends.known.contains(&name) =>
             {
-                self.respond(now, id, 404, format!("backend {name} was never listed\n"));
+                self.respond_to_admin(now, id, 404, format!("backend {name} was never listed\n"));
             }
-            AdminCall::EjectBackend(name) => self.change(now, id, AdminChange::EjectBackend(name, now)),
-            AdminCall::RestoreBackend(name) => self.change(now, id, AdminChange::RestoreBackend(name)),
-            AdminCall::Drain => self.change(now, id, AdminChange::SetDrained(true)),
-            AdminCall::Undrain => self.change(now, id, AdminChange::SetDrained(false)),
+            AdminCall::EjectBackend(name) => {
+                self.apply_admin_change(now, id, AdminChange::EjectBackend(name, now))
+            }
+            AdminCall::RestoreBackend(name) => {
+                self.apply_admin_change(now, id, AdminChange::RestoreBackend(name))
+            }
+            AdminCall::Drain => self.apply_admin_change(now, id, AdminChange::SetDrained(true)),
+            AdminCall::Undrain => self.apply_admin_change(now, id, AdminChange::SetDrained(false)),
         }
     }
 
-    fn respond(&mut self, now: f64, id: u64, status: u16, body: String) {
+    fn respond_to_admin(&mut self, now: f64, id: u64, status: u16, body: String) {
         if let Some(ends) = self.admin_connections.get(&id).copied() {
             self.timers.remove(&ends);
-            let ends = self.at(now + TAKEN, Due::Operator(id));
+            let ends = self.schedule(now + TAKEN, TimerKind::AdminTimeout(id));
             self.admin_connections.insert(id, ends);
             self.effects.push(Effect::AdminRespond(id, AdminResponse { status, body }));
         }
     }
 
     /// In force at once; answered when it is kept, too.
-    fn change(&mut self, now: f64, id: u64, change: AdminChange) {
+    fn apply_admin_change(&mut self, now: f64, id: u64, change: AdminChange) {
         let mut shared = self.shared.clone();
         change.clone().apply(&mut shared.ejected_backends, &mut shared.drained);
-        self.share_is(now, shared);
+        self.update_shared_state(now, shared);
         if self.config.saves_changes {
             return self.effects.push(Effect::SaveChange(id, change));
         }
-        self.respond(now, id, 200, "done\n".into());
+        self.respond_to_admin(now, id, 200, "done\n".into());
     }
 
-    pub(super) fn kept(&mut self, now: f64, call: Option<u64>, shared: Result<SharedState, String>) {
+    pub(super) fn shared_state_saved(
+        &mut self,
+        now: f64,
+        call: Option<u64>,
+        shared: Result<SharedState, String>,
+    ) {
         let (status, says) = match shared {
             Ok(shared) => {
-                self.share_is(now, shared);
+                self.update_shared_state(now, shared);
                 (200, "done\n".into())
             }
             Err(why) => {
@@ -138,12 +147,12 @@
             }
         };
         if let Some(id) = call {
-            self.respond(now, id, status, says);
+            self.respond_to_admin(now, id, status, says);
         }
     }
 
     /// Takes up what is shared, as far as it differs from what was.
-    pub fn share_is(&mut self, now: f64, shared: SharedState) {
+    pub fn update_shared_state(&mut self, now: f64, shared: SharedState) {
         let old = std::mem::replace(&mut self.shared, shared);
         let names: BTreeSet<&String> =
             old.ejected_backends.keys().chain(self.shared.ejected_backends.keys()).collect();
@@ -155,37 +164,37 @@
             let out = self.shared.ejected_backends.get(&name).copied();
             let says = if out.is_some() { "left out by hand" } else { "back by hand" };
             self.effects.push(Effect::Log(format!("backend {name} {says}")));
-            if let Some(tgt) = self.backend_names.get(&name) {
-                self.by_hand(now, tgt, out);
+            if let Some(backend) = self.backend_names.get(&name) {
+                self.set_manual_ejection(now, backend, out);
             }
         }
         if old.drained != self.shared.drained {
-            self.drained(now);
+            self.drain_changed(now);
         }
         if old.peer_process_running != self.shared.peer_process_running {
-            self.beside(now);
+            self.peer_process_changed(now);
         } else if old.peer_descriptor_limit != self.shared.peer_descriptor_limit {
-            while self.short() && self.make_room(now) {}
+            while self.is_short_of_descriptors() && self.free_descriptor(now) {}
         }
     }
 
     /// An operator's word on a backend, beside what the list says of it.
-    pub(super) fn by_hand(&mut self, now: f64, tgt: BackendIndex, out: Option<f64>) {
-        self.backends[tgt].out = out.is_some();
-        self.engine.set_manual_ejection(now, tgt, out);
+    pub(super) fn set_manual_ejection(&mut self, now: f64, backend: BackendIndex, out: Option<f64>) {
+        self.backends[backend].out = out.is_some();
+        self.engine.set_manual_ejection(now, backend, out);
         if out.is_some() {
-            self.close_idle(tgt);
-            self.withdraw_from_drained();
+            self.close_idle_connections_to(backend);
+            self.withdraw_from_unavailable();
         }
     }
 
     /// Another process of this front door came, or has gone: descriptors and own shares are for both.
-    fn beside(&mut self, now: f64) {
+    fn peer_process_changed(&mut self, now: f64) {
         let two = self.shared.peer_process_running;
         let says = if two { "another process of this front door is there" } else { "the only process again" };
         self.effects.push(Effect::Log(says.into()));
         self.engine.set_peer_process(two);
-        while two && self.short() && self.make_room(now) {}
+        while two && self.is_short_of_descriptors() && self.free_descriptor(now) {}
     }
 
     pub fn figures(&self) -> String {
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -9,20 +9,20 @@
 
 impl Reducer {
     /// What an operator's file says holds from now on. Invocations that were taken keep what they began under.
-    pub fn declares(&mut self, now: f64, declares: OperatorUpdate) {
+    pub fn apply_operator_update(&mut self, now: f64, declares: OperatorUpdate) {
         let OperatorUpdate { admission, routes, presence_interval: presence, broker, identity } = declares;
-        self.identifies(identity);
-        self.brokers(now, broker);
-        self.presence(now, presence);
+        self.set_trust(identity);
+        self.set_contracts(now, broker);
+        self.set_presence_interval(now, presence);
         if routes != self.routes {
             self.effects.push(Effect::Log(format!("limits declared: {routes}")));
             self.routes = routes;
         }
-        self.admits(now, admission);
+        self.set_admission_limits(now, admission);
     }
 
     /// Limits from now on, or none. What is open above them stays.
-    pub fn admits(&mut self, now: f64, limits: Option<Limits>) {
+    pub fn set_admission_limits(&mut self, now: f64, limits: Option<Limits>) {
         let says = match (&self.admission, &limits) {
             (None, None) => return,
             (_, None) => "admission: no limits from now on".into(),
@@ -50,7 +50,7 @@
     }
 
     /// Whether a connection that has just come is held. One that is not hears why, and ends.
-    pub(super) fn admitted(&mut self, now: f64, id: u64, from: IpAddr) -> bool {
+    pub(super) fn admit_client(&mut self, now: f64, id: u64, from: IpAddr) -> bool {
         let gate = self.admission.as_mut();
         let verdict = gate.map_or(ConnectionVerdict::Accept, |gate| gate.admit_connection(now, id, from));
         // What came with it in this batch was read before it was held.
@@ -59,7 +59,7 @@
         match verdict {
             ConnectionVerdict::Accept => true,
             ConnectionVerdict::Replace(other) => {
-                self.let_go(other, CloseReason::DescriptorPressure);
+                self.disconnect_client(other, CloseReason::DescriptorPressure);
                 true
             }
             ConnectionVerdict::Reject(reason) => {
@@ -72,7 +72,7 @@
     }
 
     /// What a client hears in place of an answer, where its command may not be taken now.
-    pub(super) fn may_ask(&mut self, now: f64, id: u64, customer: u64) -> Option<ClientReply> {
+    pub(super) fn admit_command(&mut self, now: f64, id: u64, customer: u64) -> Option<ClientReply> {
         match self.admission.as_mut()?.admit_command(now, id, customer) {
             CommandVerdict::Accept => None,
             CommandVerdict::RetryAfter(seconds) => {
@@ -83,14 +83,14 @@
     }
 
     /// Connections that say nothing for longer than they may.
-    pub(super) fn overdue(&self, now: f64) -> Vec<u64> {
+    pub(super) fn overdue_clients(&self, now: f64) -> Vec<u64> {
         let overdue = self.admission.as_ref().map_or(vec![], |gate| gate.overdue(now));
         let free = |id: &u64| self.clients.get(id).is_some_and(|c| c.owed.is_empty() && !c.said);
         overdue.into_iter().filter(free).collect()
     }
 
     /// A client's connection is over.
-    pub(super) fn no_client(&mut self, id: u64) -> Option<Client> {
+    pub(super) fn remove_client(&mut self, id: u64) -> Option<Client> {
         if let Some(gate) = &mut self.admission {
             gate.connection_closed(id);
         }
--- a/gateway/src/state/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -12,7 +12,7 @@
 /// Outside numbers of customers and of the roster's groups lie below it: budgets' counts are named from here on.
 const NAMES: u64 = 1 << 41;
 
-pub struct Brokered {
+pub struct BrokerState {
     broker: Broker,
     terms: BrokerSettings,
     /// The customer's index that stands for a team's budget, with the team; and periods by the series that their counts have.
@@ -22,7 +22,7 @@
 
 /// A team's figures as operators read them.
 #[derive(Serialize)]
-struct Shown {
+struct TeamUsageReport {
     version: Option<u32>,
     taken: u64,
     units: f64,
@@ -43,7 +43,7 @@
     ClientReply::Error(format!("contract: {}", reason.message()))
 }
 
-impl Brokered {
+impl BrokerState {
     /// Whether this count is a budget's.
     pub fn calls(&self, name: CounterKey) -> bool {
         self.counts.contains_key(&name.customer)
@@ -60,7 +60,7 @@
 
 impl Reducer {
     /// Contracts hold from now on, or none do. Invocations that were taken keep what they were granted.
-    pub(super) fn brokers(&mut self, now: f64, terms: Option<BrokerSettings>) {
+    pub(super) fn set_contracts(&mut self, now: f64, terms: Option<BrokerSettings>) {
         if self.broker.as_ref().map(|b| &b.terms) == terms.as_ref() {
             return;
         }
@@ -81,21 +81,25 @@
             }
             (broker, Some(terms)) => {
                 let new = Broker::new(now, terms.contracts.clone(), doors, terms.capacity);
-                *broker =
-                    Some(Brokered { broker: new, terms, counts: BTreeMap::new(), periods: BTreeMap::new() });
+                *broker = Some(BrokerState {
+                    broker: new,
+                    terms,
+                    counts: BTreeMap::new(),
+                    periods: BTreeMap::new(),
+                });
             }
         }
     }
 
     /// What its team's contract gives for an invocation, nothing where there is no broker; or what its client hears.
-    pub(super) fn contracted(
+    pub(super) fn authorize(
         &mut self,
         now: f64,
         (client, call): (u64, &RequestCommand),
         ask: &RequestAttributes,
     ) -> Result<Option<Grant>, ClientReply> {
-        let answer = match self.known(now, client, ask.operation, call) {
-            Ok(speaks) => match self.admitted_by_contract(now, speaks, call, ask) {
+        let answer = match self.authorize_caller(now, client, ask.operation, call) {
+            Ok(speaks) => match self.request_grant(now, speaks, call, ask) {
                 Ok(grant) => return Ok(grant),
                 Err(answer) => answer,
             },
@@ -108,7 +112,7 @@
     }
 
     /// `speaks`: the team whose token the client showed, where it had to show one.
-    fn admitted_by_contract(
+    fn request_grant(
         &mut self,
         now: f64,
         speaks: Option<String>,
@@ -129,7 +133,7 @@
         let request = Request { operation, customer: call.customer, units: ask.units };
         let response = b.broker.request(now, team, request);
         if let Some(due) = response.counter_call {
-            self.calls_budget(now, team, due);
+            self.call_budget_counter(now, team, due);
         }
         match response.verdict {
             Verdict::Grant(grant) => Ok(Some(grant)),
@@ -142,7 +146,7 @@
         }
     }
 
-    fn calls_budget(&mut self, now: f64, team: TeamId, due: budget::CounterCall) {
+    fn call_budget_counter(&mut self, now: f64, team: TeamId, due: budget::CounterCall) {
         let Some(b) = &mut self.broker else { return };
         let Some(name) = b.broker.team_name(team).map(number) else { return };
         let customer = self.customers.intern(&name);
@@ -153,11 +157,11 @@
             b.periods.pop_first();
         }
         let name = CounterKey { customer, series };
-        self.count(now, CounterCall { key: name, delta: due.amount, lifetime: due.lifetime });
+        self.call_counter(now, CounterCall { key: name, delta: due.amount, lifetime: due.lifetime });
     }
 
     /// What an invocation really took.
-    pub(super) fn billed(&mut self, now: f64, inv: RequestIndex, units: f64) {
+    pub(super) fn settle_grant(&mut self, now: f64, inv: RequestIndex, units: f64) {
         let Some(b) = &mut self.broker else { return };
         if let Some(grant) = self.requests[inv].as_mut().and_then(|h| h.grant.as_mut()) {
             b.broker.settle(now, grant, units);
@@ -166,7 +170,7 @@
     }
 
     /// An invocation is over that was never sent on.
-    pub(super) fn unused(&mut self, inv: RequestIndex) {
+    pub(super) fn refund_unforwarded(&mut self, inv: RequestIndex) {
         let Some(held) = self.requests[inv].as_mut().filter(|h| h.deliveries.is_empty()) else { return };
         if let (Some(b), Some(grant)) = (&mut self.broker, held.grant.take()) {
             b.broker.refund(&grant);
@@ -174,13 +178,13 @@
     }
 
     /// What teams have of their contracts, for operators.
-    pub(super) fn usage(&self) -> String {
+    pub(super) fn contract_usage(&self) -> String {
         let Some(b) = &self.broker else { return "{}".into() };
-        let shown: BTreeMap<&str, Shown> = b
+        let shown: BTreeMap<&str, TeamUsageReport> = b
             .broker
             .usage()
             .map(|TeamUsage { team, version, usage }| {
-                let shown = Shown {
+                let shown = TeamUsageReport {
                     version,
                     taken: usage.granted,
                     units: usage.units,
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 impl Reducer {
-    pub(super) fn command(&mut self, now: f64, id: u64, command: ClientCommand) {
-        let takes = self.takes_clients();
+    pub(super) fn client_command(&mut self, now: f64, id: u64, command: ClientCommand) {
+        let takes = self.accepts_clients();
         if let Some(gate) = &mut self.admission {
             gate.command_started(now, id);
         }
@@ -20,17 +20,17 @@
         let answer = match command {
             ClientCommand::Ping if takes => ClientReply::Pong,
             ClientCommand::Ping => ClientReply::Error("draining".into()),
-            ClientCommand::Auth(token) => self.authenticated(now, id, &token),
+            ClientCommand::Auth(token) => self.authenticate_client(now, id, &token),
             ClientCommand::Invalid(why) => ClientReply::Error(why),
             ClientCommand::Dropped => ClientReply::Busy { retry_after_ms: None },
             ClientCommand::ProtocolError(why) => {
                 client.broken = true;
                 ClientReply::Error(format!("protocol: {why}"))
             }
-            ClientCommand::Request(call) => match self.ask(now, &call) {
-                Ok(ask) => match self.may_ask(now, id, call.customer) {
-                    None => match self.contracted(now, (id, &call), &ask) {
-                        Ok(grant) => return self.take(now, (id, no), *call, ask, grant),
+            ClientCommand::Request(call) => match self.validate_request(now, &call) {
+                Ok(ask) => match self.admit_command(now, id, call.customer) {
+                    None => match self.authorize(now, (id, &call), &ask) {
+                        Ok(grant) => return self.accept_request(now, (id, no), *call, ask, grant),
                         Err(answer) => {
                             self.stats.rejected[ask.operation] += 1;
                             answer
@@ -45,10 +45,14 @@
             },
         };
         self.clients.get_mut(&id).expect("checked").owed.push_back((None, Some(answer)));
-        self.answer_in_order(id);
+        self.send_ready_replies(id);
     }
 
-    pub(super) fn ask(&mut self, now: f64, call: &RequestCommand) -> Result<RequestAttributes, String> {
+    pub(super) fn validate_request(
+        &mut self,
+        now: f64,
+        call: &RequestCommand,
+    ) -> Result<RequestAttributes, String> {
         let InstanceSettings { operations, plans, instances: doors, max_units: most_units, .. } =
             &self.instance;
         let operation = operations.iter().position(|o| o.name.as_bytes() == call.operation());
@@ -93,7 +97,7 @@
         })
     }
 
-    pub(super) fn take(
+    pub(super) fn accept_request(
         &mut self,
         now: f64,
         (client, command): (u64, u64),
@@ -104,7 +108,7 @@
         let call = Arc::new(call);
         self.open_request_ids.insert(call.id);
         let (deliveries, closed, ends, begun, passes) = (vec![], false, None, None, false);
-        let inv = self.requests.insert(Held {
+        let inv = self.requests.insert(PendingRequest {
             ask,
             call,
             client,
@@ -117,11 +121,11 @@
             grant,
         });
         self.clients.get_mut(&client).expect("checked").owed.push_back((Some(inv), None));
-        self.place(now, inv);
+        self.route_request(now, inv);
     }
 
     /// The final answer; it goes out once all before it on the connection have.
-    pub(super) fn answer(&mut self, now: f64, inv: RequestIndex, answer: ClientReply) {
+    pub(super) fn answer_request(&mut self, now: f64, inv: RequestIndex, answer: ClientReply) {
         let Some(held) = self.requests[inv].as_mut().filter(|h| !h.closed) else { return };
         held.closed = true;
         let counts = match answer {
@@ -141,10 +145,10 @@
         if let Some(place) = place {
             *place = (None, Some(answer));
         }
-        self.answer_in_order(id);
+        self.send_ready_replies(id);
     }
 
-    pub(super) fn answer_in_order(&mut self, id: u64) {
+    pub(super) fn send_ready_replies(&mut self, id: u64) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         while let Some((_, Some(_))) = client.owed.front() {
             let answer = client.owed.pop_front().and_then(|(_, a)| a).expect("checked");
@@ -153,9 +157,9 @@
         }
         let next = client.owed.front().and_then(|(inv, _)| *inv);
         if let Some(inv) = next {
-            self.pass_on(inv);
+            self.start_stream_in_turn(inv);
         } else if client.owed.is_empty() && client.broken {
-            self.no_client(id);
+            self.remove_client(id);
             self.close(ConnectionId::Client(id), CloseReason::BadFraming);
             self.exit_when_done();
         } else if client.owed.is_empty() && (self.draining || client.muted) {
@@ -163,17 +167,17 @@
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: f64, id: u64) {
-        let Some(client) = self.no_client(id) else { return };
+    pub(super) fn client_disconnected(&mut self, now: f64, id: u64) {
+        let Some(client) = self.remove_client(id) else { return };
         for inv in client.owed.into_iter().filter_map(|(inv, _)| inv) {
             if let Some(held) = self.requests[inv].as_mut() {
                 held.closed = true;
                 let deliveries = held.deliveries.len();
                 for delivery in 0..deliveries {
-                    self.withdraw(inv, delivery);
+                    self.withdraw_attempt(inv, delivery);
                 }
                 self.engine.request_closed(now, inv);
-                self.release(inv);
+                self.release_if_finished(inv);
             }
         }
         self.exit_when_done();
--- a/gateway/src/state/room.rs
+++ b/gateway/src/state/descriptors.rs
@@ -1,7 +1,7 @@
 //! Descriptors: what closes when they run short, and what has stood idle.
+use super::admin::MOST;
 use super::event::{CloseReason, ConnectionId, Effect};
 use super::kept::*;
-use super::operators::MOST;
 use super::reducer::Reducer;
 
 /// Descriptors kept for listening, the log, the loop and the like.
@@ -28,12 +28,12 @@
 const NOT_CLIENTS: usize = 64;
 
 /// How many clients' connections may hold a descriptor at once, of so many descriptors in all; with few of them, a quarter.
-pub fn most_clients(descriptors: usize) -> usize {
+pub fn max_clients(descriptors: usize) -> usize {
     descriptors.saturating_sub(NOT_CLIENTS).max(descriptors / 4)
 }
 
 impl Reducer {
-    pub(super) fn descriptors(&self) -> usize {
+    pub(super) fn used_descriptors(&self) -> usize {
         self.clients.len()
             + self.backend_connections.len()
             + self.counter_connections.len()
@@ -42,19 +42,19 @@
     }
 
     /// No descriptor is left for one more connection.
-    pub(super) fn short(&self) -> bool {
-        self.needed() > self.allowed()
+    pub(super) fn is_short_of_descriptors(&self) -> bool {
+        self.needed_descriptors() > self.allowed_descriptors()
     }
 
     /// Descriptors that this process has, or keeps free for what must always be possible.
-    fn needed(&self) -> usize {
+    fn needed_descriptors(&self) -> usize {
         let operators = if self.config.admin_enabled { MOST } else { 0 };
-        self.descriptors() + RESERVE + operators
+        self.used_descriptors() + RESERVE + operators
     }
 
     /// What the machine allows, it allows to both processes of a front door together: half each, until the one that leaves says
     /// what it will not go beyond. It says so before the other one takes the rest, so that together they never pass it.
-    fn allowed(&self) -> usize {
+    fn allowed_descriptors(&self) -> usize {
         let half = self.config.max_descriptors / 2;
         match (
             self.shared.peer_process_running,
@@ -69,23 +69,23 @@
     }
 
     /// The process that leaves needs fewer and fewer, and says so.
-    pub(super) fn promise(&mut self) {
+    pub(super) fn announce_descriptor_limit(&mut self) {
         let most = self.announced_descriptor_limit.unwrap_or(self.config.max_descriptors / 2);
-        let now = (self.needed() + SPARE).min(most);
+        let now = (self.needed_descriptors() + SPARE).min(most);
         if self.hands_over_listener && (self.announced_descriptor_limit.is_none() || now + SPARE <= most) {
             self.announced_descriptor_limit = Some(now);
             self.effects.push(Effect::AnnounceDescriptorLimit(now));
         }
     }
 
-    pub(super) fn room(&mut self, now: f64) {
-        if self.short() {
-            self.make_room(now);
+    pub(super) fn ensure_free_descriptor(&mut self, now: f64) {
+        if self.is_short_of_descriptors() {
+            self.free_descriptor(now);
         }
     }
 
     /// The client whose connection can best be spared: it has waited longest since it last said something.
-    fn idle_client(&self, spared: impl Fn(&Client) -> bool) -> Option<u64> {
+    fn least_recently_active_client(&self, spared: impl Fn(&Client) -> bool) -> Option<u64> {
         // One whose command has been read is owed an answer, though the command's turn is yet to come.
         let idle =
             self.clients.iter().filter(|(id, c)| c.owed.is_empty() && !self.unread_commands.contains_key(id));
@@ -95,93 +95,103 @@
 
     /// Closes what stands idle: clients that only hold on to their connection, then the backend connection that has
     /// longest, for it costs a handshake to have it again, then any client's; false if there was none.
-    pub(super) fn make_room(&mut self, now: f64) -> bool {
-        self.spare_holding_client(now) || self.spare_idle_link() || self.spare_any_client(now)
+    pub(super) fn free_descriptor(&mut self, now: f64) -> bool {
+        self.close_lingering_client(now)
+            || self.close_oldest_idle_backend_connection()
+            || self.close_any_idle_client(now)
     }
 
     /// Closes a client's connection so that another may be taken in. A backend's descriptor would not do for that: those
-    /// are counted apart (`most_clients`).
-    pub(super) fn make_room_for_client(&mut self, now: f64) {
-        let _none_is_idle =
-            self.spare_holding_client(now) || self.spare_silent_client() || self.spare_any_client(now);
+    /// are counted apart (`max_clients`).
+    pub(super) fn free_descriptor_for_client(&mut self, now: f64) {
+        let _none_is_idle = self.close_lingering_client(now)
+            || self.close_client_without_command()
+            || self.close_any_idle_client(now);
     }
 
     /// Closes a client's connection that says nothing; false if there was none.
-    fn spare_holding_client(&mut self, now: f64) -> bool {
+    fn close_lingering_client(&mut self, now: f64) -> bool {
         let holds_on =
             |c: &Client| c.half.is_none() && c.used < now - if c.said { CLIENT_IDLE.0 } else { ARRIVING };
-        let spared = self.overdue(now).first().copied().or_else(|| self.idle_client(holds_on));
-        self.spare(spared)
+        let spared = self
+            .overdue_clients(now)
+            .first()
+            .copied()
+            .or_else(|| self.least_recently_active_client(holds_on));
+        self.evict_client(spared)
     }
 
     /// Closes the backend connection that has stood idle longest; false if there was none.
-    fn spare_idle_link(&mut self) -> bool {
+    fn close_oldest_idle_backend_connection(&mut self) -> bool {
         let idle = self.backends.iter().filter_map(|p| p.idle.first()).copied();
         let oldest = idle
             .min_by(|a, b| self.backend_connections[a].since.total_cmp(&self.backend_connections[b].since));
         let Some(id) = oldest else { return false };
-        let tgt = self.backend_connections[&id].tgt;
-        self.backends[tgt].idle.retain(|i| *i != id);
-        self.close_link(id, CloseReason::DescriptorPressure);
+        let backend = self.backend_connections[&id].backend;
+        self.backends[backend].idle.retain(|i| *i != id);
+        self.close_backend_connection(id, CloseReason::DescriptorPressure);
         true
     }
 
     /// Closes a client's connection that has said nothing yet, however short that is; false if there was none. Where there are
     /// limits of admission, these name who goes.
-    fn spare_silent_client(&mut self) -> bool {
-        let spared =
-            if self.admission.is_some() { None } else { self.idle_client(|c| !c.said && c.half.is_none()) };
-        self.spare(spared)
+    fn close_client_without_command(&mut self) -> bool {
+        let spared = if self.admission.is_some() {
+            None
+        } else {
+            self.least_recently_active_client(|c| !c.said && c.half.is_none())
+        };
+        self.evict_client(spared)
     }
 
     /// Closes any client's connection that is owed nothing; false if there was none.
-    fn spare_any_client(&mut self, now: f64) -> bool {
+    fn close_any_idle_client(&mut self, now: f64) -> bool {
         let spared = match &mut self.admission {
             Some(gate) => gate.evict(now),
-            None => self.idle_client(|_| true),
+            None => self.least_recently_active_client(|_| true),
         };
-        self.spare(spared)
+        self.evict_client(spared)
     }
 
-    fn spare(&mut self, client: Option<u64>) -> bool {
+    fn evict_client(&mut self, client: Option<u64>) -> bool {
         if let Some(id) = client {
-            self.let_go(id, CloseReason::DescriptorPressure);
+            self.disconnect_client(id, CloseReason::DescriptorPressure);
         }
         client.is_some()
     }
 
     /// The beginning of a command has come.
-    pub(super) fn half(&mut self, now: f64, id: u64) {
+    pub(super) fn partial_command_received(&mut self, now: f64, id: u64) {
         if let Some(client) = self.clients.get_mut(&id).filter(|c| c.half.is_none()) {
             client.half = Some(now);
             self.admission.iter_mut().for_each(|gate| gate.partial_command(now, id));
-            self.at(now + HALF, Due::Half(id));
+            self.schedule(now + HALF, TimerKind::PartialCommand(id));
         }
     }
 
-    pub(super) fn half_too_long(&mut self, now: f64, id: u64) {
+    pub(super) fn partial_command_timed_out(&mut self, now: f64, id: u64) {
         let Some(client) = self.clients.get(&id) else { return };
         let Some(since) = client.half else { return };
         let (rested, all) = (now - client.grown.unwrap_or(since), now - since);
         if client.owed.is_empty() && (rested > HALF - 1e-3 || all > BODY) {
-            self.let_go(id, CloseReason::Idle);
+            self.disconnect_client(id, CloseReason::Idle);
         } else if all > HALF - 1e-3 {
-            self.at(now + HALF, Due::Half(id)); // one that began later has a timer of its own
+            self.schedule(now + HALF, TimerKind::PartialCommand(id)); // one that began later has a timer of its own
         }
     }
 
-    pub(super) fn let_go(&mut self, id: u64, why: CloseReason) {
-        self.no_client(id);
+    pub(super) fn disconnect_client(&mut self, id: u64, why: CloseReason) {
+        self.remove_client(id);
         self.close(ConnectionId::Client(id), why);
     }
 
     /// Connections that stood idle for half of what the other side allows end here, not there, and clients that say
     /// nothing are let go. Done again and again.
-    pub(super) fn sweep(&mut self, now: f64) {
-        for id in self.overdue(now) {
-            self.let_go(id, CloseReason::Idle);
+    pub(super) fn close_idle_connections(&mut self, now: f64) {
+        for id in self.overdue_clients(now) {
+            self.disconnect_client(id, CloseReason::Idle);
         }
-        let crowded = 2 * self.descriptors() > self.config.max_descriptors;
+        let crowded = 2 * self.used_descriptors() > self.config.max_descriptors;
         let long = |c: &Client| if c.said && !crowded { CLIENT_IDLE.1 } else { CLIENT_IDLE.0 };
         // A stopping process, with another to accept, ends no connection that nobody has asked anything on.
         let spares = |c: &Client| self.hands_over_listener && !c.said;
@@ -193,25 +203,25 @@
         // A command may have come just now: it is looked for before the connection ends.
         self.effects.extend(idle.into_iter().map(|id| Effect::CloseIfIdle(id, CloseReason::Idle)));
         let old = now - self.instance.connection_idle_timeout / 2.0;
-        for tgt in 0..self.backends.len() {
+        for backend in 0..self.backends.len() {
             let links = &self.backend_connections;
-            let (stale, idle) = self.backends[tgt].idle.iter().partition(|id| links[id].since < old);
-            self.backends[tgt].idle = idle;
+            let (stale, idle) = self.backends[backend].idle.iter().partition(|id| links[id].since < old);
+            self.backends[backend].idle = idle;
             let stale: Vec<u64> = stale;
             for id in stale {
-                self.close_link(id, CloseReason::Idle);
+                self.close_backend_connection(id, CloseReason::Idle);
             }
         }
         let old = now - COUNTER_IDLE / 2.0;
         let stale = self.counter_connections.iter().filter(|(_, l)| l.idle() && l.used < old);
         for id in stale.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.close_counter(id, CloseReason::Idle);
+            self.close_counter_connection(id, CloseReason::Idle);
         }
-        self.forget_gone();
-        self.promise();
+        self.forget_removed_backends();
+        self.announce_descriptor_limit();
         if let Some(gate) = &mut self.admission {
             gate.refresh_known(now);
         }
-        self.at(now + LOOK, Due::Sweep);
+        self.schedule(now + LOOK, TimerKind::IdleCheck);
     }
 }
--- a/gateway/src/state/peers.rs
+++ b/gateway/src/state/gossip.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    pub(super) fn tell(&mut self, word: GossipMessage) {
+    pub(super) fn send_gossip(&mut self, word: GossipMessage) {
         match word {
-            GossipMessage::BackendRecovered { backend: tgt } => {
-                let Some(name) = self.backend_names.resolve(tgt) else { return };
+            GossipMessage::BackendRecovered { backend } => {
+                let Some(name) = self.backend_names.resolve(backend) else { return };
                 let body = gossip::encode(&WireMessage::BackendRecovered(name.as_bytes().to_vec()));
                 self.effects.extend(self.config.peer_broadcast.map(|to| Effect::SendDatagram(to, body)));
             }
@@ -29,13 +29,13 @@
         }
     }
 
-    pub(super) fn heard(&mut self, now: f64, from: SocketAddr, body: &[u8]) {
+    pub(super) fn datagram_received(&mut self, now: f64, from: SocketAddr, body: &[u8]) {
         let known = self.config.peers.contains(&from) && body.len() <= gossip::MAX_DATAGRAM_BYTES;
         match gossip::decode(body).filter(|_| known) {
             Some(WireMessage::BackendRecovered(name)) => {
                 let name = std::str::from_utf8(&name).ok();
-                if let Some(tgt) = name.and_then(|n| self.backend_names.get(n)) {
-                    self.engine.gossip_received(now, GossipMessage::BackendRecovered { backend: tgt });
+                if let Some(backend) = name.and_then(|n| self.backend_names.get(n)) {
+                    self.engine.gossip_received(now, GossipMessage::BackendRecovered { backend });
                 }
             }
             Some(WireMessage::CounterTotal { customer, plan, instances: of, series, total })
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -6,7 +6,7 @@
 
 impl Reducer {
     /// Other keys and revocations from now on, or nobody has to be known. Who is known is looked at again with its next command.
-    pub(super) fn identifies(&mut self, trust: Option<Trust>) {
+    pub(super) fn set_trust(&mut self, trust: Option<Trust>) {
         if self.identity.as_ref().map(Authenticator::trust) == trust.as_ref() {
             return;
         }
@@ -28,7 +28,7 @@
     }
 
     /// A client says who it is. What a token holds is nobody's business, and no line's.
-    pub(super) fn authenticated(&mut self, now: f64, id: u64, token: &[u8]) -> ClientReply {
+    pub(super) fn authenticate_client(&mut self, now: f64, id: u64, token: &[u8]) -> ClientReply {
         let Some(authenticator) = &mut self.identity else {
             return ClientReply::Error("unknown command".into());
         };
@@ -48,7 +48,7 @@
     }
 
     /// The team that speaks, where callers have to be known; or what its client hears.
-    pub(super) fn known(
+    pub(super) fn authorize_caller(
         &mut self,
         now: f64,
         id: u64,
--- a/gateway/src/state/kept.rs
+++ b/gateway/src/state/kept.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 /// One delivery; its link while it is out.
-pub struct Sent {
-    pub tgt: BackendIndex,
+pub struct Attempt {
+    pub backend: BackendIndex,
     pub at: f64,
     pub link: Option<u64>,
     /// How long its answer took to begin.
@@ -18,22 +18,22 @@
 
 /// What came beside an answer: the true units, and its backend's load.
 #[derive(Clone, Copy, Default)]
-pub struct Beside {
+pub struct ResponseMetadata {
     pub billed: Option<f64>,
     pub report: Option<LoadReport>,
 }
 
 /// One invocation, from its command to the end of its last delivery.
-pub struct Held {
+pub struct PendingRequest {
     pub ask: RequestAttributes,
     pub call: Arc<RequestCommand>,
     pub client: u64,
     /// Which of the client's commands it is.
     pub command: u64,
-    pub deliveries: Vec<Sent>,
+    pub deliveries: Vec<Attempt>,
     pub closed: bool,
     /// The timer at which what is still out has timed out, from the first delivery on; then for a stream.
-    pub ends: Option<Timer>,
+    pub ends: Option<TimerKey>,
     /// The delivery whose value is to pass through, and whether it does: it is its turn on the client's connection.
     pub begun: Option<usize>,
     pub passes: bool,
@@ -41,7 +41,7 @@
     pub grant: Option<Grant>,
 }
 
-impl Held {
+impl PendingRequest {
     pub fn out(&self) -> bool {
         self.deliveries.iter().any(|d| d.link.is_some())
     }
@@ -70,7 +70,7 @@
 }
 
 /// A delivery on a backend's connection.
-pub struct Carried {
+pub struct QueuedAttempt {
     /// Its number, unique on the connection.
     pub number: u64,
     /// The invocation and which of its deliveries this is; none where an answer is no longer wanted.
@@ -78,29 +78,36 @@
 }
 
 /// A connection to a backend.
-pub struct Link {
-    pub tgt: BackendIndex,
+pub struct BackendConnection {
+    pub backend: BackendIndex,
     pub up: bool,
     /// Its end stands further back in the batch: nothing new goes on it.
     pub ending: bool,
     /// The deliveries on it, in the order of their answers.
-    pub carries: VecDeque<Carried>,
+    pub carries: VecDeque<QueuedAttempt>,
     /// The number of the next delivery on it.
     pub next_number: u64,
     pub since: f64,
 }
 
-impl Link {
+impl BackendConnection {
     /// One that is about to be opened.
-    pub fn new(tgt: BackendIndex, now: f64) -> Link {
-        Link { tgt, up: false, ending: false, carries: VecDeque::new(), next_number: 0, since: now }
+    pub fn new(backend: BackendIndex, now: f64) -> BackendConnection {
+        BackendConnection {
+            backend,
+            up: false,
+            ending: false,
+            carries: VecDeque::new(),
+            next_number: 0,
+            since: now,
+        }
     }
 
     /// Puts a delivery behind the others on it; returns its number.
     pub fn carry(&mut self, inv: RequestIndex, delivery: usize) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        self.carries.push_back(Carried { number, delivery: Some((inv, delivery)) });
+        self.carries.push_back(QueuedAttempt { number, delivery: Some((inv, delivery)) });
         number
     }
 
@@ -117,7 +124,7 @@
 
 /// A backend as the list has it (no address: the index is free), and its idle connections, the newest last.
 #[derive(Default)]
-pub struct Place {
+pub struct BackendEntry {
     pub address: Option<SocketAddr>,
     pub standing: EndpointStatus,
     /// Out by hand.
@@ -125,7 +132,7 @@
     pub idle: Vec<u64>,
 }
 
-impl Place {
+impl BackendEntry {
     /// It may get what is new.
     pub fn takes(&self) -> bool {
         self.standing == EndpointStatus::Ready && !self.out
@@ -134,11 +141,11 @@
 
 /// A connection to the counter, and its calls in order, none where their time is over.
 #[derive(Default)]
-pub struct CounterLink {
+pub struct CounterConnection {
     pub up: bool,
-    pub calls: VecDeque<(u64, Option<(CounterKey, Timer)>)>,
+    pub calls: VecDeque<(u64, Option<(CounterKey, TimerKey)>)>,
     /// Calls for when it is up.
-    pub waits: Vec<(CounterCall, u64, Timer)>,
+    pub waits: Vec<(CounterCall, u64, TimerKey)>,
     /// A call on it went unanswered past its time, and nothing came since.
     pub silent: bool,
     /// The counter has moved: nothing new goes on it.
@@ -146,7 +153,7 @@
     pub used: f64,
 }
 
-impl CounterLink {
+impl CounterConnection {
     /// New calls may go on it.
     pub fn well(&self) -> bool {
         !self.silent && !self.old
@@ -158,10 +165,10 @@
 }
 
 /// A timer, by its time and number.
-pub type Timer = (u64, u64);
+pub type TimerKey = (u64, u64);
 
 /// A call of the counter, in its turn among those on the same name; its result if earlier ones are still out.
-pub struct Turn {
+pub struct PendingCall {
     pub no: u64,
     pub link: u64,
     pub result: Option<CounterResult>,
@@ -169,19 +176,19 @@
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug)]
-pub enum Due {
-    Dial(u64),
-    GiveUp(RequestIndex),
-    Stalled(RequestIndex),
-    Half(u64),
-    Counter(u64, u64),
-    Watch(u64),
-    Ask,
-    Sweep,
-    Operator(u64),
-    Leave,
-    Mute,
-    Roster,
-    Last,
+pub enum TimerKind {
+    ConnectTimeout(u64),
+    RequestTimeout(RequestIndex),
+    StreamStalled(RequestIndex),
+    PartialCommand(u64),
+    CounterTimeout(u64, u64),
+    WatchTimeout(u64),
+    RetryWatch,
+    IdleCheck,
+    AdminTimeout(u64),
+    BeginDrain,
+    StopReading,
+    PresenceCall,
+    AnswerBeforeExit,
     Exit,
 }
--- a/gateway/src/state/roster.rs
+++ b/gateway/src/state/presence.rs
@@ -1,6 +1,6 @@
 //! The roster on the counter: its calls go where all calls of the counter go, under names that no customer has.
 use super::event::Effect;
-use super::kept::Due;
+use super::kept::TimerKind;
 use super::reducer::Reducer;
 use quillramp::types::*;
 use quillramp_presence::{Count, Membership};
@@ -9,7 +9,7 @@
 /// Outside numbers of customers lie below it: groups of front doors are named from here on.
 const NAMES: u64 = 1 << 40;
 
-pub struct Roll {
+pub struct PresenceState {
     membership: Membership,
     every: f64,
     /// The customer's index that stands for a group.
@@ -19,7 +19,7 @@
     at: f64,
 }
 
-impl Roll {
+impl PresenceState {
     /// Whether this count is the roster's.
     pub fn calls(&self, name: CounterKey) -> bool {
         self.groups.contains_key(&name.customer)
@@ -40,14 +40,14 @@
 
 impl Reducer {
     /// Front doors look who of them reaches the counter once in so many seconds, or do no longer.
-    pub(super) fn presence(&mut self, now: f64, every: Option<f64>) {
+    pub(super) fn set_presence_interval(&mut self, now: f64, every: Option<f64>) {
         if self.presence.as_ref().map(|r| r.every) == every {
             return;
         }
         let says = every
             .map_or("no roster on the counter".into(), |e| format!("roster on the counter, every {e} s"));
         self.effects.push(Effect::Log(says));
-        self.presence = every.map(|every| Roll {
+        self.presence = every.map(|every| PresenceState {
             membership: Membership::new(self.instance.instances, self.instance.instance_index, every),
             every,
             groups: BTreeMap::new(),
@@ -55,13 +55,13 @@
             at: now,
         });
         if every.is_some() {
-            self.at(now, Due::Roster);
+            self.schedule(now, TimerKind::PresenceCall);
         }
     }
 
     /// Its calls that are due; its timer goes on as long as there is a roster.
-    pub(super) fn call_roll(&mut self, now: f64) {
-        let Some(Roll { membership, groups, missing, at, .. }) =
+    pub(super) fn call_presence_counters(&mut self, now: f64) {
+        let Some(PresenceState { membership, groups, missing, at, .. }) =
             self.presence.as_mut().filter(|r| now >= r.at)
         else {
             return;
@@ -83,8 +83,8 @@
         let next = membership.next_call(now);
         *at = next;
         for call in calls {
-            self.count(now, call);
+            self.call_counter(now, call);
         }
-        self.at(next, Due::Roster);
+        self.schedule(next, TimerKind::PresenceCall);
     }
 }
--- a/gateway/src/state/drain.rs
+++ b/gateway/src/state/shutdown.rs
@@ -19,39 +19,39 @@
 
 impl Reducer {
     /// What `PING` hears. Where another process takes over, the front door as a whole goes on.
-    pub(super) fn takes_clients(&self) -> bool {
+    pub(super) fn accepts_clients(&self) -> bool {
         !self.shared.drained && (!self.stopping || self.hands_over_listener)
     }
 
-    pub(super) fn stop(&mut self, now: f64) {
+    pub(super) fn begin_shutdown(&mut self, now: f64) {
         if std::mem::replace(&mut self.stopping, true) {
             return;
         }
         let kill = now + self.instance.max_client_timeout.min(KILL.0) + KILL.1;
         self.shutdown_deadline = kill - LAST;
-        self.at(self.shutdown_deadline, Due::Last);
-        self.at(kill - GONE, Due::Exit);
+        self.schedule(self.shutdown_deadline, TimerKind::AnswerBeforeExit);
+        self.schedule(kill - GONE, TimerKind::Exit);
         // With nobody to take over this is a stop like any other, and the next start is to come soon.
         self.hands_over_listener = self.config.inherited_listener && self.shared.peer_process_newer;
         if self.hands_over_listener {
             self.effects
                 .push(Effect::Log("told to stop: the next process accepts, this one serves out".into()));
-            self.leave(now);
-            return self.promise();
+            self.begin_drain(now);
+            return self.announce_descriptor_limit();
         }
         self.effects.push(Effect::Log("told to stop: serving on, then ending connections".into()));
         // One that was drained by hand serves on, too: for a while clients keep coming.
         self.draining = false;
-        self.leave_after_a_while(now);
+        self.schedule_drain(now);
     }
 
     /// An operator drains this front door, or ends that.
-    pub(super) fn drained(&mut self, now: f64) {
+    pub(super) fn drain_changed(&mut self, now: f64) {
         let drained = self.shared.drained;
         let says = if drained { "drained by hand: ending connections" } else { "the drain is over" };
         self.effects.push(Effect::Log(says.into()));
         if drained {
-            self.leave_after_a_while(now);
+            self.schedule_drain(now);
         } else if !self.stopping {
             self.draining = false;
             self.closing_clients.clear();
@@ -59,20 +59,20 @@
         }
     }
 
-    fn leave_after_a_while(&mut self, now: f64) {
+    fn schedule_drain(&mut self, now: f64) {
         if self.drain_timer.is_none() || self.stopping {
             self.drain_timer.take().map(|key| self.timers.remove(&key));
-            self.drain_timer = Some(self.at(now + LINGER, Due::Leave));
+            self.drain_timer = Some(self.schedule(now + LINGER, TimerKind::BeginDrain));
         }
     }
 
     /// Connections between invocations end; the others once they have their answers.
-    pub(super) fn leave(&mut self, now: f64) {
+    pub(super) fn begin_drain(&mut self, now: f64) {
         self.draining = true;
         if self.stopping {
             self.effects.push(Effect::StopAccepting);
         }
-        self.drain_timer = Some(self.at(now + PATIENCE - LINGER, Due::Mute));
+        self.drain_timer = Some(self.schedule(now + PATIENCE - LINGER, TimerKind::StopReading));
         self.closing_clients
             .extend(self.clients.iter().filter(|(_, c)| c.owed.is_empty() && c.said).map(|(id, _)| *id));
         if !self.hands_over_listener {
@@ -80,8 +80,8 @@
             self.closing_clients.extend(silent.map(|(id, _)| *id));
         } else {
             // The next process needs the descriptors, and its own connections to backends.
-            for tgt in 0..self.backends.len() {
-                self.close_idle(tgt);
+            for backend in 0..self.backends.len() {
+                self.close_idle_connections_to(backend);
             }
         }
         self.exit_when_done();
@@ -89,19 +89,19 @@
 
     /// The kill is near: nobody waits for longer. What is out has timed out, what waits is asked about once more, and what
     /// comes now is answered at once. A value on its way through goes on to the exit.
-    pub(super) fn last(&mut self, now: f64) {
+    pub(super) fn answer_before_exit(&mut self, now: f64) {
         for inv in self.requests.keys().collect::<Vec<RequestIndex>>() {
             let open = self.requests[inv].as_mut().filter(|h| !h.closed && h.begun.is_none());
             let Some(held) = open else { continue };
             held.ask.deadline = held.ask.deadline.min(self.shutdown_deadline);
-            self.place(now, inv);
-            self.time_up(inv);
-            self.conclude(now);
+            self.route_request(now, inv);
+            self.time_out_attempts(inv);
+            self.report_ended_attempts(now);
         }
     }
 
     /// Clients that ask on and on.
-    pub(super) fn mute(&mut self) {
+    pub(super) fn stop_reading_busy_clients(&mut self) {
         if self.draining {
             let busy = self.clients.iter_mut().filter(|(_, c)| !c.owed.is_empty() && !c.muted);
             let mut busy: Vec<u64> = busy.map(|(id, c)| (c.muted = true, *id).1).collect();
@@ -112,27 +112,27 @@
 
     /// Connections that may end now: between two commands, and with nothing on them that nobody has read. Asked for
     /// after all answers of a batch.
-    pub(super) fn part(&mut self) {
+    pub(super) fn close_drained_clients(&mut self) {
         for id in std::mem::take(&mut self.closing_clients) {
             let Some(client) = self.clients.get(&id).filter(|c| c.owed.is_empty()) else { continue };
             if client.muted {
-                self.no_client(id);
-                self.close(ConnectionId::Client(id), self.why());
+                self.remove_client(id);
+                self.close(ConnectionId::Client(id), self.drain_reason());
                 self.exit_when_done();
             } else if client.half.is_none() {
-                self.effects.push(Effect::CloseIfIdle(id, self.why()));
+                self.effects.push(Effect::CloseIfIdle(id, self.drain_reason()));
             }
         }
     }
 
-    pub(super) fn parted(&mut self, id: u64, why: CloseReason) {
-        if self.no_client(id).is_some() {
-            self.log_end(ConnectionId::Client(id), why);
+    pub(super) fn idle_client_closed(&mut self, id: u64, why: CloseReason) {
+        if self.remove_client(id).is_some() {
+            self.log_closed(ConnectionId::Client(id), why);
             self.exit_when_done();
         }
     }
 
-    fn why(&self) -> CloseReason {
+    fn drain_reason(&self) -> CloseReason {
         if self.stopping {
             CloseReason::Stopping
         } else {
--- a/load/src/scale/hollow.rs
+++ b/load/src/scale/hollow.rs
@@ -115,7 +115,7 @@
             new.inbox.push(Event::ClientAccepted(client, IpAddr::V4(Ipv4Addr::LOCALHOST)));
         }
         if let Some(declares) = declares {
-            new.reducer.declares(now, declares);
+            new.reducer.apply_operator_update(now, declares);
         }
         Ok(new)
     }
