--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -1,90 +1,90 @@
-//! What operators ask for: the figures, backends out by hand, the drain.
-use super::event::{AdminChange, CloseReason, ConnectionId, Effect, SharedState};
-use super::kept::*;
+//! Operators' calls, and the state that the processes of one instance share.
+use super::event::{AdminChange, CloseReason, ConnectionId, Effect, OperatorUpdate, SharedState};
 use super::reducer::Reducer;
+use super::timers::{TimerKey, TimerKind};
 use crate::wire::admin::{AdminCall, AdminResponse};
 use quillramp::types::*;
-use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
-/// Operators' connections at once: with one more, the oldest ends. They have descriptors of their own.
-pub const MOST: usize = 16;
-/// How long an operator may take for a call, and to take its answer.
-const CALL: f64 = 5.0;
-const TAKEN: f64 = 1.0;
+/// Operators' connections at once: with one more, the oldest is closed. They have descriptors of their own.
+pub const MAX_ADMIN_CONNECTIONS: usize = 16;
+/// How long an operator may take for a call, in seconds.
+const CALL_TIMEOUT: f64 = 5.0;
+/// How long an operator may take to read the response, in seconds.
+const RESPONSE_TIMEOUT: f64 = 1.0;
 /// Backends that left the list are known by name to operators, so many at least.
-const NAMES: usize = 16 * 1024;
+const MAX_KNOWN_BACKENDS: usize = 16 * 1024;
 
-/// What is counted from the start of the process, each where it happens.
+/// The names of all backends that were ever listed; with too many of them, the oldest are forgotten.
 #[derive(Default)]
-pub struct Stats {
-    pub completed: Vec<u64>,
-    pub rejected: Vec<u64>,
-    pub failed: Vec<u64>,
-    pub written: u64,
-    pub reloads: u64,
-    pub reload_errors: u64,
-}
-
-/// The figures as operators read them.
-#[derive(Serialize)]
-struct Figures<'a> {
-    completed: BTreeMap<&'a str, u64>,
-    rejected: BTreeMap<&'a str, u64>,
-    failed: BTreeMap<&'a str, u64>,
-    upstream_requests: u64,
-    pending: usize,
-    members: usize,
-    members_unavailable: usize,
-    config_reloads: u64,
-    config_reload_errors: u64,
-}
-
-/// The names of all that were ever listed, as far as there is room; those listed again are the youngest.
-#[derive(Default)]
-pub struct KnownBackends {
-    known: HashSet<String>,
+pub(super) struct KnownBackends {
+    names: HashSet<String>,
     by_age: VecDeque<String>,
 }
 
 impl KnownBackends {
     pub fn add(&mut self, name: &str) {
-        if self.known.insert(name.to_owned()) {
-            self.by_age.push_back(name.to_owned());
-            if self.by_age.len() > NAMES {
-                self.by_age.pop_front().map(|old| self.known.remove(&old));
+        if !self.names.insert(name.to_owned()) {
+            return;
+        }
+        self.by_age.push_back(name.to_owned());
+        if self.by_age.len() > MAX_KNOWN_BACKENDS {
+            if let Some(oldest) = self.by_age.pop_front() {
+                self.names.remove(&oldest);
             }
         }
     }
+
+    fn contains(&self, name: &str) -> bool {
+        self.names.contains(name)
+    }
+}
+
+/// Operators' connections, and what operators have changed.
+#[derive(Default)]
+pub(super) struct AdminState {
+    /// With the timeout of each.
+    connections: BTreeMap<u64, TimerKey>,
+    pub shared: SharedState,
+    pub known_backends: KnownBackends,
 }
 
 impl Reducer {
+    /// An operator connected.
     pub(super) fn admin_connected(&mut self, now: f64, id: u64) {
-        if self.admin_connections.len() >= MOST {
-            let oldest = *self.admin_connections.keys().next().expect("there are some");
+        if self.admin.connections.len() >= MAX_ADMIN_CONNECTIONS {
+            let oldest = *self.admin.connections.keys().next().expect("there are some");
             self.close_admin_connection(oldest);
         }
-        let ends = self.schedule(now + CALL, TimerKind::AdminTimeout(id));
-        self.admin_connections.insert(id, ends);
+        let timeout = self.timers.schedule(now + CALL_TIMEOUT, TimerKind::AdminTimeout(id));
+        self.admin.connections.insert(id, timeout);
     }
 
+    /// Closes an operator's connection.
     pub(super) fn close_admin_connection(&mut self, id: u64) {
-        if let Some(ends) = self.admin_connections.remove(&id) {
-            self.timers.remove(&ends);
+        if let Some(timeout) = self.admin.connections.remove(&id) {
+            self.timers.cancel(timeout);
             self.close(ConnectionId::Admin(id), CloseReason::AdminCallEnded);
         }
     }
 
+    /// An operator closed a connection.
+    pub(super) fn admin_connection_ended(&mut self, id: u64) {
+        if let Some(timeout) = self.admin.connections.remove(&id) {
+            self.timers.cancel(timeout);
+        }
+    }
+
+    /// An operator's call.
     pub(super) fn admin_call(&mut self, now: f64, id: u64, call: AdminCall) {
-        if !self.admin_connections.contains_key(&id) {
+        if !self.admin.connections.contains_key(&id) {
             return;
         }
         match call {
-            AdminCall::Health => {
-                let takes = !self.shared.drained && !self.stopping;
-                let (status, says) = if takes { (200, "serving\n") } else { (503, "draining\n") };
-                self.respond_to_admin(now, id, status, says.into());
+            AdminCall::Health if self.admin.shared.drained || self.shutdown.is_stopping => {
+                self.respond_to_admin(now, id, 503, "draining\n".into());
             }
+            AdminCall::Health => self.respond_to_admin(now, id, 200, "serving\n".into()),
             AdminCall::Stats => {
                 let figures = self.figures() + "\n";
                 self.respond_to_admin(now, id, 200, figures);
@@ -95,15 +95,15 @@
             }
             AdminCall::Invalid(status) => self.respond_to_admin(now, id, status, "no such call\n".into()),
             AdminCall::EjectBackend(name) | AdminCall::RestoreBackend(name)
-                if !self.known_backends.known.contains(&name) =>
+                if !self.admin.known_backends.contains(&name) =>
             {
                 self.respond_to_admin(now, id, 404, format!("backend {name} was never listed\n"));
             }
             AdminCall::EjectBackend(name) => {
-                self.apply_admin_change(now, id, AdminChange::EjectBackend(name, now))
+                self.apply_admin_change(now, id, AdminChange::EjectBackend(name, now));
             }
             AdminCall::RestoreBackend(name) => {
-                self.apply_admin_change(now, id, AdminChange::RestoreBackend(name))
+                self.apply_admin_change(now, id, AdminChange::RestoreBackend(name));
             }
             AdminCall::Drain => self.apply_admin_change(now, id, AdminChange::SetDrained(true)),
             AdminCall::Undrain => self.apply_admin_change(now, id, AdminChange::SetDrained(false)),
@@ -111,17 +111,15 @@
     }
 
     fn respond_to_admin(&mut self, now: f64, id: u64, status: u16, body: String) {
-        if let Some(ends) = self.admin_connections.get(&id).copied() {
-            self.timers.remove(&ends);
-            let ends = self.schedule(now + TAKEN, TimerKind::AdminTimeout(id));
-            self.admin_connections.insert(id, ends);
-            self.effects.push(Effect::AdminRespond(id, AdminResponse { status, body }));
-        }
+        let Some(timeout) = self.admin.connections.get_mut(&id) else { return };
+        self.timers.cancel(*timeout);
+        *timeout = self.timers.schedule(now + RESPONSE_TIMEOUT, TimerKind::AdminTimeout(id));
+        self.effects.push(Effect::AdminRespond(id, AdminResponse { status, body }));
     }
 
-    /// In force at once; answered when it is kept, too.
+    /// Takes effect at once; the response is sent when the change is saved, too.
     fn apply_admin_change(&mut self, now: f64, id: u64, change: AdminChange) {
-        let mut shared = self.shared.clone();
+        let mut shared = self.admin.shared.clone();
         change.clone().apply(&mut shared.ejected_backends, &mut shared.drained);
         self.update_shared_state(now, shared);
         if self.config.saves_changes {
@@ -130,90 +128,92 @@
         self.respond_to_admin(now, id, 200, "done\n".into());
     }
 
+    /// The shared state was saved, or could not be, for a call from here or by another process.
     pub(super) fn shared_state_saved(
         &mut self,
         now: f64,
         call: Option<u64>,
         shared: Result<SharedState, String>,
     ) {
-        let (status, says) = match shared {
+        let (status, body) = match shared {
             Ok(shared) => {
                 self.update_shared_state(now, shared);
                 (200, "done\n".into())
             }
-            Err(why) => {
-                self.effects.push(Effect::Log(format!("in force, but not kept for the next version: {why}")));
-                (500, format!("in force, but not kept: {why}\n"))
+            Err(error) => {
+                let line = format!("in force, but not kept for the next version: {error}");
+                self.effects.push(Effect::Log(line));
+                (500, format!("in force, but not kept: {error}\n"))
             }
         };
         if let Some(id) = call {
-            self.respond_to_admin(now, id, status, says);
+            self.respond_to_admin(now, id, status, body);
         }
     }
 
-    /// Takes up what is shared, as far as it differs from what was.
+    /// Takes over the shared state, as far as it differs from the last one.
     pub fn update_shared_state(&mut self, now: f64, shared: SharedState) {
-        let old = std::mem::replace(&mut self.shared, shared);
-        let names: BTreeSet<&String> =
-            old.ejected_backends.keys().chain(self.shared.ejected_backends.keys()).collect();
-        let turned = names.into_iter().filter(|n| {
-            old.ejected_backends.contains_key(*n) != self.shared.ejected_backends.contains_key(*n)
-        });
-        for name in turned.cloned().collect::<Vec<_>>() {
-            self.known_backends.add(&name); // by this process or the one before
-            let out = self.shared.ejected_backends.get(&name).copied();
-            let says = if out.is_some() { "left out by hand" } else { "back by hand" };
-            self.effects.push(Effect::Log(format!("backend {name} {says}")));
-            if let Some(backend) = self.backend_names.get(&name) {
-                self.set_manual_ejection(now, backend, out);
-            }
-        }
-        if old.drained != self.shared.drained {
+        let old = std::mem::replace(&mut self.admin.shared, shared);
+        self.update_ejected_backends(now, &old.ejected_backends);
+        if old.drained != self.admin.shared.drained {
             self.drain_changed(now);
         }
-        if old.peer_process_running != self.shared.peer_process_running {
+        if old.peer_process_running != self.admin.shared.peer_process_running {
             self.peer_process_changed(now);
-        } else if old.peer_descriptor_limit != self.shared.peer_descriptor_limit {
-            while self.is_short_of_descriptors() && self.free_descriptor(now) {}
+        } else if old.peer_descriptor_limit != self.admin.shared.peer_descriptor_limit {
+            self.free_descriptors(now);
         }
     }
 
-    /// An operator's word on a backend, beside what the list says of it.
-    pub(super) fn set_manual_ejection(&mut self, now: f64, backend: BackendIndex, out: Option<f64>) {
-        self.backends[backend].out = out.is_some();
-        self.engine.set_manual_ejection(now, backend, out);
-        if out.is_some() {
+    fn update_ejected_backends(&mut self, now: f64, old: &BTreeMap<String, f64>) {
+        let new = &self.admin.shared.ejected_backends;
+        let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
+        let is_changed = |name: &&String| old.contains_key(*name) != new.contains_key(*name);
+        let changed: Vec<String> = names.into_iter().filter(is_changed).cloned().collect();
+        for name in changed {
+            self.admin.known_backends.add(&name); // it was listed for this process or the one before
+            let ejected_since = self.admin.shared.ejected_backends.get(&name).copied();
+            let action = if ejected_since.is_some() { "left out by hand" } else { "back by hand" };
+            self.effects.push(Effect::Log(format!("backend {name} {action}")));
+            if let Some(backend) = self.backends.names.get(&name) {
+                self.set_manual_ejection(now, backend, ejected_since);
+            }
+        }
+    }
+
+    /// Ejects a backend for an operator, or restores it. `since`: when it was ejected, in seconds.
+    pub(super) fn set_manual_ejection(&mut self, now: f64, backend: BackendIndex, since: Option<f64>) {
+        self.backends.entries[backend].is_manually_ejected = since.is_some();
+        self.engine.set_manual_ejection(now, backend, since);
+        if since.is_some() {
             self.close_idle_connections_to(backend);
             self.withdraw_from_unavailable();
         }
     }
 
-    /// Another process of this front door came, or has gone: descriptors and own shares are for both.
+    /// Another process of this instance has started, or has ended: descriptors and the instance's fractions of quotas are
+    /// for both.
     fn peer_process_changed(&mut self, now: f64) {
-        let two = self.shared.peer_process_running;
-        let says = if two { "another process of this front door is there" } else { "the only process again" };
-        self.effects.push(Effect::Log(says.into()));
-        self.engine.set_peer_process(two);
-        while two && self.is_short_of_descriptors() && self.free_descriptor(now) {}
+        let is_running = self.admin.shared.peer_process_running;
+        let line =
+            if is_running { "another process of this front door is there" } else { "the only process again" };
+        self.effects.push(Effect::Log(line.into()));
+        self.engine.set_peer_process(is_running);
+        if is_running {
+            self.free_descriptors(now);
+        }
     }
 
-    pub fn figures(&self) -> String {
-        let by_class = |counts: &[u64]| {
-            let named = self.instance.operations.iter().zip(counts);
-            named.map(|(o, n)| (o.name.as_str(), *n)).collect()
-        };
-        let Stats { completed, rejected, failed, written, reloads, reload_errors } = &self.stats;
-        let figures = Figures {
-            completed: by_class(completed),
-            rejected: by_class(rejected),
-            failed: by_class(failed),
-            upstream_requests: *written,
-            pending: self.requests.iter().filter(|h| !h.closed).count(),
-            members: self.backends.iter().filter(|p| p.standing != EndpointStatus::Removed).count(),
-            members_unavailable: self.engine.unavailable_backends(),
-            config_reloads: *reloads,
-            config_reload_errors: *reload_errors,
-        };
-        serde_json::to_string(&figures).expect("plain figures")
+    /// Takes over what an operator's file declares. Requests that were accepted keep what was declared then.
+    pub fn apply_operator_update(&mut self, now: f64, update: OperatorUpdate) {
+        let OperatorUpdate { admission, routes, presence_interval, broker, identity } = update;
+        self.set_trust(identity);
+        self.set_contracts(now, broker);
+        self.set_presence_interval(now, presence_interval);
+        if routes != self.routes {
+            self.effects.push(Effect::Log(format!("limits declared: {routes}")));
+            self.routes = routes;
+        }
+        self.set_admission_limits(now, admission);
     }
 }
--- /dev/null
+++ b/gateway/src/state/attempts.rs
@@ -0,0 +1,201 @@
+//! Attempts: sent to backends, cancelled, withdrawn.
+use super::backend_table::BackendConnection;
+use super::event::{CloseReason, ConnectionId, Effect};
+use super::reducer::Reducer;
+use super::requests::{Attempt, AttemptId, EndedAttempt, ResponseMetadata};
+use super::timers::TimerKind;
+use crate::wire::resp::find_number;
+use quillramp::settings;
+use quillramp::types::*;
+use std::net::SocketAddr;
+
+impl Reducer {
+    /// Starts an attempt: on an idle connection, on a new one, or behind others if descriptors are short.
+    pub(super) fn forward(&mut self, now: f64, request: RequestIndex, backend: BackendIndex) {
+        let idle = self.backends.entries[backend].idle_connections.pop();
+        let pending = self.requests.get_mut(request).expect("the policy engine was asked about it");
+        let id = AttemptId { request, attempt: pending.attempts.len() };
+        pending.attempts.push(Attempt { backend, sent_at: now, connection: idle, time_to_first_byte: None });
+        if pending.timeout.is_none() {
+            // Attempts in flight at the client's deadline have timed out, and the policy engine hears of it.
+            let deadline = pending.attributes.deadline;
+            pending.timeout = Some(self.timers.schedule(deadline, TimerKind::RequestTimeout(request)));
+        }
+        if let Some(connection_id) = idle {
+            let connection = self.backends.connections.get_mut(&connection_id).expect("idle ones are kept");
+            let number = connection.enqueue(id);
+            return self.send_attempt(now, connection_id, number, request);
+        }
+        self.ensure_free_descriptor(now);
+        if self.is_short_of_descriptors() {
+            return self.share_connection(now, id, backend);
+        }
+        match self.backends.entries[backend].address {
+            Some(address) => self.open_connection_for(now, id, backend, address),
+            None => self.attempt_not_connected(id),
+        }
+    }
+
+    fn open_connection_for(&mut self, now: f64, id: AttemptId, backend: BackendIndex, address: SocketAddr) {
+        let connection_id = self.next_connection_id();
+        self.set_connection(id, connection_id);
+        let mut connection = BackendConnection::new(backend, now);
+        connection.enqueue(id);
+        self.backends.connections.insert(connection_id, connection);
+        self.effects.push(Effect::Connect(ConnectionId::Backend(connection_id), address));
+        let timeout = now + self.instance.connect_timeout;
+        self.timers.schedule(timeout, TimerKind::ConnectTimeout(connection_id));
+    }
+
+    /// Descriptors are short: sends an attempt behind others, on the connection with the fewest.
+    fn share_connection(&mut self, now: f64, id: AttemptId, backend: BackendIndex) {
+        let max_attempts = self.instance.max_streams_per_connection;
+        let usable = self.backends.connections.iter_mut().filter(|(_, connection)| {
+            let is_usable = connection.is_up && !connection.is_ending;
+            connection.backend == backend && is_usable && connection.queue.len() < max_attempts
+        });
+        let least_loaded = usable.min_by_key(|(id, connection)| (connection.queue.len(), **id));
+        let Some((&connection_id, connection)) = least_loaded else {
+            return self.attempt_not_connected(id);
+        };
+        let number = connection.enqueue(id);
+        self.set_connection(id, connection_id);
+        self.send_attempt(now, connection_id, number, id.request);
+    }
+
+    fn set_connection(&mut self, id: AttemptId, connection: u64) {
+        let pending = self.requests.get_mut(id.request).expect("its attempt has just begun");
+        pending.attempts[id.attempt].connection = Some(connection);
+    }
+
+    /// No connection can be had for an attempt that has just begun.
+    fn attempt_not_connected(&mut self, id: AttemptId) {
+        let (result, metadata) = (AttemptResult::NotConnected, ResponseMetadata::default());
+        self.requests.ended_attempts.push(EndedAttempt { id, result, metadata });
+    }
+
+    /// Writes the attempt with this number to its connection.
+    pub(super) fn send_attempt(&mut self, now: f64, connection: u64, number: u64, request: RequestIndex) {
+        let pending = self.requests.get(request).expect("an attempt of it is in flight");
+        let timeout_ms = ((pending.attributes.deadline - now) * 1e3).max(1.0) as u64;
+        let call = pending.command.clone();
+        self.effects.push(Effect::SendAttempt { connection, delivery: number, call, timeout_ms });
+    }
+
+    /// The response to an attempt is complete. `load_report`: as the backend sent it.
+    pub(super) fn attempt_succeeded(
+        &mut self,
+        id: AttemptId,
+        billed_units: Option<f64>,
+        load_report: Option<Vec<u8>>,
+    ) {
+        // Nothing is read where the settings name no values.
+        let load_report = load_report.and_then(|report| {
+            settings::load_report(&self.instance.load_report_fields, |_, name| find_number(&report, name))
+        });
+        self.end_attempt(id, AttemptResult::Succeeded, ResponseMetadata { billed_units, load_report });
+    }
+
+    /// An attempt ended without a response that could be used.
+    pub(super) fn attempt_failed(&mut self, id: AttemptId, result: AttemptResult) {
+        self.end_attempt(id, result, ResponseMetadata::default());
+    }
+
+    /// Ends an attempt; the policy engine is notified later. Nothing happens if it has ended already.
+    fn end_attempt(&mut self, id: AttemptId, result: AttemptResult, metadata: ResponseMetadata) {
+        let Some(pending) = self.requests.get_mut(id.request) else { return };
+        if pending.attempts[id.attempt].connection.take().is_some() {
+            self.requests.ended_attempts.push(EndedAttempt { id, result, metadata });
+        }
+    }
+
+    /// All attempts of the request that are still in flight have timed out.
+    pub(super) fn time_out_attempts(&mut self, request: RequestIndex) {
+        let attempts = self.requests.get(request).map_or(0, |pending| pending.attempts.len());
+        for attempt in 0..attempts {
+            self.cancel_attempt(AttemptId { request, attempt }, AttemptResult::TimedOut);
+        }
+    }
+
+    /// Ends an attempt that nobody waits for any more. Its connection is closed, unless others are on it: then its
+    /// request is withdrawn from the buffer if no byte of it has been written, else its response is dropped in its turn.
+    pub(super) fn cancel_attempt(&mut self, id: AttemptId, result: AttemptResult) {
+        let Some(connection_id) = self.requests.connection_of(id) else { return };
+        self.attempt_failed(id, result);
+        let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
+        let queued = connection.queue.iter_mut().find(|queued| queued.id == Some(id));
+        let number = queued.map(|queued| {
+            queued.id = None;
+            queued.number
+        });
+        if connection.is_abandoned() {
+            return self.close_backend_connection(connection_id, CloseReason::Abandoned);
+        }
+        if let Some(delivery) = number.filter(|_| connection.is_up) {
+            self.effects.push(Effect::Withdraw { connection: connection_id, delivery });
+        }
+    }
+
+    /// Cancels an attempt as the policy engine wants it. One on a shared connection is only withdrawn: the connection
+    /// stays open for the others, and an attempt elsewhere might be the second one that runs.
+    pub(super) fn cancel_or_withdraw(&mut self, id: AttemptId) {
+        if self.shares_connection(id) {
+            self.withdraw_attempt(id);
+        } else {
+            self.cancel_attempt(id, AttemptResult::Cancelled);
+        }
+    }
+
+    /// Whether other requests' attempts are on the connection of this one.
+    fn shares_connection(&self, id: AttemptId) -> bool {
+        if self.requests.get_open(id.request).is_none() {
+            return false;
+        }
+        let connection_id = self.requests.connection_of(id);
+        let connection = connection_id.and_then(|id| self.backends.connections.get(&id));
+        let is_other = |queued: Option<AttemptId>| queued.is_some_and(|queued| queued != id);
+        connection.is_some_and(|connection| connection.queue.iter().any(|queued| is_other(queued.id)))
+    }
+
+    /// Takes an attempt out of the buffer of its connection if no byte of it has been written; an event tells whether
+    /// that was so.
+    pub(super) fn withdraw_attempt(&mut self, id: AttemptId) {
+        let Some(connection_id) = self.requests.connection_of(id) else { return };
+        let Some(connection) = self.backends.connections.get(&connection_id) else { return };
+        let queued = connection.queue.iter().find(|queued| queued.id == Some(id));
+        if let Some(queued) = queued.filter(|_| connection.is_up) {
+            self.effects.push(Effect::Withdraw { connection: connection_id, delivery: queued.number });
+        }
+    }
+
+    /// Takes all attempts out of buffers that wait there for backends which accept nothing new any more.
+    pub(super) fn withdraw_from_unavailable(&mut self) {
+        let mut withdrawn: Vec<(u64, u64)> = vec![];
+        for (id, connection) in &self.backends.connections {
+            if connection.is_up && !self.backends.entries[connection.backend].accepts_requests() {
+                withdrawn.extend(connection.queue.iter().map(|queued| (*id, queued.number)));
+            }
+        }
+        withdrawn.sort_unstable();
+        let effects =
+            withdrawn.into_iter().map(|(connection, delivery)| Effect::Withdraw { connection, delivery });
+        self.effects.extend(effects);
+    }
+
+    /// An attempt was taken out of the buffer of its connection: it has not run, and may be sent elsewhere.
+    pub(super) fn attempt_withdrawn(&mut self, now: f64, connection_id: u64, number: u64) {
+        let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
+        let Some(position) = connection.queue.iter().position(|queued| queued.number == number) else {
+            return;
+        };
+        let queued = connection.queue.remove(position).expect("just found");
+        let is_abandoned = connection.is_abandoned();
+        if let Some(id) = queued.id {
+            self.attempt_failed(id, AttemptResult::NotSent);
+        }
+        if is_abandoned {
+            return self.close_backend_connection(connection_id, CloseReason::Abandoned);
+        }
+        self.park_if_idle(now, connection_id);
+    }
+}
--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -1,292 +1,172 @@
-//! Deliveries to backends, and the connections that carry them.
+//! Connections to backends: up, idle, answered on, ended.
+use super::backend_table::QueuedAttempt;
 use super::event::{CloseReason, ConnectionId, Effect};
-use super::kept::*;
 use super::reducer::Reducer;
-use crate::wire::resp::{find_number, BackendReply, ClientReply};
-use quillramp::settings;
+use crate::wire::resp::{BackendReply, ClientReply};
 use quillramp::types::*;
 use std::collections::HashSet;
 
 impl Reducer {
-    pub(super) fn forward(&mut self, now: f64, inv: RequestIndex, backend: BackendIndex) {
-        let held = self.requests[inv].as_mut().expect("asked about a held invocation");
-        let delivery = held.deliveries.len();
-        let id = self.backends[backend].idle.pop();
-        held.deliveries.push(Attempt { backend, at: now, link: id, took: None });
-        if held.ends.is_none() {
-            // Whoever is still out when the client's time is up timed out, and the decisions hear of it.
-            let until = held.ask.deadline;
-            let ends = self.schedule(until, TimerKind::RequestTimeout(inv));
-            self.requests[inv].as_mut().expect("held").ends = Some(ends);
-        }
-        if let Some(id) = id {
-            let number =
-                self.backend_connections.get_mut(&id).expect("idle ones are kept").carry(inv, delivery);
-            return self.send_attempt(now, (id, number), inv);
-        }
-        self.ensure_free_descriptor(now);
-        if self.is_short_of_descriptors() {
-            return self.share_connection(now, inv, delivery, backend);
-        }
-        let Some(address) = self.backends[backend].address else {
-            return self.ended_attempts.push((
-                inv,
-                delivery,
-                AttemptResult::NotConnected,
-                ResponseMetadata::default(),
-            ));
-        };
-        let id = self.next_connection_id();
-        self.requests[inv].as_mut().expect("held").deliveries[delivery].link = Some(id);
-        let mut link = BackendConnection::new(backend, now);
-        link.carry(inv, delivery);
-        self.backend_connections.insert(id, link);
-        self.effects.push(Effect::Connect(ConnectionId::Backend(id), address));
-        self.schedule(now + self.instance.connect_timeout, TimerKind::ConnectTimeout(id));
-    }
-
-    /// Descriptors run short: behind another delivery on a connection that is up.
-    pub(super) fn share_connection(
-        &mut self,
-        now: f64,
-        inv: RequestIndex,
-        delivery: usize,
-        backend: BackendIndex,
-    ) {
-        let most = self.instance.max_streams_per_connection;
-        let up = self
-            .backend_connections
-            .iter_mut()
-            .filter(|(_, l)| l.backend == backend && l.up && !l.ending && l.carries.len() < most);
-        let Some((&id, link)) = up.min_by_key(|(id, l)| (l.carries.len(), **id)) else {
-            return self.ended_attempts.push((
-                inv,
-                delivery,
-                AttemptResult::NotConnected,
-                ResponseMetadata::default(),
-            ));
-        };
-        let number = link.carry(inv, delivery);
-        self.requests[inv].as_mut().expect("held").deliveries[delivery].link = Some(id);
-        self.send_attempt(now, (id, number), inv);
-    }
-
-    /// Writes this numbered delivery of the invocation to its connection.
-    fn send_attempt(&mut self, now: f64, (connection, delivery): (u64, u64), inv: RequestIndex) {
-        let held = self.requests[inv].as_ref().expect("held");
-        let wait_ms = ((held.ask.deadline - now) * 1e3).max(1.0) as u64;
-        self.effects.push(Effect::SendAttempt {
-            connection,
-            delivery,
-            call: held.call.clone(),
-            timeout_ms: wait_ms,
-        });
-    }
-
-    pub(super) fn backend_connected(&mut self, now: f64, id: u64) {
-        let Some(link) = self.backend_connections.get_mut(&id) else { return };
-        link.up = true;
-        let backend = link.backend;
-        let Some(&QueuedAttempt { number, delivery: Some((inv, delivery)) }) = link.carries.front() else {
-            return self.park_if_idle(now, id);
+    /// A connection is up: the attempt that it was opened for is sent, if that may still begin.
+    pub(super) fn backend_connected(&mut self, now: f64, connection_id: u64) {
+        let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
+        connection.is_up = true;
+        let backend = connection.backend;
+        let Some(&QueuedAttempt { number, id: Some(id) }) = connection.queue.front() else {
+            return self.park_if_idle(now, connection_id);
         };
-        // It came up late: the invocation may be over by now, or its backend drain.
-        let open = self.requests[inv].as_ref().is_some_and(|h| !h.closed && now < h.ask.deadline);
-        if open && self.backends[backend].takes() {
-            return self.send_attempt(now, (id, number), inv);
+        // It came up late: the request may be over by now, or the backend may be draining.
+        let pending = self.requests.get_open(id.request);
+        let is_in_time = pending.is_some_and(|pending| now < pending.attributes.deadline);
+        if is_in_time && self.backends.entries[backend].accepts_requests() {
+            return self.send_attempt(now, connection_id, number, id.request);
         }
-        link.carries.clear();
-        self.end_attempt(inv, delivery, AttemptResult::NotSent, ResponseMetadata::default());
-        self.park_if_idle(now, id);
+        connection.queue.clear();
+        self.attempt_failed(id, AttemptResult::NotSent);
+        self.park_if_idle(now, connection_id);
     }
 
-    /// A link with nothing on it waits for the next delivery, or closes where none may come.
-    pub(super) fn park_if_idle(&mut self, now: f64, id: u64) {
-        let Some(link) = self.backend_connections.get_mut(&id).filter(|l| l.carries.is_empty()) else {
+    /// A connection without attempts is kept for the next one, or closed where none may come.
+    pub(super) fn park_if_idle(&mut self, now: f64, connection_id: u64) {
+        let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
+        if !connection.queue.is_empty() {
             return;
-        };
-        let backend = link.backend;
-        link.since = now;
-        if link.ending {
+        }
+        connection.idle_since = now;
+        if connection.is_ending {
             return;
         }
-        if self.backends[backend].takes() {
-            self.backends[backend].idle.push(id);
+        let entry = &mut self.backends.entries[connection.backend];
+        if entry.accepts_requests() {
+            entry.idle_connections.push(connection_id);
         } else {
-            self.close_backend_connection(id, CloseReason::Delisted);
+            self.close_backend_connection(connection_id, CloseReason::Delisted);
         }
     }
 
-    /// What came on a link that waits for nothing would be taken for the answer of its next delivery.
-    pub(super) fn unexpected_backend_data(&mut self, id: u64) {
-        let Some(link) = self.backend_connections.get(&id).filter(|l| l.carries.is_empty()) else { return };
-        self.backends[link.backend].idle.retain(|i| *i != id);
-        self.close_backend_connection(id, CloseReason::UnexpectedData);
+    /// What comes on a connection without attempts would be taken for the response to its next one.
+    pub(super) fn unexpected_backend_data(&mut self, connection_id: u64) {
+        let Some(connection) = self.backends.connections.get(&connection_id) else { return };
+        if !connection.queue.is_empty() {
+            return;
+        }
+        self.backends.entries[connection.backend].remove_idle(connection_id);
+        self.close_backend_connection(connection_id, CloseReason::UnexpectedData);
     }
 
-    pub(super) fn backend_replied(&mut self, now: f64, id: u64, reply: BackendReply, more: bool) {
-        let Some(link) = self.backend_connections.get_mut(&id) else { return };
-        let Some(front) = link.carries.pop_front() else { return self.unexpected_backend_data(id) };
-        if let Some((inv, delivery)) = front.delivery {
+    /// A reply to the first attempt on a connection. `more`: something has come behind it.
+    pub(super) fn backend_replied(&mut self, now: f64, connection_id: u64, reply: BackendReply, more: bool) {
+        let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
+        let Some(front) = connection.queue.pop_front() else {
+            return self.unexpected_backend_data(connection_id);
+        };
+        if let Some(id) = front.id {
             match reply {
                 BackendReply::Value { value, billed, report } => {
-                    self.answer_request(now, inv, ClientReply::Value(value));
-                    self.attempt_succeeded(inv, delivery, billed, report);
-                }
-                BackendReply::Rejected => {
-                    self.end_attempt(inv, delivery, AttemptResult::Rejected, ResponseMetadata::default())
-                }
-                BackendReply::Failed => {
-                    self.end_attempt(inv, delivery, AttemptResult::Errored, ResponseMetadata::default())
+                    self.answer_request(now, id.request, ClientReply::Value(value));
+                    self.attempt_succeeded(id, billed, report);
                 }
+                BackendReply::Rejected => self.attempt_failed(id, AttemptResult::Rejected),
+                BackendReply::Failed => self.attempt_failed(id, AttemptResult::Errored),
             }
         }
+        self.response_complete(now, connection_id, more);
+    }
+
+    /// The first attempt on a connection has been taken off it.
+    pub(super) fn response_complete(&mut self, now: f64, connection_id: u64, more: bool) {
         if more {
-            self.unexpected_backend_data(id);
+            self.unexpected_backend_data(connection_id);
         }
-        self.park_if_idle(now, id);
+        self.park_if_idle(now, connection_id);
     }
 
-    /// With what stood beside its value.
-    pub(super) fn attempt_succeeded(
-        &mut self,
-        inv: RequestIndex,
-        delivery: usize,
-        billed: Option<f64>,
-        report: Option<Vec<u8>>,
-    ) {
-        // Nothing is read where the settings name no values.
-        let report = report.and_then(|r| {
-            settings::load_report(&self.instance.load_report_fields, |_, name| find_number(&r, name))
-        });
-        self.end_attempt(inv, delivery, AttemptResult::Succeeded, ResponseMetadata { billed, report });
+    /// Closes a connection on which nobody waits for anything.
+    pub(super) fn close_backend_connection(&mut self, connection_id: u64, reason: CloseReason) {
+        self.close(ConnectionId::Backend(connection_id), reason);
+        self.backends.connections.remove(&connection_id);
     }
 
-    pub(super) fn end_attempt(
-        &mut self,
-        inv: RequestIndex,
-        delivery: usize,
-        ending: AttemptResult,
-        beside: ResponseMetadata,
-    ) {
-        if let Some(held) = self.requests[inv].as_mut() {
-            if held.deliveries[delivery].link.take().is_some() {
-                self.ended_attempts.push((inv, delivery, ending, beside));
-            }
+    /// Closes the idle connections to a backend that accepts nothing new any more.
+    pub(super) fn close_idle_connections_to(&mut self, backend: BackendIndex) {
+        let idle = std::mem::take(&mut self.backends.entries[backend].idle_connections);
+        for connection_id in idle {
+            self.close_backend_connection(connection_id, CloseReason::Delisted);
         }
     }
 
-    /// Ends a link that carries nothing any more.
-    pub(super) fn close_backend_connection(&mut self, id: u64, why: CloseReason) {
-        self.close(ConnectionId::Backend(id), why);
-        self.backend_connections.remove(&id);
-    }
-
-    /// These connections have ended, and what came before their ends in the batch is taken first.
+    /// These connections end in the batch that is about to be handled: nothing new is sent on them.
     pub(super) fn mark_ending(&mut self, connections: &HashSet<ConnectionId>) {
-        for conn in connections {
-            let ConnectionId::Backend(id) = conn else { continue };
-            let Some(link) = self.backend_connections.get_mut(id) else { continue };
-            link.ending = true;
-            self.backends[link.backend].idle.retain(|idle| idle != id);
+        for connection in connections {
+            let ConnectionId::Backend(id) = connection else { continue };
+            let Some(connection) = self.backends.connections.get_mut(id) else { continue };
+            connection.is_ending = true;
+            self.backends.entries[connection.backend].remove_idle(*id);
         }
     }
 
-    /// A link broke or never came up: whatever had not left for it whole has not run. An answer that can't be read is
-    /// one all the same: its backend is no worse than one that says it failed.
-    pub(super) fn backend_connection_ended(&mut self, now: f64, id: u64, unsent: bool, why: CloseReason) {
-        let Some(mut link) = self.backend_connections.remove(&id) else { return };
-        if let Some((inv, delivery)) = link.front() {
-            self.stream_aborted(now, inv, delivery);
+    /// A connection did not come up in time.
+    pub(super) fn connect_timed_out(&mut self, now: f64, connection_id: u64) {
+        let connection = self.backends.connections.get(&connection_id);
+        if connection.is_some_and(|connection| !connection.is_up) {
+            self.close(ConnectionId::Backend(connection_id), CloseReason::DialTimeout);
+            self.backend_connection_ended(now, connection_id, true, CloseReason::DialTimeout);
         }
-        self.backends[link.backend].idle.retain(|i| *i != id);
-        let mut unsent = unsent || !link.up;
-        while let Some(last) = link.carries.pop_back() {
-            let broke =
-                if why == CloseReason::BadFraming { AttemptResult::Errored } else { AttemptResult::Broken };
-            let ending = if unsent { AttemptResult::NotConnected } else { broke };
-            unsent = !link.up;
-            if let Some((inv, delivery)) = last.delivery {
-                self.end_attempt(inv, delivery, ending, ResponseMetadata::default());
-            }
-        }
-    }
-
-    /// It can't be called off to be sent elsewhere: others' deliveries share its connection, which stays open, and a copy
-    /// elsewhere would be a second one.
-    pub(super) fn shares_connection(&self, inv: RequestIndex, delivery: usize) -> bool {
-        let held = self.requests[inv].as_ref().filter(|h| !h.closed);
-        let link =
-            held.and_then(|h| h.deliveries[delivery].link).and_then(|id| self.backend_connections.get(&id));
-        link.is_some_and(|l| l.carries.iter().any(|c| c.delivery.is_some_and(|d| d != (inv, delivery))))
     }
 
-    /// Takes a delivery back that stands in its connection's buffer with no byte of it written; whether it did, an
-    /// event tells.
-    pub(super) fn withdraw_attempt(&mut self, inv: RequestIndex, delivery: usize) {
-        let connection = self.requests[inv].as_ref().and_then(|h| h.deliveries[delivery].link);
-        let Some((connection, link)) =
-            connection.and_then(|id| self.backend_connections.get(&id).map(|l| (id, l)))
-        else {
-            return;
-        };
-        let own = link.carries.iter().find(|c| c.delivery == Some((inv, delivery)));
-        if let Some(own) = own.filter(|_| link.up) {
-            self.effects.push(Effect::Withdraw { connection, delivery: own.number });
+    /// A connection broke or never came up: an attempt that had not left completely has not run. `unsent`: some of what
+    /// was written to it has not left. A response that can't be read is one all the same: its backend is no worse than
+    /// one that reports an error.
+    pub(super) fn backend_connection_ended(
+        &mut self,
+        now: f64,
+        connection_id: u64,
+        unsent: bool,
+        reason: CloseReason,
+    ) {
+        let Some(mut connection) = self.backends.connections.remove(&connection_id) else { return };
+        if let Some(id) = connection.front() {
+            self.stream_aborted(now, id);
+        }
+        self.backends.entries[connection.backend].remove_idle(connection_id);
+        let is_malformed = reason == CloseReason::BadFraming;
+        let sent_result = if is_malformed { AttemptResult::Errored } else { AttemptResult::Broken };
+        // Only the last one can have left in part, and none has before the connection is up.
+        let mut unsent = unsent || !connection.is_up;
+        while let Some(last) = connection.queue.pop_back() {
+            let result = if unsent { AttemptResult::NotConnected } else { sent_result };
+            unsent = !connection.is_up;
+            if let Some(id) = last.id {
+                self.attempt_failed(id, result);
+            }
         }
     }
 
-    /// Takes all back that waits in buffers for backends which may get nothing new any more.
-    pub(super) fn withdraw_from_unavailable(&mut self) {
-        let drained =
-            self.backend_connections.iter().filter(|(_, l)| l.up && !self.backends[l.backend].takes());
-        let all = drained.flat_map(|(id, l)| l.carries.iter().map(|c| (*id, c.number)));
-        let mut all: Vec<(u64, u64)> = all.collect();
-        all.sort_unstable();
-        let withdraw = |(connection, delivery)| Effect::Withdraw { connection, delivery };
-        self.effects.extend(all.into_iter().map(withdraw));
-    }
-
-    /// A delivery was taken back in time: it has never run, and may go elsewhere.
-    pub(super) fn attempt_withdrawn(&mut self, now: f64, connection: u64, number: u64) {
-        let Some(link) = self.backend_connections.get_mut(&connection) else { return };
-        let Some(position) = link.carries.iter().position(|c| c.number == number) else { return };
-        let carried = link.carries.remove(position).expect("just found");
-        let abandoned = link.is_abandoned();
-        if let Some((inv, delivery)) = carried.delivery {
-            self.end_attempt(inv, delivery, AttemptResult::NotSent, ResponseMetadata::default());
+    /// Forgets backends that were removed from the list and that nothing refers to any more; their indices are free.
+    pub(super) fn forget_removed_backends(&mut self) {
+        if !self.backends.entries.iter().any(|entry| entry.is_removed()) {
+            return;
         }
-        if abandoned {
-            return self.close_backend_connection(connection, CloseReason::Abandoned);
+        let attempts = self.requests.slots.iter().flat_map(|pending| pending.attempts.iter());
+        let attempted = attempts.map(|attempt| attempt.backend);
+        let connected = self.backends.connections.values().map(|connection| connection.backend);
+        let in_use: HashSet<BackendIndex> = attempted.chain(connected).collect();
+        for backend in 0..self.backends.entries.len() {
+            if self.backends.entries[backend].is_removed() && !in_use.contains(&backend) {
+                self.backends.entries[backend] = Default::default();
+                self.backends.names.release(backend);
+                self.engine.forget_backend(backend);
+            }
         }
-        self.park_if_idle(now, connection);
     }
 
-    /// Whatever is still out of it has timed out.
-    pub(super) fn time_out_attempts(&mut self, inv: RequestIndex) {
-        let out = self.requests[inv].as_ref().map_or(0, |h| h.deliveries.len());
-        for i in 0..out {
-            self.cancel_attempt(inv, i, AttemptResult::TimedOut);
-        }
+    /// How many backends are known, or were at the most.
+    pub fn backend_count(&self) -> usize {
+        self.backends.entries.len()
     }
 
-    pub(super) fn cancel_attempt(&mut self, inv: RequestIndex, delivery: usize, ending: AttemptResult) {
-        let Some(held) = self.requests[inv].as_mut() else { return };
-        let Some(id) = held.deliveries[delivery].link else { return };
-        self.end_attempt(inv, delivery, ending, ResponseMetadata::default());
-        let Some(link) = self.backend_connections.get_mut(&id) else { return };
-        let own = link.carries.iter_mut().find(|c| c.delivery == Some((inv, delivery)));
-        let number = own.map(|own| {
-            own.delivery = None;
-            own.number
-        });
-        if link.is_abandoned() {
-            return self.close_backend_connection(id, CloseReason::Abandoned);
-        }
-        // Others on it wait for their answers: it leaves no more if nothing of it has; else its answer is dropped in
-        // its turn.
-        if let Some(delivery) = number.filter(|_| link.up) {
-            self.effects.push(Effect::Withdraw { connection: id, delivery });
-        }
+    /// Streams a response from this connection to that client, or drops it.
+    pub(super) fn stream_to(&mut self, connection_id: u64, client: Option<u64>) {
+        self.effects.push(Effect::Stream(connection_id, client));
     }
 }
--- a/gateway/src/state/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -1,4 +1,5 @@
-//! The broker between teams: an invocation is asked about there before the decisions hear of it, and what they refuse is given back.
+//! Contracts between teams: the broker is asked about a request before the policy engine is, and gets back the grants of
+//! requests that were never forwarded.
 use super::event::Effect;
 use super::reducer::Reducer;
 use crate::wire::resp::{ClientReply, RequestCommand};
@@ -9,14 +10,21 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Outside numbers of customers and of the roster's groups lie below it: budgets' counts are named from here on.
-const NAMES: u64 = 1 << 41;
+/// The lowest number that stands for a team's budget on the counter, where customers' numbers and those of groups of
+/// instances lie below.
+const FIRST_BUDGET_NUMBER: u64 = 1 << 41;
+/// Budget periods whose counters may still be answered.
+const MAX_PERIODS: usize = 64;
+/// The longest time that a client is told to wait, in seconds.
+const MAX_RETRY_AFTER: f64 = 3600.0;
 
+/// The broker, its settings, and the counters of budgets.
 pub struct BrokerState {
     broker: Broker,
-    terms: BrokerSettings,
-    /// The customer's index that stands for a team's budget, with the team; and periods by the series that their counts have.
-    counts: BTreeMap<CustomerIndex, TeamId>,
+    settings: BrokerSettings,
+    /// The teams, by the customer index that stands for their budget.
+    teams: BTreeMap<CustomerIndex, TeamId>,
+    /// Budget periods, by the series that stands for them.
     periods: BTreeMap<u32, u64>,
 }
 
@@ -24,177 +32,170 @@
 #[derive(Serialize)]
 struct TeamUsageReport {
     version: Option<u32>,
-    taken: u64,
+    #[serde(rename = "taken")]
+    granted: u64,
     units: f64,
-    lent: f64,
-    later: u64,
-    never: u64,
+    #[serde(rename = "lent")]
+    borrowed: f64,
+    #[serde(rename = "later")]
+    deferred: u64,
+    #[serde(rename = "never")]
+    denied: u64,
 }
 
-/// The same name at every front door.
-fn number(team: &str) -> u64 {
-    let hash =
-        team.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
-    NAMES | (hash & (NAMES - 1))
+/// The number that stands for a team's budget, the same at every instance (an FNV-1a hash).
+fn budget_number(team: &str) -> u64 {
+    let hash = team
+        .bytes()
+        .fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3));
+    FIRST_BUDGET_NUMBER | (hash & (FIRST_BUDGET_NUMBER - 1))
 }
 
-/// What a client hears whose team may not have what it asks for.
-fn denied(reason: Reason) -> ClientReply {
+/// The reply to a client whose team may not have what it requests.
+fn denied_by_contract(reason: Reason) -> ClientReply {
     ClientReply::Error(format!("contract: {}", reason.message()))
 }
 
 impl BrokerState {
-    /// Whether this count is a budget's.
-    pub fn calls(&self, name: CounterKey) -> bool {
-        self.counts.contains_key(&name.customer)
+    fn new(now: f64, settings: BrokerSettings, instances: usize) -> BrokerState {
+        let broker = Broker::new(now, settings.contracts.clone(), instances, settings.capacity);
+        BrokerState { broker, settings, teams: BTreeMap::new(), periods: BTreeMap::new() }
     }
 
-    /// What came of a call; another one may be due.
-    pub fn told(&mut self, now: f64, name: CounterKey, result: CounterResult) -> Option<CounterCall> {
-        let (team, period) = (*self.counts.get(&name.customer)?, *self.periods.get(&name.series)?);
+    fn update(&mut self, now: f64, settings: BrokerSettings) {
+        self.broker.set_contracts(now, settings.contracts.clone(), settings.capacity);
+        self.settings = settings;
+    }
+
+    /// Whether this counter is a budget's.
+    pub fn owns_counter(&self, key: CounterKey) -> bool {
+        self.teams.contains_key(&key.customer)
+    }
+
+    /// Takes the result of a call; another call may be due.
+    pub fn counter_answered(
+        &mut self,
+        now: f64,
+        key: CounterKey,
+        result: CounterResult,
+    ) -> Option<CounterCall> {
+        let team = *self.teams.get(&key.customer)?;
+        let period = *self.periods.get(&key.series)?;
         let total = if let CounterResult::Total(total) = result { Some(total) } else { None };
         let call = self.broker.call_answered(now, team, period, total)?;
-        Some(CounterCall { key: name, delta: call.amount, lifetime: call.lifetime })
+        Some(CounterCall { key, delta: call.amount, lifetime: call.lifetime })
     }
 }
 
 impl Reducer {
-    /// Contracts hold from now on, or none do. Invocations that were taken keep what they were granted.
-    pub(super) fn set_contracts(&mut self, now: f64, terms: Option<BrokerSettings>) {
-        if self.broker.as_ref().map(|b| &b.terms) == terms.as_ref() {
+    /// Contracts hold from now on, or none do. Requests that were accepted keep their grants.
+    pub(super) fn set_contracts(&mut self, now: f64, settings: Option<BrokerSettings>) {
+        if self.broker.as_ref().map(|state| &state.settings) == settings.as_ref() {
             return;
         }
-        let says = match &terms {
+        let line = match &settings {
             None => "no contracts between teams".into(),
-            Some(t) => {
-                let (all, teams) = (t.contracts.all().len(), t.contracts.teams().count());
-                format!("{all} contracts of {teams} teams, {} units a second in all", t.capacity)
+            Some(BrokerSettings { contracts, capacity, .. }) => {
+                let (all, teams) = (contracts.all().len(), contracts.teams().count());
+                format!("{all} contracts of {teams} teams, {capacity} units a second in all")
             }
         };
-        self.effects.push(Effect::Log(says));
-        let doors = self.instance.instances;
-        match (&mut self.broker, terms) {
+        self.effects.push(Effect::Log(line));
+        match (&mut self.broker, settings) {
             (broker, None) => *broker = None,
-            (Some(b), Some(terms)) => {
-                b.broker.set_contracts(now, terms.contracts.clone(), terms.capacity);
-                b.terms = terms;
-            }
-            (broker, Some(terms)) => {
-                let new = Broker::new(now, terms.contracts.clone(), doors, terms.capacity);
-                *broker = Some(BrokerState {
-                    broker: new,
-                    terms,
-                    counts: BTreeMap::new(),
-                    periods: BTreeMap::new(),
-                });
+            (Some(broker), Some(settings)) => broker.update(now, settings),
+            (broker, Some(settings)) => {
+                *broker = Some(BrokerState::new(now, settings, self.instance.instances));
             }
         }
     }
 
-    /// What its team's contract gives for an invocation, nothing where there is no broker; or what its client hears.
-    pub(super) fn authorize(
+    /// What the team's contract grants for a request, nothing where there is no broker; or the reply that says why the
+    /// request is rejected. `caller_team`: the team of the client's token, where it had to show one.
+    pub(super) fn request_grant(
         &mut self,
         now: f64,
-        (client, call): (u64, &RequestCommand),
-        ask: &RequestAttributes,
+        caller_team: Option<String>,
+        command: &RequestCommand,
+        attributes: &RequestAttributes,
     ) -> Result<Option<Grant>, ClientReply> {
-        let answer = match self.authorize_caller(now, client, ask.operation, call) {
-            Ok(speaks) => match self.request_grant(now, speaks, call, ask) {
-                Ok(grant) => return Ok(grant),
-                Err(answer) => answer,
-            },
-            Err(answer) => answer,
+        let Some(state) = &mut self.broker else { return Ok(None) };
+        let team = match caller_team {
+            Some(name) => Some(state.broker.team_id(&name)),
+            None => state.broker.team_of_customer(now, command.customer),
         };
-        if let Some(gate) = &mut self.admission {
-            gate.command_answered(now, client, call.customer, false);
-        }
-        Err(answer)
-    }
-
-    /// `speaks`: the team whose token the client showed, where it had to show one.
-    fn request_grant(
-        &mut self,
-        now: f64,
-        speaks: Option<String>,
-        call: &RequestCommand,
-        ask: &RequestAttributes,
-    ) -> Result<Option<Grant>, ClientReply> {
-        let Some(b) = &mut self.broker else { return Ok(None) };
-        let team = match speaks {
-            Some(name) => Some(b.broker.team_id(&name)),
-            None => b.broker.team_of_customer(now, call.customer),
-        };
-        let operation = &self.instance.operations[ask.operation].name;
         let team = match team {
             Some(team) => team,
-            None if b.terms.strangers => return Ok(None),
-            None => return Err(denied(Reason::NoContract)),
+            None if state.settings.strangers => return Ok(None),
+            None => return Err(denied_by_contract(Reason::NoContract)),
         };
-        let request = Request { operation, customer: call.customer, units: ask.units };
-        let response = b.broker.request(now, team, request);
-        if let Some(due) = response.counter_call {
-            self.call_budget_counter(now, team, due);
+        let operation = &self.instance.operations[attributes.operation].name;
+        let request = Request { operation, customer: command.customer, units: attributes.units };
+        let response = state.broker.request(now, team, request);
+        if let Some(call) = response.counter_call {
+            self.call_budget_counter(now, team, call);
         }
         match response.verdict {
             Verdict::Grant(grant) => Ok(Some(grant)),
             Verdict::RetryAfter { seconds, .. } => {
-                let retry_after_ms =
-                    self.instance.sends_retry_after.then(|| (seconds.min(3600.0) * 1e3).ceil() as u64);
+                let retry_after_ms = (seconds.min(MAX_RETRY_AFTER) * 1e3).ceil() as u64;
+                let retry_after_ms = self.instance.sends_retry_after.then_some(retry_after_ms);
                 Err(ClientReply::Busy { retry_after_ms })
             }
-            Verdict::Deny(reason) => Err(denied(reason)),
+            Verdict::Deny(reason) => Err(denied_by_contract(reason)),
         }
     }
 
-    fn call_budget_counter(&mut self, now: f64, team: TeamId, due: budget::CounterCall) {
-        let Some(b) = &mut self.broker else { return };
-        let Some(name) = b.broker.team_name(team).map(number) else { return };
-        let customer = self.customers.intern(&name);
-        b.counts.insert(customer, team);
-        let series = due.period as u32;
-        b.periods.insert(series, due.period);
-        while b.periods.len() > 64 {
-            b.periods.pop_first();
+    fn call_budget_counter(&mut self, now: f64, team: TeamId, call: budget::CounterCall) {
+        let Some(state) = &mut self.broker else { return };
+        let Some(number) = state.broker.team_name(team).map(budget_number) else { return };
+        let customer = self.customers.intern(&number);
+        state.teams.insert(customer, team);
+        let series = call.period as u32;
+        state.periods.insert(series, call.period);
+        while state.periods.len() > MAX_PERIODS {
+            state.periods.pop_first();
         }
-        let name = CounterKey { customer, series };
-        self.call_counter(now, CounterCall { key: name, delta: due.amount, lifetime: due.lifetime });
+        let key = CounterKey { customer, series };
+        self.call_counter(now, CounterCall { key, delta: call.amount, lifetime: call.lifetime });
     }
 
-    /// What an invocation really took.
-    pub(super) fn settle_grant(&mut self, now: f64, inv: RequestIndex, units: f64) {
-        let Some(b) = &mut self.broker else { return };
-        if let Some(grant) = self.requests[inv].as_mut().and_then(|h| h.grant.as_mut()) {
-            b.broker.settle(now, grant, units);
+    /// A backend reported what a request really took, in units.
+    pub(super) fn settle_grant(&mut self, now: f64, request: RequestIndex, units: f64) {
+        let Some(state) = &mut self.broker else { return };
+        let pending = self.requests.get_mut(request);
+        if let Some(grant) = pending.and_then(|pending| pending.grant.as_mut()) {
+            state.broker.settle(now, grant, units);
             grant.units = units;
         }
     }
 
-    /// An invocation is over that was never sent on.
-    pub(super) fn refund_unforwarded(&mut self, inv: RequestIndex) {
-        let Some(held) = self.requests[inv].as_mut().filter(|h| h.deliveries.is_empty()) else { return };
-        if let (Some(b), Some(grant)) = (&mut self.broker, held.grant.take()) {
-            b.broker.refund(&grant);
+    /// A request is over: its grant is given back if it was never forwarded.
+    pub(super) fn refund_if_not_forwarded(&mut self, request: RequestIndex) {
+        let Some(pending) = self.requests.get_mut(request) else { return };
+        if !pending.attempts.is_empty() {
+            return;
+        }
+        if let (Some(state), Some(grant)) = (&mut self.broker, pending.grant.take()) {
+            state.broker.refund(&grant);
         }
     }
 
-    /// What teams have of their contracts, for operators.
+    /// What teams have used of their contracts, as JSON for operators.
     pub(super) fn contract_usage(&self) -> String {
-        let Some(b) = &self.broker else { return "{}".into() };
-        let shown: BTreeMap<&str, TeamUsageReport> = b
-            .broker
-            .usage()
-            .map(|TeamUsage { team, version, usage }| {
-                let shown = TeamUsageReport {
-                    version,
-                    taken: usage.granted,
-                    units: usage.units,
-                    lent: usage.borrowed,
-                    later: usage.deferred,
-                    never: usage.denied,
-                };
-                (team, shown)
-            })
-            .collect();
-        serde_json::to_string(&shown).expect("plain figures")
+        let Some(state) = &self.broker else { return "{}".into() };
+        let report = |TeamUsage { team, version, usage }| {
+            let report = TeamUsageReport {
+                version,
+                granted: usage.granted,
+                units: usage.units,
+                borrowed: usage.borrowed,
+                deferred: usage.deferred,
+                denied: usage.denied,
+            };
+            (team, report)
+        };
+        let reports: BTreeMap<&str, TeamUsageReport> = state.broker.usage().map(report).collect();
+        serde_json::to_string(&reports).expect("plain figures")
     }
 }
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -1,185 +1,261 @@
-//! Clients: their commands in, their answers out in the same order.
+//! Clients: their commands in, their replies out in the same order.
+use super::client_table::{Client, PendingReply};
 use super::event::{CloseReason, ConnectionId, Effect};
-use super::kept::*;
 use super::reducer::Reducer;
+use super::requests::{AttemptId, PendingRequest};
 use crate::wire::resp::{ClientCommand, ClientReply, RequestCommand};
-use quillramp::settings::{InstanceSettings, OfferedOperation};
+use quillramp::settings::OfferedOperation;
 use quillramp::types::*;
 use quillramp_broker::Grant;
+use std::net::IpAddr;
 use std::sync::Arc;
 
+/// Which command it is, and whose.
+#[derive(Clone, Copy)]
+pub(super) struct CommandId {
+    /// The client's connection.
+    pub client: u64,
+    /// Its number on that connection, from 0.
+    pub number: u64,
+}
+
 impl Reducer {
+    /// A client connected.
+    pub(super) fn client_accepted(&mut self, now: f64, id: u64, address: IpAddr) {
+        let has_commands = self.clients.unread_commands.contains_key(&id);
+        let is_ending = self.shutdown.is_draining && self.shutdown.is_stopping;
+        if is_ending && !self.config.inherited_listener && !has_commands {
+            return self.close(ConnectionId::Client(id), CloseReason::Stopping);
+        }
+        if self.admit_client(now, id, address) {
+            let client = Client { last_active: now, address: Some(address), ..Client::default() };
+            self.clients.connections.insert(id, client);
+            self.ensure_free_descriptor(now);
+        }
+    }
+
+    /// A command came: it is accepted as a request, or its reply is known at once.
     pub(super) fn client_command(&mut self, now: f64, id: u64, command: ClientCommand) {
-        let takes = self.accepts_clients();
-        if let Some(gate) = &mut self.admission {
-            gate.command_started(now, id);
-        }
-        let Some(client) = self.clients.get_mut(&id) else { return };
-        (client.used, client.said, client.half, client.grown) = (now, true, None, None);
-        let no = client.first + client.owed.len() as u64;
-        let answer = match command {
-            ClientCommand::Ping if takes => ClientReply::Pong,
+        let accepts_clients = self.accepts_clients();
+        if let Some(admission) = &mut self.admission {
+            admission.command_started(now, id);
+        }
+        let Some(client) = self.clients.connections.get_mut(&id) else { return };
+        client.last_active = now;
+        client.has_spoken = true;
+        client.partial_since = None;
+        client.body_progress_at = None;
+        let command_id = CommandId { client: id, number: client.next_command_number() };
+        let reply = match command {
+            ClientCommand::Ping if accepts_clients => ClientReply::Pong,
             ClientCommand::Ping => ClientReply::Error("draining".into()),
             ClientCommand::Auth(token) => self.authenticate_client(now, id, &token),
-            ClientCommand::Invalid(why) => ClientReply::Error(why),
+            ClientCommand::Invalid(error) => ClientReply::Error(error),
             ClientCommand::Dropped => ClientReply::Busy { retry_after_ms: None },
-            ClientCommand::ProtocolError(why) => {
-                client.broken = true;
-                ClientReply::Error(format!("protocol: {why}"))
+            ClientCommand::ProtocolError(error) => {
+                client.is_broken = true;
+                ClientReply::Error(format!("protocol: {error}"))
             }
-            ClientCommand::Request(call) => match self.validate_request(now, &call) {
-                Ok(ask) => match self.admit_command(now, id, call.customer) {
-                    None => match self.authorize(now, (id, &call), &ask) {
-                        Ok(grant) => return self.accept_request(now, (id, no), *call, ask, grant),
-                        Err(answer) => {
-                            self.stats.rejected[ask.operation] += 1;
-                            answer
-                        }
-                    },
-                    Some(later) => {
-                        self.stats.rejected[ask.operation] += 1;
-                        later
-                    }
-                },
-                Err(why) => ClientReply::Error(why),
+            ClientCommand::Request(command) => match self.request_command(now, command_id, *command) {
+                Ok(()) => return,
+                Err(reply) => reply,
             },
         };
-        self.clients.get_mut(&id).expect("checked").owed.push_back((None, Some(answer)));
+        let client = self.clients.connections.get_mut(&id).expect("it was here before its command");
+        client.pending_replies.push_back(PendingReply::Ready(reply));
         self.send_ready_replies(id);
     }
 
-    pub(super) fn validate_request(
+    /// Accepts a request, or returns the reply that says why not.
+    fn request_command(
+        &mut self,
+        now: f64,
+        command_id: CommandId,
+        command: RequestCommand,
+    ) -> Result<(), ClientReply> {
+        let attributes = self.request_attributes(now, &command).map_err(ClientReply::Error)?;
+        match self.authorize(now, command_id.client, &command, &attributes) {
+            Ok(grant) => {
+                self.accept_request(now, command_id, command, attributes, grant);
+                Ok(())
+            }
+            Err(reply) => {
+                self.stats.rejected[attributes.operation] += 1;
+                Err(reply)
+            }
+        }
+    }
+
+    /// Asks admission, identity and the contracts between teams, in this order, whether a request may be accepted.
+    fn authorize(
+        &mut self,
+        now: f64,
+        client: u64,
+        command: &RequestCommand,
+        attributes: &RequestAttributes,
+    ) -> Result<Option<Grant>, ClientReply> {
+        if let Some(reply) = self.admit_command(now, client, command.customer) {
+            return Err(reply);
+        }
+        let team = self.authorize_caller(now, client, attributes.operation, command);
+        let granted = team.and_then(|team| self.request_grant(now, team, command, attributes));
+        if granted.is_err() {
+            if let Some(admission) = &mut self.admission {
+                admission.command_answered(now, client, command.customer, false);
+            }
+        }
+        granted
+    }
+
+    /// What the policy engine has to know of a request; or why the command is invalid.
+    fn request_attributes(
         &mut self,
         now: f64,
-        call: &RequestCommand,
+        command: &RequestCommand,
     ) -> Result<RequestAttributes, String> {
-        let InstanceSettings { operations, plans, instances: doors, max_units: most_units, .. } =
-            &self.instance;
-        let operation = operations.iter().position(|o| o.name.as_bytes() == call.operation());
+        let (operation, plan) = self.validate_command(command)?;
+        let customer = self.customers.intern(&command.customer);
+        let instances = InstanceRange { first: command.first_instance, count: command.instance_count };
+        // What is declared now holds for this request, whatever is declared later.
+        let declared = self.routes.lookup(operation, plan, command.customer);
+        let max_timeout = declared.map_or(f64::INFINITY, |class| class.timeout);
+        let deadline = (now + (command.timeout_ms / 1e3).min(max_timeout)).min(self.shutdown.deadline);
+        let limits = declared.map(|class| class.declared).unwrap_or_default();
+        let presence = self.presence.as_mut();
+        let absent_fraction = presence.map_or(0.0, |presence| presence.absent_fraction(now, instances));
+        Ok(RequestAttributes {
+            operation,
+            plan,
+            customer,
+            units: command.units,
+            instances,
+            deadline,
+            absent_fraction,
+            limits,
+        })
+    }
+
+    /// Checks a command against the settings; returns the indices of its operation and of its plan.
+    fn validate_command(&self, command: &RequestCommand) -> Result<(usize, usize), String> {
+        let settings = &self.instance;
+        let operations = &settings.operations;
+        let operation = operations.iter().position(|known| known.name.as_bytes() == command.operation());
         let operation = operation.ok_or("unknown operation")?;
-        let plan = plans.iter().position(|p| p.as_bytes() == call.plan()).ok_or("unknown plan")?;
-        let OfferedOperation { idempotency: effect, timeout, .. } = operations[operation];
-        if call.idempotent != (effect == quillramp::types::Idempotency::Idempotent) {
+        let plan = settings.plans.iter().position(|known| known.as_bytes() == command.plan());
+        let plan = plan.ok_or("unknown plan")?;
+        let OfferedOperation { idempotency, timeout, .. } = operations[operation];
+        if command.idempotent != (idempotency == Idempotency::Idempotent) {
             return Err(
                 "not by this command: CALL.GET is for what may be repeated, CALL.POST for all else".into()
             );
         }
-        if call.first_instance >= *doors || !(1..=*doors).contains(&call.instance_count) {
+        let instances = settings.instances;
+        if command.first_instance >= instances || !(1..=instances).contains(&command.instance_count) {
             return Err("first and spread: no such front doors".into());
         }
-        if call.units <= 0.0 || call.units > *most_units {
-            return Err(format!("units: expected more than 0, and {most_units} at the most"));
+        let max_units = settings.max_units;
+        if command.units <= 0.0 || command.units > max_units {
+            return Err(format!("units: expected more than 0, and {max_units} at the most"));
         }
-        let longest = (timeout * 1e3).ceil();
-        if call.timeout_ms < 1.0 || call.timeout_ms > longest {
-            return Err(format!("d: expected 1 to {longest} ms"));
+        let max_timeout_ms = (timeout * 1e3).ceil();
+        if command.timeout_ms < 1.0 || command.timeout_ms > max_timeout_ms {
+            return Err(format!("d: expected 1 to {max_timeout_ms} ms"));
         }
-        if self.open_request_ids.contains(&call.id) {
+        if self.requests.open_ids.contains(&command.id) {
             return Err("id: an invocation under it is open".into());
         }
-        let customer = self.customers.intern(&call.customer);
-        let of = InstanceRange { first: call.first_instance, count: call.instance_count };
-        // Taken under what is declared now, and kept under it whatever is declared later.
-        let held = self.routes.lookup(operation, plan, call.customer);
-        let longest = held.map_or(f64::INFINITY, |h| h.timeout);
-        let until = (now + (call.timeout_ms / 1e3).min(longest)).min(self.shutdown_deadline);
-        let declared = held.map(|h| h.declared).unwrap_or_default();
-        let absent = self.presence.as_mut().map_or(0.0, |r| r.absent(now, of));
-        Ok(RequestAttributes {
-            operation,
-            plan,
-            customer,
-            units: call.units,
-            instances: of,
-            deadline: until,
-            absent_fraction: absent,
-            limits: declared,
-        })
+        Ok((operation, plan))
     }
 
-    pub(super) fn accept_request(
+    fn accept_request(
         &mut self,
         now: f64,
-        (client, command): (u64, u64),
-        call: RequestCommand,
-        ask: RequestAttributes,
+        command_id: CommandId,
+        command: RequestCommand,
+        attributes: RequestAttributes,
         grant: Option<Grant>,
     ) {
-        let call = Arc::new(call);
-        self.open_request_ids.insert(call.id);
-        let (deliveries, closed, ends, begun, passes) = (vec![], false, None, None, false);
-        let inv = self.requests.insert(PendingRequest {
-            ask,
-            call,
-            client,
-            command,
-            deliveries,
-            closed,
-            ends,
-            begun,
-            passes,
+        self.requests.open_ids.insert(command.id);
+        let request = self.requests.slots.insert(PendingRequest {
+            attributes,
+            command: Arc::new(command),
+            client: command_id.client,
+            command_number: command_id.number,
+            attempts: vec![],
+            is_closed: false,
+            timeout: None,
+            streaming_attempt: None,
+            is_forwarding: false,
             grant,
         });
-        self.clients.get_mut(&client).expect("checked").owed.push_back((Some(inv), None));
-        self.route_request(now, inv);
+        let client = self.clients.connections.get_mut(&command_id.client).expect("it sent the command");
+        client.pending_replies.push_back(PendingReply::Request(request));
+        self.route_request(now, request);
     }
 
-    /// The final answer; it goes out once all before it on the connection have.
-    pub(super) fn answer_request(&mut self, now: f64, inv: RequestIndex, answer: ClientReply) {
-        let Some(held) = self.requests[inv].as_mut().filter(|h| !h.closed) else { return };
-        held.closed = true;
-        let counts = match answer {
+    /// The final reply to a request; it leaves once all before it on the connection have.
+    pub(super) fn answer_request(&mut self, now: f64, request: RequestIndex, reply: ClientReply) {
+        let Some(pending) = self.requests.get_open_mut(request) else { return };
+        pending.is_closed = true;
+        let has_value = matches!(reply, ClientReply::Value(_) | ClientReply::Streamed);
+        let counts = match reply {
             ClientReply::Value(_) | ClientReply::Streamed => &mut self.stats.completed,
             ClientReply::Busy { .. } => &mut self.stats.rejected,
             _ => &mut self.stats.failed,
         };
-        counts[held.ask.operation] += 1;
-        let (id, command) = (held.client, held.command);
-        if let Some(gate) = &mut self.admission {
-            let well = matches!(answer, ClientReply::Value(_) | ClientReply::Streamed);
-            gate.command_answered(now, id, held.call.customer, well);
-        }
-        let Some(client) = self.clients.get_mut(&id) else { return };
-        client.used = now;
-        let place = command.checked_sub(client.first).and_then(|i| client.owed.get_mut(i as usize));
-        if let Some(place) = place {
-            *place = (None, Some(answer));
+        counts[pending.attributes.operation] += 1;
+        let client_id = pending.client;
+        if let Some(admission) = &mut self.admission {
+            admission.command_answered(now, client_id, pending.command.customer, has_value);
         }
-        self.send_ready_replies(id);
+        let Some(client) = self.clients.connections.get_mut(&client_id) else { return };
+        client.last_active = now;
+        client.set_reply(pending.command_number, reply);
+        self.send_ready_replies(client_id);
     }
 
-    pub(super) fn send_ready_replies(&mut self, id: u64) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
-        while let Some((_, Some(_))) = client.owed.front() {
-            let answer = client.owed.pop_front().and_then(|(_, a)| a).expect("checked");
-            client.first += 1;
-            self.effects.push(Effect::Reply(id, answer));
-        }
-        let next = client.owed.front().and_then(|(inv, _)| *inv);
-        if let Some(inv) = next {
-            self.start_stream_in_turn(inv);
-        } else if client.owed.is_empty() && client.broken {
-            self.remove_client(id);
-            self.close(ConnectionId::Client(id), CloseReason::BadFraming);
+    /// Sends the replies whose turn has come; closes the connection if it was to be closed after the last one.
+    fn send_ready_replies(&mut self, id: u64) {
+        let Some(client) = self.clients.connections.get_mut(&id) else { return };
+        while let Some(reply) = client.take_ready_reply() {
+            self.effects.push(Effect::Reply(id, reply));
+        }
+        if let Some(request) = client.next_request() {
+            self.forward_stream_in_turn(request);
+        } else if client.is_broken {
+            self.disconnect_client(id, CloseReason::BadFraming);
             self.exit_when_done();
-        } else if client.owed.is_empty() && (self.draining || client.muted) {
-            self.closing_clients.insert(id);
+        } else if self.shutdown.is_draining || client.is_reading_stopped {
+            self.shutdown.closing_clients.insert(id);
         }
     }
 
+    /// A client's connection ended: its attempts are withdrawn where they have not left.
     pub(super) fn client_disconnected(&mut self, now: f64, id: u64) {
         let Some(client) = self.remove_client(id) else { return };
-        for inv in client.owed.into_iter().filter_map(|(inv, _)| inv) {
-            if let Some(held) = self.requests[inv].as_mut() {
-                held.closed = true;
-                let deliveries = held.deliveries.len();
-                for delivery in 0..deliveries {
-                    self.withdraw_attempt(inv, delivery);
-                }
-                self.engine.request_closed(now, inv);
-                self.release_if_finished(inv);
+        for request in client.requests() {
+            let Some(pending) = self.requests.get_mut(request) else { continue };
+            pending.is_closed = true;
+            for attempt in 0..pending.attempts.len() {
+                self.withdraw_attempt(AttemptId { request, attempt });
             }
+            self.engine.request_closed(now, request);
+            self.release_if_finished(request);
         }
         self.exit_when_done();
     }
+
+    /// Closes a client's connection.
+    pub(super) fn disconnect_client(&mut self, id: u64, reason: CloseReason) {
+        self.remove_client(id);
+        self.close(ConnectionId::Client(id), reason);
+    }
+
+    /// Forgets a client's connection.
+    pub(super) fn remove_client(&mut self, id: u64) -> Option<Client> {
+        if let Some(admission) = &mut self.admission {
+            admission.connection_closed(id);
+        }
+        self.clients.connections.remove(&id)
+    }
 }
--- a/gateway/src/state/counter.rs
+++ b/gateway/src/state/counter.rs
@@ -1,199 +1,225 @@
-//! Calls of the counter, over a few pipelined connections.
+//! Calls to the counter, over a few pipelined connections.
+use super::counter_table::*;
 use super::event::{CloseReason, ConnectionId, Effect};
-use super::kept::*;
 use super::reducer::Reducer;
+use super::timers::TimerKind;
 use crate::wire::http::{Request, Response};
 use quillramp::types::*;
 use std::net::SocketAddr;
 
-/// Connections at the most, silent ones included (the counter would hold twice as many), and those in use.
-const MOST: usize = 16;
-const PIPES: usize = 2;
+/// Connections at the most, unresponsive ones included. The counter would accept twice as many.
+const MAX_CONNECTIONS: usize = 16;
+/// Connections that are used for new calls at the same time.
+const MAX_USABLE_CONNECTIONS: usize = 2;
 
 impl Reducer {
+    /// Makes a call; `counter_call_ended` hears of its result.
     pub(super) fn call_counter(&mut self, now: f64, call: CounterCall) {
         let Some(address) = self.config.counter else {
             return self.engine.counter_answered(now, call.key, CounterResult::NotApplied);
         };
-        self.counter_calls += 1;
-        let no = self.counter_calls;
-        let id = self.select_counter_connection(now, call.key, address);
-        let turn = PendingCall { no, link: id, result: None };
-        self.counter_queues.entry((call.key.customer, call.key.series)).or_default().push_back(turn);
-        let timer = self.schedule(now + self.instance.counter_timeout, TimerKind::CounterTimeout(id, no));
-        let link = self.counter_connections.get_mut(&id).expect("just found");
-        link.used = now;
-        if link.up {
-            link.calls.push_back((no, Some((call.key, timer))));
-            let request = self.counter_request(&call);
-            self.effects.push(Effect::HttpRequest(ConnectionId::Counter(id), request));
-        } else {
-            link.waits.push((call, no, timer));
-        }
+        self.counter.last_call += 1;
+        let number = self.counter.last_call;
+        let connection_id = self.select_counter_connection(now, call.key, address);
+        let pending = PendingCall { number, connection: connection_id, result: None };
+        self.counter.queues.entry(call.key.into()).or_default().push_back(pending);
+        let timeout = TimerKind::CounterTimeout { connection: connection_id, call: number };
+        let timer = self.timers.schedule(now + self.instance.counter_timeout, timeout);
+        let connection = self.counter.connections.get_mut(&connection_id).expect("just selected");
+        connection.last_used = now;
+        if !connection.is_up {
+            connection.queued.push(QueuedCall { call, number, timer });
+            return;
+        }
+        let waiter = Some(CallWaiter { key: call.key, timer });
+        connection.sent.push_back(SentCall { number, waiter });
+        self.send_counter_request(connection_id, &call);
     }
 
-    /// The connection for a call: that of the last one on the same name, while it is out, so that they have their
-    /// turns in order; else the least used; else a new one.
-    fn select_counter_connection(&mut self, now: f64, name: CounterKey, address: SocketAddr) -> u64 {
-        let turns = self.counter_queues.get(&(name.customer, name.series));
-        if let Some(id) = turns
-            .and_then(|t| t.back())
-            .map(|t| t.link)
-            .filter(|id| self.counter_connections.get(id).is_some_and(CounterConnection::well))
-        {
+    /// The connection for a call: that of the last call on the same counter, while that is pending, so that the calls
+    /// are applied in order; else the one with the fewest calls; else a new one.
+    fn select_counter_connection(&mut self, now: f64, key: CounterKey, address: SocketAddr) -> u64 {
+        if let Some(id) = self.connection_of_last_call(key) {
             return id;
         }
-        let best = self
-            .counter_connections
-            .iter()
-            .filter(|(_, l)| l.well())
-            .min_by_key(|(id, l)| (l.calls.len() + l.waits.len(), **id));
-        let (best, load) = best.map_or((None, 0), |(id, l)| (Some(*id), l.calls.len() + l.waits.len()));
-        let pipes = self.counter_connections.values().filter(|l| l.well()).count();
-        if let Some(id) = best.filter(|_| load == 0 || pipes >= PIPES) {
+        let usable = self.counter.connections.iter().filter(|(_, connection)| connection.accepts_calls());
+        let least_loaded = usable.min_by_key(|(id, connection)| (connection.load(), **id));
+        let load = least_loaded.map_or(0, |(_, connection)| connection.load());
+        let least_loaded = least_loaded.map(|(id, _)| *id);
+        let usable =
+            self.counter.connections.values().filter(|connection| connection.accepts_calls()).count();
+        if let Some(id) = least_loaded.filter(|_| load == 0 || usable >= MAX_USABLE_CONNECTIONS) {
             return id;
         }
-        if self.counter_connections.len() >= MOST {
-            let oldest = *self.counter_connections.keys().next().expect("there are some");
+        self.open_counter_connection(now, address)
+    }
+
+    /// The connection of the last pending call on the same counter, if it may still be used.
+    fn connection_of_last_call(&self, key: CounterKey) -> Option<u64> {
+        let id = self.counter.queues.get(&key.into())?.back()?.connection;
+        let connection = self.counter.connections.get(&id)?;
+        connection.accepts_calls().then_some(id)
+    }
+
+    fn open_counter_connection(&mut self, now: f64, address: SocketAddr) -> u64 {
+        if self.counter.connections.len() >= MAX_CONNECTIONS {
+            let oldest = *self.counter.connections.keys().next().expect("there are some");
             self.close(ConnectionId::Counter(oldest), CloseReason::Unresponsive);
             self.counter_connection_ended(now, oldest, false, CloseReason::Unresponsive);
         }
         let id = self.next_connection_id();
-        self.counter_connections.insert(id, CounterConnection { used: now, ..CounterConnection::default() });
+        let connection = CounterConnection { last_used: now, ..CounterConnection::default() };
+        self.counter.connections.insert(id, connection);
         self.effects.push(Effect::Connect(ConnectionId::Counter(id), address));
         id
     }
 
-    /// What came of a call. The decisions hear of calls on one name in the order in which they made them.
-    fn counter_call_ended(&mut self, now: f64, name: CounterKey, no: u64, result: CounterResult) {
-        let key = (name.customer, name.series);
-        let Some(turns) = self.counter_queues.get_mut(&key) else { return };
-        let mut more: Vec<CounterCall> = vec![];
-        if let Some(turn) = turns.iter_mut().find(|t| t.no == no) {
-            turn.result = Some(result);
-        }
-        while let Some(result) = turns.front().and_then(|t| t.result) {
-            turns.pop_front();
-            if let Some(roster) = self.presence.as_mut().filter(|r| r.calls(name)) {
-                roster.told(now, name, result);
-            } else if let Some(broker) = self.broker.as_mut().filter(|b| b.calls(name)) {
-                more.extend(broker.told(now, name, result));
+    /// Takes the result of a call. Whoever made calls on one counter is notified in the order of these calls.
+    fn counter_call_ended(&mut self, now: f64, key: CounterKey, number: u64, result: CounterResult) {
+        let Some(queue) = self.counter.queues.get_mut(&key.into()) else { return };
+        if let Some(pending) = queue.iter_mut().find(|pending| pending.number == number) {
+            pending.result = Some(result);
+        }
+        let mut next_calls: Vec<CounterCall> = vec![];
+        while let Some(result) = queue.front().and_then(|pending| pending.result) {
+            queue.pop_front();
+            if let Some(presence) = self.presence.as_mut().filter(|presence| presence.owns_counter(key)) {
+                presence.counter_answered(now, key, result);
+            } else if let Some(broker) = self.broker.as_mut().filter(|broker| broker.owns_counter(key)) {
+                next_calls.extend(broker.counter_answered(now, key, result));
             } else {
-                self.engine.counter_answered(now, name, result);
+                self.engine.counter_answered(now, key, result);
             }
         }
-        if turns.is_empty() {
-            self.counter_queues.remove(&key);
+        if queue.is_empty() {
+            self.counter.queues.remove(&key.into());
         }
-        for call in more {
+        for call in next_calls {
             self.call_counter(now, call);
         }
     }
 
-    pub(super) fn counter_request(&self, call: &CounterCall) -> Request {
+    fn send_counter_request(&mut self, connection: u64, call: &CounterCall) {
         let customer = self.customers.resolve(call.key.customer).copied().unwrap_or_default();
-        let name = format!("{customer:x}.{}", call.key.series);
-        Request::AddToCounter { key: name, add: call.delta, expire_ms: (call.lifetime * 1e3).ceil() as u64 }
+        let key = format!("{customer:x}.{}", call.key.series);
+        let expire_ms = (call.lifetime * 1e3).ceil() as u64;
+        let request = Request::AddToCounter { key, add: call.delta, expire_ms };
+        self.effects.push(Effect::HttpRequest(ConnectionId::Counter(connection), request));
     }
 
+    /// A connection is up: the calls that waited for it are sent.
     pub(super) fn counter_connected(&mut self, id: u64) {
-        let Some(link) = self.counter_connections.get_mut(&id) else { return };
-        link.up = true;
-        let waits = std::mem::take(&mut link.waits);
-        link.calls.extend(waits.iter().map(|(call, no, timer)| (*no, Some((call.key, *timer)))));
-        for (call, ..) in waits {
-            let request = self.counter_request(&call);
-            self.effects.push(Effect::HttpRequest(ConnectionId::Counter(id), request));
+        let Some(connection) = self.counter.connections.get_mut(&id) else { return };
+        connection.is_up = true;
+        let queued = std::mem::take(&mut connection.queued);
+        let sent = queued.iter().map(|queued| {
+            let waiter = CallWaiter { key: queued.call.key, timer: queued.timer };
+            SentCall { number: queued.number, waiter: Some(waiter) }
+        });
+        connection.sent.extend(sent);
+        for QueuedCall { call, .. } in queued {
+            self.send_counter_request(id, &call);
         }
     }
 
-    /// A call whose time is over: unanswered if it was written, else nothing was added.
-    pub(super) fn counter_call_timed_out(&mut self, now: f64, id: u64, no: u64) {
-        let Some(link) = self.counter_connections.get_mut(&id) else { return };
-        if let Some(i) = link.waits.iter().position(|(_, n, _)| *n == no) {
-            let (call, ..) = link.waits.remove(i);
-            if !link.up && link.waits.is_empty() {
-                self.counter_connections.remove(&id);
+    /// A call has timed out: it is unanswered if it was sent, else nothing was added.
+    pub(super) fn counter_call_timed_out(&mut self, now: f64, id: u64, number: u64) {
+        let Some(connection) = self.counter.connections.get_mut(&id) else { return };
+        if let Some(position) = connection.queued.iter().position(|queued| queued.number == number) {
+            let call = connection.queued.remove(position).call;
+            if !connection.is_up && connection.queued.is_empty() {
+                self.counter.connections.remove(&id);
                 self.close(ConnectionId::Counter(id), CloseReason::DialTimeout);
             }
-            return self.counter_call_ended(now, call.key, no, CounterResult::NotApplied);
+            return self.counter_call_ended(now, call.key, number, CounterResult::NotApplied);
         }
-        let called = link.calls.iter_mut().find(|c| c.0 == no);
-        let Some((name, _)) = called.and_then(|c| c.1.take()) else { return };
-        link.silent = true;
-        self.counter_call_ended(now, name, no, CounterResult::Unanswered);
+        let sent = connection.sent.iter_mut().find(|sent| sent.number == number);
+        let Some(waiter) = sent.and_then(|sent| sent.waiter.take()) else { return };
+        connection.is_unresponsive = true;
+        self.counter_call_ended(now, waiter.key, number, CounterResult::Unanswered);
     }
 
+    /// The response to the first call on a connection.
     pub(super) fn counter_responded(&mut self, now: f64, id: u64, response: Response) {
-        let Some(link) = self.counter_connections.get_mut(&id) else { return };
-        link.silent = false;
-        let Some((no, name)) = link.calls.pop_front() else { return self.unexpected_counter_data(id) };
-        let total = std::str::from_utf8(&response.body).ok().and_then(|t| t.trim().parse::<f64>().ok());
-        let result = match (response.status, total.filter(|t| t.is_finite())) {
-            (200, Some(total)) => CounterResult::Total(total),
-            (200, None) => CounterResult::AppliedTotalUnknown,
-            (503 | 400 | 404, _) => CounterResult::NotApplied,
-            _ => CounterResult::Unanswered,
-        };
-        if let Some((name, timer)) = name {
-            self.timers.remove(&timer);
-            self.counter_call_ended(now, name, no, result);
-        }
-        let spoilt = matches!(result, CounterResult::AppliedTotalUnknown | CounterResult::Unanswered);
-        if response.closes_connection || spoilt {
-            self.close(
-                ConnectionId::Counter(id),
-                if spoilt { CloseReason::BadFraming } else { CloseReason::Closed },
-            );
+        let Some(connection) = self.counter.connections.get_mut(&id) else { return };
+        connection.is_unresponsive = false;
+        let Some(call) = connection.sent.pop_front() else { return self.unexpected_counter_data(id) };
+        let result = call_result(&response);
+        if let Some(waiter) = call.waiter {
+            self.timers.cancel(waiter.timer);
+            self.counter_call_ended(now, waiter.key, call.number, result);
+        }
+        let is_malformed = matches!(result, CounterResult::AppliedTotalUnknown | CounterResult::Unanswered);
+        if response.closes_connection || is_malformed {
+            let reason = if is_malformed { CloseReason::BadFraming } else { CloseReason::Closed };
+            self.close(ConnectionId::Counter(id), reason);
             self.counter_connection_ended(now, id, false, CloseReason::Closed);
         }
         self.close_if_replaced(id);
     }
 
-    /// What came on a connection that waits for nothing would be taken for the answer of its next call.
+    /// What comes on a connection without a call would be taken for the response to its next one.
     pub(super) fn unexpected_counter_data(&mut self, id: u64) {
-        if self.counter_connections.get(&id).is_some_and(CounterConnection::idle) {
+        if self.counter.connections.get(&id).is_some_and(CounterConnection::is_idle) {
             self.close_counter_connection(id, CloseReason::UnexpectedData);
         }
     }
 
-    /// Ends a connection that carries nothing any more.
-    pub(super) fn close_counter_connection(&mut self, id: u64, why: CloseReason) {
-        self.close(ConnectionId::Counter(id), why);
-        self.counter_connections.remove(&id);
+    /// Closes a connection without calls.
+    pub(super) fn close_counter_connection(&mut self, id: u64, reason: CloseReason) {
+        self.close(ConnectionId::Counter(id), reason);
+        self.counter.connections.remove(&id);
     }
 
-    /// The counter is elsewhere now: what is out may still be answered, the next calls go there.
+    /// The counter has another address now: calls that were made may still be answered, the next ones go there.
     pub(super) fn counter_address_changed(&mut self) {
-        self.counter_connections.values_mut().for_each(|l| l.old = true);
-        for id in self.counter_connections.keys().copied().collect::<Vec<_>>() {
+        for connection in self.counter.connections.values_mut() {
+            connection.is_replaced = true;
+        }
+        for id in self.counter.connections.keys().copied().collect::<Vec<_>>() {
             self.close_if_replaced(id);
         }
     }
 
     fn close_if_replaced(&mut self, id: u64) {
-        if self.counter_connections.get(&id).is_some_and(|l| l.old && l.idle()) {
+        let connection = self.counter.connections.get(&id);
+        if connection.is_some_and(|connection| connection.is_replaced && connection.is_idle()) {
             self.close_counter_connection(id, CloseReason::AddressChanged);
         }
     }
 
-    pub(super) fn counter_connection_ended(&mut self, now: f64, id: u64, unsent: bool, why: CloseReason) {
-        let Some(link) = self.counter_connections.remove(&id) else { return };
-        for (call, no, timer) in link.waits {
-            self.timers.remove(&timer);
-            self.counter_call_ended(now, call.key, no, CounterResult::NotApplied);
-        }
-        let last = link.calls.len().saturating_sub(1);
-        for (i, (no, name)) in link.calls.into_iter().enumerate() {
-            let result = match (unsent && i == last, i == 0 && why == CloseReason::BadFraming) {
-                (true, _) => CounterResult::NotApplied,
-                (_, true) => CounterResult::AppliedTotalUnknown, // what can't be read is its answer all the same
-                _ => CounterResult::Unanswered,
+    /// A connection ended. `unsent`: some of what was written to it has not left.
+    pub(super) fn counter_connection_ended(&mut self, now: f64, id: u64, unsent: bool, reason: CloseReason) {
+        let Some(connection) = self.counter.connections.remove(&id) else { return };
+        for QueuedCall { call, number, timer } in connection.queued {
+            self.timers.cancel(timer);
+            self.counter_call_ended(now, call.key, number, CounterResult::NotApplied);
+        }
+        let last = connection.sent.len().saturating_sub(1);
+        for (position, SentCall { number, waiter }) in connection.sent.into_iter().enumerate() {
+            let result = if unsent && position == last {
+                CounterResult::NotApplied
+            } else if position == 0 && reason == CloseReason::BadFraming {
+                CounterResult::AppliedTotalUnknown // a response that can't be read is one all the same
+            } else {
+                CounterResult::Unanswered
             };
-            if let Some((name, timer)) = name {
-                self.timers.remove(&timer);
-                self.counter_call_ended(now, name, no, result);
+            if let Some(waiter) = waiter {
+                self.timers.cancel(waiter.timer);
+                self.counter_call_ended(now, waiter.key, number, result);
             }
         }
     }
 }
+
+/// What a response says of its call.
+fn call_result(response: &Response) -> CounterResult {
+    let body = std::str::from_utf8(&response.body).ok();
+    let total = body.and_then(|body| body.trim().parse::<f64>().ok()).filter(|total| total.is_finite());
+    match (response.status, total) {
+        (200, Some(total)) => CounterResult::Total(total),
+        (200, None) => CounterResult::AppliedTotalUnknown,
+        (503 | 400 | 404, _) => CounterResult::NotApplied,
+        _ => CounterResult::Unanswered,
+    }
+}
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -1,198 +1,219 @@
-//! The list of backends: watched, and told to the decisions.
+//! Discovery: the endpoint list is watched, and the policy engine notified of it.
 use super::event::{CloseReason, ConnectionId, Effect};
-use super::kept::*;
 use super::reducer::Reducer;
+use super::timers::{TimerKey, TimerKind};
 use crate::wire::endpoints::{self, EndpointList};
 use crate::wire::http::{Request, Response};
 use quillramp::types::*;
-use std::collections::HashSet;
 
-/// How long a watch waits: so long at the most nothing is learnt over a connection that has gone mute, for its answer,
-/// with news or without, is due by then. What a mute one misses counts as told 6 s after it fell silent.
-const WATCH: f64 = 5.0;
-/// How much longer an answer may take. Then it is asked anew by a call that does not wait, on a new connection: what a
-/// service that was silent learns at its return counts as told at once, so a call is always out.
-const OVERRUN: f64 = 0.4;
-/// Where such a call's connection is refused, or ends without an answer, it is made again after this.
-const SOON: f64 = 0.2;
+/// How long a watch waits for a change, in seconds: for no longer is nothing learnt over a connection that has become
+/// unresponsive, for its response, with or without changes, is due by then. A change missed there counts as known 6 s
+/// after the connection fell silent.
+const WATCH_SECONDS: f64 = 5.0;
+/// How much longer the response may take, in seconds. Then the service is polled without a wait, on a new connection:
+/// what a service that was silent learns at its return counts as known at once, so a request is always pending.
+const RESPONSE_GRACE: f64 = 0.4;
+/// When such a poll is refused or ends without a response, it is repeated after so many seconds.
+const RETRY_SECONDS: f64 = 0.2;
+
+/// An unresponsive connection whose response would still count.
+#[derive(Clone, Copy)]
+pub(super) struct OverdueWatch {
+    connection: u64,
+    /// Until when it is kept, in seconds.
+    until: f64,
+}
+
+/// What is known of the discovery service.
+#[derive(Default)]
+pub(super) struct DiscoveryState {
+    /// The connection on which the list is watched.
+    pub connection: Option<u64>,
+    /// The timeout of the pending watch.
+    timer: TimerKey,
+    /// No response has come since one was due.
+    is_unresponsive: bool,
+    pub overdue_watch: Option<OverdueWatch>,
+    /// The version of the list that is known here; none where it is another service's.
+    version: Option<u64>,
+}
 
 impl Reducer {
+    /// Takes over a list, or changes to it.
     pub(super) fn apply_endpoint_list(&mut self, now: f64, list: &EndpointList) {
-        self.endpoint_version = Some(list.index);
+        self.discovery.version = Some(list.index);
         if list.snapshot {
-            self.backends.iter_mut().for_each(|p| p.standing = EndpointStatus::Removed);
-        }
-        let mut entries = Vec::new();
-        for e in &list.endpoints {
-            let backend = self.backend_names.intern(&e.name);
-            if backend == self.backends.len() {
-                self.backends.push(BackendEntry::default());
+            for entry in &mut self.backends.entries {
+                entry.status = EndpointStatus::Removed;
             }
-            (self.backends[backend].address, self.backends[backend].standing) = (Some(e.address), e.status);
-            let zone =
-                self.instance.zones.iter().position(|z| *z == e.zone).unwrap_or(self.instance.zones.len());
-            let started = (e.since_ms > 0.0).then_some(e.since_ms / 1e3);
-            let (standing, cell, size) = (e.status, e.group, e.weight);
-            entries.push(Endpoint {
-                backend,
-                status: standing,
-                zone,
-                cell,
-                weight: size,
-                started_at: started,
-            });
         }
+        let listed = list.endpoints.iter();
+        let entries: Vec<Endpoint> = listed.map(|endpoint| self.apply_endpoint(endpoint)).collect();
         self.engine.update_endpoints(now, list.snapshot, &entries);
-        for e in &list.endpoints {
-            self.known_backends.add(&e.name);
-            // An operator's word holds whatever the list says.
-            if let (Some(backend), Some(&since)) =
-                (self.backend_names.get(&e.name), self.shared.ejected_backends.get(&e.name))
-            {
+        for endpoint in &list.endpoints {
+            self.admin.known_backends.add(&endpoint.name);
+            // What an operator has ejected stays so, whatever the list reports.
+            let backend = self.backends.names.get(&endpoint.name);
+            let ejected_since = self.admin.shared.ejected_backends.get(&endpoint.name);
+            if let (Some(backend), Some(&since)) = (backend, ejected_since) {
                 self.set_manual_ejection(now, backend, Some(since));
             }
         }
-        for backend in 0..self.backends.len() {
-            if !self.backends[backend].takes() {
+        for backend in 0..self.backends.entries.len() {
+            if !self.backends.entries[backend].accepts_requests() {
                 self.close_idle_connections_to(backend);
             }
         }
         self.withdraw_from_unavailable();
     }
 
-    pub(super) fn close_idle_connections_to(&mut self, backend: BackendIndex) {
-        for id in std::mem::take(&mut self.backends[backend].idle) {
-            self.close_backend_connection(id, CloseReason::Delisted);
-        }
-    }
-
-    /// Backends that are gone and that nothing here has to do with any more are forgotten; their indices are free.
-    pub(super) fn forget_removed_backends(&mut self) {
-        let gone = |p: &BackendEntry| p.standing == EndpointStatus::Removed && p.address.is_some();
-        if !self.backends.iter().any(gone) {
-            return;
-        }
-        let met = self.requests.iter().flat_map(|h| h.deliveries.iter().map(|d| d.backend));
-        let met: HashSet<BackendIndex> =
-            met.chain(self.backend_connections.values().map(|l| l.backend)).collect();
-        for backend in (0..self.backends.len()).filter(|t| !met.contains(t)) {
-            if gone(&self.backends[backend]) {
-                self.backends[backend] = BackendEntry::default();
-                self.backend_names.release(backend);
-                self.engine.forget_backend(backend);
-            }
+    /// Takes over an entry of the list; returns it as the policy engine has it.
+    fn apply_endpoint(&mut self, listed: &endpoints::ListedEndpoint) -> Endpoint {
+        let backend = self.backends.names.intern(&listed.name);
+        if backend == self.backends.entries.len() {
+            self.backends.entries.push(Default::default());
+        }
+        let entry = &mut self.backends.entries[backend];
+        entry.address = Some(listed.address);
+        entry.status = listed.status;
+        let zones = &self.instance.zones;
+        let zone = zones.iter().position(|zone| *zone == listed.zone).unwrap_or(zones.len());
+        Endpoint {
+            backend,
+            status: listed.status,
+            zone,
+            cell: listed.group,
+            weight: listed.weight,
+            started_at: (listed.since_ms > 0.0).then_some(listed.since_ms / 1e3),
         }
     }
 
+    /// Opens a connection for the next request.
     pub(super) fn open_watch(&mut self, now: f64) {
         let id = self.next_connection_id();
-        self.watch_connection = Some(id);
+        self.discovery.connection = Some(id);
         self.effects.push(Effect::Connect(ConnectionId::Discovery(id), self.config.discovery));
         self.schedule_watch_timeout(now, id);
     }
 
-    /// The list service is elsewhere now: all of what it has there, then watched on.
+    /// The service has another address: its whole list is read there, then watched.
     pub(super) fn discovery_address_changed(&mut self, now: f64) {
         self.close_overdue_watch(CloseReason::AddressChanged);
-        if let Some(old) = self.watch_connection.take() {
+        if let Some(old) = self.discovery.connection.take() {
             self.close(ConnectionId::Discovery(old), CloseReason::AddressChanged);
         }
-        (self.endpoint_version, self.discovery_unresponsive) = (None, false);
+        self.discovery.version = None;
+        self.discovery.is_unresponsive = false;
         self.open_watch(now);
     }
 
-    pub(super) fn next_watch_request(&self) -> Request {
-        let wait_ms = if self.discovery_unresponsive { 1 } else { (WATCH * 1e3) as u64 };
-        self.endpoint_version.map_or(Request::List, |since| Request::WatchEndpoints { since, wait_ms })
+    /// Sends the next request on a connection that is up.
+    pub(super) fn send_watch(&mut self, connection: ConnectionId) {
+        let wait_ms = if self.discovery.is_unresponsive { 1 } else { (WATCH_SECONDS * 1e3) as u64 };
+        let request =
+            self.discovery.version.map_or(Request::List, |since| Request::WatchEndpoints { since, wait_ms });
+        self.effects.push(Effect::HttpRequest(connection, request));
     }
 
-    pub(super) fn schedule_watch_timeout(&mut self, now: f64, id: u64) {
-        self.timers.remove(&self.watch_timer);
-        // The whole list is not waited for either.
-        let waits = if self.discovery_unresponsive || self.endpoint_version.is_none() { 0.0 } else { WATCH };
-        self.watch_timer = self.schedule(now + waits + OVERRUN, TimerKind::WatchTimeout(id));
+    fn schedule_watch_timeout(&mut self, now: f64, id: u64) {
+        self.timers.cancel(self.discovery.timer);
+        // The whole list is sent without a wait, too.
+        let is_immediate = self.discovery.is_unresponsive || self.discovery.version.is_none();
+        let wait = if is_immediate { 0.0 } else { WATCH_SECONDS };
+        self.discovery.timer = self.timers.schedule(now + wait + RESPONSE_GRACE, TimerKind::WatchTimeout(id));
     }
 
-    /// No answer by when one was due, not even that nothing is new: the connection may be mute, the service be well, or
-    /// be slow. So it is asked anew at once, and one mute connection is kept a while: its answer still counts.
+    /// No response when one was due, not even that nothing has changed: the connection may be dead and the service well,
+    /// or slow. So the service is polled at once, and one such connection is kept for a while: its response still counts.
     pub(super) fn watch_timed_out(&mut self, now: f64, id: u64) {
-        if self.watch_connection != Some(id) {
+        if self.discovery.connection != Some(id) {
             return;
         }
-        if self.overdue_watch.is_some_and(|(_, until)| now >= until) {
+        if self.discovery.overdue_watch.is_some_and(|overdue| now >= overdue.until) {
             self.close_overdue_watch(CloseReason::Unresponsive);
         }
-        if self.overdue_watch.is_none() {
-            self.overdue_watch = Some((id, now + WATCH));
+        if self.discovery.overdue_watch.is_none() {
+            self.discovery.overdue_watch = Some(OverdueWatch { connection: id, until: now + WATCH_SECONDS });
         } else {
             self.close(ConnectionId::Discovery(id), CloseReason::Unresponsive);
         }
-        self.discovery_unresponsive = true;
+        self.discovery.is_unresponsive = true;
         self.open_watch(now);
     }
 
-    /// Ends the mute connection whose answer would still have counted.
-    fn close_overdue_watch(&mut self, why: CloseReason) {
-        if let Some((id, _)) = self.overdue_watch.take() {
-            self.close(ConnectionId::Discovery(id), why);
+    /// Closes the unresponsive connection whose response would still have counted.
+    fn close_overdue_watch(&mut self, reason: CloseReason) {
+        if let Some(overdue) = self.discovery.overdue_watch.take() {
+            self.close(ConnectionId::Discovery(overdue.connection), reason);
         }
     }
 
-    /// A connection to the list service ended.
+    /// A connection ended.
     pub(super) fn discovery_connection_ended(&mut self, now: f64, id: u64) {
-        self.overdue_watch = self.overdue_watch.filter(|(patient, _)| *patient != id);
-        if self.watch_connection == Some(id) {
-            self.watch_connection = None;
-            if std::mem::replace(&mut self.discovery_unresponsive, true) {
-                self.schedule(now + SOON, TimerKind::RetryWatch);
-            } else {
-                self.open_watch(now);
-            }
+        if self.is_overdue(id) {
+            self.discovery.overdue_watch = None;
         }
+        if self.discovery.connection != Some(id) {
+            return;
+        }
+        self.discovery.connection = None;
+        if std::mem::replace(&mut self.discovery.is_unresponsive, true) {
+            self.timers.schedule(now + RETRY_SECONDS, TimerKind::RetryWatch);
+        } else {
+            self.open_watch(now);
+        }
+    }
+
+    /// Polls again, unless a request is pending by now.
+    pub(super) fn watch_if_not_pending(&mut self, now: f64) {
+        if self.discovery.connection.is_none() {
+            self.open_watch(now);
+        }
+    }
+
+    fn is_overdue(&self, id: u64) -> bool {
+        self.discovery.overdue_watch.is_some_and(|overdue| overdue.connection == id)
     }
 
-    /// Something has come from the list service: what it is, if it is for us. The first answer is taken, whichever
-    /// connection it comes on; the other one ends, for what comes there later is older.
+    /// A response. The first one is taken, whichever connection it comes on; the other connection is closed, for what
+    /// comes there later is older.
     pub(super) fn discovery_responded(&mut self, now: f64, id: u64, response: Response) {
-        if self.overdue_watch.is_some_and(|(patient, _)| patient == id) {
-            self.overdue_watch = None;
-            if let Some(asked) = self.watch_connection.replace(id) {
-                self.close(ConnectionId::Discovery(asked), CloseReason::Unresponsive);
+        if self.is_overdue(id) {
+            self.discovery.overdue_watch = None;
+            if let Some(pending) = self.discovery.connection.replace(id) {
+                self.close(ConnectionId::Discovery(pending), CloseReason::Unresponsive);
             }
         }
-        if self.watch_connection == Some(id) {
+        if self.discovery.connection == Some(id) {
             self.close_overdue_watch(CloseReason::Unresponsive);
             self.apply_watch_response(now, id, response);
         }
     }
 
     fn apply_watch_response(&mut self, now: f64, id: u64, response: Response) {
-        let list = (response.status == 200).then(|| endpoints::decode(&response.body));
-        self.discovery_unresponsive = false;
+        self.discovery.is_unresponsive = false;
+        let list = if response.status == 200 {
+            endpoints::decode(&response.body).map_err(|error| error.to_string())
+        } else {
+            Err(format!("status {}", response.status))
+        };
         match list {
-            Some(Ok(list)) if !response.closes_connection => {
+            Ok(list) if !response.closes_connection => {
                 self.apply_endpoint_list(now, &list);
-                self.effects
-                    .push(Effect::HttpRequest(ConnectionId::Discovery(id), self.next_watch_request()));
+                self.send_watch(ConnectionId::Discovery(id));
                 self.schedule_watch_timeout(now, id);
             }
-            Some(Ok(list)) => {
+            Ok(list) => {
                 self.apply_endpoint_list(now, &list);
                 self.close(ConnectionId::Discovery(id), CloseReason::Closed);
                 self.open_watch(now);
             }
-            other => {
-                let why =
-                    other.and_then(Result::err).unwrap_or_else(|| format!("status {}", response.status));
-                self.effects.push(Effect::Log(format!("list service: {why}")));
+            Err(error) => {
+                self.effects.push(Effect::Log(format!("list service: {error}")));
                 self.close(ConnectionId::Discovery(id), CloseReason::BadFraming);
-                self.endpoint_fetch_failed(now);
+                self.discovery.connection = None;
+                self.engine.endpoint_fetch_failed(now);
             }
         }
     }
-
-    fn endpoint_fetch_failed(&mut self, now: f64) {
-        self.watch_connection = None;
-        self.engine.endpoint_fetch_failed(now);
-    }
 }
--- a/gateway/src/state/gossip.rs
+++ b/gateway/src/state/gossip.rs
@@ -1,4 +1,4 @@
-//! Words to and from other front doors.
+//! Gossip: messages to and from other instances.
 use super::event::Effect;
 use super::reducer::Reducer;
 use quillramp::gossip::{self, WireMessage};
@@ -6,56 +6,64 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    pub(super) fn send_gossip(&mut self, word: GossipMessage) {
-        match word {
+    /// Sends a message of the policy engine to the instances that it is for.
+    pub(super) fn send_gossip(&mut self, message: GossipMessage) {
+        match message {
             GossipMessage::BackendRecovered { backend } => {
-                let Some(name) = self.backend_names.resolve(backend) else { return };
+                let Some(name) = self.backends.names.resolve(backend) else { return };
                 let body = gossip::encode(&WireMessage::BackendRecovered(name.as_bytes().to_vec()));
-                self.effects.extend(self.config.peer_broadcast.map(|to| Effect::SendDatagram(to, body)));
+                let peers = self.config.peer_broadcast;
+                self.effects.extend(peers.map(|peers| Effect::SendDatagram(peers, body)));
             }
-            GossipMessage::CounterTotal { key: name, plan, instances: of, total } => {
-                let Some(&customer) = self.customers.resolve(name.customer) else { return };
-                let said =
-                    WireMessage::CounterTotal { customer, plan, instances: of, series: name.series, total };
-                let body = gossip::encode(&said);
-                for peer in (of.first..of.first + of.count).map(|i| i % self.instance.instances) {
-                    if let Some(&to) =
-                        self.config.peers.get(peer).filter(|_| peer != self.instance.instance_index)
-                    {
-                        self.effects.push(Effect::SendDatagram(to, body.clone()));
-                    }
-                }
+            GossipMessage::CounterTotal { key, plan, instances, total } => {
+                let Some(&customer) = self.customers.resolve(key.customer) else { return };
+                let series = key.series;
+                let message = WireMessage::CounterTotal { customer, plan, instances, series, total };
+                self.send_to_instances(instances, &gossip::encode(&message));
+            }
+        }
+    }
+
+    fn send_to_instances(&mut self, instances: InstanceRange, body: &[u8]) {
+        let last = instances.first + instances.count;
+        for peer in (instances.first..last).map(|instance| instance % self.instance.instances) {
+            if peer == self.instance.instance_index {
+                continue;
+            }
+            if let Some(&address) = self.config.peers.get(peer) {
+                self.effects.push(Effect::SendDatagram(address, body.to_vec()));
             }
         }
     }
 
+    /// A datagram came; one from an unknown peer, or malformed, is dropped.
     pub(super) fn datagram_received(&mut self, now: f64, from: SocketAddr, body: &[u8]) {
-        let known = self.config.peers.contains(&from) && body.len() <= gossip::MAX_DATAGRAM_BYTES;
-        match gossip::decode(body).filter(|_| known) {
+        let is_acceptable = self.config.peers.contains(&from) && body.len() <= gossip::MAX_DATAGRAM_BYTES;
+        match gossip::decode(body).filter(|_| is_acceptable) {
             Some(WireMessage::BackendRecovered(name)) => {
                 let name = std::str::from_utf8(&name).ok();
-                if let Some(backend) = name.and_then(|n| self.backend_names.get(n)) {
+                if let Some(backend) = name.and_then(|name| self.backends.names.get(name)) {
                     self.engine.gossip_received(now, GossipMessage::BackendRecovered { backend });
                 }
             }
-            Some(WireMessage::CounterTotal { customer, plan, instances: of, series, total })
+            Some(WireMessage::CounterTotal { customer, plan, instances, series, total })
                 if plan < self.instance.plans.len()
-                    && of.first < self.instance.instances
-                    && of.count <= self.instance.instances =>
+                    && instances.first < self.instance.instances
+                    && instances.count <= self.instance.instances =>
             {
-                let name = CounterKey { customer: self.customers.intern(&customer), series };
-                self.engine.gossip_received(
-                    now,
-                    GossipMessage::CounterTotal { key: name, plan, instances: of, total },
-                );
-            }
-            _ => {
-                self.unknown_datagrams += 1;
-                if self.unknown_datagrams.is_power_of_two() {
-                    self.effects
-                        .push(Effect::Log(format!("datagrams dropped so far: {}", self.unknown_datagrams)));
-                }
+                let key = CounterKey { customer: self.customers.intern(&customer), series };
+                let message = GossipMessage::CounterTotal { key, plan, instances, total };
+                self.engine.gossip_received(now, message);
             }
+            _ => self.datagram_dropped(),
+        }
+    }
+
+    fn datagram_dropped(&mut self) {
+        self.dropped_datagrams += 1;
+        if self.dropped_datagrams.is_power_of_two() {
+            let line = format!("datagrams dropped so far: {}", self.dropped_datagrams);
+            self.effects.push(Effect::Log(line));
         }
     }
 }
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -1,25 +1,24 @@
-//! Who speaks on a client's connection, where callers have to be known: a token once, by AUTH, and a look at it for each command.
+//! Callers, where they have to be known: each sends a token once, by AUTH, which is validated again for each command.
 use super::event::Effect;
 use super::reducer::Reducer;
 use crate::wire::resp::{ClientReply, RequestCommand};
 use quillramp_identity::{Authenticator, Trust};
 
 impl Reducer {
-    /// Other keys and revocations from now on, or nobody has to be known. Who is known is looked at again with its next command.
+    /// Other keys and revocations from now on, or no authentication. Known callers are validated again with their next
+    /// command.
     pub(super) fn set_trust(&mut self, trust: Option<Trust>) {
         if self.identity.as_ref().map(Authenticator::trust) == trust.as_ref() {
             return;
         }
-        let says = match &trust {
+        let line = match &trust {
             None => "callers need not be known".into(),
-            Some(t) => format!(
-                "callers are known by tokens of {}: {} keys, {} revoked",
-                t.issuer,
-                t.keys.len(),
-                t.revoked.len()
-            ),
+            Some(trust) => {
+                let (issuer, keys, revoked) = (&trust.issuer, trust.keys.len(), trust.revoked.len());
+                format!("callers are known by tokens of {issuer}: {keys} keys, {revoked} revoked")
+            }
         };
-        self.effects.push(Effect::Log(says));
+        self.effects.push(Effect::Log(line));
         match (&mut self.identity, trust) {
             (identity, None) => *identity = None,
             (Some(authenticator), Some(trust)) => authenticator.set_trust(trust),
@@ -27,13 +26,13 @@
         }
     }
 
-    /// A client says who it is. What a token holds is nobody's business, and no line's.
+    /// A client sent a token. What that contains is secret and stands in no log line.
     pub(super) fn authenticate_client(&mut self, now: f64, id: u64, token: &[u8]) -> ClientReply {
         let Some(authenticator) = &mut self.identity else {
             return ClientReply::Error("unknown command".into());
         };
         let caller = authenticator.authenticate(now, token);
-        let Some(client) = self.clients.get_mut(&id) else { return ClientReply::Okay };
+        let Some(client) = self.clients.connections.get_mut(&id) else { return ClientReply::Okay };
         match caller {
             Ok(caller) => {
                 client.caller = Some(caller);
@@ -47,25 +46,25 @@
         }
     }
 
-    /// The team that speaks, where callers have to be known; or what its client hears.
+    /// The team of the caller, where callers have to be known; or the reply that says why the command is denied.
     pub(super) fn authorize_caller(
         &mut self,
         now: f64,
         id: u64,
         operation: usize,
-        call: &RequestCommand,
+        command: &RequestCommand,
     ) -> Result<Option<String>, ClientReply> {
         let Some(authenticator) = &self.identity else { return Ok(None) };
-        let client = self.clients.get(&id);
-        let Some(caller) = client.and_then(|c| c.caller.as_ref()) else {
+        let client = self.clients.connections.get(&id);
+        let Some(caller) = client.and_then(|client| client.caller.as_ref()) else {
             return Err(ClientReply::Denied("NOAUTH a token first, by AUTH".into()));
         };
         if let Err(rejection) = authenticator.revalidate(now, caller) {
             return Err(ClientReply::Denied(format!("NOAUTH {rejection}")));
         }
-        // Somebody has to say for whom it may speak: the token, or a contract.
-        let said = caller.customers.is_some() || self.broker.is_some();
-        if !said || !caller.may(&self.instance.operations[operation].name, call.customer) {
+        // Either the token or a contract has to say for which customers the caller may act.
+        let has_customers = caller.customers.is_some() || self.broker.is_some();
+        if !has_customers || !caller.may(&self.instance.operations[operation].name, command.customer) {
             return Err(ClientReply::Denied("NOPERM not this operation, or not for this customer".into()));
         }
         Ok(Some(caller.team.clone()))
--- /dev/null
+++ b/gateway/src/state/idle.rs
@@ -0,0 +1,116 @@
+//! Idle connections, and commands that do not become complete.
+use super::client_table::Client;
+use super::counter_table::CounterConnection;
+use super::event::{CloseReason, Effect};
+use super::reducer::Reducer;
+use super::timers::TimerKind;
+
+/// An idle client is closed after so many seconds if it never sent a command, or if descriptors run short.
+pub(super) const CLIENT_IDLE_SHORT: f64 = 2.0;
+/// Any other idle client is closed after so many seconds.
+const CLIENT_IDLE_LONG: f64 = 10.0;
+/// The counter closes idle connections after so many seconds at the latest.
+const COUNTER_IDLE: f64 = 10.0;
+/// A command may take so many seconds from its first byte to its last: a slow client may need 2 s for it, and one that
+/// never completes it must be closed within 3 s.
+const PARTIAL_COMMAND_TIMEOUT: f64 = 2.5;
+/// A long body may pause for `PARTIAL_COMMAND_TIMEOUT`, and take so many seconds in all.
+const BODY_TIMEOUT: f64 = 30.0;
+/// A timer counts as due so many seconds early.
+const TIMER_TOLERANCE: f64 = 1e-3;
+/// The time between two checks for idle connections, in seconds.
+const CHECK_INTERVAL: f64 = 0.5;
+
+impl Reducer {
+    /// The beginning of a command has come.
+    pub(super) fn partial_command_received(&mut self, now: f64, id: u64) {
+        let Some(client) = self.clients.connections.get_mut(&id) else { return };
+        if client.partial_since.is_some() {
+            return;
+        }
+        client.partial_since = Some(now);
+        if let Some(admission) = &mut self.admission {
+            admission.partial_command(now, id);
+        }
+        self.timers.schedule(now + PARTIAL_COMMAND_TIMEOUT, TimerKind::PartialCommand(id));
+    }
+
+    /// More of a command's long body has come. `has_room`: its next part can be read.
+    pub(super) fn body_progressed(&mut self, now: f64, id: u64, has_room: bool) {
+        self.partial_command_received(now, id);
+        if let Some(client) = self.clients.connections.get_mut(&id) {
+            client.body_progress_at = Some(if has_room { now } else { f64::INFINITY });
+        }
+    }
+
+    /// Closes a client whose command should be complete by now.
+    pub(super) fn partial_command_timed_out(&mut self, now: f64, id: u64) {
+        let Some(client) = self.clients.connections.get(&id) else { return };
+        let Some(since) = client.partial_since else { return };
+        let without_progress = now - client.body_progress_at.unwrap_or(since);
+        let in_all = now - since;
+        let is_late = without_progress > PARTIAL_COMMAND_TIMEOUT - TIMER_TOLERANCE || in_all > BODY_TIMEOUT;
+        if client.is_answered() && is_late {
+            self.disconnect_client(id, CloseReason::Idle);
+        } else if in_all > PARTIAL_COMMAND_TIMEOUT - TIMER_TOLERANCE {
+            // One that began later has a timer of its own.
+            self.timers.schedule(now + PARTIAL_COMMAND_TIMEOUT, TimerKind::PartialCommand(id));
+        }
+    }
+
+    /// Closes what has been idle for too long. Repeated for as long as the process runs.
+    pub(super) fn close_idle_connections(&mut self, now: f64) {
+        for id in self.overdue_clients(now) {
+            self.disconnect_client(id, CloseReason::Idle);
+        }
+        self.close_idle_clients(now);
+        self.close_idle_backend_connections(now);
+        self.close_idle_counter_connections(now);
+        self.forget_removed_backends();
+        self.announce_descriptor_limit();
+        if let Some(admission) = &mut self.admission {
+            admission.refresh_known(now);
+        }
+        self.timers.schedule(now + CHECK_INTERVAL, TimerKind::IdleCheck);
+    }
+
+    fn close_idle_clients(&mut self, now: f64) {
+        let is_crowded = 2 * self.used_descriptors() > self.config.max_descriptors;
+        // A process that shuts down, with another to accept, closes no connection on which nobody has asked anything.
+        let keeps_silent = self.shutdown.hands_over_listener;
+        let is_idle = |client: &Client| {
+            let limit = if client.has_spoken && !is_crowded { CLIENT_IDLE_LONG } else { CLIENT_IDLE_SHORT };
+            let is_between_commands = client.is_answered() && client.partial_since.is_none();
+            is_between_commands && client.last_active < now - limit && (client.has_spoken || !keeps_silent)
+        };
+        let idle = self.clients.connections.iter().filter(|(_, client)| is_idle(client));
+        let mut idle: Vec<u64> = idle.map(|(id, _)| *id).collect();
+        idle.sort_unstable();
+        // A command may have come just now: it is looked for before the connection is closed.
+        self.effects.extend(idle.into_iter().map(|id| Effect::CloseIfIdle(id, CloseReason::Idle)));
+    }
+
+    /// Connections that have been idle for half of what the other side allows are closed here, not there.
+    fn close_idle_backend_connections(&mut self, now: f64) {
+        let oldest = now - self.instance.connection_idle_timeout / 2.0;
+        for backend in 0..self.backends.entries.len() {
+            let connections = &self.backends.connections;
+            let is_stale = |id: &u64| connections[id].idle_since < oldest;
+            let idle = std::mem::take(&mut self.backends.entries[backend].idle_connections);
+            let (stale, kept): (Vec<u64>, Vec<u64>) = idle.into_iter().partition(is_stale);
+            self.backends.entries[backend].idle_connections = kept;
+            for id in stale {
+                self.close_backend_connection(id, CloseReason::Idle);
+            }
+        }
+    }
+
+    fn close_idle_counter_connections(&mut self, now: f64) {
+        let oldest = now - COUNTER_IDLE / 2.0;
+        let is_stale = |connection: &CounterConnection| connection.is_idle() && connection.last_used < oldest;
+        let stale = self.counter.connections.iter().filter(|(_, connection)| is_stale(connection));
+        for id in stale.map(|(id, _)| *id).collect::<Vec<_>>() {
+            self.close_counter_connection(id, CloseReason::Idle);
+        }
+    }
+}
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -1,21 +1,33 @@
-//! What is kept, and the one reducer through which all of it changes. Nothing here touches a socket.
-//! `reducer` takes events in and asks the decisions; its other parts stand in a file each.
+//! What an instance keeps, and the one reducer through which all of it changes. Nothing here touches a socket.
+//!
+//! `reducer` takes events in, `dispatch` hands each to the part that handles it, and `decisions` asks the policy engine. The
+//! tables (`requests`, `client_table`, `backend_table`, `counter_table`, `timers`) keep what the parts share. `backlog`,
+//! `framing` and `write_buffer` keep the bytes of one connection.
 mod admin;
 mod admission;
+mod attempts;
+mod backend_table;
 mod backends;
 pub mod backlog;
 mod broker;
+mod client_table;
 mod clients;
 mod counter;
+mod counter_table;
+mod decisions;
 pub mod descriptors;
 mod discovery;
+mod dispatch;
 pub mod event;
 pub mod framing;
 mod gossip;
 mod identity;
-pub mod kept;
+mod idle;
 mod presence;
 pub mod reducer;
+mod requests;
 mod shutdown;
+mod stats;
 mod streams;
+mod timers;
 pub mod write_buffer;
--- a/gateway/src/state/presence.rs
+++ b/gateway/src/state/presence.rs
@@ -1,90 +1,110 @@
-//! The roster on the counter: its calls go where all calls of the counter go, under names that no customer has.
+//! Presence: counters by which instances learn which of them reach the counter. Calls on these go where all calls to the
+//! counter go, under numbers that no customer has.
 use super::event::Effect;
-use super::kept::TimerKind;
 use super::reducer::Reducer;
+use super::timers::TimerKind;
 use quillramp::types::*;
 use quillramp_presence::{Count, Membership};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Outside numbers of customers lie below it: groups of front doors are named from here on.
-const NAMES: u64 = 1 << 40;
+/// The lowest number that stands for a group of instances, where customers' numbers lie below.
+const FIRST_GROUP_NUMBER: u64 = 1 << 40;
 
+/// Which instances the counter hears of.
 pub struct PresenceState {
     membership: Membership,
-    every: f64,
-    /// The customer's index that stands for a group.
+    /// The time between two calls, in seconds.
+    interval: f64,
+    /// Groups of instances, by the customer index that stands for them.
     groups: BTreeMap<CustomerIndex, usize>,
-    missing: BTreeSet<usize>,
-    /// When its timer is due; another one is left over from an earlier roster.
-    at: f64,
+    /// The instances that were logged as absent.
+    absent: BTreeSet<usize>,
+    /// When its timer is due, in seconds; an earlier one is left over from other settings.
+    next_call: f64,
 }
 
 impl PresenceState {
-    /// Whether this count is the roster's.
-    pub fn calls(&self, name: CounterKey) -> bool {
-        self.groups.contains_key(&name.customer)
+    fn new(now: f64, interval: f64, instances: usize, instance_index: usize) -> PresenceState {
+        PresenceState {
+            membership: Membership::new(instances, instance_index, interval),
+            interval,
+            groups: BTreeMap::new(),
+            absent: BTreeSet::new(),
+            next_call: now,
+        }
+    }
+
+    /// Whether this counter is a group's.
+    pub fn owns_counter(&self, key: CounterKey) -> bool {
+        self.groups.contains_key(&key.customer)
     }
 
-    pub fn told(&mut self, now: f64, name: CounterKey, result: CounterResult) {
-        let Some(&group) = self.groups.get(&name.customer) else { return };
+    /// Takes the result of a call.
+    pub fn counter_answered(&mut self, now: f64, key: CounterKey, result: CounterResult) {
+        let Some(&group) = self.groups.get(&key.customer) else { return };
         let total = if let CounterResult::Total(total) = result { Some(total) } else { None };
-        self.membership.call_answered(now, Count { group, interval: name.series }, total);
+        self.membership.call_answered(now, Count { group, interval: key.series }, total);
     }
 
-    /// The part of these front doors that the counter does not hear of. That somebody asks is remembered.
-    pub fn absent(&mut self, now: f64, of: InstanceRange) -> f64 {
-        self.membership.watch(now, of.first, of.count);
-        1.0 - self.membership.present_fraction(now, of.first, of.count)
+    /// The fraction of these instances that the counter does not hear of. They are watched from now on.
+    pub fn absent_fraction(&mut self, now: f64, instances: InstanceRange) -> f64 {
+        self.membership.watch(now, instances.first, instances.count);
+        1.0 - self.membership.present_fraction(now, instances.first, instances.count)
     }
 }
 
 impl Reducer {
-    /// Front doors look who of them reaches the counter once in so many seconds, or do no longer.
-    pub(super) fn set_presence_interval(&mut self, now: f64, every: Option<f64>) {
-        if self.presence.as_ref().map(|r| r.every) == every {
+    /// Instances look which of them reach the counter, once in so many seconds, or do no longer.
+    pub(super) fn set_presence_interval(&mut self, now: f64, interval: Option<f64>) {
+        if self.presence.as_ref().map(|presence| presence.interval) == interval {
             return;
         }
-        let says = every
-            .map_or("no roster on the counter".into(), |e| format!("roster on the counter, every {e} s"));
-        self.effects.push(Effect::Log(says));
-        self.presence = every.map(|every| PresenceState {
-            membership: Membership::new(self.instance.instances, self.instance.instance_index, every),
-            every,
-            groups: BTreeMap::new(),
-            missing: BTreeSet::new(),
-            at: now,
-        });
-        if every.is_some() {
-            self.schedule(now, TimerKind::PresenceCall);
+        let line = match interval {
+            None => "no roster on the counter".into(),
+            Some(interval) => format!("roster on the counter, every {interval} s"),
+        };
+        self.effects.push(Effect::Log(line));
+        let (instances, index) = (self.instance.instances, self.instance.instance_index);
+        self.presence = interval.map(|interval| PresenceState::new(now, interval, instances, index));
+        if interval.is_some() {
+            self.timers.schedule(now, TimerKind::PresenceCall);
         }
     }
 
-    /// Its calls that are due; its timer goes on as long as there is a roster.
+    /// Makes the calls that are due; the timer is repeated for as long as there is an interval.
     pub(super) fn call_presence_counters(&mut self, now: f64) {
-        let Some(PresenceState { membership, groups, missing, at, .. }) =
-            self.presence.as_mut().filter(|r| now >= r.at)
-        else {
+        let Some(presence) = &mut self.presence else { return };
+        if now < presence.next_call {
             return;
-        };
+        }
         let mut calls = vec![];
-        for call in membership.due_calls(now) {
-            let customer = self.customers.intern(&(NAMES + call.count.group as u64));
-            groups.insert(customer, call.count.group);
-            let name = CounterKey { customer, series: call.count.interval };
-            calls.push(CounterCall { key: name, delta: call.amount, lifetime: call.lifetime });
+        for call in presence.membership.due_calls(now) {
+            let group = call.count.group;
+            let customer = self.customers.intern(&(FIRST_GROUP_NUMBER + group as u64));
+            presence.groups.insert(customer, group);
+            let key = CounterKey { customer, series: call.count.interval };
+            calls.push(CounterCall { key, delta: call.amount, lifetime: call.lifetime });
         }
-        let gone = membership.absent(now);
-        if gone != *missing {
-            let names: Vec<String> = gone.iter().map(usize::to_string).collect();
-            let says = if names.is_empty() { "none".into() } else { names.join(", ") };
-            self.effects.push(Effect::Log(format!("front doors that the counter does not hear of: {says}")));
-            *missing = gone;
+        let absent = presence.membership.absent(now);
+        if absent != presence.absent {
+            let line = format!("front doors that the counter does not hear of: {}", instance_list(&absent));
+            self.effects.push(Effect::Log(line));
+            presence.absent = absent;
         }
-        let next = membership.next_call(now);
-        *at = next;
+        let next_call = presence.membership.next_call(now);
+        presence.next_call = next_call;
         for call in calls {
             self.call_counter(now, call);
         }
-        self.schedule(next, TimerKind::PresenceCall);
+        self.timers.schedule(next_call, TimerKind::PresenceCall);
+    }
+}
+
+fn instance_list(instances: &BTreeSet<usize>) -> String {
+    let names: Vec<String> = instances.iter().map(usize::to_string).collect();
+    if names.is_empty() {
+        "none".into()
+    } else {
+        names.join(", ")
     }
 }
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -1,150 +1,210 @@
-//! The drain, and the stop, which is a drain that ends in an exit.
+//! Draining: clients' connections are closed between requests. A graceful shutdown is a drain that ends in the exit.
 use super::event::{CloseReason, ConnectionId, Effect};
-use super::kept::*;
 use super::reducer::Reducer;
+use super::timers::{TimerKey, TimerKind};
 use quillramp::types::*;
+use std::collections::BTreeSet;
 
-/// How long clients keep coming after the first no.
-const LINGER: f64 = 0.5;
-/// The kill follows SIGTERM after the longest time that clients wait, counted as the first where it is longer, and the
-/// second (PROTOCOL.md): with short times it comes early, with long ones before they are over.
-const KILL: (f64, f64) = (3.0, 0.7);
-/// So long before the kill what is still held is answered, and the process is gone: an answer has to leave, and to leave
-/// late by the 50 ms that the rules allow for.
-const LAST: f64 = 0.2;
-const GONE: f64 = 0.1;
-/// From then on nothing more is heard of a client that asked on and on, so that its connection can end: it must have
-/// ended, or be without a new command for 2 s, 4 s after the call.
-const PATIENCE: f64 = 1.5;
+/// How long clients keep coming after the first `PING` that was answered with an error, in seconds.
+const DRAIN_DELAY: f64 = 0.5;
+/// The process is killed so many seconds after SIGTERM and the longest time that clients wait, of which no more than
+/// `KILL_MAX_TIMEOUT` counts (PROTOCOL.md): with short timeouts the kill comes early, with long ones before they are over.
+const KILL_DELAY: f64 = 0.7;
+/// See `KILL_DELAY`, in seconds.
+const KILL_MAX_TIMEOUT: f64 = 3.0;
+/// So many seconds before the kill all pending requests are answered: an answer has to leave, and may be late by the 50 ms
+/// that the rules allow for.
+const ANSWER_BEFORE_KILL: f64 = 0.2;
+/// So many seconds before the kill the process exits.
+const EXIT_BEFORE_KILL: f64 = 0.1;
+/// So many seconds after the drain was requested, clients that still send commands are read no more, so that their
+/// connections can end: these must have ended, or be without a new command for 2 s, 4 s after the request.
+const STOP_READING_AFTER: f64 = 1.5;
+
+/// How far a drain or a shutdown has come.
+pub(super) struct ShutdownState {
+    /// The process was told to stop.
+    pub is_stopping: bool,
+    /// By then every request is answered, in seconds; infinite unless stopping.
+    pub deadline: f64,
+    /// It is stopping, and another process accepts clients.
+    pub hands_over_listener: bool,
+    /// How many descriptors it has announced that it will hold at the most, while it hands over.
+    pub announced_descriptor_limit: Option<usize>,
+    /// Clients' connections are closed between requests.
+    pub is_draining: bool,
+    /// For the next step of the drain.
+    drain_timer: Option<TimerKey>,
+    /// Clients whose connections may be closed after this batch.
+    pub closing_clients: BTreeSet<u64>,
+}
+
+impl Default for ShutdownState {
+    fn default() -> ShutdownState {
+        ShutdownState {
+            is_stopping: false,
+            deadline: f64::INFINITY,
+            hands_over_listener: false,
+            announced_descriptor_limit: None,
+            is_draining: false,
+            drain_timer: None,
+            closing_clients: BTreeSet::new(),
+        }
+    }
+}
 
 impl Reducer {
-    /// What `PING` hears. Where another process takes over, the front door as a whole goes on.
+    /// Whether `PING` is answered with `PONG`. Where another process takes over, the instance goes on accepting clients.
     pub(super) fn accepts_clients(&self) -> bool {
-        !self.shared.drained && (!self.stopping || self.hands_over_listener)
+        !self.admin.shared.drained && (!self.shutdown.is_stopping || self.shutdown.hands_over_listener)
     }
 
+    /// SIGTERM: a graceful shutdown begins.
     pub(super) fn begin_shutdown(&mut self, now: f64) {
-        if std::mem::replace(&mut self.stopping, true) {
+        if std::mem::replace(&mut self.shutdown.is_stopping, true) {
             return;
         }
-        let kill = now + self.instance.max_client_timeout.min(KILL.0) + KILL.1;
-        self.shutdown_deadline = kill - LAST;
-        self.schedule(self.shutdown_deadline, TimerKind::AnswerBeforeExit);
-        self.schedule(kill - GONE, TimerKind::Exit);
-        // With nobody to take over this is a stop like any other, and the next start is to come soon.
-        self.hands_over_listener = self.config.inherited_listener && self.shared.peer_process_newer;
-        if self.hands_over_listener {
-            self.effects
-                .push(Effect::Log("told to stop: the next process accepts, this one serves out".into()));
+        let kill = now + self.instance.max_client_timeout.min(KILL_MAX_TIMEOUT) + KILL_DELAY;
+        self.shutdown.deadline = kill - ANSWER_BEFORE_KILL;
+        self.timers.schedule(self.shutdown.deadline, TimerKind::AnswerBeforeExit);
+        self.timers.schedule(kill - EXIT_BEFORE_KILL, TimerKind::Exit);
+        // With nobody to take over this is a shutdown like any other, and the next start will follow soon.
+        let is_handover = self.config.inherited_listener && self.admin.shared.peer_process_newer;
+        self.shutdown.hands_over_listener = is_handover;
+        if is_handover {
+            let line = "told to stop: the next process accepts, this one serves out";
+            self.effects.push(Effect::Log(line.into()));
             self.begin_drain(now);
             return self.announce_descriptor_limit();
         }
         self.effects.push(Effect::Log("told to stop: serving on, then ending connections".into()));
-        // One that was drained by hand serves on, too: for a while clients keep coming.
-        self.draining = false;
+        // An instance that an operator has drained goes on, too: for a while clients keep coming.
+        self.shutdown.is_draining = false;
         self.schedule_drain(now);
     }
 
-    /// An operator drains this front door, or ends that.
+    /// An operator drains this instance, or ends that.
     pub(super) fn drain_changed(&mut self, now: f64) {
-        let drained = self.shared.drained;
-        let says = if drained { "drained by hand: ending connections" } else { "the drain is over" };
-        self.effects.push(Effect::Log(says.into()));
-        if drained {
+        let is_drained = self.admin.shared.drained;
+        let line = if is_drained { "drained by hand: ending connections" } else { "the drain is over" };
+        self.effects.push(Effect::Log(line.into()));
+        if is_drained {
             self.schedule_drain(now);
-        } else if !self.stopping {
-            self.draining = false;
-            self.closing_clients.clear();
-            self.drain_timer.take().map(|key| self.timers.remove(&key));
+        } else if !self.shutdown.is_stopping {
+            self.shutdown.is_draining = false;
+            self.shutdown.closing_clients.clear();
+            self.cancel_drain_timer();
+        }
+    }
+
+    fn cancel_drain_timer(&mut self) {
+        if let Some(timer) = self.shutdown.drain_timer.take() {
+            self.timers.cancel(timer);
         }
     }
 
     fn schedule_drain(&mut self, now: f64) {
-        if self.drain_timer.is_none() || self.stopping {
-            self.drain_timer.take().map(|key| self.timers.remove(&key));
-            self.drain_timer = Some(self.schedule(now + LINGER, TimerKind::BeginDrain));
+        if self.shutdown.drain_timer.is_none() || self.shutdown.is_stopping {
+            self.cancel_drain_timer();
+            let timer = self.timers.schedule(now + DRAIN_DELAY, TimerKind::BeginDrain);
+            self.shutdown.drain_timer = Some(timer);
         }
     }
 
-    /// Connections between invocations end; the others once they have their answers.
+    /// Connections without a request are closed; the others once they have their replies.
     pub(super) fn begin_drain(&mut self, now: f64) {
-        self.draining = true;
-        if self.stopping {
+        self.shutdown.is_draining = true;
+        if self.shutdown.is_stopping {
             self.effects.push(Effect::StopAccepting);
         }
-        self.drain_timer = Some(self.schedule(now + PATIENCE - LINGER, TimerKind::StopReading));
-        self.closing_clients
-            .extend(self.clients.iter().filter(|(_, c)| c.owed.is_empty() && c.said).map(|(id, _)| *id));
-        if !self.hands_over_listener {
-            let silent = self.clients.iter().filter(|(_, c)| !c.said && c.half.is_none());
-            self.closing_clients.extend(silent.map(|(id, _)| *id));
-        } else {
+        let stop_reading = now + STOP_READING_AFTER - DRAIN_DELAY;
+        self.shutdown.drain_timer = Some(self.timers.schedule(stop_reading, TimerKind::StopReading));
+        let hands_over = self.shutdown.hands_over_listener;
+        let clients = self.clients.connections.iter();
+        let closing = clients.filter(|(_, client)| match client.has_spoken {
+            true => client.is_answered(),
+            false => !hands_over && client.partial_since.is_none(),
+        });
+        self.shutdown.closing_clients.extend(closing.map(|(id, _)| *id));
+        if hands_over {
             // The next process needs the descriptors, and its own connections to backends.
-            for backend in 0..self.backends.len() {
+            for backend in 0..self.backends.entries.len() {
                 self.close_idle_connections_to(backend);
             }
         }
         self.exit_when_done();
     }
 
-    /// The kill is near: nobody waits for longer. What is out has timed out, what waits is asked about once more, and what
-    /// comes now is answered at once. A value on its way through goes on to the exit.
+    /// The kill is near, and nobody waits for longer: attempts in flight have timed out, the policy engine is asked once
+    /// more about requests that wait, and commands that come now are answered at once. Streams go on until the exit.
     pub(super) fn answer_before_exit(&mut self, now: f64) {
-        for inv in self.requests.keys().collect::<Vec<RequestIndex>>() {
-            let open = self.requests[inv].as_mut().filter(|h| !h.closed && h.begun.is_none());
-            let Some(held) = open else { continue };
-            held.ask.deadline = held.ask.deadline.min(self.shutdown_deadline);
-            self.route_request(now, inv);
-            self.time_out_attempts(inv);
+        for request in self.requests.slots.keys().collect::<Vec<RequestIndex>>() {
+            let Some(pending) = self.requests.get_open_mut(request) else { continue };
+            if pending.streaming_attempt.is_some() {
+                continue;
+            }
+            pending.attributes.deadline = pending.attributes.deadline.min(self.shutdown.deadline);
+            self.route_request(now, request);
+            self.time_out_attempts(request);
             self.report_ended_attempts(now);
         }
     }
 
-    /// Clients that ask on and on.
+    /// Clients that keep sending commands to a draining instance are read no more.
     pub(super) fn stop_reading_busy_clients(&mut self) {
-        if self.draining {
-            let busy = self.clients.iter_mut().filter(|(_, c)| !c.owed.is_empty() && !c.muted);
-            let mut busy: Vec<u64> = busy.map(|(id, c)| (c.muted = true, *id).1).collect();
-            busy.sort_unstable();
-            self.effects.extend(busy.into_iter().map(Effect::StopReading));
+        if !self.shutdown.is_draining {
+            return;
         }
+        let mut stopped: Vec<u64> = vec![];
+        for (id, client) in &mut self.clients.connections {
+            if !client.is_answered() && !client.is_reading_stopped {
+                client.is_reading_stopped = true;
+                stopped.push(*id);
+            }
+        }
+        stopped.sort_unstable();
+        self.effects.extend(stopped.into_iter().map(Effect::StopReading));
     }
 
-    /// Connections that may end now: between two commands, and with nothing on them that nobody has read. Asked for
-    /// after all answers of a batch.
+    /// Closes connections that may end now: between two commands, and with nothing on them that nobody has read. Called
+    /// after all replies of a batch.
     pub(super) fn close_drained_clients(&mut self) {
-        for id in std::mem::take(&mut self.closing_clients) {
-            let Some(client) = self.clients.get(&id).filter(|c| c.owed.is_empty()) else { continue };
-            if client.muted {
-                self.remove_client(id);
-                self.close(ConnectionId::Client(id), self.drain_reason());
+        for id in std::mem::take(&mut self.shutdown.closing_clients) {
+            let Some(client) = self.clients.connections.get(&id) else { continue };
+            if !client.is_answered() {
+                continue;
+            }
+            if client.is_reading_stopped {
+                self.disconnect_client(id, self.drain_reason());
                 self.exit_when_done();
-            } else if client.half.is_none() {
+            } else if client.partial_since.is_none() {
                 self.effects.push(Effect::CloseIfIdle(id, self.drain_reason()));
             }
         }
     }
 
-    pub(super) fn idle_client_closed(&mut self, id: u64, why: CloseReason) {
+    /// A client's connection was closed, as nothing unread was on it.
+    pub(super) fn idle_client_closed(&mut self, id: u64, reason: CloseReason) {
         if self.remove_client(id).is_some() {
-            self.log_closed(ConnectionId::Client(id), why);
+            self.log_closed(ConnectionId::Client(id), reason);
             self.exit_when_done();
         }
     }
 
     fn drain_reason(&self) -> CloseReason {
-        if self.stopping {
+        if self.shutdown.is_stopping {
             CloseReason::Stopping
         } else {
             CloseReason::Draining
         }
     }
 
-    /// Stopping, and no client is left.
+    /// Whether the process is stopping and no client is left.
     pub fn is_done(&self) -> bool {
-        self.draining && self.stopping && self.clients.is_empty()
+        self.shutdown.is_draining && self.shutdown.is_stopping && self.clients.connections.is_empty()
     }
 
+    /// Exits if no client is left.
     pub(super) fn exit_when_done(&mut self) {
         if self.is_done() {
             self.effects.push(Effect::Exit);
