--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a front door, and what it asks to be done.
+//! Events, which the reducer takes in, and effects, which it wants to be carried out.
 use crate::wire::admin;
 use crate::wire::http::{Request, Response};
 use crate::wire::resp::{BackendReply, ClientCommand, ClientReply, RequestCommand};
@@ -11,18 +11,18 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// A connection, by what it is for.
+/// A connection, by what it is for. Its number is unique among those for the same purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ConnectionId {
     Client(u64),
     Backend(u64),
     Counter(u64),
     Discovery(u64),
-    /// An operator's call.
+    /// An operator's connection, with one call.
     Admin(u64),
 }
 
-/// Why a connection ended, as its log line says it.
+/// Why a connection ended, as its log line reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseReason {
     /// The other side closed it.
@@ -33,32 +33,34 @@
     /// It never came up in time.
     DialTimeout,
     Idle,
-    /// A delivery on it was given up.
+    /// An attempt on it was cancelled.
     Abandoned,
-    /// Its backend drains or is gone.
+    /// Its backend is draining or was removed from the endpoint list.
     Delisted,
-    /// It said nothing for too long.
+    /// Nothing came on it for too long.
     Unresponsive,
-    /// It brought what nobody asked for.
+    /// Something came on it that answers no request.
     UnexpectedData,
-    /// Descriptors ran short.
+    /// File descriptors were short.
     DescriptorPressure,
-    /// It was not taken in.
+    /// It was not accepted.
     Rejected,
     /// The configuration names another address now.
     AddressChanged,
+    /// The process is stopping.
     Stopping,
-    /// The front door drains.
+    /// The instance is draining.
     Draining,
     /// An operator's call was answered, or not finished in time.
     AdminCallEnded,
-    /// A value broke off on its way through.
+    /// The backend's connection ended before a streamed value was complete.
     StreamAborted,
-    /// A value on its way through stood still.
+    /// A streamed value did not move for too long.
     StreamStalled,
 }
 
 impl CloseReason {
+    /// Its code in the log.
     pub fn code(self) -> &'static str {
         match self {
             CloseReason::Closed => "closed",
@@ -83,27 +85,28 @@
     }
 }
 
-/// What an operator's file says to the front door.
+/// What an operator's file declares for an instance.
 #[derive(Debug, Default)]
 pub struct OperatorUpdate {
     /// The limits of admission, where there are any.
     pub admission: Option<Limits>,
-    /// What is declared for which invocations.
+    /// The limits that are declared for requests.
     pub routes: Table,
-    /// The span in which front doors look who of them reaches the counter, seconds; none where they don't.
+    /// How often instances look which of them reach the counter, in seconds; none where they don't.
     pub presence_interval: Option<f64>,
     /// Contracts between teams, where there is a broker.
     pub broker: Option<BrokerSettings>,
-    /// What tokens are checked against, where callers have to be known.
+    /// What tokens are validated against, where callers have to be known.
     pub identity: Option<Trust>,
 }
 
-/// The end of a connection, as the log has it.
+/// The end of a connection, as it is logged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClosedConnection {
+    /// What the connection was for, as the log names it.
     pub kind: &'static str,
     pub id: u64,
-    /// A backend's name.
+    /// The backend's name, if it was a backend's.
     pub name: Option<String>,
     pub reason: CloseReason,
 }
@@ -115,111 +118,124 @@
     }
 }
 
-/// What operators change for good: it is kept for the next version too.
+/// A change by an operator, which is saved for the next process too.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminChange {
-    /// Since when.
+    /// The backend's name, and since when it is ejected, in seconds.
     EjectBackend(String, f64),
+    /// The backend's name.
     RestoreBackend(String),
+    /// Whether the instance is drained.
     SetDrained(bool),
 }
 
 impl AdminChange {
-    pub fn apply(self, out: &mut BTreeMap<String, f64>, drained: &mut bool) {
+    /// Makes the change to these parts of the shared state.
+    pub fn apply(self, ejected_backends: &mut BTreeMap<String, f64>, drained: &mut bool) {
         match self {
-            AdminChange::EjectBackend(name, since) => drop(out.entry(name).or_insert(since)),
-            AdminChange::RestoreBackend(name) => drop(out.remove(&name)),
-            AdminChange::SetDrained(now) => *drained = now,
+            AdminChange::EjectBackend(name, since) => {
+                ejected_backends.entry(name).or_insert(since);
+            }
+            AdminChange::RestoreBackend(name) => {
+                ejected_backends.remove(&name);
+            }
+            AdminChange::SetDrained(is_drained) => *drained = is_drained,
         }
     }
 }
 
-/// What the processes of one front door share.
+/// What the processes of one instance share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SharedState {
-    /// Backends out by hand, and since when.
+    /// Backends that operators have ejected, and since when, in seconds.
     pub ejected_backends: BTreeMap<String, f64>,
+    /// An operator has drained the instance.
     pub drained: bool,
-    /// Another process of this front door is there too; and it started after this one.
+    /// Another process of this instance is running too.
     pub peer_process_running: bool,
+    /// That process started after this one.
     pub peer_process_newer: bool,
-    /// It leaves, and will hold no more descriptors than these.
+    /// That process is stopping, and will hold no more descriptors than these.
     pub peer_descriptor_limit: Option<usize>,
 }
 
+/// What has happened. Numbers are those of connections, unless stated otherwise.
 #[derive(Debug)]
 pub enum Event {
-    /// A client connected, from there.
+    /// A client connected, from this address.
     ClientAccepted(u64, IpAddr),
     /// An operator connected.
     AdminConnected(u64),
+    /// An operator's call.
     AdminCall(u64, admin::AdminCall),
-    /// What is shared has changed: by a call from here, or by another process.
-    SharedStateSaved {
-        call: Option<u64>,
-        shared: Result<SharedState, String>,
-    },
-    /// A client's connection that was to end between invocations has.
+    /// The shared state was saved, or could not be: for an operator's call on this connection, or by another process.
+    SharedStateSaved { call: Option<u64>, shared: Result<SharedState, String> },
+    /// A client's connection was closed after `Effect::CloseIfIdle`.
     IdleClientClosed(u64, CloseReason),
+    /// A client's command.
     ClientCommand(u64, ClientCommand),
-    /// A reply, and whether more came right behind it.
+    /// A backend's reply, and whether more has come right behind it.
     BackendReply(u64, BackendReply, bool),
-    /// The head of a value that is to pass through; then that it has; and what stands behind.
+    /// The head of a value that is to be streamed has come from a backend.
     StreamStarted(u64),
+    /// All of that value is on its way to the client.
     StreamForwarded(u64),
+    /// What stood behind that value: the billed units, the load report, and whether more has come behind them.
     StreamTrailer(u64, Option<f64>, Option<Vec<u8>>, bool),
+    /// A response of the counter or of the discovery service.
     HttpResponse(ConnectionId, Response),
-    /// The beginning of a message has come, and not yet the rest.
+    /// The beginning of a message has come, and not the rest yet.
     PartialMessage(ConnectionId),
-    /// More of a long body has come, or there is no room for more.
+    /// More of a long body has come from a client, and whether there is memory for the rest.
     BodyProgress(u64, bool),
-    /// A connection that was asked for is up.
+    /// A connection that was opened from here is up.
     Connected(ConnectionId),
-    /// This delivery was taken out of the buffer of a backend's connection before any of its bytes was written.
+    /// An attempt was taken out of the buffer of a backend's connection before any of its bytes was written.
     Withdrawn {
         connection: u64,
+        /// Its number on that connection.
         attempt: u64,
     },
-    /// A connection ended that nobody here closed; `unsent`: not all that was written to it has left.
+    /// A connection ended that was not closed from here.
     ConnectionEnded {
         connection: ConnectionId,
         reason: CloseReason,
+        /// Some of what was written to it has not left.
         unsent: bool,
     },
-    Datagram {
-        from: SocketAddr,
-        body: Vec<u8>,
-    },
-    /// Accepting found no descriptor left for one more client.
+    /// A datagram of another instance, or from an unknown peer.
+    Datagram { from: SocketAddr, body: Vec<u8> },
+    /// No file descriptor was left to accept one more client.
     DescriptorsExhausted,
-    /// The configuration was read again: where the list service and the counter are now.
-    ConfigurationReloaded {
-        discovery: SocketAddr,
-        counter: Option<SocketAddr>,
-    },
-    /// The operator's file was read again, all of it well.
+    /// The configuration was read again: where the discovery service and the counter are now.
+    ConfigurationReloaded { discovery: SocketAddr, counter: Option<SocketAddr> },
+    /// The operator's file was read again, and is valid.
     OperatorFileReloaded(Box<OperatorUpdate>),
-    /// The configuration was to be read again, and can't be.
+    /// The configuration was to be read again, and can't be used.
     ReloadFailed(String),
+    /// SIGTERM.
     Shutdown,
 }
 
+/// What is to be done. Numbers are those of connections, unless stated otherwise.
 #[derive(Debug)]
 pub enum Effect {
+    /// Sends a reply to a client.
     Reply(u64, ClientReply),
-    /// The last word to a client that is not taken in.
+    /// Tells a client why it is not accepted.
     Reject(u64, &'static str),
-    /// To an operator; that side of the connection ends with it.
+    /// Responds to an operator's call; that side of the connection ends with it.
     AdminRespond(u64, admin::AdminResponse),
-    /// To be kept for the next version, and told to this one's other process.
+    /// Saves a change by an operator for the next process, and notifies the other one of this instance. With the operator's
+    /// connection.
     SaveChange(u64, AdminChange),
-    /// From now on this process holds no more descriptors than these: the other one may have the rest.
+    /// From now on this process holds no more descriptors than these: the other one may use the rest.
     AnnounceDescriptorLimit(usize),
-    /// Ends a client's connection unless something has come on it that nobody has read.
+    /// Closes a client's connection unless something unread has come on it.
     CloseIfIdle(u64, CloseReason),
-    /// Nothing more is heard of this client but its end.
+    /// Reads no more of this client's commands; only the end of its connection is reported.
     StopReading(u64),
-    /// Writes a call to a backend's connection, with the milliseconds that we shall wait for its answer.
+    /// Writes a request to a backend's connection, with the time in which its response is awaited, in milliseconds.
     SendAttempt {
         connection: u64,
         /// Its number, unique on this connection.
@@ -227,30 +243,38 @@
         call: Arc<RequestCommand>,
         timeout_ms: u64,
     },
-    /// Takes a delivery back out of its connection's buffer, if none of its bytes has been written yet.
+    /// Takes an attempt out of its connection's buffer, if none of its bytes has been written yet.
     Withdraw {
         connection: u64,
+        /// Its number on that connection.
         delivery: u64,
     },
-    /// What has begun on this backend's connection passes to that client, or to nobody.
+    /// Forwards the value that has begun on this backend's connection to that client, or drops it.
     Stream(u64, Option<u64>),
-    /// Ends a backend's connection on which a value is on its way through, if its backend has been silent for so many
-    /// seconds while its client took all there was, or if nothing has moved for so many, for whatever reason.
+    /// Closes a backend's connection on which a value is being streamed, if that does not move.
     CloseIfStalled {
         connection: u64,
+        /// It is closed if the backend has been silent for so many seconds while its client took all that came.
         unresponsive_for: f64,
+        /// It is closed if nothing has moved for so many seconds, for whatever reason.
         stalled_for: f64,
     },
+    /// Sends a request to the counter or to the discovery service.
     HttpRequest(ConnectionId, Request),
+    /// Opens a connection.
     Connect(ConnectionId, SocketAddr),
-    /// What was written before it leaves first.
+    /// Closes a connection; what was written to it before leaves first.
     Close(ConnectionId),
+    /// Sends a datagram to another instance, or to all.
     SendDatagram(SocketAddr, Vec<u8>),
+    /// Writes a line to the log.
     Log(String),
+    /// Logs the end of a connection.
     LogClosed(ClosedConnection),
+    /// Closes the listening socket.
     StopAccepting,
-    /// Once all that was written has left.
+    /// Exits once all that was written has left.
     Exit,
-    /// At once: there is no more time.
+    /// Exits at once: there is no more time.
     ExitImmediately,
 }
--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -1,62 +1,83 @@
-//! What comes on one connection, as events: where it is in its messages. No socket: bytes in, events out, so that
-//! whoever moves the bytes (the sockets, the emulator) reads them alike.
+//! Messages on one connection: bytes in, events out. No socket, so that whoever moves the bytes (the sockets, the emulator)
+//! reads them alike.
 use super::event::{CloseReason, ConnectionId, Event};
 use crate::wire::{admin, http, resp, ProtocolError};
 
 /// Where a backend's connection is in a reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
+enum ReplyStage {
     /// At its beginning.
     Head,
-    /// A long value has begun, and waits for the word to pass.
-    Waits { left: usize },
-    /// So much of it is still to pass.
-    Passes { left: usize },
+    /// A long value has begun, and is not forwarded before `start_streaming`.
+    StreamPending { bytes_left: usize },
+    /// So much of the value is still to be forwarded.
+    Streaming { bytes_left: usize },
     /// Behind the value.
-    Rest,
+    Trailer,
 }
 
-/// Who hears of what came.
+/// Who is notified of what came.
 pub trait MessageSink {
-    /// An event; where it is a long command, how many bytes that holds until it is answered, else 0.
+    /// An event. `long`: the bytes of a long command, which it holds until it is answered; else 0.
     fn event(&mut self, event: Event, long: usize);
-    /// A piece of a value on its way through; `end`: the last, with the line's end behind it.
+    /// A piece of a value that is being forwarded. `end`: the last one, with the end of its line.
     fn body_chunk(&mut self, bytes: &[u8], end: bool);
-    /// No more events are wanted now; what is left of the bytes is for later.
+    /// No more events are wanted now; the bytes that are left are for later.
     fn is_full(&self) -> bool {
         false
     }
 }
 
+/// What was found at the beginning of some bytes.
+enum Decoded {
+    /// A message of so many bytes.
+    Message(Event, usize),
+    /// So many bytes of a value, which have been forwarded.
+    Forwarded(usize),
+    /// The beginning of a message.
+    Partial,
+    /// Nothing can be done with the bytes yet.
+    Blocked,
+}
+
+impl Decoded {
+    fn from_message(message: Option<(Event, usize)>) -> Decoded {
+        message.map_or(Decoded::Partial, |(event, length)| Decoded::Message(event, length))
+    }
+}
+
+/// Reads the messages on one connection.
 pub struct MessageReader {
-    conn: ConnectionId,
-    stage: Stage,
+    connection: ConnectionId,
+    stage: ReplyStage,
     /// Nothing more of what comes is looked at.
     pub discard: bool,
 }
 
 impl MessageReader {
-    pub fn new(conn: ConnectionId) -> MessageReader {
-        MessageReader { conn, stage: Stage::Head, discard: false }
+    /// For a connection on which nothing has come.
+    pub fn new(connection: ConnectionId) -> MessageReader {
+        MessageReader { connection, stage: ReplyStage::Head, discard: false }
     }
 
-    /// A value that has begun may pass: how long it is. None where none waits.
+    /// Lets a value that has begun be forwarded; returns its length in bytes, or none if no value is pending.
     pub fn start_streaming(&mut self) -> Option<usize> {
-        let Stage::Waits { left } = self.stage else { return None };
-        self.stage = Stage::Passes { left };
-        Some(left)
+        let ReplyStage::StreamPending { bytes_left } = self.stage else { return None };
+        self.stage = ReplyStage::Streaming { bytes_left };
+        Some(bytes_left)
     }
 
-    /// A value has begun and waits for the word to pass.
+    /// Whether a value has begun and waits for `start_streaming`.
     pub fn is_stream_pending(&self) -> bool {
-        matches!(self.stage, Stage::Waits { .. })
+        matches!(self.stage, ReplyStage::StreamPending { .. })
     }
 
+    /// Whether a value is being forwarded.
     pub fn is_streaming(&self) -> bool {
-        matches!(self.stage, Stage::Passes { .. })
+        matches!(self.stage, ReplyStage::Streaming { .. })
     }
 
-    /// Tells of each whole message; how many bytes they took.
+    /// Reports each complete message; returns how many bytes they took.
     pub fn decode(&mut self, bytes: &[u8], to: &mut dyn MessageSink) -> Result<usize, CloseReason> {
         let mut done = 0;
         loop {
@@ -64,88 +85,120 @@
             if rest.is_empty() || to.is_full() {
                 return Ok(done);
             }
-            let event = match self.conn {
-                ConnectionId::Client(id) => match resp::decode_command(rest) {
-                    Ok(m) => m.map(|(m, n)| (Event::ClientCommand(id, m), n)),
-                    Err(ProtocolError(why)) => {
-                        self.protocol_error(why, to);
-                        return Ok(bytes.len());
-                    }
-                },
-                ConnectionId::Backend(id) => match self.stage {
-                    Stage::Waits { .. } => return Ok(done),
-                    Stage::Passes { left } => {
-                        let n = self.pass(left, rest, to)?;
-                        done += n;
-                        if n > left {
-                            to.event(Event::StreamForwarded(id), 0);
-                        } else if n == 0 {
-                            return Ok(done); // the end of the value is in two pieces
-                        }
-                        continue;
-                    }
-                    Stage::Rest => {
-                        let m = resp::decode_trailer(rest).map_err(|_| CloseReason::BadFraming)?;
-                        let Some(((billed, report), n)) = m else { return Ok(done) };
-                        self.stage = Stage::Head;
-                        Some((Event::StreamTrailer(id, billed, report, n < rest.len()), n))
-                    }
-                    Stage::Head => {
-                        match resp::decode_stream_head(rest).map_err(|_| CloseReason::BadFraming)? {
-                            Some((left, n)) => {
-                                self.stage = Stage::Waits { left };
-                                Some((Event::StreamStarted(id), n))
-                            }
-                            None => {
-                                let m = resp::decode_reply(rest).map_err(|_| CloseReason::BadFraming)?;
-                                m.map(|(m, n)| (Event::BackendReply(id, m, n < rest.len()), n))
-                            }
-                        }
-                    }
-                },
-                ConnectionId::Admin(id) => {
-                    let call = admin::decode_call(rest).map(|call| (Event::AdminCall(id, call), rest.len()));
-                    self.discard |= call.is_some(); // one call to a connection
-                    call
+            match self.decode_one(rest, to)? {
+                Decoded::Message(event, length) => {
+                    let is_long = length > resp::MAX_MESSAGE_BYTES;
+                    to.event(event, if is_long { length } else { 0 });
+                    done += length;
                 }
-                conn => {
-                    let m = http::decode_response(rest).map_err(|_| CloseReason::BadFraming)?;
-                    m.map(|(m, n)| (Event::HttpResponse(conn, m), n))
+                Decoded::Forwarded(length) => done += length,
+                Decoded::Partial => {
+                    to.event(self.partial_message(rest.len()), 0);
+                    return Ok(done);
                 }
-            };
-            let Some((event, n)) = event else {
-                let partial = match self.conn {
-                    ConnectionId::Client(id) if rest.len() > resp::MAX_MESSAGE_BYTES => {
-                        Event::BodyProgress(id, true)
-                    }
-                    conn => Event::PartialMessage(conn),
-                };
-                to.event(partial, 0);
-                return Ok(done);
-            };
-            to.event(event, if n > resp::MAX_MESSAGE_BYTES { n } else { 0 });
-            done += n;
+                Decoded::Blocked => return Ok(done),
+            }
+        }
+    }
+
+    fn decode_one(&mut self, bytes: &[u8], to: &mut dyn MessageSink) -> Result<Decoded, CloseReason> {
+        match self.connection {
+            ConnectionId::Client(id) => match resp::decode_command(bytes) {
+                Ok(command) => Ok(Decoded::from_message(
+                    command.map(|(command, length)| (Event::ClientCommand(id, command), length)),
+                )),
+                Err(ProtocolError(error)) => {
+                    self.protocol_error(error, to);
+                    Ok(Decoded::Forwarded(bytes.len()))
+                }
+            },
+            ConnectionId::Backend(id) => self.decode_reply(id, bytes, to),
+            ConnectionId::Admin(id) => {
+                let Some(call) = admin::decode_call(bytes) else { return Ok(Decoded::Partial) };
+                self.discard = true; // one call to a connection
+                Ok(Decoded::Message(Event::AdminCall(id, call), bytes.len()))
+            }
+            connection => {
+                let response = http::decode_response(bytes).map_err(|_| CloseReason::BadFraming)?;
+                let event = |(response, length)| (Event::HttpResponse(connection, response), length);
+                Ok(Decoded::from_message(response.map(event)))
+            }
+        }
+    }
+
+    /// The reply on a backend's connection, as far as it has come.
+    fn decode_reply(
+        &mut self,
+        id: u64,
+        bytes: &[u8],
+        to: &mut dyn MessageSink,
+    ) -> Result<Decoded, CloseReason> {
+        match self.stage {
+            ReplyStage::Head => self.decode_reply_head(id, bytes),
+            ReplyStage::StreamPending { .. } => Ok(Decoded::Blocked),
+            ReplyStage::Streaming { bytes_left } => {
+                let length = self.forward_value(bytes_left, bytes, to)?;
+                if length > bytes_left {
+                    to.event(Event::StreamForwarded(id), 0);
+                } else if length == 0 {
+                    return Ok(Decoded::Blocked); // the end of the value's line is in two pieces
+                }
+                Ok(Decoded::Forwarded(length))
+            }
+            ReplyStage::Trailer => {
+                let trailer = resp::decode_trailer(bytes).map_err(|_| CloseReason::BadFraming)?;
+                let Some(((billed, report), length)) = trailer else { return Ok(Decoded::Partial) };
+                self.stage = ReplyStage::Head;
+                let event = Event::StreamTrailer(id, billed, report, length < bytes.len());
+                Ok(Decoded::Message(event, length))
+            }
+        }
+    }
+
+    fn decode_reply_head(&mut self, id: u64, bytes: &[u8]) -> Result<Decoded, CloseReason> {
+        let stream = resp::decode_stream_head(bytes).map_err(|_| CloseReason::BadFraming)?;
+        if let Some((bytes_left, length)) = stream {
+            self.stage = ReplyStage::StreamPending { bytes_left };
+            return Ok(Decoded::Message(Event::StreamStarted(id), length));
+        }
+        let reply = resp::decode_reply(bytes).map_err(|_| CloseReason::BadFraming)?;
+        let event = |(reply, length)| (Event::BackendReply(id, reply, length < bytes.len()), length);
+        Ok(Decoded::from_message(reply.map(event)))
+    }
+
+    /// The event for a message of which so many bytes have come, and not the rest.
+    fn partial_message(&self, bytes: usize) -> Event {
+        match self.connection {
+            ConnectionId::Client(id) if bytes > resp::MAX_MESSAGE_BYTES => Event::BodyProgress(id, true),
+            connection => Event::PartialMessage(connection),
         }
     }
 
-    /// Passes the beginning of these bytes on, as far as they belong to the value; how many that were.
-    fn pass(&mut self, left: usize, bytes: &[u8], to: &mut dyn MessageSink) -> Result<usize, CloseReason> {
-        let n = bytes.len().min(left);
-        self.stage = Stage::Passes { left: left - n };
-        let end = if left == n { bytes.get(n..n + 2) } else { None };
-        if end.is_some_and(|end| end != b"\r\n") {
+    /// Forwards the beginning of these bytes, as far as they belong to the value; returns how many that were, with the end
+    /// of its line.
+    fn forward_value(
+        &mut self,
+        bytes_left: usize,
+        bytes: &[u8],
+        to: &mut dyn MessageSink,
+    ) -> Result<usize, CloseReason> {
+        let length = bytes.len().min(bytes_left);
+        self.stage = ReplyStage::Streaming { bytes_left: bytes_left - length };
+        let line_end = if bytes_left == length { bytes.get(length..length + 2) } else { None };
+        if line_end.is_some_and(|line_end| line_end != b"\r\n") {
             return Err(CloseReason::BadFraming);
         }
-        to.body_chunk(&bytes[..n], end.is_some());
-        let Some(end) = end else { return Ok(n) };
-        self.stage = Stage::Rest;
-        Ok(n + end.len())
+        to.body_chunk(&bytes[..length], line_end.is_some());
+        let Some(line_end) = line_end else { return Ok(length) };
+        self.stage = ReplyStage::Trailer;
+        Ok(length + line_end.len())
     }
 
-    /// Nothing more of what this client says is understood.
-    pub fn protocol_error(&mut self, why: &'static str, to: &mut dyn MessageSink) {
-        if let (ConnectionId::Client(id), false) = (self.conn, std::mem::replace(&mut self.discard, true)) {
-            to.event(Event::ClientCommand(id, resp::ClientCommand::ProtocolError(why)), 0);
+    /// Nothing more of what this client sends can be understood.
+    pub fn protocol_error(&mut self, error: &'static str, to: &mut dyn MessageSink) {
+        let ConnectionId::Client(id) = self.connection else { return };
+        if !std::mem::replace(&mut self.discard, true) {
+            to.event(Event::ClientCommand(id, resp::ClientCommand::ProtocolError(error)), 0);
         }
     }
 }
--- a/gateway/src/state/write_buffer.rs
+++ b/gateway/src/state/write_buffer.rs
@@ -1,5 +1,5 @@
 //! The bytes that wait to be written to one connection, and where the messages in them lie that may still be
-//! withdrawn. No socket: whoever writes the bytes (the sockets, the emulator) says how far it came.
+//! withdrawn. No socket: whoever writes the bytes (the sockets, the emulator) reports how many left.
 use std::collections::VecDeque;
 
 /// A message in the buffer, by the offsets of its first byte and of the one behind its last.
@@ -8,7 +8,7 @@
     start: usize,
     end: usize,
     /// Some of its bytes have been written: the rest has to follow.
-    begun: bool,
+    has_begun: bool,
 }
 
 /// The output buffer of one connection.
@@ -33,52 +33,55 @@
     pub fn append(&mut self, number: u64, encode: impl FnOnce(&mut Vec<u8>)) {
         let start = self.bytes.len();
         encode(&mut self.bytes);
-        self.messages.push_back(Message { number, start, end: self.bytes.len(), begun: false });
+        self.messages.push_back(Message { number, start, end: self.bytes.len(), has_begun: false });
     }
 
-    /// So many bytes have been written; returns how many messages have left whole with them.
+    /// So many bytes have been written; returns how many messages have left completely with them.
     pub fn consume(&mut self, bytes: usize) -> usize {
         self.bytes.drain(..bytes);
-        let whole = self.messages.iter().take_while(|m| m.end <= bytes).count();
-        self.messages.drain(..whole);
+        let complete = self.messages.iter().take_while(|message| message.end <= bytes).count();
+        self.messages.drain(..complete);
         for message in &mut self.messages {
-            message.begun |= message.start < bytes;
+            message.has_begun |= message.start < bytes;
             message.start = message.start.saturating_sub(bytes);
             message.end -= bytes;
         }
-        whole
+        complete
     }
 
     /// Takes a message out, if none of its bytes has been written; returns whether it did.
     pub fn withdraw(&mut self, number: u64) -> bool {
-        let position = self.messages.iter().position(|m| m.number == number && !m.begun);
+        let position =
+            self.messages.iter().position(|message| message.number == number && !message.has_begun);
         let Some(message) = position.and_then(|i| self.messages.remove(i)) else { return false };
         self.bytes.drain(message.start..message.end);
         let length = message.end - message.start;
-        for later in self.messages.iter_mut().filter(|m| m.start >= message.end) {
+        for later in self.messages.iter_mut().filter(|later| later.start >= message.end) {
             later.start -= length;
             later.end -= length;
         }
         true
     }
 
-    /// Nothing of it is to be written any more.
+    /// Drops everything that has not been written.
     pub fn clear(&mut self) {
         self.bytes.clear();
         self.messages.clear();
     }
 
-    /// Gives memory beyond this capacity back, if nothing waits.
+    /// Frees memory beyond this capacity, in bytes, if nothing waits.
     pub fn shrink(&mut self, capacity: usize) {
         if self.bytes.is_empty() && self.bytes.capacity() > capacity {
             self.bytes = Vec::new();
         }
     }
 
+    /// How many bytes wait to be written.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
+    /// Whether all has been written.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
