--- /dev/null
+++ b/gateway/tests/clients_that_leave/unread.rs
@@ -0,0 +1,118 @@
+//! A client that is not read from.
+use crate::help::{free, toy, Crowded, World};
+use crate::world::*;
+use std::io::{BufReader, Write};
+use std::net::TcpStream;
+use std::thread::sleep;
+use std::time::Instant;
+
+/// Guards: of a client with 512 commands unanswered and more than 1 MiB behind them nothing more was read, so its end was
+/// not seen; each answer let further ones of its commands begin, seconds after it had left.
+#[test]
+fn while_more_lies_behind_its_commands_than_is_kept() {
+    for way in WAYS {
+        let (backend, at) = free();
+        let (seen, answer) = held(backend);
+        let world = world_of(&format!("unread-{way:?}"), at, |told| told);
+        let mut client = world.connect();
+        let many: String =
+            (0..24).map(|_| (0..16).map(|_| order(&"x".repeat(64_000))).collect::<String>()).collect();
+        let few: String = (0..600).map(|_| order("few")).collect();
+        writes_ahead(&mut client, &(few + &many));
+        assert_eq!(seen.recv_timeout(50 * TENTH).expect("the first one is delivered"), "few");
+        let from = Instant::now();
+        leaves(client, way);
+        seen_to_leave(&world, way);
+        assert!(from.elapsed() < TENTH, "{way:?}: seen after {:?}", from.elapsed());
+        answer.send(DONE).expect("it waits");
+        assert_eq!(seen.recv_timeout(QUIET).ok(), None, "{way:?}");
+    }
+}
+
+/// Guards: what is dropped while more than 1 MiB waits is refused in its turn, one answer to each command, and reading
+/// goes on as before after that.
+#[test]
+fn what_is_not_kept_is_refused_in_its_turn() {
+    const KEPT: usize = 600;
+    const LONG: usize = 400;
+    let (backend, at) = free();
+    let (seen, answer) = held(backend);
+    let world = world_of("refused", at, |told| told);
+    let mut client = world.connect();
+    let mut text: String = (0..KEPT).map(|_| order("few")).collect();
+    text += &(0..LONG).map(|_| order(&"x".repeat(64_000))).collect::<String>();
+    assert_eq!(writes_ahead(&mut client, &text), text.len(), "all of it is read");
+    assert_eq!(seen.recv_timeout(50 * TENTH).expect("the first one is delivered"), "few");
+    answer.send(DONE).expect("it waits");
+    drop(answer); // every later one fails
+    let mut replies = BufReader::new(client.try_clone().expect("a second handle"));
+    let said: Vec<String> = (0..KEPT + LONG).map(|_| toy::reply(&mut replies).expect("a reply")).collect();
+    assert_eq!(said[0], "done");
+    let refused = said.iter().rev().take_while(|s| s.starts_with("-BUSY")).count();
+    assert!(refused >= LONG - 2 * MIB / 64_000, "{refused} refused at the end");
+    client.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
+    assert_eq!(toy::reply(&mut replies).expect("a reply"), "+PONG");
+}
+
+/// The beginning of an order with a long body.
+fn half(body: usize, came: usize) -> String {
+    let whole = order(&"x".repeat(body));
+    whole[..whole.len() - body - 2 + came].to_owned()
+}
+
+/// Little memory, so that one long body takes all the room there is for them.
+fn little_memory(told: String) -> String {
+    told.replace("\"memory_mb\": 192", "\"memory_mb\": 1")
+}
+
+/// One whose long body takes all the room, up to its end.
+fn takes_the_room(world: &World) -> TcpStream {
+    let mut client = world.connect();
+    client.write_all(half(900_000, 400_000).as_bytes()).expect("it reads");
+    // It has been read once another's answer has come.
+    let mut other = world.connect();
+    other.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
+    assert_eq!(toy::reply(&mut BufReader::new(other)).expect("a reply"), "+PONG");
+    client
+}
+
+/// Guards: a client whose long body had no room was not read from, so its end was not seen behind that, and its order
+/// before it was written to a connection that came up after the client had left.
+#[test]
+fn while_the_body_behind_it_has_no_room() {
+    for way in WAYS {
+        let (backend, at) = Crowded::new();
+        let world = world_of(&format!("room-{way:?}"), at, little_memory);
+        let _first = takes_the_room(&world);
+        let mut client = world.connect();
+        asks(&mut client, "early");
+        backend.is_asked_for();
+        writes_ahead(&mut client, &half(4 * MIB, 4 * MIB));
+        let from = Instant::now();
+        leaves(client, way);
+        seen_to_leave(&world, way);
+        assert!(from.elapsed() < TENTH, "{way:?}: seen after {:?}", from.elapsed());
+        assert_nothing_is_written(&backend, way);
+    }
+}
+
+/// Guards: an order that had waited for room was whole, and went on its way, before its client's end was seen behind it.
+#[test]
+fn while_it_waits_for_room() {
+    for way in WAYS {
+        let (backend, at) = free();
+        let (seen, answer) = held(backend);
+        let world = world_of(&format!("body-{way:?}"), at, little_memory);
+        let mut first = takes_the_room(&world);
+        let mut client = world.connect();
+        let whole = order(&"y".repeat(MIB));
+        assert_eq!(writes_ahead(&mut client, &whole), whole.len(), "the machine takes all of it");
+        leaves(client, way);
+        sleep(2 * TENTH);
+        first.write_all(("x".repeat(500_000) + "\r\n").as_bytes()).expect("it reads");
+        assert_eq!(seen.recv_timeout(50 * TENTH).expect("delivered").len(), 900_000);
+        answer.send(DONE).expect("it waits");
+        assert_eq!(toy::reply(&mut BufReader::new(first)).expect("a reply"), "done");
+        assert_eq!(seen.recv_timeout(QUIET).ok().map(|body| body.len()), None, "{way:?}");
+    }
+}
--- /dev/null
+++ b/gateway/tests/clients_that_leave/world.rs
@@ -0,0 +1,193 @@
+//! What these tests share: clients that leave, and backends that wait for the test.
+use std::io::{BufReader, ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+use crate::help::{free, lists, toy, Crowded, World};
+
+pub const TENTH: Duration = Duration::from_millis(100);
+/// So long nothing may come for a client that has left.
+pub const QUIET: Duration = Duration::from_millis(400);
+/// How long a client waits for an answer, milliseconds.
+pub const WAIT_MS: u64 = 2900;
+pub const MIB: usize = 1024 * 1024;
+pub const NOTHING: [&str; 0] = [];
+
+/// How a client's connection ends.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Way {
+    Fin,
+    Reset,
+}
+
+pub const WAYS: [Way; 2] = [Way::Fin, Way::Reset];
+
+pub fn leaves(client: TcpStream, way: Way) {
+    if way == Way::Reset {
+        socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("an open socket");
+    }
+}
+
+/// Waits until the front door has seen some client leave so.
+pub fn seen_to_leave(world: &World, way: Way) {
+    let from = Instant::now();
+    let why = if way == Way::Fin { "closed" } else { "reset" };
+    loop {
+        let left = (5 * 10 * TENTH).saturating_sub(from.elapsed());
+        let line =
+            world.log.recv_timeout(left).unwrap_or_else(|_| panic!("not seen to leave by {way:?} in 5 s"));
+        if line.contains("connection client") && line.ends_with(&format!("ended: {why}")) {
+            return;
+        }
+    }
+}
+
+/// An operation that must not be repeated, with this text as its body.
+pub fn order(body: &str) -> String {
+    let body = format!("${}\r\n{body}\r\n", body.len());
+    toy::invocation("order", WAIT_MS).replace("$4\r\nbody\r\n", &body)
+}
+
+pub fn asks(client: &mut TcpStream, body: &str) {
+    client.write_all(order(body).as_bytes()).expect("it reads");
+}
+
+/// Writes as much as the machine takes, for as long as it takes more.
+pub fn writes_ahead(client: &mut TcpStream, text: &str) -> usize {
+    client.set_nonblocking(true).expect("an open socket");
+    let (mut done, mut last) = (0, Instant::now());
+    while done < text.len() && last.elapsed() < 3 * TENTH {
+        match client.write(&text.as_bytes()[done..]) {
+            Ok(n) => (done, last) = (done + n, Instant::now()),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => sleep(TENTH / 20),
+            Err(e) => panic!("{e}"),
+        }
+    }
+    client.set_nonblocking(false).expect("an open socket");
+    done
+}
+
+/// A connection of the front door to a backend, at the backend.
+pub struct Served {
+    pub from: BufReader<TcpStream>,
+    pub to: TcpStream,
+}
+
+impl Served {
+    pub fn accept(listener: &TcpListener) -> Served {
+        Served::of(listener.accept().expect("the front door connects").0)
+    }
+
+    pub fn of(to: TcpStream) -> Served {
+        to.set_read_timeout(Some(50 * TENTH)).expect("a time-out");
+        Served { from: BufReader::new(to.try_clone().expect("a second handle")), to }
+    }
+
+    /// The body of the next command.
+    pub fn body(&mut self) -> String {
+        let words = toy::command(&mut self.from).expect("a command").expect("not the end");
+        words[4].clone()
+    }
+
+    pub fn answers(&mut self, value: &str) {
+        self.says(&format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()));
+    }
+
+    pub fn says(&mut self, text: &str) {
+        self.to.write_all(text.as_bytes()).expect("an open connection");
+    }
+
+    /// The bodies of all commands that come until nothing has come for a while, or the end. All of them are whole.
+    pub fn bodies(&mut self) -> Vec<String> {
+        self.to.set_read_timeout(Some(QUIET)).expect("a time-out");
+        let (mut all, mut piece) = (vec![], vec![0; 65_536]);
+        while let Ok(n @ 1..) = self.from.read(&mut piece) {
+            all.extend_from_slice(&piece[..n]);
+        }
+        self.to.set_read_timeout(Some(50 * TENTH)).expect("a time-out");
+        let mut rest = &all[..];
+        let next = || toy::command(&mut rest).expect("a whole command").map(|words| words[4].clone());
+        std::iter::from_fn(next).collect()
+    }
+}
+
+/// A backend that passes nothing on but tells of each command's body, and answers when it is told to.
+pub fn held(listener: TcpListener) -> (Receiver<String>, Sender<&'static str>) {
+    let ((seen_by, seen), (answer, answers)) = (channel(), channel::<&'static str>());
+    let answers = std::sync::Arc::new(std::sync::Mutex::new(answers));
+    toy::each(listener, move |stream| {
+        let mut served = Served::of(stream);
+        served.to.set_read_timeout(None)?;
+        while let Some(words) = toy::command(&mut served.from)? {
+            let _ = seen_by.send(words[4].clone()); // the test may be over
+            let Ok(text) = answers.lock().expect("no panic").recv() else { return Ok(()) };
+            served.says(text);
+        }
+        Ok(())
+    });
+    (seen, answer)
+}
+
+pub const DONE: &str = "*3\r\n$4\r\ndone\r\n$-1\r\n$-1\r\n";
+
+/// What the configuration of all these tests has in common: no time presses but the client's, and no quota.
+pub fn patient(told: String) -> String {
+    told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
+        .replace("\"aim_us\": 1000000", "\"aim_us\": 2900000")
+        .replace("\"depth\": 12", "\"depth\": 100000")
+}
+
+pub fn knows(told: String, backends: &[(&str, SocketAddr)]) -> String {
+    let none = r#"{"index": 0, "snapshot": true, "endpoints": []}"#;
+    told.replace(none, &crate::help::listing(backends))
+}
+
+/// A front door with one backend, that it knows of.
+pub fn world_of(name: &str, backend: SocketAddr, change: impl Fn(String) -> String) -> World {
+    let (list, at) = free();
+    lists(list, &[("a", backend)]);
+    World::start(&format!("leave-{name}"), at, |told| change(knows(patient(told), &[("a", backend)])))
+}
+
+/// A front door that knows the backend `a`, and is told that it drains and `b` is there once the test says so.
+pub fn world_that_is_told(
+    name: &str,
+    (a, b): (SocketAddr, SocketAddr),
+    change: impl Fn(String) -> String,
+) -> (World, Sender<()>) {
+    let ((list, at), (tell, told)) = (free(), channel());
+    let told = std::sync::Arc::new(std::sync::Mutex::new(told));
+    let change_of_list = crate::help::listing(&[("a", a), ("b", b)])
+        .replacen("SERVING", "DRAINING", 1)
+        .replace("\"index\":1,\"snapshot\":true", "\"index\":2,\"snapshot\":false");
+    toy::each(list, move |stream| {
+        let (mut from, mut to) = (BufReader::new(stream.try_clone()?), stream);
+        while toy::target(&mut from)?.is_some() {
+            let Ok(()) = told.lock().expect("no panic").recv() else { return Ok(()) };
+            write!(
+                to,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{change_of_list}",
+                change_of_list.len()
+            )?;
+        }
+        Ok(())
+    });
+    let world = World::start(&format!("leave-{name}"), at, |told| change(knows(patient(told), &[("a", a)])));
+    (world, tell)
+}
+
+/// The backend lets in whoever still asks: nothing is written to it. Who is turned down asks again after a second.
+pub fn assert_nothing_is_written(backend: &Crowded, way: Way) {
+    drop(backend.listener.accept().expect("the one before"));
+    backend.listener.set_nonblocking(true).expect("an open socket");
+    let from = Instant::now();
+    while from.elapsed() < 15 * TENTH {
+        if let Ok((stream, _)) = backend.listener.accept() {
+            stream.set_nonblocking(false).expect("an open socket");
+            assert_eq!(Served::of(stream).bodies(), NOTHING, "{way:?}");
+        }
+        sleep(TENTH / 10);
+    }
+}
--- /dev/null
+++ b/gateway/tests/reducer/counter.rs
@@ -0,0 +1,84 @@
+//! Calls to the counter.
+use crate::bench::*;
+use expect_test::expect;
+use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
+
+#[test]
+fn a_silent_counter_connection_is_not_written_to_and_its_late_answer_is_dropped() {
+    let mut b = bench();
+    b.client(1).call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(2))).until(0.1);
+    b.call(1, "look", 6)
+        .event(Event::Connected(ConnectionId::Counter(4)))
+        .counter(2, 200, "1")
+        .counter(4, 200, "1");
+    b.call(1, "look", 7).counter(2, 503, "").until(0.2);
+    b.is(expect![[r#"
+        0.000 connect Counter(2) to 127.0.0.1:7007
+        0.000 Counter(2): add 1
+        0.016 connect Backend(3) to 127.0.0.1:7011
+        0.100 connect Counter(4) to 127.0.0.1:7007
+        0.100 Counter(4): add 1.026315789473684
+        0.100 Counter(2): add 20.200000000000045
+        0.100 connect Backend(5) to 127.0.0.1:7012
+        0.100 Counter(4): add 1.0249343832020998
+    "#]]);
+}
+
+#[test]
+fn calls_on_one_name_have_their_turns_in_order() {
+    let mut b = bench();
+    b.client(1).event(Event::Connected(ConnectionId::Discovery(1)));
+    for customer in [5, 6] {
+        b.call(1, "look", customer);
+    }
+    b.event(Event::Connected(ConnectionId::Counter(2))).event(Event::Connected(ConnectionId::Counter(3)));
+    // The other connection is free, but the lift of the first name is still out.
+    b.counter(3, 200, "1").counter(3, 200, "21").counter(2, 200, "1").call(1, "look", 5);
+    b.is(expect![[r#"
+        0.000 Discovery(1): watch since 41
+        0.000 connect Counter(2) to 127.0.0.1:7007
+        0.000 connect Counter(3) to 127.0.0.1:7007
+        0.000 Counter(2): add 1
+        0.000 Counter(3): add 1
+        0.000 Counter(3): add 20
+        0.000 connect Backend(4) to 127.0.0.1:7012
+        0.000 Counter(2): add 20
+        0.000 connect Backend(5) to 127.0.0.1:7011
+        0.000 Counter(2): add 1
+    "#]]);
+}
+
+/// Guards: a counter's answer without a number kept its connection in use, and what it added was not given back.
+#[test]
+fn an_answer_of_the_counter_without_a_number_ends_its_connection_and_the_units_go_back() {
+    let mut b = bench();
+    b.client(1)
+        .call(1, "look", 5)
+        .event(Event::Connected(ConnectionId::Counter(2)))
+        .counter(2, 200, "none")
+        .until(0.2);
+    b.call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(4))).ended(
+        ConnectionId::Counter(4),
+        CloseReason::BadFraming,
+        false,
+    );
+    b.until(0.4).call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(6))).counter(6, 200, "1");
+    b.counter(6, 200, "21").event(Event::PartialMessage(ConnectionId::Counter(6)));
+    b.is(expect![[r#"
+        0.000 connect Counter(2) to 127.0.0.1:7007
+        0.000 Counter(2): add 1
+        0.000 log: connection counter 2 ended: bad-framing
+        0.000 connect Backend(3) to 127.0.0.1:7011
+        0.200 connect Counter(4) to 127.0.0.1:7007
+        0.200 Counter(4): add 1.026315789473684
+        0.200 log: connection counter 4 ended: bad-framing
+        0.200 connect Backend(5) to 127.0.0.1:7012
+        0.250 log: connection backend 3 s-a ended: dial-timeout
+        0.250 client 1: -BUSY 400
+        0.400 connect Counter(6) to 127.0.0.1:7007
+        0.400 Counter(6): add 1.0262467191601052
+        0.400 Counter(6): add 20.799999999999955
+        0.400 connect Backend(7) to 127.0.0.1:7011
+        0.400 log: connection counter 6 ended: surplus
+    "#]]);
+}
--- /dev/null
+++ b/gateway/tests/reducer/peers.rs
@@ -0,0 +1,163 @@
+//! The discovery service and other instances.
+use crate::bench::*;
+use expect_test::expect;
+use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
+use quillramp_gateway::wire::http::Response;
+
+#[test]
+fn strangers_and_malformed_datagrams_are_dropped_and_counted() {
+    let mut b = bench();
+    let peer = "127.0.0.1:7004".parse().expect("an address");
+    let stranger = "127.0.0.1:9".parse().expect("an address");
+    b.event(Event::Datagram { from: peer, body: b"\x01s-a".to_vec() });
+    b.event(Event::Datagram { from: stranger, body: b"\x01s-a".to_vec() });
+    b.event(Event::Datagram { from: peer, body: vec![2; 300] });
+    // A count for more front doors than there are.
+    b.event(Event::Datagram { from: peer, body: [&[2, 5, 0, 0, 0, 0, 0, 0, 0, 9, 0][..], &[0; 8]].concat() });
+    b.event(Event::Datagram { from: peer, body: [&[2, 5, 0, 0, 0, 0, 0, 0, 0, 3, 0][..], &[0; 8]].concat() });
+    b.event(Event::Datagram { from: peer, body: vec![] });
+    b.is(expect![[r#"
+        0.000 log: datagrams dropped so far: 1
+        0.000 log: datagrams dropped so far: 2
+        0.000 log: datagrams dropped so far: 4
+    "#]]);
+}
+
+/// Guards: a configuration read again under load moves the list and the counter over and ends no invocation.
+#[test]
+fn the_list_and_the_counter_move_under_load() {
+    let mut b = bench();
+    b.client(1)
+        .event(Event::Connected(ConnectionId::Discovery(1)))
+        .call(1, "look", 5)
+        .event(Event::Connected(ConnectionId::Counter(2)));
+    let (list, counter) = ("127.0.0.1:8006".parse().expect("address"), "127.0.0.1:8007".parse().ok());
+    b.event(Event::ConfigurationReloaded { discovery: list, counter })
+        .event(Event::Connected(ConnectionId::Discovery(3)));
+    b.call(1, "look", 6)
+        .event(Event::Connected(ConnectionId::Counter(4)))
+        .counter(2, 200, "1")
+        .up(6)
+        .value(6, "served");
+    let whole = r#"{"index":3,"snapshot":true,"endpoints":[]}"#;
+    b.event(Event::HttpResponse(
+        ConnectionId::Discovery(3),
+        Response { status: 200, body: whole.into(), closes_connection: false },
+    ));
+    b.is(expect![[r#"
+        0.000 Discovery(1): watch since 41
+        0.000 connect Counter(2) to 127.0.0.1:7007
+        0.000 Counter(2): add 1
+        0.000 log: configuration read again: list service at 127.0.0.1:8006, counter at Some(127.0.0.1:8007)
+        0.000 log: connection list 1 ended: moved
+        0.000 connect Discovery(3) to 127.0.0.1:8006
+        0.000 Discovery(3): list
+        0.000 connect Counter(4) to 127.0.0.1:8007
+        0.000 Counter(4): add 1
+        0.000 log: connection counter 2 ended: moved
+        0.000 connect Counter(5) to 127.0.0.1:8007
+        0.000 connect Backend(6) to 127.0.0.1:7012
+        0.000 backend link 6: look for 799 ms
+        0.000 client 1: $6 served
+        0.000 log: connection backend 6 s-b ended: delisted
+        0.000 Discovery(3): watch since 3
+    "#]]);
+}
+
+/// Guards: backends that had gone were kept for ever, by name, place and what the decisions knew of them; and an index
+/// must not come to mean another backend while anything here has to do with the first.
+#[test]
+fn gone_backends_are_forgotten_once_nothing_has_to_do_with_them() {
+    let mut b = bench();
+    b.event(Event::Connected(ConnectionId::Discovery(1)))
+        .client(1)
+        .call(1, "order", 5)
+        .until(0.05)
+        .up(3)
+        .text
+        .clear();
+    let mut list = |names: &[&str]| {
+        let entry = |n: &&str| {
+            format!(
+                r#"{{"name":"{n}","address":"127.0.0.1:7011","zone":"z","group":0,"status":"SERVING","weight":1,"since_ms":0}}"#
+            )
+        };
+        let all: Vec<String> = names.iter().map(entry).collect();
+        let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, all.join(","));
+        b.event(Event::HttpResponse(
+            ConnectionId::Discovery(1),
+            Response { status: 200, body: body.into(), closes_connection: false },
+        ));
+        let until = b.now - 1000.0 + 1.0;
+        b.until(until).text.clear();
+        b.reducer.backend_count()
+    };
+    // The order is out at the first backend all the while; the indices of others are used again.
+    let mut places = vec![];
+    for names in [&["s-c", "s-d"], &["s-e", "s-f"], &["s-g", "s-h"]] {
+        places.push(list(names));
+    }
+    expect!["[4, 4, 4]"].assert_eq(&format!("{places:?}"));
+}
+
+/// Guards: a connection to the list service that had gone mute was waited on for 22 s, while all backends were replaced.
+/// No answer by when one is due, news or not, is asked for anew at once, by calls that do not wait; an end, too.
+#[test]
+fn a_mute_list_connection_is_left_when_its_answer_is_due() {
+    let mut b = bench();
+    let none = r#"{"index":41,"snapshot":false,"endpoints":[]}"#;
+    let answer = |id| {
+        let response = Response { status: 200, body: none.into(), closes_connection: false };
+        Event::HttpResponse(ConnectionId::Discovery(id), response)
+    };
+    b.event(Event::Connected(ConnectionId::Discovery(1)))
+        .until(5.5)
+        .event(Event::Connected(ConnectionId::Discovery(2)))
+        .event(answer(2));
+    b.until(7.0)
+        .ended(ConnectionId::Discovery(2), CloseReason::Reset, false)
+        .event(Event::Connected(ConnectionId::Discovery(3)))
+        .event(answer(3));
+    // Nobody there: a call is out at any time, however long that lasts.
+    b.until(8.0).ended(ConnectionId::Discovery(3), CloseReason::Reset, false);
+    for id in 4..8 {
+        b.ended(ConnectionId::Discovery(id), CloseReason::Refused, false);
+        let next = b.now - 1000.0 + 0.25;
+        b.until(next);
+    }
+    b.until(12.0);
+    b.is(expect![[r#"
+        0.000 Discovery(1): watch since 41
+        5.400 connect Discovery(2) to 127.0.0.1:7002
+        5.500 Discovery(2): since 41, at once
+        5.500 log: connection list 1 ended: silent
+        5.500 Discovery(2): watch since 41
+        7.000 log: connection list 2 ended: reset
+        7.000 connect Discovery(3) to 127.0.0.1:7002
+        7.000 Discovery(3): since 41, at once
+        7.000 Discovery(3): watch since 41
+        8.000 log: connection list 3 ended: reset
+        8.000 connect Discovery(4) to 127.0.0.1:7002
+        8.000 log: connection list 4 ended: refused
+        8.200 connect Discovery(5) to 127.0.0.1:7002
+        8.250 log: connection list 5 ended: refused
+        8.450 connect Discovery(6) to 127.0.0.1:7002
+        8.500 log: connection list 6 ended: refused
+        8.700 connect Discovery(7) to 127.0.0.1:7002
+        8.750 log: connection list 7 ended: refused
+        8.950 connect Discovery(8) to 127.0.0.1:7002
+        9.350 connect Discovery(9) to 127.0.0.1:7002
+        9.750 log: connection list 9 ended: silent
+        9.750 connect Discovery(10) to 127.0.0.1:7002
+        10.150 log: connection list 10 ended: silent
+        10.150 connect Discovery(11) to 127.0.0.1:7002
+        10.550 log: connection list 11 ended: silent
+        10.550 connect Discovery(12) to 127.0.0.1:7002
+        10.950 log: connection list 12 ended: silent
+        10.950 connect Discovery(13) to 127.0.0.1:7002
+        11.350 log: connection list 13 ended: silent
+        11.350 connect Discovery(14) to 127.0.0.1:7002
+        11.750 log: connection list 14 ended: silent
+        11.750 connect Discovery(15) to 127.0.0.1:7002
+    "#]]);
+}
--- /dev/null
+++ b/gateway/tests/reducer/shutdown.rs
@@ -0,0 +1,215 @@
+//! Draining and graceful shutdown.
+use crate::bench::*;
+use expect_test::expect;
+use quillramp_gateway::state::event::{CloseReason, Event, SharedState};
+
+#[test]
+fn told_to_stop_it_serves_on_then_ends_connections_and_leaves_when_all_is_answered() {
+    let mut b = bench();
+    b.client(1).client(2).event(Event::Shutdown).until(0.3).call(1, "look", 5).until(0.35).up(3).until(0.5);
+    b.event(Event::IdleClientClosed(2, CloseReason::Stopping))
+        .until(0.6)
+        .value(3, "a")
+        .event(Event::Shutdown)
+        .event(Event::IdleClientClosed(1, CloseReason::Stopping));
+    b.is(expect![[r#"
+        0.000 log: told to stop: serving on, then ending connections
+        0.300 connect Counter(2) to 127.0.0.1:7007
+        0.316 connect Backend(3) to 127.0.0.1:7011
+        0.350 backend link 3: look for 749 ms
+        0.380 log: connection counter 2 ended: dial-timeout
+        0.500 stop accepting
+        0.500 part with client 2 if it is quiet
+        0.500 log: connection client 2 ended: stopping
+        0.566 connect Backend(4) to 127.0.0.1:7012
+        0.600 client 1: $1 a
+        0.600 log: connection backend 4 s-b ended: gave-up
+        0.600 part with client 1 if it is quiet
+        0.600 log: connection client 1 ended: stopping
+        0.600 exit once all is written
+    "#]]);
+}
+
+/// Guards: a drained front door says no at once, takes what comes, ends connections between commands and takes clients
+/// again after one call; SIGTERM in a drain ends in an exit all the same.
+#[test]
+fn a_drain_says_no_ends_connections_and_is_over_with_one_call() {
+    let mut b = bench_configured(1024, false, true);
+    b.client(1).client(2).sends(2, "*1\r\n$4\r\nPING\r\n").call(1, "order", 5).until(0.05).text.clear();
+    call(&mut b, 1, "POST /healthcheck/ok");
+    shared_state_saved(&mut b, 1, &[], false);
+    call(&mut b, 2, "POST /healthcheck/fail");
+    b.sends(2, "*1\r\n$4\r\nPING\r\n");
+    shared_state_saved(&mut b, 2, &[], true);
+    call(&mut b, 3, "GET /healthcheck");
+    b.until(0.3)
+        .client(3)
+        .until(0.6)
+        .event(Event::IdleClientClosed(2, CloseReason::Draining))
+        .event(Event::IdleClientClosed(3, CloseReason::Draining));
+    // One that asks on and on is read no more.
+    b.call(1, "look", 6).until(1.6).text += "--\n";
+    call(&mut b, 4, "POST /healthcheck/fail");
+    shared_state_saved(&mut b, 4, &[], true);
+    call(&mut b, 5, "POST /healthcheck/ok");
+    shared_state_saved(&mut b, 5, &[], false);
+    b.client(4).sends(4, "*1\r\n$4\r\nPING\r\n").until(2.0).text += "--\n";
+    call(&mut b, 6, "POST /healthcheck/fail");
+    shared_state_saved(&mut b, 6, &[], true);
+    b.until(2.4).event(Event::Shutdown).until(3.0).event(Event::IdleClientClosed(4, CloseReason::Stopping));
+    call(&mut b, 7, "POST /healthcheck/ok");
+    shared_state_saved(&mut b, 7, &[], false);
+    call(&mut b, 8, "GET /healthcheck");
+    b.only(|l| !l.contains("ackend") && !l.contains("ounter"));
+    b.is(expect![[r#"
+        0.050 keep SetDrained(false)
+        0.050 operator 1: 200 done
+        0.050 log: drained by hand: ending connections
+        0.050 keep SetDrained(true)
+        0.050 client 2: -ERR draining
+        0.050 operator 2: 200 done
+        0.050 operator 3: 503 draining
+        0.550 part with client 2 if it is quiet
+        0.550 part with client 3 if it is quiet
+        0.600 log: connection client 2 ended: draining
+        0.600 log: connection client 3 ended: draining
+        0.790 client 1: -BUSY 500
+        1.050 log: connection operator 1 ended: called
+        1.050 log: connection operator 2 ended: called
+        1.050 log: connection operator 3 ended: called
+        1.116 client 1: -BUSY 500
+        1.116 part with client 1 if it is quiet
+        --
+        1.600 keep SetDrained(true)
+        1.600 operator 4: 200 done
+        1.600 log: the drain is over
+        1.600 keep SetDrained(false)
+        1.600 operator 5: 200 done
+        1.600 client 4: +PONG
+        --
+        2.000 log: drained by hand: ending connections
+        2.000 keep SetDrained(true)
+        2.000 operator 6: 200 done
+        2.400 log: told to stop: serving on, then ending connections
+        2.600 log: connection operator 4 ended: called
+        2.600 log: connection operator 5 ended: called
+        2.900 stop accepting
+        2.900 part with client 1 if it is quiet
+        2.900 part with client 4 if it is quiet
+        3.000 log: connection operator 6 ended: called
+        3.000 log: connection client 4 ended: stopping
+        3.000 log: the drain is over
+        3.000 keep SetDrained(false)
+        3.000 operator 7: 200 done
+        3.000 operator 8: 503 draining
+    "#]]);
+}
+
+/// Guards: with the listening socket passed on, the old process leaves it at once, still says yes for the front door,
+/// ends connections between commands only, and none that nobody has asked anything on; bans made at the new one hold.
+#[test]
+fn an_old_version_serves_out_while_the_new_one_accepts() {
+    let mut b = bench_configured(1024, true, true);
+    b.client(1)
+        .client(2)
+        .client(3)
+        .sends(2, "*1\r\n$4\r\nPING\r\n")
+        .call(1, "order", 5)
+        .until(0.05)
+        .text
+        .clear();
+    let out = [("s-a".to_string(), 1000.0)].into();
+    b.event(Event::SharedStateSaved {
+        call: None,
+        shared: Ok(SharedState {
+            ejected_backends: out,
+            drained: false,
+            peer_process_running: true,
+            peer_process_newer: true,
+            peer_descriptor_limit: None,
+        }),
+    });
+    b.event(Event::Shutdown)
+        .sends(2, "*1\r\n$4\r\nPING\r\n")
+        .event(Event::IdleClientClosed(2, CloseReason::Stopping))
+        .until(3.1);
+    b.sends(3, "*1\r\n$4\r\nPING\r\n")
+        .event(Event::IdleClientClosed(3, CloseReason::Stopping))
+        .event(Event::IdleClientClosed(1, CloseReason::Stopping));
+    b.only(|l| !l.contains("ounter"));
+    b.is(expect![[r#"
+        0.050 log: backend s-a left out by hand
+        0.050 log: another process of this front door is there
+        0.050 log: told to stop: the next process accepts, this one serves out
+        0.050 stop accepting
+        0.050 will hold 62 descriptors at the most
+        0.050 part with client 2 if it is quiet
+        0.050 client 2: +PONG
+        0.050 part with client 2 if it is quiet
+        0.050 log: connection client 2 ended: stopping
+        0.290 log: connection backend 3 s-a ended: dial-timeout
+        0.290 connect Backend(4) to 127.0.0.1:7012
+        0.540 log: connection backend 4 s-b ended: dial-timeout
+        0.540 connect Backend(5) to 127.0.0.1:7012
+        0.790 log: connection backend 5 s-b ended: dial-timeout
+        0.790 client 1: -BUSY 500
+        0.790 part with client 1 if it is quiet
+        3.100 client 3: +PONG
+        3.100 part with client 3 if it is quiet
+        3.100 log: connection client 3 ended: stopping
+        3.100 log: connection client 1 ended: stopping
+        3.100 exit once all is written
+    "#]]);
+}
+
+/// Guards: with a passed socket, and nobody there to take over, a stop waited for clients that had never said anything and
+/// kept the next start from coming.
+#[test]
+fn a_stop_with_nobody_to_take_over_is_like_any_other() {
+    let mut b = bench_configured(1024, true, true);
+    b.client(1).client(2).sends(2, "*1\r\n$4\r\nPING\r\n");
+    // The one before is still there: it takes nothing over.
+    let shared = SharedState { peer_process_running: true, ..SharedState::default() };
+    b.event(Event::SharedStateSaved { call: None, shared: Ok(shared) }).text.clear();
+    b.event(Event::Shutdown).sends(2, "*1\r\n$4\r\nPING\r\n").until(0.3).client(3).until(0.6);
+    b.event(Event::IdleClientClosed(1, CloseReason::Stopping))
+        .event(Event::IdleClientClosed(2, CloseReason::Stopping))
+        .event(Event::IdleClientClosed(3, CloseReason::Stopping));
+    b.is(expect![[r#"
+        0.000 log: told to stop: serving on, then ending connections
+        0.000 client 2: -ERR draining
+        0.500 stop accepting
+        0.500 part with client 1 if it is quiet
+        0.500 part with client 2 if it is quiet
+        0.500 part with client 3 if it is quiet
+        0.600 log: connection client 1 ended: stopping
+        0.600 log: connection client 2 ended: stopping
+        0.600 log: connection client 3 ended: stopping
+        0.600 exit once all is written
+    "#]]);
+}
+
+/// Guards: a front door that was drained by hand and then told to stop ended connections that had just come, with commands
+/// on them that had been read.
+#[test]
+fn a_drained_front_door_that_is_told_to_stop_serves_on_for_a_while() {
+    let mut b = bench_configured(1024, false, true);
+    b.client(1);
+    call(&mut b, 1, "POST /healthcheck/fail");
+    shared_state_saved(&mut b, 1, &[], true);
+    b.until(0.7).event(Event::Shutdown).until(0.9).text.clear();
+    b.batch(vec![Event::ClientAccepted(2, HERE), command_event(2, PING)]).until(1.25);
+    // From now on connections end; one on which something was read is answered first.
+    b.batch(vec![Event::ClientAccepted(3, HERE), command_event(3, PING)])
+        .event(Event::ClientAccepted(4, HERE));
+    b.is_but_list(expect![[r#"
+        0.900 client 2: -ERR draining
+        1.000 log: connection operator 1 ended: called
+        1.200 stop accepting
+        1.200 part with client 1 if it is quiet
+        1.200 part with client 2 if it is quiet
+        1.250 client 3: -ERR draining
+        1.250 part with client 3 if it is quiet
+        1.250 log: connection client 4 ended: stopping
+    "#]]);
+}
