--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -23,6 +23,7 @@
 }
 
 impl KnownBackends {
+    /// Adds a name; nothing happens if it is known.
     pub fn add(&mut self, name: &str) {
         if !self.names.insert(name.to_owned()) {
             return;
@@ -45,7 +46,9 @@
 pub(super) struct AdminState {
     /// With the timeout of each.
     connections: BTreeMap<u64, TimerKey>,
+    /// What the processes of this instance share.
     pub shared: SharedState,
+    /// The backends that operators may name.
     pub known_backends: KnownBackends,
 }
 
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -70,8 +70,11 @@
 
     /// No connection can be had for an attempt that has just begun.
     fn attempt_not_connected(&mut self, id: AttemptId) {
-        let (result, metadata) = (AttemptResult::NotConnected, ResponseMetadata::default());
-        self.requests.ended_attempts.push(EndedAttempt { id, result, metadata });
+        self.requests.ended_attempts.push(EndedAttempt {
+            id,
+            result: AttemptResult::NotConnected,
+            metadata: ResponseMetadata::default(),
+        });
     }
 
     /// Writes the attempt with this number to its connection.
--- a/gateway/src/state/backend_table.rs
+++ b/gateway/src/state/backend_table.rs
@@ -15,7 +15,9 @@
 
 /// A connection to a backend.
 pub struct BackendConnection {
+    /// Where it leads to.
     pub backend: BackendIndex,
+    /// It has been established.
     pub is_up: bool,
     /// Its end stands further back in the batch: nothing new is sent on it.
     pub is_ending: bool,
@@ -62,7 +64,9 @@
 /// A backend. Without an address its index is free.
 #[derive(Default)]
 pub struct BackendEntry {
+    /// Where it listens.
     pub address: Option<SocketAddr>,
+    /// Its status on the endpoint list.
     pub status: EndpointStatus,
     /// An operator has ejected it.
     pub is_manually_ejected: bool,
@@ -90,8 +94,10 @@
 /// All backends and the connections to them.
 #[derive(Default)]
 pub struct BackendTable {
+    /// Names to indices.
     pub names: Interner<String>,
     /// By index, like the names.
     pub entries: Vec<BackendEntry>,
+    /// By number.
     pub connections: HashMap<u64, BackendConnection>,
 }
--- a/gateway/src/state/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -96,8 +96,9 @@
         let line = match &settings {
             None => "no contracts between teams".into(),
             Some(BrokerSettings { contracts, capacity, .. }) => {
-                let (all, teams) = (contracts.all().len(), contracts.teams().count());
-                format!("{all} contracts of {teams} teams, {capacity} units a second in all")
+                let count = contracts.all().len();
+                let teams = contracts.teams().count();
+                format!("{count} contracts of {teams} teams, {capacity} units a second in all")
             }
         };
         self.effects.push(Effect::Log(line));
--- a/gateway/src/state/client_table.rs
+++ b/gateway/src/state/client_table.rs
@@ -16,6 +16,7 @@
 /// A client's connection.
 #[derive(Default)]
 pub struct Client {
+    /// Where it comes from.
     pub address: Option<IpAddr>,
     /// Who speaks on it, once it has been authenticated.
     pub caller: Option<Caller>,
@@ -91,6 +92,7 @@
 /// All clients' connections.
 #[derive(Default)]
 pub struct ClientTable {
+    /// By number.
     pub connections: HashMap<u64, Client>,
     /// How many commands of the current batch are still to be handled, by client.
     pub unread_commands: BTreeMap<u64, usize>,
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -3,8 +3,8 @@
 use super::event::{CloseReason, ConnectionId, Effect};
 use super::reducer::Reducer;
 use super::requests::{AttemptId, PendingRequest};
+use super::validation::{validate, InvalidCommand, ValidCommand};
 use crate::wire::resp::{ClientCommand, ClientReply, RequestCommand};
-use quillramp::settings::OfferedOperation;
 use quillramp::types::*;
 use quillramp_broker::Grant;
 use std::net::IpAddr;
@@ -73,7 +73,8 @@
         command_id: CommandId,
         command: RequestCommand,
     ) -> Result<(), ClientReply> {
-        let attributes = self.request_attributes(now, &command).map_err(ClientReply::Error)?;
+        let attributes = self.request_attributes(now, &command);
+        let attributes = attributes.map_err(|error| ClientReply::Error(error.to_string()))?;
         match self.authorize(now, command_id.client, &command, &attributes) {
             Ok(grant) => {
                 self.accept_request(now, command_id, command, attributes, grant);
@@ -112,8 +113,11 @@
         &mut self,
         now: f64,
         command: &RequestCommand,
-    ) -> Result<RequestAttributes, String> {
-        let (operation, plan) = self.validate_command(command)?;
+    ) -> Result<RequestAttributes, InvalidCommand> {
+        let ValidCommand { operation, plan } = validate(&self.instance, command)?;
+        if self.requests.open_ids.contains(&command.id) {
+            return Err(InvalidCommand::IdInUse);
+        }
         let customer = self.customers.intern(&command.customer);
         let instances = InstanceRange { first: command.first_instance, count: command.instance_count };
         // What is declared now holds for this request, whatever is declared later.
@@ -135,38 +139,6 @@
         })
     }
 
-    /// Checks a command against the settings; returns the indices of its operation and of its plan.
-    fn validate_command(&self, command: &RequestCommand) -> Result<(usize, usize), String> {
-        let settings = &self.instance;
-        let operations = &settings.operations;
-        let operation = operations.iter().position(|known| known.name.as_bytes() == command.operation());
-        let operation = operation.ok_or("unknown operation")?;
-        let plan = settings.plans.iter().position(|known| known.as_bytes() == command.plan());
-        let plan = plan.ok_or("unknown plan")?;
-        let OfferedOperation { idempotency, timeout, .. } = operations[operation];
-        if command.idempotent != (idempotency == Idempotency::Idempotent) {
-            return Err(
-                "not by this command: CALL.GET is for what may be repeated, CALL.POST for all else".into()
-            );
-        }
-        let instances = settings.instances;
-        if command.first_instance >= instances || !(1..=instances).contains(&command.instance_count) {
-            return Err("first and spread: no such front doors".into());
-        }
-        let max_units = settings.max_units;
-        if command.units <= 0.0 || command.units > max_units {
-            return Err(format!("units: expected more than 0, and {max_units} at the most"));
-        }
-        let max_timeout_ms = (timeout * 1e3).ceil();
-        if command.timeout_ms < 1.0 || command.timeout_ms > max_timeout_ms {
-            return Err(format!("d: expected 1 to {max_timeout_ms} ms"));
-        }
-        if self.requests.open_ids.contains(&command.id) {
-            return Err("id: an invocation under it is open".into());
-        }
-        Ok((operation, plan))
-    }
-
     fn accept_request(
         &mut self,
         now: f64,
--- a/gateway/src/state/counter_table.rs
+++ b/gateway/src/state/counter_table.rs
@@ -18,6 +18,7 @@
 
 /// A call that waits until its connection is up.
 pub struct QueuedCall {
+    /// What is to be sent.
     pub call: CounterCall,
     /// Its number, unique in this process.
     pub number: u64,
@@ -27,6 +28,7 @@
 
 /// Who waits for the response to a call.
 pub struct CallWaiter {
+    /// The counter that was called.
     pub key: CounterKey,
     /// The call's timeout.
     pub timer: TimerKey,
@@ -43,6 +45,7 @@
 /// A connection to the counter.
 #[derive(Default)]
 pub struct CounterConnection {
+    /// It has been established.
     pub is_up: bool,
     /// In the order of their responses.
     pub sent: VecDeque<SentCall>,
@@ -75,14 +78,18 @@
 
 /// A call among those on the same counter; it keeps its result until the earlier ones have theirs.
 pub struct PendingCall {
+    /// Its number, unique in this process.
     pub number: u64,
+    /// The connection that it was made on.
     pub connection: u64,
+    /// What came of it, once that is known.
     pub result: Option<CounterResult>,
 }
 
 /// The connections to the counter, and all calls without a result.
 #[derive(Default)]
 pub struct CounterTable {
+    /// By number.
     pub connections: BTreeMap<u64, CounterConnection>,
     /// In the order in which the calls were made.
     pub queues: HashMap<CounterQueueKey, VecDeque<PendingCall>>,
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -33,6 +33,7 @@
     timer: TimerKey,
     /// No response has come since one was due.
     is_unresponsive: bool,
+    /// The unresponsive connection that is kept, if there is one.
     pub overdue_watch: Option<OverdueWatch>,
     /// The version of the list that is known here; none where it is another service's.
     version: Option<u64>,
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -105,16 +105,18 @@
 pub struct ClosedConnection {
     /// What the connection was for, as the log names it.
     pub kind: &'static str,
+    /// Its number.
     pub id: u64,
     /// The backend's name, if it was a backend's.
     pub name: Option<String>,
+    /// Why it ended.
     pub reason: CloseReason,
 }
 
 impl fmt::Display for ClosedConnection {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         let (space, name) = self.name.as_ref().map_or(("", ""), |n| (" ", n));
-        write!(f, "connection {} {}{space}{name} ended: {}", self.kind, self.id, self.reason.code())
+        write!(formatter, "connection {} {}{space}{name} ended: {}", self.kind, self.id, self.reason.code())
     }
 }
 
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -14,7 +14,9 @@
         let line = match &trust {
             None => "callers need not be known".into(),
             Some(trust) => {
-                let (issuer, keys, revoked) = (&trust.issuer, trust.keys.len(), trust.revoked.len());
+                let issuer = &trust.issuer;
+                let keys = trust.keys.len();
+                let revoked = trust.revoked.len();
                 format!("callers are known by tokens of {issuer}: {keys} keys, {revoked} revoked")
             }
         };
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -30,4 +30,5 @@
 mod stats;
 mod streams;
 mod timers;
+mod validation;
 pub mod write_buffer;
--- a/gateway/src/state/presence.rs
+++ b/gateway/src/state/presence.rs
@@ -3,6 +3,7 @@
 use super::event::Effect;
 use super::reducer::Reducer;
 use super::timers::TimerKind;
+use quillramp::settings::InstanceSettings;
 use quillramp::types::*;
 use quillramp_presence::{Count, Membership};
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,9 +25,9 @@
 }
 
 impl PresenceState {
-    fn new(now: f64, interval: f64, instances: usize, instance_index: usize) -> PresenceState {
+    fn new(now: f64, interval: f64, settings: &InstanceSettings) -> PresenceState {
         PresenceState {
-            membership: Membership::new(instances, instance_index, interval),
+            membership: Membership::new(settings.instances, settings.instance_index, interval),
             interval,
             groups: BTreeMap::new(),
             absent: BTreeSet::new(),
@@ -64,8 +65,8 @@
             Some(interval) => format!("roster on the counter, every {interval} s"),
         };
         self.effects.push(Effect::Log(line));
-        let (instances, index) = (self.instance.instances, self.instance.instance_index);
-        self.presence = interval.map(|interval| PresenceState::new(now, interval, instances, index));
+        let settings = &self.instance;
+        self.presence = interval.map(|interval| PresenceState::new(now, interval, settings));
         if interval.is_some() {
             self.timers.schedule(now, TimerKind::PresenceCall);
         }
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -28,7 +28,9 @@
     pub peers: Vec<SocketAddr>,
     /// Where a datagram reaches all instances.
     pub peer_broadcast: Option<SocketAddr>,
+    /// The counter, where there is one.
     pub counter: Option<SocketAddr>,
+    /// The discovery service.
     pub discovery: SocketAddr,
     /// The file descriptors that the machine allows to all processes of this instance together.
     pub max_descriptors: usize,
@@ -69,6 +71,7 @@
     pub(super) dropped_datagrams: u64,
     /// The number of the last connection that was opened from here.
     last_connection: u64,
+    /// The figures that are counted.
     pub stats: Stats,
     /// What is to be done after this batch, in this order.
     pub(super) effects: Vec<Effect>,
--- a/gateway/src/state/requests.rs
+++ b/gateway/src/state/requests.rs
@@ -10,6 +10,7 @@
 /// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
+    /// The request.
     pub request: RequestIndex,
     /// Which of the request's attempts it is, from 0.
     pub attempt: usize,
@@ -17,6 +18,7 @@
 
 /// One attempt to have a request answered by a backend.
 pub struct Attempt {
+    /// Where it was sent.
     pub backend: BackendIndex,
     /// When it was sent, in seconds.
     pub sent_at: f64,
@@ -31,24 +33,31 @@
 pub struct ResponseMetadata {
     /// The units that the request really took.
     pub billed_units: Option<f64>,
+    /// The backend's report of its own load.
     pub load_report: Option<LoadReport>,
 }
 
 /// An attempt that has ended, of which the policy engine has not been notified yet.
 pub struct EndedAttempt {
+    /// Which one.
     pub id: AttemptId,
+    /// How it ended.
     pub result: AttemptResult,
+    /// What came with its response.
     pub metadata: ResponseMetadata,
 }
 
 /// A request, from its command to the end of its last attempt.
 pub struct PendingRequest {
+    /// What the policy engine knows of it.
     pub attributes: RequestAttributes,
+    /// The client's command, which is sent to backends.
     pub command: Arc<RequestCommand>,
     /// The client's connection.
     pub client: u64,
     /// The number of its command on that connection, from 0.
     pub command_number: u64,
+    /// In the order in which they began.
     pub attempts: Vec<Attempt>,
     /// It has been answered, or its client has left.
     pub is_closed: bool,
@@ -72,9 +81,11 @@
 /// All requests that are not over.
 #[derive(Default)]
 pub struct RequestTable {
+    /// By index.
     pub slots: Slab<PendingRequest>,
     /// The clients' ids of these requests.
     pub open_ids: HashSet<u64>,
+    /// Those of which the policy engine is to be notified, the last one first.
     pub ended_attempts: Vec<EndedAttempt>,
 }
 
--- a/gateway/src/state/stats.rs
+++ b/gateway/src/state/stats.rs
@@ -15,7 +15,9 @@
     pub failed: Vec<u64>,
     /// Attempts that were written to backends.
     pub written: u64,
+    /// How often the configuration was read again.
     pub reloads: u64,
+    /// How often that failed.
     pub reload_errors: u64,
 }
 
--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{example, free, lists, toy, up, Door};
+use help::{example_configuration, free_listener, serve_endpoints, toy, wait_until_ready, GatewayProcess};
 
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
@@ -37,14 +37,15 @@
     name: &str,
     (sockets, machine): (usize, u64),
     operator: Option<&str>,
-) -> (Door, SocketAddr, PathBuf) {
+) -> (GatewayProcess, SocketAddr, PathBuf) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let ((backend, backend_at), (counter, counter_at), (list, list_at)) = (free(), free(), free());
-    let (_, listen) = free();
+    let ((backend, backend_at), (counter, counter_at), (list, list_at)) =
+        (free_listener(), free_listener(), free_listener());
+    let (_, listen) = free_listener();
     toy::backend(backend, "a");
     toy::counter(counter);
-    lists(list, &[("a", backend_at)]);
-    let told = example(list_at, counter_at)
+    serve_endpoints(list, &[("a", backend_at)]);
+    let told = example_configuration(list_at, counter_at)
         .replace("127.0.0.1:7400", &listen.to_string())
         .replace("\"sockets\": 1024", &format!("\"sockets\": {sockets}"));
     let (file, by_operator) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.toml")));
@@ -61,8 +62,8 @@
             setrlimit(Resource::RLIMIT_NOFILE, machine, machine).map_err(std::io::Error::from)
         });
     }
-    let door = Door(program.spawn().expect("the program starts"));
-    up(&[listen]);
+    let door = GatewayProcess(program.spawn().expect("the program starts"));
+    wait_until_ready(&[listen]);
     (door, listen, by_operator)
 }
 
@@ -166,9 +167,9 @@
 #[test]
 fn a_wrong_file_is_named_with_all_that_is_wrong() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let ((_, list_at), (_, counter_at)) = (free(), free());
+    let ((_, list_at), (_, counter_at)) = (free_listener(), free_listener());
     let (file, by_operator) = (folder.join("wrong.json"), folder.join("wrong.toml"));
-    std::fs::write(&file, example(list_at, counter_at)).expect("a file");
+    std::fs::write(&file, example_configuration(list_at, counter_at)).expect("a file");
     std::fs::write(&by_operator, "[admission]\nconnections = 5000\nstrangers = 0\n").expect("a file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", file).env("EDGE_OPERATOR", &by_operator).stderr(Stdio::piped());
--- a/gateway/tests/clients_that_leave/busy_backend.rs
+++ b/gateway/tests/clients_that_leave/busy_backend.rs
@@ -1,5 +1,5 @@
 //! A request whose backend has enough to do.
-use crate::help::{free, toy};
+use crate::help::{free_listener, toy};
 use crate::world::*;
 use std::io::BufReader;
 use std::thread::sleep;
@@ -7,44 +7,48 @@
 /// Guards: what waited for its backend to have time as its client left is not delivered when it has.
 #[test]
 fn while_its_backend_is_busy() {
-    for way in WAYS {
-        let (backend, at) = free();
-        let (seen, answer) = held(backend);
-        let world = world_of(&format!("busy-{way:?}"), at, |told| told);
+    for disconnect_kind in DISCONNECTS {
+        let (backend, at) = free_listener();
+        let (seen, answer) = controlled_backend(backend);
+        let world = gateway_with_backend(&format!("busy-{disconnect_kind:?}"), at, |told| told);
         let (mut stays, mut client) = (world.connect(), world.connect());
-        asks(&mut stays, "ahead");
-        assert_eq!(seen.recv_timeout(50 * TENTH).expect("delivered"), "ahead");
-        asks(&mut client, "waits");
-        assert_eq!(seen.recv_timeout(TENTH).ok(), None, "the backend is busy");
-        leaves(client, way);
-        seen_to_leave(&world, way);
+        send_order(&mut stays, "ahead");
+        assert_eq!(seen.recv_timeout(50 * TENTH_OF_A_SECOND).expect("delivered"), "ahead");
+        send_order(&mut client, "waits");
+        assert_eq!(seen.recv_timeout(TENTH_OF_A_SECOND).ok(), None, "the backend is busy");
+        disconnect(client, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
         answer.send(DONE).expect("it waits");
         assert_eq!(toy::reply(&mut BufReader::new(stays)).expect("a reply"), "done");
-        assert_eq!(seen.recv_timeout(QUIET).ok(), None, "{way:?}");
+        assert_eq!(seen.recv_timeout(QUIET_TIME).ok(), None, "{disconnect_kind:?}");
     }
 }
 
 /// Guards: the same for a further attempt, of one that its first backend turned away.
 #[test]
 fn while_the_backend_of_its_further_attempt_is_busy() {
-    for way in WAYS {
-        let ((first, first_at), (next, next_at)) = (free(), free());
-        let ((at_first, turns_away), (at_next, answer)) = (held(first), held(next));
-        let (world, tell) =
-            world_that_is_told(&format!("busy-again-{way:?}"), (first_at, next_at), |told| told);
+    for disconnect_kind in DISCONNECTS {
+        let ((first, first_at), (next, next_at)) = (free_listener(), free_listener());
+        let ((at_first, turns_away), (at_next, answer)) =
+            (controlled_backend(first), controlled_backend(next));
+        let (world, tell) = gateway_with_replaced_backend(
+            &format!("busy-again-{disconnect_kind:?}"),
+            (first_at, next_at),
+            |told| told,
+        );
         let (mut stays, mut client) = (world.connect(), world.connect());
-        asks(&mut client, "waits");
-        assert_eq!(at_first.recv_timeout(50 * TENTH).expect("delivered"), "waits");
+        send_order(&mut client, "waits");
+        assert_eq!(at_first.recv_timeout(50 * TENTH_OF_A_SECOND).expect("delivered"), "waits");
         tell.send(()).expect("a watch is open");
-        sleep(TENTH);
-        asks(&mut stays, "ahead");
-        assert_eq!(at_next.recv_timeout(50 * TENTH).expect("delivered"), "ahead");
+        sleep(TENTH_OF_A_SECOND);
+        send_order(&mut stays, "ahead");
+        assert_eq!(at_next.recv_timeout(50 * TENTH_OF_A_SECOND).expect("delivered"), "ahead");
         turns_away.send("-BUSY\r\n").expect("it waits");
-        assert_eq!(at_next.recv_timeout(TENTH).ok(), None, "the next backend is busy");
-        leaves(client, way);
-        seen_to_leave(&world, way);
+        assert_eq!(at_next.recv_timeout(TENTH_OF_A_SECOND).ok(), None, "the next backend is busy");
+        disconnect(client, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
         answer.send(DONE).expect("it waits");
         assert_eq!(toy::reply(&mut BufReader::new(stays)).expect("a reply"), "done");
-        assert_eq!(at_next.recv_timeout(QUIET).ok(), None, "{way:?}");
+        assert_eq!(at_next.recv_timeout(QUIET_TIME).ok(), None, "{disconnect_kind:?}");
     }
 }
--- a/gateway/tests/clients_that_leave/connecting.rs
+++ b/gateway/tests/clients_that_leave/connecting.rs
@@ -1,40 +1,43 @@
 //! A request whose connection is coming up.
-use crate::help::{free, Crowded};
+use crate::help::{free_listener, FullBacklogBackend};
 use crate::world::*;
 use std::thread::sleep;
 
 /// Guards: nothing is written to a connection that comes up after the client of its delivery has left.
 #[test]
 fn while_its_connection_comes_up() {
-    for way in WAYS {
-        let (backend, at) = Crowded::new();
-        let world = world_of(&format!("dials-{way:?}"), at, |told| told);
+    for disconnect_kind in DISCONNECTS {
+        let (backend, at) = FullBacklogBackend::new();
+        let world = gateway_with_backend(&format!("dials-{disconnect_kind:?}"), at, |told| told);
         let mut client = world.connect();
-        asks(&mut client, "early");
-        backend.is_asked_for();
-        leaves(client, way);
-        seen_to_leave(&world, way);
-        assert_nothing_is_written(&backend, way);
+        send_order(&mut client, "early");
+        backend.wait_for_connection_attempt();
+        disconnect(client, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
+        assert_nothing_is_written(&backend, disconnect_kind);
     }
 }
 
 /// Guards: the same for a further attempt, of one that its first backend turned away.
 #[test]
 fn while_the_connection_of_its_further_attempt_comes_up() {
-    for way in WAYS {
-        let ((first, first_at), (next, next_at)) = (free(), Crowded::new());
-        let (at_first, turns_away) = held(first);
-        let (world, tell) =
-            world_that_is_told(&format!("dials-again-{way:?}"), (first_at, next_at), |told| told);
+    for disconnect_kind in DISCONNECTS {
+        let ((first, first_at), (next, next_at)) = (free_listener(), FullBacklogBackend::new());
+        let (at_first, turns_away) = controlled_backend(first);
+        let (world, tell) = gateway_with_replaced_backend(
+            &format!("dials-again-{disconnect_kind:?}"),
+            (first_at, next_at),
+            |told| told,
+        );
         let mut client = world.connect();
-        asks(&mut client, "early");
-        assert_eq!(at_first.recv_timeout(50 * TENTH).expect("delivered"), "early");
+        send_order(&mut client, "early");
+        assert_eq!(at_first.recv_timeout(50 * TENTH_OF_A_SECOND).expect("delivered"), "early");
         tell.send(()).expect("a watch is open");
-        sleep(TENTH);
+        sleep(TENTH_OF_A_SECOND);
         turns_away.send("-BUSY\r\n").expect("it waits");
-        next.is_asked_for();
-        leaves(client, way);
-        seen_to_leave(&world, way);
-        assert_nothing_is_written(&next, way);
+        next.wait_for_connection_attempt();
+        disconnect(client, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
+        assert_nothing_is_written(&next, disconnect_kind);
     }
 }
--- a/gateway/tests/clients_that_leave/counter.rs
+++ b/gateway/tests/clients_that_leave/counter.rs
@@ -1,15 +1,15 @@
 //! A request that waits for the counter.
-use crate::help::{free, toy};
+use crate::help::{free_listener, toy};
 use crate::world::*;
 use std::io::{BufReader, Write};
 
 /// Guards: what waited for the counter as its client left is not delivered when the counter answers.
 #[test]
 fn while_it_waits_for_the_counter() {
-    for way in WAYS {
-        let ((backend, at), (counter, counter_at)) = (free(), free());
-        let (seen, _answer) = held(backend);
-        let world = world_of(&format!("counter-{way:?}"), at, |told| {
+    for disconnect_kind in DISCONNECTS {
+        let ((backend, at), (counter, counter_at)) = (free_listener(), free_listener());
+        let (seen, _answer) = controlled_backend(backend);
+        let world = gateway_with_backend(&format!("counter-{disconnect_kind:?}"), at, |told| {
             let (before, after) = told.split_once("\"counter\": \"").expect("an address");
             let after = after.split_once('"').expect("its end").1;
             let told = format!("{before}\"counter\": \"{counter_at}\"{after}");
@@ -18,12 +18,12 @@
                 .replace("\"counter_timeout_us\": 80000", "\"counter_timeout_us\": 2000000")
         });
         let mut client = world.connect();
-        asks(&mut client, "early");
+        send_order(&mut client, "early");
         let (mut counter, _) = counter.accept().expect("a call");
         toy::target(&mut BufReader::new(counter.try_clone().expect("a second handle"))).expect("a call");
-        leaves(client, way);
-        seen_to_leave(&world, way);
+        disconnect(client, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
         counter.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1").expect("it reads");
-        assert_eq!(seen.recv_timeout(QUIET).ok(), None, "{way:?}");
+        assert_eq!(seen.recv_timeout(QUIET_TIME).ok(), None, "{disconnect_kind:?}");
     }
 }
--- a/gateway/tests/clients_that_leave/shared_connection.rs
+++ b/gateway/tests/clients_that_leave/shared_connection.rs
@@ -1,5 +1,5 @@
 //! A request behind another one in the buffer of a shared connection.
-use crate::help::{free, toy, World};
+use crate::help::{free_listener, toy, TestGateway};
 use crate::world::*;
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,12 +8,12 @@
 /// Two clients with an order at the backend each, on a connection each, and no descriptor left for a third. Behind the
 /// first client's order stands a long one of the second client, half written, for the backend has stopped reading.
 struct SharedConnection {
-    world: World,
+    world: TestGateway,
     first: TcpStream,
     second: TcpStream,
     /// The connection with the long order, and the other one.
-    blocked: Served,
-    other: Served,
+    blocked: BackendSession,
+    other: BackendSession,
     long: String,
 }
 
@@ -23,7 +23,7 @@
 }
 
 /// A listener whose connections take little in that nobody reads.
-fn narrow() -> (TcpListener, SocketAddr) {
+fn listener_with_small_buffer() -> (TcpListener, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("an open socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
@@ -34,83 +34,83 @@
 }
 
 impl SharedConnection {
-    fn new(world: World, backend: &TcpListener) -> SharedConnection {
+    fn new(world: TestGateway, backend: &TcpListener) -> SharedConnection {
         let mut first = world.connect();
         let mut replies = BufReader::new(first.try_clone().expect("a second handle"));
-        asks(&mut first, "first");
-        let mut blocked = Served::accept(backend);
+        send_order(&mut first, "first");
+        let mut blocked = BackendSession::accept(backend);
         // It answers quickly at first, so that several may be out at it.
         for _ in 0..40 {
             assert_eq!(blocked.body(), "first");
-            blocked.answers("done");
+            blocked.answer("done");
             assert_eq!(toy::reply(&mut replies).expect("a reply"), "done");
-            asks(&mut first, "first");
+            send_order(&mut first, "first");
         }
         assert_eq!(blocked.body(), "first");
         let mut second = world.connect();
-        asks(&mut second, "other");
-        let mut other = Served::accept(backend);
+        send_order(&mut second, "other");
+        let mut other = BackendSession::accept(backend);
         assert_eq!(other.body(), "other");
         let long = "x".repeat(4 * MIB);
-        asks(&mut second, &long);
+        send_order(&mut second, &long);
         blocked.to.peek(&mut [0]).expect("it has begun to come");
-        sleep(TENTH);
+        sleep(TENTH_OF_A_SECOND);
         SharedConnection { world, first, second, blocked, other, long }
     }
 }
 
 /// The backend reads on: these orders come, and nothing else.
-fn assert_comes(served: &mut Served, bodies: &[&str], way: Way) {
+fn assert_bodies(served: &mut BackendSession, bodies: &[&str], disconnect_kind: Disconnect) {
     let came = served.bodies();
     let short = |body: &str| format!("{} of {} bytes", &body[..body.len().min(10)], body.len());
     let texts: Vec<String> = came.iter().map(|body| short(body)).collect();
-    assert!(came == bodies, "{way:?}: {texts:?}");
+    assert!(came == bodies, "{disconnect_kind:?}: {texts:?}");
 }
 
 /// Guards: an attempt that stood behind another one in a connection's buffer left for the backend though its client had
 /// gone before any byte of it was written.
 #[test]
 fn while_it_stands_behind_another_one_in_a_buffer() {
-    for way in WAYS {
-        let (backend, at) = narrow();
-        let world = world_of(&format!("buffer-{way:?}"), at, few_descriptors);
+    for disconnect_kind in DISCONNECTS {
+        let (backend, at) = listener_with_small_buffer();
+        let world = gateway_with_backend(&format!("buffer-{disconnect_kind:?}"), at, few_descriptors);
         let SharedConnection { world, mut first, mut second, mut blocked, mut other, long } =
             SharedConnection::new(world, &backend);
         // One goes behind each of the two orders that are out, the second one into the buffer.
-        asks(&mut first, "begun");
+        send_order(&mut first, "begun");
         assert_eq!(other.body(), "begun");
-        asks(&mut first, "waits");
-        sleep(2 * TENTH);
-        leaves(first, way);
-        seen_to_leave(&world, way);
-        assert_comes(&mut blocked, &[&long], way);
+        send_order(&mut first, "waits");
+        sleep(2 * TENTH_OF_A_SECOND);
+        disconnect(first, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
+        assert_bodies(&mut blocked, &[&long], disconnect_kind);
         // The long order's client has its answers, and what comes next on the connection is whole.
-        blocked.answers("for nobody");
-        blocked.answers("long done");
-        other.answers("other done");
+        blocked.answer("for nobody");
+        blocked.answer("long done");
+        other.answer("other done");
         let mut replies = BufReader::new(second.try_clone().expect("a second handle"));
         assert_eq!(toy::reply(&mut replies).expect("a reply"), "other done");
         assert_eq!(toy::reply(&mut replies).expect("a reply"), "long done");
-        asks(&mut second, "next");
-        assert_comes(&mut blocked, &["next"], way);
+        send_order(&mut second, "next");
+        assert_bodies(&mut blocked, &["next"], disconnect_kind);
     }
 }
 
 /// Guards: the same for a further attempt, of one that was turned away on that very connection.
 #[test]
 fn while_its_further_attempt_stands_behind_another_one_in_a_buffer() {
-    for way in WAYS {
-        let (backend, at) = narrow();
-        let world = world_of(&format!("buffer-again-{way:?}"), at, few_descriptors);
+    for disconnect_kind in DISCONNECTS {
+        let (backend, at) = listener_with_small_buffer();
+        let world = gateway_with_backend(&format!("buffer-again-{disconnect_kind:?}"), at, few_descriptors);
         let SharedConnection { world, first, second, mut blocked, mut other, long } =
             SharedConnection::new(world, &backend);
-        blocked.says("-BUSY\r\n");
-        sleep(2 * TENTH);
-        leaves(first, way);
-        seen_to_leave(&world, way);
-        assert_comes(&mut blocked, &[&long], way);
-        blocked.answers("long done");
-        other.answers("other done");
+        blocked.send_text("-BUSY\r\n");
+        sleep(2 * TENTH_OF_A_SECOND);
+        disconnect(first, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
+        assert_bodies(&mut blocked, &[&long], disconnect_kind);
+        blocked.answer("long done");
+        other.answer("other done");
         let mut replies = BufReader::new(second);
         assert_eq!(toy::reply(&mut replies).expect("a reply"), "other done");
         assert_eq!(toy::reply(&mut replies).expect("a reply"), "long done");
@@ -121,17 +121,17 @@
 /// before any byte of it was written. It has not run, so even what must not be repeated goes elsewhere.
 #[test]
 fn what_stands_behind_another_one_in_a_buffer_goes_elsewhere_when_its_backend_drains() {
-    let ((backend, at), (next, next_at)) = (narrow(), free());
-    let (at_next, answer) = held(next);
-    let (world, tell) = world_that_is_told("buffer-drain", (at, next_at), few_descriptors);
+    let ((backend, at), (next, next_at)) = (listener_with_small_buffer(), free_listener());
+    let (at_next, answer) = controlled_backend(next);
+    let (world, tell) = gateway_with_replaced_backend("buffer-drain", (at, next_at), few_descriptors);
     let SharedConnection { world: _world, first, second: _second, mut blocked, other, long } =
         SharedConnection::new(world, &backend);
-    blocked.says("-BUSY\r\n");
-    sleep(2 * TENTH);
+    blocked.send_text("-BUSY\r\n");
+    sleep(2 * TENTH_OF_A_SECOND);
     drop(other); // a descriptor is free again
     tell.send(()).expect("a watch is open");
-    assert_eq!(at_next.recv_timeout(20 * TENTH).expect("it goes elsewhere"), "first");
+    assert_eq!(at_next.recv_timeout(20 * TENTH_OF_A_SECOND).expect("it goes elsewhere"), "first");
     answer.send(DONE).expect("it waits");
     assert_eq!(toy::reply(&mut BufReader::new(first)).expect("a reply"), "done");
-    assert_comes(&mut blocked, &[&long], Way::Fin);
+    assert_bodies(&mut blocked, &[&long], Disconnect::Fin);
 }
--- a/gateway/tests/clients_that_leave/unread.rs
+++ b/gateway/tests/clients_that_leave/unread.rs
@@ -1,5 +1,5 @@
 //! A client that is not read from.
-use crate::help::{free, toy, Crowded, World};
+use crate::help::{free_listener, toy, FullBacklogBackend, TestGateway};
 use crate::world::*;
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -10,22 +10,22 @@
 /// not seen; each answer let further ones of its commands begin, seconds after it had left.
 #[test]
 fn while_more_lies_behind_its_commands_than_is_kept() {
-    for way in WAYS {
-        let (backend, at) = free();
-        let (seen, answer) = held(backend);
-        let world = world_of(&format!("unread-{way:?}"), at, |told| told);
+    for disconnect_kind in DISCONNECTS {
+        let (backend, at) = free_listener();
+        let (seen, answer) = controlled_backend(backend);
+        let world = gateway_with_backend(&format!("unread-{disconnect_kind:?}"), at, |told| told);
         let mut client = world.connect();
         let many: String =
             (0..24).map(|_| (0..16).map(|_| order(&"x".repeat(64_000))).collect::<String>()).collect();
         let few: String = (0..600).map(|_| order("few")).collect();
-        writes_ahead(&mut client, &(few + &many));
-        assert_eq!(seen.recv_timeout(50 * TENTH).expect("the first one is delivered"), "few");
+        write_until_blocked(&mut client, &(few + &many));
+        assert_eq!(seen.recv_timeout(50 * TENTH_OF_A_SECOND).expect("the first one is delivered"), "few");
         let from = Instant::now();
-        leaves(client, way);
-        seen_to_leave(&world, way);
-        assert!(from.elapsed() < TENTH, "{way:?}: seen after {:?}", from.elapsed());
+        disconnect(client, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
+        assert!(from.elapsed() < TENTH_OF_A_SECOND, "{disconnect_kind:?}: seen after {:?}", from.elapsed());
         answer.send(DONE).expect("it waits");
-        assert_eq!(seen.recv_timeout(QUIET).ok(), None, "{way:?}");
+        assert_eq!(seen.recv_timeout(QUIET_TIME).ok(), None, "{disconnect_kind:?}");
     }
 }
 
@@ -35,14 +35,14 @@
 fn what_is_not_kept_is_refused_in_its_turn() {
     const KEPT: usize = 600;
     const LONG: usize = 400;
-    let (backend, at) = free();
-    let (seen, answer) = held(backend);
-    let world = world_of("refused", at, |told| told);
+    let (backend, at) = free_listener();
+    let (seen, answer) = controlled_backend(backend);
+    let world = gateway_with_backend("refused", at, |told| told);
     let mut client = world.connect();
     let mut text: String = (0..KEPT).map(|_| order("few")).collect();
     text += &(0..LONG).map(|_| order(&"x".repeat(64_000))).collect::<String>();
-    assert_eq!(writes_ahead(&mut client, &text), text.len(), "all of it is read");
-    assert_eq!(seen.recv_timeout(50 * TENTH).expect("the first one is delivered"), "few");
+    assert_eq!(write_until_blocked(&mut client, &text), text.len(), "all of it is read");
+    assert_eq!(seen.recv_timeout(50 * TENTH_OF_A_SECOND).expect("the first one is delivered"), "few");
     answer.send(DONE).expect("it waits");
     drop(answer); // every later one fails
     let mut replies = BufReader::new(client.try_clone().expect("a second handle"));
@@ -55,7 +55,7 @@
 }
 
 /// The beginning of an order with a long body.
-fn half(body: usize, came: usize) -> String {
+fn order_prefix(body: usize, came: usize) -> String {
     let whole = order(&"x".repeat(body));
     whole[..whole.len() - body - 2 + came].to_owned()
 }
@@ -66,9 +66,9 @@
 }
 
 /// One whose long body takes all the room, up to its end.
-fn takes_the_room(world: &World) -> TcpStream {
+fn client_that_takes_the_memory(world: &TestGateway) -> TcpStream {
     let mut client = world.connect();
-    client.write_all(half(900_000, 400_000).as_bytes()).expect("it reads");
+    client.write_all(order_prefix(900_000, 400_000).as_bytes()).expect("it reads");
     // It has been read once another's answer has come.
     let mut other = world.connect();
     other.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
@@ -80,39 +80,39 @@
 /// before it was written to a connection that came up after the client had left.
 #[test]
 fn while_the_body_behind_it_has_no_room() {
-    for way in WAYS {
-        let (backend, at) = Crowded::new();
-        let world = world_of(&format!("room-{way:?}"), at, little_memory);
-        let _first = takes_the_room(&world);
+    for disconnect_kind in DISCONNECTS {
+        let (backend, at) = FullBacklogBackend::new();
+        let world = gateway_with_backend(&format!("room-{disconnect_kind:?}"), at, little_memory);
+        let _first = client_that_takes_the_memory(&world);
         let mut client = world.connect();
-        asks(&mut client, "early");
-        backend.is_asked_for();
-        writes_ahead(&mut client, &half(4 * MIB, 4 * MIB));
+        send_order(&mut client, "early");
+        backend.wait_for_connection_attempt();
+        write_until_blocked(&mut client, &order_prefix(4 * MIB, 4 * MIB));
         let from = Instant::now();
-        leaves(client, way);
-        seen_to_leave(&world, way);
-        assert!(from.elapsed() < TENTH, "{way:?}: seen after {:?}", from.elapsed());
-        assert_nothing_is_written(&backend, way);
+        disconnect(client, disconnect_kind);
+        wait_until_client_is_gone(&world, disconnect_kind);
+        assert!(from.elapsed() < TENTH_OF_A_SECOND, "{disconnect_kind:?}: seen after {:?}", from.elapsed());
+        assert_nothing_is_written(&backend, disconnect_kind);
     }
 }
 
 /// Guards: an order that had waited for room was whole, and went on its way, before its client's end was seen behind it.
 #[test]
 fn while_it_waits_for_room() {
-    for way in WAYS {
-        let (backend, at) = free();
-        let (seen, answer) = held(backend);
-        let world = world_of(&format!("body-{way:?}"), at, little_memory);
-        let mut first = takes_the_room(&world);
+    for disconnect_kind in DISCONNECTS {
+        let (backend, at) = free_listener();
+        let (seen, answer) = controlled_backend(backend);
+        let world = gateway_with_backend(&format!("body-{disconnect_kind:?}"), at, little_memory);
+        let mut first = client_that_takes_the_memory(&world);
         let mut client = world.connect();
         let whole = order(&"y".repeat(MIB));
-        assert_eq!(writes_ahead(&mut client, &whole), whole.len(), "the machine takes all of it");
-        leaves(client, way);
-        sleep(2 * TENTH);
+        assert_eq!(write_until_blocked(&mut client, &whole), whole.len(), "the machine takes all of it");
+        disconnect(client, disconnect_kind);
+        sleep(2 * TENTH_OF_A_SECOND);
         first.write_all(("x".repeat(500_000) + "\r\n").as_bytes()).expect("it reads");
-        assert_eq!(seen.recv_timeout(50 * TENTH).expect("delivered").len(), 900_000);
+        assert_eq!(seen.recv_timeout(50 * TENTH_OF_A_SECOND).expect("delivered").len(), 900_000);
         answer.send(DONE).expect("it waits");
         assert_eq!(toy::reply(&mut BufReader::new(first)).expect("a reply"), "done");
-        assert_eq!(seen.recv_timeout(QUIET).ok().map(|body| body.len()), None, "{way:?}");
+        assert_eq!(seen.recv_timeout(QUIET_TIME).ok().map(|body| body.len()), None, "{disconnect_kind:?}");
     }
 }
--- a/gateway/tests/clients_that_leave/world.rs
+++ b/gateway/tests/clients_that_leave/world.rs
@@ -5,39 +5,41 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use crate::help::{free, lists, toy, Crowded, World};
+use crate::help::{free_listener, serve_endpoints, toy, FullBacklogBackend, TestGateway};
 
-pub const TENTH: Duration = Duration::from_millis(100);
+pub const TENTH_OF_A_SECOND: Duration = Duration::from_millis(100);
 /// So long nothing may come for a client that has left.
-pub const QUIET: Duration = Duration::from_millis(400);
+pub const QUIET_TIME: Duration = Duration::from_millis(400);
 /// How long a client waits for an answer, milliseconds.
 pub const WAIT_MS: u64 = 2900;
 pub const MIB: usize = 1024 * 1024;
-pub const NOTHING: [&str; 0] = [];
+pub const NO_BODIES: [&str; 0] = [];
 
 /// How a client's connection ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum Disconnect {
     Fin,
     Reset,
 }
 
-pub const WAYS: [Way; 2] = [Way::Fin, Way::Reset];
+pub const DISCONNECTS: [Disconnect; 2] = [Disconnect::Fin, Disconnect::Reset];
 
-pub fn leaves(client: TcpStream, way: Way) {
-    if way == Way::Reset {
+pub fn disconnect(client: TcpStream, disconnect_kind: Disconnect) {
+    if disconnect_kind == Disconnect::Reset {
         socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("an open socket");
     }
 }
 
 /// Waits until the front door has seen some client leave so.
-pub fn seen_to_leave(world: &World, way: Way) {
+pub fn wait_until_client_is_gone(world: &TestGateway, disconnect_kind: Disconnect) {
     let from = Instant::now();
-    let why = if way == Way::Fin { "closed" } else { "reset" };
+    let why = if disconnect_kind == Disconnect::Fin { "closed" } else { "reset" };
     loop {
-        let left = (5 * 10 * TENTH).saturating_sub(from.elapsed());
-        let line =
-            world.log.recv_timeout(left).unwrap_or_else(|_| panic!("not seen to leave by {way:?} in 5 s"));
+        let left = (5 * 10 * TENTH_OF_A_SECOND).saturating_sub(from.elapsed());
+        let line = world
+            .log
+            .recv_timeout(left)
+            .unwrap_or_else(|_| panic!("not seen to leave by {disconnect_kind:?} in 5 s"));
         if line.contains("connection client") && line.ends_with(&format!("ended: {why}")) {
             return;
         }
@@ -50,18 +52,18 @@
     toy::invocation("order", WAIT_MS).replace("$4\r\nbody\r\n", &body)
 }
 
-pub fn asks(client: &mut TcpStream, body: &str) {
+pub fn send_order(client: &mut TcpStream, body: &str) {
     client.write_all(order(body).as_bytes()).expect("it reads");
 }
 
 /// Writes as much as the machine takes, for as long as it takes more.
-pub fn writes_ahead(client: &mut TcpStream, text: &str) -> usize {
+pub fn write_until_blocked(client: &mut TcpStream, text: &str) -> usize {
     client.set_nonblocking(true).expect("an open socket");
     let (mut done, mut last) = (0, Instant::now());
-    while done < text.len() && last.elapsed() < 3 * TENTH {
+    while done < text.len() && last.elapsed() < 3 * TENTH_OF_A_SECOND {
         match client.write(&text.as_bytes()[done..]) {
             Ok(n) => (done, last) = (done + n, Instant::now()),
-            Err(e) if e.kind() == ErrorKind::WouldBlock => sleep(TENTH / 20),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => sleep(TENTH_OF_A_SECOND / 20),
             Err(e) => panic!("{e}"),
         }
     }
@@ -70,19 +72,19 @@
 }
 
 /// A connection of the front door to a backend, at the backend.
-pub struct Served {
+pub struct BackendSession {
     pub from: BufReader<TcpStream>,
     pub to: TcpStream,
 }
 
-impl Served {
-    pub fn accept(listener: &TcpListener) -> Served {
-        Served::of(listener.accept().expect("the front door connects").0)
+impl BackendSession {
+    pub fn accept(listener: &TcpListener) -> BackendSession {
+        BackendSession::of(listener.accept().expect("the front door connects").0)
     }
 
-    pub fn of(to: TcpStream) -> Served {
-        to.set_read_timeout(Some(50 * TENTH)).expect("a time-out");
-        Served { from: BufReader::new(to.try_clone().expect("a second handle")), to }
+    pub fn of(to: TcpStream) -> BackendSession {
+        to.set_read_timeout(Some(50 * TENTH_OF_A_SECOND)).expect("a time-out");
+        BackendSession { from: BufReader::new(to.try_clone().expect("a second handle")), to }
     }
 
     /// The body of the next command.
@@ -91,22 +93,22 @@
         words[4].clone()
     }
 
-    pub fn answers(&mut self, value: &str) {
-        self.says(&format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()));
+    pub fn answer(&mut self, value: &str) {
+        self.send_text(&format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()));
     }
 
-    pub fn says(&mut self, text: &str) {
+    pub fn send_text(&mut self, text: &str) {
         self.to.write_all(text.as_bytes()).expect("an open connection");
     }
 
     /// The bodies of all commands that come until nothing has come for a while, or the end. All of them are whole.
     pub fn bodies(&mut self) -> Vec<String> {
-        self.to.set_read_timeout(Some(QUIET)).expect("a time-out");
+        self.to.set_read_timeout(Some(QUIET_TIME)).expect("a time-out");
         let (mut all, mut piece) = (vec![], vec![0; 65_536]);
         while let Ok(n @ 1..) = self.from.read(&mut piece) {
             all.extend_from_slice(&piece[..n]);
         }
-        self.to.set_read_timeout(Some(50 * TENTH)).expect("a time-out");
+        self.to.set_read_timeout(Some(50 * TENTH_OF_A_SECOND)).expect("a time-out");
         let mut rest = &all[..];
         let next = || toy::command(&mut rest).expect("a whole command").map(|words| words[4].clone());
         std::iter::from_fn(next).collect()
@@ -114,16 +116,16 @@
 }
 
 /// A backend that passes nothing on but tells of each command's body, and answers when it is told to.
-pub fn held(listener: TcpListener) -> (Receiver<String>, Sender<&'static str>) {
+pub fn controlled_backend(listener: TcpListener) -> (Receiver<String>, Sender<&'static str>) {
     let ((seen_by, seen), (answer, answers)) = (channel(), channel::<&'static str>());
     let answers = std::sync::Arc::new(std::sync::Mutex::new(answers));
     toy::each(listener, move |stream| {
-        let mut served = Served::of(stream);
+        let mut served = BackendSession::of(stream);
         served.to.set_read_timeout(None)?;
         while let Some(words) = toy::command(&mut served.from)? {
             let _ = seen_by.send(words[4].clone()); // the test may be over
             let Ok(text) = answers.lock().expect("no panic").recv() else { return Ok(()) };
-            served.says(text);
+            served.send_text(text);
         }
         Ok(())
     });
@@ -133,33 +135,39 @@
 pub const DONE: &str = "*3\r\n$4\r\ndone\r\n$-1\r\n$-1\r\n";
 
 /// What the configuration of all these tests has in common: no time presses but the client's, and no quota.
-pub fn patient(told: String) -> String {
+pub fn with_long_timeouts(told: String) -> String {
     told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
         .replace("\"aim_us\": 1000000", "\"aim_us\": 2900000")
         .replace("\"depth\": 12", "\"depth\": 100000")
 }
 
-pub fn knows(told: String, backends: &[(&str, SocketAddr)]) -> String {
+pub fn with_known_backends(told: String, backends: &[(&str, SocketAddr)]) -> String {
     let none = r#"{"index": 0, "snapshot": true, "endpoints": []}"#;
-    told.replace(none, &crate::help::listing(backends))
+    told.replace(none, &crate::help::endpoint_list(backends))
 }
 
 /// A front door with one backend, that it knows of.
-pub fn world_of(name: &str, backend: SocketAddr, change: impl Fn(String) -> String) -> World {
-    let (list, at) = free();
-    lists(list, &[("a", backend)]);
-    World::start(&format!("leave-{name}"), at, |told| change(knows(patient(told), &[("a", backend)])))
+pub fn gateway_with_backend(
+    name: &str,
+    backend: SocketAddr,
+    change: impl Fn(String) -> String,
+) -> TestGateway {
+    let (list, at) = free_listener();
+    serve_endpoints(list, &[("a", backend)]);
+    TestGateway::start(&format!("leave-{name}"), at, |told| {
+        change(with_known_backends(with_long_timeouts(told), &[("a", backend)]))
+    })
 }
 
 /// A front door that knows the backend `a`, and is told that it drains and `b` is there once the test says so.
-pub fn world_that_is_told(
+pub fn gateway_with_replaced_backend(
     name: &str,
     (a, b): (SocketAddr, SocketAddr),
     change: impl Fn(String) -> String,
-) -> (World, Sender<()>) {
-    let ((list, at), (tell, told)) = (free(), channel());
+) -> (TestGateway, Sender<()>) {
+    let ((list, at), (tell, told)) = (free_listener(), channel());
     let told = std::sync::Arc::new(std::sync::Mutex::new(told));
-    let change_of_list = crate::help::listing(&[("a", a), ("b", b)])
+    let change_of_list = crate::help::endpoint_list(&[("a", a), ("b", b)])
         .replacen("SERVING", "DRAINING", 1)
         .replace("\"index\":1,\"snapshot\":true", "\"index\":2,\"snapshot\":false");
     toy::each(list, move |stream| {
@@ -174,20 +182,22 @@
         }
         Ok(())
     });
-    let world = World::start(&format!("leave-{name}"), at, |told| change(knows(patient(told), &[("a", a)])));
+    let world = TestGateway::start(&format!("leave-{name}"), at, |told| {
+        change(with_known_backends(with_long_timeouts(told), &[("a", a)]))
+    });
     (world, tell)
 }
 
 /// The backend lets in whoever still asks: nothing is written to it. Who is turned down asks again after a second.
-pub fn assert_nothing_is_written(backend: &Crowded, way: Way) {
+pub fn assert_nothing_is_written(backend: &FullBacklogBackend, disconnect_kind: Disconnect) {
     drop(backend.listener.accept().expect("the one before"));
     backend.listener.set_nonblocking(true).expect("an open socket");
     let from = Instant::now();
-    while from.elapsed() < 15 * TENTH {
+    while from.elapsed() < 15 * TENTH_OF_A_SECOND {
         if let Ok((stream, _)) = backend.listener.accept() {
             stream.set_nonblocking(false).expect("an open socket");
-            assert_eq!(Served::of(stream).bodies(), NOTHING, "{way:?}");
+            assert_eq!(BackendSession::of(stream).bodies(), NO_BODIES, "{disconnect_kind:?}");
         }
-        sleep(TENTH / 10);
+        sleep(TENTH_OF_A_SECOND / 10);
     }
 }
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{free, lists, says_all, toy, Crowded, World};
+use help::{free_listener, read_to_end, serve_endpoints, toy, FullBacklogBackend, TestGateway};
 
 const SECOND: Duration = Duration::from_secs(1);
 const TENTH: Duration = Duration::from_millis(100);
@@ -30,11 +30,11 @@
 }
 
 /// A front door with one backend, that it knows of.
-fn world_of(name: &str, backend: SocketAddr, change: impl Fn(String) -> String) -> World {
-    let (list, at) = free();
-    lists(list, &[("a", backend)]);
-    let known = help::listing(&[("a", backend)]);
-    World::start(name, at, |told| {
+fn world_of(name: &str, backend: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
+    let (list, at) = free_listener();
+    serve_endpoints(list, &[("a", backend)]);
+    let known = help::endpoint_list(&[("a", backend)]);
+    TestGateway::start(name, at, |told| {
         change(told.replace(r#"{"index": 0, "snapshot": true, "endpoints": []}"#, &known))
     })
 }
@@ -49,7 +49,7 @@
 /// that time, 3 s at the most. With short times what came late was answered by nobody.
 #[test]
 fn with_short_times_all_is_answered_before_the_kill() {
-    let (backend, at) = free();
+    let (backend, at) = free_listener();
     let seen = hangs(backend);
     let mut world = world_of("short", at, |told| {
         told.replace("\"give_up_us\": 3000000", "\"give_up_us\": 1000000")
@@ -66,17 +66,17 @@
     sleep(6 * TENTH);
     let sent = Instant::now();
     ask(&mut client, "order", 1000);
-    let said = says_all(client);
+    let said = read_to_end(client);
     let waited = sent.elapsed();
     assert_eq!(said.matches("-ERR failed").count(), 3, "{said}");
     assert!(waited < 8 * TENTH, "the last one was answered after {waited:?}");
-    assert!(world.ends() == Some(0) && told.elapsed() < 3 * SECOND, "gone after {:?}", told.elapsed());
+    assert!(world.exit_code() == Some(0) && told.elapsed() < 3 * SECOND, "gone after {:?}", told.elapsed());
 }
 
 /// Guards: with times over 3 s what was held at the kill was answered by nobody: the exit came after it.
 #[test]
 fn with_long_times_all_is_answered_before_the_kill() {
-    let (backend, at) = free();
+    let (backend, at) = free_listener();
     let seen = hangs(backend);
     let mut world = world_of("long", at, |told| {
         told.replace("\"give_up_us\": 3000000", "\"give_up_us\": 8000000")
@@ -87,10 +87,10 @@
     seen.recv_timeout(5 * SECOND).expect("delivered");
     let told = Instant::now();
     world.signal(Signal::SIGTERM);
-    let said = says_all(client);
+    let said = read_to_end(client);
     let answered = told.elapsed();
     assert_eq!(said, "-ERR failed\r\n");
-    assert!(answered < 5 * SECOND && world.ends() == Some(0), "answered after {answered:?}");
+    assert!(answered < 5 * SECOND && world.exit_code() == Some(0), "answered after {answered:?}");
 }
 
 // ======== list watches
@@ -99,11 +99,11 @@
 /// a new configuration, knew nothing for 5.4 s where its first connection was mute.
 #[test]
 fn a_first_call_for_the_list_that_goes_unanswered_is_made_again_at_once() {
-    let (list, at) = free();
+    let (list, at) = free_listener();
     // After SIGHUP it asks the new address for all of its list.
-    let (moved, moved_at) = free();
-    lists(list, &[("a", at)]);
-    let world = World::start("first", at, |told| told);
+    let (moved, moved_at) = free_listener();
+    serve_endpoints(list, &[("a", at)]);
+    let world = TestGateway::start("first", at, |told| told);
     let told = std::fs::read_to_string(&world.file).expect("written");
     std::fs::write(&world.file, told.replace(&at.to_string(), &moved_at.to_string())).expect("a file");
     world.signal(Signal::SIGHUP);
@@ -120,9 +120,9 @@
 /// counts as told at once, and a backend that drained by then still got what was new.
 #[test]
 fn while_the_list_service_is_silent_a_call_is_always_out() {
-    let (list, at) = free();
+    let (list, at) = free_listener();
     let (to, calls) = channel();
-    let listing = help::listing(&[("a", at)]);
+    let listing = help::endpoint_list(&[("a", at)]);
     let first = Arc::new(AtomicBool::new(true));
     toy::each(list, move |stream| {
         let (mut from, mut back) = (BufReader::new(stream.try_clone()?), stream);
@@ -136,7 +136,7 @@
         }
         Ok(())
     });
-    let _world = World::start("silent", at, |told| told);
+    let _world = TestGateway::start("silent", at, |told| told);
     let mut last = calls.recv_timeout(5 * SECOND).expect("the first");
     for call in 2..12 {
         let next = calls.recv_timeout(5 * SECOND).expect("one more");
@@ -151,18 +151,18 @@
 /// written to it, and what must not be repeated was given up.
 #[test]
 fn a_connection_that_ends_as_it_comes_up_has_run_nothing() {
-    let (mut backend, at) = Crowded::new();
+    let (mut backend, at) = FullBacklogBackend::new();
     let world = world_of("ends", at, |told| {
         told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
             .replace("\"aim_us\": 1000000", "\"aim_us\": 2900000") // no second choice is too late
     });
     let mut client = world.connect();
     ask(&mut client, "order", 2900);
-    backend.is_asked_for();
-    world.stands();
-    drop(backend.lets_in());
+    backend.wait_for_connection_attempt();
+    world.pause();
+    drop(backend.accept_pending());
     toy::backend(backend.listener, "a");
-    world.goes_on();
+    world.resume();
     assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "a order body");
 }
 
@@ -170,17 +170,17 @@
 /// connection was closed, whole, and the backend ran it for nobody.
 #[test]
 fn what_is_called_off_as_its_connection_comes_up_is_not_written() {
-    let (mut backend, at) = Crowded::new();
+    let (mut backend, at) = FullBacklogBackend::new();
     let world = world_of("off", at, |told| {
         told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
     });
     let mut client = world.connect();
     ask(&mut client, "order", 2900);
-    backend.is_asked_for();
-    world.stands();
-    let mut met = backend.lets_in();
+    backend.wait_for_connection_attempt();
+    world.pause();
+    let mut met = backend.accept_pending();
     drop(client);
-    world.goes_on();
+    world.resume();
     let mut said = vec![];
     met.read_to_end(&mut said).expect("an end");
     assert_eq!(String::from_utf8_lossy(&said), "", "written for a client that had left");
@@ -190,7 +190,7 @@
 /// to it, but that attempt counted as one that may have run, and what must not be repeated failed.
 #[test]
 fn a_connection_that_ends_behind_an_answer_is_not_taken_for_the_next_attempt() {
-    let (backend, at) = free();
+    let (backend, at) = free_listener();
     let world = world_of("answer-and-end", at, |told| {
         told.replace("\"aim_us\": 1000000", "\"aim_us\": 2900000") // no second choice is too late
     });
@@ -199,11 +199,11 @@
     let (mut first, _) = backend.accept().expect("a connection");
     let words = toy::command(&mut BufReader::new(first.try_clone().expect("a second handle")));
     assert!(words.expect("a command").is_some());
-    world.stands();
+    world.pause();
     first.write_all(b"-BUSY\r\n").expect("it is open");
     drop(first);
     toy::backend(backend, "a");
-    world.goes_on();
+    world.resume();
     assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "a order body");
 }
 
@@ -213,7 +213,7 @@
 /// written; once an answer was out the next of its commands were read and sent on, seconds after it had left.
 #[test]
 fn a_client_that_leaves_behind_much_that_it_wrote_is_seen_to_leave() {
-    let (backend, at) = free();
+    let (backend, at) = free_listener();
     let seen = hangs(backend);
     let world = world_of("behind", at, |told| told.replace("\"depth\": 12", "\"depth\": 100000"));
     let mut client = world.connect();
@@ -222,7 +222,7 @@
     seen.recv_timeout(5 * SECOND).expect("the first one waits for its answer");
     let from = Instant::now();
     drop(client);
-    world.logs("client 2 ended: closed");
+    world.wait_for_log_line("client 2 ended: closed");
     assert!(from.elapsed() < 2 * SECOND, "seen after {:?}", from.elapsed());
     while seen.try_recv().is_ok() {}
     assert!(seen.recv_timeout(4 * TENTH).is_err(), "sent on for a client that had left");
@@ -231,7 +231,7 @@
 /// Guards: a client that left while it waited for room for a long body was not seen to leave until there was room.
 #[test]
 fn a_client_that_leaves_while_it_waits_for_room_is_seen_to_leave() {
-    let (_backend, at) = free();
+    let (_backend, at) = free_listener();
     let world = world_of("room", at, |told| told.replace("\"memory_mb\": 192", "\"memory_mb\": 1"));
     let half = |bytes: usize| {
         let head = toy::invocation("order", 2900).replace("$4\r\nbody\r\n", "$900000\r\n");
@@ -247,7 +247,7 @@
     assert_eq!(toy::reply(&mut BufReader::new(other)).expect("a reply"), "+PONG");
     let from = Instant::now();
     drop(waits);
-    world.logs("client 3 ended: closed");
+    world.wait_for_log_line("client 3 ended: closed");
     assert!(from.elapsed() < 2 * SECOND, "seen after {:?}", from.elapsed());
 }
 
@@ -256,14 +256,14 @@
 /// Guards: a client's connection that had stood idle was closed across a command that had come in the same moment.
 #[test]
 fn an_idle_connection_on_which_something_has_come_is_not_closed() {
-    let (_backend, at) = free();
+    let (_backend, at) = free_listener();
     let world = world_of("idle", at, |told| told);
     let mut client = world.connect();
     sleep(SECOND);
-    world.stands();
+    world.pause();
     // The look for what stands idle is due first, then the command comes; it meets both at once.
     sleep(2 * SECOND);
     client.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it is open");
-    world.goes_on();
+    world.resume();
     assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "+PONG");
 }
--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -13,7 +13,10 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{example, free, listing, own, reach, toy, Door};
+use help::{
+    connect_when_listening, endpoint_list, example_configuration, free_listener, own_address, toy,
+    GatewayProcess,
+};
 
 /// What the machine allows the front door.
 const DESCRIPTORS: u64 = 160;
@@ -107,10 +110,10 @@
 }
 
 /// A front door that may have so many descriptors by its configuration, and `DESCRIPTORS` by the machine.
-fn front_door(name: &str, configured: usize, list: SocketAddr) -> (Door, SocketAddr) {
-    let ((counter, counter_at), at) = (free(), own(7400));
+fn front_door(name: &str, configured: usize, list: SocketAddr) -> (GatewayProcess, SocketAddr) {
+    let ((counter, counter_at), at) = (free_listener(), own_address(7400));
     toy::counter(counter);
-    let told = example(list, counter_at)
+    let told = example_configuration(list, counter_at)
         .replace("127.0.0.1:7400", &at.to_string())
         .replace("\"sockets\": 1024", &format!("\"sockets\": {configured}"));
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("descriptors-{name}.json"));
@@ -123,8 +126,8 @@
             setrlimit(Resource::RLIMIT_NOFILE, DESCRIPTORS, DESCRIPTORS).map_err(std::io::Error::from)
         });
     }
-    let door = Door(program.spawn().expect("the program starts"));
-    reach(at);
+    let door = GatewayProcess(program.spawn().expect("the program starts"));
+    connect_when_listening(at);
     (door, at)
 }
 
@@ -155,12 +158,12 @@
 
 /// Idle clients fill the descriptors while the list service is down; then it returns, and an invocation is sent on.
 fn filled_while_down(name: &str, configured: usize) {
-    let (list, list_at) = free();
-    let ((backend, before), (other, after)) = (free(), free());
+    let (list, list_at) = free_listener();
+    let ((backend, before), (other, after)) = (free_listener(), free_listener());
     toy::backend(backend, "a");
     toy::backend(other, "b");
-    let after = listing(&[("b", after)]).replace("\"index\":1", "\"index\":2");
-    let list = List::start(list, listing(&[("a", before)]), after);
+    let after = endpoint_list(&[("b", after)]).replace("\"index\":1", "\"index\":2");
+    let list = List::start(list, endpoint_list(&[("a", before)]), after);
     let (_door, at) = front_door(name, configured, list_at);
     let mut client = Client::connect(at);
     client.pings(Duration::from_millis(300));
--- a/gateway/tests/help/mod.rs
+++ b/gateway/tests/help/mod.rs
@@ -15,23 +15,23 @@
 pub mod toy;
 
 /// A front door that ends with the test, whatever comes of it.
-pub struct Door(pub Child);
+pub struct GatewayProcess(pub Child);
 
-impl Drop for Door {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.0.kill(); // it may have ended
         let _ = self.0.wait();
     }
 }
 
-pub fn free() -> (TcpListener, SocketAddr) {
+pub fn free_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let at = listener.local_addr().expect("an address");
     (listener, at)
 }
 
 /// An address that nobody else has: a port that was free a moment ago may be another test's by now.
-pub fn own(port: u16) -> SocketAddr {
+pub fn own_address(port: u16) -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id() % (250 * 250);
     let [high, low] = [process / 250, process % 250].map(|n| n as u8);
@@ -39,7 +39,7 @@
 }
 
 /// Waits until it accepts.
-pub fn reach(at: SocketAddr) -> TcpStream {
+pub fn connect_when_listening(at: SocketAddr) -> TcpStream {
     let from = Instant::now();
     loop {
         match TcpStream::connect(at) {
@@ -50,27 +50,27 @@
     }
 }
 
-pub fn start(configuration: &Path) -> Child {
+pub fn start_gateway(configuration: &Path) -> Child {
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", configuration).stderr(Stdio::piped());
     program.spawn().expect("the program starts")
 }
 
 /// Waits until it accepts, and has its list.
-pub fn up(at: &[SocketAddr]) {
+pub fn wait_until_ready(at: &[SocketAddr]) {
     for at in at {
-        reach(*at);
+        connect_when_listening(*at);
     }
     sleep(Duration::from_millis(200));
 }
 
 /// A list service that knows these backends.
-pub fn lists(list: TcpListener, backends: &[(&str, SocketAddr)]) {
-    toy::list(list, listing(backends));
+pub fn serve_endpoints(list: TcpListener, backends: &[(&str, SocketAddr)]) {
+    toy::list(list, endpoint_list(backends));
 }
 
 /// The example's configuration, for a toy world at these addresses.
-pub fn example(list: SocketAddr, counter: SocketAddr) -> String {
+pub fn example_configuration(list: SocketAddr, counter: SocketAddr) -> String {
     include_str!("../../../examples/configuration.json")
         .replace("127.0.0.1:7401", &list.to_string())
         .replace("127.0.0.1:7402", &counter.to_string())
@@ -79,7 +79,7 @@
 }
 
 /// Sends this and reads so many replies.
-pub fn say(at: SocketAddr, text: &str, replies: usize) -> String {
+pub fn exchange(at: SocketAddr, text: &str, replies: usize) -> String {
     let mut to = TcpStream::connect(at).expect("it accepts");
     to.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     let mut from = BufReader::new(to.try_clone().expect("a second handle"));
@@ -89,8 +89,8 @@
 }
 
 /// A front door that a test holds still, stops and listens to, with a toy counter; its list service is the caller's.
-pub struct World {
-    pub door: Door,
+pub struct TestGateway {
+    pub door: GatewayProcess,
     pub at: SocketAddr,
     /// Its configuration.
     pub file: PathBuf,
@@ -98,20 +98,20 @@
     pub log: Receiver<String>,
 }
 
-impl World {
+impl TestGateway {
     /// Starts it with the list service at this address, its configuration changed so.
-    pub fn start(name: &str, list: SocketAddr, change: impl Fn(String) -> String) -> World {
-        let ((counter, counter_at), at) = (free(), own(7400));
+    pub fn start(name: &str, list: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
+        let ((counter, counter_at), at) = (free_listener(), own_address(7400));
         toy::counter(counter);
-        let told = change(example(list, counter_at).replace("127.0.0.1:7400", &at.to_string()));
+        let told = change(example_configuration(list, counter_at).replace("127.0.0.1:7400", &at.to_string()));
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("crossing-{name}.json"));
         std::fs::write(&file, told).expect("a file");
-        let mut door = start(&file);
+        let mut door = start_gateway(&file);
         let (to, log) = channel();
         let lines = BufReader::new(door.stderr.take().expect("piped")).lines();
         spawn(move || lines.map_while(Result::ok).try_for_each(|line| to.send(line)));
-        let world = World { door: Door(door), at, file, log };
-        reach(at);
+        let world = TestGateway { door: GatewayProcess(door), at, file, log };
+        connect_when_listening(at);
         world
     }
 
@@ -126,17 +126,17 @@
     }
 
     /// Stops its clock, in a manner: it stands until it goes on, and then meets at once all that came meanwhile.
-    pub fn stands(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
-        within("it stands", || state(self.door.0.id()) == Some('T'));
+        wait_until("it stands", || process_state(self.door.0.id()) == Some('T'));
     }
 
-    pub fn goes_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
     /// Waits for a line of its log.
-    pub fn logs(&self, part: &str) {
+    pub fn wait_for_log_line(&self, part: &str) {
         let from = Instant::now();
         let mut all = vec![];
         while let Ok(line) = self.log.recv_timeout(Duration::from_secs(5).saturating_sub(from.elapsed())) {
@@ -149,19 +149,19 @@
     }
 
     /// Its exit code.
-    pub fn ends(&mut self) -> Option<i32> {
+    pub fn exit_code(&mut self) -> Option<i32> {
         self.door.0.wait().expect("it ends").code()
     }
 }
 
 /// How the machine says that a process fares: `T` stands, `Z` has died and nobody has looked yet.
-pub fn state(process: u32) -> Option<char> {
+pub fn process_state(process: u32) -> Option<char> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).expect("on the machine's list");
     stat.rsplit(')').next()?.trim().chars().next()
 }
 
 /// Waits until it is so.
-pub fn within(what: &str, is: impl Fn() -> bool) {
+pub fn wait_until(what: &str, is: impl Fn() -> bool) {
     let from = Instant::now();
     while !is() {
         assert!(from.elapsed() < Duration::from_secs(10), "not in 10 s: {what}");
@@ -170,20 +170,20 @@
 }
 
 /// All that is said on a connection to its end.
-pub fn says_all(mut from: TcpStream) -> String {
+pub fn read_to_end(mut from: TcpStream) -> String {
     let mut said = vec![];
     let _ = from.read_to_end(&mut said); // a reset is an end too
     String::from_utf8_lossy(&said).into_owned()
 }
 
 /// A backend whose backlog is full, so that a connection to it is not up before it is let in.
-pub struct Crowded {
+pub struct FullBacklogBackend {
     pub listener: TcpListener,
     before: Vec<TcpStream>,
 }
 
-impl Crowded {
-    pub fn new() -> (Crowded, SocketAddr) {
+impl FullBacklogBackend {
+    pub fn new() -> (FullBacklogBackend, SocketAddr) {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -192,20 +192,20 @@
         let listener: TcpListener = socket.into();
         let at = listener.local_addr().expect("an address");
         let before = vec![TcpStream::connect(at).expect("the one that it has room for")];
-        (Crowded { listener, before }, at)
+        (FullBacklogBackend { listener, before }, at)
     }
 
     /// Waits until somebody else is on the way here.
-    pub fn is_asked_for(&self) {
+    pub fn wait_for_connection_attempt(&self) {
         let port = self.listener.local_addr().expect("an address").port();
         let to = format!("0100007F:{port:04X} 02 "); // to us, its first word sent
-        within("a connection in the making", || {
+        wait_until("a connection in the making", || {
             std::fs::read_to_string("/proc/net/tcp").expect("Linux").lines().any(|line| line.contains(&to))
         });
     }
 
     /// Lets it in: from now on its connection is up.
-    pub fn lets_in(&mut self) -> TcpStream {
+    pub fn accept_pending(&mut self) -> TcpStream {
         drop(self.listener.accept().expect("the one before"));
         self.before.clear();
         self.listener.accept().expect("it asks again within a second").0
@@ -213,7 +213,7 @@
 }
 
 /// The toy list of these backends.
-pub fn listing(backends: &[(&str, SocketAddr)]) -> String {
+pub fn endpoint_list(backends: &[(&str, SocketAddr)]) -> String {
     let entry = |(name, at): &(&str, SocketAddr)| {
         format!(
             r#"{{"name":"s-{name}","address":"{at}","zone":"z","group":0,"status":"SERVING","weight":1.0,"since_ms":0}}"#
--- a/gateway/tests/identity.rs
+++ b/gateway/tests/identity.rs
@@ -14,7 +14,7 @@
 mod help;
 #[path = "../../identity/tests/help/mod.rs"]
 mod issuer;
-use help::{example, free, lists, toy, up, Door};
+use help::{example_configuration, free_listener, serve_endpoints, toy, wait_until_ready, GatewayProcess};
 use issuer::Signer;
 
 const TEAMS: u64 = 4;
@@ -75,17 +75,18 @@
 }
 
 /// A front door under this operator's file, before two backends; where it serves, and where operators call.
-fn started(folder: &Path, text: &str) -> (Door, SocketAddr, SocketAddr) {
+fn started(folder: &Path, text: &str) -> (GatewayProcess, SocketAddr, SocketAddr) {
     let _ = std::fs::remove_dir_all(folder);
     std::fs::create_dir_all(folder).expect("a folder");
-    let ((list, list_at), (counter, counter_at), (a, a_at), (b, b_at)) = (free(), free(), free(), free());
+    let ((list, list_at), (counter, counter_at), (a, a_at), (b, b_at)) =
+        (free_listener(), free_listener(), free_listener(), free_listener());
     toy::backend(a, "a");
     toy::backend(b, "b");
     toy::counter(counter);
-    lists(list, &[("a", a_at), ("b", b_at)]);
-    let ((own, at), (operators, mgmt)) = (free(), free());
+    serve_endpoints(list, &[("a", a_at), ("b", b_at)]);
+    let ((own, at), (operators, mgmt)) = (free_listener(), free_listener());
     drop((own, operators));
-    let told = example(list_at, counter_at).replace("127.0.0.1:7400", &at.to_string()).replace(
+    let told = example_configuration(list_at, counter_at).replace("127.0.0.1:7400", &at.to_string()).replace(
         "\"tariffs\": [",
         "\"tariffs\": [{\"name\": \"plenty\", \"per_second\": 50000, \"depth\": 50000, \"parallel\": 0, \
          \"ceiling_rate\": 0, \"ceiling_slack\": 0, \"hard_burst\": 0}, ",
@@ -95,12 +96,12 @@
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", folder.join("told.json")).env("EDGE_OPERATOR", folder.join("operator.toml"));
     program.env("EDGE_MGMT", mgmt.to_string()).env("TMPDIR", folder).stderr(Stdio::null());
-    let door = Door(program.spawn().expect("the program starts"));
-    up(&[at]);
+    let door = GatewayProcess(program.spawn().expect("the program starts"));
+    wait_until_ready(&[at]);
     (door, at, mgmt)
 }
 
-fn changes(door: &Door, folder: &Path, text: &str) {
+fn changes(door: &GatewayProcess, folder: &Path, text: &str) {
     let new = folder.join("new.toml");
     std::fs::write(&new, text)
         .and_then(|()| std::fs::rename(&new, folder.join("operator.toml")))
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -9,48 +9,51 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{example, free, lists, say, start, toy, up, Door};
+use help::{
+    example_configuration, exchange, free_listener, serve_endpoints, start_gateway, toy, wait_until_ready,
+    GatewayProcess,
+};
 
 #[test]
 fn it_serves_says_what_is_wrong_and_ends_in_order() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let bad = folder.join("bad.json");
     std::fs::write(&bad, "{\"name\": 3}").expect("a file");
-    let output = start(&bad).wait_with_output().expect("it ends");
+    let output = start_gateway(&bad).wait_with_output().expect("it ends");
     let said = String::from_utf8_lossy(&output.stderr).replace(&*bad.to_string_lossy(), "FILE");
     let mut text = format!("{:?}: {said}", output.status.code());
 
-    let (backend, backend_at) = free();
-    let (counter, counter_at) = free();
-    let (list, list_at) = free();
-    let (_, listen) = free(); // free again for the front door
+    let (backend, backend_at) = free_listener();
+    let (counter, counter_at) = free_listener();
+    let (list, list_at) = free_listener();
+    let (_, listen) = free_listener(); // free again for the front door
     toy::backend(backend, "a");
     toy::counter(counter);
-    lists(list, &[("a", backend_at)]);
-    let told = example(list_at, counter_at)
+    serve_endpoints(list, &[("a", backend_at)]);
+    let told = example_configuration(list_at, counter_at)
         .replace("127.0.0.1:7400", &listen.to_string())
         .replace("\"memory_mb\": 192", "\"memory_mb\": 1");
     let good = folder.join("good.json");
     std::fs::write(&good, &told).expect("a file");
-    let mut started = Door(start(&good));
+    let mut started = GatewayProcess(start_gateway(&good));
     let door = &mut started.0;
-    up(&[listen]);
+    wait_until_ready(&[listen]);
 
-    text += &say(listen, "*1\r\n$4\r\nPING\r\n", 1);
-    text += &say(listen, &(toy::invocation("slow", 1400) + &toy::invocation("sing", 2900)), 2);
-    text += &say(listen, &toy::invocation("order", 2900), 1);
-    text += &say(listen, &toy::invocation("fail", 2900), 1);
-    text += &say(listen, "PING\r\n", 2);
+    text += &exchange(listen, "*1\r\n$4\r\nPING\r\n", 1);
+    text += &exchange(listen, &(toy::invocation("slow", 1400) + &toy::invocation("sing", 2900)), 2);
+    text += &exchange(listen, &toy::invocation("order", 2900), 1);
+    text += &exchange(listen, &toy::invocation("fail", 2900), 1);
+    text += &exchange(listen, "PING\r\n", 2);
     // Unfinished commands are kept as far as there is memory for them.
     let half = format!("*5\r\n$9\r\nCALL.POST\r\n$60000\r\n{}", "x".repeat(50_000));
     let mut halves: Vec<_> = (0..2).map(|_| TcpStream::connect(listen).expect("it accepts")).collect();
     halves.iter_mut().for_each(|to| to.write_all(half.as_bytes()).expect("it reads"));
     sleep(Duration::from_millis(100));
-    text += &say(listen, &half, 1);
+    text += &exchange(listen, &half, 1);
     drop(halves);
     // Far ahead of its answers: they all come, in the end.
     let ahead =
-        say(listen, &(toy::invocation("slow", 1400) + &"*1\r\n$4\r\nPING\r\n".repeat(20_000)), 20_001);
+        exchange(listen, &(toy::invocation("slow", 1400) + &"*1\r\n$4\r\nPING\r\n".repeat(20_000)), 20_001);
     text += &format!("{} answers\n", ahead.lines().count());
     let pid = Pid::from_raw(i32::try_from(door.id()).expect("a process id"));
     // Read again: what can't be read leaves the old one in force, and what can moves list and counter over.
@@ -58,11 +61,11 @@
         std::fs::write(&good, told).expect("a file");
         kill(pid, Signal::SIGHUP).expect("it runs");
         sleep(Duration::from_millis(100));
-        text += &say(listen, &toy::invocation("look", 1000), 1);
+        text += &exchange(listen, &toy::invocation("look", 1000), 1);
     }
     kill(pid, Signal::SIGTERM).expect("it runs");
     sleep(Duration::from_millis(150));
-    text += &say(listen, &toy::invocation("look", 1000), 1);
+    text += &exchange(listen, &toy::invocation("look", 1000), 1);
     text += &format!("{:?}\n", door.wait().expect("it ends").code());
     let mut log = String::new();
     door.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
@@ -96,15 +99,15 @@
 fn doors_of_the_old_shape_and_the_new_serve_side_by_side() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let held: toy::HeldByPlan = Default::default();
-    let (mut backends, (counter, counter_at), (list, list_at)) = (vec![], free(), free());
+    let (mut backends, (counter, counter_at), (list, list_at)) = (vec![], free_listener(), free_listener());
     for name in ["a", "b"] {
-        let (backend, at) = free();
+        let (backend, at) = free_listener();
         toy::watched(backend, name, held.clone());
         backends.push((name, at));
     }
     toy::counter(counter);
-    lists(list, &backends);
-    let example = example(list_at, counter_at)
+    serve_endpoints(list, &backends);
+    let example = example_configuration(list_at, counter_at)
         .replace("\"aim_us\": 400000", "\"aim_us\": 2000000") // no delivery is doubted meanwhile
         .replace("\"balancers\": 1", "\"balancers\": 4");
     let fresh = example
@@ -119,21 +122,21 @@
         );
     let (mut doors, mut at) = (vec![], vec![]);
     for (slot, told) in [&example, &example, &fresh, &fresh].into_iter().enumerate() {
-        let (_, listen) = free();
+        let (_, listen) = free_listener();
         let file = folder.join(format!("mixed-{slot}.json"));
         let told = told.replace("127.0.0.1:7400", &listen.to_string());
         std::fs::write(&file, told.replace("\"slot_no\": 0", &format!("\"slot_no\": {slot}")))
             .expect("a file");
-        doors.push(Door(start(&file)));
+        doors.push(GatewayProcess(start_gateway(&file)));
         at.push(listen);
     }
-    up(&at);
+    wait_until_ready(&at);
 
     // One customer's 12 units are asked for at all doors in turn, 6 at each; a count may lag by an eighth, and a late
     // answer leaves a door to its slice.
     let (from, mut served) = (Instant::now(), [0; 4]);
     for slot in (0..24).map(|i| i % 4) {
-        let said = say(at[slot], &toy::invocation_of("small", (0, 4), "look", 1000), 1);
+        let said = exchange(at[slot], &toy::invocation_of("small", (0, 4), "look", 1000), 1);
         served[slot] += usize::from(!said.starts_with('-'));
     }
     let regained = 2.0 * from.elapsed().as_secs_f64();
@@ -143,7 +146,7 @@
     // A cap of 2 over both new doors, while the old ones serve on: refused at once, every one answered once.
     let calls = |slot: usize, plan: &'static str, of: (usize, usize)| {
         let at = at[slot];
-        std::thread::spawn(move || say(at, &toy::invocation_of(plan, of, "slow", 1400), 1))
+        std::thread::spawn(move || exchange(at, &toy::invocation_of(plan, of, "slow", 1400), 1))
     };
     let capped: Vec<_> = (0..8).map(|i| calls(2 + i % 2, "capped", (2, 2))).collect();
     sleep(Duration::from_millis(20));
@@ -153,11 +156,11 @@
     let most = held.lock().expect("nobody panics").get("capped").map_or(0, |h| h.1);
     assert!((1..=2).contains(&most) && refused == 8 - most, "{most} at once, {refused} refused: {capped:?}");
     assert!(!before.join().expect("an answer").is_empty());
-    let again = say(at[3], &toy::invocation_of("capped", (2, 2), "look", 1400), 1);
+    let again = exchange(at[3], &toy::invocation_of("capped", (2, 2), "look", 1400), 1);
     assert!(!again.starts_with('-'), "a place came back: {again}");
-    let old = say(at[0], &toy::invocation_of("capped", (2, 2), "look", 1000), 1);
+    let old = exchange(at[0], &toy::invocation_of("capped", (2, 2), "look", 1000), 1);
     assert_eq!(old.trim(), "-ERR unknown plan");
-    for Door(door) in &mut doors {
+    for GatewayProcess(door) in &mut doors {
         kill(Pid::from_raw(i32::try_from(door.id()).expect("a process id")), Signal::SIGTERM)
             .expect("it runs");
         assert_eq!(door.wait().expect("it ends").code(), Some(0));
@@ -166,7 +169,7 @@
     // A setting that can't hold is said plainly.
     let bad = folder.join("low.json");
     std::fs::write(&bad, example.replace("\"ceiling_rate\": 0", "\"ceiling_rate\": 1")).expect("a file");
-    let said = start(&bad).wait_with_output().expect("it ends");
+    let said = start_gateway(&bad).wait_with_output().expect("it ends");
     let text = String::from_utf8_lossy(&said.stderr).into_owned();
     assert_eq!(
         (said.status.code(), text.trim()),
--- a/gateway/tests/passed.rs
+++ b/gateway/tests/passed.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 mod help;
-use help::{free, own, reach, Door};
+use help::{connect_when_listening, free_listener, own_address, GatewayProcess};
 
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -35,26 +35,26 @@
 
 /// A listening socket that the processes started here inherit.
 fn passed_on() -> (TcpListener, SocketAddr) {
-    let (listener, listen) = free();
+    let (listener, listen) = free_listener();
     nix::fcntl::fcntl(&listener, nix::fcntl::FcntlArg::F_SETFD(nix::fcntl::FdFlag::empty()))
         .expect("inherited");
     (listener, listen)
 }
 
 /// A process of the front door that accepts on it.
-fn starts_on(listener: &TcpListener, folder: &Path, mgmt: SocketAddr) -> Door {
+fn starts_on(listener: &TcpListener, folder: &Path, mgmt: SocketAddr) -> GatewayProcess {
     let mut program = program(folder, &mgmt.to_string());
     let fd = listener.as_raw_fd().to_string();
-    Door(program.env("EDGE_PASSED_SOCKET", fd).spawn().expect("the program starts"))
+    GatewayProcess(program.env("EDGE_PASSED_SOCKET", fd).spawn().expect("the program starts"))
 }
 
-fn term(door: &Door) {
+fn term(door: &GatewayProcess) {
     kill(Pid::from_raw(door.0.id() as i32), Signal::SIGTERM).expect("it runs");
 }
 
 /// What an operator's call gets: the status and the body.
 fn call(at: SocketAddr, call: &str) -> String {
-    let mut to = reach(at);
+    let mut to = connect_when_listening(at);
     write!(to, "{call} HTTP/1.1\r\nHost: x\r\n\r\n").expect("it reads");
     let mut said = String::new();
     to.read_to_string(&mut said).expect("it ends");
@@ -74,7 +74,7 @@
     let folder = folder("takes-over");
     let (listener, listen) = passed_on();
     let start = |mgmt: SocketAddr| starts_on(&listener, &folder, mgmt);
-    let (first, second) = (own(7404), own(7404));
+    let (first, second) = (own_address(7404), own_address(7404));
     let mut old = start(first);
     assert_eq!(call(first, "GET /healthcheck"), "200 serving");
     let connect = || TcpStream::connect(listen).expect("it listens");
@@ -114,7 +114,7 @@
     let folder = folder("died");
     let (listener, listen) = passed_on();
     let start = |mgmt: SocketAddr| starts_on(&listener, &folder, mgmt);
-    let logs = |door: &mut Door| {
+    let logs = |door: &mut GatewayProcess| {
         assert_eq!(door.0.wait().expect("it ends").code(), Some(0));
         let mut said = String::new();
         door.0.stderr.take().expect("piped").read_to_string(&mut said).expect("text");
@@ -123,7 +123,7 @@
     // Told of a process with the number of this test's, which started at another time.
     let stale = format!(r#"{{"serves": {}, "since": 1}}"#, std::process::id());
     std::fs::write(folder.join("quillramp-n0.json"), stale).expect("a file");
-    let (alone, first, second) = (own(7404), own(7404), own(7404));
+    let (alone, first, second) = (own_address(7404), own_address(7404), own_address(7404));
     let mut door = start(alone);
     assert_eq!(call(alone, "GET /healthcheck"), "200 serving");
     term(&door);
@@ -136,9 +136,9 @@
     assert_eq!(call(second, "GET /healthcheck"), "200 serving");
     // It dies, and nobody has looked yet.
     kill(Pid::from_raw(new.0.id() as i32), Signal::SIGKILL).expect("it runs");
-    help::within("it has died", || help::state(new.0.id()) == Some('Z'));
+    help::wait_until("it has died", || help::process_state(new.0.id()) == Some('Z'));
     term(&old);
-    help::within("it has heard", || call(first, "GET /healthcheck").starts_with("503"));
+    help::wait_until("it has heard", || call(first, "GET /healthcheck").starts_with("503"));
     let mut late = TcpStream::connect(listen).expect("somebody listens");
     late.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     assert_eq!(ping(&mut late), "-ERR draining", "the old one still accepts");
@@ -177,12 +177,12 @@
     }
     // A spoilt file stops nothing.
     std::fs::write(folder.join("quillramp-n0.json"), "{\"out\": 3").expect("a file");
-    let (mgmt, listen) = (free().1, free().1);
+    let (mgmt, listen) = (free_listener().1, free_listener().1);
     let mut program = program(&folder, &mgmt.to_string());
     let told = std::fs::read_to_string(folder.join("told.json")).expect("written");
     std::fs::write(folder.join("told.json"), told.replace("127.0.0.1:7400", &listen.to_string()))
         .expect("a file");
-    let _door = Door(program.spawn().expect("the program starts"));
+    let _door = GatewayProcess(program.spawn().expect("the program starts"));
     assert_eq!(call(mgmt, "GET /healthcheck"), "200 serving");
     assert!(call(mgmt, "POST /backends/s-b/maint").starts_with("404"));
     assert_eq!(call(mgmt, "POST /backends/s%2Da/maint"), "200 done");
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -8,7 +8,9 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{example, free, listing, own, start, toy, Door};
+use help::{
+    endpoint_list, example_configuration, free_listener, own_address, start_gateway, toy, GatewayProcess,
+};
 
 const FRONT_DOORS: usize = 30;
 /// Of ten front doors nine are to be ready within this.
@@ -21,8 +23,8 @@
 
 /// Its configuration, with the list service there.
 fn configuration(name: &str, list: SocketAddr) -> (PathBuf, SocketAddr) {
-    let (at, counter) = (own(7400), own(7402));
-    let told = example(list, counter).replace("127.0.0.1:7400", &at.to_string());
+    let (at, counter) = (own_address(7400), own_address(7402));
+    let told = example_configuration(list, counter).replace("127.0.0.1:7400", &at.to_string());
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("readiness-{name}.json"));
     std::fs::write(&file, told).expect("a file");
     (file, at)
@@ -37,8 +39,10 @@
 /// How long each took from its start to its first `+PONG`.
 fn started_at_once(name: &str, list: SocketAddr) -> Vec<Duration> {
     let files: Vec<_> = (0..FRONT_DOORS).map(|i| configuration(&format!("{name}-{i}"), list)).collect();
-    let mut doors: Vec<_> =
-        files.into_iter().map(|(file, at)| (Instant::now(), Door(start(&file)), at, None)).collect();
+    let mut doors: Vec<_> = files
+        .into_iter()
+        .map(|(file, at)| (Instant::now(), GatewayProcess(start_gateway(&file)), at, None))
+        .collect();
     let from = Instant::now();
     while from.elapsed() < PATIENCE && doors.iter().any(|(.., ready)| ready.is_none()) {
         for (started, _, at, ready) in doors.iter_mut().filter(|(.., ready)| ready.is_none()) {
@@ -61,16 +65,16 @@
 /// Guards: none of what a start waits on is the list service. One after another, for each starts thirty processes.
 #[test]
 fn thirty_started_at_once_are_ready_whatever_the_list_service_does() {
-    let (mute, at) = free(); // it takes connections in, and never answers
+    let (mute, at) = free_listener(); // it takes connections in, and never answers
     nine_in_ten_are_ready("mute", at);
     drop(mute);
-    nine_in_ten_are_ready("refuses", own(7401));
-    let (slow, at) = free();
+    nine_in_ten_are_ready("refuses", own_address(7401));
+    let (slow, at) = free_listener();
     toy::each(slow, |stream: TcpStream| {
         let mut from = BufReader::new(stream.try_clone()?);
         while toy::target(&mut from)?.is_some() {
             sleep(Duration::from_secs(3));
-            let body = listing(&[]);
+            let body = endpoint_list(&[]);
             write!(&stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
         }
         Ok(())
@@ -86,13 +90,13 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let lock = std::fs::File::create(folder.join("quillramp-n0.lock")).expect("a file");
     lock.lock().expect("nobody else has it");
-    let (_list, list_at) = free();
+    let (_list, list_at) = free_listener();
     let (file, at) = configuration("locked", list_at);
-    let operators = TcpListener::bind(own(7404)).and_then(|l| l.local_addr()).expect("an address");
+    let operators = TcpListener::bind(own_address(7404)).and_then(|l| l.local_addr()).expect("an address");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", file).env("TMPDIR", &folder).env("EDGE_MGMT", operators.to_string());
     let from = Instant::now();
-    let _door = Door(program.stderr(Stdio::null()).spawn().expect("the program starts"));
+    let _door = GatewayProcess(program.stderr(Stdio::null()).spawn().expect("the program starts"));
     while !is_ready(at) {
         assert!(from.elapsed() < LOCKED_START, "not ready in {:?}", from.elapsed());
         sleep(Duration::from_millis(10));
--- a/gateway/tests/stalled_values.rs
+++ b/gateway/tests/stalled_values.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{free, lists, toy, World};
+use help::{free_listener, serve_endpoints, toy, TestGateway};
 
 const LENGTH: usize = 4 * 1024 * 1024;
 const WAIT_MS: u64 = 1000;
@@ -31,14 +31,16 @@
     });
 }
 
-fn world_of(name: &str, at: SocketAddr) -> World {
-    let (list, list_at) = free();
-    lists(list, &[("a", at)]);
+fn world_of(name: &str, at: SocketAddr) -> TestGateway {
+    let (list, list_at) = free_listener();
+    serve_endpoints(list, &[("a", at)]);
     let none = r#"{"index": 0, "snapshot": true, "endpoints": []}"#;
-    World::start(&format!("stalled-{name}"), list_at, |told| told.replace(none, &help::listing(&[("a", at)])))
+    TestGateway::start(&format!("stalled-{name}"), list_at, |told| {
+        told.replace(none, &help::endpoint_list(&[("a", at)]))
+    })
 }
 
-fn asks(world: &World) -> TcpStream {
+fn asks(world: &TestGateway) -> TcpStream {
     let mut client = world.connect();
     client.write_all(toy::invocation("look", WAIT_MS).as_bytes()).expect("it reads");
     client
@@ -48,7 +50,7 @@
 /// that it would never be whole, and the answers behind it waited.
 #[test]
 fn a_value_whose_backend_falls_silent_is_given_up_once_its_clients_time_is_up() {
-    let ((listener, at), (_rest, never)) = (free(), channel());
+    let ((listener, at), (_rest, never)) = (free_listener(), channel());
     backend(listener, LENGTH / 2, never);
     let world = world_of("silent", at);
     let from = Instant::now();
@@ -62,7 +64,7 @@
 /// Guards: a value is not given up for a client that reads late, past its time.
 #[test]
 fn a_value_whose_client_reads_late_comes_whole() {
-    let ((listener, at), (rest, told)) = (free(), channel());
+    let ((listener, at), (rest, told)) = (free_listener(), channel());
     backend(listener, LENGTH / 2, told);
     rest.send(()).expect("the backend listens");
     let world = world_of("late", at);
@@ -80,7 +82,7 @@
 /// Guards: the same for one that comes slowly, but comes, past its client's time.
 #[test]
 fn a_value_that_still_moves_comes_whole() {
-    let ((listener, at), (rest, told)) = (free(), channel());
+    let ((listener, at), (rest, told)) = (free_listener(), channel());
     backend(listener, LENGTH / 2, told);
     let world = world_of("moves", at);
     let mut client = asks(&world);
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 mod help;
-use help::{free, reach, toy, Door};
+use help::{connect_when_listening, free_listener, toy, GatewayProcess};
 
 const LONG: usize = 4 * 1024 * 1024;
 
@@ -52,9 +52,10 @@
     });
 }
 
-fn start(name: &str, memory_mb: usize) -> (Door, SocketAddr) {
-    let ((behind, behind_at), (counter, counter_at), (list, list_at)) = (free(), free(), free());
-    let (_, listen) = free();
+fn start(name: &str, memory_mb: usize) -> (GatewayProcess, SocketAddr) {
+    let ((behind, behind_at), (counter, counter_at), (list, list_at)) =
+        (free_listener(), free_listener(), free_listener());
+    let (_, listen) = free_listener();
     backend(behind);
     toy::counter(counter);
     toy::list(
@@ -76,15 +77,16 @@
     let file = folder.join("told.json");
     std::fs::write(&file, told).expect("a file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
-    let door =
-        Door(program.env("EDGE_CONFIG", file).env("TMPDIR", folder).spawn().expect("the program starts"));
-    reach(listen);
+    let door = GatewayProcess(
+        program.env("EDGE_CONFIG", file).env("TMPDIR", folder).spawn().expect("the program starts"),
+    );
+    connect_when_listening(listen);
     sleep(Duration::from_millis(200)); // it has its list
     (door, listen)
 }
 
 /// The most memory that it has had, in kB.
-fn peak(door: &Door) -> usize {
+fn peak(door: &GatewayProcess) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", door.0.id())).expect("it runs");
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("a peak");
     peak.trim().trim_end_matches(" kB").parse().expect("a number")
