--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -144,7 +144,7 @@
                 (200, "done\n".into())
             }
             Err(error) => {
-                let line = format!("in force, but not kept for the next version: {error}");
+                let line = format!("in force, but not saved for the next process: {error}");
                 self.effects.push(Effect::Log(line));
                 (500, format!("in force, but not kept: {error}\n"))
             }
@@ -176,7 +176,8 @@
         for name in changed {
             self.admin.known_backends.add(&name); // it was listed for this process or the one before
             let ejected_since = self.admin.shared.ejected_backends.get(&name).copied();
-            let action = if ejected_since.is_some() { "left out by hand" } else { "back by hand" };
+            let action =
+                if ejected_since.is_some() { "ejected by an operator" } else { "restored by an operator" };
             self.effects.push(Effect::Log(format!("backend {name} {action}")));
             if let Some(backend) = self.backends.names.get(&name) {
                 self.set_manual_ejection(now, backend, ejected_since);
@@ -199,7 +200,7 @@
     fn peer_process_changed(&mut self, now: f64) {
         let is_running = self.admin.shared.peer_process_running;
         let line =
-            if is_running { "another process of this front door is there" } else { "the only process again" };
+            if is_running { "another process of this instance is running" } else { "the only process again" };
         self.effects.push(Effect::Log(line.into()));
         self.engine.set_peer_process(is_running);
         if is_running {
--- a/gateway/src/state/dispatch.rs
+++ b/gateway/src/state/dispatch.rs
@@ -81,7 +81,7 @@
 
     fn reload_failed(&mut self, error: &str) {
         self.stats.reload_errors += 1;
-        let line = format!("configuration not taken up, the old one stays in force: {error}");
+        let line = format!("configuration rejected, the old one stays in force: {error}");
         self.effects.push(Effect::Log(line));
     }
 
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -42,7 +42,7 @@
             }
             Err(rejection) => {
                 client.caller = None;
-                self.effects.push(Effect::Log(format!("client {id}: token not taken: {rejection}")));
+                self.effects.push(Effect::Log(format!("client {id}: token rejected: {rejection}")));
                 ClientReply::Denied(format!("WRONGPASS {rejection}"))
             }
         }
--- a/gateway/src/state/presence.rs
+++ b/gateway/src/state/presence.rs
@@ -88,7 +88,7 @@
         }
         let absent = presence.membership.absent(now);
         if absent != presence.absent {
-            let line = format!("front doors that the counter does not hear of: {}", instance_list(&absent));
+            let line = format!("instances that do not reach the counter: {}", instance_list(&absent));
             self.effects.push(Effect::Log(line));
             presence.absent = absent;
         }
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -72,12 +72,12 @@
         let is_handover = self.config.inherited_listener && self.admin.shared.peer_process_newer;
         self.shutdown.hands_over_listener = is_handover;
         if is_handover {
-            let line = "told to stop: the next process accepts, this one serves out";
+            let line = "shutting down: the next process accepts, this one answers its pending requests";
             self.effects.push(Effect::Log(line.into()));
             self.begin_drain(now);
             return self.announce_descriptor_limit();
         }
-        self.effects.push(Effect::Log("told to stop: serving on, then ending connections".into()));
+        self.effects.push(Effect::Log("shutting down: serving on, then closing connections".into()));
         // An instance that an operator has drained goes on, too: for a while clients keep coming.
         self.shutdown.is_draining = false;
         self.schedule_drain(now);
@@ -86,7 +86,8 @@
     /// An operator drains this instance, or ends that.
     pub(super) fn drain_changed(&mut self, now: f64) {
         let is_drained = self.admin.shared.drained;
-        let line = if is_drained { "drained by hand: ending connections" } else { "the drain is over" };
+        let line =
+            if is_drained { "drained by an operator: closing connections" } else { "the drain has ended" };
         self.effects.push(Effect::Log(line.into()));
         if is_drained {
             self.schedule_drain(now);
--- a/gateway/tests/passed.rs
+++ b/gateway/tests/handover.rs
@@ -145,7 +145,7 @@
     drop((late, new));
     let said = logs(&mut old);
     assert!(
-        said.contains("told to stop: serving on") && !said.contains("the next process accepts"),
+        said.contains("shutting down: serving on") && !said.contains("the next process accepts"),
         "{said}"
     );
 }
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -87,7 +87,7 @@
         a look
         a look
         Some(0)
-        [Some("not"), Some("read")]
+        [Some("rejected,"), Some("read")]
         13 clients ended with a reason
     "#]]
     .assert_eq(&text);
--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -34,7 +34,7 @@
     b.only(|l| l.contains("operator") || l.contains("by hand") || l.contains("keep"));
     b.is(expect![[r#"
         0.000 operator 1: 404 backend s-x was never listed
-        0.000 log: backend s-b left out by hand
+        0.000 log: backend s-b ejected by an operator
         0.000 keep EjectBackend("s-b", 1000.0)
         0.000 operator 2: 200 done
         0.000 keep EjectBackend("s-b", 1000.0)
@@ -42,7 +42,7 @@
         1.000 log: connection operator 1 ended: called
         1.000 log: connection operator 2 ended: called
         1.000 log: connection operator 3 ended: called
-        1.600 log: backend s-b back by hand
+        1.600 log: backend s-b restored by an operator
         1.600 keep RestoreBackend("s-b")
         1.600 operator 4: 200 done
         1.600 keep RestoreBackend("s-b")
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -13,7 +13,7 @@
         .event(Event::Shutdown)
         .event(Event::IdleClientClosed(1, CloseReason::Stopping));
     b.is(expect![[r#"
-        0.000 log: told to stop: serving on, then ending connections
+        0.000 log: shutting down: serving on, then closing connections
         0.300 connect Counter(2) to 127.0.0.1:7007
         0.316 connect Backend(3) to 127.0.0.1:7011
         0.350 backend link 3: look for 749 ms
@@ -64,7 +64,7 @@
     b.is(expect![[r#"
         0.050 keep SetDrained(false)
         0.050 operator 1: 200 done
-        0.050 log: drained by hand: ending connections
+        0.050 log: drained by an operator: closing connections
         0.050 keep SetDrained(true)
         0.050 client 2: -ERR draining
         0.050 operator 2: 200 done
@@ -82,15 +82,15 @@
         --
         1.600 keep SetDrained(true)
         1.600 operator 4: 200 done
-        1.600 log: the drain is over
+        1.600 log: the drain has ended
         1.600 keep SetDrained(false)
         1.600 operator 5: 200 done
         1.600 client 4: +PONG
         --
-        2.000 log: drained by hand: ending connections
+        2.000 log: drained by an operator: closing connections
         2.000 keep SetDrained(true)
         2.000 operator 6: 200 done
-        2.400 log: told to stop: serving on, then ending connections
+        2.400 log: shutting down: serving on, then closing connections
         2.600 log: connection operator 4 ended: called
         2.600 log: connection operator 5 ended: called
         2.900 stop accepting
@@ -98,7 +98,7 @@
         2.900 part with client 4 if it is quiet
         3.000 log: connection operator 6 ended: called
         3.000 log: connection client 4 ended: stopping
-        3.000 log: the drain is over
+        3.000 log: the drain has ended
         3.000 keep SetDrained(false)
         3.000 operator 7: 200 done
         3.000 operator 8: 503 draining
@@ -138,9 +138,9 @@
         .event(Event::IdleClientClosed(1, CloseReason::Stopping));
     b.only(|l| !l.contains("ounter"));
     b.is(expect![[r#"
-        0.050 log: backend s-a left out by hand
-        0.050 log: another process of this front door is there
-        0.050 log: told to stop: the next process accepts, this one serves out
+        0.050 log: backend s-a ejected by an operator
+        0.050 log: another process of this instance is running
+        0.050 log: shutting down: the next process accepts, this one answers its pending requests
         0.050 stop accepting
         0.050 will hold 62 descriptors at the most
         0.050 part with client 2 if it is quiet
@@ -176,7 +176,7 @@
         .event(Event::IdleClientClosed(2, CloseReason::Stopping))
         .event(Event::IdleClientClosed(3, CloseReason::Stopping));
     b.is(expect![[r#"
-        0.000 log: told to stop: serving on, then ending connections
+        0.000 log: shutting down: serving on, then closing connections
         0.000 client 2: -ERR draining
         0.500 stop accepting
         0.500 part with client 1 if it is quiet
