--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -29,7 +29,7 @@
 }
 
 /// What was found at the beginning of some bytes.
-enum Decoded {
+enum DecodeStep {
     /// A message of so many bytes.
     Message(Event, usize),
     /// So many bytes of a value, which have been forwarded.
@@ -40,9 +40,9 @@
     Blocked,
 }
 
-impl Decoded {
-    fn from_message(message: Option<(Event, usize)>) -> Decoded {
-        message.map_or(Decoded::Partial, |(event, length)| Decoded::Message(event, length))
+impl DecodeStep {
+    fn from_message(message: Option<(Event, usize)>) -> DecodeStep {
+        message.map_or(DecodeStep::Partial, |(event, length)| DecodeStep::Message(event, length))
     }
 }
 
@@ -86,42 +86,42 @@
                 return Ok(done);
             }
             match self.decode_one(rest, to)? {
-                Decoded::Message(event, length) => {
+                DecodeStep::Message(event, length) => {
                     let is_long = length > resp::MAX_MESSAGE_BYTES;
                     to.event(event, if is_long { length } else { 0 });
                     done += length;
                 }
-                Decoded::Forwarded(length) => done += length,
-                Decoded::Partial => {
+                DecodeStep::Forwarded(length) => done += length,
+                DecodeStep::Partial => {
                     to.event(self.partial_message(rest.len()), 0);
                     return Ok(done);
                 }
-                Decoded::Blocked => return Ok(done),
+                DecodeStep::Blocked => return Ok(done),
             }
         }
     }
 
-    fn decode_one(&mut self, bytes: &[u8], to: &mut dyn MessageSink) -> Result<Decoded, CloseReason> {
+    fn decode_one(&mut self, bytes: &[u8], to: &mut dyn MessageSink) -> Result<DecodeStep, CloseReason> {
         match self.connection {
             ConnectionId::Client(id) => match resp::decode_command(bytes) {
-                Ok(command) => Ok(Decoded::from_message(
+                Ok(command) => Ok(DecodeStep::from_message(
                     command.map(|(command, length)| (Event::ClientCommand(id, command), length)),
                 )),
                 Err(ProtocolError(error)) => {
                     self.protocol_error(error, to);
-                    Ok(Decoded::Forwarded(bytes.len()))
+                    Ok(DecodeStep::Forwarded(bytes.len()))
                 }
             },
             ConnectionId::Backend(id) => self.decode_reply(id, bytes, to),
             ConnectionId::Admin(id) => {
-                let Some(call) = admin::decode_call(bytes) else { return Ok(Decoded::Partial) };
+                let Some(call) = admin::decode_call(bytes) else { return Ok(DecodeStep::Partial) };
                 self.discard = true; // one call to a connection
-                Ok(Decoded::Message(Event::AdminCall(id, call), bytes.len()))
+                Ok(DecodeStep::Message(Event::AdminCall(id, call), bytes.len()))
             }
             connection => {
                 let response = http::decode_response(bytes).map_err(|_| CloseReason::BadFraming)?;
                 let event = |(response, length)| (Event::HttpResponse(connection, response), length);
-                Ok(Decoded::from_message(response.map(event)))
+                Ok(DecodeStep::from_message(response.map(event)))
             }
         }
     }
@@ -132,38 +132,38 @@
         id: u64,
         bytes: &[u8],
         to: &mut dyn MessageSink,
-    ) -> Result<Decoded, CloseReason> {
+    ) -> Result<DecodeStep, CloseReason> {
         match self.stage {
             ReplyStage::Head => self.decode_reply_head(id, bytes),
-            ReplyStage::StreamPending { .. } => Ok(Decoded::Blocked),
+            ReplyStage::StreamPending { .. } => Ok(DecodeStep::Blocked),
             ReplyStage::Streaming { bytes_left } => {
                 let length = self.forward_value(bytes_left, bytes, to)?;
                 if length > bytes_left {
                     to.event(Event::StreamForwarded(id), 0);
                 } else if length == 0 {
-                    return Ok(Decoded::Blocked); // the end of the value's line is in two pieces
+                    return Ok(DecodeStep::Blocked); // the end of the value's line is in two pieces
                 }
-                Ok(Decoded::Forwarded(length))
+                Ok(DecodeStep::Forwarded(length))
             }
             ReplyStage::Trailer => {
                 let trailer = resp::decode_trailer(bytes).map_err(|_| CloseReason::BadFraming)?;
-                let Some(((billed, report), length)) = trailer else { return Ok(Decoded::Partial) };
+                let Some(((billed, report), length)) = trailer else { return Ok(DecodeStep::Partial) };
                 self.stage = ReplyStage::Head;
                 let event = Event::StreamTrailer(id, billed, report, length < bytes.len());
-                Ok(Decoded::Message(event, length))
+                Ok(DecodeStep::Message(event, length))
             }
         }
     }
 
-    fn decode_reply_head(&mut self, id: u64, bytes: &[u8]) -> Result<Decoded, CloseReason> {
+    fn decode_reply_head(&mut self, id: u64, bytes: &[u8]) -> Result<DecodeStep, CloseReason> {
         let stream = resp::decode_stream_head(bytes).map_err(|_| CloseReason::BadFraming)?;
         if let Some((bytes_left, length)) = stream {
             self.stage = ReplyStage::StreamPending { bytes_left };
-            return Ok(Decoded::Message(Event::StreamStarted(id), length));
+            return Ok(DecodeStep::Message(Event::StreamStarted(id), length));
         }
         let reply = resp::decode_reply(bytes).map_err(|_| CloseReason::BadFraming)?;
         let event = |(reply, length)| (Event::BackendReply(id, reply, length < bytes.len()), length);
-        Ok(Decoded::from_message(reply.map(event)))
+        Ok(DecodeStep::from_message(reply.map(event)))
     }
 
     /// The event for a message of which so many bytes have come, and not the rest.
--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -16,7 +16,7 @@
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
 /// A client of that address.
-fn from(address: [u8; 4], to: SocketAddr) -> std::io::Result<TcpStream> {
+fn connect_from(address: [u8; 4], to: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.bind(&SocketAddr::new(IpAddr::V4(Ipv4Addr::from(address)), 0).into())?;
     socket.connect_timeout(&to.into(), Duration::from_secs(2))?;
@@ -26,14 +26,14 @@
 }
 
 /// The next line that it hears; none if it is ended without one.
-fn hears(stream: &TcpStream) -> Option<String> {
+fn read_reply(stream: &TcpStream) -> Option<String> {
     let line = toy::reply(&mut BufReader::new(stream.try_clone().expect("a second handle"))).ok()?;
     (!line.is_empty()).then_some(line)
 }
 
 /// A toy world with one front door that may have so many descriptors, by its configuration and by the machine, and what its
 /// operator wrote.
-fn world(
+fn start_gateway_with(
     name: &str,
     (sockets, machine): (usize, u64),
     operator: Option<&str>,
@@ -72,35 +72,35 @@
 
 #[test]
 fn at_the_limit_known_clients_are_served_and_nothing_accepted_goes_unanswered() {
-    let (door, at, file) = world("admission", (160, 160), Some(LIMITS));
+    let (door, at, file) = start_gateway_with("admission", (160, 160), Some(LIMITS));
     // Taken before the flood, answered in it.
-    let mut early = from([127, 0, 0, 3], at).expect("room");
+    let mut early = connect_from([127, 0, 0, 3], at).expect("room");
     early.write_all(toy::invocation("slow", 1400).as_bytes()).expect("it reads");
     sleep(Duration::from_millis(50));
 
     let flood: Vec<TcpStream> =
-        (0..400).filter_map(|i| from([127, 0, 0, 10 + (i % 5) as u8], at).ok()).collect();
+        (0..400).filter_map(|i| connect_from([127, 0, 0, 10 + (i % 5) as u8], at).ok()).collect();
     assert!(flood.len() > 300, "{} got in at the machine", flood.len());
     let before = Instant::now();
     let mut served = 0;
     for _ in 0..25 {
-        let mut known = from([127, 0, 0, 9], at).expect("the reserve");
+        let mut known = connect_from([127, 0, 0, 9], at).expect("the reserve");
         known.write_all(PING).expect("it reads");
-        served += usize::from(hears(&known).as_deref() == Some("+PONG"));
+        served += usize::from(read_reply(&known).as_deref() == Some("+PONG"));
         known.write_all(toy::invocation("look", 1000).as_bytes()).expect("it reads");
         served +=
-            usize::from(hears(&known).is_some_and(|said| said == "a look" || said.starts_with("-BUSY")));
+            usize::from(read_reply(&known).is_some_and(|said| said == "a look" || said.starts_with("-BUSY")));
     }
     assert_eq!(served, 50, "a known client is served in the flood");
     assert!(before.elapsed() < Duration::from_secs(5), "{:?}", before.elapsed());
-    assert_eq!(hears(&early).as_deref(), Some("a slow"), "what was taken before is answered");
+    assert_eq!(read_reply(&early).as_deref(), Some("a slow"), "what was taken before is answered");
 
     // Everyone else hears why not, or is held and served; who said nothing may have been ended for a known one.
     let (mut told, mut ended, mut held) = (0, 0, 0);
     for stream in &flood {
         let mut to = stream;
         let _ = to.write_all(PING); // it may have been ended before that
-        match hears(stream) {
+        match read_reply(stream) {
             Some(said) if said.starts_with("-ERR ") => told += 1,
             Some(said) if said == "+PONG" => held += 1,
             Some(said) => panic!("{said}"),
@@ -116,7 +116,7 @@
     // Lowered below what is open, then raised: read again, in force at once; a wrong file changes nothing.
     let pid = Pid::from_raw(i32::try_from(door.0.id()).expect("a process id"));
     drop(flood);
-    let keeps: Vec<TcpStream> = (0..40).map(|_| from([127, 0, 0, 9], at).expect("room")).collect();
+    let keeps: Vec<TcpStream> = (0..40).map(|_| connect_from([127, 0, 0, 9], at).expect("room")).collect();
     sleep(Duration::from_millis(100));
     for (text, may) in [
         ("[admission]\nconnections = 10\n", false),
@@ -126,9 +126,9 @@
         std::fs::write(&file, text).expect("a file");
         kill(pid, Signal::SIGHUP).expect("it runs");
         sleep(Duration::from_millis(150));
-        let mut new = from([127, 0, 0, 30], at).expect("at the machine");
+        let mut new = connect_from([127, 0, 0, 30], at).expect("at the machine");
         let _ = new.write_all(PING); // it may be turned away before that
-        assert_eq!(hears(&new).as_deref() == Some("+PONG"), may, "{text}");
+        assert_eq!(read_reply(&new).as_deref() == Some("+PONG"), may, "{text}");
     }
     drop(keeps);
     kill(pid, Signal::SIGTERM).expect("it runs");
@@ -138,11 +138,11 @@
 /// there are some again.
 #[test]
 fn out_of_descriptors_it_waits_without_a_spin_and_goes_on() {
-    let (door, at, _) = world("descriptors", (400, 60), None);
-    let mut early = from([127, 0, 0, 3], at).expect("room");
+    let (door, at, _) = start_gateway_with("descriptors", (400, 60), None);
+    let mut early = connect_from([127, 0, 0, 3], at).expect("room");
     early.write_all(toy::invocation("look", 1000).as_bytes()).expect("it reads");
-    assert_eq!(hears(&early).as_deref(), Some("a look"));
-    let flood: Vec<TcpStream> = (0..120).filter_map(|_| from([127, 0, 0, 4], at).ok()).collect();
+    assert_eq!(read_reply(&early).as_deref(), Some("a look"));
+    let flood: Vec<TcpStream> = (0..120).filter_map(|_| connect_from([127, 0, 0, 4], at).ok()).collect();
     sleep(Duration::from_millis(200));
     let used = || {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", door.0.id())).expect("it runs");
@@ -155,9 +155,9 @@
     assert!(ticks < 30, "{ticks} hundredths of a second of processor time in one second of waiting");
     drop(flood);
     sleep(Duration::from_millis(300));
-    let mut late = from([127, 0, 0, 3], at).expect("room again");
+    let mut late = connect_from([127, 0, 0, 3], at).expect("room again");
     late.write_all(PING).expect("it reads");
-    assert_eq!(hears(&late).as_deref(), Some("+PONG"));
+    assert_eq!(read_reply(&late).as_deref(), Some("+PONG"));
     let mut rest = String::new();
     late.set_read_timeout(Some(Duration::from_millis(50))).expect("a time-out");
     let _ = late.read_to_string(&mut rest); // it times out
--- a/gateway/tests/backlog.rs
+++ b/gateway/tests/backlog.rs
@@ -4,19 +4,24 @@
 
 const STEP: usize = 1024;
 
-fn call(body: usize) -> Vec<u8> {
+fn command_with_body(body: usize) -> Vec<u8> {
     let head = "*5\r\n$9\r\nCALL.POST\r\n$16\r\n0000000000000001\r\n$16\r\n0000000000000002\r\n$3\r\nc=x\r\n";
     format!("{head}${body}\r\n{}\r\n", "b".repeat(body)).into_bytes()
 }
 
 /// How many dropped commands are refused now.
-fn refused(backlog: &mut Backlog) -> usize {
+fn rejected_count(backlog: &mut Backlog) -> usize {
     std::iter::repeat_with(|| backlog.next_due()).take_while(|due| *due == Some(Due::Refusal)).count()
 }
 
 #[test]
 fn an_extent_is_as_long_as_the_command_that_is_decoded() {
-    for text in [call(0), call(70_000), b"*1\r\n$4\r\nPING\r\n".to_vec(), b"*0\r\n".to_vec()] {
+    for text in [
+        command_with_body(0),
+        command_with_body(70_000),
+        b"*1\r\n$4\r\nPING\r\n".to_vec(),
+        b"*0\r\n".to_vec(),
+    ] {
         let (_, length) = decode_command(&text).expect("framed").expect("whole");
         assert_eq!(command_extent(&text), Ok(Extent::Complete(length)));
         for cut in 0..text.len().min(200) {
@@ -27,7 +32,7 @@
             );
         }
     }
-    let long = call(70_000);
+    let long = command_with_body(70_000);
     assert_eq!(command_extent(&long[..1000]), Ok(Extent::Missing(long.len() - 1000)));
     for text in ["PING\r\n", "*1\r\n$-1\r\n", "*1\r\n$-7\r\n", "*1\r\n:5\r\n", "*2\r\n$70000\r\n"] {
         assert!(
@@ -39,48 +44,58 @@
 
 #[test]
 fn whole_commands_are_kept_and_later_ones_are_dropped_however_they_are_cut() {
-    let all = [call(3), call(70_000), b"*1\r\n$4\r\nPING\r\n".to_vec(), call(5)].concat();
+    let all = [
+        command_with_body(3),
+        command_with_body(70_000),
+        b"*1\r\n$4\r\nPING\r\n".to_vec(),
+        command_with_body(5),
+    ]
+    .concat();
     for piece in [1, 7, 4096, 100_000] {
         let mut backlog = Backlog::default();
-        backlog.extend(&call(3), STEP);
-        backlog.extend(&call(9)[..20], STEP);
+        backlog.extend(&command_with_body(3), STEP);
+        backlog.extend(&command_with_body(9)[..20], STEP);
         backlog.start_dropping();
-        backlog.extend(&call(9)[20..], STEP);
+        backlog.extend(&command_with_body(9)[20..], STEP);
         for bytes in all.chunks(piece) {
             backlog.extend(bytes, STEP);
             assert!(backlog.len() < 70_000, "{} bytes are kept", backlog.len());
         }
-        assert!(backlog.decodable() == call(3) && refused(&mut backlog) == 0 && !backlog.stops_dropping());
-        backlog.decoded(call(3).len());
-        assert_eq!(refused(&mut backlog), 5, "in pieces of {piece}");
+        assert!(
+            backlog.decodable() == command_with_body(3)
+                && rejected_count(&mut backlog) == 0
+                && !backlog.stops_dropping()
+        );
+        backlog.decoded(command_with_body(3).len());
+        assert_eq!(rejected_count(&mut backlog), 5, "in pieces of {piece}");
         assert!(backlog.stops_dropping() && backlog.is_empty());
-        backlog.extend(&call(2), STEP);
-        assert_eq!(backlog.decodable(), call(2));
+        backlog.extend(&command_with_body(2), STEP);
+        assert_eq!(backlog.decodable(), command_with_body(2));
     }
 }
 
 #[test]
 fn a_dropped_command_is_refused_once_all_of_it_has_come() {
-    let (long, mut backlog) = (call(200_000), Backlog::default());
+    let (long, mut backlog) = (command_with_body(200_000), Backlog::default());
     backlog.extend(&long[..80_000], STEP);
     backlog.start_dropping();
     assert_eq!((backlog.len(), backlog.is_empty()), (0, false));
     backlog.extend(&long[80_000..long.len() - 1], STEP);
-    assert!(refused(&mut backlog) == 0 && !backlog.stops_dropping());
-    backlog.extend(&[&long[long.len() - 1..], &call(1)[..]].concat(), STEP);
-    assert_eq!(refused(&mut backlog), 2);
+    assert!(rejected_count(&mut backlog) == 0 && !backlog.stops_dropping());
+    backlog.extend(&[&long[long.len() - 1..], &command_with_body(1)[..]].concat(), STEP);
+    assert_eq!(rejected_count(&mut backlog), 2);
     assert!(backlog.stops_dropping());
 }
 
 #[test]
 fn what_can_not_be_understood_behind_dropped_commands_is_met_in_its_turn() {
     let mut backlog = Backlog::default();
-    backlog.extend(&call(1), STEP);
+    backlog.extend(&command_with_body(1), STEP);
     backlog.start_dropping();
-    backlog.extend(&[&call(2)[..], b"nonsense\r\n"].concat(), STEP);
-    backlog.extend(&call(3), STEP);
-    backlog.decoded(call(1).len());
-    assert_eq!(refused(&mut backlog), 1);
+    backlog.extend(&[&command_with_body(2)[..], b"nonsense\r\n"].concat(), STEP);
+    backlog.extend(&command_with_body(3), STEP);
+    backlog.decoded(command_with_body(1).len());
+    assert_eq!(rejected_count(&mut backlog), 1);
     assert!(backlog.stops_dropping());
     assert!(decode_command(backlog.decodable()).is_err());
 }
@@ -92,7 +107,7 @@
     for _ in 0..MOST_DROPPED + 100 {
         backlog.extend(ping, STEP);
     }
-    assert_eq!(refused(&mut backlog), MOST_DROPPED + 1);
+    assert_eq!(rejected_count(&mut backlog), MOST_DROPPED + 1);
     assert_eq!((backlog.stops_dropping(), backlog.len()), (false, 0));
     assert_eq!(backlog.next_due(), Some(Due::TooMany));
 }
--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -15,7 +15,7 @@
 }
 
 /// A contract for each team, which speaks for the customer of its number.
-fn contracts(rate: f64) -> String {
+fn contracts_with_rate(rate: f64) -> String {
     let mut text = format!("[broker]\ncapacity = {}\nstrangers = \"refuse\"\n", rate * 25.0);
     for team in 0..TEAMS {
         let _ = write!(
@@ -49,7 +49,7 @@
 fn one_team_floods_and_the_others_do_not_notice() {
     let at = folder("flood");
     let file = at.join("operator.toml");
-    std::fs::write(&file, contracts(16.0)).expect("written");
+    std::fs::write(&file, contracts_with_rate(16.0)).expect("written");
     let e = experiment(&file, 6.0, "[traffic.flood]\ncustomer = 0\nrate = 300.0\nfrom = 0.5\n");
     let [flooded, calm] = [0, 1].map(|i| play(&e, (&e.variants[i], 0), &at).expect("played"));
     std::fs::remove_dir_all(&at).expect("ours");
@@ -77,7 +77,7 @@
 fn contracts_change_under_load_and_nothing_is_lost() {
     let at = folder("changes");
     let file = at.join("operator.toml");
-    std::fs::write(&file, contracts(16.0)).expect("written");
+    std::fs::write(&file, contracts_with_rate(16.0)).expect("written");
     let mut faults = String::new();
     for i in 0..50 {
         let _ = write!(
@@ -92,7 +92,11 @@
     let played = std::thread::scope(|all| {
         all.spawn(|| {
             std::thread::sleep(std::time::Duration::from_millis(600));
-            let versions = [contracts(20.0), contracts(16.0).replace("t7", "t77"), contracts(12.0)];
+            let versions = [
+                contracts_with_rate(20.0),
+                contracts_with_rate(16.0).replace("t7", "t77"),
+                contracts_with_rate(12.0),
+            ];
             for i in 0.. {
                 if over.load(std::sync::atomic::Ordering::Relaxed) {
                     return;
--- a/gateway/tests/clients_that_leave/connecting.rs
+++ b/gateway/tests/clients_that_leave/connecting.rs
@@ -8,12 +8,12 @@
 fn while_its_connection_comes_up() {
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = FullBacklogBackend::new();
-        let world = gateway_with_backend(&format!("dials-{disconnect_kind:?}"), at, |told| told);
-        let mut client = world.connect();
+        let gateway = gateway_with_backend(&format!("dials-{disconnect_kind:?}"), at, |told| told);
+        let mut client = gateway.connect();
         send_order(&mut client, "early");
         backend.wait_for_connection_attempt();
         disconnect(client, disconnect_kind);
-        wait_until_client_is_gone(&world, disconnect_kind);
+        wait_until_client_is_gone(&gateway, disconnect_kind);
         assert_nothing_is_written(&backend, disconnect_kind);
     }
 }
@@ -24,12 +24,12 @@
     for disconnect_kind in DISCONNECTS {
         let ((first, first_at), (next, next_at)) = (free_listener(), FullBacklogBackend::new());
         let (at_first, turns_away) = controlled_backend(first);
-        let (world, tell) = gateway_with_replaced_backend(
+        let (gateway, tell) = gateway_with_replaced_backend(
             &format!("dials-again-{disconnect_kind:?}"),
             (first_at, next_at),
             |told| told,
         );
-        let mut client = world.connect();
+        let mut client = gateway.connect();
         send_order(&mut client, "early");
         assert_eq!(at_first.recv_timeout(50 * TENTH_OF_A_SECOND).expect("delivered"), "early");
         tell.send(()).expect("a watch is open");
@@ -37,7 +37,7 @@
         turns_away.send("-BUSY\r\n").expect("it waits");
         next.wait_for_connection_attempt();
         disconnect(client, disconnect_kind);
-        wait_until_client_is_gone(&world, disconnect_kind);
+        wait_until_client_is_gone(&gateway, disconnect_kind);
         assert_nothing_is_written(&next, disconnect_kind);
     }
 }
--- a/gateway/tests/clients_that_leave/shared_connection.rs
+++ b/gateway/tests/clients_that_leave/shared_connection.rs
@@ -8,7 +8,7 @@
 /// Two clients with an order at the backend each, on a connection each, and no descriptor left for a third. Behind the
 /// first client's order stands a long one of the second client, half written, for the backend has stopped reading.
 struct SharedConnection {
-    world: TestGateway,
+    gateway: TestGateway,
     first: TcpStream,
     second: TcpStream,
     /// The connection with the long order, and the other one.
@@ -34,8 +34,8 @@
 }
 
 impl SharedConnection {
-    fn new(world: TestGateway, backend: &TcpListener) -> SharedConnection {
-        let mut first = world.connect();
+    fn new(gateway: TestGateway, backend: &TcpListener) -> SharedConnection {
+        let mut first = gateway.connect();
         let mut replies = BufReader::new(first.try_clone().expect("a second handle"));
         send_order(&mut first, "first");
         let mut blocked = BackendSession::accept(backend);
@@ -47,7 +47,7 @@
             send_order(&mut first, "first");
         }
         assert_eq!(blocked.body(), "first");
-        let mut second = world.connect();
+        let mut second = gateway.connect();
         send_order(&mut second, "other");
         let mut other = BackendSession::accept(backend);
         assert_eq!(other.body(), "other");
@@ -55,7 +55,7 @@
         send_order(&mut second, &long);
         blocked.to.peek(&mut [0]).expect("it has begun to come");
         sleep(TENTH_OF_A_SECOND);
-        SharedConnection { world, first, second, blocked, other, long }
+        SharedConnection { gateway, first, second, blocked, other, long }
     }
 }
 
@@ -73,16 +73,16 @@
 fn while_it_stands_behind_another_one_in_a_buffer() {
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = listener_with_small_buffer();
-        let world = gateway_with_backend(&format!("buffer-{disconnect_kind:?}"), at, few_descriptors);
-        let SharedConnection { world, mut first, mut second, mut blocked, mut other, long } =
-            SharedConnection::new(world, &backend);
+        let gateway = gateway_with_backend(&format!("buffer-{disconnect_kind:?}"), at, few_descriptors);
+        let SharedConnection { gateway, mut first, mut second, mut blocked, mut other, long } =
+            SharedConnection::new(gateway, &backend);
         // One goes behind each of the two orders that are out, the second one into the buffer.
         send_order(&mut first, "begun");
         assert_eq!(other.body(), "begun");
         send_order(&mut first, "waits");
         sleep(2 * TENTH_OF_A_SECOND);
         disconnect(first, disconnect_kind);
-        wait_until_client_is_gone(&world, disconnect_kind);
+        wait_until_client_is_gone(&gateway, disconnect_kind);
         assert_bodies(&mut blocked, &[&long], disconnect_kind);
         // The long order's client has its answers, and what comes next on the connection is whole.
         blocked.answer("for nobody");
@@ -101,13 +101,13 @@
 fn while_its_further_attempt_stands_behind_another_one_in_a_buffer() {
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = listener_with_small_buffer();
-        let world = gateway_with_backend(&format!("buffer-again-{disconnect_kind:?}"), at, few_descriptors);
-        let SharedConnection { world, first, second, mut blocked, mut other, long } =
-            SharedConnection::new(world, &backend);
+        let gateway = gateway_with_backend(&format!("buffer-again-{disconnect_kind:?}"), at, few_descriptors);
+        let SharedConnection { gateway, first, second, mut blocked, mut other, long } =
+            SharedConnection::new(gateway, &backend);
         blocked.send_text("-BUSY\r\n");
         sleep(2 * TENTH_OF_A_SECOND);
         disconnect(first, disconnect_kind);
-        wait_until_client_is_gone(&world, disconnect_kind);
+        wait_until_client_is_gone(&gateway, disconnect_kind);
         assert_bodies(&mut blocked, &[&long], disconnect_kind);
         blocked.answer("long done");
         other.answer("other done");
@@ -123,9 +123,9 @@
 fn what_stands_behind_another_one_in_a_buffer_goes_elsewhere_when_its_backend_drains() {
     let ((backend, at), (next, next_at)) = (listener_with_small_buffer(), free_listener());
     let (at_next, answer) = controlled_backend(next);
-    let (world, tell) = gateway_with_replaced_backend("buffer-drain", (at, next_at), few_descriptors);
-    let SharedConnection { world: _world, first, second: _second, mut blocked, other, long } =
-        SharedConnection::new(world, &backend);
+    let (gateway, tell) = gateway_with_replaced_backend("buffer-drain", (at, next_at), few_descriptors);
+    let SharedConnection { gateway: _world, first, second: _second, mut blocked, other, long } =
+        SharedConnection::new(gateway, &backend);
     blocked.send_text("-BUSY\r\n");
     sleep(2 * TENTH_OF_A_SECOND);
     drop(other); // a descriptor is free again
--- a/gateway/tests/clients_that_leave/unread.rs
+++ b/gateway/tests/clients_that_leave/unread.rs
@@ -13,8 +13,8 @@
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = free_listener();
         let (seen, answer) = controlled_backend(backend);
-        let world = gateway_with_backend(&format!("unread-{disconnect_kind:?}"), at, |told| told);
-        let mut client = world.connect();
+        let gateway = gateway_with_backend(&format!("unread-{disconnect_kind:?}"), at, |told| told);
+        let mut client = gateway.connect();
         let many: String =
             (0..24).map(|_| (0..16).map(|_| order(&"x".repeat(64_000))).collect::<String>()).collect();
         let few: String = (0..600).map(|_| order("few")).collect();
@@ -22,7 +22,7 @@
         assert_eq!(seen.recv_timeout(50 * TENTH_OF_A_SECOND).expect("the first one is delivered"), "few");
         let from = Instant::now();
         disconnect(client, disconnect_kind);
-        wait_until_client_is_gone(&world, disconnect_kind);
+        wait_until_client_is_gone(&gateway, disconnect_kind);
         assert!(from.elapsed() < TENTH_OF_A_SECOND, "{disconnect_kind:?}: seen after {:?}", from.elapsed());
         answer.send(DONE).expect("it waits");
         assert_eq!(seen.recv_timeout(QUIET_TIME).ok(), None, "{disconnect_kind:?}");
@@ -37,8 +37,8 @@
     const LONG: usize = 400;
     let (backend, at) = free_listener();
     let (seen, answer) = controlled_backend(backend);
-    let world = gateway_with_backend("refused", at, |told| told);
-    let mut client = world.connect();
+    let gateway = gateway_with_backend("refused", at, |told| told);
+    let mut client = gateway.connect();
     let mut text: String = (0..KEPT).map(|_| order("few")).collect();
     text += &(0..LONG).map(|_| order(&"x".repeat(64_000))).collect::<String>();
     assert_eq!(write_until_blocked(&mut client, &text), text.len(), "all of it is read");
@@ -66,11 +66,11 @@
 }
 
 /// One whose long body takes all the room, up to its end.
-fn client_that_takes_the_memory(world: &TestGateway) -> TcpStream {
-    let mut client = world.connect();
+fn client_that_takes_the_memory(gateway: &TestGateway) -> TcpStream {
+    let mut client = gateway.connect();
     client.write_all(order_prefix(900_000, 400_000).as_bytes()).expect("it reads");
     // It has been read once another's answer has come.
-    let mut other = world.connect();
+    let mut other = gateway.connect();
     other.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
     assert_eq!(toy::reply(&mut BufReader::new(other)).expect("a reply"), "+PONG");
     client
@@ -82,15 +82,15 @@
 fn while_the_body_behind_it_has_no_room() {
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = FullBacklogBackend::new();
-        let world = gateway_with_backend(&format!("room-{disconnect_kind:?}"), at, little_memory);
-        let _first = client_that_takes_the_memory(&world);
-        let mut client = world.connect();
+        let gateway = gateway_with_backend(&format!("room-{disconnect_kind:?}"), at, little_memory);
+        let _first = client_that_takes_the_memory(&gateway);
+        let mut client = gateway.connect();
         send_order(&mut client, "early");
         backend.wait_for_connection_attempt();
         write_until_blocked(&mut client, &order_prefix(4 * MIB, 4 * MIB));
         let from = Instant::now();
         disconnect(client, disconnect_kind);
-        wait_until_client_is_gone(&world, disconnect_kind);
+        wait_until_client_is_gone(&gateway, disconnect_kind);
         assert!(from.elapsed() < TENTH_OF_A_SECOND, "{disconnect_kind:?}: seen after {:?}", from.elapsed());
         assert_nothing_is_written(&backend, disconnect_kind);
     }
@@ -102,9 +102,9 @@
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = free_listener();
         let (seen, answer) = controlled_backend(backend);
-        let world = gateway_with_backend(&format!("body-{disconnect_kind:?}"), at, little_memory);
-        let mut first = client_that_takes_the_memory(&world);
-        let mut client = world.connect();
+        let gateway = gateway_with_backend(&format!("body-{disconnect_kind:?}"), at, little_memory);
+        let mut first = client_that_takes_the_memory(&gateway);
+        let mut client = gateway.connect();
         let whole = order(&"y".repeat(MIB));
         assert_eq!(write_until_blocked(&mut client, &whole), whole.len(), "the machine takes all of it");
         disconnect(client, disconnect_kind);
--- a/gateway/tests/clients_that_leave/world.rs
+++ b/gateway/tests/clients_that_leave/world.rs
@@ -31,12 +31,12 @@
 }
 
 /// Waits until the front door has seen some client leave so.
-pub fn wait_until_client_is_gone(world: &TestGateway, disconnect_kind: Disconnect) {
+pub fn wait_until_client_is_gone(gateway: &TestGateway, disconnect_kind: Disconnect) {
     let from = Instant::now();
     let why = if disconnect_kind == Disconnect::Fin { "closed" } else { "reset" };
     loop {
         let left = (5 * 10 * TENTH_OF_A_SECOND).saturating_sub(from.elapsed());
-        let line = world
+        let line = gateway
             .log
             .recv_timeout(left)
             .unwrap_or_else(|_| panic!("not seen to leave by {disconnect_kind:?} in 5 s"));
@@ -182,10 +182,10 @@
         }
         Ok(())
     });
-    let world = TestGateway::start(&format!("leave-{name}"), at, |told| {
+    let gateway = TestGateway::start(&format!("leave-{name}"), at, |told| {
         change(with_known_backends(with_long_timeouts(told), &[("a", a)]))
     });
-    (world, tell)
+    (gateway, tell)
 }
 
 /// The backend lets in whoever still asks: nothing is written to it. Who is turned down asks again after a second.
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -14,10 +14,10 @@
 use help::{free_listener, read_to_end, serve_endpoints, toy, FullBacklogBackend, TestGateway};
 
 const SECOND: Duration = Duration::from_secs(1);
-const TENTH: Duration = Duration::from_millis(100);
+const TENTH_OF_A_SECOND: Duration = Duration::from_millis(100);
 
 /// A backend that never answers, and tells of each command that reaches it whole.
-fn hangs(listener: TcpListener) -> Receiver<Vec<String>> {
+fn silent_backend(listener: TcpListener) -> Receiver<Vec<String>> {
     let (to, seen) = channel();
     toy::each(listener, move |stream| {
         let mut from = BufReader::new(stream);
@@ -30,7 +30,7 @@
 }
 
 /// A front door with one backend, that it knows of.
-fn world_of(name: &str, backend: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
+fn gateway_with_backend(name: &str, backend: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
     let (list, at) = free_listener();
     serve_endpoints(list, &[("a", backend)]);
     let known = help::endpoint_list(&[("a", backend)]);
@@ -39,7 +39,7 @@
     })
 }
 
-fn ask(to: &mut TcpStream, operation: &str, wait_ms: u64) {
+fn send_request(to: &mut TcpStream, operation: &str, wait_ms: u64) {
     to.write_all(toy::invocation(operation, wait_ms).as_bytes()).expect("it reads");
 }
 
@@ -50,47 +50,47 @@
 #[test]
 fn with_short_times_all_is_answered_before_the_kill() {
     let (backend, at) = free_listener();
-    let seen = hangs(backend);
-    let mut world = world_of("short", at, |told| {
+    let seen = silent_backend(backend);
+    let mut gateway = gateway_with_backend("short", at, |told| {
         told.replace("\"give_up_us\": 3000000", "\"give_up_us\": 1000000")
             .replace("\"give_up_us\": 1500000", "\"give_up_us\": 1000000")
     });
-    let mut client = world.connect();
-    ask(&mut client, "order", 1000);
+    let mut client = gateway.connect();
+    send_request(&mut client, "order", 1000);
     seen.recv_timeout(5 * SECOND).expect("delivered");
     let told = Instant::now();
-    world.signal(Signal::SIGTERM);
+    gateway.signal(Signal::SIGTERM);
     // It stays open, for it is owed an answer; more comes on it, the last one so late that its time would outlast the kill.
-    sleep(4 * TENTH);
-    ask(&mut client, "order", 1000);
-    sleep(6 * TENTH);
+    sleep(4 * TENTH_OF_A_SECOND);
+    send_request(&mut client, "order", 1000);
+    sleep(6 * TENTH_OF_A_SECOND);
     let sent = Instant::now();
-    ask(&mut client, "order", 1000);
+    send_request(&mut client, "order", 1000);
     let said = read_to_end(client);
     let waited = sent.elapsed();
     assert_eq!(said.matches("-ERR failed").count(), 3, "{said}");
-    assert!(waited < 8 * TENTH, "the last one was answered after {waited:?}");
-    assert!(world.exit_code() == Some(0) && told.elapsed() < 3 * SECOND, "gone after {:?}", told.elapsed());
+    assert!(waited < 8 * TENTH_OF_A_SECOND, "the last one was answered after {waited:?}");
+    assert!(gateway.exit_code() == Some(0) && told.elapsed() < 3 * SECOND, "gone after {:?}", told.elapsed());
 }
 
 /// Guards: with times over 3 s what was held at the kill was answered by nobody: the exit came after it.
 #[test]
 fn with_long_times_all_is_answered_before_the_kill() {
     let (backend, at) = free_listener();
-    let seen = hangs(backend);
-    let mut world = world_of("long", at, |told| {
+    let seen = silent_backend(backend);
+    let mut gateway = gateway_with_backend("long", at, |told| {
         told.replace("\"give_up_us\": 3000000", "\"give_up_us\": 8000000")
             .replace("\"cancel\": true", "\"cancel\": false")
     });
-    let mut client = world.connect();
-    ask(&mut client, "order", 8000);
+    let mut client = gateway.connect();
+    send_request(&mut client, "order", 8000);
     seen.recv_timeout(5 * SECOND).expect("delivered");
     let told = Instant::now();
-    world.signal(Signal::SIGTERM);
+    gateway.signal(Signal::SIGTERM);
     let said = read_to_end(client);
     let answered = told.elapsed();
     assert_eq!(said, "-ERR failed\r\n");
-    assert!(answered < 5 * SECOND && world.exit_code() == Some(0), "answered after {answered:?}");
+    assert!(answered < 5 * SECOND && gateway.exit_code() == Some(0), "answered after {answered:?}");
 }
 
 // ======== list watches
@@ -103,10 +103,10 @@
     // After SIGHUP it asks the new address for all of its list.
     let (moved, moved_at) = free_listener();
     serve_endpoints(list, &[("a", at)]);
-    let world = TestGateway::start("first", at, |told| told);
-    let told = std::fs::read_to_string(&world.file).expect("written");
-    std::fs::write(&world.file, told.replace(&at.to_string(), &moved_at.to_string())).expect("a file");
-    world.signal(Signal::SIGHUP);
+    let gateway = TestGateway::start("first", at, |told| told);
+    let told = std::fs::read_to_string(&gateway.file).expect("written");
+    std::fs::write(&gateway.file, told.replace(&at.to_string(), &moved_at.to_string())).expect("a file");
+    gateway.signal(Signal::SIGHUP);
     let (mute, _) = moved.accept().expect("the first call comes");
     let from = Instant::now();
     let (next, _) = moved.accept().expect("the next one comes");
@@ -140,7 +140,11 @@
     let mut last = calls.recv_timeout(5 * SECOND).expect("the first");
     for call in 2..12 {
         let next = calls.recv_timeout(5 * SECOND).expect("one more");
-        assert!(next - last < 9 * TENTH, "call {call} came {:?} after the one before", next - last);
+        assert!(
+            next - last < 9 * TENTH_OF_A_SECOND,
+            "call {call} came {:?} after the one before",
+            next - last
+        );
         last = next;
     }
 }
@@ -152,17 +156,17 @@
 #[test]
 fn a_connection_that_ends_as_it_comes_up_has_run_nothing() {
     let (mut backend, at) = FullBacklogBackend::new();
-    let world = world_of("ends", at, |told| {
+    let gateway = gateway_with_backend("ends", at, |told| {
         told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
             .replace("\"aim_us\": 1000000", "\"aim_us\": 2900000") // no second choice is too late
     });
-    let mut client = world.connect();
-    ask(&mut client, "order", 2900);
+    let mut client = gateway.connect();
+    send_request(&mut client, "order", 2900);
     backend.wait_for_connection_attempt();
-    world.pause();
+    gateway.pause();
     drop(backend.accept_pending());
     toy::backend(backend.listener, "a");
-    world.resume();
+    gateway.resume();
     assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "a order body");
 }
 
@@ -171,16 +175,16 @@
 #[test]
 fn what_is_called_off_as_its_connection_comes_up_is_not_written() {
     let (mut backend, at) = FullBacklogBackend::new();
-    let world = world_of("off", at, |told| {
+    let gateway = gateway_with_backend("off", at, |told| {
         told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
     });
-    let mut client = world.connect();
-    ask(&mut client, "order", 2900);
+    let mut client = gateway.connect();
+    send_request(&mut client, "order", 2900);
     backend.wait_for_connection_attempt();
-    world.pause();
+    gateway.pause();
     let mut met = backend.accept_pending();
     drop(client);
-    world.resume();
+    gateway.resume();
     let mut said = vec![];
     met.read_to_end(&mut said).expect("an end");
     assert_eq!(String::from_utf8_lossy(&said), "", "written for a client that had left");
@@ -191,19 +195,19 @@
 #[test]
 fn a_connection_that_ends_behind_an_answer_is_not_taken_for_the_next_attempt() {
     let (backend, at) = free_listener();
-    let world = world_of("answer-and-end", at, |told| {
+    let gateway = gateway_with_backend("answer-and-end", at, |told| {
         told.replace("\"aim_us\": 1000000", "\"aim_us\": 2900000") // no second choice is too late
     });
-    let mut client = world.connect();
-    ask(&mut client, "order", 2900);
+    let mut client = gateway.connect();
+    send_request(&mut client, "order", 2900);
     let (mut first, _) = backend.accept().expect("a connection");
     let words = toy::command(&mut BufReader::new(first.try_clone().expect("a second handle")));
     assert!(words.expect("a command").is_some());
-    world.pause();
+    gateway.pause();
     first.write_all(b"-BUSY\r\n").expect("it is open");
     drop(first);
     toy::backend(backend, "a");
-    world.resume();
+    gateway.resume();
     assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "a order body");
 }
 
@@ -214,40 +218,42 @@
 #[test]
 fn a_client_that_leaves_behind_much_that_it_wrote_is_seen_to_leave() {
     let (backend, at) = free_listener();
-    let seen = hangs(backend);
-    let world = world_of("behind", at, |told| told.replace("\"depth\": 12", "\"depth\": 100000"));
-    let mut client = world.connect();
+    let seen = silent_backend(backend);
+    let gateway =
+        gateway_with_backend("behind", at, |told| told.replace("\"depth\": 12", "\"depth\": 100000"));
+    let mut client = gateway.connect();
     let many: String = (0..4000).map(|_| toy::invocation("order", 2900)).collect();
     client.write_all(many.as_bytes()).expect("the machine takes it");
     seen.recv_timeout(5 * SECOND).expect("the first one waits for its answer");
     let from = Instant::now();
     drop(client);
-    world.wait_for_log_line("client 2 ended: closed");
+    gateway.wait_for_log_line("client 2 ended: closed");
     assert!(from.elapsed() < 2 * SECOND, "seen after {:?}", from.elapsed());
     while seen.try_recv().is_ok() {}
-    assert!(seen.recv_timeout(4 * TENTH).is_err(), "sent on for a client that had left");
+    assert!(seen.recv_timeout(4 * TENTH_OF_A_SECOND).is_err(), "sent on for a client that had left");
 }
 
 /// Guards: a client that left while it waited for room for a long body was not seen to leave until there was room.
 #[test]
 fn a_client_that_leaves_while_it_waits_for_room_is_seen_to_leave() {
     let (_backend, at) = free_listener();
-    let world = world_of("room", at, |told| told.replace("\"memory_mb\": 192", "\"memory_mb\": 1"));
+    let gateway =
+        gateway_with_backend("room", at, |told| told.replace("\"memory_mb\": 192", "\"memory_mb\": 1"));
     let half = |bytes: usize| {
         let head = toy::invocation("order", 2900).replace("$4\r\nbody\r\n", "$900000\r\n");
         head + &"x".repeat(bytes)
     };
-    let mut goes_on = world.connect();
+    let mut goes_on = gateway.connect();
     goes_on.write_all(half(400_000).as_bytes()).expect("the machine takes it");
-    let mut waits = world.connect();
+    let mut waits = gateway.connect();
     waits.write_all(half(100_000).as_bytes()).expect("the machine takes it");
     // It has been read as far as there is room once another's answer has come.
-    let mut other = world.connect();
+    let mut other = gateway.connect();
     other.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
     assert_eq!(toy::reply(&mut BufReader::new(other)).expect("a reply"), "+PONG");
     let from = Instant::now();
     drop(waits);
-    world.wait_for_log_line("client 3 ended: closed");
+    gateway.wait_for_log_line("client 3 ended: closed");
     assert!(from.elapsed() < 2 * SECOND, "seen after {:?}", from.elapsed());
 }
 
@@ -257,13 +263,13 @@
 #[test]
 fn an_idle_connection_on_which_something_has_come_is_not_closed() {
     let (_backend, at) = free_listener();
-    let world = world_of("idle", at, |told| told);
-    let mut client = world.connect();
+    let gateway = gateway_with_backend("idle", at, |told| told);
+    let mut client = gateway.connect();
     sleep(SECOND);
-    world.pause();
+    gateway.pause();
     // The look for what stands idle is due first, then the command comes; it meets both at once.
     sleep(2 * SECOND);
     client.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it is open");
-    world.resume();
+    gateway.resume();
     assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "+PONG");
 }
--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -61,11 +61,11 @@
         List { down, returned, told }
     }
 
-    fn goes_down(&self) {
+    fn stop(&self) {
         self.down.store(true, Ordering::SeqCst);
     }
 
-    fn returns(&self) -> Instant {
+    fn restart(&self) -> Instant {
         self.returned.store(true, Ordering::SeqCst);
         self.down.store(false, Ordering::SeqCst);
         Instant::now()
@@ -110,7 +110,7 @@
 }
 
 /// A front door that may have so many descriptors by its configuration, and `DESCRIPTORS` by the machine.
-fn front_door(name: &str, configured: usize, list: SocketAddr) -> (GatewayProcess, SocketAddr) {
+fn start_configured(name: &str, configured: usize, list: SocketAddr) -> (GatewayProcess, SocketAddr) {
     let ((counter, counter_at), at) = (free_listener(), own_address(7400));
     toy::counter(counter);
     let told = example_configuration(list, counter_at)
@@ -141,46 +141,46 @@
         Client(BufReader::new(stream))
     }
 
-    fn asks(&mut self, text: &[u8]) -> String {
+    fn request(&mut self, text: &[u8]) -> String {
         self.0.get_mut().write_all(text).expect("it reads");
         toy::reply(&mut self.0).expect("a reply")
     }
 
     /// Keeps at it for so long.
-    fn pings(&mut self, during: Duration) {
+    fn ping_for(&mut self, during: Duration) {
         let from = Instant::now();
         while from.elapsed() < during {
-            assert_eq!(self.asks(PING), "+PONG");
+            assert_eq!(self.request(PING), "+PONG");
             sleep(Duration::from_millis(50));
         }
     }
 }
 
 /// Idle clients fill the descriptors while the list service is down; then it returns, and an invocation is sent on.
-fn filled_while_down(name: &str, configured: usize) {
+fn descriptors_filled_while_discovery_is_down(name: &str, configured: usize) {
     let (list, list_at) = free_listener();
     let ((backend, before), (other, after)) = (free_listener(), free_listener());
     toy::backend(backend, "a");
     toy::backend(other, "b");
     let after = endpoint_list(&[("b", after)]).replace("\"index\":1", "\"index\":2");
     let list = List::start(list, endpoint_list(&[("a", before)]), after);
-    let (_door, at) = front_door(name, configured, list_at);
+    let (_door, at) = start_configured(name, configured, list_at);
     let mut client = Client::connect(at);
-    client.pings(Duration::from_millis(300));
-    list.goes_down();
+    client.ping_for(Duration::from_millis(300));
+    list.stop();
     // The watch that is out is answered within 2 s; from then on no connection to the service lives.
-    client.pings(3 * SECOND);
+    client.ping_for(3 * SECOND);
     let flood = Flood::start(at);
-    client.pings(SECOND);
-    let from = list.returns();
+    client.ping_for(SECOND);
+    let from = list.restart();
     let mut told = None;
     while told.is_none() && from.elapsed() < 8 * SECOND {
-        client.pings(Duration::from_millis(50));
+        client.ping_for(Duration::from_millis(50));
         told = list.told.try_recv().ok();
     }
     let told = told.expect("the list service was not reached in 8 s");
     assert!(told - from < 2 * SECOND, "told after {:?}", told - from);
-    let said = client.asks(toy::invocation("look", 1000).as_bytes());
+    let said = client.request(toy::invocation("look", 1000).as_bytes());
     assert_eq!(said, "b look", "with the counter and a new backend");
     assert!(flood.connected.load(Ordering::Relaxed) > DESCRIPTORS as usize);
 }
@@ -189,11 +189,11 @@
 /// client that asked all the while was ended for them.
 #[test]
 fn idle_clients_leave_the_list_the_counter_and_backends_theirs() {
-    filled_while_down("configured", DESCRIPTORS as usize);
+    descriptors_filled_while_discovery_is_down("configured", DESCRIPTORS as usize);
 }
 
 /// Guards: where the machine allows fewer descriptors than the configuration, none was kept at all.
 #[test]
 fn they_do_so_where_the_machine_allows_less_than_the_configuration() {
-    filled_while_down("machine", 4 * DESCRIPTORS as usize);
+    descriptors_filled_while_discovery_is_down("machine", 4 * DESCRIPTORS as usize);
 }
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -4,7 +4,7 @@
 use quillramp_load::play::{play, Played};
 
 /// Three front doors that talk to each other, before six backends; 120 invocations a second, a third of them orders.
-fn played(name: &str, seconds: f64, faults: &str) -> Played {
+fn play_with_faults(name: &str, seconds: f64, faults: &str) -> Played {
     let program = env!("CARGO_BIN_EXE_quillramp");
     let text = format!(
         "seed = 11\nrepetitions = 1\n[world]\ndoors = 3\nbackends = 6\nservice = 0.01\nwarm_after = 1.0\ncustomers = 40\n\
@@ -20,25 +20,25 @@
     played
 }
 
-fn strike(at: f64, kind: &str, rest: &str) -> String {
+fn fault(at: f64, kind: &str, rest: &str) -> String {
     format!("[[fault]]\nat = {at:.1}\nkind = \"{kind}\"\n{rest}\n")
 }
 
-fn share(p: &Played, of: Outcome) -> f64 {
+fn fraction(p: &Played, of: Outcome) -> f64 {
     p.rows.iter().filter(|r| r.outcome == of).count() as f64 / p.rows.len() as f64
 }
 
 /// Every invocation has an answer, whatever befalls the backends; what may not be repeated never is.
 #[test]
 fn ill_backends_cost_no_answer_and_double_nothing() {
-    let faults = strike(0.5, "crash", "backend = 0\nlasts = 1.0")
-        + &strike(0.8, "spoil", "backend = 1\nlasts = 1.0\nby = 0.5")
-        + &strike(1.0, "swallow", "backend = 2\nlasts = 0.8\nby = 0.5")
-        + &strike(1.2, "turn-away", "backend = 3\nlasts = 1.0\nby = 0.7")
-        + &strike(1.4, "drain", "backend = 4\nlasts = 0.8");
-    let p = played("ill", 3.0, &faults);
-    assert_eq!(share(&p, Outcome::NoAnswer) + share(&p, Outcome::NotConnected), 0.0);
-    assert!(share(&p, Outcome::Succeeded) > 0.75, "{}", share(&p, Outcome::Succeeded));
+    let faults = fault(0.5, "crash", "backend = 0\nlasts = 1.0")
+        + &fault(0.8, "spoil", "backend = 1\nlasts = 1.0\nby = 0.5")
+        + &fault(1.0, "swallow", "backend = 2\nlasts = 0.8\nby = 0.5")
+        + &fault(1.2, "turn-away", "backend = 3\nlasts = 1.0\nby = 0.7")
+        + &fault(1.4, "drain", "backend = 4\nlasts = 0.8");
+    let p = play_with_faults("ill", 3.0, &faults);
+    assert_eq!(fraction(&p, Outcome::NoAnswer) + fraction(&p, Outcome::NotConnected), 0.0);
+    assert!(fraction(&p, Outcome::Succeeded) > 0.75, "{}", fraction(&p, Outcome::Succeeded));
     // A backend that drains takes nothing new; it comes back under a new name.
     let did = |from: f64, to: f64| -> f64 {
         p.loads.iter().filter(|l| l.backend == 4 && l.at >= from && l.at < to).map(|l| l.units).sum()
@@ -51,30 +51,30 @@
 /// A front door that is killed loses what it held and nothing else; one that is told to stop loses nothing.
 #[test]
 fn a_front_door_may_die_and_another_stop() {
-    let killed = played("killed", 2.5, &strike(0.8, "kill", "door = 0\nlasts = 0.5"));
+    let killed = play_with_faults("killed", 2.5, &fault(0.8, "kill", "door = 0\nlasts = 0.5"));
     let lost = killed.rows.iter().filter(|r| r.outcome == Outcome::NoAnswer).count();
     assert!(lost <= 16, "{lost} of what was at the one that died, one a connection at the most");
     assert!(killed.rows.iter().all(|r| r.outcome != Outcome::NoAnswer || r.door == 0));
     let back = killed.rows.iter().filter(|r| r.door == 0 && r.at > 1.8).count();
     assert!(back > 10, "it serves again: {back}");
 
-    let stopped = played("stopped", 2.5, &strike(0.8, "term", "door = 1\nlasts = 1.0"));
-    assert_eq!(share(&stopped, Outcome::NotConnected), 0.0);
-    assert!(share(&stopped, Outcome::Succeeded) > 0.9, "{}", share(&stopped, Outcome::Succeeded));
+    let stopped = play_with_faults("stopped", 2.5, &fault(0.8, "term", "door = 1\nlasts = 1.0"));
+    assert_eq!(fraction(&stopped, Outcome::NotConnected), 0.0);
+    assert!(fraction(&stopped, Outcome::Succeeded) > 0.9, "{}", fraction(&stopped, Outcome::Succeeded));
 }
 
 /// With the counter gone, back empty, or in two, quotas hold within what docs/design.md allows and everybody is answered.
 #[test]
 fn the_counter_may_go_come_back_empty_and_be_two() {
     for (name, faults) in [
-        ("down", strike(0.5, "counter-down", "lasts = 1.0")),
-        ("silent", strike(0.5, "counter-silent", "lasts = 1.0")),
-        ("lost", strike(1.0, "counter-lost", "")),
-        ("split", strike(0.5, "counter-split", "lasts = 1.0")),
+        ("down", fault(0.5, "counter-down", "lasts = 1.0")),
+        ("silent", fault(0.5, "counter-silent", "lasts = 1.0")),
+        ("lost", fault(1.0, "counter-lost", "")),
+        ("split", fault(0.5, "counter-split", "lasts = 1.0")),
     ] {
-        let p = played(name, 2.0, &faults);
-        assert_eq!(share(&p, Outcome::NoAnswer) + share(&p, Outcome::NotConnected), 0.0, "{name}");
-        assert!(share(&p, Outcome::Succeeded) > 0.85, "{name}: {}", share(&p, Outcome::Succeeded));
+        let p = play_with_faults(name, 2.0, &faults);
+        assert_eq!(fraction(&p, Outcome::NoAnswer) + fraction(&p, Outcome::NotConnected), 0.0, "{name}");
+        assert!(fraction(&p, Outcome::Succeeded) > 0.85, "{name}: {}", fraction(&p, Outcome::Succeeded));
         assert!(p.play.worst < 1.0, "{name}: one customer had {:.0}% above its quota", 100.0 * p.play.worst);
     }
 }
--- a/gateway/tests/handover.rs
+++ b/gateway/tests/handover.rs
@@ -34,7 +34,7 @@
 }
 
 /// A listening socket that the processes started here inherit.
-fn passed_on() -> (TcpListener, SocketAddr) {
+fn inherited_listener() -> (TcpListener, SocketAddr) {
     let (listener, listen) = free_listener();
     nix::fcntl::fcntl(&listener, nix::fcntl::FcntlArg::F_SETFD(nix::fcntl::FdFlag::empty()))
         .expect("inherited");
@@ -42,18 +42,18 @@
 }
 
 /// A process of the front door that accepts on it.
-fn starts_on(listener: &TcpListener, folder: &Path, mgmt: SocketAddr) -> GatewayProcess {
+fn start_on(listener: &TcpListener, folder: &Path, mgmt: SocketAddr) -> GatewayProcess {
     let mut program = program(folder, &mgmt.to_string());
     let fd = listener.as_raw_fd().to_string();
     GatewayProcess(program.env("EDGE_PASSED_SOCKET", fd).spawn().expect("the program starts"))
 }
 
-fn term(door: &GatewayProcess) {
-    kill(Pid::from_raw(door.0.id() as i32), Signal::SIGTERM).expect("it runs");
+fn terminate(process: &GatewayProcess) {
+    kill(Pid::from_raw(process.0.id() as i32), Signal::SIGTERM).expect("it runs");
 }
 
 /// What an operator's call gets: the status and the body.
-fn call(at: SocketAddr, call: &str) -> String {
+fn admin_call(at: SocketAddr, call: &str) -> String {
     let mut to = connect_when_listening(at);
     write!(to, "{call} HTTP/1.1\r\nHost: x\r\n\r\n").expect("it reads");
     let mut said = String::new();
@@ -72,29 +72,29 @@
 #[test]
 fn the_next_version_takes_over_the_socket_and_the_bans() {
     let folder = folder("takes-over");
-    let (listener, listen) = passed_on();
-    let start = |mgmt: SocketAddr| starts_on(&listener, &folder, mgmt);
+    let (listener, listen) = inherited_listener();
+    let start = |mgmt: SocketAddr| start_on(&listener, &folder, mgmt);
     let (first, second) = (own_address(7404), own_address(7404));
     let mut old = start(first);
-    assert_eq!(call(first, "GET /healthcheck"), "200 serving");
+    assert_eq!(admin_call(first, "GET /healthcheck"), "200 serving");
     let connect = || TcpStream::connect(listen).expect("it listens");
     let (mut kept, mut silent) = (connect(), connect());
     assert_eq!(ping(&mut kept), "+PONG");
-    assert_eq!(call(first, "POST /backends/s-a/maint"), "200 done");
+    assert_eq!(admin_call(first, "POST /backends/s-a/maint"), "200 done");
 
     let new = start(second);
-    assert_eq!(call(second, "GET /healthcheck"), "200 serving");
+    assert_eq!(admin_call(second, "GET /healthcheck"), "200 serving");
     assert!(
-        call(second, "GET /stats").contains(r#""members":1,"members_unavailable":1"#),
+        admin_call(second, "GET /stats").contains(r#""members":1,"members_unavailable":1"#),
         "the ban came along"
     );
     // A call at the new one reaches the old one too.
-    assert_eq!(call(second, "POST /backends/s-a/ready"), "200 done");
+    assert_eq!(admin_call(second, "POST /backends/s-a/ready"), "200 done");
     sleep(Duration::from_millis(300));
-    assert!(call(first, "GET /stats").contains(r#""members_unavailable":0"#));
-    term(&old);
+    assert!(admin_call(first, "GET /stats").contains(r#""members_unavailable":0"#));
+    terminate(&old);
     sleep(Duration::from_millis(100));
-    assert!(call(first, "GET /healthcheck").starts_with("503"));
+    assert!(admin_call(first, "GET /healthcheck").starts_with("503"));
     assert_eq!(kept.read(&mut [0]).expect("an end"), 0, "ended between two commands");
     // What nobody had asked anything on is still served, and each new one finds a process that listens.
     for _ in 0..20 {
@@ -112,33 +112,33 @@
 #[test]
 fn nothing_is_handed_over_to_a_process_that_has_died() {
     let folder = folder("died");
-    let (listener, listen) = passed_on();
-    let start = |mgmt: SocketAddr| starts_on(&listener, &folder, mgmt);
-    let logs = |door: &mut GatewayProcess| {
-        assert_eq!(door.0.wait().expect("it ends").code(), Some(0));
+    let (listener, listen) = inherited_listener();
+    let start = |mgmt: SocketAddr| start_on(&listener, &folder, mgmt);
+    let logs = |process: &mut GatewayProcess| {
+        assert_eq!(process.0.wait().expect("it ends").code(), Some(0));
         let mut said = String::new();
-        door.0.stderr.take().expect("piped").read_to_string(&mut said).expect("text");
+        process.0.stderr.take().expect("piped").read_to_string(&mut said).expect("text");
         said
     };
     // Told of a process with the number of this test's, which started at another time.
     let stale = format!(r#"{{"serves": {}, "since": 1}}"#, std::process::id());
     std::fs::write(folder.join("quillramp-n0.json"), stale).expect("a file");
     let (alone, first, second) = (own_address(7404), own_address(7404), own_address(7404));
-    let mut door = start(alone);
-    assert_eq!(call(alone, "GET /healthcheck"), "200 serving");
-    term(&door);
-    let said = logs(&mut door);
+    let mut process = start(alone);
+    assert_eq!(admin_call(alone, "GET /healthcheck"), "200 serving");
+    terminate(&process);
+    let said = logs(&mut process);
     assert!(!said.contains("another process"), "{said}");
 
     let mut old = start(first);
-    assert_eq!(call(first, "GET /healthcheck"), "200 serving");
+    assert_eq!(admin_call(first, "GET /healthcheck"), "200 serving");
     let new = start(second);
-    assert_eq!(call(second, "GET /healthcheck"), "200 serving");
+    assert_eq!(admin_call(second, "GET /healthcheck"), "200 serving");
     // It dies, and nobody has looked yet.
     kill(Pid::from_raw(new.0.id() as i32), Signal::SIGKILL).expect("it runs");
     help::wait_until("it has died", || help::process_state(new.0.id()) == Some('Z'));
-    term(&old);
-    help::wait_until("it has heard", || call(first, "GET /healthcheck").starts_with("503"));
+    terminate(&old);
+    help::wait_until("it has heard", || admin_call(first, "GET /healthcheck").starts_with("503"));
     let mut late = TcpStream::connect(listen).expect("somebody listens");
     late.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     assert_eq!(ping(&mut late), "-ERR draining", "the old one still accepts");
@@ -183,8 +183,8 @@
     std::fs::write(folder.join("told.json"), told.replace("127.0.0.1:7400", &listen.to_string()))
         .expect("a file");
     let _door = GatewayProcess(program.spawn().expect("the program starts"));
-    assert_eq!(call(mgmt, "GET /healthcheck"), "200 serving");
-    assert!(call(mgmt, "POST /backends/s-b/maint").starts_with("404"));
-    assert_eq!(call(mgmt, "POST /backends/s%2Da/maint"), "200 done");
-    assert_eq!(call(mgmt, "GET /backends/s-a/maint"), "405 no such call");
+    assert_eq!(admin_call(mgmt, "GET /healthcheck"), "200 serving");
+    assert!(admin_call(mgmt, "POST /backends/s-b/maint").starts_with("404"));
+    assert_eq!(admin_call(mgmt, "POST /backends/s%2Da/maint"), "200 done");
+    assert_eq!(admin_call(mgmt, "GET /backends/s-a/maint"), "405 no such call");
 }
--- a/gateway/tests/help/mod.rs
+++ b/gateway/tests/help/mod.rs
@@ -90,7 +90,7 @@
 
 /// A front door that a test holds still, stops and listens to, with a toy counter; its list service is the caller's.
 pub struct TestGateway {
-    pub door: GatewayProcess,
+    pub process: GatewayProcess,
     pub at: SocketAddr,
     /// Its configuration.
     pub file: PathBuf,
@@ -106,13 +106,13 @@
         let told = change(example_configuration(list, counter_at).replace("127.0.0.1:7400", &at.to_string()));
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("crossing-{name}.json"));
         std::fs::write(&file, told).expect("a file");
-        let mut door = start_gateway(&file);
+        let mut process = start_gateway(&file);
         let (to, log) = channel();
-        let lines = BufReader::new(door.stderr.take().expect("piped")).lines();
+        let lines = BufReader::new(process.stderr.take().expect("piped")).lines();
         spawn(move || lines.map_while(Result::ok).try_for_each(|line| to.send(line)));
-        let world = TestGateway { door: GatewayProcess(door), at, file, log };
+        let gateway = TestGateway { process: GatewayProcess(process), at, file, log };
         connect_when_listening(at);
-        world
+        gateway
     }
 
     pub fn connect(&self) -> TcpStream {
@@ -122,13 +122,13 @@
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.door.0.id() as i32), signal).expect("it runs");
+        kill(Pid::from_raw(self.process.0.id() as i32), signal).expect("it runs");
     }
 
     /// Stops its clock, in a manner: it stands until it goes on, and then meets at once all that came meanwhile.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
-        wait_until("it stands", || process_state(self.door.0.id()) == Some('T'));
+        wait_until("it stands", || process_state(self.process.0.id()) == Some('T'));
     }
 
     pub fn resume(&self) {
@@ -150,7 +150,7 @@
 
     /// Its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        self.door.0.wait().expect("it ends").code()
+        self.process.0.wait().expect("it ends").code()
     }
 }
 
--- a/gateway/tests/identity.rs
+++ b/gateway/tests/identity.rs
@@ -24,7 +24,7 @@
 }
 
 /// An operator's file: a contract for each team, which speaks for the customer of its number, and these keys.
-fn file(keys: &[&Signer], revoked: &[&str]) -> String {
+fn operator_file(keys: &[&Signer], revoked: &[&str]) -> String {
     let mut text = String::from("[broker]\ncapacity = 100000\nstrangers = \"refuse\"\n");
     for team in 1..=TEAMS {
         let _ = write!(
@@ -46,7 +46,7 @@
 
 static IDS: AtomicU64 = AtomicU64::new(1);
 
-fn call(customer: u64) -> String {
+fn request(customer: u64) -> String {
     let id = IDS.fetch_add(1, Ordering::Relaxed);
     let list = "c=look,t=plenty,d=1000,units=1,spread=1,first=0";
     format!(
@@ -65,17 +65,17 @@
         let from = BufReader::new(to.try_clone().expect("a second handle"));
         Client(to, from)
     }
-    fn say(&mut self, text: &str) -> String {
+    fn exchange(&mut self, text: &str) -> String {
         self.0.write_all(text.as_bytes()).expect("it reads");
         toy::reply(&mut self.1).expect("an answer")
     }
     fn auth(&mut self, token: &str) -> String {
-        self.say(&format!("*2\r\n$4\r\nAUTH\r\n${}\r\n{token}\r\n", token.len()))
+        self.exchange(&format!("*2\r\n$4\r\nAUTH\r\n${}\r\n{token}\r\n", token.len()))
     }
 }
 
 /// A front door under this operator's file, before two backends; where it serves, and where operators call.
-fn started(folder: &Path, text: &str) -> (GatewayProcess, SocketAddr, SocketAddr) {
+fn start_configured(folder: &Path, text: &str) -> (GatewayProcess, SocketAddr, SocketAddr) {
     let _ = std::fs::remove_dir_all(folder);
     std::fs::create_dir_all(folder).expect("a folder");
     let ((list, list_at), (counter, counter_at), (a, a_at), (b, b_at)) =
@@ -96,20 +96,20 @@
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", folder.join("told.json")).env("EDGE_OPERATOR", folder.join("operator.toml"));
     program.env("EDGE_MGMT", mgmt.to_string()).env("TMPDIR", folder).stderr(Stdio::null());
-    let door = GatewayProcess(program.spawn().expect("the program starts"));
+    let process = GatewayProcess(program.spawn().expect("the program starts"));
     wait_until_ready(&[at]);
-    (door, at, mgmt)
+    (process, at, mgmt)
 }
 
-fn changes(door: &GatewayProcess, folder: &Path, text: &str) {
+fn reload_operator_file(process: &GatewayProcess, folder: &Path, text: &str) {
     let new = folder.join("new.toml");
     std::fs::write(&new, text)
         .and_then(|()| std::fs::rename(&new, folder.join("operator.toml")))
         .expect("written");
-    kill(Pid::from_raw(door.0.id() as i32), Signal::SIGHUP).expect("it is there");
+    kill(Pid::from_raw(process.0.id() as i32), Signal::SIGHUP).expect("it is there");
 }
 
-fn usage(mgmt: SocketAddr) -> Value {
+fn contract_usage(mgmt: SocketAddr) -> Value {
     let mut to = TcpStream::connect(mgmt).expect("it accepts");
     write!(to, "GET /contracts HTTP/1.1\r\nHost: x\r\n\r\n").expect("it reads");
     let mut said = String::new();
@@ -122,7 +122,7 @@
 fn keys_rotate_under_load_and_nobody_is_taken_for_another() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("identity-rotates");
     let signers: Vec<Signer> = (0..12).map(|i| Signer::ed(&format!("k{i}"), i + 1)).collect();
-    let (door, at, mgmt) = started(&folder, &file(&[&signers[0]], &[]));
+    let (process, at, mgmt) = start_configured(&folder, &operator_file(&[&signers[0]], &[]));
     let (current, over) = (AtomicU64::new(0), AtomicBool::new(false));
     let served: Vec<u64> = std::thread::scope(|all| {
         let teams: Vec<_> = (1..=TEAMS)
@@ -137,7 +137,7 @@
                         opened += 1;
                         assert_eq!(client.auth(&token(signer, team, &format!("{team}-{opened}"))), "+OK");
                         for _ in 0..20 {
-                            let said = client.say(&call(team));
+                            let said = client.exchange(&request(team));
                             // A full backend is no matter of who asks.
                             assert!(
                                 said.contains("look") || said.starts_with("-BUSY"),
@@ -145,7 +145,7 @@
                             );
                             served += u64::from(said.contains("look"));
                             let other = 1 + team % TEAMS;
-                            let said = client.say(&call(other));
+                            let said = client.exchange(&request(other));
                             assert_eq!(said, "-ERR contract: not a customer that it speaks for");
                         }
                     }
@@ -157,7 +157,7 @@
             // The next key first, then tokens of it; the last but one goes once none of its connections is there.
             let from = i.saturating_sub(2);
             let keys: Vec<&Signer> = signers[from..=i].iter().collect();
-            changes(&door, &folder, &file(&keys, &[]));
+            reload_operator_file(&process, &folder, &operator_file(&keys, &[]));
             sleep(Duration::from_millis(125));
             current.store(i as u64, Ordering::Relaxed);
             sleep(Duration::from_millis(125));
@@ -165,7 +165,7 @@
         over.store(true, Ordering::Relaxed);
         teams.into_iter().map(|t| t.join().expect("no valid caller is refused")).collect()
     });
-    let usage = usage(mgmt);
+    let usage = contract_usage(mgmt);
     for (i, served) in served.iter().enumerate() {
         assert_eq!(usage[format!("t{}", i + 1)]["taken"], json!(served), "{usage}");
         assert!(*served > 100, "{served}");
@@ -177,9 +177,9 @@
 fn a_revoked_key_or_token_stops_within_a_second() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("identity-revoked");
     let (first, second) = (Signer::ed("k1", 1), Signer::ed("k2", 2));
-    let (door, at, _) = started(&folder, &file(&[&first, &second], &[]));
+    let (process, at, _) = start_configured(&folder, &operator_file(&[&first, &second], &[]));
     let mut nobody = Client::new(at);
-    assert!(nobody.say(&call(1)).starts_with("-NOAUTH"));
+    assert!(nobody.exchange(&request(1)).starts_with("-NOAUTH"));
     assert_eq!(nobody.auth("not.a.token"), "-WRONGPASS no token that can be read");
     assert!(nobody.auth(&token(&Signer::ed("k1", 9), 1, "x")).starts_with("-WRONGPASS the signature"));
     let mut clients = [Client::new(at), Client::new(at), Client::new(at)];
@@ -187,16 +187,16 @@
     for (client, token) in clients.iter_mut().zip(&tokens) {
         assert_eq!(client.auth(token), "+OK");
     }
-    assert!(clients.iter_mut().zip(1..).all(|(c, team)| c.say(&call(team)).contains("look")));
+    assert!(clients.iter_mut().zip(1..).all(|(c, team)| c.exchange(&request(team)).contains("look")));
     // A key goes, and a token of the other one.
-    changes(&door, &folder, &file(&[&second], &["three"]));
+    reload_operator_file(&process, &folder, &operator_file(&[&second], &["three"]));
     sleep(Duration::from_millis(500));
-    assert_eq!(clients[0].say(&call(1)), "-NOAUTH no key of this id is trusted");
-    assert!(clients[1].say(&call(2)).contains("look"));
-    assert_eq!(clients[2].say(&call(3)), "-NOAUTH it is revoked");
+    assert_eq!(clients[0].exchange(&request(1)), "-NOAUTH no key of this id is trusted");
+    assert!(clients[1].exchange(&request(2)).contains("look"));
+    assert_eq!(clients[2].exchange(&request(3)), "-NOAUTH it is revoked");
     assert_eq!(Client::new(at).auth(&tokens[2]), "-WRONGPASS it is revoked");
     // Another token of the same team is well.
     assert_eq!(clients[2].auth(&token(&second, 3, "four")), "+OK");
-    assert!(clients[2].say(&call(3)).contains("look"));
+    assert!(clients[2].exchange(&request(3)).contains("look"));
     std::fs::remove_dir_all(&folder).expect("ours");
 }
--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -18,7 +18,7 @@
 }
 
 /// Its exit code and what it says, with the names of files left out.
-fn says(words: &[&str], expected: Expect) {
+fn assert_output(words: &[&str], expected: Expect) {
     let out = quillramp(words);
     let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
     let text = words
@@ -41,21 +41,21 @@
     };
     let configuration = write("c.json", include_str!("../../examples/configuration.json"));
     let (good, bad) = (write("good.toml", GOOD), write("bad.toml", &GOOD.replace("look", "order")));
-    says(
+    assert_output(
         &["check", &good],
         expect![[r#"
         0
         good.toml: well; 1 classes, 1 routes; without a configuration, operations and plans were not looked up
     "#]],
     );
-    says(
+    assert_output(
         &["check", &good, "--configuration", &configuration],
         expect![[r#"
         0
         good.toml: well; 1 classes, 1 routes
     "#]],
     );
-    says(
+    assert_output(
         &["check", &bad, "--configuration", &configuration],
         expect![[r#"
         1
@@ -63,7 +63,7 @@
         quillramp: bad.toml: line 4: class 'short'.per_try: 'order' is not idempotent: a delivery of it that is out is not given up for another (by the route on line 7)
     "#]],
     );
-    says(
+    assert_output(
         &["show", &good, "--configuration", &configuration],
         expect![[r#"
             0
@@ -108,7 +108,7 @@
                 integration timeout 3 s (configuration)
         "#]],
     );
-    says(
+    assert_output(
         &["check", "/nowhere/x.toml"],
         expect![[r#"
         1
@@ -124,7 +124,7 @@
     let shell = quillramp(&["completions", "bash"]).stdout;
     assert!(String::from_utf8_lossy(&shell).contains("_quillramp()"));
     // What would have kept it from serving keeps it from serving by its command, too.
-    says(
+    assert_output(
         &["serve"],
         expect![[r#"
         1
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -37,7 +37,7 @@
 }
 
 /// How long each took from its start to its first `+PONG`.
-fn started_at_once(name: &str, list: SocketAddr) -> Vec<Duration> {
+fn start_all_at_once(name: &str, list: SocketAddr) -> Vec<Duration> {
     let files: Vec<_> = (0..FRONT_DOORS).map(|i| configuration(&format!("{name}-{i}"), list)).collect();
     let mut doors: Vec<_> = files
         .into_iter()
@@ -55,7 +55,7 @@
 
 #[track_caller]
 fn nine_in_ten_are_ready(name: &str, list: SocketAddr) {
-    let mut took = started_at_once(name, list);
+    let mut took = start_all_at_once(name, list);
     took.sort_unstable();
     println!("{name}: median {:?}, slowest {:?}", took[FRONT_DOORS / 2], took[FRONT_DOORS - 1]);
     let ready = took.iter().filter(|t| **t <= READY).count();
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -31,7 +31,7 @@
     });
 }
 
-fn world_of(name: &str, at: SocketAddr) -> TestGateway {
+fn gateway_with_backend(name: &str, at: SocketAddr) -> TestGateway {
     let (list, list_at) = free_listener();
     serve_endpoints(list, &[("a", at)]);
     let none = r#"{"index": 0, "snapshot": true, "endpoints": []}"#;
@@ -40,8 +40,8 @@
     })
 }
 
-fn asks(world: &TestGateway) -> TcpStream {
-    let mut client = world.connect();
+fn connect_and_send_request(gateway: &TestGateway) -> TcpStream {
+    let mut client = gateway.connect();
     client.write_all(toy::invocation("look", WAIT_MS).as_bytes()).expect("it reads");
     client
 }
@@ -52,10 +52,10 @@
 fn a_value_whose_backend_falls_silent_is_given_up_once_its_clients_time_is_up() {
     let ((listener, at), (_rest, never)) = (free_listener(), channel());
     backend(listener, LENGTH / 2, never);
-    let world = world_of("silent", at);
+    let gateway = gateway_with_backend("silent", at);
     let from = Instant::now();
     let mut text = vec![];
-    asks(&world).read_to_end(&mut text).expect("an end, not a reset");
+    connect_and_send_request(&gateway).read_to_end(&mut text).expect("an end, not a reset");
     let (time, ended) = (Duration::from_millis(WAIT_MS), from.elapsed());
     assert!(text.len() > LENGTH / 2 && text.len() < LENGTH, "cut off after {} bytes", text.len());
     assert!(ended > time * 9 / 10 && ended < time * 3 / 2, "given up after {ended:?}");
@@ -67,8 +67,8 @@
     let ((listener, at), (rest, told)) = (free_listener(), channel());
     backend(listener, LENGTH / 2, told);
     rest.send(()).expect("the backend listens");
-    let world = world_of("late", at);
-    let mut client = asks(&world);
+    let gateway = gateway_with_backend("late", at);
+    let mut client = connect_and_send_request(&gateway);
     sleep(Duration::from_millis(2 * WAIT_MS));
     let (mut text, mut piece) = (vec![], vec![0; 65_536]);
     while text.len() < LENGTH {
@@ -84,8 +84,8 @@
 fn a_value_that_still_moves_comes_whole() {
     let ((listener, at), (rest, told)) = (free_listener(), channel());
     backend(listener, LENGTH / 2, told);
-    let world = world_of("moves", at);
-    let mut client = asks(&world);
+    let gateway = gateway_with_backend("moves", at);
+    let mut client = connect_and_send_request(&gateway);
     rest.send(()).expect("the backend listens");
     let (mut reply, from) = (BufReader::new(client.try_clone().expect("a second handle")), Instant::now());
     assert_eq!(toy::reply(&mut reply).expect("a value").len(), LENGTH);
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -11,13 +11,13 @@
 
 const LONG: usize = 4 * 1024 * 1024;
 
-fn byte(i: usize) -> u8 {
+fn byte_at(i: usize) -> u8 {
     (i / 7 % 251) as u8
 }
 
 /// A backend whose values are long, in pieces of odd sizes; it breaks the one for `fail` off half-way.
 fn backend(listener: TcpListener) {
-    let value: Vec<u8> = (0..LONG).map(byte).collect();
+    let value: Vec<u8> = (0..LONG).map(byte_at).collect();
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let value = value.clone();
@@ -52,7 +52,7 @@
     });
 }
 
-fn start(name: &str, memory_mb: usize) -> (GatewayProcess, SocketAddr) {
+fn start_with_memory(name: &str, memory_mb: usize) -> (GatewayProcess, SocketAddr) {
     let ((behind, behind_at), (counter, counter_at), (list, list_at)) =
         (free_listener(), free_listener(), free_listener());
     let (_, listen) = free_listener();
@@ -77,22 +77,22 @@
     let file = folder.join("told.json");
     std::fs::write(&file, told).expect("a file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
-    let door = GatewayProcess(
+    let process = GatewayProcess(
         program.env("EDGE_CONFIG", file).env("TMPDIR", folder).spawn().expect("the program starts"),
     );
     connect_when_listening(listen);
     sleep(Duration::from_millis(200)); // it has its list
-    (door, listen)
+    (process, listen)
 }
 
 /// The most memory that it has had, in kB.
-fn peak(door: &GatewayProcess) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", door.0.id())).expect("it runs");
+fn peak_memory(process: &GatewayProcess) -> usize {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id())).expect("it runs");
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("a peak");
     peak.trim().trim_end_matches(" kB").parse().expect("a number")
 }
 
-fn ask(at: SocketAddr, operation: &str) -> TcpStream {
+fn send_request(at: SocketAddr, operation: &str) -> TcpStream {
     let mut to = TcpStream::connect(at).expect("it accepts");
     to.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
     to.write_all(toy::invocation(operation, 1400).as_bytes()).expect("it reads");
@@ -103,16 +103,16 @@
     let head = format!("${LONG}\r\n");
     assert!(text.starts_with(head.as_bytes()), "{}", String::from_utf8_lossy(&text[..text.len().min(60)]));
     let value = &text[head.len()..head.len() + LONG];
-    assert!(value.iter().enumerate().all(|(i, b)| *b == byte(i)), "the value as it was");
+    assert!(value.iter().enumerate().all(|(i, b)| *b == byte_at(i)), "the value as it was");
     assert_eq!(&text[head.len() + LONG..], b"\r\n+PONG\r\n");
 }
 
 /// Guards: a value over 64 KiB broke its backend's connection off, and its invocation failed.
 #[test]
 fn long_values_come_whole_however_slowly_and_a_broken_one_shows() {
-    let (_door, at) = start("whole", 192);
+    let (_door, at) = start_with_memory("whole", 192);
     for pause in [0, 2] {
-        let mut to = ask(at, "look");
+        let mut to = send_request(at, "look");
         to.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads"); // answered behind the value
         let (mut text, mut piece) = (vec![], vec![0; 50_021]);
         while !text.ends_with(b"+PONG\r\n") {
@@ -124,7 +124,7 @@
         check(&text);
     }
     let mut text = vec![];
-    ask(at, "fail").read_to_end(&mut text).expect("an end, not a reset");
+    send_request(at, "fail").read_to_end(&mut text).expect("an end, not a reset");
     assert!(text.len() > 1_000_000 && text.len() < LONG, "cut off after {}", text.len());
 }
 
@@ -132,10 +132,10 @@
 #[test]
 fn many_long_values_at_once_stay_far_under_the_limit() {
     const MANY: usize = 60; // of 4 MiB each
-    let (door, at) = start("many", 32);
-    let mut clients: Vec<TcpStream> = (0..MANY).map(|_| ask(at, "look")).collect();
+    let (process, at) = start_with_memory("many", 32);
+    let mut clients: Vec<TcpStream> = (0..MANY).map(|_| send_request(at, "look")).collect();
     sleep(Duration::from_millis(1000));
-    let peak = peak(&door);
+    let peak = peak_memory(&process);
     assert!(peak < 32 * 1024, "{peak} kB at the most");
     let mut whole = 0;
     for to in &mut clients {
@@ -159,7 +159,7 @@
 #[test]
 fn long_bodies_wait_for_room_and_all_are_served() {
     const BODY: usize = 2 * 1024 * 1024;
-    let (door, at) = start("bodies", 32);
+    let (process, at) = start_with_memory("bodies", 32);
     let clients: Vec<_> = (0..30)
         .map(|_| {
             spawn(move || {
@@ -186,7 +186,7 @@
     let said: Vec<String> = clients.into_iter().map(|c| c.join().expect("no panic")).collect();
     let served = said.iter().filter(|s| **s == expected).count();
     assert!(served >= 20 && said.iter().all(|s| *s == expected || s.starts_with("-BUSY")), "{said:?}");
-    let peak = peak(&door);
+    let peak = peak_memory(&process);
     assert!(peak < 32 * 1024, "{peak} kB at the most");
     // Too long, and a length that is none.
     for (length, why) in [("4194305", "4 MiB"), ("-5", "negative"), ("4e6", "no number")] {
--- a/gateway/tests/write_buffer.rs
+++ b/gateway/tests/write_buffer.rs
@@ -2,7 +2,7 @@
 use quillramp_gateway::state::write_buffer::WriteBuffer;
 
 /// Three messages of four bytes each.
-fn three() -> WriteBuffer {
+fn buffer_with_three_messages() -> WriteBuffer {
     let mut out = WriteBuffer::default();
     for (number, text) in [(7, b"aaaa"), (8, b"bbbb"), (9, b"cccc")] {
         out.append(number, |buffer| buffer.extend_from_slice(text));
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_message_that_has_not_begun_to_leave_is_withdrawn_whole() {
-    let mut out = three();
+    let mut out = buffer_with_three_messages();
     assert!(out.withdraw(8) && !out.withdraw(8));
     assert_eq!(out.bytes(), b"aaaacccc");
     assert_eq!(out.consume(5), 1);
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_message_that_has_begun_to_leave_is_finished() {
-    let mut out = three();
+    let mut out = buffer_with_three_messages();
     assert_eq!(out.consume(1), 0);
     assert!(!out.withdraw(7));
     assert!(out.withdraw(9) && out.withdraw(8));
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_message_that_begins_where_the_written_part_ends_has_not_begun() {
-    let mut out = three();
+    let mut out = buffer_with_three_messages();
     assert_eq!(out.consume(4), 1);
     assert!(out.withdraw(8));
     out.append(10, |buffer| buffer.extend_from_slice(b"dddd"));
