--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -45,11 +45,11 @@
     toy::backend(backend, "a");
     toy::counter(counter);
     serve_endpoints(list, &[("a", backend_at)]);
-    let told = example_configuration(list_at, counter_at)
+    let configuration = example_configuration(list_at, counter_at)
         .replace("127.0.0.1:7400", &listen.to_string())
         .replace("\"sockets\": 1024", &format!("\"sockets\": {sockets}"));
     let (file, by_operator) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.toml")));
-    std::fs::write(&file, told).expect("a file");
+    std::fs::write(&file, configuration).expect("a file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", file).stderr(Stdio::null());
     if let Some(text) = operator {
@@ -96,20 +96,20 @@
     assert_eq!(read_reply(&early).as_deref(), Some("a slow"), "what was taken before is answered");
 
     // Everyone else hears why not, or is held and served; who said nothing may have been ended for a known one.
-    let (mut told, mut ended, mut held) = (0, 0, 0);
+    let (mut rejected, mut ended, mut held) = (0, 0, 0);
     for stream in &flood {
         let mut to = stream;
         let _ = to.write_all(PING); // it may have been ended before that
         match read_reply(stream) {
-            Some(said) if said.starts_with("-ERR ") => told += 1,
+            Some(said) if said.starts_with("-ERR ") => rejected += 1,
             Some(said) if said == "+PONG" => held += 1,
             Some(said) => panic!("{said}"),
             None => ended += 1,
         }
     }
     assert!(
-        told + ended + held == flood.len() && held + ended <= 70,
-        "{told} told, {ended} ended, {held} held"
+        rejected + ended + held == flood.len() && held + ended <= 70,
+        "{rejected} rejected, {ended} ended, {held} held"
     );
     assert!(held >= 20, "{held} held");
 
--- a/gateway/tests/clients_that_leave/busy_backend.rs
+++ b/gateway/tests/clients_that_leave/busy_backend.rs
@@ -10,7 +10,8 @@
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = free_listener();
         let (seen, answer) = controlled_backend(backend);
-        let gateway = gateway_with_backend(&format!("busy-{disconnect_kind:?}"), at, |told| told);
+        let gateway =
+            gateway_with_backend(&format!("busy-{disconnect_kind:?}"), at, |configuration| configuration);
         let (mut stays, mut client) = (gateway.connect(), gateway.connect());
         send_order(&mut stays, "ahead");
         assert_eq!(seen.recv_timeout(50 * TENTH_OF_A_SECOND).expect("delivered"), "ahead");
@@ -34,7 +35,7 @@
         let (gateway, tell) = gateway_with_replaced_backend(
             &format!("busy-again-{disconnect_kind:?}"),
             (first_at, next_at),
-            |told| told,
+            |configuration| configuration,
         );
         let (mut stays, mut client) = (gateway.connect(), gateway.connect());
         send_order(&mut client, "waits");
--- a/gateway/tests/clients_that_leave/connecting.rs
+++ b/gateway/tests/clients_that_leave/connecting.rs
@@ -8,7 +8,8 @@
 fn while_its_connection_comes_up() {
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = FullBacklogBackend::new();
-        let gateway = gateway_with_backend(&format!("dials-{disconnect_kind:?}"), at, |told| told);
+        let gateway =
+            gateway_with_backend(&format!("dials-{disconnect_kind:?}"), at, |configuration| configuration);
         let mut client = gateway.connect();
         send_order(&mut client, "early");
         backend.wait_for_connection_attempt();
@@ -27,7 +28,7 @@
         let (gateway, tell) = gateway_with_replaced_backend(
             &format!("dials-again-{disconnect_kind:?}"),
             (first_at, next_at),
-            |told| told,
+            |configuration| configuration,
         );
         let mut client = gateway.connect();
         send_order(&mut client, "early");
--- a/gateway/tests/clients_that_leave/counter.rs
+++ b/gateway/tests/clients_that_leave/counter.rs
@@ -9,12 +9,13 @@
     for disconnect_kind in DISCONNECTS {
         let ((backend, at), (counter, counter_at)) = (free_listener(), free_listener());
         let (seen, _answer) = controlled_backend(backend);
-        let gateway = gateway_with_backend(&format!("counter-{disconnect_kind:?}"), at, |told| {
-            let (before, after) = told.split_once("\"counter\": \"").expect("an address");
+        let gateway = gateway_with_backend(&format!("counter-{disconnect_kind:?}"), at, |configuration| {
+            let (before, after) = configuration.split_once("\"counter\": \"").expect("an address");
             let after = after.split_once('"').expect("its end").1;
-            let told = format!("{before}\"counter\": \"{counter_at}\"{after}");
+            let configuration = format!("{before}\"counter\": \"{counter_at}\"{after}");
             // The longest wait for the counter is a part of the objective, and of the client's time.
-            told.replace("\"aim_us\": 2900000", "\"aim_us\": 60000000")
+            configuration
+                .replace("\"aim_us\": 2900000", "\"aim_us\": 60000000")
                 .replace("\"counter_timeout_us\": 80000", "\"counter_timeout_us\": 2000000")
         });
         let mut client = gateway.connect();
--- a/gateway/tests/clients_that_leave/shared_connection.rs
+++ b/gateway/tests/clients_that_leave/shared_connection.rs
@@ -18,8 +18,8 @@
 }
 
 /// Descriptors for the two clients, two connections to the backend and one to the counter, but no more.
-fn few_descriptors(told: String) -> String {
-    told.replace("\"sockets\": 1024", "\"sockets\": 37")
+fn few_descriptors(configuration: String) -> String {
+    configuration.replace("\"sockets\": 1024", "\"sockets\": 37")
 }
 
 /// A listener whose connections take little in that nobody reads.
--- a/gateway/tests/clients_that_leave/unread.rs
+++ b/gateway/tests/clients_that_leave/unread.rs
@@ -13,7 +13,8 @@
     for disconnect_kind in DISCONNECTS {
         let (backend, at) = free_listener();
         let (seen, answer) = controlled_backend(backend);
-        let gateway = gateway_with_backend(&format!("unread-{disconnect_kind:?}"), at, |told| told);
+        let gateway =
+            gateway_with_backend(&format!("unread-{disconnect_kind:?}"), at, |configuration| configuration);
         let mut client = gateway.connect();
         let many: String =
             (0..24).map(|_| (0..16).map(|_| order(&"x".repeat(64_000))).collect::<String>()).collect();
@@ -37,7 +38,7 @@
     const LONG: usize = 400;
     let (backend, at) = free_listener();
     let (seen, answer) = controlled_backend(backend);
-    let gateway = gateway_with_backend("refused", at, |told| told);
+    let gateway = gateway_with_backend("refused", at, |configuration| configuration);
     let mut client = gateway.connect();
     let mut text: String = (0..KEPT).map(|_| order("few")).collect();
     text += &(0..LONG).map(|_| order(&"x".repeat(64_000))).collect::<String>();
@@ -61,8 +62,8 @@
 }
 
 /// Little memory, so that one long body takes all the room there is for them.
-fn little_memory(told: String) -> String {
-    told.replace("\"memory_mb\": 192", "\"memory_mb\": 1")
+fn little_memory(configuration: String) -> String {
+    configuration.replace("\"memory_mb\": 192", "\"memory_mb\": 1")
 }
 
 /// One whose long body takes all the room, up to its end.
--- a/gateway/tests/clients_that_leave/world.rs
+++ b/gateway/tests/clients_that_leave/world.rs
@@ -135,15 +135,16 @@
 pub const DONE: &str = "*3\r\n$4\r\ndone\r\n$-1\r\n$-1\r\n";
 
 /// What the configuration of all these tests has in common: no time presses but the client's, and no quota.
-pub fn with_long_timeouts(told: String) -> String {
-    told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
+pub fn with_long_timeouts(configuration: String) -> String {
+    configuration
+        .replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
         .replace("\"aim_us\": 1000000", "\"aim_us\": 2900000")
         .replace("\"depth\": 12", "\"depth\": 100000")
 }
 
-pub fn with_known_backends(told: String, backends: &[(&str, SocketAddr)]) -> String {
+pub fn with_known_backends(configuration: String, backends: &[(&str, SocketAddr)]) -> String {
     let none = r#"{"index": 0, "snapshot": true, "endpoints": []}"#;
-    told.replace(none, &crate::help::endpoint_list(backends))
+    configuration.replace(none, &crate::help::endpoint_list(backends))
 }
 
 /// A front door with one backend, that it knows of.
@@ -154,8 +155,8 @@
 ) -> TestGateway {
     let (list, at) = free_listener();
     serve_endpoints(list, &[("a", backend)]);
-    TestGateway::start(&format!("leave-{name}"), at, |told| {
-        change(with_known_backends(with_long_timeouts(told), &[("a", backend)]))
+    TestGateway::start(&format!("leave-{name}"), at, |configuration| {
+        change(with_known_backends(with_long_timeouts(configuration), &[("a", backend)]))
     })
 }
 
@@ -165,15 +166,15 @@
     (a, b): (SocketAddr, SocketAddr),
     change: impl Fn(String) -> String,
 ) -> (TestGateway, Sender<()>) {
-    let ((list, at), (tell, told)) = (free_listener(), channel());
-    let told = std::sync::Arc::new(std::sync::Mutex::new(told));
+    let ((list, at), (replace_backend, replaced)) = (free_listener(), channel());
+    let replaced = std::sync::Arc::new(std::sync::Mutex::new(replaced));
     let change_of_list = crate::help::endpoint_list(&[("a", a), ("b", b)])
         .replacen("SERVING", "DRAINING", 1)
         .replace("\"index\":1,\"snapshot\":true", "\"index\":2,\"snapshot\":false");
     toy::each(list, move |stream| {
         let (mut from, mut to) = (BufReader::new(stream.try_clone()?), stream);
         while toy::target(&mut from)?.is_some() {
-            let Ok(()) = told.lock().expect("no panic").recv() else { return Ok(()) };
+            let Ok(()) = replaced.lock().expect("no panic").recv() else { return Ok(()) };
             write!(
                 to,
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{change_of_list}",
@@ -182,10 +183,10 @@
         }
         Ok(())
     });
-    let gateway = TestGateway::start(&format!("leave-{name}"), at, |told| {
-        change(with_known_backends(with_long_timeouts(told), &[("a", a)]))
+    let gateway = TestGateway::start(&format!("leave-{name}"), at, |configuration| {
+        change(with_known_backends(with_long_timeouts(configuration), &[("a", a)]))
     });
-    (gateway, tell)
+    (gateway, replace_backend)
 }
 
 /// The backend lets in whoever still asks: nothing is written to it. Who is turned down asks again after a second.
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -34,8 +34,8 @@
     let (list, at) = free_listener();
     serve_endpoints(list, &[("a", backend)]);
     let known = help::endpoint_list(&[("a", backend)]);
-    TestGateway::start(name, at, |told| {
-        change(told.replace(r#"{"index": 0, "snapshot": true, "endpoints": []}"#, &known))
+    TestGateway::start(name, at, |configuration| {
+        change(configuration.replace(r#"{"index": 0, "snapshot": true, "endpoints": []}"#, &known))
     })
 }
 
@@ -51,14 +51,15 @@
 fn with_short_times_all_is_answered_before_the_kill() {
     let (backend, at) = free_listener();
     let seen = silent_backend(backend);
-    let mut gateway = gateway_with_backend("short", at, |told| {
-        told.replace("\"give_up_us\": 3000000", "\"give_up_us\": 1000000")
+    let mut gateway = gateway_with_backend("short", at, |configuration| {
+        configuration
+            .replace("\"give_up_us\": 3000000", "\"give_up_us\": 1000000")
             .replace("\"give_up_us\": 1500000", "\"give_up_us\": 1000000")
     });
     let mut client = gateway.connect();
     send_request(&mut client, "order", 1000);
     seen.recv_timeout(5 * SECOND).expect("delivered");
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     gateway.signal(Signal::SIGTERM);
     // It stays open, for it is owed an answer; more comes on it, the last one so late that its time would outlast the kill.
     sleep(4 * TENTH_OF_A_SECOND);
@@ -70,7 +71,11 @@
     let waited = sent.elapsed();
     assert_eq!(said.matches("-ERR failed").count(), 3, "{said}");
     assert!(waited < 8 * TENTH_OF_A_SECOND, "the last one was answered after {waited:?}");
-    assert!(gateway.exit_code() == Some(0) && told.elapsed() < 3 * SECOND, "gone after {:?}", told.elapsed());
+    assert!(
+        gateway.exit_code() == Some(0) && signalled_at.elapsed() < 3 * SECOND,
+        "gone after {:?}",
+        signalled_at.elapsed()
+    );
 }
 
 /// Guards: with times over 3 s what was held at the kill was answered by nobody: the exit came after it.
@@ -78,17 +83,18 @@
 fn with_long_times_all_is_answered_before_the_kill() {
     let (backend, at) = free_listener();
     let seen = silent_backend(backend);
-    let mut gateway = gateway_with_backend("long", at, |told| {
-        told.replace("\"give_up_us\": 3000000", "\"give_up_us\": 8000000")
+    let mut gateway = gateway_with_backend("long", at, |configuration| {
+        configuration
+            .replace("\"give_up_us\": 3000000", "\"give_up_us\": 8000000")
             .replace("\"cancel\": true", "\"cancel\": false")
     });
     let mut client = gateway.connect();
     send_request(&mut client, "order", 8000);
     seen.recv_timeout(5 * SECOND).expect("delivered");
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     gateway.signal(Signal::SIGTERM);
     let said = read_to_end(client);
-    let answered = told.elapsed();
+    let answered = signalled_at.elapsed();
     assert_eq!(said, "-ERR failed\r\n");
     assert!(answered < 5 * SECOND && gateway.exit_code() == Some(0), "answered after {answered:?}");
 }
@@ -103,9 +109,10 @@
     // After SIGHUP it asks the new address for all of its list.
     let (moved, moved_at) = free_listener();
     serve_endpoints(list, &[("a", at)]);
-    let gateway = TestGateway::start("first", at, |told| told);
-    let told = std::fs::read_to_string(&gateway.file).expect("written");
-    std::fs::write(&gateway.file, told.replace(&at.to_string(), &moved_at.to_string())).expect("a file");
+    let gateway = TestGateway::start("first", at, |configuration| configuration);
+    let configuration = std::fs::read_to_string(&gateway.file).expect("written");
+    std::fs::write(&gateway.file, configuration.replace(&at.to_string(), &moved_at.to_string()))
+        .expect("a file");
     gateway.signal(Signal::SIGHUP);
     let (mute, _) = moved.accept().expect("the first call comes");
     let from = Instant::now();
@@ -136,7 +143,7 @@
         }
         Ok(())
     });
-    let _world = TestGateway::start("silent", at, |told| told);
+    let _world = TestGateway::start("silent", at, |configuration| configuration);
     let mut last = calls.recv_timeout(5 * SECOND).expect("the first");
     for call in 2..12 {
         let next = calls.recv_timeout(5 * SECOND).expect("one more");
@@ -156,8 +163,9 @@
 #[test]
 fn a_connection_that_ends_as_it_comes_up_has_run_nothing() {
     let (mut backend, at) = FullBacklogBackend::new();
-    let gateway = gateway_with_backend("ends", at, |told| {
-        told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
+    let gateway = gateway_with_backend("ends", at, |configuration| {
+        configuration
+            .replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
             .replace("\"aim_us\": 1000000", "\"aim_us\": 2900000") // no second choice is too late
     });
     let mut client = gateway.connect();
@@ -175,8 +183,8 @@
 #[test]
 fn what_is_called_off_as_its_connection_comes_up_is_not_written() {
     let (mut backend, at) = FullBacklogBackend::new();
-    let gateway = gateway_with_backend("off", at, |told| {
-        told.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
+    let gateway = gateway_with_backend("off", at, |configuration| {
+        configuration.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
     });
     let mut client = gateway.connect();
     send_request(&mut client, "order", 2900);
@@ -195,8 +203,8 @@
 #[test]
 fn a_connection_that_ends_behind_an_answer_is_not_taken_for_the_next_attempt() {
     let (backend, at) = free_listener();
-    let gateway = gateway_with_backend("answer-and-end", at, |told| {
-        told.replace("\"aim_us\": 1000000", "\"aim_us\": 2900000") // no second choice is too late
+    let gateway = gateway_with_backend("answer-and-end", at, |configuration| {
+        configuration.replace("\"aim_us\": 1000000", "\"aim_us\": 2900000") // no second choice is too late
     });
     let mut client = gateway.connect();
     send_request(&mut client, "order", 2900);
@@ -219,8 +227,9 @@
 fn a_client_that_leaves_behind_much_that_it_wrote_is_seen_to_leave() {
     let (backend, at) = free_listener();
     let seen = silent_backend(backend);
-    let gateway =
-        gateway_with_backend("behind", at, |told| told.replace("\"depth\": 12", "\"depth\": 100000"));
+    let gateway = gateway_with_backend("behind", at, |configuration| {
+        configuration.replace("\"depth\": 12", "\"depth\": 100000")
+    });
     let mut client = gateway.connect();
     let many: String = (0..4000).map(|_| toy::invocation("order", 2900)).collect();
     client.write_all(many.as_bytes()).expect("the machine takes it");
@@ -237,8 +246,9 @@
 #[test]
 fn a_client_that_leaves_while_it_waits_for_room_is_seen_to_leave() {
     let (_backend, at) = free_listener();
-    let gateway =
-        gateway_with_backend("room", at, |told| told.replace("\"memory_mb\": 192", "\"memory_mb\": 1"));
+    let gateway = gateway_with_backend("room", at, |configuration| {
+        configuration.replace("\"memory_mb\": 192", "\"memory_mb\": 1")
+    });
     let half = |bytes: usize| {
         let head = toy::invocation("order", 2900).replace("$4\r\nbody\r\n", "$900000\r\n");
         head + &"x".repeat(bytes)
@@ -263,7 +273,7 @@
 #[test]
 fn an_idle_connection_on_which_something_has_come_is_not_closed() {
     let (_backend, at) = free_listener();
-    let gateway = gateway_with_backend("idle", at, |told| told);
+    let gateway = gateway_with_backend("idle", at, |configuration| configuration);
     let mut client = gateway.connect();
     sleep(SECOND);
     gateway.pause();
--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -29,13 +29,13 @@
 struct List {
     down: Arc<AtomicBool>,
     returned: Arc<AtomicBool>,
-    told: Receiver<Instant>,
+    requests: Receiver<Instant>,
 }
 
 impl List {
     fn start(listener: TcpListener, before: String, after: String) -> List {
         let (down, returned) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        let (to, told) = channel();
+        let (to, requests) = channel();
         let (is_down, has_returned) = (down.clone(), returned.clone());
         toy::each(listener, move |stream| {
             let mut from = BufReader::new(stream.try_clone()?);
@@ -58,7 +58,7 @@
             }
             Ok(())
         });
-        List { down, returned, told }
+        List { down, returned, requests }
     }
 
     fn stop(&self) {
@@ -113,11 +113,11 @@
 fn start_configured(name: &str, configured: usize, list: SocketAddr) -> (GatewayProcess, SocketAddr) {
     let ((counter, counter_at), at) = (free_listener(), own_address(7400));
     toy::counter(counter);
-    let told = example_configuration(list, counter_at)
+    let configuration = example_configuration(list, counter_at)
         .replace("127.0.0.1:7400", &at.to_string())
         .replace("\"sockets\": 1024", &format!("\"sockets\": {configured}"));
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("descriptors-{name}.json"));
-    std::fs::write(&file, told).expect("a file");
+    std::fs::write(&file, configuration).expect("a file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", file).stderr(Stdio::null());
     // Only a limit is set between fork and exec.
@@ -173,13 +173,13 @@
     let flood = Flood::start(at);
     client.ping_for(SECOND);
     let from = list.restart();
-    let mut told = None;
-    while told.is_none() && from.elapsed() < 8 * SECOND {
+    let mut polled_at = None;
+    while polled_at.is_none() && from.elapsed() < 8 * SECOND {
         client.ping_for(Duration::from_millis(50));
-        told = list.told.try_recv().ok();
+        polled_at = list.requests.try_recv().ok();
     }
-    let told = told.expect("the list service was not reached in 8 s");
-    assert!(told - from < 2 * SECOND, "told after {:?}", told - from);
+    let polled_at = polled_at.expect("the list service was not reached in 8 s");
+    assert!(polled_at - from < 2 * SECOND, "told after {:?}", polled_at - from);
     let said = client.request(toy::invocation("look", 1000).as_bytes());
     assert_eq!(said, "b look", "with the counter and a new backend");
     assert!(flood.connected.load(Ordering::Relaxed) > DESCRIPTORS as usize);
--- a/gateway/tests/handover.rs
+++ b/gateway/tests/handover.rs
@@ -20,14 +20,14 @@
 }
 
 fn program(folder: &Path, mgmt: &str) -> Command {
-    let told =
+    let configuration =
         include_str!("../../examples/configuration.json").replace("127.0.0.1:7403", "127.0.0.1:0").replace(
             r#""endpoints": []"#,
             r#""endpoints": [{"name": "s-a", "address": "127.0.0.1:9", "zone": "z", "group": 0,
             "status": "SERVING", "weight": 1.0, "since_ms": 0}]"#,
         );
     let file = folder.join("told.json");
-    std::fs::write(&file, told).expect("a file");
+    std::fs::write(&file, configuration).expect("a file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", file).env("TMPDIR", folder).env("EDGE_MGMT", mgmt).stderr(Stdio::piped());
     program
@@ -179,8 +179,8 @@
     std::fs::write(folder.join("quillramp-n0.json"), "{\"out\": 3").expect("a file");
     let (mgmt, listen) = (free_listener().1, free_listener().1);
     let mut program = program(&folder, &mgmt.to_string());
-    let told = std::fs::read_to_string(folder.join("told.json")).expect("written");
-    std::fs::write(folder.join("told.json"), told.replace("127.0.0.1:7400", &listen.to_string()))
+    let configuration = std::fs::read_to_string(folder.join("told.json")).expect("written");
+    std::fs::write(folder.join("told.json"), configuration.replace("127.0.0.1:7400", &listen.to_string()))
         .expect("a file");
     let _door = GatewayProcess(program.spawn().expect("the program starts"));
     assert_eq!(admin_call(mgmt, "GET /healthcheck"), "200 serving");
--- a/gateway/tests/help/mod.rs
+++ b/gateway/tests/help/mod.rs
@@ -103,9 +103,10 @@
     pub fn start(name: &str, list: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
         let ((counter, counter_at), at) = (free_listener(), own_address(7400));
         toy::counter(counter);
-        let told = change(example_configuration(list, counter_at).replace("127.0.0.1:7400", &at.to_string()));
+        let configuration =
+            change(example_configuration(list, counter_at).replace("127.0.0.1:7400", &at.to_string()));
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("crossing-{name}.json"));
-        std::fs::write(&file, told).expect("a file");
+        std::fs::write(&file, configuration).expect("a file");
         let mut process = start_gateway(&file);
         let (to, log) = channel();
         let lines = BufReader::new(process.stderr.take().expect("piped")).lines();
--- a/gateway/tests/identity.rs
+++ b/gateway/tests/identity.rs
@@ -86,12 +86,13 @@
     serve_endpoints(list, &[("a", a_at), ("b", b_at)]);
     let ((own, at), (operators, mgmt)) = (free_listener(), free_listener());
     drop((own, operators));
-    let told = example_configuration(list_at, counter_at).replace("127.0.0.1:7400", &at.to_string()).replace(
-        "\"tariffs\": [",
-        "\"tariffs\": [{\"name\": \"plenty\", \"per_second\": 50000, \"depth\": 50000, \"parallel\": 0, \
+    let configuration =
+        example_configuration(list_at, counter_at).replace("127.0.0.1:7400", &at.to_string()).replace(
+            "\"tariffs\": [",
+            "\"tariffs\": [{\"name\": \"plenty\", \"per_second\": 50000, \"depth\": 50000, \"parallel\": 0, \
          \"ceiling_rate\": 0, \"ceiling_slack\": 0, \"hard_burst\": 0}, ",
-    );
-    std::fs::write(folder.join("told.json"), told).expect("written");
+        );
+    std::fs::write(folder.join("told.json"), configuration).expect("written");
     std::fs::write(folder.join("operator.toml"), text).expect("written");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     program.env("EDGE_CONFIG", folder.join("told.json")).env("EDGE_OPERATOR", folder.join("operator.toml"));
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -30,11 +30,11 @@
     toy::backend(backend, "a");
     toy::counter(counter);
     serve_endpoints(list, &[("a", backend_at)]);
-    let told = example_configuration(list_at, counter_at)
+    let configuration = example_configuration(list_at, counter_at)
         .replace("127.0.0.1:7400", &listen.to_string())
         .replace("\"memory_mb\": 192", "\"memory_mb\": 1");
     let good = folder.join("good.json");
-    std::fs::write(&good, &told).expect("a file");
+    std::fs::write(&good, &configuration).expect("a file");
     let mut started = GatewayProcess(start_gateway(&good));
     let door = &mut started.0;
     wait_until_ready(&[listen]);
@@ -57,8 +57,8 @@
     text += &format!("{} answers\n", ahead.lines().count());
     let pid = Pid::from_raw(i32::try_from(door.id()).expect("a process id"));
     // Read again: what can't be read leaves the old one in force, and what can moves list and counter over.
-    for told in ["{", &told.replace(&counter_at.to_string(), "127.0.0.1:1")] {
-        std::fs::write(&good, told).expect("a file");
+    for configuration in ["{", &configuration.replace(&counter_at.to_string(), "127.0.0.1:1")] {
+        std::fs::write(&good, configuration).expect("a file");
         kill(pid, Signal::SIGHUP).expect("it runs");
         sleep(Duration::from_millis(100));
         text += &exchange(listen, &toy::invocation("look", 1000), 1);
@@ -121,11 +121,11 @@
                  "ceiling_rate": 0, "ceiling_slack": 0, "hard_burst": 0}, "#,
         );
     let (mut doors, mut at) = (vec![], vec![]);
-    for (slot, told) in [&example, &example, &fresh, &fresh].into_iter().enumerate() {
+    for (slot, configuration) in [&example, &example, &fresh, &fresh].into_iter().enumerate() {
         let (_, listen) = free_listener();
         let file = folder.join(format!("mixed-{slot}.json"));
-        let told = told.replace("127.0.0.1:7400", &listen.to_string());
-        std::fs::write(&file, told.replace("\"slot_no\": 0", &format!("\"slot_no\": {slot}")))
+        let configuration = configuration.replace("127.0.0.1:7400", &listen.to_string());
+        std::fs::write(&file, configuration.replace("\"slot_no\": 0", &format!("\"slot_no\": {slot}")))
             .expect("a file");
         doors.push(GatewayProcess(start_gateway(&file)));
         at.push(listen);
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -24,9 +24,9 @@
 /// Its configuration, with the list service there.
 fn configuration(name: &str, list: SocketAddr) -> (PathBuf, SocketAddr) {
     let (at, counter) = (own_address(7400), own_address(7402));
-    let told = example_configuration(list, counter).replace("127.0.0.1:7400", &at.to_string());
+    let text = example_configuration(list, counter).replace("127.0.0.1:7400", &at.to_string());
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("readiness-{name}.json"));
-    std::fs::write(&file, told).expect("a file");
+    std::fs::write(&file, text).expect("a file");
     (file, at)
 }
 
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -18,20 +18,20 @@
 
 /// An instance with so many descriptors that shares its listening socket or not, and that operators may call or not.
 pub fn bench_configured(max_descriptors: usize, inherited_listener: bool, admin: bool) -> Bench {
-    let told = configuration::decode(CONFIGURATION.as_bytes()).expect("a good configuration");
+    let loaded = configuration::decode(CONFIGURATION.as_bytes()).expect("a good configuration");
     let settings =
-        quillramp::settings::load(told.seed, told.settings.get().as_bytes()).expect("good settings");
+        quillramp::settings::load(loaded.seed, loaded.settings.get().as_bytes()).expect("good settings");
     let config = ReducerConfig {
-        peers: told.peers,
-        peer_broadcast: told.peers_all,
-        counter: told.counter,
-        discovery: told.discovery,
+        peers: loaded.peers,
+        peer_broadcast: loaded.peers_all,
+        counter: loaded.counter,
+        discovery: loaded.discovery,
         max_descriptors,
         inherited_listener,
         admin_enabled: admin,
         saves_changes: admin,
     };
-    let reducer = Reducer::new(1000.0, settings, config, &told.known);
+    let reducer = Reducer::new(1000.0, settings, config, &loaded.known);
     let mut bench = Bench { reducer, now: 1000.0, id: 1, text: String::new() };
     bench.settle();
     bench.text.clear();
@@ -64,29 +64,31 @@
             answer.encode(&mut out);
             format!("client {id}: {}", String::from_utf8_lossy(&out).trim_end().replace("\r\n", " "))
         }
-        Effect::SendAttempt { connection, call, timeout_ms: wait_ms, .. } => {
+        Effect::SendAttempt { connection, call, timeout_ms, .. } => {
             let operation = String::from_utf8_lossy(call.operation());
-            format!("backend link {connection}: {operation} for {wait_ms} ms")
+            format!("backend link {connection}: {operation} for {timeout_ms} ms")
         }
         Effect::Withdraw { connection, delivery } => {
             format!("backend link {connection}: withdraw {delivery} if not begun")
         }
-        Effect::HttpRequest(conn, Request::AddToCounter { add, .. }) => format!("{conn:?}: add {add}"),
-        Effect::HttpRequest(conn, Request::WatchEndpoints { since, wait_ms: 1 }) => {
-            format!("{conn:?}: since {since}, at once")
+        Effect::HttpRequest(connection, Request::AddToCounter { add, .. }) => {
+            format!("{connection:?}: add {add}")
         }
-        Effect::HttpRequest(conn, Request::WatchEndpoints { since, .. }) => {
-            format!("{conn:?}: watch since {since}")
+        Effect::HttpRequest(connection, Request::WatchEndpoints { since, wait_ms: 1 }) => {
+            format!("{connection:?}: since {since}, at once")
         }
-        Effect::HttpRequest(conn, Request::List) => format!("{conn:?}: list"),
-        Effect::Connect(conn, to) => format!("connect {conn:?} to {to}"),
+        Effect::HttpRequest(connection, Request::WatchEndpoints { since, .. }) => {
+            format!("{connection:?}: watch since {since}")
+        }
+        Effect::HttpRequest(connection, Request::List) => format!("{connection:?}: list"),
+        Effect::Connect(connection, to) => format!("connect {connection:?} to {to}"),
         Effect::SendDatagram(to, body) => format!("datagram of {} to {to}", body.len()),
         Effect::Close(_) => return None, // its log line tells
         Effect::Log(line) => format!("log: {line}"),
         Effect::LogClosed(end) => format!("log: {end}"),
         Effect::AdminRespond(id, r) => format!("operator {id}: {} {}", r.status, r.body.trim_end()),
         Effect::AnnounceDescriptorLimit(most) => format!("will hold {most} descriptors at the most"),
-        Effect::Reject(id, why) => format!("client {id} is not taken in: {why}"),
+        Effect::Reject(id, reason) => format!("client {id} is not taken in: {reason}"),
         Effect::SaveChange(_, change) => format!("keep {change:?}"),
         Effect::CloseIfIdle(_, CloseReason::Idle) => return None, // see `settle`
         Effect::CloseIfIdle(id, _) => format!("part with client {id} if it is quiet"),
@@ -181,8 +183,8 @@
             more,
         ))
     }
-    pub fn ended(&mut self, conn: ConnectionId, why: CloseReason, unsent: bool) -> &mut Self {
-        self.event(Event::ConnectionEnded { connection: conn, reason: why, unsent })
+    pub fn ended(&mut self, connection: ConnectionId, reason: CloseReason, unsent: bool) -> &mut Self {
+        self.event(Event::ConnectionEnded { connection, reason, unsent })
     }
     pub fn counter(&mut self, id: u64, status: u16, body: &str) -> &mut Self {
         self.event(Event::HttpResponse(
@@ -238,8 +240,9 @@
 
 /// A front door under this operator's file.
 pub fn reload_operator_file(b: &mut Bench, text: &str) {
-    let told = configuration::decode(CONFIGURATION.as_bytes()).expect("a good configuration");
-    let start = quillramp::settings::load(told.seed, told.settings.get().as_bytes()).expect("good settings");
+    let loaded = configuration::decode(CONFIGURATION.as_bytes()).expect("a good configuration");
+    let start =
+        quillramp::settings::load(loaded.seed, loaded.settings.get().as_bytes()).expect("good settings");
     let platform = operator::platform(&start.instance, 1024);
     let read = quillramp_operator::read(text, Some(&platform)).expect("a good file");
     b.event(Event::OperatorFileReloaded(Box::new(operator::operator_update(read, &platform))));
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -35,8 +35,8 @@
     let (list, list_at) = free_listener();
     serve_endpoints(list, &[("a", at)]);
     let none = r#"{"index": 0, "snapshot": true, "endpoints": []}"#;
-    TestGateway::start(&format!("stalled-{name}"), list_at, |told| {
-        told.replace(none, &help::endpoint_list(&[("a", at)]))
+    TestGateway::start(&format!("stalled-{name}"), list_at, |configuration| {
+        configuration.replace(none, &help::endpoint_list(&[("a", at)]))
     })
 }
 
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -64,7 +64,7 @@
             r#"{{"index":1,"snapshot":true,"endpoints":[{{"name":"s-a","address":"{behind_at}","zone":"z","group":0,"status":"SERVING","weight":1.0,"since_ms":0}}]}}"#
         ),
     );
-    let told = include_str!("../../examples/configuration.json")
+    let configuration = include_str!("../../examples/configuration.json")
         .replace("127.0.0.1:7400", &listen.to_string())
         .replace("127.0.0.1:7401", &list_at.to_string())
         .replace("127.0.0.1:7402", &counter_at.to_string())
@@ -75,7 +75,7 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("told.json");
-    std::fs::write(&file, told).expect("a file");
+    std::fs::write(&file, configuration).expect("a file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
     let process = GatewayProcess(
         program.env("EDGE_CONFIG", file).env("TMPDIR", folder).spawn().expect("the program starts"),
