--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -147,7 +147,7 @@
             }
             ReplyStage::Trailer => {
                 let trailer = resp::decode_trailer(bytes).map_err(|_| CloseReason::BadFraming)?;
-                let Some(((billed, report), length)) = trailer else { return Ok(DecodeStep::Partial) };
+                let Some(((billed, report), length)) = trailer else { return Ok(DecodeStep::Blocked) };
                 self.stage = ReplyStage::Head;
                 let event = Event::StreamTrailer(id, billed, report, length < bytes.len());
                 Ok(DecodeStep::Message(event, length))
