--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -14,8 +14,8 @@
 use quillramp_gateway::sockets::driver::{Connections, Driver};
 use quillramp_gateway::sockets::event_queue::{EventQueue, TimerError};
 use quillramp_gateway::sockets::gossip_socket::{BindError, GossipSocket};
+use quillramp_gateway::state::descriptors::max_clients;
 use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
-use quillramp_gateway::state::room;
 use quillramp_operator::routes::Platform;
 use quillramp_operator::OperatorSettings;
 use std::convert::Infallible;
@@ -176,7 +176,7 @@
         let configuration = &files.configuration;
         let max_descriptors = descriptors::allowed(configuration.limits.sockets);
         let memory_bytes = configuration.limits.memory_mb << MEBIBYTE_SHIFT;
-        let max_clients = room::most_clients(max_descriptors);
+        let max_clients = max_clients(max_descriptors);
         let shared = AcceptorContext {
             context: ConnectionContext::new(events.clone(), memory_bytes, max_clients),
             connections: Arc::new(Connections::default()),
@@ -223,8 +223,9 @@
             saves_changes: self.handover.keeper.is_some(),
         };
         let mut reducer = Reducer::new(clock.now(), files.loaded, config, &configuration.known);
-        reducer.share_is(clock.now(), self.handover.shared.clone());
-        reducer.declares(clock.now(), operator::operator_update(files.operator, &files.platform));
+        reducer.update_shared_state(clock.now(), self.handover.shared.clone());
+        reducer
+            .apply_operator_update(clock.now(), operator::operator_update(files.operator, &files.platform));
         reducer
     }
 }
--- /dev/null
+++ b/gateway/src/state/presence.rs
@@ -0,0 +1,111 @@
+//! Presence: counters by which instances learn which of them reach the counter. Calls on these go where all calls to the
+//! counter go, under numbers that no customer has.
+use super::event::Effect;
+use super::reducer::Reducer;
+use super::timers::TimerKind;
+use quillramp::settings::InstanceSettings;
+use quillramp::types::*;
+use quillramp_presence::{Count, Membership};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The lowest number that stands for a group of instances, where customers' numbers lie below.
+const FIRST_GROUP_NUMBER: u64 = 1 << 40;
+
+/// Which instances the counter hears of.
+pub struct PresenceState {
+    membership: Membership,
+    /// The time between two calls, in seconds.
+    interval: f64,
+    /// Groups of instances, by the customer index that stands for them.
+    groups: BTreeMap<CustomerIndex, usize>,
+    /// The instances that were logged as absent.
+    absent: BTreeSet<usize>,
+    /// When its timer is due, in seconds; an earlier one is left over from other settings.
+    next_call: f64,
+}
+
+impl PresenceState {
+    fn new(now: f64, interval: f64, settings: &InstanceSettings) -> PresenceState {
+        PresenceState {
+            membership: Membership::new(settings.instances, settings.instance_index, interval),
+            interval,
+            groups: BTreeMap::new(),
+            absent: BTreeSet::new(),
+            next_call: now,
+        }
+    }
+
+    /// Whether this counter is a group's.
+    pub fn owns_counter(&self, key: CounterKey) -> bool {
+        self.groups.contains_key(&key.customer)
+    }
+
+    /// Takes the result of a call.
+    pub fn counter_answered(&mut self, now: f64, key: CounterKey, result: CounterResult) {
+        let Some(&group) = self.groups.get(&key.customer) else { return };
+        let total = if let CounterResult::Total(total) = result { Some(total) } else { None };
+        self.membership.call_answered(now, Count { group, interval: key.series }, total);
+    }
+
+    /// The fraction of these instances that the counter does not hear of. They are watched from now on.
+    pub fn absent_fraction(&mut self, now: f64, instances: InstanceRange) -> f64 {
+        self.membership.watch(now, instances.first, instances.count);
+        1.0 - self.membership.present_fraction(now, instances.first, instances.count)
+    }
+}
+
+impl Reducer {
+    /// Instances look which of them reach the counter, once in so many seconds, or do no longer.
+    pub(super) fn set_presence_interval(&mut self, now: f64, interval: Option<f64>) {
+        if self.presence.as_ref().map(|presence| presence.interval) == interval {
+            return;
+        }
+        let line = match interval {
+            None => "no roster on the counter".into(),
+            Some(interval) => format!("roster on the counter, every {interval} s"),
+        };
+        self.effects.push(Effect::Log(line));
+        let settings = &self.instance;
+        self.presence = interval.map(|interval| PresenceState::new(now, interval, settings));
+        if interval.is_some() {
+            self.timers.schedule(now, TimerKind::PresenceCall);
+        }
+    }
+
+    /// Makes the calls that are due; the timer is repeated for as long as there is an interval.
+    pub(super) fn call_presence_counters(&mut self, now: f64) {
+        let Some(presence) = &mut self.presence else { return };
+        if now < presence.next_call {
+            return;
+        }
+        let mut calls = vec![];
+        for call in presence.membership.due_calls(now) {
+            let group = call.count.group;
+            let customer = self.customers.intern(&(FIRST_GROUP_NUMBER + group as u64));
+            presence.groups.insert(customer, group);
+            let key = CounterKey { customer, series: call.count.interval };
+            calls.push(CounterCall { key, delta: call.amount, lifetime: call.lifetime });
+        }
+        let absent = presence.membership.absent(now);
+        if absent != presence.absent {
+            let line = format!("instances that do not reach the counter: {}", instance_list(&absent));
+            self.effects.push(Effect::Log(line));
+            presence.absent = absent;
+        }
+        let next_call = presence.membership.next_call(now);
+        presence.next_call = next_call;
+        for call in calls {
+            self.call_counter(now, call);
+        }
+        self.timers.schedule(next_call, TimerKind::PresenceCall);
+    }
+}
+
+fn instance_list(instances: &BTreeSet<usize>) -> String {
+    let names: Vec<String> = instances.iter().map(usize::to_string).collect();
+    if names.is_empty() {
+        "none".into()
+    } else {
+        names.join(", ")
+    }
+}
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -110,7 +110,7 @@
             new.inbox.push(Event::ClientAccepted(client, IpAddr::V4(Ipv4Addr::LOCALHOST)));
         }
         if let Some(update) = update {
-            new.reducer.declares(now, update);
+            new.reducer.apply_operator_update(now, update);
         }
         Ok(new)
     }
