--- a/gateway/tests/reducer/descriptors.rs
+++ b/gateway/tests/reducer/descriptors.rs
@@ -48,7 +48,7 @@
         0.500 connect Counter(4) to 127.0.0.1:7007
         0.540 backend link 3: order for 759 ms
         0.580 log: connection counter 4 ended: dial-timeout
-        0.580 log: counter silent: 4 calls missed in 0.58 s; even slices
+        0.580 log: counter unresponsive: 4 calls missed in 0.58 s; even shares stand in
         1.300 log: connection backend 3 s-a ended: gave-up
         1.300 client 3: -ERR failed
         2.500 log: connection client 1 ended: idle
--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -134,7 +134,7 @@
     pub(super) fn counter_responded(&mut self, now: f64) {
         if self.counter.unresponsive {
             let gap = now - self.counter.last_answer_at;
-            self.effects.log.push(format!("counter answers again after {gap:.2} s; leases resume"));
+            self.effects.log.push(format!("counter recovered after {gap:.2} s; leases resume"));
             let reduced = self.counter.call_rate * RECOVERY_RATE_FRACTION;
             self.counter.call_rate = reduced.max(MIN_CALL_RATE / self.instances);
         }
@@ -154,7 +154,8 @@
         if !counter.unresponsive && misses >= MISSES_UNTIL_UNRESPONSIVE && gap > CALL_SAVING_SPAN {
             counter.unresponsive = true;
             counter.schedule_next_probe(now);
-            let line = format!("counter silent: {misses} calls missed in {gap:.2} s; even slices");
+            let line =
+                format!("counter unresponsive: {misses} calls missed in {gap:.2} s; even shares stand in");
             self.effects.log.push(line);
         }
     }
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -35,14 +35,14 @@
         30.100 1 comes: not yet; count 1: +2.00
         30.140 1: to 2
         30.200 2 comes: not yet; count 1: +2.00
-        30.240 2: to 3; log: counter silent: 5 calls missed in 0.24 s; even slices
+        30.240 2: to 3; log: counter unresponsive: 5 calls missed in 0.24 s; even shares stand in
         30.300 3 comes: to 1
         30.400 4 comes: throttled, 0.64 s
         30.500 5 comes: throttled, 0.54 s; count 1: +0.00
         30.600 6 comes: throttled, 0.44 s
         30.700 7 comes: throttled, 0.34 s
         31.000 0: to 1; 1: to 0; 2: to 1; 3: to 2; 8 comes: throttled, 0.05 s; count 1: +0.00
-        31.010 log: counter answers again after 1.01 s; leases resume"#]]);
+        31.010 log: counter recovered after 1.01 s; leases resume"#]]);
 }
 
 /// Guards: a counter that is far away, or slow at its best, was taken for an overloaded one: the call rate fell to its minimum.
--- a/tests/policy/even_shares.rs
+++ b/tests/policy/even_shares.rs
@@ -56,7 +56,7 @@
     harness.submit(40.3, 0, 1.0);
     harness.expect_trace(expect![[r#"
         40.000 10 comes: to 0; count 1: +0.00
-        40.010 log: counter answers again after 10.01 s; leases resume
+        40.010 log: counter recovered after 10.01 s; leases resume
         40.300 11 comes: not yet; count 1: +2.05"#]]);
 }
 
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -75,13 +75,13 @@
         33.000 1 comes: not yet; count 1: +1.00; count 1: +5.00; 1: to 0
         33.200 1 Broken: throttled, 1.00 s
         36.000 2 comes: not yet; count 1: +1.00; count 1: +5.00; 2: to 0
-        36.200 2 Broken: throttled, 1.00 s; log: backend 0 aside for 1 s: 3 bad in a row, last Broken
+        36.200 2 Broken: throttled, 1.00 s; log: backend 0 ejected for 1 s: 3 failures in a row, last Broken
         39.000 3 comes: not yet; count 1: +1.00; count 1: +5.00; 3: to 0
-        39.200 3 Broken: throttled, 1.00 s; log: backend 0 aside for 2 s: 4 bad in a row, last Broken
+        39.200 3 Broken: throttled, 1.00 s; log: backend 0 ejected for 2 s: 4 failures in a row, last Broken
         42.000 4 comes: not yet; count 1: +1.00; count 1: +5.00; 4: to 0
-        42.200 4 Broken: throttled, 1.00 s; log: backend 0 aside for 4 s: 5 bad in a row, last Broken
+        42.200 4 Broken: throttled, 1.00 s; log: backend 0 ejected for 4 s: 5 failures in a row, last Broken
         47.000 5 comes: not yet; count 1: +1.00; count 1: +9.00; 5: to 0
-        47.100 5 Succeeded: not yet; tells BackendRecovered { backend: 0 }; log: backend 0 back: answered in 0.100 s"#]]);
+        47.100 5 Succeeded: not yet; tells BackendRecovered { backend: 0 }; log: backend 0 recovered: answered in 0.100 s"#]]);
 }
 
 /// Guards: clients that disconnect very early and try again: two cancelled attempts ejected the backend.
@@ -148,5 +148,5 @@
     harness.answer_counter_calls(30.0);
     let outcome = succeeded(2.9);
     let output = harness.engine.attempt_ended(33.0, request, &outcome); // the timer of 30.25 has not fired yet
-    expect!["stood still for 2.75 s"].assert_eq(&output.effects.log.join("\n"));
+    expect!["process stalled for 2.75 s"].assert_eq(&output.effects.log.join("\n"));
 }
