--- a/gateway/tests/clients_that_leave/world.rs
+++ b/gateway/tests/clients_that_leave/world.rs
@@ -155,11 +155,19 @@
 ) -> TestGateway {
     let (list, at) = free_listener();
     serve_endpoints(list, &[("a", backend)]);
-    TestGateway::start(&format!("leave-{name}"), at, |configuration| {
+    start_gateway(name, at, |configuration| {
         change(with_known_backends(with_long_timeouts(configuration), &[("a", backend)]))
     })
 }
 
+/// Starts a front door. The connection by which its start is waited for has ended when this returns, and the log says no more
+/// of it: what it says next of a client that left is said of a test's own.
+fn start_gateway(name: &str, list: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
+    let gateway = TestGateway::start(&format!("leave-{name}"), list, change);
+    wait_until_client_is_gone(&gateway, Disconnect::Fin);
+    gateway
+}
+
 /// A front door that knows the backend `a`, and is told that it drains and `b` is there once the test says so.
 pub fn gateway_with_replaced_backend(
     name: &str,
@@ -183,7 +191,7 @@
         }
         Ok(())
     });
-    let gateway = TestGateway::start(&format!("leave-{name}"), at, |configuration| {
+    let gateway = start_gateway(name, at, |configuration| {
         change(with_known_backends(with_long_timeouts(configuration), &[("a", a)]))
     });
     (gateway, replace_backend)
