--- /dev/null
+++ b/emulator/src/addresses.rs
@@ -0,0 +1,43 @@
+//! The addresses of a simulated deployment: a network for each kind of party, on loopback.
+use std::net::SocketAddr;
+
+const BACKEND_NETWORK: u8 = 1;
+const COUNTER_NETWORK: u8 = 2;
+const DISCOVERY_NETWORK: u8 = 3;
+const INSTANCE_NETWORK: u8 = 4;
+const BROADCAST_NETWORK: u8 = 5;
+
+const BACKEND_PORT: u16 = 7000;
+const COUNTER_PORT: u16 = 6400;
+const DISCOVERY_PORT: u16 = 8500;
+const DATAGRAM_PORT: u16 = 7946;
+
+/// Large fleets go on in the next network.
+fn address(network: u8, index: usize, port: u16) -> SocketAddr {
+    SocketAddr::from(([127, (index >> 8) as u8, network, index as u8], port))
+}
+
+/// Where a backend listens.
+pub fn backend(index: usize) -> SocketAddr {
+    address(BACKEND_NETWORK, index, BACKEND_PORT)
+}
+
+/// Where the counter listens: at one of two addresses.
+pub fn counter(index: usize) -> SocketAddr {
+    address(COUNTER_NETWORK, index, COUNTER_PORT)
+}
+
+/// Where the discovery service listens: at one of two addresses.
+pub fn discovery(index: usize) -> SocketAddr {
+    address(DISCOVERY_NETWORK, index, DISCOVERY_PORT)
+}
+
+/// Where a gateway instance gets datagrams.
+pub fn instance(index: usize) -> SocketAddr {
+    address(INSTANCE_NETWORK, index, DATAGRAM_PORT)
+}
+
+/// The address that reaches all gateway instances.
+pub fn broadcast() -> SocketAddr {
+    address(BROADCAST_NETWORK, 1, DATAGRAM_PORT)
+}
--- /dev/null
+++ b/emulator/src/checker/client_responses.rs
@@ -0,0 +1,327 @@
+//! Checks that each command of a client gets one final response, in order and in time.
+use super::request::{AttemptOutcome, RequestEvent, RequestRecord};
+use super::response::escape;
+use super::{parse_response, Checker, Invariant, ResponseKind, SHUTDOWN_INTAKE, TOLERANCE};
+use crate::network::LinkId;
+use quillramp::types::Idempotency;
+use quillramp_gateway::wire::resp;
+use std::collections::VecDeque;
+
+/// A client whose bytes can't be parsed gets an error, or the end of its connection, within so many seconds.
+const MALFORMED_TIMEOUT: f64 = 3.0;
+/// Time for the response to a command that is not a request, in seconds.
+const COMMAND_TIMEOUT: f64 = 1.0;
+/// Time after which a response that arrives in pieces is looked at again, in seconds.
+const RECHECK_INTERVAL: f64 = 0.5;
+/// How a request id is shown in a value, within so many of its first bytes.
+const VALUE_HEAD_BYTES: usize = 64;
+/// Characters of a request id in hexadecimal.
+const ID_LENGTH: usize = 16;
+
+/// What a command is.
+#[derive(Clone, Copy)]
+enum CommandKind {
+    /// A request, by its id.
+    Request(u64),
+    Other,
+}
+
+/// A command that has no response yet.
+#[derive(Clone, Copy)]
+struct PendingCommand {
+    kind: CommandKind,
+    received_at: f64,
+}
+
+/// A client's connection.
+#[derive(Default)]
+pub(super) struct ClientConnection {
+    pub process: usize,
+    /// The client sends what can't be parsed.
+    malformed: bool,
+    received: Vec<u8>,
+    response_bytes: Vec<u8>,
+    pending: VecDeque<PendingCommand>,
+    /// Since when the oldest command has been at the front of the pipeline.
+    front_since: f64,
+    /// Nothing after this can be parsed.
+    unparseable: bool,
+    connected_at: f64,
+}
+
+/// When a connection's oldest command is to be looked at.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Deadline {
+    /// Bits of the time: those of non-negative numbers sort as the numbers do.
+    at_bits: u64,
+    link: LinkId,
+}
+
+impl Deadline {
+    fn new(at: f64, link: LinkId) -> Deadline {
+        Deadline { at_bits: at.to_bits(), link }
+    }
+
+    fn at(self) -> f64 {
+        f64::from_bits(self.at_bits)
+    }
+}
+
+impl Checker {
+    /// A client has connected to a process; `malformed`: it will send what can't be parsed.
+    pub fn client_connected(&mut self, now: f64, link: LinkId, process: usize, malformed: bool) {
+        let client =
+            ClientConnection { process, malformed, connected_at: now, ..ClientConnection::default() };
+        self.clients.insert(link, client);
+        if malformed {
+            self.deadlines.insert(Deadline::new(now + MALFORMED_TIMEOUT, link));
+        }
+    }
+
+    /// A client's connection is rejected: all that it gets is an error and the end. A client with a known address may be rejected only
+    /// because that address has too many connections, or opens them too fast.
+    pub fn connection_rejected(&mut self, now: f64, link: LinkId, known_address: bool, reason: &str) {
+        self.coverage.rejected_connections += 1;
+        if let Some(client) = self.clients.get_mut(&link) {
+            client.unparseable = true;
+        }
+        if known_address && reason == "full" {
+            let message = format!("wire {link}: a known client is turned away: {reason}");
+            self.record_violation(Invariant::SingleResponse, now, message);
+        }
+    }
+
+    /// These bytes of a client have arrived at the gateway's machine.
+    pub fn client_bytes_received(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
+        let Some(client) = self.clients.get_mut(&link).filter(|client| !client.unparseable) else { return };
+        if client.malformed {
+            return;
+        }
+        client.received.extend_from_slice(bytes);
+        loop {
+            let Some(client) = self.clients.get_mut(&link) else { return };
+            match resp::decode_command(&client.received) {
+                Ok(None) => return,
+                Err(_) => return client.unparseable = true,
+                Ok(Some((command, length))) => {
+                    client.received.drain(..length);
+                    self.command_received(now, link, &command);
+                }
+            }
+        }
+    }
+
+    fn command_received(&mut self, now: f64, link: LinkId, command: &resp::ClientCommand) {
+        let Some(client) = self.clients.get_mut(&link) else { return };
+        if client.pending.is_empty() {
+            client.front_since = now;
+        }
+        if let resp::ClientCommand::Request(request) = command {
+            let kind = CommandKind::Request(request.id);
+            client.pending.push_back(PendingCommand { kind, received_at: now });
+            self.request_received(now, link, request);
+        } else {
+            client.pending.push_back(PendingCommand { kind: CommandKind::Other, received_at: now });
+        }
+        self.schedule_deadline(link);
+    }
+
+    fn request_received(&mut self, now: f64, link: LinkId, request: &resp::RequestCommand) {
+        let mut operations = self.limits.operations.iter();
+        let operation = operations.position(|operation| operation.name.as_bytes() == request.operation());
+        let Some(operation) = operation else { return };
+        self.coverage.requests += 1;
+        let plan = String::from_utf8_lossy(request.plan()).into_owned();
+        let timeout = request.timeout_ms / 1e3;
+        let mut record = RequestRecord::new(operation, plan, request.customer, timeout);
+        record.record(now, RequestEvent::Received(link));
+        self.requests.insert(request.id, record);
+    }
+
+    /// When the command at the front of a connection's pipeline must have its response.
+    fn response_deadline(&self, link: LinkId) -> Option<f64> {
+        let client = self.clients.get(&link)?;
+        let stalled_until = self.processes.get(&client.process).map_or(0.0, |process| process.stalled_until);
+        if client.malformed {
+            return Some(client.connected_at.max(stalled_until) + MALFORMED_TIMEOUT);
+        }
+        let command = client.pending.front()?;
+        // What arrived during a stall counts from the stall's end: a process can't know how long bytes lay there.
+        let received_at = command.received_at.max(stalled_until);
+        Some(match command.kind {
+            CommandKind::Request(id) => {
+                let timeout = self.requests.get(&id).map_or(1.0, |request| request.timeout);
+                (received_at + timeout).max(client.front_since) + TOLERANCE
+            }
+            CommandKind::Other => client.front_since.max(received_at) + COMMAND_TIMEOUT,
+        })
+    }
+
+    fn schedule_deadline(&mut self, link: LinkId) {
+        if let Some(at) = self.response_deadline(link) {
+            self.deadlines.insert(Deadline::new(at, link));
+        }
+    }
+
+    /// Finds the commands that should have had a response by now.
+    pub fn check_deadlines(&mut self, now: f64) {
+        while let Some(link) = self.deadlines.first().filter(|deadline| deadline.at() < now).map(|d| d.link) {
+            self.deadlines.pop_first();
+            let Some(deadline) = self.response_deadline(link) else { continue };
+            let client = &self.clients[&link];
+            if self.processes.get(&client.process).is_none_or(|process| process.ended) {
+                continue;
+            }
+            if deadline >= now {
+                self.deadlines.insert(Deadline::new(deadline, link));
+            } else if !client.response_bytes.is_empty() && !client.malformed {
+                // Its response is arriving in pieces.
+                self.deadlines.insert(Deadline::new(now + RECHECK_INTERVAL, link));
+            } else if let Some(message) = self.overdue_message(link, client) {
+                self.record_violation(Invariant::SingleResponse, now, message);
+            }
+        }
+    }
+
+    /// What a connection's client waits for; none where it arrived too late before a shutdown.
+    fn overdue_message(&self, link: LinkId, client: &ClientConnection) -> Option<String> {
+        if client.malformed {
+            return Some(format!(
+                "wire {link}: {MALFORMED_TIMEOUT} s of what can't be understood, neither error nor end"
+            ));
+        }
+        let process = self.processes.get(&client.process);
+        let shutdown = process.and_then(|process| process.shutdown_requested);
+        match client.pending.front() {
+            Some(command) if shutdown.is_some_and(|at| command.received_at > at + SHUTDOWN_INTAKE) => None,
+            Some(PendingCommand { kind: CommandKind::Request(id), received_at }) => Some(format!(
+                "invocation {id:016x}, taken at {received_at:.4} on wire {link}, has no answer in time"
+            )),
+            _ => Some(format!("wire {link}: a command has no answer in time")),
+        }
+    }
+
+    /// These bytes have left a process for a client.
+    pub fn response_bytes_written(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
+        let Some(client) = self.clients.get_mut(&link) else { return };
+        if client.malformed {
+            if bytes.starts_with(b"-") {
+                self.clients.remove(&link);
+            } else {
+                let message = format!("wire {link}: a client that can't be understood hears no error");
+                self.record_violation(Invariant::SingleResponse, now, message);
+            }
+            return;
+        }
+        client.response_bytes.extend_from_slice(bytes);
+        loop {
+            let Some(client) = self.clients.get_mut(&link) else { return };
+            let Some((kind, length)) = parse_response(&client.response_bytes) else { return };
+            let response: Vec<u8> = client.response_bytes.drain(..length).collect();
+            client.front_since = now;
+            let Some(command) = client.pending.pop_front() else {
+                if client.unparseable && kind == ResponseKind::Error {
+                    continue; // the response to what could not be parsed
+                }
+                let shown = escape(&response);
+                let message = format!("wire {link}: an answer that nothing was asked for: {shown}");
+                return self.record_violation(Invariant::SingleResponse, now, message);
+            };
+            if let CommandKind::Request(id) = command.kind {
+                self.request_answered(now, id, kind, &response);
+            }
+            self.schedule_deadline(link);
+        }
+    }
+
+    fn request_answered(&mut self, now: f64, id: u64, kind: ResponseKind, response: &[u8]) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.record(now, RequestEvent::Answered(kind));
+        if request.answered_at.replace(now).is_some() {
+            let message = format!("invocation {id:016x} is answered twice");
+            return self.record_violation(Invariant::SingleResponse, now, message);
+        }
+        match kind {
+            ResponseKind::Value => {
+                self.coverage.succeeded += 1;
+                self.check_value(now, id, response);
+            }
+            ResponseKind::Busy => {
+                self.coverage.throttled += 1;
+                self.check_throttling(now, id);
+            }
+            ResponseKind::Error => self.coverage.errored += 1,
+            ResponseKind::Other => {
+                let message = format!("invocation {id:016x} is answered by {}", escape(response));
+                self.record_violation(Invariant::SingleResponse, now, message);
+            }
+        }
+    }
+
+    /// A value names the request that a backend made it for.
+    fn check_value(&mut self, now: f64, id: u64, response: &[u8]) {
+        let value_received = self.requests.get(&id).is_some_and(|request| request.value_received);
+        let expected_id = format!("{id:016x}");
+        let head = &response[..response.len().min(VALUE_HEAD_BYTES)];
+        let names_request = head.windows(ID_LENGTH).any(|window| window == expected_id.as_bytes());
+        if !names_request || !value_received {
+            let message = format!("invocation {id:016x} succeeded with what no backend made for it");
+            self.record_violation(Invariant::SingleResponse, now, message);
+        }
+    }
+
+    /// Only what was not executed may be throttled, unless it is idempotent.
+    fn check_throttling(&mut self, now: f64, id: u64) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let operation = &self.limits.operations[request.operation];
+        let rejected = |outcome| outcome == Some(AttemptOutcome::Rejected);
+        let allowed = operation.idempotency == Idempotency::Idempotent
+            || request.attempts.iter().all(|attempt| rejected(attempt.outcome));
+        if !allowed {
+            let attempts: Vec<String> = request.attempts.iter().map(|attempt| attempt.describe()).collect();
+            let message = format!(
+                "{} {id:016x} is throttled though it may have run: {}",
+                operation.name,
+                attempts.join(", ")
+            );
+            self.record_violation(Invariant::AtMostOnce, now, message);
+        }
+    }
+
+    /// A client's connection has ended at the process's side, closed by the process itself or by others.
+    pub fn client_disconnected(&mut self, now: f64, link: LinkId, by_gateway: bool) {
+        let Some(client) = self.clients.remove(&link) else { return };
+        let Some(process) = self.processes.get(&client.process) else { return };
+        if !by_gateway || client.malformed || client.unparseable || process.ended {
+            return;
+        }
+        // Where a stall has only just ended, clients' timeouts have passed: what is closed then has failed, and is not lost.
+        if now <= process.stalled_until + TOLERANCE {
+            return;
+        }
+        let due = |received_at: f64| {
+            let received_at = received_at.max(process.stalled_until);
+            process.shutdown_requested.is_none_or(|at| received_at <= at + SHUTDOWN_INTAKE)
+        };
+        if let Some((id, received_at)) = client.lost_request().filter(|(_, received_at)| due(*received_at)) {
+            let message = format!(
+                "invocation {id:016x}, taken at {received_at:.4}: its connection {link} is ended without an answer"
+            );
+            self.record_violation(Invariant::SingleResponse, now, message);
+        }
+    }
+}
+
+impl ClientConnection {
+    /// The oldest request without a response, and when it was received; none where a response has begun, for the client can tell that a
+    /// truncated one is not complete.
+    fn lost_request(&self) -> Option<(u64, f64)> {
+        if !self.response_bytes.is_empty() {
+            return None;
+        }
+        self.pending.iter().find_map(|command| match command.kind {
+            CommandKind::Request(id) => Some((id, command.received_at)),
+            CommandKind::Other => None,
+        })
+    }
+}
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,57 +1,103 @@
-//! Clients: a front that deals each customer's invocations out among its front doors, over connections that are kept;
-//! rude ones, and those that leave early or come in herds.
-use crate::net::{Ctx, Item, Party, WireId};
-use crate::rules::{self, Said};
+//! Clients: a front that distributes each customer's requests over its gateway instances, on connections that are kept; clients that send
+//! what can't be parsed; those that disconnect early, or open connections and send nothing.
+use crate::checker::{parse_response, ResponseKind};
+use crate::context::Context;
+use crate::network::{LinkId, Remote};
+use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::state::event::ConnectionId;
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
-use std::net::Ipv4Addr;
+use std::net::{IpAddr, Ipv4Addr};
 
-/// Connections of the front to one front door.
-const CONNECTIONS: usize = 24;
-/// Where the front's addresses are.
-pub const KNOWN: &str = "127.0.9.0/24";
-/// Commands on one of them at once.
-const PIPELINED: usize = 3;
+/// The most connections of the front to one gateway instance.
+const MAX_CONNECTIONS: usize = 24;
+/// The most requests in flight on one of them.
+const MAX_PIPELINED: usize = 3;
+/// The probability with which a request goes behind others on a connection.
+const PIPELINING: f64 = 0.15;
+/// The network of the front's addresses.
+pub const KNOWN_NETWORK: &str = "127.0.9.0/24";
+/// The front's own address.
+const FRONT_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 9, 1));
+/// The address of other clients.
+const UNKNOWN_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 10, 1));
+/// Gateway instances of a customer, at the most.
+const MAX_SPREAD: usize = 3;
+/// How often a throttled request is sent again, at the most, and the probability of it each time.
+const MAX_RETRIES: u32 = 2;
+const RETRY_PROBABILITY: f64 = 0.5;
+/// Seconds until then where the gateway named no time, in milliseconds.
+const DEFAULT_RETRY_AFTER_MS: f64 = 200.0;
+/// Bytes of a request's body: usually, and where it is too long to be held complete.
+const BODY_BYTES: usize = 12;
+const LONG_BODY_BYTES: std::ops::Range<usize> = 66_000..90_000;
+/// Bytes of a response that are looked at.
+const RESPONSE_HEAD_BYTES: usize = 64;
 
-/// What a client asks for.
+/// A request of a customer; it is sent under a new id each time.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct PlannedRequest {
+    /// The customer's id.
     pub customer: u64,
+    /// Index into the operations.
     pub operation: usize,
+    /// Its units.
     pub units: f64,
-    pub tries: u32,
+    /// How often it was sent again.
+    pub retries: u32,
 }
 
-/// An operation as clients know it: name, whether it goes by GET, seconds that they wait.
+/// An operation as clients know it.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct ClientOperation {
+    /// Its name in commands.
     pub name: String,
-    pub get: bool,
+    /// It is requested by `CALL.GET`, else by `CALL.POST`.
+    pub uses_get: bool,
+    /// Seconds that clients wait.
     pub timeout: f64,
+    /// How often it is requested, relative to others.
     pub weight: f64,
 }
 
-struct Link {
-    door: usize,
-    got: Vec<u8>,
-    owed: VecDeque<usize>,
-    silent: bool,
+/// How the client behind a connection behaves.
+#[derive(Clone, Copy, PartialEq)]
+enum Behavior {
+    /// The front.
+    Valid,
+    /// It sends what can't be parsed.
+    Malformed,
+    /// It sends nothing.
+    Idle,
 }
 
+struct Connection {
+    instance: usize,
+    behavior: Behavior,
+    received: Vec<u8>,
+    /// The requests in flight, by index.
+    pending: VecDeque<usize>,
+}
+
+/// All clients of a run.
 #[derive(Default)]
 pub struct Clients {
-    pub offers: Vec<Offer>,
+    /// What may be requested.
+    pub operations: Vec<ClientOperation>,
+    /// The names of the customers' plans.
     pub plans: Vec<String>,
-    links: BTreeMap<WireId, Link>,
-    asked: Vec<Asked>,
-    ids: u64,
-    pub burst: f64,
-    pub leave: f64,
-    pub rude: f64,
+    connections: BTreeMap<LinkId, Connection>,
+    requests: Vec<PlannedRequest>,
+    issued_ids: u64,
+    /// How many times the usual rate requests come at.
+    pub rate_factor: f64,
+    /// The fraction of requests behind which the client disconnects early.
+    pub early_disconnects: f64,
+    /// Clients a second that send what can't be parsed.
+    pub malformed_rate: f64,
 }
 
-const RUDE: [&[u8]; 9] = [
+const MALFORMED_COMMANDS: [&[u8]; 9] = [
     b"hello\r\n",
     b"*5\r\n$9\r\nCALL.POST\r\n$-7\r\n",
     b"*3\r\n$4\r\nWHAT\r\n$1\r\na\r\n$1\r\nb\r\n",
@@ -63,163 +109,232 @@
     b"$$$$$$$$$$$$$$$$\n",
 ];
 
-impl Clients {
-    pub fn new(offers: Vec<Offer>, plans: Vec<String>) -> Clients {
-        Clients { offers, plans, burst: 1.0, ..Clients::default() }
-    }
+/// The gateway instances of a customer: consecutive ones.
+#[derive(Clone, Copy)]
+struct InstanceRange {
+    first: usize,
+    count: usize,
+}
 
-    /// The next invocation has come; and when the one after it does.
-    pub fn comes(&mut self, ctx: &mut Ctx, serving: &[Option<usize>], until: f64) {
-        let gap = -(1.0 - ctx.rng.gen_range(0.0..1.0f64)).ln() / (ctx.world.rate * self.burst);
-        if ctx.now + gap < until {
-            ctx.later(gap, Item::Comes);
-        }
-        // Few customers ask for much.
-        let skewed = ctx.rng.gen_range(0.0..1.0f64).powi(2) * ctx.world.customers as f64;
-        let mut draw = ctx.rng.gen_range(0.0..self.offers.iter().map(|o| o.weight).sum::<f64>());
-        let operation = self.offers.iter().position(|o| {
-            draw -= o.weight;
-            draw < 0.0
-        });
-        let units = f64::from(ctx.rng.gen_range(1..=3u32));
-        let operation = operation.unwrap_or(0);
-        self.asked.push(Asked { customer: skewed as u64, operation, units, tries: 0 });
-        self.ask(ctx, serving, self.asked.len() - 1);
+impl InstanceRange {
+    fn of(customer: u64, instances: usize) -> InstanceRange {
+        let customer = customer as usize;
+        InstanceRange { first: customer % instances, count: 1 + customer % instances.min(MAX_SPREAD) }
     }
+}
 
-    /// A customer's front doors: how many, from the first.
-    fn doors_of(customer: u64, doors: usize) -> (usize, usize) {
-        let first = customer as usize % doors;
-        (first, 1 + customer as usize % doors.min(3))
-    }
+/// A request as it is sent.
+struct Command<'a> {
+    operation: &'a ClientOperation,
+    plan: &'a str,
+    customer: u64,
+    id: u64,
+    units: f64,
+    timeout_ms: f64,
+    instances: InstanceRange,
+    /// Bytes of its body, for `CALL.POST`.
+    body: Option<usize>,
+}
 
-    /// Sends what was asked for to one of its customer's front doors.
-    pub fn ask(&mut self, ctx: &mut Ctx, serving: &[Option<usize>], which: usize) {
-        let asked = self.asked[which].clone();
-        let (first, spread) = Self::doors_of(asked.customer, serving.len());
-        let door = (first + ctx.rng.gen_range(0..spread)) % serving.len();
-        let Some(wire) = self.connection(ctx, serving, door) else { return };
-        self.ids += 1;
-        let offer = &self.offers[asked.operation];
-        // Ids are all different and look it.
-        let id = (self.ids ^ 0x5bd1_e995).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let wait = (offer.timeout * 1e3 * ctx.rng.gen_range(0.5..1.0)).floor();
-        let plan = &self.plans[asked.customer as usize % self.plans.len()];
-        let list =
-            format!("c={},t={plan},d={wait},units={},spread={spread},first={first}", offer.name, asked.units);
-        let (verb, n) = if offer.get { ("CALL.GET", 4) } else { ("CALL.POST", 5) };
+impl Command<'_> {
+    fn encode(&self) -> Vec<u8> {
+        let Command { operation, plan, customer, id, units, timeout_ms, instances, body } = self;
+        let InstanceRange { first, count } = instances;
+        let name = &operation.name;
+        let attributes =
+            format!("c={name},t={plan},d={timeout_ms},units={units},spread={count},first={first}");
+        let (verb, parts) = if body.is_none() { ("CALL.GET", 4) } else { ("CALL.POST", 5) };
         let mut out = format!(
-            "*{n}\r\n${}\r\n{verb}\r\n$16\r\n{:016x}\r\n$16\r\n{id:016x}\r\n${}\r\n{list}\r\n",
+            "*{parts}\r\n${}\r\n{verb}\r\n$16\r\n{customer:016x}\r\n$16\r\n{id:016x}\r\n${}\r\n{attributes}\r\n",
             verb.len(),
-            asked.customer,
-            list.len()
+            attributes.len()
         )
         .into_bytes();
-        if !offer.get {
-            let body = if ctx.chance(ctx.world.long) { ctx.rng.gen_range(66_000..90_000) } else { 12 };
+        if let Some(body) = body {
             out.extend_from_slice(format!("${body}\r\n").as_bytes());
             out.resize(out.len() + body, b'b');
             out.extend_from_slice(b"\r\n");
         }
-        ctx.send(wire, true, &out);
-        self.links.get_mut(&wire).expect("just found").owed.push_back(which);
-        if ctx.chance(self.leave) {
-            let after = ctx.rng.gen_range(0.0..0.1);
-            ctx.later(after, Item::Leaves(wire));
+        out
+    }
+}
+
+impl Clients {
+    /// Clients that have not requested anything yet.
+    pub fn new(operations: Vec<ClientOperation>, plans: Vec<String>) -> Clients {
+        Clients { operations, plans, rate_factor: 1.0, ..Clients::default() }
+    }
+
+    /// Sends the next request, and schedules the one after it unless it came at `until` or later. `serving` names, by instance, the
+    /// process that takes new connections.
+    pub fn next_request(&mut self, ctx: &mut Context, serving: &[Option<usize>], until: f64) {
+        let gap = -(1.0 - ctx.rng.gen_range(0.0..1.0f64)).ln() / (ctx.world.request_rate * self.rate_factor);
+        if ctx.now + gap < until {
+            ctx.schedule_in(gap, ScheduledEvent::RequestDue);
         }
+        // Few customers request much.
+        let customer = ctx.rng.gen_range(0.0..1.0f64).powi(2) * ctx.world.customers as f64;
+        let operation = self.draw_operation(ctx);
+        let units = f64::from(ctx.rng.gen_range(1..=3u32));
+        self.requests.push(PlannedRequest { customer: customer as u64, operation, units, retries: 0 });
+        self.send_request(ctx, serving, self.requests.len() - 1);
+    }
+
+    fn draw_operation(&self, ctx: &mut Context) -> usize {
+        let total = self.operations.iter().map(|operation| operation.weight).sum::<f64>();
+        let mut rest = ctx.rng.gen_range(0.0..total);
+        let drawn = self.operations.iter().position(|operation| {
+            rest -= operation.weight;
+            rest < 0.0
+        });
+        drawn.unwrap_or(0)
     }
 
-    /// One that is idle, or not too busy, or a new one; none where nobody listens.
-    fn connection(&mut self, ctx: &mut Ctx, serving: &[Option<usize>], door: usize) -> Option<WireId> {
-        let own = || self.links.iter().filter(|(_, l)| l.door == door && !l.silent);
-        let pipelines = ctx.rng.gen_bool(0.15);
-        let idle = own().find(|(_, l)| l.owed.is_empty()).map(|(w, _)| *w);
-        let busy = own().filter(|(_, l)| l.owed.len() < PIPELINED).min_by_key(|(w, l)| (l.owed.len(), **w));
-        let busy = busy.map(|(w, _)| *w);
-        if let Some(wire) = if pipelines { busy } else { idle } {
-            return Some(wire);
+    /// Sends a request, by index, to one of its customer's gateway instances.
+    pub fn send_request(&mut self, ctx: &mut Context, serving: &[Option<usize>], index: usize) {
+        let request = self.requests[index].clone();
+        let instances = InstanceRange::of(request.customer, serving.len());
+        let instance = (instances.first + ctx.rng.gen_range(0..instances.count)) % serving.len();
+        let Some(link) = self.select_connection(ctx, serving, instance) else { return };
+        self.issued_ids += 1;
+        let operation = &self.operations[request.operation];
+        let timeout_ms = (operation.timeout * 1e3 * ctx.rng.gen_range(0.5..1.0)).floor();
+        let command = Command {
+            operation,
+            plan: &self.plans[request.customer as usize % self.plans.len()],
+            customer: request.customer,
+            id: scramble(self.issued_ids),
+            units: request.units,
+            timeout_ms,
+            instances,
+            body: (!operation.uses_get).then(|| draw_body_length(ctx)),
+        };
+        ctx.send(link, true, &command.encode());
+        self.connections.get_mut(&link).expect("just selected").pending.push_back(index);
+        if ctx.draw_bool(self.early_disconnects) {
+            let delay = ctx.rng.gen_range(0.0..0.1);
+            ctx.schedule_in(delay, ScheduledEvent::ClientDisconnects(link));
+        }
+    }
+
+    /// A connection to that instance: an idle one, or one that is not too busy, or a new one; none where nothing listens.
+    fn select_connection(
+        &mut self,
+        ctx: &mut Context,
+        serving: &[Option<usize>],
+        instance: usize,
+    ) -> Option<LinkId> {
+        let usable = |connection: &Connection| {
+            connection.instance == instance && connection.behavior == Behavior::Valid
+        };
+        let own = || self.connections.iter().filter(|(_, connection)| usable(connection));
+        let pipelines = ctx.rng.gen_bool(PIPELINING);
+        let idle = own().find(|(_, connection)| connection.pending.is_empty()).map(|(link, _)| *link);
+        let busy = own()
+            .filter(|(_, connection)| connection.pending.len() < MAX_PIPELINED)
+            .min_by_key(|(link, connection)| (connection.pending.len(), **link))
+            .map(|(link, _)| *link);
+        if let Some(link) = if pipelines { busy } else { idle } {
+            return Some(link);
         }
-        if own().count() >= CONNECTIONS {
+        if own().count() >= MAX_CONNECTIONS {
             return busy;
         }
-        let process = serving[door]?;
-        Some(self.connect(ctx, (process, door), false, false))
+        let process = serving[instance]?;
+        Some(self.connect(ctx, process, instance, Behavior::Valid))
     }
 
-    fn connect(
-        &mut self,
-        ctx: &mut Ctx,
-        (process, door): (usize, usize),
-        rude: bool,
-        silent: bool,
-    ) -> WireId {
-        let wire = ctx.open(process, ConnectionId::Client(0), Party::Client);
-        let opened = ctx.wires.get_mut(&wire).expect("just opened");
-        (opened.party_open, opened.rude, opened.known) = (true, rude, !silent);
-        opened.from = if silent { Ipv4Addr::new(127, 0, 10, 1) } else { Ipv4Addr::new(127, 0, 9, 1) }.into();
-        self.links.insert(wire, Link { door, got: vec![], owed: VecDeque::new(), silent: silent || rude });
-        ctx.dial_in(wire);
-        wire
+    fn connect(&mut self, ctx: &mut Context, process: usize, instance: usize, behavior: Behavior) -> LinkId {
+        let id = ctx.open_link(process, ConnectionId::Client(0), Remote::Client);
+        let valid = behavior == Behavior::Valid;
+        let link = ctx.links.get_mut(&id).expect("just opened");
+        link.remote_open = true;
+        link.malformed = behavior == Behavior::Malformed;
+        link.known_address = valid;
+        link.client_address = if valid { FRONT_ADDRESS } else { UNKNOWN_ADDRESS };
+        let connection = Connection { instance, behavior, received: vec![], pending: VecDeque::new() };
+        self.connections.insert(id, connection);
+        ctx.connect_to_gateway(id);
+        id
     }
 
-    /// A rude client comes; and when the next one does.
-    pub fn rude_comes(&mut self, ctx: &mut Ctx, serving: &[Option<usize>]) {
-        if self.rude <= 0.0 {
+    /// A client connects and sends what can't be parsed; the next one is scheduled.
+    pub fn next_malformed_client(&mut self, ctx: &mut Context, serving: &[Option<usize>]) {
+        if self.malformed_rate <= 0.0 {
             return;
         }
-        ctx.later(1.0 / self.rude, Item::RudeComes);
-        let door = ctx.rng.gen_range(0..serving.len());
-        let Some(process) = serving[door] else { return };
-        let wire = self.connect(ctx, (process, door), true, true);
-        let says = RUDE[ctx.rng.gen_range(0..RUDE.len())];
-        ctx.send(wire, true, says);
+        ctx.schedule_in(1.0 / self.malformed_rate, ScheduledEvent::MalformedClientDue);
+        let instance = ctx.rng.gen_range(0..serving.len());
+        let Some(process) = serving[instance] else { return };
+        let link = self.connect(ctx, process, instance, Behavior::Malformed);
+        let command = MALFORMED_COMMANDS[ctx.rng.gen_range(0..MALFORMED_COMMANDS.len())];
+        ctx.send(link, true, command);
     }
 
-    /// So many connect and say nothing.
-    pub fn herd(&mut self, ctx: &mut Ctx, serving: &[Option<usize>], number: usize) {
-        for _ in 0..number {
-            let door = ctx.rng.gen_range(0..serving.len());
-            if let Some(process) = serving[door] {
-                self.connect(ctx, (process, door), false, true);
+    /// So many clients connect at once and send nothing.
+    pub fn open_idle_connections(&mut self, ctx: &mut Context, serving: &[Option<usize>], count: usize) {
+        for _ in 0..count {
+            let instance = ctx.rng.gen_range(0..serving.len());
+            if let Some(process) = serving[instance] {
+                self.connect(ctx, process, instance, Behavior::Idle);
             }
         }
     }
 
-    pub fn bytes(&mut self, ctx: &mut Ctx, wire: WireId, bytes: &[u8]) {
-        let Some(link) = self.links.get_mut(&wire) else { return };
-        link.got.extend_from_slice(bytes);
-        loop {
-            let Some(link) = self.links.get_mut(&wire) else { return };
-            let Some((said, n)) = rules::answer(&link.got) else { return };
-            let text: Vec<u8> = link.got.drain(..n).take(64).collect();
-            let Some(which) = link.owed.pop_front() else { continue };
-            let asked = &mut self.asked[which];
-            if said == Said::Busy && asked.tries < 2 && ctx.rng.gen_bool(0.5) {
-                asked.tries += 1;
-                let ms = std::str::from_utf8(&text[5..]).ok().and_then(|t| t.trim().parse::<f64>().ok());
-                ctx.later(ms.unwrap_or(200.0) / 1e3, Item::Again(which));
+    /// These bytes of a gateway process have arrived. What was throttled is requested again at times.
+    pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&link) else { return };
+        connection.received.extend_from_slice(bytes);
+        while let Some((kind, length)) = parse_response(&connection.received) {
+            let head: Vec<u8> = connection.received.drain(..length).take(RESPONSE_HEAD_BYTES).collect();
+            let Some(index) = connection.pending.pop_front() else { continue };
+            let request = &mut self.requests[index];
+            let may_retry = kind == ResponseKind::Busy && request.retries < MAX_RETRIES;
+            if may_retry && ctx.rng.gen_bool(RETRY_PROBABILITY) {
+                request.retries += 1;
+                ctx.schedule_in(retry_after_ms(&head) / 1e3, ScheduledEvent::RetryDue(index));
             }
         }
     }
 
-    pub fn leaves(&mut self, ctx: &mut Ctx, wire: WireId) {
-        if self.links.remove(&wire).is_some() {
-            ctx.end(wire, false, false);
+    /// A client disconnects.
+    pub fn disconnect(&mut self, ctx: &mut Context, link: LinkId) {
+        if self.connections.remove(&link).is_some() {
+            ctx.close(link, false, false);
         }
     }
 
-    /// The front door ended it, or is gone: what had no answer is asked once more, on a new connection.
-    pub fn ended(&mut self, ctx: &mut Ctx, wire: WireId) {
-        let Some(link) = self.links.remove(&wire) else { return ctx.ended(wire, false) };
-        for which in link.owed {
-            let asked = &mut self.asked[which];
-            if asked.tries == 0 {
-                asked.tries += 1;
-                let after = ctx.rng.gen_range(0.001..0.05);
-                ctx.later(after, Item::Again(which));
+    /// The gateway process has closed a connection, or is gone: requests without a response are sent once more, on another connection.
+    pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
+        let Some(connection) = self.connections.remove(&link) else { return ctx.mark_closed(link, false) };
+        for index in connection.pending {
+            let request = &mut self.requests[index];
+            if request.retries == 0 {
+                request.retries += 1;
+                let delay = ctx.rng.gen_range(0.001..0.05);
+                ctx.schedule_in(delay, ScheduledEvent::RetryDue(index));
             }
         }
-        ctx.end(wire, false, false);
-        ctx.ended(wire, false);
+        ctx.close(link, false, false);
+        ctx.mark_closed(link, false);
+    }
+}
+
+/// Ids are all different, and look it.
+fn scramble(number: u64) -> u64 {
+    (number ^ 0x5bd1_e995).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+}
+
+fn draw_body_length(ctx: &mut Context) -> usize {
+    if ctx.draw_bool(ctx.world.long_values) {
+        ctx.rng.gen_range(LONG_BODY_BYTES)
+    } else {
+        BODY_BYTES
     }
 }
+
+/// Milliseconds after which a throttled request may be sent again, as its response says.
+fn retry_after_ms(response: &[u8]) -> f64 {
+    let text = std::str::from_utf8(&response["-BUSY".len()..]).ok();
+    text.and_then(|text| text.trim().parse().ok()).unwrap_or(DEFAULT_RETRY_AFTER_MS)
+}
--- /dev/null
+++ b/emulator/src/commands.rs
@@ -0,0 +1,204 @@
+//! What each command does.
+use crate::arguments::{
+    Arguments, Command, FleetArguments, GrowthArguments, QuotaArguments, ShrinkArguments, SweepArguments,
+};
+use crate::output::{print, print_fault_kinds, print_report};
+use quillramp_emulator::growth_study::{self, GrowthResult};
+use quillramp_emulator::quota_study::{self, QuotaResult};
+use quillramp_emulator::results::ResultsError;
+use quillramp_emulator::scenario::{Scenario, ScenarioError};
+use quillramp_emulator::simulation::simulate;
+use quillramp_emulator::{fleet_study, results, shrinker, sweep};
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::time::Instant;
+
+/// Seconds of a run of the quota study.
+const QUOTA_STUDY_SECONDS: std::ops::RangeInclusive<f64> = 10.0..=600.0;
+/// How often a sweep prints how far it is.
+const PROGRESS_LINES: u64 = 10;
+
+/// Why a command could not be carried out. Each line of the text stands for itself.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    /// A file that can't be read or written.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// Which one.
+        path: PathBuf,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// A file that is no scenario.
+    #[error("{}", prefix_lines(path, source))]
+    Scenario {
+        /// Which one.
+        path: PathBuf,
+        /// Why not.
+        source: ScenarioError,
+    },
+    /// Several files that are no scenarios.
+    #[error("{}", join_lines(.0))]
+    Scenarios(Vec<CommandError>),
+    /// A run of the quota study that is too short or too long.
+    #[error("--seconds: expected 10 to 600, found {0}")]
+    Seconds(f64),
+    /// Results that can't be written.
+    #[error(transparent)]
+    Results(#[from] ResultsError),
+}
+
+fn prefix_lines(path: &Path, error: &ScenarioError) -> String {
+    let lines: Vec<String> =
+        error.to_string().lines().map(|line| format!("{}: {line}", path.display())).collect();
+    lines.join("\n")
+}
+
+fn join_lines(errors: &[CommandError]) -> String {
+    let lines: Vec<String> = errors.iter().map(|error| error.to_string()).collect();
+    lines.join("\n")
+}
+
+type CommandResult = Result<ExitCode, CommandError>;
+
+/// Carries out the command of a call.
+pub fn run(arguments: Arguments) -> CommandResult {
+    match arguments.command {
+        Command::Run { script, seed, options } => {
+            let scenario = read_scenario(&script)?;
+            let scenario = Scenario { seed: seed.unwrap_or(scenario.seed), ..scenario };
+            Ok(print_report(&simulate(&scenario, options.sabotage), options.trace))
+        }
+        Command::Replay { seed, options } => {
+            let report = simulate(&Scenario::generate(seed), options.sabotage);
+            Ok(print_report(&report, options.trace))
+        }
+        Command::Draw { seed } => {
+            print(&Scenario::generate(seed).to_toml());
+            Ok(ExitCode::SUCCESS)
+        }
+        Command::Sweep(arguments) => run_sweep(arguments),
+        Command::Shrink(arguments) => run_shrink(arguments),
+        Command::Grow(arguments) => run_growth_study(arguments),
+        Command::Quotas(arguments) => run_quota_study(arguments),
+        Command::Fleets(arguments) => run_fleet_study(arguments),
+        Command::Check { scripts } => check_scenarios(&scripts),
+        Command::Kinds => {
+            print_fault_kinds();
+            Ok(ExitCode::SUCCESS)
+        }
+    }
+}
+
+fn read_scenario(path: &Path) -> Result<Scenario, CommandError> {
+    let file_error = |source| CommandError::File { path: path.to_owned(), source };
+    let text = std::fs::read_to_string(path).map_err(file_error)?;
+    Scenario::parse(&text).map_err(|source| CommandError::Scenario { path: path.to_owned(), source })
+}
+
+fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
+    std::fs::write(path, text).map_err(|source| CommandError::File { path: path.to_owned(), source })
+}
+
+fn run_sweep(arguments: SweepArguments) -> CommandResult {
+    let SweepArguments { from, runs, threads, enough, out, sabotage } = arguments;
+    let start = Instant::now();
+    let interval = (runs / PROGRESS_LINES).max(1);
+    let progress = |done: u64| {
+        if done.is_multiple_of(interval) {
+            eprintln!("{done} of {runs} runs, {:.0} s", start.elapsed().as_secs_f64());
+        }
+    };
+    let options = sweep::SweepOptions {
+        seeds: from..from.saturating_add(runs),
+        threads,
+        max_violations: enough.max(1),
+        sabotage,
+    };
+    let reports = sweep::sweep(&options, &progress);
+    let seconds = start.elapsed().as_secs_f64();
+    print(&results::summary(&reports, seconds));
+    if let Some(folder) = out {
+        results::write(&folder, &reports, seconds)?;
+        print(&format!("written to {}", folder.display()));
+    }
+    let violated = reports.iter().any(|report| report.violation.is_some());
+    Ok(if violated { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+}
+
+fn run_shrink(arguments: ShrinkArguments) -> CommandResult {
+    let scenario = match &arguments.script {
+        Some(path) => read_scenario(path)?,
+        None => Scenario::generate(arguments.seed.unwrap_or(0)),
+    };
+    let Some(smaller) = shrinker::shrink(&scenario, arguments.sabotage, arguments.runs) else {
+        print("no rule is broken: nothing to shrink");
+        return Ok(ExitCode::SUCCESS);
+    };
+    let text = smaller.scenario.to_toml();
+    match &arguments.out {
+        Some(path) => write_file(path, &text)?,
+        None => print(&text),
+    }
+    let before = scenario.faults.len();
+    let after = smaller.scenario.faults.len();
+    print(&format!("{before} faults before, {after} after, in {} runs", smaller.runs));
+    Ok(print_report(&smaller.report, 0))
+}
+
+fn run_growth_study(arguments: GrowthArguments) -> CommandResult {
+    let GrowthArguments { doors, seed, threads, out } = arguments;
+    let sizes: Vec<usize> = doors.into_iter().map(usize::from).collect();
+    let progress = |result: &GrowthResult| {
+        let how = if result.mass_restart { "half killed at once" } else { "calm" };
+        eprintln!("{} front doors, {how}: {:.1} s", result.instances, result.elapsed);
+    };
+    let results = growth_study::run(&sizes, seed, threads, &progress);
+    let table = growth_study::table(&results);
+    if let Some(path) = out {
+        write_file(&path, &table)?;
+    }
+    print(&table);
+    let violated = results.iter().find(|result| result.report.violation.is_some());
+    Ok(violated.map_or(ExitCode::SUCCESS, |result| print_report(&result.report, 0)))
+}
+
+fn run_quota_study(arguments: QuotaArguments) -> CommandResult {
+    let QuotaArguments { ill, seconds, seeds, out } = arguments;
+    if !QUOTA_STUDY_SECONDS.contains(&seconds) {
+        return Err(CommandError::Seconds(seconds));
+    }
+    let results = quota_study::sweep(&ill, seconds, seeds.range(), seeds.threads);
+    let table = quota_study::table(&results);
+    if let Some(path) = out {
+        write_file(&path, &table)?;
+    }
+    print(&table);
+    let past_bound = |result: &QuotaResult| result.roster_interval > 0.0 && result.overshoot > result.bound;
+    let violated = results.iter().find(|result| result.report.violation.is_some() || past_bound(result));
+    Ok(violated.map_or(ExitCode::SUCCESS, |result| print_report(&result.report, 0)))
+}
+
+fn run_fleet_study(arguments: FleetArguments) -> CommandResult {
+    let FleetArguments { day, seeds, draw } = arguments;
+    if draw {
+        print(&fleet_study::scenario(day[0], seeds.from).to_toml());
+        return Ok(ExitCode::SUCCESS);
+    }
+    let results = fleet_study::sweep(&day, seeds.range(), seeds.threads);
+    print(&fleet_study::table(&results));
+    let violated: Vec<_> = results.iter().filter(|result| result.report.violation.is_some()).collect();
+    for result in &violated {
+        print(&format!("rule broken: {}, seed {}", result.fleet_scenario.name(), result.report.seed));
+    }
+    Ok(violated.first().map_or(ExitCode::SUCCESS, |result| print_report(&result.report, 0)))
+}
+
+fn check_scenarios(paths: &[PathBuf]) -> CommandResult {
+    let errors: Vec<CommandError> = paths.iter().filter_map(|path| read_scenario(path).err()).collect();
+    if !errors.is_empty() {
+        return Err(CommandError::Scenarios(errors));
+    }
+    print(&format!("{} scripts are well", paths.len()));
+    Ok(ExitCode::SUCCESS)
+}
--- a/emulator/src/counter.rs
+++ b/emulator/src/counter.rs
@@ -1,174 +1,208 @@
 //! The counter: named totals that live for a while, over pipelined HTTP/1.1.
-use crate::net::{Ctx, Item, WireId};
+use crate::context::Context;
+use crate::http_request::{parse_request, query_number};
+use crate::network::LinkId;
+use crate::scheduled_event::ScheduledEvent;
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-type Counts = HashMap<String, (f64, f64)>;
+/// Seconds that a call takes.
+const CALL_DURATION: std::ops::Range<f64> = 0.0003..0.0015;
+const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// The body of a response that can't be parsed.
+const MALFORMED_BODY: &str = "many";
+
+/// A total, and when it begins anew.
+#[derive(Clone, Copy, Default)]
+struct Total {
+    sum: f64,
+    expires_at: f64,
+}
+
+type Totals = HashMap<String, Total>;
 
+/// The counter of a run.
 pub struct Counter {
-    /// What it holds; and the second one's, while it is split.
-    counts: Counts,
-    other: Option<Counts>,
-    links: BTreeMap<WireId, Link>,
+    totals: Totals,
+    /// What a second counter holds while they are split.
+    second_totals: Option<Totals>,
+    connections: BTreeMap<LinkId, Connection>,
+    /// Connections are refused.
     pub down: bool,
-    pub silent: bool,
-    pub slow: f64,
-    pub spoilt: f64,
-    pub deaf: f64,
-    pub turns_away: f64,
+    /// It does not react at all.
+    pub unresponsive: bool,
+    /// How many times slower it is.
+    pub slowdown: f64,
+    /// The fraction of responses that can't be parsed.
+    pub malformed_responses: f64,
+    /// The fraction of calls that are added, with the connection ended in place of a response.
+    pub lost_responses: f64,
+    /// The fraction of calls that are rejected.
+    pub rejections: f64,
+    /// Calls that it handled.
     pub calls: u64,
 }
 
-struct Link {
-    door: usize,
-    got: Vec<u8>,
+struct Connection {
+    instance: usize,
+    received: Vec<u8>,
     calls: VecDeque<Call>,
+    /// The oldest call is being handled.
     busy: bool,
 }
 
 struct Call {
     name: String,
-    add: f64,
-    lives: f64,
+    added: f64,
+    /// Seconds that a new total lives.
+    time_to_live: f64,
+}
+
+impl Call {
+    fn parse(target: &str) -> Call {
+        let path = target.strip_prefix("/counters/");
+        let name = path.and_then(|path| path.split('?').next()).unwrap_or("");
+        Call {
+            name: name.to_owned(),
+            added: query_number(target, "by").unwrap_or(0.0),
+            time_to_live: query_number(target, "expire_ms").unwrap_or(1.0) / 1e3,
+        }
+    }
 }
 
 impl Default for Counter {
     fn default() -> Counter {
         Counter {
-            counts: Counts::new(),
-            other: None,
-            links: BTreeMap::new(),
+            totals: Totals::new(),
+            second_totals: None,
+            connections: BTreeMap::new(),
             down: false,
-            silent: false,
-            slow: 1.0,
-            spoilt: 0.0,
-            deaf: 0.0,
-            turns_away: 0.0,
+            unresponsive: false,
+            slowdown: 1.0,
+            malformed_responses: 0.0,
+            lost_responses: 0.0,
+            rejections: 0.0,
             calls: 0,
         }
     }
 }
 
-/// A request's target, and how many bytes it took, with its body.
-pub fn request(bytes: &[u8]) -> Option<(String, usize)> {
-    let mut headers = [httparse::EMPTY_HEADER; 16];
-    let mut head = httparse::Request::new(&mut headers);
-    let Ok(httparse::Status::Complete(n)) = head.parse(bytes) else { return None };
-    let length = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"));
-    let length = length.and_then(|h| std::str::from_utf8(h.value).ok()?.parse::<usize>().ok()).unwrap_or(0);
-    (bytes.len() >= n + length).then(|| (head.path.unwrap_or("").to_owned(), n + length))
-}
-
-/// A number by its name in the query of a target.
-pub fn asked(target: &str, name: &str) -> Option<f64> {
-    let query = target.split_once('?')?.1;
-    query.split('&').find_map(|p| p.split_once('=').filter(|(n, _)| *n == name))?.1.parse().ok()
-}
-
 impl Counter {
-    pub fn dialled(&mut self, ctx: &mut Ctx, wire: WireId, door: usize) {
-        let taken = !self.down;
-        if self.silent {
+    /// A process of that gateway instance asks for a connection.
+    pub fn connect_requested(&mut self, ctx: &mut Context, id: LinkId, instance: usize) {
+        if self.unresponsive {
             return;
         }
-        let Some(w) = ctx.wires.get_mut(&wire).filter(|w| w.door_open) else { return };
-        w.party_open = taken;
-        if taken {
-            self.links.insert(wire, Link { door, got: vec![], calls: VecDeque::new(), busy: false });
+        let accepted = !self.down;
+        let Some(link) = ctx.links.get_mut(&id).filter(|link| link.gateway_open) else { return };
+        link.remote_open = accepted;
+        if accepted {
+            let connection = Connection { instance, received: vec![], calls: VecDeque::new(), busy: false };
+            self.connections.insert(id, connection);
         }
-        let delay = ctx.delay();
-        ctx.later(delay, Item::Up { wire, taken });
+        let delay = ctx.draw_delay();
+        ctx.schedule_in(delay, ScheduledEvent::ConnectCompleted { link: id, accepted });
     }
 
-    pub fn bytes(&mut self, ctx: &mut Ctx, wire: WireId, bytes: &[u8]) {
-        let Some(link) = self.links.get_mut(&wire) else { return };
-        link.got.extend_from_slice(bytes);
-        while let Some((target, n)) = request(&link.got) {
-            link.got.drain(..n);
-            let name = target.strip_prefix("/counters/").and_then(|t| t.split('?').next()).unwrap_or("");
-            let add = asked(&target, "by").unwrap_or(0.0);
-            let lives = asked(&target, "expire_ms").unwrap_or(1.0) / 1e3;
-            link.calls.push_back(Call { name: name.to_owned(), add, lives });
+    /// These bytes of a gateway process have arrived.
+    pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&link) else { return };
+        connection.received.extend_from_slice(bytes);
+        while let Some((target, length)) = parse_request(&connection.received) {
+            connection.received.drain(..length);
+            connection.calls.push_back(Call::parse(&target));
         }
-        self.goes_on(ctx, wire);
+        self.start_next_call(ctx, link);
     }
 
-    fn goes_on(&mut self, ctx: &mut Ctx, wire: WireId) {
-        let silent = self.silent;
-        let Some(link) = self.links.get_mut(&wire).filter(|l| !l.busy && !l.calls.is_empty() && !silent)
-        else {
+    fn start_next_call(&mut self, ctx: &mut Context, link: LinkId) {
+        let Some(connection) = self.connections.get_mut(&link) else { return };
+        if connection.busy || connection.calls.is_empty() || self.unresponsive {
             return;
-        };
-        link.busy = true;
-        let seconds = ctx.rng.gen_range(0.0003..0.0015) * self.slow;
-        ctx.later(seconds, Item::Counts(wire));
+        }
+        connection.busy = true;
+        let seconds = ctx.rng.gen_range(CALL_DURATION) * self.slowdown;
+        ctx.schedule_in(seconds, ScheduledEvent::CounterCallCompleted(link));
     }
 
-    /// The oldest call on a connection has had its turn.
-    pub fn counts(&mut self, ctx: &mut Ctx, wire: WireId) {
-        let Some(link) = self.links.get_mut(&wire) else { return };
-        link.busy = false;
-        if self.silent {
+    /// The oldest call on a connection has been handled.
+    pub fn complete_call(&mut self, ctx: &mut Context, link: LinkId) {
+        let Some(connection) = self.connections.get_mut(&link) else { return };
+        connection.busy = false;
+        if self.unresponsive {
             return;
         }
-        let Some(call) = link.calls.pop_front() else { return };
+        let Some(call) = connection.calls.pop_front() else { return };
+        let instance = connection.instance;
         self.calls += 1;
-        if ctx.chance(self.turns_away) {
-            ctx.send(wire, true, b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-            return self.goes_on(ctx, wire);
+        if ctx.draw_bool(self.rejections) {
+            ctx.send(link, true, REJECTION);
+            return self.start_next_call(ctx, link);
         }
-        let counts = match &mut self.other {
-            Some(other) if link.door % 2 == 1 => other,
-            _ => &mut self.counts,
-        };
-        let (total, until) = counts.entry(call.name).or_insert((0.0, 0.0));
-        if ctx.now > *until {
-            (*total, *until) = (0.0, ctx.now + call.lives);
+        let total = self.add(ctx.now, instance, call);
+        let malformed = ctx.draw_bool(self.malformed_responses);
+        if ctx.draw_bool(self.lost_responses) {
+            return self.disconnect(ctx, link);
         }
-        *total += call.add;
-        let body = if ctx.chance(self.spoilt) { "many".to_owned() } else { format!("{total}") };
-        if ctx.chance(self.deaf) {
-            return self.hang_up(ctx, wire);
+        let body = if malformed { MALFORMED_BODY.to_owned() } else { format!("{total}") };
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        ctx.send(link, true, response.as_bytes());
+        self.start_next_call(ctx, link);
+    }
+
+    /// Adds to a total, and returns the sum. While there are two counters, every other instance meets the second one.
+    fn add(&mut self, now: f64, instance: usize, call: Call) -> f64 {
+        let totals = match &mut self.second_totals {
+            Some(second) if instance % 2 == 1 => second,
+            _ => &mut self.totals,
+        };
+        let total = totals.entry(call.name).or_default();
+        if now > total.expires_at {
+            *total = Total { sum: 0.0, expires_at: now + call.time_to_live };
         }
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        ctx.send(wire, true, answer.as_bytes());
-        self.goes_on(ctx, wire);
+        total.sum += call.added;
+        total.sum
     }
 
-    fn hang_up(&mut self, ctx: &mut Ctx, wire: WireId) {
-        self.links.remove(&wire);
-        ctx.end(wire, false, false);
+    fn disconnect(&mut self, ctx: &mut Context, link: LinkId) {
+        self.connections.remove(&link);
+        ctx.close(link, false, false);
     }
 
-    pub fn ended(&mut self, ctx: &mut Ctx, wire: WireId) {
-        self.hang_up(ctx, wire);
-        ctx.ended(wire, false);
+    /// The gateway process has closed a connection.
+    pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
+        self.disconnect(ctx, link);
+        ctx.mark_closed(link, false);
     }
 
-    /// It dies: whatever is open is reset.
-    pub fn goes_down(&mut self, ctx: &mut Ctx) {
+    /// It crashes: open connections are reset, and new ones refused.
+    pub fn crash(&mut self, ctx: &mut Context) {
         self.down = true;
-        for wire in std::mem::take(&mut self.links).into_keys() {
-            ctx.reset(wire);
+        for link in std::mem::take(&mut self.connections).into_keys() {
+            ctx.reset(link);
         }
     }
 
-    pub fn speaks_again(&mut self, ctx: &mut Ctx) {
-        self.silent = false;
-        for wire in self.links.keys().copied().collect::<Vec<_>>() {
-            self.goes_on(ctx, wire);
+    /// It is responsive again, and handles what has come meanwhile.
+    pub fn resume(&mut self, ctx: &mut Context) {
+        self.unresponsive = false;
+        for link in self.connections.keys().copied().collect::<Vec<_>>() {
+            self.start_next_call(ctx, link);
         }
     }
 
-    pub fn forgets(&mut self) {
-        self.counts.clear();
+    /// All totals are lost.
+    pub fn clear(&mut self) {
+        self.totals.clear();
     }
 
-    pub fn splits(&mut self) {
-        self.other = Some(self.counts.clone());
+    /// From now on there are two, the second one with a copy of the totals.
+    pub fn split(&mut self) {
+        self.second_totals = Some(self.totals.clone());
     }
 
-    pub fn joins(&mut self) {
-        self.other = None;
+    /// The second one is gone, and its totals with it.
+    pub fn merge(&mut self) {
+        self.second_totals = None;
     }
 }
--- /dev/null
+++ b/emulator/src/fleet_study.rs
@@ -0,0 +1,210 @@
+//! Scenarios of about a hundred gateway instances and as many as sixty backends, generated from a seed: what is harmless in one instance
+//! and harmful when all do it is struck at full size, and every invariant is checked after each event.
+use crate::scenario::{Fault, FaultKind, Scenario, World};
+use crate::simulation::{simulate, Report};
+use crate::sweep;
+use clap::ValueEnum;
+use rand::seq::SliceRandom;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::fmt::Write;
+use std::ops::Range;
+
+/// For how long clients send requests, in seconds.
+const SECONDS: f64 = 11.0;
+/// Zones of the backends.
+const ZONES: usize = 3;
+
+/// What strikes a fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, ValueEnum)]
+pub enum FleetScenario {
+    /// Most front doors are killed at once during a release, some of them twice, while the list service turns callers away.
+    #[value(name = "herd")]
+    MassRestart,
+    /// A zone is lost and comes back cold; some other backends are bad.
+    #[value(name = "zone")]
+    ZoneLoss,
+    /// Six in ten backends are replaced within seconds; some are bad.
+    #[value(name = "join")]
+    MassReplacement,
+}
+
+impl FleetScenario {
+    /// The name on the command line and in tables.
+    pub fn name(self) -> String {
+        self.to_possible_value().map_or(String::new(), |value| value.get_name().to_owned())
+    }
+}
+
+/// One run of a fleet.
+pub struct FleetResult {
+    /// What struck it.
+    pub fleet_scenario: FleetScenario,
+    /// The run.
+    pub report: Report,
+}
+
+/// A scenario that is being put together.
+struct Builder {
+    rng: ChaCha8Rng,
+    instances: usize,
+    /// The backends in random order.
+    shuffled_backends: Vec<usize>,
+    faults: Vec<Fault>,
+}
+
+/// The scenario that a seed generates.
+pub fn scenario(fleet_scenario: FleetScenario, seed: u64) -> Scenario {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let world = generate_world(&mut rng);
+    let mut shuffled_backends: Vec<usize> = (0..world.backends).collect();
+    shuffled_backends.shuffle(&mut rng);
+    let mut builder = Builder { rng, instances: world.instances, shuffled_backends, faults: vec![] };
+    match fleet_scenario {
+        FleetScenario::MassRestart => builder.mass_restart(),
+        FleetScenario::ZoneLoss => builder.zone_loss(),
+        FleetScenario::MassReplacement => builder.mass_replacement(),
+    }
+    let mut faults = builder.faults;
+    faults.sort_by(|a, b| a.at.total_cmp(&b.at));
+    Scenario { seed, seconds: SECONDS, world, faults }
+}
+
+fn generate_world(rng: &mut ChaCha8Rng) -> World {
+    let instances = rng.gen_range(90..=110);
+    let backends: usize = rng.gen_range(40..=60);
+    World {
+        instances,
+        backends,
+        zones: ZONES,
+        cells: backends / 4,
+        customers: rng.gen_range(600..=1000),
+        request_rate: rng.gen_range(10.0..16.0) * backends as f64,
+        service_time: 0.08,
+        slots: 2,
+        max_connections: rng.gen_range(60..=400),
+        slow_start_duration: rng.gen_range(6.0..17.0),
+        slow_start_fraction: rng.gen_range(0.15..0.45),
+        gossip: rng.gen_bool(0.8),
+        polls_discovery: rng.gen_bool(0.2),
+        ..World::default()
+    }
+}
+
+impl Builder {
+    fn mass_restart(&mut self) {
+        let replaced = self.shuffled_backends[..self.shuffled_backends.len() * 3 / 4].to_vec();
+        let count = replaced.len() as f64;
+        for (index, backend) in replaced.into_iter().enumerate() {
+            let at = 2.0 + 5.0 * index as f64 / count;
+            let duration = Some(self.rng.gen_range(0.5..1.5));
+            let drain = Fault { backend: Some(backend), duration, ..Fault::new(at, FaultKind::Drain) };
+            self.faults.push(drain);
+        }
+        let duration = Some(self.rng.gen_range(0.5..3.0));
+        self.faults.push(Fault { duration, ..Fault::new(3.0, FaultKind::DiscoveryDown) });
+        self.kill_instances();
+    }
+
+    /// Kills seven in ten instances, and a few of them once more.
+    fn kill_instances(&mut self) {
+        let mut killed: Vec<usize> = (0..self.instances).collect();
+        killed.shuffle(&mut self.rng);
+        killed.truncate(self.instances * 7 / 10);
+        for (index, instance) in killed.into_iter().enumerate() {
+            let duration = Some(self.rng.gen_range(0.2..1.0));
+            let instance = Some(instance);
+            self.faults.push(Fault { instance, duration, ..Fault::new(3.5, FaultKind::Kill) });
+            if index % 10 == 0 {
+                let duration = Some(0.3);
+                self.faults.push(Fault { instance, duration, ..Fault::new(5.5, FaultKind::Kill) });
+            }
+        }
+    }
+
+    fn zone_loss(&mut self) {
+        let zone = self.rng.gen_range(0..ZONES);
+        let duration = Some(self.rng.gen_range(1.5..4.0));
+        self.faults.push(Fault { zone: Some(zone), duration, ..Fault::new(2.0, FaultKind::ZoneLoss) });
+        let backends = self.shuffled_backends.iter().copied();
+        let elsewhere: Vec<usize> = backends.filter(|backend| backend % ZONES != zone).collect();
+        self.degrade_backends(2.5, &elsewhere);
+    }
+
+    fn mass_replacement(&mut self) {
+        let count = self.shuffled_backends.len();
+        for &backend in &self.shuffled_backends[..count * 6 / 10] {
+            let at = self.rng.gen_range(2.0..8.0);
+            let kind = if self.rng.gen_bool(0.5) { FaultKind::Replace } else { FaultKind::Drain };
+            let duration = (kind == FaultKind::Drain).then_some(0.8);
+            self.faults.push(Fault { backend: Some(backend), duration, ..Fault::new(at, kind) });
+        }
+        let others = self.shuffled_backends[count * 2 / 3..].to_vec();
+        self.degrade_backends(3.0, &others);
+    }
+
+    /// An eighth of all backends, chosen from these, is slow, failing or unresponsive for some seconds from then on.
+    fn degrade_backends(&mut self, from: f64, candidates: &[usize]) {
+        let degradations =
+            [(FaultKind::Slow, 6.0), (FaultKind::Errors, 0.7), (FaultKind::LostResponses, 0.7)];
+        let count = self.shuffled_backends.len() / 8;
+        let chosen: Vec<usize> = candidates.choose_multiple(&mut self.rng, count).copied().collect();
+        for backend in chosen {
+            let (kind, severity) = *degradations.choose(&mut self.rng).expect("three");
+            let at = from + self.rng.gen_range(0.0..1.0);
+            self.faults.push(Fault {
+                backend: Some(backend),
+                duration: Some(self.rng.gen_range(2.0..5.0)),
+                severity: Some(severity),
+                ..Fault::new(at, kind)
+            });
+        }
+    }
+}
+
+/// Runs these scenarios for these seeds on so many threads; in the order of scenarios and seeds.
+pub fn sweep(fleet_scenarios: &[FleetScenario], seeds: Range<u64>, threads: usize) -> Vec<FleetResult> {
+    let of_scenario = |fleet_scenario: &FleetScenario| {
+        let fleet_scenario = *fleet_scenario;
+        seeds.clone().map(move |seed| (fleet_scenario, seed))
+    };
+    let tasks = fleet_scenarios.iter().flat_map(of_scenario).collect();
+    sweep::run_parallel(tasks, threads, |(fleet_scenario, seed)| FleetResult {
+        fleet_scenario,
+        report: simulate(&scenario(fleet_scenario, seed), None),
+    })
+}
+
+/// The results as a Markdown table, a row for each scenario.
+pub fn table(results: &[FleetResult]) -> String {
+    let mut text = String::from(
+        "| day | runs | invocations | succeeded | throttled | errored | deliveries an invocation | to cold backends | rules broken |\n\
+         | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
+    );
+    for &fleet_scenario in FleetScenario::value_variants() {
+        let own = results.iter().filter(|result| result.fleet_scenario == fleet_scenario);
+        let reports: Vec<&Report> = own.map(|result| &result.report).collect();
+        if !reports.is_empty() {
+            let _ = writeln!(text, "{}", table_row(fleet_scenario, &reports));
+        }
+    }
+    text
+}
+
+fn table_row(fleet_scenario: FleetScenario, reports: &[&Report]) -> String {
+    let totals = sweep::Totals::of(reports.iter().copied());
+    let coverage = totals.coverage;
+    let fraction = |count: u64| count as f64 / coverage.requests.max(1) as f64;
+    format!(
+        "| {} | {} | {} | {:.3} | {:.3} | {:.3} | {:.3} | {} | {} |",
+        fleet_scenario.name(),
+        reports.len(),
+        coverage.requests,
+        fraction(coverage.succeeded),
+        fraction(coverage.throttled),
+        fraction(coverage.errored),
+        fraction(coverage.attempts),
+        coverage.slow_start_checks,
+        reports.iter().filter(|report| report.violation.is_some()).count()
+    )
+}
--- /dev/null
+++ b/emulator/src/gateway_process/effects.rs
@@ -0,0 +1,195 @@
+//! Carries out what the reducer asks for, as the socket layer does.
+use super::connection::Connection;
+use super::{Addresses, GatewayProcess, ProcessRequest};
+use crate::context::Context;
+use crate::network::Remote;
+use crate::scheduled_event::ScheduledEvent;
+use quillramp::types::Idempotency;
+use quillramp_gateway::state::event::{CloseReason, ConnectionId, Effect, Event};
+use quillramp_gateway::wire::resp::{ClientReply, RequestCommand};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// Seconds between the reducer's wish to exit and the process's next look at whether all is done.
+const EXIT_CHECK_INTERVAL: f64 = 0.01;
+
+impl GatewayProcess {
+    /// Carries out an effect; what concerns neither the process nor the network is returned.
+    pub(super) fn apply_effect(
+        &mut self,
+        ctx: &mut Context,
+        addresses: &Addresses,
+        effect: Effect,
+    ) -> Option<ProcessRequest> {
+        match effect {
+            Effect::Reply(client, response) => self.respond(ctx, client, response),
+            Effect::Reject(client, reason) => self.reject(ctx, client, reason),
+            Effect::SendAttempt { connection, delivery, call, timeout_ms } => {
+                self.send_attempt(ctx, connection, delivery, &call, timeout_ms)
+            }
+            Effect::Withdraw { connection, delivery } => self.withdraw(ctx, connection, delivery),
+            Effect::AdminRespond(call, response) => {
+                if let Some(connection) = self.connections.get_mut(&ConnectionId::Admin(call)) {
+                    response.encode(connection.write_buffer.buffer());
+                }
+            }
+            Effect::SaveChange(call, change) => return Some(ProcessRequest::SaveChange { call, change }),
+            Effect::AnnounceDescriptorLimit(limit) => {
+                return Some(ProcessRequest::AnnounceDescriptorLimit(limit));
+            }
+            Effect::CloseIfIdle(client, reason) => self.close_if_idle(ctx, client, reason),
+            Effect::StopReading(client) => {
+                if let Some(connection) = self.connections.get_mut(&ConnectionId::Client(client)) {
+                    connection.reading_stopped = true;
+                }
+            }
+            Effect::Stream(backend, client) => self.start_stream(ctx, backend, client),
+            Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
+                self.close_if_stalled(ctx, connection, unresponsive_for, stalled_for)
+            }
+            Effect::HttpRequest(id, request) => {
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    request.encode(self.own_address, connection.write_buffer.buffer());
+                }
+            }
+            Effect::Connect(id, to) => self.connect(ctx, addresses, id, to),
+            Effect::Close(id) => self.close(ctx, id),
+            Effect::SendDatagram(to, body) => self.send_datagram(ctx, addresses, to, &body),
+            Effect::Log(line) => self.log(ctx, &line),
+            Effect::LogClosed(closed) => self.log(ctx, &closed.to_string()),
+            Effect::StopAccepting => self.accepting = false,
+            Effect::Exit => {
+                self.exiting = true;
+                self.wake(ctx, ctx.now + EXIT_CHECK_INTERVAL);
+            }
+            Effect::ExitImmediately => return Some(ProcessRequest::Exit),
+        }
+        None
+    }
+
+    fn log(&self, ctx: &mut Context, line: &str) {
+        let line = format!("door {} [{}]: {line}", self.instance, self.index);
+        ctx.trace.record_line(ctx.now, &line);
+    }
+
+    fn respond(&mut self, ctx: &mut Context, client: u64, response: ClientReply) {
+        let dropped = self.drops_response(ctx);
+        let duplicated = self.duplicates_response(ctx);
+        let response = self.tampered_response(response);
+        let connection = self.connections.get_mut(&ConnectionId::Client(client));
+        let Some(connection) = connection.filter(|_| !dropped) else { return };
+        response.encode(connection.write_buffer.buffer());
+        if duplicated {
+            response.encode(connection.write_buffer.buffer());
+        }
+    }
+
+    fn reject(&mut self, ctx: &mut Context, client: u64, reason: &'static str) {
+        let Some(connection) = self.connections.get_mut(&ConnectionId::Client(client)) else { return };
+        let known_address = ctx.links.get(&connection.link).is_some_and(|link| link.known_address);
+        ctx.checker.connection_rejected(ctx.now, connection.link, known_address, reason);
+        ClientReply::Error(reason.into()).encode(connection.write_buffer.buffer());
+    }
+
+    fn send_attempt(
+        &mut self,
+        ctx: &mut Context,
+        connection: u64,
+        attempt: u64,
+        request: &RequestCommand,
+        timeout_ms: u64,
+    ) {
+        let idempotency = self.idempotency.get(request.operation());
+        let non_idempotent = idempotency == Some(&Idempotency::NonIdempotent);
+        let duplicated = non_idempotent && self.duplicates_attempt(ctx);
+        let Some(connection) = self.connections.get_mut(&ConnectionId::Backend(connection)) else { return };
+        connection.write_buffer.append(attempt, |buffer| {
+            request.encode(timeout_ms, buffer);
+            if duplicated {
+                request.encode(timeout_ms, buffer);
+            }
+        });
+    }
+
+    fn withdraw(&mut self, ctx: &mut Context, connection: u64, attempt: u64) {
+        let open = self.connections.get_mut(&ConnectionId::Backend(connection));
+        if open.is_some_and(|open| open.write_buffer.withdraw(attempt)) {
+            self.deliver_event(ctx, Event::Withdrawn { connection, attempt });
+        }
+    }
+
+    fn close_if_idle(&mut self, ctx: &mut Context, client: u64, reason: CloseReason) {
+        let id = ConnectionId::Client(client);
+        let all_read = self.connections.get(&id).is_some_and(|connection| connection.received.is_empty());
+        let command_waits = self
+            .inbox
+            .iter()
+            .any(|event| matches!(event, Event::ClientCommand(sender, _) if *sender == client));
+        if all_read && !command_waits {
+            self.close(ctx, id);
+            self.deliver_event(ctx, Event::IdleClientClosed(client, reason));
+        }
+    }
+
+    /// Closes a connection on which a long value makes no progress. The times are in seconds.
+    fn close_if_stalled(&mut self, ctx: &mut Context, backend: u64, unresponsive_for: f64, stalled_for: f64) {
+        let id = ConnectionId::Backend(backend);
+        let stalled = |connection: &Connection| {
+            let idle = ctx.now - connection.stream_progress_at;
+            idle >= stalled_for || idle >= unresponsive_for && connection.reader.is_streaming()
+        };
+        if self.connections.get(&id).is_some_and(stalled) {
+            self.connection_failed(ctx, id, CloseReason::StreamStalled, false);
+        }
+    }
+
+    /// Passes a long value on to a client from now on, or reads it for nobody.
+    fn start_stream(&mut self, ctx: &mut Context, backend: u64, client: Option<u64>) {
+        let id = ConnectionId::Backend(backend);
+        let connection = self.connections.get_mut(&id);
+        let Some(length) = connection.and_then(|connection| connection.reader.start_streaming()) else {
+            return;
+        };
+        let to = client.map(ConnectionId::Client).filter(|to| self.connections.contains_key(to));
+        if let Some(client) = to.and_then(|to| self.connections.get_mut(&to)) {
+            client.write_buffer.buffer().extend_from_slice(format!("${length}\r\n").as_bytes());
+        }
+        let connection = self.connections.get_mut(&id).expect("just found");
+        connection.stream_to = to;
+        connection.stream_progress_at = ctx.now;
+        self.decode(ctx, id);
+        let ended = |open: &Connection| open.remote_closed && !open.reader.is_stream_pending();
+        if self.connections.get(&id).is_some_and(ended) {
+            self.connection_failed(ctx, id, CloseReason::Closed, false);
+        }
+    }
+
+    fn connect(&mut self, ctx: &mut Context, addresses: &Addresses, id: ConnectionId, to: SocketAddr) {
+        let remote = addresses.remotes.get(&to).copied().unwrap_or(Remote::Unreachable);
+        let link = ctx.open_link(self.index, id, remote);
+        match (id, remote) {
+            (ConnectionId::Backend(_), Remote::Backend(backend)) => {
+                ctx.checker.backend_connected(link, backend)
+            }
+            (ConnectionId::Discovery(_), _) => ctx.checker.discovery_connected(link, self.index),
+            _ => {}
+        }
+        self.connections.insert(id, Connection::new(link, id, false));
+        let delay = ctx.draw_delay();
+        ctx.schedule_in(delay, ScheduledEvent::ConnectRequested(link));
+    }
+
+    fn send_datagram(&self, ctx: &mut Context, addresses: &Addresses, to: SocketAddr, body: &[u8]) {
+        let broadcast = addresses.broadcast == Some(to);
+        let addressed = addresses.instances.iter().filter(|(address, _)| broadcast || **address == to);
+        let instances: BTreeSet<usize> = addressed.map(|(_, instance)| *instance).collect();
+        for instance in instances.into_iter().filter(|instance| *instance != self.instance) {
+            if !ctx.draw_bool(ctx.datagram_loss) {
+                let delay = ctx.draw_delay();
+                let from = self.own_address;
+                let datagram = ScheduledEvent::DatagramArrived { instance, from, body: body.to_vec() };
+                ctx.schedule_in(delay, datagram);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/gateway_process/inbound.rs
@@ -0,0 +1,181 @@
+//! What the network brings to a process: connections, bytes and ends become events of the reducer.
+use super::connection::{Connection, DecodedInput};
+use super::{GatewayProcess, OTHER_DESCRIPTORS};
+use crate::context::Context;
+use crate::network::{LinkId, Remote};
+use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
+
+impl GatewayProcess {
+    /// A client, or an operator, asks for a connection.
+    pub fn connect_requested(&mut self, ctx: &mut Context, link: LinkId) {
+        if !self.alive || !self.accepting {
+            return ctx.close(link, true, true);
+        }
+        let valid_client = |link: &crate::network::Link| link.remote == Remote::Client && !link.malformed;
+        if ctx.links.get(&link).is_some_and(valid_client) {
+            ctx.checker.client_connected(ctx.now, link, self.index, false);
+        }
+        self.backlog.push_back(link);
+        self.accept(ctx);
+    }
+
+    /// Accepts connections from the backlog as long as there are descriptors. Operators are accepted beyond that.
+    pub(super) fn accept(&mut self, ctx: &mut Context) {
+        while let Some(&id) = self.backlog.front() {
+            let Some(link) = ctx.links.get(&id) else {
+                self.backlog.pop_front();
+                continue;
+            };
+            let out_of_descriptors = self.connections.len() + OTHER_DESCRIPTORS >= self.max_descriptors;
+            if link.remote != Remote::Operator && out_of_descriptors {
+                return self.report_exhaustion(ctx);
+            }
+            self.backlog.pop_front();
+            self.accept_link(ctx, id);
+        }
+    }
+
+    /// Notifies the reducer, once a batch, that there are no descriptors for a connection.
+    fn report_exhaustion(&mut self, ctx: &mut Context) {
+        if !self.inbox.iter().any(|event| matches!(event, Event::DescriptorsExhausted)) {
+            self.deliver_event(ctx, Event::DescriptorsExhausted);
+        }
+    }
+
+    fn accept_link(&mut self, ctx: &mut Context, id: LinkId) {
+        self.accepted += 1;
+        let number = self.accepted;
+        let Some(link) = ctx.links.get_mut(&id) else { return };
+        let (connection_id, event) = if link.remote == Remote::Operator {
+            (ConnectionId::Admin(number), Event::AdminConnected(number))
+        } else {
+            (ConnectionId::Client(number), Event::ClientAccepted(number, link.client_address))
+        };
+        link.connection = connection_id;
+        if link.malformed {
+            ctx.checker.client_connected(ctx.now, id, self.index, true);
+        }
+        let mut connection = Connection::new(id, connection_id, true);
+        connection.received = self.backlog_bytes.remove(&id).unwrap_or_default();
+        self.connections.insert(connection_id, connection);
+        self.deliver_event(ctx, event);
+        self.decode(ctx, connection_id);
+    }
+
+    fn connection_on(&self, ctx: &Context, link: LinkId) -> Option<ConnectionId> {
+        let id = ctx.links.get(&link)?.connection;
+        self.connections.get(&id).filter(|connection| connection.link == link).map(|_| id)
+    }
+
+    /// A connection that this process asked for was accepted or refused.
+    pub fn connect_completed(&mut self, ctx: &mut Context, link: LinkId, accepted: bool) {
+        let Some(id) = self.connection_on(ctx, link) else { return };
+        if accepted {
+            self.connections.get_mut(&id).expect("just found").established = true;
+            return self.deliver_event(ctx, Event::Connected(id));
+        }
+        self.connection_failed(ctx, id, CloseReason::Refused, true);
+    }
+
+    /// Bytes have arrived on a link.
+    pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
+        if !self.alive {
+            return;
+        }
+        let id = self.connection_on(ctx, link);
+        // What a client wrote counts as received as soon as the machine has it, read or not; but a connection that is no longer read
+        // from may be closed across what lies there, and the client asks again elsewhere.
+        let ignored = id.is_some_and(|id| self.connections[&id].reading_stopped);
+        if !ignored && ctx.links.get(&link).is_some_and(|link| link.remote == Remote::Client) {
+            ctx.checker.client_bytes_received(ctx.now, link, bytes);
+        }
+        if self.backlog.contains(&link) {
+            return self.backlog_bytes.entry(link).or_default().extend_from_slice(bytes);
+        }
+        let Some(id) = id else { return };
+        match id {
+            ConnectionId::Backend(_) => ctx.checker.backend_bytes_received(ctx.now, link, bytes),
+            ConnectionId::Discovery(_) => ctx.checker.discovery_bytes_received(ctx.now, link, bytes),
+            _ => {}
+        }
+        self.connections.get_mut(&id).expect("just found").received.extend_from_slice(bytes);
+        self.decode(ctx, id);
+    }
+
+    /// Decodes what has arrived on a connection, as far as it is complete.
+    pub(super) fn decode(&mut self, ctx: &mut Context, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|c| !c.reading_stopped) else { return };
+        let mut input = DecodedInput::default();
+        let decoded = if connection.reader.discard {
+            Ok(connection.received.len())
+        } else {
+            connection.reader.decode(&connection.received, &mut input)
+        };
+        if let Ok(length) = decoded {
+            connection.received.drain(..length);
+        }
+        let unsent = !connection.write_buffer.is_empty();
+        if input.has_stream_progress() {
+            connection.stream_progress_at = ctx.now;
+        }
+        let stream_to = connection.stream_to;
+        if input.stream_ended {
+            connection.stream_to = None;
+        }
+        self.forward_stream(ctx, stream_to, &mut input.streamed);
+        for event in input.events {
+            let event = self.tampered_event(event);
+            self.deliver_event(ctx, event);
+        }
+        if let Err(reason) = decoded {
+            self.connection_failed(ctx, id, reason, unsent);
+        }
+    }
+
+    /// Writes the bytes of a long value to its client.
+    fn forward_stream(&mut self, ctx: &mut Context, to: Option<ConnectionId>, bytes: &mut Vec<u8>) {
+        let Some(to) = to.filter(|_| !bytes.is_empty()) else { return };
+        let Some(client) = self.connections.get_mut(&to) else { return };
+        client.write_buffer.buffer().append(bytes);
+        self.flush(ctx, to);
+    }
+
+    /// The remote has closed a link, or it was reset.
+    pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId, reset: bool) {
+        self.backlog.retain(|waiting| *waiting != link);
+        if let Some(id) = self.connection_on(ctx, link) {
+            self.remote_closed(ctx, id, reset);
+        }
+        ctx.mark_closed(link, true);
+    }
+
+    fn remote_closed(&mut self, ctx: &mut Context, id: ConnectionId, reset: bool) {
+        let connection = self.connections.get_mut(&id).expect("just found");
+        if !reset && connection.reader.is_stream_pending() && !connection.received.is_empty() {
+            // What was written before the end is streamed first.
+            connection.remote_closed = true;
+            return;
+        }
+        let reason = match (connection.established, reset) {
+            (false, _) => CloseReason::Refused,
+            (true, true) => CloseReason::Reset,
+            (true, false) => CloseReason::Closed,
+        };
+        let unsent = !connection.write_buffer.is_empty();
+        self.connection_failed(ctx, id, reason, unsent);
+    }
+
+    /// A connection has ended, not by the reducer's wish: the reducer is notified.
+    pub(super) fn connection_failed(
+        &mut self,
+        ctx: &mut Context,
+        id: ConnectionId,
+        reason: CloseReason,
+        unsent: bool,
+    ) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        self.report_closed(ctx, id, connection.link, false);
+        ctx.close(connection.link, true, false);
+        self.deliver_event(ctx, Event::ConnectionEnded { connection: id, reason, unsent });
+    }
+}
--- /dev/null
+++ b/emulator/src/simulation/dispatch.rs
@@ -0,0 +1,155 @@
+//! Hands each event to the party that it concerns.
+use super::Simulation;
+use crate::gateway_process::OTHER_DESCRIPTORS;
+use crate::network::{LinkId, Remote};
+use crate::scheduled_event::ScheduledEvent;
+use quillramp_gateway::state::event::Event;
+use rand::Rng;
+
+/// Seconds until a connection to an address at which nothing listens is refused.
+const REFUSAL_DELAY: f64 = 0.001;
+
+impl Simulation<'_> {
+    /// Lets an event happen.
+    pub(super) fn handle(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::BytesArrived { link, to_gateway: true, bytes } => {
+                self.bytes_to_gateway(link, &bytes)
+            }
+            ScheduledEvent::BytesArrived { link, to_gateway: false, bytes } => {
+                self.bytes_to_remote(link, &bytes)
+            }
+            ScheduledEvent::LinkClosed { link, to_gateway: true, reset } => {
+                self.closed_at_gateway(link, reset)
+            }
+            ScheduledEvent::LinkClosed { link, to_gateway: false, .. } => self.closed_at_remote(link),
+            ScheduledEvent::ConnectRequested(link) => self.connect_requested(link),
+            ScheduledEvent::ConnectCompleted { link, accepted } => self.connect_completed(link, accepted),
+            ScheduledEvent::ProcessWake(process) => self.run_process(process),
+            ScheduledEvent::DatagramArrived { instance, from, body } => {
+                if let Some(process) = self.instances[instance].newest_process() {
+                    self.processes[process].deliver_event(&mut self.ctx, Event::Datagram { from, body });
+                }
+            }
+            ScheduledEvent::JobCompleted { backend, job } => {
+                self.backends[backend].job_completed(&mut self.ctx, job)
+            }
+            ScheduledEvent::FaultBoundary { index, ended } => self.fault_boundary(index, ended),
+            ScheduledEvent::RequestDue => {
+                let until = self.last_request();
+                let serving = self.serving_processes();
+                self.clients.next_request(&mut self.ctx, &serving, until);
+            }
+            ScheduledEvent::MalformedClientDue => {
+                let serving = self.serving_processes();
+                self.clients.next_malformed_client(&mut self.ctx, &serving);
+            }
+            ScheduledEvent::RetryDue(request) => {
+                if self.ctx.now < self.last_request() {
+                    let serving = self.serving_processes();
+                    self.clients.send_request(&mut self.ctx, &serving, request);
+                }
+            }
+            ScheduledEvent::ClientDisconnects(link) => self.clients.disconnect(&mut self.ctx, link),
+            ScheduledEvent::RandomReset => self.random_reset(),
+            ScheduledEvent::CounterCallCompleted(link) => self.counter.complete_call(&mut self.ctx, link),
+            ScheduledEvent::WatchTimedOut { link, watch } => {
+                self.discovery.watch_timed_out(&mut self.ctx, link, watch)
+            }
+            ScheduledEvent::EndpointUpdate(instance) => self.discovery.agent_updated(&mut self.ctx, instance),
+            ScheduledEvent::ProcessKilled(process) => self.end_process(process, true),
+            ScheduledEvent::InstanceStarts(instance) => {
+                if self.instances[instance].processes.is_empty() {
+                    self.start_process(instance);
+                }
+            }
+            ScheduledEvent::BackendStarts { backend, incarnation } => {
+                self.start_backend(backend, incarnation)
+            }
+        }
+    }
+
+    fn bytes_to_gateway(&mut self, id: LinkId, bytes: &[u8]) {
+        let Some(link) = self.ctx.links.get(&id).filter(|link| link.gateway_open) else { return };
+        let process = link.process;
+        self.processes[process].bytes_received(&mut self.ctx, id, bytes);
+    }
+
+    fn bytes_to_remote(&mut self, id: LinkId, bytes: &[u8]) {
+        let ctx = &mut self.ctx;
+        let Some(link) = ctx.links.get(&id).filter(|link| link.remote_open) else { return };
+        match link.remote {
+            Remote::Client => self.clients.bytes_received(ctx, id, bytes),
+            Remote::Backend(backend) => self.backends[backend].bytes_received(ctx, id, bytes),
+            Remote::Counter => self.counter.bytes_received(ctx, id, bytes),
+            Remote::Discovery => self.discovery.bytes_received(ctx, id, bytes),
+            Remote::Operator | Remote::Unreachable => {}
+        }
+    }
+
+    fn closed_at_gateway(&mut self, id: LinkId, reset: bool) {
+        let Some(link) = self.ctx.links.get(&id) else { return };
+        let process = link.process;
+        self.processes[process].link_closed(&mut self.ctx, id, reset);
+    }
+
+    fn closed_at_remote(&mut self, id: LinkId) {
+        let ctx = &mut self.ctx;
+        let Some(link) = ctx.links.get(&id) else { return };
+        match link.remote {
+            Remote::Client => self.clients.link_closed(ctx, id),
+            Remote::Backend(backend) => self.backends[backend].link_closed(ctx, id),
+            Remote::Counter => self.counter.link_closed(ctx, id),
+            Remote::Discovery => self.discovery.link_closed(ctx, id),
+            Remote::Operator | Remote::Unreachable => ctx.mark_closed(id, false),
+        }
+    }
+
+    fn connect_requested(&mut self, id: LinkId) {
+        let ctx = &mut self.ctx;
+        let Some(link) = ctx.links.get(&id).filter(|link| link.gateway_open) else { return };
+        let process = link.process;
+        let instance = self.processes[process].instance;
+        match link.remote {
+            Remote::Client | Remote::Operator => self.processes[process].connect_requested(ctx, id),
+            Remote::Backend(backend) => self.backends[backend].connect_requested(ctx, id),
+            Remote::Counter => self.counter.connect_requested(ctx, id, instance),
+            Remote::Discovery => self.discovery.connect_requested(ctx, id, instance),
+            Remote::Unreachable => {
+                let refused = ScheduledEvent::ConnectCompleted { link: id, accepted: false };
+                ctx.schedule_in(REFUSAL_DELAY, refused);
+            }
+        }
+    }
+
+    fn connect_completed(&mut self, id: LinkId, accepted: bool) {
+        let Some(link) = self.ctx.links.get(&id).filter(|link| link.gateway_open) else { return };
+        let process = link.process;
+        self.processes[process].connect_completed(&mut self.ctx, id, accepted);
+    }
+
+    fn run_process(&mut self, process: usize) {
+        let requests = self.processes[process].run(&mut self.ctx, &self.addresses);
+        let instance = self.processes[process].instance;
+        let descriptors = |process: &usize| self.processes[*process].connection_count() + OTHER_DESCRIPTORS;
+        let in_use = self.instances[instance].processes.iter().map(descriptors).sum();
+        let limit = self.ctx.world.max_descriptors;
+        self.ctx.checker.descriptors_in_use(self.ctx.now, instance, in_use, limit);
+        for request in requests {
+            self.process_request(process, request);
+        }
+    }
+
+    /// Resets some link, and schedules the next one.
+    fn random_reset(&mut self) {
+        if self.reset_rate <= 0.0 {
+            return;
+        }
+        let links = self.ctx.links_matching(|link| link.remote != Remote::Operator && link.remote_open);
+        if !links.is_empty() {
+            let link = links[self.ctx.rng.gen_range(0..links.len())];
+            self.ctx.reset(link);
+        }
+        self.ctx.schedule_in(1.0 / self.reset_rate, ScheduledEvent::RandomReset);
+    }
+}
--- a/emulator/src/sweep.rs
+++ b/emulator/src/sweep.rs
@@ -1,92 +1,104 @@
-//! Many seeds, on several threads; the order of the results is that of the seeds.
-use crate::door::Sabotage;
-use crate::play::{play, Report};
-use crate::rules::Met;
-use crate::script::{Kind, Script};
+//! Runs of many seeds on several threads; results come in the order of the seeds.
+use crate::checker::Coverage;
+use crate::gateway_process::Sabotage;
+use crate::scenario::{FaultKind, Scenario};
+use crate::simulation::{simulate, Report};
 use std::collections::BTreeMap;
+use std::ops::Range;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// All that was met in many runs.
+/// Sums over many runs.
 #[derive(Default)]
 pub struct Totals {
+    /// How many runs.
     pub runs: u64,
+    /// Events that happened.
     pub steps: u64,
-    pub met: Met,
+    /// What there was to check.
+    pub coverage: Coverage,
+    /// Calls that the counter handled.
     pub counter_calls: u64,
-    pub faults: BTreeMap<Kind, u64>,
+    /// How many faults of each kind struck.
+    pub faults: BTreeMap<FaultKind, u64>,
 }
 
 impl Totals {
-    pub fn add(&mut self, r: &Report) {
+    /// The sums over these runs.
+    pub fn of<'a>(reports: impl IntoIterator<Item = &'a Report>) -> Totals {
+        let mut totals = Totals::default();
+        reports.into_iter().for_each(|report| totals.add(report));
+        totals
+    }
+
+    /// Adds a run.
+    pub fn add(&mut self, report: &Report) {
         self.runs += 1;
-        self.steps += r.steps;
-        self.counter_calls += r.counter_calls;
-        for (kind, n) in &r.faults {
-            *self.faults.entry(*kind).or_default() += n;
+        self.steps += report.steps;
+        self.counter_calls += report.counter_calls;
+        self.coverage.add(&report.coverage);
+        for (kind, count) in &report.faults {
+            *self.faults.entry(*kind).or_default() += count;
         }
-        let (all, one) = (&mut self.met, &r.met);
-        all.invocations += one.invocations;
-        all.succeeded += one.succeeded;
-        all.throttled += one.throttled;
-        all.errored += one.errored;
-        all.deliveries += one.deliveries;
-        all.repeats += one.repeats;
-        all.drained += one.drained;
-        all.cold += one.cold;
-        all.ceilings += one.ceilings;
-        all.turned_away += one.turned_away;
-        all.descriptors += one.descriptors;
     }
 }
 
-/// What each of these comes to, on so many threads; in the order of the tasks.
-pub fn on_threads<T: Send, R: Send>(tasks: Vec<T>, threads: usize, play: impl Fn(T) -> R + Sync) -> Vec<R> {
-    let (next, found) = (Mutex::new(tasks.into_iter().enumerate()), Mutex::new(vec![]));
-    std::thread::scope(|all| {
+/// What to sweep over.
+pub struct SweepOptions {
+    /// The seeds.
+    pub seeds: Range<u64>,
+    /// How many runs at once.
+    pub threads: usize,
+    /// So many violations are enough.
+    pub max_violations: usize,
+    /// How the gateway processes are broken on purpose.
+    pub sabotage: Option<Sabotage>,
+}
+
+/// The result of each task, in the order of the tasks, worked out on so many threads.
+pub fn run_parallel<T: Send, R: Send>(tasks: Vec<T>, threads: usize, work: impl Fn(T) -> R + Sync) -> Vec<R> {
+    let waiting = Mutex::new(tasks.into_iter().enumerate());
+    let results = Mutex::new(vec![]);
+    std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
-            all.spawn(|| loop {
-                let task = next.lock().unwrap_or_else(|e| e.into_inner()).next();
-                let Some((i, task)) = task else { return };
-                let one = (i, play(task));
-                found.lock().unwrap_or_else(|e| e.into_inner()).push(one);
+            scope.spawn(|| loop {
+                let next = waiting.lock().unwrap_or_else(|e| e.into_inner()).next();
+                let Some((index, task)) = next else { return };
+                let result = work(task);
+                results.lock().unwrap_or_else(|e| e.into_inner()).push((index, result));
             });
         }
     });
-    let mut found = found.into_inner().unwrap_or_else(|e| e.into_inner());
-    found.sort_by_key(|f| f.0);
-    found.into_iter().map(|f| f.1).collect()
+    let mut results = results.into_inner().unwrap_or_else(|e| e.into_inner());
+    results.sort_by_key(|(index, _)| *index);
+    results.into_iter().map(|(_, result)| result).collect()
 }
 
-/// Plays these seeds; `stop_at` broken rules are enough. Reports by seed.
-pub fn sweep(
-    seeds: std::ops::Range<u64>,
-    threads: usize,
-    stop_at: usize,
-    sabotage: Option<Sabotage>,
-    done: &(dyn Fn(u64) + Sync),
-) -> Vec<Report> {
-    let next = AtomicU64::new(seeds.start);
-    let (found, enough) = (Mutex::new(vec![]), AtomicBool::new(false));
-    std::thread::scope(|all| {
-        for _ in 0..threads.max(1) {
-            all.spawn(|| {
-                while !enough.load(Ordering::Relaxed) {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= seeds.end {
-                        return;
-                    }
-                    let report = play(&Script::draw(seed), sabotage);
-                    let mut found = found.lock().unwrap_or_else(|e| e.into_inner());
-                    found.push(report);
-                    done(found.len() as u64);
-                    let broken = found.iter().filter(|r: &&Report| r.breach.is_some()).count();
-                    enough.fetch_or(broken >= stop_at, Ordering::Relaxed);
-                }
-            });
+/// Runs the scenarios that the seeds generate, until there are enough violations. `progress` gets the number of runs that are done.
+pub fn sweep(options: &SweepOptions, progress: &(dyn Fn(u64) + Sync)) -> Vec<Report> {
+    let next_seed = AtomicU64::new(options.seeds.start);
+    let enough = AtomicBool::new(false);
+    let reports = Mutex::new(vec![]);
+    let work = || {
+        while !enough.load(Ordering::Relaxed) {
+            let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+            if seed >= options.seeds.end {
+                return;
+            }
+            let report = simulate(&Scenario::generate(seed), options.sabotage);
+            let mut reports = reports.lock().unwrap_or_else(|e| e.into_inner());
+            reports.push(report);
+            progress(reports.len() as u64);
+            let violations = reports.iter().filter(|report: &&Report| report.violation.is_some()).count();
+            enough.fetch_or(violations >= options.max_violations, Ordering::Relaxed);
+        }
+    };
+    std::thread::scope(|scope| {
+        for _ in 0..options.threads.max(1) {
+            scope.spawn(work);
         }
     });
-    let mut reports = found.into_inner().unwrap_or_else(|e| e.into_inner());
-    reports.sort_by_key(|r| r.seed);
+    let mut reports = reports.into_inner().unwrap_or_else(|e| e.into_inner());
+    reports.sort_by_key(|report| report.seed);
     reports
 }
--- a/load/src/experiment.rs
+++ b/load/src/experiment.rs
@@ -1,7 +1,7 @@
 //! An experiment: a world, its traffic, what strikes it, variants that are played against each other, and how often. Read from TOML and
 //! checked.
 use crate::faults;
-use quillramp_emulator::script::{Fault, World};
+use quillramp_emulator::scenario::{Fault, World};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
@@ -121,8 +121,8 @@
     /// What a variant plays: the experiment with what it has otherwise.
     pub fn of(&self, variant: &Variant) -> Experiment {
         let mut of = self.clone();
-        of.world.doors = variant.doors.unwrap_or(of.world.doors);
-        of.world.service *= variant.slowed;
+        of.world.instances = variant.doors.unwrap_or(of.world.instances);
+        of.world.service_time *= variant.slowed;
         of.traffic.connections = variant.connections.unwrap_or(of.traffic.connections);
         of.traffic.idle = variant.idle.unwrap_or(of.traffic.idle);
         if variant.spared {
@@ -159,7 +159,7 @@
         must(self.world.customers > 0, "world.customers: expected 1 or more");
         let sizes = |of: &Experiment, at: &str, must: &mut dyn FnMut(bool, &str)| {
             let Experiment { world, traffic, .. } = of;
-            let (doors, held) = (world.doors, traffic.connections + traffic.idle);
+            let (doors, held) = (world.instances, traffic.connections + traffic.idle);
             must(
                 (1..=DOORS).contains(&doors),
                 &format!("{at}world.doors: expected 1 to {DOORS}, found {doors}"),
@@ -171,10 +171,10 @@
                 ),
             );
             must(
-                held < world.sockets.max(1024),
+                held < world.max_descriptors.max(1024),
                 &format!(
                     "{at}traffic: {held} connections to a front door of {} descriptors",
-                    world.sockets.max(1024)
+                    world.max_descriptors.max(1024)
                 ),
             );
         };
@@ -199,7 +199,7 @@
                 f.kind.name() != "burst" || t.rate > 0.0,
                 &format!("{at}: a closed loop has no rate that could grow"),
             );
-            for says in f.check(&at, t.seconds, &self.world) {
+            for says in f.problems(&at, t.seconds, &self.world) {
                 must(false, &says);
             }
         }
@@ -233,7 +233,7 @@
 
     /// Front doors of each customer.
     pub fn spread(&self) -> usize {
-        let all = self.world.doors;
+        let all = self.world.instances;
         if self.traffic.spread == 0 {
             all
         } else {
@@ -247,7 +247,7 @@
     }
 
     fn arrival_of(&self, rng: &mut ChaCha8Rng, at: f64, customer: u64) -> Arrival {
-        let door = (customer as usize + rng.gen_range(0..self.spread())) % self.world.doors;
+        let door = (customer as usize + rng.gen_range(0..self.spread())) % self.world.instances;
         let (units, order) = (rng.gen_range(1..=2), rng.gen_bool(self.traffic.orders));
         Arrival { at, door, customer, units, order }
     }
--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -5,8 +5,8 @@
 use crate::standins;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use quillramp_emulator::play::settings;
-use quillramp_emulator::script::Kind;
+use quillramp_emulator::deployment::gateway_settings;
+use quillramp_emulator::scenario::FaultKind;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -73,7 +73,7 @@
     pub fn start(e: &Experiment, variant: &Variant, folder: &Path, to: &Parties) -> Result<Fleet, String> {
         let program = variant.program.clone().unwrap_or_else(|| "target/release/quillramp".into());
         let world = &e.world;
-        let mut told = settings(world, None);
+        let mut told = gateway_settings(world, None);
         let (mut at, mut words, mut members) = (vec![], vec![], vec![]);
         let udp = || {
             let socket = UdpSocket::bind("127.0.0.1:0").map_err(|e| format!("a port: {e}"))?;
@@ -81,7 +81,7 @@
             Ok::<_, String>((socket, at))
         };
         let mut kept = vec![];
-        for _ in 0..world.doors {
+        for _ in 0..world.instances {
             let (listener, here) = standins::free()?;
             let (socket, word) = udp()?;
             at.push(here);
@@ -90,17 +90,17 @@
         }
         drop(kept); // all chosen while all were taken; free again for the front doors
         let (relay, relay_at) = udp()?;
-        if world.peers {
+        if world.gossip {
             standins::relay(relay, words.clone());
         }
         let peers: Vec<SocketAddr> = words.iter().copied().chain([relay_at]).collect();
-        for d in 0..world.doors {
+        for d in 0..world.instances {
             told["slot_no"] = json!(d);
             let seed = format!("{:016x}", e.seed + d as u64);
             let mut text = json!({"name": format!("n{d}"), "listen": at[d], "discovery": to.list, "seed": seed,
-                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": world.sockets.max(1024)},
+                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": world.max_descriptors.max(1024)},
                 "counter": to.counters[d % 2], "known": to.listing, "settings": told});
-            if world.peers {
+            if world.gossip {
                 text["peer_listen"] = json!(words[d]);
                 text["peers"] = json!(peers);
                 text["peers_all"] = json!(relay_at);
@@ -164,15 +164,15 @@
             }
         };
         match (step.kind, step.begins) {
-            (Kind::Stall, true) => signal(Signal::SIGSTOP),
-            (Kind::Stall, false) => signal(Signal::SIGCONT),
-            (Kind::Reload, true) => signal(Signal::SIGHUP),
-            (Kind::Kill, true) => self.end(step.whom, Duration::ZERO),
-            (Kind::Term, true) => {
+            (FaultKind::Stall, true) => signal(Signal::SIGSTOP),
+            (FaultKind::Stall, false) => signal(Signal::SIGCONT),
+            (FaultKind::ReloadConfiguration, true) => signal(Signal::SIGHUP),
+            (FaultKind::Kill, true) => self.end(step.whom, Duration::ZERO),
+            (FaultKind::Terminate, true) => {
                 signal(Signal::SIGTERM);
                 self.end(step.whom, KILL);
             }
-            (Kind::Kill | Kind::Term, false) => {
+            (FaultKind::Kill | FaultKind::Terminate, false) => {
                 let (members, whom, program, variant) =
                     (self.members.clone(), step.whom, self.program.clone(), self.variant.clone());
                 // The old one may still be about to end: the new one has its address then.
--- a/load/src/play.rs
+++ b/load/src/play.rs
@@ -5,9 +5,9 @@
 use crate::generator::{self, Row};
 use crate::stage::{held, Load, Stage};
 use crate::standins;
-use quillramp_emulator::play::settings;
-use quillramp_emulator::quota::Store;
-use quillramp_emulator::script::Kind;
+use quillramp_emulator::deployment::gateway_settings;
+use quillramp_emulator::quota_usage::QuotaUsage;
+use quillramp_emulator::scenario::FaultKind;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -113,7 +113,7 @@
     let calls = *held(&stage.calls);
     let ran = held(&stage.ran);
     let by_backend: Vec<String> = ran.by_backend.iter().map(u64::to_string).collect();
-    let told = settings(world, None);
+    let told = gateway_settings(world, None);
     let (mut units, mut beyond, mut worst, mut had) = (0.0, 0.0, 0.0f64, vec![]);
     for ((customer, plan), came) in &ran.units {
         let tariff = told["tariffs"].as_array().and_then(|all| all.iter().find(|t| t["name"] == plan[..]));
@@ -121,25 +121,25 @@
         let (rate, burst) = (figure("per_second"), figure("depth"));
         units += came.iter().map(|c| c.1).sum::<f64>();
         if rate > 0.0 {
-            let store = Store::of(came, rate, burst);
-            beyond += store.beyond;
-            worst = worst.max(store.worst);
-            let (.., span) = store.quota();
+            let store = QuotaUsage::from_samples(came, rate, burst);
+            beyond += store.excess_units;
+            worst = worst.max(store.worst_overshoot);
+            let span = store.span();
             had.push(Had {
                 variant: variant.name.clone(),
                 repetition,
                 customer: *customer,
                 plan: plan.clone(),
                 units: store.units,
-                beyond: store.beyond,
-                overshoot: store.beyond / (burst + rate * span),
+                beyond: store.excess_units,
+                overshoot: store.excess_units / (burst + rate * span),
             });
         }
     }
     let play = Play {
         variant: variant.name.clone(),
         repetition,
-        doors: world.doors,
+        doors: world.instances,
         sent: rows.len() as u64,
         counter_calls: calls,
         deliveries: ran.deliveries,
@@ -167,7 +167,9 @@
             sleep(Duration::from_millis(2));
         }
         match step.kind {
-            Kind::Kill | Kind::Term | Kind::Stall | Kind::Reload => fleet.strike(step),
+            FaultKind::Kill | FaultKind::Terminate | FaultKind::Stall | FaultKind::ReloadConfiguration => {
+                fleet.strike(step)
+            }
             _ => stage.strike(step),
         }
     }
--- a/load/src/scale/point.rs
+++ b/load/src/scale/point.rs
@@ -1,6 +1,6 @@
 //! One point of a scale run: the sizes of the fleet, its traffic and how that is spread over the tenants.
-use quillramp_emulator::play::settings;
-use quillramp_emulator::script::World;
+use quillramp_emulator::deployment::gateway_settings;
+use quillramp_emulator::scenario::World;
 use rand::distributions::WeightedIndex;
 use serde_json::{json, Value};
 
@@ -146,8 +146,8 @@
     /// What the configuration of a front door says of the platform.
     pub fn settings(&self, slot: usize) -> Value {
         let world =
-            World { doors: self.front_doors, backends: self.backends, peers: false, ..World::default() };
-        let mut told = settings(&world, None);
+            World { instances: self.front_doors, backends: self.backends, gossip: false, ..World::default() };
+        let mut told = gateway_settings(&world, None);
         told["slot_no"] = json!(slot);
         told["extra"]["counter"] = json!(!self.without_counter);
         let plan = |p: usize| {
--- a/load/src/stage.rs
+++ b/load/src/stage.rs
@@ -1,6 +1,6 @@
 //! What the stand-ins of one play share: the time, each backend's condition, the counter's, the list, and what ran. Faults change it.
 use crate::faults::{self, Step};
-use quillramp_emulator::script::{Kind, World};
+use quillramp_emulator::scenario::{FaultKind, World};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -205,7 +205,7 @@
     pub fn fate(&self, backend: usize, units: f64) -> Fate {
         let c = self.condition(backend);
         let age = c.started.map(|s| self.now() - s);
-        let takes = units * self.world.service * c.slow / faults::warmth(&self.world, age);
+        let takes = units * self.world.service_time * c.slow / faults::warmth(&self.world, age);
         let work = Duration::from_secs_f64(takes.min(60.0));
         let drawn = self.chance(backend);
         let mut upto = 0.0;
@@ -339,13 +339,13 @@
         let by = if step.begins { step.by } else { 0.0 };
         let backend = |change: &dyn Fn(&mut Condition)| change(&mut held(&self.conditions[step.whom]));
         match step.kind {
-            Kind::Slow => backend(&|c| c.slow = if step.begins { step.by } else { 1.0 }),
-            Kind::Swallow => backend(&|c| c.swallow = by),
-            Kind::Spoil => backend(&|c| c.spoil = by),
-            Kind::Err => backend(&|c| c.err = by),
-            Kind::TurnAway => backend(&|c| c.turn_away = by),
-            Kind::Crash | Kind::Vanish => {
-                let silent = step.kind == Kind::Vanish;
+            FaultKind::Slow => backend(&|c| c.slow = if step.begins { step.by } else { 1.0 }),
+            FaultKind::LostResponses => backend(&|c| c.swallow = by),
+            FaultKind::MalformedResponses => backend(&|c| c.spoil = by),
+            FaultKind::Errors => backend(&|c| c.err = by),
+            FaultKind::Rejections => backend(&|c| c.turn_away = by),
+            FaultKind::Crash | FaultKind::Unresponsive => {
+                let silent = step.kind == FaultKind::Unresponsive;
                 backend(&|c| {
                     c.process += 1;
                     if silent {
@@ -362,27 +362,27 @@
                     self.lists(step.whom, "SERVING", false);
                 }
             }
-            Kind::Drain if step.begins => {
+            FaultKind::Drain if step.begins => {
                 backend(&|c| c.draining = true);
                 self.lists(step.whom, "DRAINING", false);
             }
-            Kind::Drain => {
+            FaultKind::Drain => {
                 backend(&|c| (c.draining, c.started, c.process) = (false, Some(now), c.process + 1));
                 self.end_connections(step.whom);
                 self.lists(step.whom, "SERVING", true);
             }
-            Kind::CounterDown => held(&self.counter).down = step.begins,
-            Kind::CounterSilent => held(&self.counter).silent = step.begins,
-            Kind::CounterSlow => held(&self.counter).slow = 0.001 * by,
-            Kind::CounterDeaf => held(&self.counter).deaf = by,
-            Kind::CounterTurnsAway => held(&self.counter).turn_away = by,
-            Kind::CounterLost => held(&self.counts).iter_mut().for_each(HashMap::clear),
-            Kind::CounterSplit => {
+            FaultKind::CounterDown => held(&self.counter).down = step.begins,
+            FaultKind::CounterUnresponsive => held(&self.counter).silent = step.begins,
+            FaultKind::CounterSlow => held(&self.counter).slow = 0.001 * by,
+            FaultKind::CounterLostResponses => held(&self.counter).deaf = by,
+            FaultKind::CounterRejections => held(&self.counter).turn_away = by,
+            FaultKind::CounterReset => held(&self.counts).iter_mut().for_each(HashMap::clear),
+            FaultKind::CounterSplit => {
                 held(&self.counter).split = step.begins;
                 let mut counts = held(&self.counts);
                 counts[1] = counts[0].clone();
             }
-            Kind::ListDown => {
+            FaultKind::DiscoveryDown => {
                 self.relist(|l| l.down = step.begins);
             }
             _ => {}
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -1,7 +1,7 @@
 //! The tool finds what is there: arrivals by seed, a known delay, an effect twice, a difference and no difference.
 use expect_test::expect;
-use quillramp_emulator::quota::Store;
-use quillramp_emulator::script::Kind;
+use quillramp_emulator::quota_usage::QuotaUsage;
+use quillramp_emulator::scenario::FaultKind;
 use quillramp_load::experiment::Experiment;
 use quillramp_load::faults::{burst, played as can_play, schedule, warmth};
 use quillramp_load::generator::{Outcome, Row};
@@ -226,24 +226,27 @@
     assert_eq!((burst(&e.faults, 3.9), burst(&e.faults, 4.5), burst(&e.faults, 5.0)), (1.0, 2.0, 1.0));
     let come = e.arrivals(0).iter().filter(|a| (4.0..5.0).contains(&a.at)).count();
     assert!(come > 12, "{come}");
-    assert!(can_play(Kind::CounterSplit) && !can_play(Kind::Upgrade));
+    assert!(can_play(FaultKind::CounterSplit) && !can_play(FaultKind::Upgrade));
     let w = &e.world;
-    assert_eq!((warmth(w, None), warmth(w, Some(0.0)), warmth(w, Some(99.0))), (1.0, w.cold_from, 1.0));
+    assert_eq!(
+        (warmth(w, None), warmth(w, Some(0.0)), warmth(w, Some(99.0))),
+        (1.0, w.slow_start_fraction, 1.0)
+    );
 }
 
 #[test]
 fn units_beyond_a_quota_are_counted_once() {
     // 10 at once and 1 a second: 12 at the start are 2 too many, and one a second after that none.
     let mut came = vec![(0.0, 6.0), (0.0, 6.0)];
-    assert_eq!(Store::of(&came, 1.0, 10.0).beyond, 2.0);
+    assert_eq!(QuotaUsage::from_samples(&came, 1.0, 10.0).excess_units, 2.0);
     came.extend((1..=20).map(|s| (f64::from(s), 1.0)));
-    assert!((Store::of(&came, 1.0, 10.0).beyond - 2.0).abs() < 1e-9);
-    assert!((Store::of(&came, 1.0, 10.0).worst - 0.2).abs() < 1e-9);
+    assert!((QuotaUsage::from_samples(&came, 1.0, 10.0).excess_units - 2.0).abs() < 1e-9);
+    assert!((QuotaUsage::from_samples(&came, 1.0, 10.0).worst_overshoot - 0.2).abs() < 1e-9);
     // A span that begins late: a second burst after the store has filled again is none.
-    assert_eq!(Store::of(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).beyond, 0.0);
-    assert_eq!(Store::of(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).worst, 0.0);
+    assert_eq!(QuotaUsage::from_samples(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).excess_units, 0.0);
+    assert_eq!(QuotaUsage::from_samples(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).worst_overshoot, 0.0);
     // Order does not matter, and half of what the second time brings is too much.
-    assert_eq!(Store::of(&[(5.0, 10.0), (0.0, 10.0)], 1.0, 10.0).beyond, 5.0);
+    assert_eq!(QuotaUsage::from_samples(&[(5.0, 10.0), (0.0, 10.0)], 1.0, 10.0).excess_units, 5.0);
 }
 
 #[test]
