--- a/emulator/src/arguments.rs
+++ b/emulator/src/arguments.rs
@@ -15,6 +15,7 @@
     pub command: Command,
 }
 
+/// The commands.
 #[derive(Subcommand)]
 pub enum Command {
     /// Play a script.
@@ -50,6 +51,7 @@
     Kinds,
 }
 
+/// How one run is run and printed.
 #[derive(Args)]
 pub struct RunOptions {
     /// How many of the last lines to print; all steps that broke a rule print theirs.
@@ -60,6 +62,7 @@
     pub sabotage: Option<Sabotage>,
 }
 
+/// The arguments of `sweep`.
 #[derive(Args)]
 pub struct SweepArguments {
     /// The first seed.
@@ -82,6 +85,7 @@
     pub sabotage: Option<Sabotage>,
 }
 
+/// The arguments of `shrink`.
 #[derive(Args)]
 pub struct ShrinkArguments {
     /// A script; or a seed, with --seed.
@@ -99,6 +103,7 @@
     pub sabotage: Option<Sabotage>,
 }
 
+/// The arguments of `grow`.
 #[derive(Args)]
 pub struct GrowthArguments {
     /// How many front doors, one size after another.
@@ -113,6 +118,7 @@
     pub out: Option<PathBuf>,
 }
 
+/// The arguments of `quotas`.
 #[derive(Args)]
 pub struct QuotaArguments {
     #[arg(long, value_enum, value_delimiter = ',', default_values_t = [CounterFault::None, CounterFault::Split, CounterFault::Down, CounterFault::Silent, CounterFault::Lost, CounterFault::Deaf, CounterFault::Mixed])]
@@ -127,6 +133,7 @@
     pub out: Option<PathBuf>,
 }
 
+/// The arguments of `fleets`.
 #[derive(Args)]
 pub struct FleetArguments {
     #[arg(long, value_enum, value_delimiter = ',', default_values_t = [FleetScenario::MassRestart, FleetScenario::ZoneLoss, FleetScenario::MassReplacement])]
@@ -138,6 +145,7 @@
     pub draw: bool,
 }
 
+/// Seeds, and how many runs at once.
 #[derive(Args)]
 pub struct SeedRange {
     /// The first seed.
--- a/emulator/src/backend.rs
+++ b/emulator/src/backend/mod.rs
@@ -1,9 +1,15 @@
 //! A backend: a queue, a slow start, unresponsiveness, malformed replies, a limit on connections. Deliberately plain.
+mod fault_rates;
+mod replies;
+
+pub use fault_rates::FaultRates;
+
 use crate::context::Context;
 use crate::network::{LinkId, Remote};
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::wire::resp;
 use rand::Rng;
+use replies::{BUSY_REPLY, SURPLUS_REPLY};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// Requests that wait at the most: more are rejected.
@@ -12,19 +18,8 @@
 const ORPHAN_EXECUTION: f64 = 0.5;
 /// By how much the time of an execution varies.
 const EXECUTION_JITTER: std::ops::Range<f64> = 0.6..1.6;
-/// A reply that belongs to nothing.
-const SURPLUS_REPLY: &[u8] = b"*3\r\n$1\r\nx\r\n$-1\r\n$-1\r\n";
-const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
-const ERROR_REPLY: &[u8] = b"-ERR failed\r\n";
-/// Bytes of a value that is too long to be held complete.
-const LONG_VALUE_BYTES: std::ops::Range<usize> = 66_000..120_000;
 /// A reply that is at least so long holds a long value.
 const LONG_REPLY_BYTES: usize = 64_000;
-/// Where a long value is truncated at the earliest.
-const MIN_TRUNCATED_BYTES: usize = 100;
-const MALFORMED_REPLIES: [&[u8]; 5] =
-    [b"*3\r\n$5\r\nab", b"noise\r\n", b"*3\r\n$3000000000\r\nxxxx", b"$5\r\nvalue\r\n", b"-what is this\r\n"];
-
 /// Whether a backend runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lifecycle {
@@ -36,42 +31,6 @@
     Unresponsive,
 }
 
-/// What is wrong with a backend: a factor of its speed, and fractions of its replies.
-#[derive(Clone, Copy, Debug)]
-pub struct FaultRates {
-    /// How many times slower it is.
-    pub slowdown: f64,
-    /// Executed, and never replied to.
-    pub lost_responses: f64,
-    /// Can't be parsed.
-    pub malformed_responses: f64,
-    /// Followed by a reply that belongs to nothing.
-    pub surplus_responses: f64,
-    /// Fail.
-    pub errors: f64,
-    /// Rejected in place of being queued.
-    pub rejections: f64,
-    /// Followed by the end of the connection.
-    pub closes_after_response: f64,
-    /// Of long values: truncated.
-    pub truncated_values: f64,
-}
-
-impl Default for FaultRates {
-    fn default() -> FaultRates {
-        FaultRates {
-            slowdown: 1.0,
-            lost_responses: 0.0,
-            malformed_responses: 0.0,
-            surplus_responses: 0.0,
-            errors: 0.0,
-            rejections: 0.0,
-            closes_after_response: 0.0,
-            truncated_values: 0.0,
-        }
-    }
-}
-
 struct Job {
     link: LinkId,
     id: u64,
@@ -249,31 +208,6 @@
         self.start_jobs(ctx);
     }
 
-    fn build_reply(&self, ctx: &mut Context, job: &Job) -> Vec<u8> {
-        if ctx.draw_bool(self.faults.errors) {
-            return ERROR_REPLY.to_vec();
-        }
-        if ctx.draw_bool(self.faults.malformed_responses) {
-            return MALFORMED_REPLIES[ctx.rng.gen_range(0..MALFORMED_REPLIES.len())].to_vec();
-        }
-        let Job { id, customer, units, .. } = job;
-        let mut value = format!("{id:016x}:{customer:x}:{}.{}", self.index, self.incarnation).into_bytes();
-        if job.long_value {
-            value.resize(ctx.rng.gen_range(LONG_VALUE_BYTES), b'v');
-        }
-        let cost = format!("cost={units}");
-        let mut reply = format!("*3\r\n${}\r\n", value.len()).into_bytes();
-        reply.extend_from_slice(&value);
-        reply.extend_from_slice(format!("\r\n${}\r\n{cost}\r\n$-1\r\n", cost.len()).as_bytes());
-        if job.long_value && ctx.draw_bool(self.faults.truncated_values) {
-            reply.truncate(ctx.rng.gen_range(MIN_TRUNCATED_BYTES..reply.len()));
-        }
-        if !job.long_value && ctx.draw_bool(self.faults.surplus_responses) {
-            reply.extend_from_slice(SURPLUS_REPLY);
-        }
-        reply
-    }
-
     /// Sends a reply once all before it on its connection have been sent.
     fn queue_reply(&mut self, ctx: &mut Context, link: LinkId, job: u64, reply: Vec<u8>) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
--- a/emulator/src/checker/attempts.rs
+++ b/emulator/src/checker/attempts.rs
@@ -9,7 +9,9 @@
 /// An attempt on a connection, by its request's id and its index among that request's attempts.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptRef {
+    /// The request's id.
     pub request: u64,
+    /// The attempt's index.
     pub attempt: usize,
 }
 
@@ -20,6 +22,7 @@
     request_bytes: Vec<u8>,
     /// When the first byte of the command that is being written was written.
     first_byte: f64,
+    /// Bytes of the backend that are no complete reply yet.
     pub reply_bytes: Vec<u8>,
     /// Attempts without a reply, in the order in which they were written.
     pub in_flight: VecDeque<AttemptRef>,
--- a/emulator/src/checker/client_responses.rs
+++ b/emulator/src/checker/client_responses.rs
@@ -1,72 +1,18 @@
-//! Checks that each command of a client gets one final response, in order and in time.
+//! Checks that each command of a client gets one final response, in order; `deadlines` checks that it comes in time.
+use super::client_connection::{ClientConnection, CommandKind, PendingCommand};
+use super::deadlines::{Deadline, MALFORMED_TIMEOUT};
 use super::request::{AttemptOutcome, RequestEvent, RequestRecord};
 use super::response::escape;
 use super::{parse_response, Checker, Invariant, ResponseKind, SHUTDOWN_INTAKE, TOLERANCE};
 use crate::network::LinkId;
 use quillramp::types::Idempotency;
 use quillramp_gateway::wire::resp;
-use std::collections::VecDeque;
 
-/// A client whose bytes can't be parsed gets an error, or the end of its connection, within so many seconds.
-const MALFORMED_TIMEOUT: f64 = 3.0;
-/// Time for the response to a command that is not a request, in seconds.
-const COMMAND_TIMEOUT: f64 = 1.0;
-/// Time after which a response that arrives in pieces is looked at again, in seconds.
-const RECHECK_INTERVAL: f64 = 0.5;
-/// How a request id is shown in a value, within so many of its first bytes.
+/// A value names its request within so many of its first bytes.
 const VALUE_HEAD_BYTES: usize = 64;
 /// Characters of a request id in hexadecimal.
 const ID_LENGTH: usize = 16;
 
-/// What a command is.
-#[derive(Clone, Copy)]
-enum CommandKind {
-    /// A request, by its id.
-    Request(u64),
-    Other,
-}
-
-/// A command that has no response yet.
-#[derive(Clone, Copy)]
-struct PendingCommand {
-    kind: CommandKind,
-    received_at: f64,
-}
-
-/// A client's connection.
-#[derive(Default)]
-pub(super) struct ClientConnection {
-    pub process: usize,
-    /// The client sends what can't be parsed.
-    malformed: bool,
-    received: Vec<u8>,
-    response_bytes: Vec<u8>,
-    pending: VecDeque<PendingCommand>,
-    /// Since when the oldest command has been at the front of the pipeline.
-    front_since: f64,
-    /// Nothing after this can be parsed.
-    unparseable: bool,
-    connected_at: f64,
-}
-
-/// When a connection's oldest command is to be looked at.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Deadline {
-    /// Bits of the time: those of non-negative numbers sort as the numbers do.
-    at_bits: u64,
-    link: LinkId,
-}
-
-impl Deadline {
-    fn new(at: f64, link: LinkId) -> Deadline {
-        Deadline { at_bits: at.to_bits(), link }
-    }
-
-    fn at(self) -> f64 {
-        f64::from_bits(self.at_bits)
-    }
-}
-
 impl Checker {
     /// A client has connected to a process; `malformed`: it will send what can't be parsed.
     pub fn client_connected(&mut self, now: f64, link: LinkId, process: usize, malformed: bool) {
@@ -138,69 +84,6 @@
         self.requests.insert(request.id, record);
     }
 
-    /// When the command at the front of a connection's pipeline must have its response.
-    fn response_deadline(&self, link: LinkId) -> Option<f64> {
-        let client = self.clients.get(&link)?;
-        let stalled_until = self.processes.get(&client.process).map_or(0.0, |process| process.stalled_until);
-        if client.malformed {
-            return Some(client.connected_at.max(stalled_until) + MALFORMED_TIMEOUT);
-        }
-        let command = client.pending.front()?;
-        // What arrived during a stall counts from the stall's end: a process can't know how long bytes lay there.
-        let received_at = command.received_at.max(stalled_until);
-        Some(match command.kind {
-            CommandKind::Request(id) => {
-                let timeout = self.requests.get(&id).map_or(1.0, |request| request.timeout);
-                (received_at + timeout).max(client.front_since) + TOLERANCE
-            }
-            CommandKind::Other => client.front_since.max(received_at) + COMMAND_TIMEOUT,
-        })
-    }
-
-    fn schedule_deadline(&mut self, link: LinkId) {
-        if let Some(at) = self.response_deadline(link) {
-            self.deadlines.insert(Deadline::new(at, link));
-        }
-    }
-
-    /// Finds the commands that should have had a response by now.
-    pub fn check_deadlines(&mut self, now: f64) {
-        while let Some(link) = self.deadlines.first().filter(|deadline| deadline.at() < now).map(|d| d.link) {
-            self.deadlines.pop_first();
-            let Some(deadline) = self.response_deadline(link) else { continue };
-            let client = &self.clients[&link];
-            if self.processes.get(&client.process).is_none_or(|process| process.ended) {
-                continue;
-            }
-            if deadline >= now {
-                self.deadlines.insert(Deadline::new(deadline, link));
-            } else if !client.response_bytes.is_empty() && !client.malformed {
-                // Its response is arriving in pieces.
-                self.deadlines.insert(Deadline::new(now + RECHECK_INTERVAL, link));
-            } else if let Some(message) = self.overdue_message(link, client) {
-                self.record_violation(Invariant::SingleResponse, now, message);
-            }
-        }
-    }
-
-    /// What a connection's client waits for; none where it arrived too late before a shutdown.
-    fn overdue_message(&self, link: LinkId, client: &ClientConnection) -> Option<String> {
-        if client.malformed {
-            return Some(format!(
-                "wire {link}: {MALFORMED_TIMEOUT} s of what can't be understood, neither error nor end"
-            ));
-        }
-        let process = self.processes.get(&client.process);
-        let shutdown = process.and_then(|process| process.shutdown_requested);
-        match client.pending.front() {
-            Some(command) if shutdown.is_some_and(|at| command.received_at > at + SHUTDOWN_INTAKE) => None,
-            Some(PendingCommand { kind: CommandKind::Request(id), received_at }) => Some(format!(
-                "invocation {id:016x}, taken at {received_at:.4} on wire {link}, has no answer in time"
-            )),
-            _ => Some(format!("wire {link}: a command has no answer in time")),
-        }
-    }
-
     /// These bytes have left a process for a client.
     pub fn response_bytes_written(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
         let Some(client) = self.clients.get_mut(&link) else { return };
@@ -311,17 +194,3 @@
         }
     }
 }
-
-impl ClientConnection {
-    /// The oldest request without a response, and when it was received; none where a response has begun, for the client can tell that a
-    /// truncated one is not complete.
-    fn lost_request(&self) -> Option<(u64, f64)> {
-        if !self.response_bytes.is_empty() {
-            return None;
-        }
-        self.pending.iter().find_map(|command| match command.kind {
-            CommandKind::Request(id) => Some((id, command.received_at)),
-            CommandKind::Other => None,
-        })
-    }
-}
--- a/emulator/src/checker/mod.rs
+++ b/emulator/src/checker/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! | module | what it checks |
 //! | --- | --- |
-//! | `client_responses` | one final response to each command, in time |
+//! | `client_responses`, `deadlines` | one final response to each command, in time |
 //! | `attempts` | no execution twice: retries, hedged requests, rejections to clients |
 //! | `backend_replies` | which attempts the backends completed, rejected or lost |
 //! | `drain` | nothing new to a draining or removed backend after the grace period |
@@ -14,7 +14,9 @@
 //! | `processes` | starts, stalls and ends of processes; descriptors in use |
 mod attempts;
 mod backend_replies;
+mod client_connection;
 mod client_responses;
+mod deadlines;
 mod drain;
 mod invariant;
 mod limits;
@@ -32,7 +34,8 @@
 use crate::network::LinkId;
 use crate::quota_usage::QuotaUsage;
 use attempts::BackendConnection;
-use client_responses::{ClientConnection, Deadline};
+use client_connection::ClientConnection;
+use deadlines::Deadline;
 use drain::DiscoveryConnection;
 use processes::ProcessState;
 use rate_ceiling::CeilingBucket;
--- a/emulator/src/checker/request.rs
+++ b/emulator/src/checker/request.rs
@@ -16,9 +16,11 @@
 /// An attempt that was written completely.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
+    /// The backend, by index.
     pub backend: usize,
     /// When its first byte was written.
     pub first_byte: f64,
+    /// How it ended; none while it is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
@@ -65,11 +67,15 @@
 pub(super) struct RequestRecord {
     /// Index into the operations of the limits.
     pub operation: usize,
+    /// The plan's name.
     pub plan: String,
+    /// The customer's id.
     pub customer: u64,
     /// Seconds that the client waits.
     pub timeout: f64,
+    /// When its final response was written.
     pub answered_at: Option<f64>,
+    /// Its attempts, in the order in which they were written.
     pub attempts: Vec<Attempt>,
     /// Its units have been taken from its customer's ceiling and quota.
     pub charged: bool,
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients/mod.rs
@@ -1,9 +1,14 @@
 //! Clients: a front that distributes each customer's requests over its gateway instances, on connections that are kept; clients that send
 //! what can't be parsed; those that disconnect early, or open connections and send nothing.
+mod command;
+
+pub use command::ClientOperation;
+
 use crate::checker::{parse_response, ResponseKind};
 use crate::context::Context;
 use crate::network::{LinkId, Remote};
 use crate::scheduled_event::ScheduledEvent;
+use command::{scramble, Command, InstanceRange, MALFORMED_COMMANDS};
 use quillramp_gateway::state::event::ConnectionId;
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
@@ -21,8 +26,6 @@
 const FRONT_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 9, 1));
 /// The address of other clients.
 const UNKNOWN_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 10, 1));
-/// Gateway instances of a customer, at the most.
-const MAX_SPREAD: usize = 3;
 /// How often a throttled request is sent again, at the most, and the probability of it each time.
 const MAX_RETRIES: u32 = 2;
 const RETRY_PROBABILITY: f64 = 0.5;
@@ -47,19 +50,6 @@
     pub retries: u32,
 }
 
-/// An operation as clients know it.
-#[derive(Clone, Debug)]
-pub struct ClientOperation {
-    /// Its name in commands.
-    pub name: String,
-    /// It is requested by `CALL.GET`, else by `CALL.POST`.
-    pub uses_get: bool,
-    /// Seconds that clients wait.
-    pub timeout: f64,
-    /// How often it is requested, relative to others.
-    pub weight: f64,
-}
-
 /// How the client behind a connection behaves.
 #[derive(Clone, Copy, PartialEq)]
 enum Behavior {
@@ -97,68 +87,6 @@
     pub malformed_rate: f64,
 }
 
-const MALFORMED_COMMANDS: [&[u8]; 9] = [
-    b"hello\r\n",
-    b"*5\r\n$9\r\nCALL.POST\r\n$-7\r\n",
-    b"*3\r\n$4\r\nWHAT\r\n$1\r\na\r\n$1\r\nb\r\n",
-    b"*999999999\r\n",
-    b"*4\r\n$8\r\nCALL.GET\r\n$60000000\r\n",
-    b"*4\r\n$8\r\nCALL.GET\r\n$3\r\nNaN\r\n$16\r\n0000000000000001\r\n$7\r\nc=look1\r\n",
-    b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000000000000001\r\n$16\r\nffffffffffffffff\r\n$52\r\nc=nothing,t=small,d=800,units=1,spread=1,first=0,r=01\r\n",
-    b"*2\r\n$4\r\nPING",
-    b"$$$$$$$$$$$$$$$$\n",
-];
-
-/// The gateway instances of a customer: consecutive ones.
-#[derive(Clone, Copy)]
-struct InstanceRange {
-    first: usize,
-    count: usize,
-}
-
-impl InstanceRange {
-    fn of(customer: u64, instances: usize) -> InstanceRange {
-        let customer = customer as usize;
-        InstanceRange { first: customer % instances, count: 1 + customer % instances.min(MAX_SPREAD) }
-    }
-}
-
-/// A request as it is sent.
-struct Command<'a> {
-    operation: &'a ClientOperation,
-    plan: &'a str,
-    customer: u64,
-    id: u64,
-    units: f64,
-    timeout_ms: f64,
-    instances: InstanceRange,
-    /// Bytes of its body, for `CALL.POST`.
-    body: Option<usize>,
-}
-
-impl Command<'_> {
-    fn encode(&self) -> Vec<u8> {
-        let Command { operation, plan, customer, id, units, timeout_ms, instances, body } = self;
-        let InstanceRange { first, count } = instances;
-        let name = &operation.name;
-        let attributes =
-            format!("c={name},t={plan},d={timeout_ms},units={units},spread={count},first={first}");
-        let (verb, parts) = if body.is_none() { ("CALL.GET", 4) } else { ("CALL.POST", 5) };
-        let mut out = format!(
-            "*{parts}\r\n${}\r\n{verb}\r\n$16\r\n{customer:016x}\r\n$16\r\n{id:016x}\r\n${}\r\n{attributes}\r\n",
-            verb.len(),
-            attributes.len()
-        )
-        .into_bytes();
-        if let Some(body) = body {
-            out.extend_from_slice(format!("${body}\r\n").as_bytes());
-            out.resize(out.len() + body, b'b');
-            out.extend_from_slice(b"\r\n");
-        }
-        out
-    }
-}
-
 impl Clients {
     /// Clients that have not requested anything yet.
     pub fn new(operations: Vec<ClientOperation>, plans: Vec<String>) -> Clients {
@@ -320,11 +248,6 @@
     }
 }
 
-/// Ids are all different, and look it.
-fn scramble(number: u64) -> u64 {
-    (number ^ 0x5bd1_e995).wrapping_mul(0x9e37_79b9_7f4a_7c15)
-}
-
 fn draw_body_length(ctx: &mut Context) -> usize {
     if ctx.draw_bool(ctx.world.long_values) {
         ctx.rng.gen_range(LONG_BODY_BYTES)
--- a/emulator/src/deployment.rs
+++ b/emulator/src/deployment.rs
@@ -23,7 +23,9 @@
 
 /// An operation of every world.
 pub(crate) struct Operation {
+    /// Its name in commands.
     pub name: &'static str,
+    /// Whether, and how, it may be repeated.
     pub idempotency: Idempotency,
     /// The latency objective, in seconds.
     pub objective: f64,
@@ -35,6 +37,7 @@
 
 /// A plan of every world.
 pub(crate) struct Plan {
+    /// Its name.
     pub name: &'static str,
     /// Units a second, 0 for a plan without a quota.
     pub rate: f64,
--- a/emulator/src/gateway_process/connection.rs
+++ b/emulator/src/gateway_process/connection.rs
@@ -6,12 +6,15 @@
 
 /// An open connection, or one that was asked for.
 pub(super) struct Connection {
+    /// The link that it is on.
     pub link: LinkId,
     /// The remote has accepted it.
     pub established: bool,
+    /// Decodes what arrives.
     pub reader: MessageReader,
     /// Bytes that have arrived and are not decoded yet.
     pub received: Vec<u8>,
+    /// What is not written yet.
     pub write_buffer: WriteBuffer,
     /// Of a connection to a backend: the client that a long value is streamed to.
     pub stream_to: Option<ConnectionId>,
@@ -24,6 +27,7 @@
 }
 
 impl Connection {
+    /// A connection under this id; `established`: the remote has accepted it.
     pub fn new(link: LinkId, id: ConnectionId, established: bool) -> Connection {
         Connection {
             link,
@@ -42,6 +46,7 @@
 /// What one pass of the reader decoded.
 #[derive(Default)]
 pub(super) struct DecodedInput {
+    /// Events for the reducer.
     pub events: Vec<Event>,
     /// Bytes of a long value, as its client gets them.
     pub streamed: Vec<u8>,
--- a/emulator/src/gateway_process/effects.rs
+++ b/emulator/src/gateway_process/effects.rs
@@ -6,6 +6,7 @@
 use crate::scheduled_event::ScheduledEvent;
 use quillramp::types::Idempotency;
 use quillramp_gateway::state::event::{CloseReason, ConnectionId, Effect, Event};
+use quillramp_gateway::wire::admin::AdminResponse;
 use quillramp_gateway::wire::resp::{ClientReply, RequestCommand};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -28,21 +29,13 @@
                 self.send_attempt(ctx, connection, delivery, &call, timeout_ms)
             }
             Effect::Withdraw { connection, delivery } => self.withdraw(ctx, connection, delivery),
-            Effect::AdminRespond(call, response) => {
-                if let Some(connection) = self.connections.get_mut(&ConnectionId::Admin(call)) {
-                    response.encode(connection.write_buffer.buffer());
-                }
-            }
+            Effect::AdminRespond(call, response) => self.respond_to_operator(call, &response),
             Effect::SaveChange(call, change) => return Some(ProcessRequest::SaveChange { call, change }),
             Effect::AnnounceDescriptorLimit(limit) => {
                 return Some(ProcessRequest::AnnounceDescriptorLimit(limit));
             }
             Effect::CloseIfIdle(client, reason) => self.close_if_idle(ctx, client, reason),
-            Effect::StopReading(client) => {
-                if let Some(connection) = self.connections.get_mut(&ConnectionId::Client(client)) {
-                    connection.reading_stopped = true;
-                }
-            }
+            Effect::StopReading(client) => self.stop_reading(client),
             Effect::Stream(backend, client) => self.start_stream(ctx, backend, client),
             Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
                 self.close_if_stalled(ctx, connection, unresponsive_for, stalled_for)
@@ -84,6 +77,18 @@
         }
     }
 
+    fn respond_to_operator(&mut self, call: u64, response: &AdminResponse) {
+        if let Some(connection) = self.connections.get_mut(&ConnectionId::Admin(call)) {
+            response.encode(connection.write_buffer.buffer());
+        }
+    }
+
+    fn stop_reading(&mut self, client: u64) {
+        if let Some(connection) = self.connections.get_mut(&ConnectionId::Client(client)) {
+            connection.reading_stopped = true;
+        }
+    }
+
     fn reject(&mut self, ctx: &mut Context, client: u64, reason: &'static str) {
         let Some(connection) = self.connections.get_mut(&ConnectionId::Client(client)) else { return };
         let known_address = ctx.links.get(&connection.link).is_some_and(|link| link.known_address);
--- a/emulator/src/simulation/dispatch.rs
+++ b/emulator/src/simulation/dispatch.rs
@@ -25,47 +25,54 @@
             ScheduledEvent::LinkClosed { link, to_gateway: false, .. } => self.closed_at_remote(link),
             ScheduledEvent::ConnectRequested(link) => self.connect_requested(link),
             ScheduledEvent::ConnectCompleted { link, accepted } => self.connect_completed(link, accepted),
+            ScheduledEvent::RandomReset => self.random_reset(),
             ScheduledEvent::ProcessWake(process) => self.run_process(process),
+            ScheduledEvent::ProcessKilled(process) => self.end_process(process, true),
+            ScheduledEvent::InstanceStarts(instance) => self.start_instance(instance),
             ScheduledEvent::DatagramArrived { instance, from, body } => {
-                if let Some(process) = self.instances[instance].newest_process() {
-                    self.processes[process].deliver_event(&mut self.ctx, Event::Datagram { from, body });
-                }
+                self.deliver_datagram(instance, Event::Datagram { from, body })
             }
             ScheduledEvent::JobCompleted { backend, job } => {
                 self.backends[backend].job_completed(&mut self.ctx, job)
             }
-            ScheduledEvent::FaultBoundary { index, ended } => self.fault_boundary(index, ended),
-            ScheduledEvent::RequestDue => {
-                let until = self.last_request();
-                let serving = self.serving_processes();
-                self.clients.next_request(&mut self.ctx, &serving, until);
-            }
-            ScheduledEvent::MalformedClientDue => {
-                let serving = self.serving_processes();
-                self.clients.next_malformed_client(&mut self.ctx, &serving);
-            }
-            ScheduledEvent::RetryDue(request) => {
-                if self.ctx.now < self.last_request() {
-                    let serving = self.serving_processes();
-                    self.clients.send_request(&mut self.ctx, &serving, request);
-                }
+            ScheduledEvent::BackendStarts { backend, incarnation } => {
+                self.start_backend(backend, incarnation)
             }
-            ScheduledEvent::ClientDisconnects(link) => self.clients.disconnect(&mut self.ctx, link),
-            ScheduledEvent::RandomReset => self.random_reset(),
+            ScheduledEvent::FaultBoundary { index, ended } => self.fault_boundary(index, ended),
             ScheduledEvent::CounterCallCompleted(link) => self.counter.complete_call(&mut self.ctx, link),
             ScheduledEvent::WatchTimedOut { link, watch } => {
                 self.discovery.watch_timed_out(&mut self.ctx, link, watch)
             }
             ScheduledEvent::EndpointUpdate(instance) => self.discovery.agent_updated(&mut self.ctx, instance),
-            ScheduledEvent::ProcessKilled(process) => self.end_process(process, true),
-            ScheduledEvent::InstanceStarts(instance) => {
-                if self.instances[instance].processes.is_empty() {
-                    self.start_process(instance);
-                }
-            }
-            ScheduledEvent::BackendStarts { backend, incarnation } => {
-                self.start_backend(backend, incarnation)
-            }
+            ScheduledEvent::RequestDue => self.request_due(),
+            ScheduledEvent::RetryDue(request) => self.retry_due(request),
+            ScheduledEvent::MalformedClientDue => self.malformed_client_due(),
+            ScheduledEvent::ClientDisconnects(link) => self.clients.disconnect(&mut self.ctx, link),
+        }
+    }
+
+    fn request_due(&mut self) {
+        let until = self.last_request();
+        let serving = self.serving_processes();
+        self.clients.next_request(&mut self.ctx, &serving, until);
+    }
+
+    fn retry_due(&mut self, request: usize) {
+        if self.ctx.now < self.last_request() {
+            let serving = self.serving_processes();
+            self.clients.send_request(&mut self.ctx, &serving, request);
+        }
+    }
+
+    fn malformed_client_due(&mut self) {
+        let serving = self.serving_processes();
+        self.clients.next_malformed_client(&mut self.ctx, &serving);
+    }
+
+    /// A datagram goes to the process that takes new connections.
+    fn deliver_datagram(&mut self, instance: usize, datagram: Event) {
+        if let Some(process) = self.instances[instance].newest_process() {
+            self.processes[process].deliver_event(&mut self.ctx, datagram);
         }
     }
 
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -62,6 +62,13 @@
         }
     }
 
+    /// Starts an instance, unless one of its processes runs.
+    pub(super) fn start_instance(&mut self, instance: usize) {
+        if self.instances[instance].processes.is_empty() {
+            self.start_process(instance);
+        }
+    }
+
     /// Starts a process of an instance.
     pub(super) fn start_process(&mut self, instance: usize) {
         self.instances[instance].starts += 1;
@@ -133,18 +140,18 @@
             ProcessRequest::Exit => self.end_process(process, false),
             ProcessRequest::AnnounceDescriptorLimit(limit) => {
                 self.descriptor_limits.insert(process, limit);
-                self.share_state(instance, None);
+                self.notify_shared_state(instance, None);
             }
             ProcessRequest::SaveChange { call, change } => {
                 let Instance { ejected_backends, drained, .. } = &mut self.instances[instance];
                 change.apply(ejected_backends, drained);
-                self.share_state(instance, Some(SavedCall { process, call }));
+                self.notify_shared_state(instance, Some(SavedCall { process, call }));
             }
         }
     }
 
     /// Notifies the processes of an instance of what they share now.
-    fn share_state(&mut self, instance: usize, saved: Option<SavedCall>) {
+    fn notify_shared_state(&mut self, instance: usize, saved: Option<SavedCall>) {
         for process in self.instances[instance].processes.clone() {
             let call = saved.filter(|saved| saved.process == process).map(|saved| saved.call);
             let shared = Ok(self.shared_state(instance, Some(process)));
@@ -163,7 +170,7 @@
         self.ctx.trace.record_line(self.ctx.now, &format!("door {instance} [{process}] {how}"));
         self.processes[process].terminate(&mut self.ctx, killed);
         self.instances[instance].processes.retain(|other| *other != process);
-        self.share_state(instance, None);
+        self.notify_shared_state(instance, None);
     }
 
     /// Asks a process to shut down, and kills it when its time is over.
@@ -191,7 +198,7 @@
     pub(super) fn upgrade_instance(&mut self, instance: usize) {
         let &[old] = &self.instances[instance].processes[..] else { return };
         self.start_process(instance);
-        self.share_state(instance, None);
+        self.notify_shared_state(instance, None);
         self.shut_down(old);
     }
 
