--- a/emulator/src/checker/attempts.rs
+++ b/emulator/src/checker/attempts.rs
@@ -77,7 +77,7 @@
     fn attempt_sent(&mut self, now: f64, sender: Sender, id: u64, attempt: Attempt) {
         self.coverage.attempts += 1;
         let Some(request) = self.requests.get_mut(&id) else {
-            let message = format!("backend {} is sent {id:016x}, which no client asked for", attempt.backend);
+            let message = format!("backend {} is sent {id:016x}, which no client requested", attempt.backend);
             return self.record_violation(Invariant::SingleResponse, now, message);
         };
         self.coverage.repeated_attempts += u64::from(request.possibly_executed_attempt().is_some());
@@ -105,7 +105,7 @@
             return None;
         }
         let message = format!(
-            "{id:016x} is sent to backend {backend} at {first_byte:.4}, told at {notified:.4} that it drains or is gone"
+            "{id:016x} is sent to backend {backend} at {first_byte:.4}, notified at {notified:.4} that it drains or is removed"
         );
         Some(Problem { invariant: Invariant::DrainGrace, message })
     }
@@ -117,7 +117,7 @@
         let idempotency = self.limits.operations[request.operation].idempotency;
         let first_execution = self.executed.insert(id);
         if idempotency == Idempotency::NonIdempotent && !first_execution {
-            let message = format!("non-idempotent {id:016x} runs a second time, at backend {backend}");
+            let message = format!("non-idempotent {id:016x} is executed a second time, at backend {backend}");
             self.record_violation(Invariant::AtMostOnce, now, message);
         }
     }
@@ -127,7 +127,7 @@
     if request.answered_at.is_none_or(|at| attempt.first_byte <= at) {
         return None;
     }
-    let message = format!("invocation {id:016x} is sent on after its final answer");
+    let message = format!("request {id:016x} is forwarded after its final response");
     Some(Problem { invariant: Invariant::SingleResponse, message })
 }
 
@@ -152,13 +152,13 @@
                 return None;
             }
             Problem::at_most_once(format!(
-                "tokened {id:016x} may have run at backend {} and is sent to {backend}, {}",
+                "keyed {id:016x} may have been executed at backend {} and is sent to {backend}, {}",
                 earlier.backend,
-                if same_scope { "after its window" } else { "outside its group" }
+                if same_scope { "after its window" } else { "outside its scope" }
             ))
         }
         Idempotency::NonIdempotent => Problem::at_most_once(format!(
-            "non-idempotent {id:016x} may have run at backend {} and is sent to {backend}",
+            "non-idempotent {id:016x} may have been executed at backend {} and is sent to {backend}",
             earlier.backend
         )),
     }
@@ -169,12 +169,12 @@
     if !attempt_open || limits.hedging {
         return None;
     }
-    Problem::at_most_once(format!("a second copy of {id:016x}, and none is allowed"))
+    Problem::at_most_once(format!("a hedged request of {id:016x}, and none is allowed"))
 }
 
 fn too_many_attempts(limits: &CheckedLimits, request: &RequestRecord, id: u64) -> Option<Problem> {
     if request.attempts.len() < limits.max_attempts {
         return None;
     }
-    Problem::at_most_once(format!("{id:016x} is delivered more often than allowed"))
+    Problem::at_most_once(format!("{id:016x} has more attempts than allowed"))
 }
--- a/emulator/src/checker/client_responses.rs
+++ b/emulator/src/checker/client_responses.rs
@@ -32,7 +32,7 @@
             client.unparseable = true;
         }
         if known_address && reason == "full" {
-            let message = format!("wire {link}: a known client is turned away: {reason}");
+            let message = format!("connection {link}: a client with a known address is rejected: {reason}");
             self.record_violation(Invariant::SingleResponse, now, message);
         }
     }
@@ -91,7 +91,8 @@
             if bytes.starts_with(b"-") {
                 self.clients.remove(&link);
             } else {
-                let message = format!("wire {link}: a client that can't be understood hears no error");
+                let message =
+                    format!("connection {link}: a client whose bytes can't be parsed gets no error");
                 self.record_violation(Invariant::SingleResponse, now, message);
             }
             return;
@@ -107,7 +108,7 @@
                     continue; // the response to what could not be parsed
                 }
                 let shown = escape(&response);
-                let message = format!("wire {link}: an answer that nothing was asked for: {shown}");
+                let message = format!("connection {link}: a response without a command: {shown}");
                 return self.record_violation(Invariant::SingleResponse, now, message);
             };
             if let CommandKind::Request(id) = command.kind {
@@ -121,7 +122,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.record(now, RequestEvent::Answered(kind));
         if request.answered_at.replace(now).is_some() {
-            let message = format!("invocation {id:016x} is answered twice");
+            let message = format!("request {id:016x} is answered twice");
             return self.record_violation(Invariant::SingleResponse, now, message);
         }
         match kind {
@@ -135,7 +136,7 @@
             }
             ResponseKind::Error => self.coverage.errored += 1,
             ResponseKind::Other => {
-                let message = format!("invocation {id:016x} is answered by {}", escape(response));
+                let message = format!("request {id:016x} is answered by {}", escape(response));
                 self.record_violation(Invariant::SingleResponse, now, message);
             }
         }
@@ -148,7 +149,7 @@
         let head = &response[..response.len().min(VALUE_HEAD_BYTES)];
         let names_request = head.windows(ID_LENGTH).any(|window| window == expected_id.as_bytes());
         if !names_request || !value_received {
-            let message = format!("invocation {id:016x} succeeded with what no backend made for it");
+            let message = format!("request {id:016x} is answered by a value that no backend made for it");
             self.record_violation(Invariant::SingleResponse, now, message);
         }
     }
@@ -163,7 +164,7 @@
         if !allowed {
             let attempts: Vec<String> = request.attempts.iter().map(|attempt| attempt.describe()).collect();
             let message = format!(
-                "{} {id:016x} is throttled though it may have run: {}",
+                "{} {id:016x} is throttled though it may have been executed: {}",
                 operation.name,
                 attempts.join(", ")
             );
@@ -188,7 +189,7 @@
         };
         if let Some((id, received_at)) = client.lost_request().filter(|(_, received_at)| due(*received_at)) {
             let message = format!(
-                "invocation {id:016x}, taken at {received_at:.4}: its connection {link} is ended without an answer"
+                "request {id:016x}, received at {received_at:.4}: its connection {link} is closed without a response"
             );
             self.record_violation(Invariant::SingleResponse, now, message);
         }
--- a/emulator/src/checker/deadlines.rs
+++ b/emulator/src/checker/deadlines.rs
@@ -80,7 +80,7 @@
     fn overdue_message(&self, link: LinkId, client: &ClientConnection) -> Option<String> {
         if client.malformed {
             return Some(format!(
-                "wire {link}: {MALFORMED_TIMEOUT} s of what can't be understood, neither error nor end"
+                "connection {link}: neither an error nor a close within {MALFORMED_TIMEOUT} s of bytes that can't be parsed"
             ));
         }
         let process = self.processes.get(&client.process);
@@ -88,9 +88,9 @@
         match client.pending.front() {
             Some(command) if shutdown.is_some_and(|at| command.received_at > at + SHUTDOWN_INTAKE) => None,
             Some(PendingCommand { kind: CommandKind::Request(id), received_at }) => Some(format!(
-                "invocation {id:016x}, taken at {received_at:.4} on wire {link}, has no answer in time"
+                "request {id:016x}, received at {received_at:.4} on connection {link}, has no response in time"
             )),
-            _ => Some(format!("wire {link}: a command has no answer in time")),
+            _ => Some(format!("connection {link}: a command has no response in time")),
         }
     }
 }
--- a/emulator/src/checker/processes.rs
+++ b/emulator/src/checker/processes.rs
@@ -54,7 +54,7 @@
     pub fn descriptors_in_use(&mut self, now: f64, instance: usize, in_use: usize, limit: usize) {
         self.coverage.descriptor_checks += u64::from(2 * in_use > limit);
         if in_use > limit {
-            let message = format!("door {instance} holds {in_use} descriptors and may hold {limit}");
+            let message = format!("instance {instance} holds {in_use} descriptors and may hold {limit}");
             self.record_violation(Invariant::DescriptorLimit, now, message);
         }
     }
--- a/emulator/src/checker/request.rs
+++ b/emulator/src/checker/request.rs
@@ -45,11 +45,11 @@
 impl RequestEvent {
     fn describe(self) -> String {
         match self {
-            RequestEvent::Received(link) => format!("taken, on connection {link}"),
-            RequestEvent::AttemptSent { backend } => format!("first byte of a delivery to backend {backend}"),
-            RequestEvent::ExecutionStarted { backend } => format!("runs at backend {backend}"),
+            RequestEvent::Received(link) => format!("received, on connection {link}"),
+            RequestEvent::AttemptSent { backend } => format!("first byte of an attempt to backend {backend}"),
+            RequestEvent::ExecutionStarted { backend } => format!("execution starts at backend {backend}"),
             RequestEvent::AttemptEnded { backend, outcome } => {
-                format!("delivery to backend {backend}: {outcome:?}")
+                format!("attempt to backend {backend}: {outcome:?}")
             }
             RequestEvent::Answered(kind) => format!("answered: {kind:?}"),
         }
