--- a/emulator/tests/emulator.rs
+++ b/emulator/tests/emulator.rs
@@ -1,4 +1,4 @@
-//! The emulator finds what is broken, holds what is not, and plays the same seed alike.
+//! The emulator detects what is broken, accepts what is not, and gives equal runs for equal seeds.
 use expect_test::expect;
 use quillramp_emulator::checker::Invariant;
 use quillramp_emulator::gateway_process::Sabotage;
@@ -11,18 +11,18 @@
 
 const THREADS: usize = 8;
 
-fn scripts(folder: &str) -> Vec<(String, Scenario)> {
+fn read_scenarios(folder: &str) -> Vec<(String, Scenario)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
     let mut paths: Vec<_> =
         std::fs::read_dir(folder).expect("there").map(|f| f.expect("readable").path()).collect();
     paths.sort();
     let read = |path: &Path| {
-        Scenario::parse(&std::fs::read_to_string(path).expect("readable")).expect("a good script")
+        Scenario::parse(&std::fs::read_to_string(path).expect("readable")).expect("a good scenario")
     };
     paths.iter().map(|p| (p.file_name().expect("a file").to_string_lossy().into_owned(), read(p))).collect()
 }
 
-fn holds(name: &str, report: &Report) {
+fn assert_holds(name: &str, report: &Report) {
     assert!(
         report.violation.is_none(),
         "{name}, seed {}: {:?}\n{}",
@@ -38,15 +38,15 @@
     sweep::sweep(&options, &|_| {})
 }
 
-/// What each check found among a few seeds of front doors broken in one way.
-fn finds(sabotage: Sabotage, runs: u64) -> Vec<Invariant> {
+/// The invariants that were violated among a few seeds of gateway processes broken in one way.
+fn detected(sabotage: Sabotage, runs: u64) -> Vec<Invariant> {
     let reports = run_seeds(0..runs, THREADS, Some(sabotage));
     reports.into_iter().filter_map(|r| r.violation.map(|b| b.invariant)).collect()
 }
 
-/// About a hundred front doors, struck together: what each does alone must not break a rule when all do it.
+/// About a hundred gateway instances, struck together: what each does alone must not violate anything when all do it.
 #[test]
-fn days_of_a_hundred_front_doors_break_no_rule() {
+fn fleets_of_a_hundred_instances_violate_nothing() {
     let days = [
         fleet_study::FleetScenario::MassRestart,
         fleet_study::FleetScenario::ZoneLoss,
@@ -54,7 +54,7 @@
     ];
     let all = fleet_study::sweep(&days, 0..2, THREADS);
     for fleet_study::FleetResult { fleet_scenario: day, report } in &all {
-        holds(&day.name(), report);
+        assert_holds(&day.name(), report);
         let (all, met) = (report.coverage.requests, &report.coverage);
         assert!(
             all > 3000 && met.slow_start_checks > 0 && met.succeeded * 3 > all,
@@ -64,66 +64,67 @@
     }
     assert_eq!(all.len(), 6);
     for day in days {
-        let script = fleet_study::scenario(day, 1);
-        assert_eq!(Scenario::parse(&script.to_toml()).expect("a good script"), script);
+        let scenario = fleet_study::scenario(day, 1);
+        assert_eq!(Scenario::parse(&scenario.to_toml()).expect("a good scenario"), scenario);
     }
 }
 
 #[test]
-fn a_front_door_that_swallows_or_doubles_answers_is_found() {
+fn dropped_and_duplicated_responses_are_detected() {
     for sabotage in [Sabotage::DropsResponses, Sabotage::DuplicatesResponses] {
         // An answer too few shifts those behind it: what they break may be another rule.
-        let found = finds(sabotage, 6);
+        let found = detected(sabotage, 6);
         let here = found.iter().filter(|r| **r == Invariant::SingleResponse).count();
         assert!(found.len() >= 5 && here >= 4, "{sabotage:?}: {found:?}");
     }
 }
 
 #[test]
-fn a_front_door_that_repeats_orders_or_throttles_what_may_have_run_is_found() {
-    let found = finds(Sabotage::RepeatsNonIdempotent, 6);
+fn repeated_execution_and_throttling_after_execution_are_detected() {
+    let found = detected(Sabotage::RepeatsNonIdempotent, 6);
     assert!(found.len() >= 5 && found.iter().all(|r| *r == Invariant::AtMostOnce), "{found:?}");
-    let found = finds(Sabotage::ThrottlesExecuted, 24);
+    let found = detected(Sabotage::ThrottlesExecuted, 24);
     assert!(!found.is_empty() && found.iter().all(|r| *r == Invariant::AtMostOnce), "{found:?}");
 }
 
 #[test]
-fn a_front_door_that_hears_no_drain_is_found() {
-    let script = &scripts("scripts").into_iter().find(|s| s.0.starts_with("drain-during")).expect("there").1;
-    let found = simulate(script, Some(Sabotage::IgnoresDrains)).violation.expect("found");
+fn ignored_drains_are_detected() {
+    let scenario =
+        &read_scenarios("scripts").into_iter().find(|s| s.0.starts_with("drain-during")).expect("there").1;
+    let found = simulate(scenario, Some(Sabotage::IgnoresDrains)).violation.expect("found");
     assert_eq!(found.invariant, Invariant::DrainGrace, "{}", found.message);
-    holds("the same, whole", &simulate(script, None));
+    assert_holds("the same, whole", &simulate(scenario, None));
 }
 
 #[test]
-fn front_doors_that_push_a_cold_backend_over_are_found() {
-    let script = &scripts("tests/broken")[0].1;
-    let found = simulate(script, Some(Sabotage::SkipsSlowStart)).violation.expect("found");
+fn overload_during_slow_start_is_detected() {
+    let scenario = &read_scenarios("tests/broken")[0].1;
+    let found = simulate(scenario, Some(Sabotage::SkipsSlowStart)).violation.expect("found");
     assert_eq!(found.invariant, Invariant::SlowStart, "{}", found.message);
-    holds("the same, whole", &simulate(script, None));
+    assert_holds("the same, whole", &simulate(scenario, None));
 }
 
 #[test]
-fn front_doors_that_pass_a_ceiling_are_found() {
-    let found = finds(Sabotage::ExceedsCeilings, 48);
+fn exceeded_ceilings_are_detected() {
+    let found = detected(Sabotage::ExceedsCeilings, 48);
     assert!(found.len() >= 20 && found.iter().all(|r| *r == Invariant::RateCeiling), "{found:?}");
 }
 
-/// Each of these broke a rule once; the commit that mended it names the cause.
+/// Each of these violated an invariant once; the commit that fixed it names the cause.
 #[test]
-fn what_was_found_before_holds() {
-    for (name, script) in scripts("tests/found") {
-        holds(&name, &simulate(&script, None));
+fn scenarios_of_past_violations_hold() {
+    for (name, scenario) in read_scenarios("tests/found") {
+        assert_holds(&name, &simulate(&scenario, None));
     }
 }
 
 /// The cases that the operators named, each with its own seed and two others. Each meets what it is about.
 #[test]
-fn named_cases_hold() {
-    for (name, script) in scripts("scripts") {
-        for seed in [script.seed, 101, 102] {
-            let report = simulate(&Scenario { seed, ..script.clone() }, None);
-            holds(&name, &report);
+fn named_scenarios_hold() {
+    for (name, scenario) in read_scenarios("scripts") {
+        for seed in [scenario.seed, 101, 102] {
+            let report = simulate(&Scenario { seed, ..scenario.clone() }, None);
+            assert_holds(&name, &report);
             let met = report.coverage;
             assert!(met.succeeded > 100, "{name}: {met:?}");
             let about = match name.as_str() {
@@ -139,9 +140,9 @@
 }
 
 #[test]
-fn two_hundred_drawn_runs_hold() {
+fn two_hundred_generated_runs_hold() {
     let reports = run_seeds(0..200, THREADS, None);
-    reports.iter().for_each(|r| holds("drawn", r));
+    reports.iter().for_each(|r| assert_holds("drawn", r));
     let mut totals = sweep::Totals::default();
     reports.iter().for_each(|r| totals.add(r));
     let met = totals.coverage;
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn the_same_seed_plays_alike_and_another_does_not() {
+fn equal_seeds_give_equal_runs() {
     let once = |seed| {
         let r = simulate(&Scenario::generate(seed), None);
         (r.digest, r.steps, r.coverage, r.trace)
@@ -170,20 +171,20 @@
 }
 
 #[test]
-fn a_shrunk_script_breaks_the_same_rule_with_fewer_faults() {
+fn shrinking_keeps_the_violation_with_fewer_faults() {
     let seed = (0..40).find(|s| Scenario::generate(*s).faults.len() > 3).expect("one of them");
-    let script = Scenario::generate(seed);
+    let scenario = Scenario::generate(seed);
     let sabotage = Some(Sabotage::RepeatsNonIdempotent);
-    let small = shrinker::shrink(&script, sabotage, 60).expect("it breaks");
-    assert!(small.scenario.faults.len() < script.faults.len(), "{:?}", small.scenario.faults);
+    let small = shrinker::shrink(&scenario, sabotage, 60).expect("it breaks");
+    assert!(small.scenario.faults.len() < scenario.faults.len(), "{:?}", small.scenario.faults);
     let again =
         simulate(&Scenario::parse(&small.scenario.to_toml()).expect("what is written can be read"), sabotage);
     assert_eq!(again.violation, small.report.violation);
-    assert!(shrinker::shrink(&script, None, 5).is_none());
+    assert!(shrinker::shrink(&scenario, None, 5).is_none());
 }
 
 #[test]
-fn a_script_that_cannot_be_played_says_all_that_is_wrong() {
+fn an_invalid_scenario_reports_all_problems() {
     let wrong = r#"
         seed = 1
         seconds = 4.0
@@ -231,16 +232,16 @@
 }
 
 #[test]
-fn drawn_scripts_can_be_written_read_and_played() {
+fn generated_scenarios_round_trip_through_toml() {
     for seed in 0..300 {
-        let script = Scenario::generate(seed);
-        assert_eq!(script.problems(), Vec::<String>::new(), "seed {seed}");
-        assert_eq!(Scenario::parse(&script.to_toml()).expect("good"), script);
+        let scenario = Scenario::generate(seed);
+        assert_eq!(scenario.problems(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(Scenario::parse(&scenario.to_toml()).expect("good"), scenario);
     }
 }
 
 #[test]
-fn results_are_kept_as_tables_and_charts() {
+fn results_are_written_as_tables_and_charts() {
     let folder = std::env::temp_dir().join(format!("quillramp-emulator-{}", std::process::id()));
     let reports = run_seeds(0..4, 2, None);
     results::write(&folder, &reports, 1.0).expect("written");
@@ -256,9 +257,9 @@
         .contains("/proc/nowhere"));
 }
 
-/// Guards: a customer that asked for twice its quota had 7% more than it with nothing ill, for what a slice regained was spent by leases too.
+/// Guards: a customer that requested twice its quota had 7% more than it without any fault, for what a slice regained was spent by leases too.
 #[test]
-fn quotas_hold_to_a_hundredth_while_nothing_is_ill() {
+fn quotas_hold_to_a_hundredth_without_faults() {
     for seed in 0..3 {
         let found = measure(CounterFault::None, 100.0, 0.0, seed);
         assert!(
@@ -270,9 +271,9 @@
     }
 }
 
-/// Each illness within the bound that docs/counter.md states; a split without the roster far beyond it, so that the check is none that can't fail.
+/// Each fault within the bound that docs/counter.md states; a split without the roster far beyond it, so that the check is none that can't fail.
 #[test]
-fn quotas_hold_within_their_bound_while_the_counter_is_ill() {
+fn quotas_hold_within_their_bound_during_counter_faults() {
     for ill in [CounterFault::Split, CounterFault::Down, CounterFault::Silent, CounterFault::Lost] {
         let found = measure(ill, 60.0, 1.0, 7);
         assert!(found.report.violation.is_none(), "{ill:?}: {:?}", found.report.violation);
@@ -283,7 +284,7 @@
 }
 
 #[test]
-fn a_large_fleet_plays_and_keeps_the_rules() {
+fn a_large_fleet_violates_nothing() {
     let all = growth_study::run(&[4, 120], 3, 4, &|_| {});
     assert_eq!(all.len(), 4);
     assert!(all.iter().all(|g| g.report.violation.is_none() && g.report.coverage.succeeded > 2000));
