--- a/load/src/scale/fit.rs
+++ b/load/src/scale/fit.rs
@@ -5,13 +5,15 @@
 /// A line through the points of one figure over one factor, and how far they lie off it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// By one more of the factor.
+    /// Growth of the figure with the factor.
     pub slope: f64,
+    /// The figure where the factor is 0.
     pub intercept: f64,
     /// Root of the mean square of the points' distances from the line.
     pub residual: f64,
     /// The same as a part of the mean of the points.
     pub relative_residual: f64,
+    /// Points that the line is fitted through.
     pub points: usize,
 }
 
@@ -28,16 +30,17 @@
         Some(Line { slope, intercept, residual, relative_residual, points: points.len() })
     }
 
-    /// What the line says at that value of the factor.
-    pub fn at(&self, x: f64) -> f64 {
-        self.intercept + self.slope * x
+    /// The figure at that value of the factor, by the line.
+    pub fn at(&self, factor: f64) -> f64 {
+        self.intercept + self.slope * factor
     }
 }
 
 /// What is varied, one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum Factor {
-    FrontDoors,
+    #[value(name = "front-doors")]
+    Instances,
     Backends,
     Tenants,
     Routes,
@@ -46,20 +49,14 @@
 }
 
 /// All factors.
-pub const FACTORS: [Factor; 6] = [
-    Factor::FrontDoors,
-    Factor::Backends,
-    Factor::Tenants,
-    Factor::Routes,
-    Factor::Changes,
-    Factor::Requests,
-];
+pub const FACTORS: [Factor; 6] =
+    [Factor::Instances, Factor::Backends, Factor::Tenants, Factor::Routes, Factor::Changes, Factor::Requests];
 
 impl Factor {
     /// Its name, as runs and charts have it.
     pub fn name(self) -> &'static str {
         match self {
-            Factor::FrontDoors => "front doors",
+            Factor::Instances => "front doors",
             Factor::Backends => "backends",
             Factor::Tenants => "tenants",
             Factor::Routes => "routes",
@@ -71,7 +68,7 @@
     /// The unit of one more of it.
     pub fn unit(self) -> &'static str {
         match self {
-            Factor::FrontDoors => "front door",
+            Factor::Instances => "front door",
             Factor::Backends => "backend",
             Factor::Tenants => "tenant",
             Factor::Routes => "route",
@@ -80,10 +77,10 @@
         }
     }
 
-    /// Five sizes up to the target's. The target's 231 requests a second are the most that a front door is measured at.
+    /// Five sizes up to the target's. The target's 231 requests a second are the most that an instance is measured at.
     pub fn sizes(self) -> [f64; 5] {
         match self {
-            Factor::FrontDoors => [25.0, 60.0, 120.0, 240.0, 420.0],
+            Factor::Instances => [25.0, 60.0, 120.0, 240.0, 420.0],
             Factor::Backends => [240.0, 600.0, 1_200.0, 2_400.0, 3_800.0],
             Factor::Tenants => [900.0, 2_000.0, 4_500.0, 9_000.0, 14_000.0],
             Factor::Routes => [60.0, 150.0, 300.0, 600.0, 1_000.0],
@@ -95,7 +92,7 @@
     /// The value of this factor at the point of a row.
     pub fn of(self, row: &Row) -> f64 {
         match self {
-            Factor::FrontDoors => row.front_doors as f64,
+            Factor::Instances => row.instances as f64,
             Factor::Backends => row.backends as f64,
             Factor::Tenants => row.tenants as f64,
             Factor::Routes => row.routes as f64,
@@ -113,10 +110,15 @@
 /// A fitted line with what it is of.
 #[derive(Clone, Debug)]
 pub struct Fit {
+    /// What was varied.
     pub factor: Factor,
-    pub what: String,
+    /// The name of the figure.
+    pub figure: String,
+    /// The unit of the figure.
     pub unit: String,
+    /// The factor and the figure of each measurement.
     pub points: Vec<(f64, f64)>,
+    /// The line through the points.
     pub line: Line,
 }
 
@@ -127,11 +129,11 @@
         let run = factor.run();
         let mut points: BTreeMap<(&str, &str), Vec<(f64, f64)>> = BTreeMap::new();
         for row in rows.iter().filter(|r| r.run == run) {
-            points.entry((&row.what, &row.unit)).or_default().push((factor.of(row), row.value));
+            points.entry((&row.figure, &row.unit)).or_default().push((factor.of(row), row.value));
         }
-        for ((what, unit), points) in points {
+        for ((figure, unit), points) in points {
             if let Some(line) = Line::through(&points) {
-                all.push(Fit { factor, what: what.into(), unit: unit.into(), points, line });
+                all.push(Fit { factor, figure: figure.into(), unit: unit.into(), points, line });
             }
         }
     }
--- /dev/null
+++ b/load/src/scale/socket_group/mod.rs
@@ -0,0 +1,207 @@
+//! Embedded instances with real sockets towards a counter and a list service, many to one thread. Their clients and backends are in
+//! this process.
+mod instances;
+mod sockets;
+
+use super::clock::unix_now;
+use super::embedded::{EmbeddedInstance, Reading, Services};
+use super::error::ScaleError;
+use super::event_queue::EventQueue;
+use super::operating_point::OperatingPoint;
+use super::requests::{Population, RequestSource};
+use mio::{Events, Token};
+use quillramp_gateway::state::event::ConnectionId;
+use sockets::Sockets;
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Threads that the instances are spread over; the stand-ins have another one.
+const THREADS: usize = 6;
+/// The longest sleep.
+const LONGEST_SLEEP: Duration = Duration::from_millis(20);
+/// Socket events that are taken at once.
+const EVENT_CAPACITY: usize = 256;
+
+/// Instances by thread: consecutive numbers, as evenly as they go.
+pub fn partition(instances: usize) -> impl Iterator<Item = Range<usize>> {
+    let threads = THREADS.min(instances);
+    (0..threads).map(move |n| n * instances / threads..(n + 1) * instances / threads)
+}
+
+enum GroupEvent {
+    /// An instance processes what it has received.
+    Step(usize),
+    /// A client of an instance sends a request.
+    Request(usize),
+    /// A connection to a backend is established.
+    Connected(BackendPort),
+    /// Bytes of a backend come to an instance.
+    Receive(BackendPort, Vec<u8>),
+    /// An instance is killed.
+    Stop(usize),
+    /// An instance starts again.
+    Start(usize),
+}
+
+/// A connection to a backend, of one process of an instance.
+#[derive(Clone, Copy)]
+struct BackendPort {
+    slot: usize,
+    start: u64,
+    connection: ConnectionId,
+}
+
+/// An instance that is to be killed, and when; it starts again after a second.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Restart {
+    /// Unix time in seconds.
+    pub at: f64,
+    /// Its number in the fleet.
+    pub instance: usize,
+}
+
+/// An instance first requested the changes after a version of the list: all versions until then are in force there.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct InForce {
+    /// Its number in the fleet.
+    pub instance: usize,
+    /// The version.
+    pub version: u64,
+    /// Unix time in seconds.
+    pub at: f64,
+}
+
+/// An instance of the group.
+struct Slot {
+    /// None while it restarts.
+    instance: Option<EmbeddedInstance>,
+    /// Counts its processes: what is on its way to an earlier one is lost.
+    starts: u64,
+    /// What earlier processes did.
+    earlier: Reading,
+    /// The newest version of the list that it has had in force.
+    version: u64,
+    requests: RequestSource,
+    /// When it is stepped next.
+    step_at: f64,
+}
+
+/// Instances of one thread.
+pub struct Group {
+    events: EventQueue<GroupEvent>,
+    slots: Vec<Slot>,
+    sockets: Sockets,
+    point: OperatingPoint,
+    services: Services,
+    /// The number in the fleet of its first instance.
+    first: usize,
+    /// When its instances had which version of the list in force.
+    pub in_force: Vec<InForce>,
+}
+
+impl Group {
+    /// Starts the instances of these numbers.
+    pub fn start(
+        point: &OperatingPoint,
+        population: &Arc<Population>,
+        members: Range<usize>,
+        services: Services,
+    ) -> Result<Group, ScaleError> {
+        let sockets = Sockets::new()?;
+        let now = unix_now();
+        let first = members.start;
+        let mut slots = vec![];
+        for number in members {
+            let requests = RequestSource::new(point, population, number)?;
+            let instance = EmbeddedInstance::new(now, point, number, services)?;
+            slots.push(Slot {
+                instance: Some(instance),
+                starts: 0,
+                earlier: Reading::default(),
+                version: 0,
+                requests,
+                step_at: now,
+            });
+        }
+        let mut group = Group {
+            events: EventQueue::new(now),
+            slots,
+            sockets,
+            point: point.clone(),
+            services,
+            first,
+            in_force: vec![],
+        };
+        for slot in 0..group.slots.len() {
+            group.events.push(now, GroupEvent::Step(slot));
+            if point.requests > 0.0 {
+                group.schedule_request(slot, now);
+            }
+        }
+        Ok(group)
+    }
+
+    /// Restarts those of these instances that are its own.
+    pub fn schedule_restarts(&mut self, restarts: &[Restart]) {
+        let own = self.first..self.first + self.slots.len();
+        for restart in restarts.iter().filter(|r| own.contains(&r.instance)) {
+            self.events.push(restart.at, GroupEvent::Stop(restart.instance - self.first));
+        }
+    }
+
+    /// Serves until that Unix time.
+    pub fn run(&mut self, until: f64) {
+        let mut socket_events = Events::with_capacity(EVENT_CAPACITY);
+        loop {
+            let now = unix_now();
+            if now >= until {
+                return;
+            }
+            while let Some(event) = self.events.pop_due(now) {
+                self.handle(event);
+            }
+            let sleep = |at: f64| Duration::from_secs_f64((at - now).max(0.0));
+            let wait = self.events.next_at().map_or(LONGEST_SLEEP, sleep).min(LONGEST_SLEEP);
+            if self.sockets.poll(&mut socket_events, wait).is_ok() {
+                let ready: Vec<Token> = socket_events.iter().map(|event| event.token()).collect();
+                ready.into_iter().for_each(|token| self.socket_ready(token));
+            }
+        }
+    }
+
+    /// What all of them have done until now.
+    pub fn read(&self) -> Reading {
+        let mut all = Reading::default();
+        for slot in &self.slots {
+            all.add(&slot.earlier);
+            slot.instance.iter().for_each(|instance| all.add(instance.reading()));
+        }
+        all
+    }
+
+    fn handle(&mut self, event: GroupEvent) {
+        match event {
+            GroupEvent::Step(slot) => self.step(slot),
+            GroupEvent::Request(slot) => {
+                let request = self.slots[slot].requests.next_request();
+                self.with_instance(slot, |instance| instance.request(&request));
+                self.schedule_request(slot, self.events.now);
+            }
+            GroupEvent::Connected(port) if self.is_current(port) => {
+                self.with_instance(port.slot, |instance| instance.connected(port.connection));
+            }
+            GroupEvent::Receive(port, bytes) if self.is_current(port) => {
+                self.with_instance(port.slot, |instance| instance.received(port.connection, &bytes));
+            }
+            GroupEvent::Connected(_) | GroupEvent::Receive(..) => {}
+            GroupEvent::Stop(slot) => self.stop(slot),
+            GroupEvent::Start(slot) => self.start_again(slot),
+        }
+    }
+
+    /// Whether the process that the connection belongs to is still running.
+    fn is_current(&self, port: BackendPort) -> bool {
+        self.slots[port.slot].starts == port.start
+    }
+}
