--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -23,5 +23,5 @@
 
 /// The servers of the example deployment serve here too.
 #[allow(dead_code)]
-#[path = "../../examples/toy.rs"]
+#[path = "../../examples/example_backend.rs"]
 mod example_servers;
