--- a/emulator/src/backend/mod.rs
+++ b/emulator/src/backend/mod.rs
@@ -5,7 +5,7 @@
 pub use fault_rates::FaultRates;
 
 use crate::context::Context;
-use crate::network::{LinkId, Remote};
+use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::wire::resp;
 use rand::Rng;
@@ -223,9 +223,9 @@
         let truncated = bytes.len() > LONG_REPLY_BYTES && !bytes.ends_with(b"\r\n");
         // A surplus reply comes right behind the other: later, nobody could tell it from the next reply.
         if bytes.ends_with(SURPLUS_REPLY) {
-            ctx.send_unsplit(link, true, &bytes);
+            ctx.send_unsplit(link, Side::Gateway, &bytes);
         } else {
-            ctx.send(link, true, &bytes);
+            ctx.send(link, Side::Gateway, &bytes);
         }
         // A truncated value ends the connection.
         if truncated || ctx.draw_bool(self.faults.closes_after_response) {
@@ -235,13 +235,13 @@
 
     fn disconnect(&mut self, ctx: &mut Context, link: LinkId) {
         self.connections.remove(&link);
-        ctx.close(link, false, false);
+        ctx.close(link, Side::Remote);
     }
 
     /// The gateway process has closed a connection.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
-        self.disconnect(ctx, link);
-        ctx.mark_closed(link, false);
+        self.connections.remove(&link);
+        ctx.confirm_close(link);
     }
 
     /// Its process crashes, and its connections are reset; or its machine becomes unresponsive, and they are reset when it starts again.
--- a/emulator/src/clients/mod.rs
+++ b/emulator/src/clients/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::checker::{parse_response, ResponseKind};
 use crate::context::Context;
-use crate::network::{LinkId, Remote};
+use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
 use command::{scramble, Command, InstanceRange, MALFORMED_COMMANDS};
 use quillramp_gateway::state::event::ConnectionId;
@@ -137,7 +137,7 @@
             instances,
             body: (!operation.uses_get).then(|| draw_body_length(ctx)),
         };
-        ctx.send(link, true, &command.encode());
+        ctx.send(link, Side::Gateway, &command.encode());
         self.connections.get_mut(&link).expect("just selected").pending.push_back(index);
         if ctx.draw_bool(self.early_disconnects) {
             let delay = ctx.rng.gen_range(0.0..0.1);
@@ -196,7 +196,7 @@
         let Some(process) = serving[instance] else { return };
         let link = self.connect(ctx, process, instance, Behavior::Malformed);
         let command = MALFORMED_COMMANDS[ctx.rng.gen_range(0..MALFORMED_COMMANDS.len())];
-        ctx.send(link, true, command);
+        ctx.send(link, Side::Gateway, command);
     }
 
     /// So many clients connect at once and send nothing.
@@ -228,13 +228,15 @@
     /// A client disconnects.
     pub fn disconnect(&mut self, ctx: &mut Context, link: LinkId) {
         if self.connections.remove(&link).is_some() {
-            ctx.close(link, false, false);
+            ctx.close(link, Side::Remote);
         }
     }
 
     /// The gateway process has closed a connection, or is gone: requests without a response are sent once more, on another connection.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
-        let Some(connection) = self.connections.remove(&link) else { return ctx.mark_closed(link, false) };
+        let Some(connection) = self.connections.remove(&link) else {
+            return ctx.mark_closed(link, Side::Remote);
+        };
         for index in connection.pending {
             let request = &mut self.requests[index];
             if request.retries == 0 {
@@ -243,8 +245,7 @@
                 ctx.schedule_in(delay, ScheduledEvent::RetryDue(index));
             }
         }
-        ctx.close(link, false, false);
-        ctx.mark_closed(link, false);
+        ctx.confirm_close(link);
     }
 }
 
--- a/emulator/src/counter.rs
+++ b/emulator/src/counter.rs
@@ -1,7 +1,7 @@
 //! The counter: named totals that live for a while, over pipelined HTTP/1.1.
 use crate::context::Context;
 use crate::http_request::{parse_request, query_number};
-use crate::network::LinkId;
+use crate::network::{LinkId, Side};
 use crate::scheduled_event::ScheduledEvent;
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -136,7 +136,7 @@
         let instance = connection.instance;
         self.calls += 1;
         if ctx.draw_bool(self.rejections) {
-            ctx.send(link, true, REJECTION);
+            ctx.send(link, Side::Gateway, REJECTION);
             return self.start_next_call(ctx, link);
         }
         let total = self.add(ctx.now, instance, call);
@@ -146,7 +146,7 @@
         }
         let body = if malformed { MALFORMED_BODY.to_owned() } else { format!("{total}") };
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        ctx.send(link, true, response.as_bytes());
+        ctx.send(link, Side::Gateway, response.as_bytes());
         self.start_next_call(ctx, link);
     }
 
@@ -166,13 +166,13 @@
 
     fn disconnect(&mut self, ctx: &mut Context, link: LinkId) {
         self.connections.remove(&link);
-        ctx.close(link, false, false);
+        ctx.close(link, Side::Remote);
     }
 
     /// The gateway process has closed a connection.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
-        self.disconnect(ctx, link);
-        ctx.mark_closed(link, false);
+        self.connections.remove(&link);
+        ctx.confirm_close(link);
     }
 
     /// It crashes: open connections are reset, and new ones refused.
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The discovery service: a log of changes to the endpoint list, and at each gateway instance an agent that knows it up to some version.
 use crate::context::Context;
 use crate::http_request::{parse_request, query_number};
-use crate::network::LinkId;
+use crate::network::{LinkId, Side};
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::wire::endpoints::{self, EndpointList};
 use rand::Rng;
@@ -220,7 +220,7 @@
         };
         let body = if self.malformed_responses { MALFORMED_BODY.to_owned() } else { body.to_string() };
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        ctx.send(link, true, response.as_bytes());
+        ctx.send(link, Side::Gateway, response.as_bytes());
     }
 
     fn changes(&self, since: usize, version: usize) -> Value {
@@ -232,8 +232,7 @@
     /// The gateway process has closed a connection.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
         self.connections.remove(&link);
-        ctx.close(link, false, false);
-        ctx.mark_closed(link, false);
+        ctx.confirm_close(link);
     }
 
     /// Closes the connections of an instance: the service is at another address now.
@@ -241,7 +240,7 @@
         let own = self.connections.iter().filter(|(_, connection)| connection.instance == instance);
         for link in own.map(|(link, _)| *link).collect::<Vec<_>>() {
             self.connections.remove(&link);
-            ctx.close(link, false, false);
+            ctx.close(link, Side::Remote);
         }
     }
 }
--- a/emulator/src/gateway_process/inbound.rs
+++ b/emulator/src/gateway_process/inbound.rs
@@ -2,14 +2,14 @@
 use super::connection::{Connection, DecodedInput};
 use super::{GatewayProcess, OTHER_DESCRIPTORS};
 use crate::context::Context;
-use crate::network::{LinkId, Remote};
+use crate::network::{LinkId, Remote, Side};
 use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
 
 impl GatewayProcess {
     /// A client, or an operator, asks for a connection.
     pub fn connect_requested(&mut self, ctx: &mut Context, link: LinkId) {
         if !self.alive || !self.accepting {
-            return ctx.close(link, true, true);
+            return ctx.abort(link, Side::Gateway);
         }
         let valid_client = |link: &crate::network::Link| link.remote == Remote::Client && !link.malformed;
         if ctx.links.get(&link).is_some_and(valid_client) {
@@ -146,7 +146,7 @@
         if let Some(id) = self.connection_on(ctx, link) {
             self.remote_closed(ctx, id, reset);
         }
-        ctx.mark_closed(link, true);
+        ctx.mark_closed(link, Side::Gateway);
     }
 
     fn remote_closed(&mut self, ctx: &mut Context, id: ConnectionId, reset: bool) {
@@ -175,7 +175,7 @@
     ) {
         let Some(connection) = self.connections.remove(&id) else { return };
         self.report_closed(ctx, id, connection.link, false);
-        ctx.close(connection.link, true, false);
+        ctx.close(connection.link, Side::Gateway);
         self.deliver_event(ctx, Event::ConnectionEnded { connection: id, reason, unsent });
     }
 }
--- a/emulator/src/gateway_process/mod.rs
+++ b/emulator/src/gateway_process/mod.rs
@@ -18,7 +18,7 @@
 pub use sabotage::Sabotage;
 
 use crate::context::Context;
-use crate::network::{LinkId, Remote};
+use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
 use connection::Connection;
 use quillramp::settings;
@@ -219,10 +219,14 @@
         }
         for (id, connection) in std::mem::take(&mut self.connections) {
             self.report_closed(ctx, id, connection.link, false);
-            ctx.close(connection.link, true, killed);
+            if killed {
+                ctx.abort(connection.link, Side::Gateway);
+            } else {
+                ctx.close(connection.link, Side::Gateway);
+            }
         }
         for link in std::mem::take(&mut self.backlog) {
-            ctx.close(link, true, true);
+            ctx.abort(link, Side::Gateway);
         }
     }
 }
--- a/emulator/src/gateway_process/outbound.rs
+++ b/emulator/src/gateway_process/outbound.rs
@@ -1,7 +1,7 @@
 //! What a process writes, and how it closes connections.
 use super::GatewayProcess;
 use crate::context::Context;
-use crate::network::LinkId;
+use crate::network::{LinkId, Side};
 use quillramp_gateway::state::event::ConnectionId;
 
 impl GatewayProcess {
@@ -39,7 +39,7 @@
             }
             _ => {}
         }
-        ctx.send(link_id, false, &bytes);
+        ctx.send(link_id, Side::Remote, &bytes);
     }
 
     /// Closes a connection; what was written before is sent first, as far as the network takes it.
@@ -51,7 +51,7 @@
         self.flush(ctx, id);
         let Some(connection) = self.connections.remove(&id) else { return };
         self.report_closed(ctx, id, connection.link, true);
-        ctx.close(connection.link, true, false);
+        ctx.close(connection.link, Side::Gateway);
     }
 
     /// Tells the checker of the end of a connection.
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -25,6 +25,24 @@
     Unreachable,
 }
 
+/// One side of a link.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Side {
+    /// That of the gateway process.
+    Gateway,
+    /// That of the remote.
+    Remote,
+}
+
+impl Side {
+    fn other(self) -> Side {
+        match self {
+            Side::Gateway => Side::Remote,
+            Side::Remote => Side::Gateway,
+        }
+    }
+}
+
 /// A connection between a gateway process and a remote.
 pub struct Link {
     /// The process, by index.
@@ -37,8 +55,10 @@
     pub gateway_open: bool,
     /// The remote has it open, as far as it knows.
     pub remote_open: bool,
-    /// When the last byte on its way arrives: at the remote, at the process.
-    last_arrival: [f64; 2],
+    /// When the last byte on its way to the remote arrives.
+    last_arrival_at_remote: f64,
+    /// When the last byte on its way to the process arrives.
+    last_arrival_at_gateway: f64,
     /// Until then the network takes little of what the process writes.
     pub choked_until: f64,
     /// The client sends what can't be parsed.
@@ -49,6 +69,16 @@
     pub client_address: IpAddr,
 }
 
+impl Link {
+    /// Whether a side has it open, as far as that side knows.
+    fn open_at(&mut self, side: Side) -> &mut bool {
+        match side {
+            Side::Gateway => &mut self.gateway_open,
+            Side::Remote => &mut self.remote_open,
+        }
+    }
+}
+
 /// The backends of a zone can't be reached until then: what is sent to them arrives afterwards.
 #[derive(Clone, Copy)]
 pub struct Partition {
@@ -83,7 +113,8 @@
             remote,
             gateway_open: true,
             remote_open: false,
-            last_arrival: [0.0; 2],
+            last_arrival_at_remote: 0.0,
+            last_arrival_at_gateway: 0.0,
             choked_until: 0.0,
             malformed: false,
             known_address: false,
@@ -93,30 +124,34 @@
         self.last_link
     }
 
-    /// When the next thing on a link arrives: after all that was sent before it.
-    fn next_arrival(&mut self, id: LinkId, to_gateway: bool) -> Option<f64> {
+    /// When the next thing for that side of a link arrives: after all that was sent before it.
+    fn next_arrival(&mut self, id: LinkId, to: Side) -> Option<f64> {
         let remote = self.links.get(&id)?.remote;
         let at = (self.now + self.draw_delay()).max(self.partitioned_until(remote));
-        let last = &mut self.links.get_mut(&id)?.last_arrival[usize::from(to_gateway)];
+        let link = self.links.get_mut(&id)?;
+        let last = match to {
+            Side::Remote => &mut link.last_arrival_at_remote,
+            Side::Gateway => &mut link.last_arrival_at_gateway,
+        };
         *last = last.max(at);
         Some(*last)
     }
 
     /// A remote asks a process for a connection; what is sent on the link arrives after that.
     pub fn connect_to_gateway(&mut self, id: LinkId) {
-        if let Some(at) = self.next_arrival(id, true) {
+        if let Some(at) = self.next_arrival(id, Side::Gateway) {
             self.events.schedule(at, ScheduledEvent::ConnectRequested(id));
         }
     }
 
     /// Sends bytes, at times in pieces that arrive one after another.
-    pub fn send(&mut self, id: LinkId, to_gateway: bool, bytes: &[u8]) {
+    pub fn send(&mut self, id: LinkId, to: Side, bytes: &[u8]) {
         let mut rest = bytes;
         while !rest.is_empty() {
             let unsplit = rest.len() < 2 || !self.draw_bool(self.world.split_writes);
             let length = if unsplit { rest.len() } else { self.rng.gen_range(1..rest.len()) };
             let (piece, behind) = rest.split_at(length);
-            if !self.send_unsplit(id, to_gateway, piece) {
+            if !self.send_unsplit(id, to, piece) {
                 return;
             }
             rest = behind;
@@ -124,54 +159,63 @@
     }
 
     /// Sends bytes that arrive all at once; false where the link is gone.
-    pub fn send_unsplit(&mut self, id: LinkId, to_gateway: bool, bytes: &[u8]) -> bool {
-        let Some(at) = self.next_arrival(id, to_gateway) else { return false };
-        let arrival = ScheduledEvent::BytesArrived { link: id, to_gateway, bytes: bytes.to_vec() };
-        self.events.schedule(at, arrival);
+    pub fn send_unsplit(&mut self, id: LinkId, to: Side, bytes: &[u8]) -> bool {
+        let Some(at) = self.next_arrival(id, to) else { return false };
+        self.events.schedule(at, ScheduledEvent::BytesArrived { link: id, at: to, bytes: bytes.to_vec() });
         true
     }
 
-    /// One end closes a link; the other end is notified behind all that was sent. Reset: at once, and what is on its way is
-    /// lost in both directions.
-    pub fn close(&mut self, id: LinkId, by_gateway: bool, reset: bool) {
+    /// One side closes a link; the other side is notified behind all that was sent.
+    pub fn close(&mut self, id: LinkId, by: Side) {
+        self.close_side(id, by, false);
+    }
+
+    /// One side resets a link: the other side is notified at once, and what is on its way is lost in both directions.
+    pub fn abort(&mut self, id: LinkId, by: Side) {
+        self.close_side(id, by, true);
+    }
+
+    fn close_side(&mut self, id: LinkId, by: Side, reset: bool) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        let other_open = if by_gateway { link.remote_open } else { link.gateway_open };
-        let own_open = if by_gateway { &mut link.gateway_open } else { &mut link.remote_open };
-        if !std::mem::replace(own_open, false) {
+        let was_open = std::mem::replace(link.open_at(by), false);
+        if !was_open {
             return;
         }
-        if !other_open {
+        let notified = by.other();
+        if !*link.open_at(notified) {
             self.links.remove(&id);
-        } else if let Some(at) = self.next_arrival(id, !by_gateway) {
+        } else if let Some(at) = self.next_arrival(id, notified) {
             let at = if reset { self.now } else { at };
-            self.events.schedule(at, ScheduledEvent::LinkClosed { link: id, to_gateway: !by_gateway, reset });
+            self.events.schedule(at, ScheduledEvent::LinkClosed { link: id, at: notified, reset });
         }
     }
 
-    /// A link breaks: both ends are notified at once, and nothing else arrives.
+    /// A link breaks: both sides are notified at once, and nothing else arrives.
     pub fn reset(&mut self, id: LinkId) {
         let Some(link) = self.links.get(&id) else { return };
-        for (to_gateway, open) in [(true, link.gateway_open), (false, link.remote_open)] {
+        for (side, open) in [(Side::Gateway, link.gateway_open), (Side::Remote, link.remote_open)] {
             if open {
-                let closed = ScheduledEvent::LinkClosed { link: id, to_gateway, reset: true };
+                let closed = ScheduledEvent::LinkClosed { link: id, at: side, reset: true };
                 self.events.schedule(self.now, closed);
             }
         }
     }
 
-    /// One end was notified that the link is closed, and uses it no more.
-    pub fn mark_closed(&mut self, id: LinkId, at_gateway: bool) {
+    /// One side was notified that the link is closed, and uses it no more.
+    pub fn mark_closed(&mut self, id: LinkId, at: Side) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        if at_gateway {
-            link.gateway_open = false;
-        } else {
-            link.remote_open = false;
-        }
+        *link.open_at(at) = false;
         if !link.gateway_open && !link.remote_open {
             self.links.remove(&id);
         }
     }
 
+    /// A remote was notified that the link is closed, and closes its side too.
+    pub fn confirm_close(&mut self, id: LinkId) {
+        self.close(id, Side::Remote);
+        self.mark_closed(id, Side::Remote);
+    }
+
     /// The links for which the condition holds, in the order of their numbers.
     pub fn links_matching(&self, condition: impl Fn(&Link) -> bool) -> Vec<LinkId> {
         self.links.iter().filter(|(_, link)| condition(link)).map(|(id, _)| *id).collect()
--- a/emulator/src/scheduled_event.rs
+++ b/emulator/src/scheduled_event.rs
@@ -1,24 +1,24 @@
 //! What can happen at a time of the virtual clock.
-use crate::network::LinkId;
+use crate::network::{LinkId, Side};
 use std::net::SocketAddr;
 
 /// An event of the simulated world. Processes, instances and backends are named by their index.
 pub enum ScheduledEvent {
-    /// Bytes arrive at one end of a link.
+    /// Bytes arrive at one side of a link.
     BytesArrived {
         /// On which link.
         link: LinkId,
-        /// At the gateway's end, else at the other one.
-        to_gateway: bool,
+        /// At which side.
+        at: Side,
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// One end is notified that the link was closed behind all that was sent, or reset.
+    /// One side is notified that the link was closed behind all that was sent, or reset.
     LinkClosed {
         /// Which link.
         link: LinkId,
-        /// The gateway's end is notified, else the other one.
-        to_gateway: bool,
+        /// Which side is notified.
+        at: Side,
         /// Whatever was on its way is lost.
         reset: bool,
     },
--- a/emulator/src/simulation/dispatch.rs
+++ b/emulator/src/simulation/dispatch.rs
@@ -1,7 +1,7 @@
 //! Hands each event to the party that it concerns.
 use super::Simulation;
 use crate::gateway_process::OTHER_DESCRIPTORS;
-use crate::network::{LinkId, Remote};
+use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::state::event::Event;
 use rand::Rng;
@@ -13,16 +13,16 @@
     /// Lets an event happen.
     pub(super) fn handle(&mut self, event: ScheduledEvent) {
         match event {
-            ScheduledEvent::BytesArrived { link, to_gateway: true, bytes } => {
+            ScheduledEvent::BytesArrived { link, at: Side::Gateway, bytes } => {
                 self.bytes_to_gateway(link, &bytes)
             }
-            ScheduledEvent::BytesArrived { link, to_gateway: false, bytes } => {
+            ScheduledEvent::BytesArrived { link, at: Side::Remote, bytes } => {
                 self.bytes_to_remote(link, &bytes)
             }
-            ScheduledEvent::LinkClosed { link, to_gateway: true, reset } => {
+            ScheduledEvent::LinkClosed { link, at: Side::Gateway, reset } => {
                 self.closed_at_gateway(link, reset)
             }
-            ScheduledEvent::LinkClosed { link, to_gateway: false, .. } => self.closed_at_remote(link),
+            ScheduledEvent::LinkClosed { link, at: Side::Remote, .. } => self.closed_at_remote(link),
             ScheduledEvent::ConnectRequested(link) => self.connect_requested(link),
             ScheduledEvent::ConnectCompleted { link, accepted } => self.connect_completed(link, accepted),
             ScheduledEvent::RandomReset => self.random_reset(),
@@ -108,7 +108,7 @@
             Remote::Backend(backend) => self.backends[backend].link_closed(ctx, id),
             Remote::Counter => self.counter.link_closed(ctx, id),
             Remote::Discovery => self.discovery.link_closed(ctx, id),
-            Remote::Operator | Remote::Unreachable => ctx.mark_closed(id, false),
+            Remote::Operator | Remote::Unreachable => ctx.mark_closed(id, Side::Remote),
         }
     }
 
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -3,7 +3,7 @@
 use crate::addresses;
 use crate::deployment::admission_limits;
 use crate::gateway_process::{GatewayProcess, ProcessRequest, StartOptions};
-use crate::network::Remote;
+use crate::network::{Remote, Side};
 use crate::operator_files;
 use crate::scheduled_event::ScheduledEvent;
 use quillramp::settings;
@@ -211,6 +211,6 @@
         }
         self.ctx.connect_to_gateway(id);
         let call = format!("POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-        self.ctx.send(id, true, call.as_bytes());
+        self.ctx.send(id, Side::Gateway, call.as_bytes());
     }
 }
