--- a/load/src/experiment/check.rs
+++ b/load/src/experiment/check.rs
@@ -1,7 +1,7 @@
 //! The ranges of an experiment's values.
 use super::{Experiment, Flood, Variant};
 use crate::fault_schedule;
-use quillramp_emulator::script::{Fault, Kind};
+use quillramp_emulator::scenario::{Fault, FaultKind};
 
 /// The longest traffic, seconds.
 const LONGEST_SECONDS: f64 = 300.0;
@@ -88,8 +88,8 @@
     /// The sizes that variants may change; `prefix` names the variant.
     fn check_sizes(&self, prefix: &str, violations: &mut Violations) {
         let traffic = &self.traffic;
-        let instances = self.world.doors;
-        let descriptors = self.world.sockets.max(LEAST_DESCRIPTORS);
+        let instances = self.world.instances;
+        let descriptors = self.world.max_descriptors.max(LEAST_DESCRIPTORS);
         let connections = traffic.connections + traffic.idle;
         violations.require(
             (1..=MAX_INSTANCES).contains(&instances),
@@ -132,9 +132,9 @@
             format!("{at}: only the emulator has this kind"),
         );
         violations.require(
-            fault.kind != Kind::Burst || self.is_open_loop(),
+            fault.kind != FaultKind::TrafficBurst || self.is_open_loop(),
             format!("{at}: a closed loop has no rate that could grow"),
         );
-        violations.0.extend(fault.check(&at, self.traffic.seconds, &self.world));
+        violations.0.extend(fault.problems(&at, self.traffic.seconds, &self.world));
     }
 }
--- a/load/src/experiment/mod.rs
+++ b/load/src/experiment/mod.rs
@@ -3,7 +3,7 @@
 mod arrivals;
 mod check;
 
-use quillramp_emulator::script::{Fault, World};
+use quillramp_emulator::scenario::{Fault, World};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -144,8 +144,8 @@
     /// What a variant runs: the experiment with what the variant changes.
     pub fn of(&self, variant: &Variant) -> Experiment {
         let mut changed = self.clone();
-        changed.world.doors = variant.instances.unwrap_or(changed.world.doors);
-        changed.world.service *= variant.slowed;
+        changed.world.instances = variant.instances.unwrap_or(changed.world.instances);
+        changed.world.service_time *= variant.slowed;
         changed.traffic.connections = variant.connections.unwrap_or(changed.traffic.connections);
         changed.traffic.idle = variant.idle.unwrap_or(changed.traffic.idle);
         if variant.spared {
@@ -162,7 +162,7 @@
 
     /// Instances of each customer.
     pub fn spread(&self) -> usize {
-        let all = self.world.doors;
+        let all = self.world.instances;
         if self.traffic.spread == 0 {
             all
         } else {
--- a/load/src/fleet/configuration.rs
+++ b/load/src/fleet/configuration.rs
@@ -3,7 +3,7 @@
 use crate::experiment::Experiment;
 use crate::test_bed::loopback::{bind_datagram, bind_datagram_at, bind_listener_at, own_loopback};
 use crate::test_bed::peer_relay;
-use quillramp_emulator::play::settings;
+use quillramp_emulator::deployment::gateway_settings;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -63,22 +63,22 @@
     services: &Services,
 ) -> Result<Written, RunError> {
     let world = &experiment.world;
-    let mut settings = settings(world, None);
-    let Addresses { clients, gossip } = choose_addresses(world.doors)?;
+    let mut settings = gateway_settings(world, None);
+    let Addresses { clients, gossip } = choose_addresses(world.instances)?;
     let relay = bind_datagram()?;
-    if world.peers {
+    if world.gossip {
         peer_relay::start(relay.socket, gossip.clone());
     }
     let peers: Vec<SocketAddr> = gossip.iter().copied().chain([relay.address]).collect();
     let mut files = vec![];
-    for index in 0..world.doors {
+    for index in 0..world.instances {
         settings["slot_no"] = json!(index);
         let seed = format!("{:016x}", experiment.seed + index as u64);
         let mut text = json!({"name": format!("n{index}"), "listen": clients[index],
             "discovery": services.discovery, "seed": seed,
-            "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": world.sockets.max(LEAST_DESCRIPTORS)},
+            "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": world.max_descriptors.max(LEAST_DESCRIPTORS)},
             "counter": services.counters[index % 2], "known": services.endpoints, "settings": settings});
-        if world.peers {
+        if world.gossip {
             text["peer_listen"] = json!(gossip[index]);
             text["peers"] = json!(peers);
             text["peers_all"] = json!(relay.address);
--- a/load/src/fleet/mod.rs
+++ b/load/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use process::Launcher;
-use quillramp_emulator::script::Kind;
+use quillramp_emulator::scenario::FaultKind;
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
 use std::process::Child;
@@ -112,15 +112,15 @@
     /// Carries out a step that concerns an instance.
     pub fn inject(&self, step: &FaultStep) {
         match (step.kind, step.begins) {
-            (Kind::Stall, true) => self.signal(step.target, Signal::SIGSTOP),
-            (Kind::Stall, false) => self.signal(step.target, Signal::SIGCONT),
-            (Kind::Reload, true) => self.signal(step.target, Signal::SIGHUP),
-            (Kind::Kill, true) => self.end(step.target, Duration::ZERO),
-            (Kind::Term, true) => {
+            (FaultKind::Stall, true) => self.signal(step.target, Signal::SIGSTOP),
+            (FaultKind::Stall, false) => self.signal(step.target, Signal::SIGCONT),
+            (FaultKind::ReloadConfiguration, true) => self.signal(step.target, Signal::SIGHUP),
+            (FaultKind::Kill, true) => self.end(step.target, Duration::ZERO),
+            (FaultKind::Terminate, true) => {
                 self.signal(step.target, Signal::SIGTERM);
                 self.end(step.target, TERM_TIMEOUT);
             }
-            (Kind::Kill | Kind::Term, false) => self.restart(step.target),
+            (FaultKind::Kill | FaultKind::Terminate, false) => self.restart(step.target),
             _ => {}
         }
     }
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -10,7 +10,7 @@
 use crate::test_bed::loopback::bind_listener;
 use crate::test_bed::{backend, counter, discovery, BackendLoad, TestBed};
 use crate::usage::{self, CustomerUsage};
-use quillramp_emulator::script::Kind;
+use quillramp_emulator::scenario::FaultKind;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -159,7 +159,10 @@
                 sleep(FAULT_POLL);
             }
             match step.kind {
-                Kind::Kill | Kind::Term | Kind::Stall | Kind::Reload => fleet.inject(step),
+                FaultKind::Kill
+                | FaultKind::Terminate
+                | FaultKind::Stall
+                | FaultKind::ReloadConfiguration => fleet.inject(step),
                 _ => self.test_bed.inject(step),
             }
         }
@@ -183,7 +186,7 @@
         RunSummary {
             variant: self.variant.name.clone(),
             repetition: self.repetition,
-            instances: self.experiment.world.doors,
+            instances: self.experiment.world.instances,
             sent: sent as u64,
             counter_calls,
             deliveries: executions.deliveries,
--- a/load/src/scale/operating_point.rs
+++ b/load/src/scale/operating_point.rs
@@ -1,7 +1,7 @@
 //! The operating point of a scale run: the sizes of the fleet, its traffic and how that is spread over the tenants.
 use super::error::ScaleError;
-use quillramp_emulator::play::settings;
-use quillramp_emulator::script::World;
+use quillramp_emulator::deployment::gateway_settings;
+use quillramp_emulator::scenario::World;
 use rand::distributions::WeightedIndex;
 use serde_json::{json, Value};
 
@@ -154,8 +154,8 @@
     /// The settings in the configuration of the instance of that number.
     pub fn settings(&self, instance: usize) -> Value {
         let world =
-            World { doors: self.instances, backends: self.backends, peers: false, ..World::default() };
-        let mut settings = settings(&world, None);
+            World { instances: self.instances, backends: self.backends, gossip: false, ..World::default() };
+        let mut settings = gateway_settings(&world, None);
         settings["slot_no"] = json!(instance);
         settings["extra"]["counter"] = json!(!self.without_counter);
         let plan = |p: usize| {
--- a/load/src/test_bed/endpoint_list.rs
+++ b/load/src/test_bed/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list that the list service serves, as a snapshot or as watch events.
 use crate::sync::lock;
-use quillramp_emulator::script::World;
+use quillramp_emulator::scenario::World;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::{Condvar, Mutex};
--- a/load/src/test_bed/inject.rs
+++ b/load/src/test_bed/inject.rs
@@ -4,7 +4,7 @@
 use super::TestBed;
 use crate::fault_schedule::FaultStep;
 use crate::sync::lock;
-use quillramp_emulator::script::Kind;
+use quillramp_emulator::scenario::FaultKind;
 use std::collections::HashMap;
 
 /// Seconds of a millisecond, the unit of a slow counter's delay.
@@ -15,28 +15,28 @@
     pub fn inject(&self, step: &FaultStep) {
         let magnitude = if step.begins { step.magnitude } else { 0.0 };
         match step.kind {
-            Kind::Slow => self.change(step, |c| c.slow = if step.begins { step.magnitude } else { 1.0 }),
-            Kind::Swallow => self.change(step, |c| c.swallow = magnitude),
-            Kind::Spoil => self.change(step, |c| c.malformed = magnitude),
-            Kind::Err => self.change(step, |c| c.fail = magnitude),
-            Kind::TurnAway => self.change(step, |c| c.reject = magnitude),
-            Kind::Crash => self.crash(step),
-            Kind::Vanish => self.vanish(step),
-            Kind::Drain => self.drain(step),
-            Kind::ListDown => self.endpoints.set_down(step.begins),
+            FaultKind::Slow => self.change(step, |c| c.slow = if step.begins { step.magnitude } else { 1.0 }),
+            FaultKind::LostResponses => self.change(step, |c| c.swallow = magnitude),
+            FaultKind::MalformedResponses => self.change(step, |c| c.malformed = magnitude),
+            FaultKind::Errors => self.change(step, |c| c.fail = magnitude),
+            FaultKind::Rejections => self.change(step, |c| c.reject = magnitude),
+            FaultKind::Crash => self.crash(step),
+            FaultKind::Unresponsive => self.vanish(step),
+            FaultKind::Drain => self.drain(step),
+            FaultKind::DiscoveryDown => self.endpoints.set_down(step.begins),
             _ => self.inject_at_counter(step, magnitude),
         }
     }
 
     fn inject_at_counter(&self, step: &FaultStep, magnitude: f64) {
         match step.kind {
-            Kind::CounterDown => lock(&self.counter).down = step.begins,
-            Kind::CounterSilent => lock(&self.counter).unresponsive = step.begins,
-            Kind::CounterSlow => lock(&self.counter).delay = MILLISECOND * magnitude,
-            Kind::CounterDeaf => lock(&self.counter).unanswered = magnitude,
-            Kind::CounterTurnsAway => lock(&self.counter).reject = magnitude,
-            Kind::CounterLost => lock(&self.counts).iter_mut().for_each(HashMap::clear),
-            Kind::CounterSplit => {
+            FaultKind::CounterDown => lock(&self.counter).down = step.begins,
+            FaultKind::CounterUnresponsive => lock(&self.counter).unresponsive = step.begins,
+            FaultKind::CounterSlow => lock(&self.counter).delay = MILLISECOND * magnitude,
+            FaultKind::CounterLostResponses => lock(&self.counter).unanswered = magnitude,
+            FaultKind::CounterRejections => lock(&self.counter).reject = magnitude,
+            FaultKind::CounterReset => lock(&self.counts).iter_mut().for_each(HashMap::clear),
+            FaultKind::CounterSplit => {
                 lock(&self.counter).split = step.begins;
                 let mut counts = lock(&self.counts);
                 counts[1] = counts[0].clone();
--- a/load/src/test_bed/mod.rs
+++ b/load/src/test_bed/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::fault_schedule;
 use crate::sync::lock;
-use quillramp_emulator::script::World;
+use quillramp_emulator::scenario::World;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -112,8 +112,8 @@
     pub fn draw_outcome(&self, backend: usize, units: f64) -> BackendOutcome {
         let condition = self.condition(backend);
         let age = condition.started.map(|started| self.now() - started);
-        let seconds =
-            units * self.world.service * condition.slow / fault_schedule::warm_capacity(&self.world, age);
+        let seconds = units * self.world.service_time * condition.slow
+            / fault_schedule::warm_capacity(&self.world, age);
         let work = Duration::from_secs_f64(seconds.min(LONGEST_WORK));
         let drawn = self.random(backend);
         let mut upto = 0.0;
--- a/load/src/usage.rs
+++ b/load/src/usage.rs
@@ -2,9 +2,9 @@
 //! for each customer.
 use crate::generator::RunLabel;
 use crate::test_bed::{CustomerPlan, TimedUnits};
-use quillramp_emulator::play::settings;
-use quillramp_emulator::quota::Store;
-use quillramp_emulator::script::World;
+use quillramp_emulator::deployment::gateway_settings;
+use quillramp_emulator::quota_usage::QuotaUsage;
+use quillramp_emulator::scenario::World;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -64,7 +64,7 @@
     label: &RunLabel,
     units: &HashMap<CustomerPlan, Vec<TimedUnits>>,
 ) -> FleetQuotas {
-    let settings = settings(world, None);
+    let settings = gateway_settings(world, None);
     let mut all = FleetQuotas { units: 0.0, beyond_quota: 0.0, worst_excess: 0.0, rows: vec![] };
     for (key, came) in units {
         let Quota { rate, burst } = Quota::of(&settings, &key.plan);
@@ -73,18 +73,18 @@
             continue;
         }
         let came: Vec<(f64, f64)> = came.iter().map(|c| (c.at, c.units)).collect();
-        let bucket = Store::of(&came, rate, burst);
-        all.beyond_quota += bucket.beyond;
-        all.worst_excess = all.worst_excess.max(bucket.worst);
-        let (.., span) = bucket.quota();
+        let bucket = QuotaUsage::from_samples(&came, rate, burst);
+        all.beyond_quota += bucket.excess_units;
+        all.worst_excess = all.worst_excess.max(bucket.worst_overshoot);
+        let span = bucket.span();
         all.rows.push(CustomerUsage {
             variant: label.variant.clone(),
             repetition: label.repetition,
             customer: key.customer,
             plan: key.plan.clone(),
             units: bucket.units,
-            beyond_quota: bucket.beyond,
-            overshoot: bucket.beyond / (burst + rate * span),
+            beyond_quota: bucket.excess_units,
+            overshoot: bucket.excess_units / (burst + rate * span),
         });
     }
     all.rows.sort_by_key(|row| row.customer);
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -1,7 +1,7 @@
 //! Experiments: arrivals by seed, a known delay, duplicate executions, faults, and what is significant.
 use expect_test::expect;
-use quillramp_emulator::quota::Store;
-use quillramp_emulator::script::Kind;
+use quillramp_emulator::quota_usage::QuotaUsage;
+use quillramp_emulator::scenario::FaultKind;
 use quillramp_load::experiment::Experiment;
 use quillramp_load::fault_schedule::{burst_factor, is_supported, schedule, warm_capacity};
 use quillramp_load::generator::{Outcome, RequestRow};
@@ -245,11 +245,11 @@
     );
     let come = experiment.arrivals(0).iter().filter(|a| (4.0..5.0).contains(&a.at)).count();
     assert!(come > 12, "{come}");
-    assert!(is_supported(Kind::CounterSplit) && !is_supported(Kind::Upgrade));
+    assert!(is_supported(FaultKind::CounterSplit) && !is_supported(FaultKind::Upgrade));
     let world = &experiment.world;
     assert_eq!(
         (warm_capacity(world, None), warm_capacity(world, Some(0.0)), warm_capacity(world, Some(99.0))),
-        (1.0, world.cold_from, 1.0)
+        (1.0, world.slow_start_fraction, 1.0)
     );
 }
 
@@ -257,15 +257,15 @@
 fn units_beyond_a_quota_are_counted_once() {
     // 10 at once and 1 a second: 12 at the start are 2 too many, and one a second after that none.
     let mut came = vec![(0.0, 6.0), (0.0, 6.0)];
-    assert_eq!(Store::of(&came, 1.0, 10.0).beyond, 2.0);
+    assert_eq!(QuotaUsage::from_samples(&came, 1.0, 10.0).excess_units, 2.0);
     came.extend((1..=20).map(|s| (f64::from(s), 1.0)));
-    assert!((Store::of(&came, 1.0, 10.0).beyond - 2.0).abs() < 1e-9);
-    assert!((Store::of(&came, 1.0, 10.0).worst - 0.2).abs() < 1e-9);
+    assert!((QuotaUsage::from_samples(&came, 1.0, 10.0).excess_units - 2.0).abs() < 1e-9);
+    assert!((QuotaUsage::from_samples(&came, 1.0, 10.0).worst_overshoot - 0.2).abs() < 1e-9);
     // A span that begins late: a second burst after the store has filled again is none.
-    assert_eq!(Store::of(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).beyond, 0.0);
-    assert_eq!(Store::of(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).worst, 0.0);
+    assert_eq!(QuotaUsage::from_samples(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).excess_units, 0.0);
+    assert_eq!(QuotaUsage::from_samples(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).worst_overshoot, 0.0);
     // Order does not matter, and half of what the second time brings is too much.
-    assert_eq!(Store::of(&[(5.0, 10.0), (0.0, 10.0)], 1.0, 10.0).beyond, 5.0);
+    assert_eq!(QuotaUsage::from_samples(&[(5.0, 10.0), (0.0, 10.0)], 1.0, 10.0).excess_units, 5.0);
 }
 
 #[test]
