--- a/drill/src/instance.rs
+++ b/drill/src/instance.rs
@@ -299,7 +299,7 @@
         for message in effects.gossip {
             self.send_gossip(message, reply);
         }
-        for (index, attempt) in effects.cancellations {
+        for Cancellation { request: index, attempt } in effects.cancellations {
             if let Some(request) = self.requests[index].as_ref() {
                 actions::cancel(reply, request.id, attempt);
             }
--- a/emulator/src/gateway_process/effects.rs
+++ b/emulator/src/gateway_process/effects.rs
@@ -25,10 +25,10 @@
         match effect {
             Effect::Reply(client, response) => self.respond(ctx, client, response),
             Effect::Reject(client, reason) => self.reject(ctx, client, reason),
-            Effect::SendAttempt { connection, delivery, call, timeout_ms } => {
+            Effect::SendAttempt { connection, attempt: delivery, request: call, timeout_ms } => {
                 self.send_attempt(ctx, connection, delivery, &call, timeout_ms)
             }
-            Effect::Withdraw { connection, delivery } => self.withdraw(ctx, connection, delivery),
+            Effect::Withdraw { connection, attempt: delivery } => self.withdraw(ctx, connection, delivery),
             Effect::AdminRespond(call, response) => self.respond_to_operator(call, &response),
             Effect::SaveChange(call, change) => return Some(ProcessRequest::SaveChange { call, change }),
             Effect::AnnounceDescriptorLimit(limit) => {
--- a/gateway/src/sockets/effects.rs
+++ b/gateway/src/sockets/effects.rs
@@ -12,13 +12,13 @@
         match effect {
             Effect::Reply(client, reply) => self.reply(client, &reply, batch),
             Effect::Reject(client, text) => self.reject(client, text, batch),
-            Effect::SendAttempt { connection, delivery, call, timeout_ms } => {
+            Effect::SendAttempt { connection, attempt, request, timeout_ms } => {
                 self.write(ConnectionId::Backend(connection), batch, |connection| {
-                    let encode = |buffer: &mut Vec<u8>| call.encode(timeout_ms, buffer);
-                    connection.out.borrow_mut().append(delivery, encode);
+                    let encode = |buffer: &mut Vec<u8>| request.encode(timeout_ms, buffer);
+                    connection.out.borrow_mut().append(attempt, encode);
                 })
             }
-            Effect::Withdraw { connection, delivery } => self.withdraw(connection, delivery),
+            Effect::Withdraw { connection, attempt } => self.withdraw(connection, attempt),
             Effect::AdminRespond(operator, response) => self.respond(operator, &response, batch),
             Effect::SaveChange(call, change) => {
                 if let Some(keeper) = &self.keeper {
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -82,7 +82,7 @@
         let pending = self.requests.get(request).expect("an attempt of it is in flight");
         let timeout_ms = ((pending.attributes.deadline - now) * 1e3).max(1.0) as u64;
         let call = pending.command.clone();
-        self.effects.push(Effect::SendAttempt { connection, delivery: number, call, timeout_ms });
+        self.effects.push(Effect::SendAttempt { connection, attempt: number, request: call, timeout_ms });
     }
 
     /// The response to an attempt is complete. `load_report`: as the backend sent it.
@@ -135,7 +135,7 @@
             return self.close_backend_connection(connection_id, CloseReason::Abandoned);
         }
         if let Some(delivery) = number.filter(|_| connection.is_up) {
-            self.effects.push(Effect::Withdraw { connection: connection_id, delivery });
+            self.effects.push(Effect::Withdraw { connection: connection_id, attempt: delivery });
         }
     }
 
@@ -167,7 +167,7 @@
         let Some(connection) = self.backends.connections.get(&connection_id) else { return };
         let queued = connection.queue.iter().find(|queued| queued.id == Some(id));
         if let Some(queued) = queued.filter(|_| connection.is_up) {
-            self.effects.push(Effect::Withdraw { connection: connection_id, delivery: queued.number });
+            self.effects.push(Effect::Withdraw { connection: connection_id, attempt: queued.number });
         }
     }
 
@@ -180,8 +180,9 @@
             }
         }
         withdrawn.sort_unstable();
-        let effects =
-            withdrawn.into_iter().map(|(connection, delivery)| Effect::Withdraw { connection, delivery });
+        let effects = withdrawn
+            .into_iter()
+            .map(|(connection, delivery)| Effect::Withdraw { connection, attempt: delivery });
         self.effects.extend(effects);
     }
 
--- a/gateway/src/state/decisions.rs
+++ b/gateway/src/state/decisions.rs
@@ -77,7 +77,7 @@
         for message in effects.gossip {
             self.send_gossip(message);
         }
-        for (request, attempt) in effects.cancellations {
+        for Cancellation { request, attempt } in effects.cancellations {
             self.cancel_or_withdraw(AttemptId { request, attempt });
         }
         if effects.fetch_endpoints {
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -14,9 +14,13 @@
 /// A connection, by what it is for. Its number is unique among those for the same purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ConnectionId {
+    /// A client's connection.
     Client(u64),
+    /// A connection to a backend.
     Backend(u64),
+    /// A connection to the counter.
     Counter(u64),
+    /// A connection to the list service.
     Discovery(u64),
     /// An operator's connection, with one call.
     Admin(u64),
@@ -27,11 +31,15 @@
 pub enum CloseReason {
     /// The other side closed it.
     Closed,
+    /// The other side reset it.
     Reset,
+    /// The other side did not accept it.
     Refused,
+    /// What came on it breaks the protocol.
     BadFraming,
     /// It never came up in time.
     DialTimeout,
+    /// It stood idle for too long.
     Idle,
     /// An attempt on it was cancelled.
     Abandoned,
@@ -171,7 +179,12 @@
     /// An operator's call.
     AdminCall(u64, admin::AdminCall),
     /// The shared state was saved, or could not be: for an operator's call on this connection, or by another process.
-    SharedStateSaved { call: Option<u64>, shared: Result<SharedState, String> },
+    SharedStateSaved {
+        /// The operator's connection; `None` where another process saved it.
+        call: Option<u64>,
+        /// The state as it is now, or why it could not be saved.
+        shared: Result<SharedState, String>,
+    },
     /// A client's connection was closed after `Effect::CloseIfIdle`.
     IdleClientClosed(u64, CloseReason),
     /// A client's command.
@@ -194,23 +207,36 @@
     Connected(ConnectionId),
     /// An attempt was taken out of the buffer of a backend's connection before any of its bytes was written.
     Withdrawn {
+        /// The backend's connection.
         connection: u64,
         /// Its number on that connection.
         attempt: u64,
     },
     /// A connection ended that was not closed from here.
     ConnectionEnded {
+        /// Which one.
         connection: ConnectionId,
+        /// Why.
         reason: CloseReason,
         /// Some of what was written to it has not left.
         unsent: bool,
     },
     /// A datagram of another instance, or from an unknown peer.
-    Datagram { from: SocketAddr, body: Vec<u8> },
+    Datagram {
+        /// The sender's address.
+        from: SocketAddr,
+        /// All of it.
+        body: Vec<u8>,
+    },
     /// No file descriptor was left to accept one more client.
     DescriptorsExhausted,
     /// The configuration was read again: where the discovery service and the counter are now.
-    ConfigurationReloaded { discovery: SocketAddr, counter: Option<SocketAddr> },
+    ConfigurationReloaded {
+        /// Address of the list service.
+        discovery: SocketAddr,
+        /// Address of the counter, if there is one.
+        counter: Option<SocketAddr>,
+    },
     /// The operator's file was read again, and is valid.
     OperatorFileReloaded(Box<OperatorUpdate>),
     /// The configuration was to be read again, and can't be used.
@@ -239,22 +265,27 @@
     StopReading(u64),
     /// Writes a request to a backend's connection, with the time in which its response is awaited, in milliseconds.
     SendAttempt {
+        /// The backend's connection.
         connection: u64,
         /// Its number, unique on this connection.
-        delivery: u64,
-        call: Arc<RequestCommand>,
+        attempt: u64,
+        /// What is written.
+        request: Arc<RequestCommand>,
+        /// The time in which its response is awaited, milliseconds.
         timeout_ms: u64,
     },
     /// Takes an attempt out of its connection's buffer, if none of its bytes has been written yet.
     Withdraw {
+        /// The backend's connection.
         connection: u64,
         /// Its number on that connection.
-        delivery: u64,
+        attempt: u64,
     },
     /// Forwards the value that has begun on this backend's connection to that client, or drops it.
     Stream(u64, Option<u64>),
     /// Closes a backend's connection on which a value is being streamed, if that does not move.
     CloseIfStalled {
+        /// The backend's connection.
         connection: u64,
         /// It is closed if the backend has been silent for so many seconds while its client took all that came.
         unresponsive_for: f64,
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -64,12 +64,12 @@
             answer.encode(&mut out);
             format!("client {id}: {}", String::from_utf8_lossy(&out).trim_end().replace("\r\n", " "))
         }
-        Effect::SendAttempt { connection, call, timeout_ms, .. } => {
-            let operation = String::from_utf8_lossy(call.operation());
+        Effect::SendAttempt { connection, request, timeout_ms, .. } => {
+            let operation = String::from_utf8_lossy(request.operation());
             format!("backend link {connection}: {operation} for {timeout_ms} ms")
         }
-        Effect::Withdraw { connection, delivery } => {
-            format!("backend link {connection}: withdraw {delivery} if not begun")
+        Effect::Withdraw { connection, attempt } => {
+            format!("backend link {connection}: withdraw {attempt} if not begun")
         }
         Effect::HttpRequest(connection, Request::AddToCounter { add, .. }) => {
             format!("{connection:?}: add {add}")
--- a/load/src/scale/command.rs
+++ b/load/src/scale/command.rs
@@ -13,6 +13,8 @@
 use std::path::{Path, PathBuf};
 
 /// What can be measured.
+// Doc comments of flattened and positional arguments would appear in `--help`.
+#[allow(missing_docs)]
 #[derive(Subcommand)]
 pub enum Scale {
     /// One front door of the program at a point of the fleet's sizes, among stand-ins on loopback.
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -198,7 +198,7 @@
         match effect {
             Effect::Reply(_, reply) => self.count(&reply),
             // What has been written leaves with the batch, so nothing can be withdrawn later.
-            Effect::SendAttempt { connection, call, timeout_ms, .. } => {
+            Effect::SendAttempt { connection, request: call, timeout_ms, .. } => {
                 write(ConnectionId::Backend(connection), &|out| call.encode(timeout_ms, out))
             }
             Effect::HttpRequest(connection, request) => {
--- a/load/src/scale/fit.rs
+++ b/load/src/scale/fit.rs
@@ -37,6 +37,8 @@
 }
 
 /// What is varied, one at a time.
+// Doc comments of the variants would appear in `--help`.
+#[allow(missing_docs)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum Factor {
     #[value(name = "front-doors")]
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -157,7 +157,7 @@
         }
         // Where hedging is not allowed the attempt is cancelled, and the request is retried once it has ended.
         if self.attempt_settings.cancellation {
-            self.effects.cancellations.push((index, latest));
+            self.effects.cancellations.push(Cancellation { request: index, attempt: latest });
         }
         self.request(index).next_check_at = f64::INFINITY;
         Some(Decision::Pending)
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -112,7 +112,9 @@
         if !request.closed && self.attempt_settings.cancellation {
             let attempts = request.attempts.iter().enumerate();
             let in_flight = attempts.filter(|(_, attempt)| attempt.result.is_none());
-            self.effects.cancellations.extend(in_flight.map(|(attempt, _)| (index, attempt)));
+            self.effects
+                .cancellations
+                .extend(in_flight.map(|(attempt, _)| Cancellation { request: index, attempt }));
         }
         request.closed = true;
         if request.in_flight() == 0 {
--- a/src/types/effects.rs
+++ b/src/types/effects.rs
@@ -20,6 +20,15 @@
     Error,
 }
 
+/// An attempt in flight that is no longer wanted.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Cancellation {
+    /// The request that it belongs to.
+    pub request: RequestIndex,
+    /// Which of the request's attempts it is, counted from 0.
+    pub attempt: usize,
+}
+
 /// What the caller carries out beside a decision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
@@ -27,8 +36,8 @@
     pub counter_calls: Vec<CounterCall>,
     /// Messages to other gateway instances.
     pub gossip: Vec<GossipMessage>,
-    /// Attempts to cancel: the request, and which of its attempts, counted from 0.
-    pub cancellations: Vec<(RequestIndex, usize)>,
+    /// Attempts to cancel.
+    pub cancellations: Vec<Cancellation>,
     /// Request the endpoint list, and its changes from now on.
     pub fetch_endpoints: bool,
     /// Lines for the log.
--- a/tests/policy/trace.rs
+++ b/tests/policy/trace.rs
@@ -26,7 +26,7 @@
         for call in &effects.counter_calls {
             self.add(now, format_args!("count {}: {:+.2}", call.key.series, call.delta));
         }
-        for (request, attempt) in &effects.cancellations {
+        for Cancellation { request, attempt } in &effects.cancellations {
             self.add(now, format_args!("cancel {request}.{attempt}"));
         }
         if effects.fetch_endpoints {
