--- a/load/src/scale/counts.rs
+++ b/load/src/scale/counts.rs
@@ -4,10 +4,10 @@
 use super::operating_point::{burst, quota, Tenant};
 use std::collections::HashMap;
 
-/// Seconds that one name of a count is in use, as the decisions have it (`WINDOW` in `src/decide.rs`).
+/// Seconds that one name of a count is in use, as the decisions have it (`WINDOW` in `src/policy/counter.rs`).
 const WINDOW: f64 = 30.0;
 /// The part of the burst by which a count may lag behind what its token bucket regained before an instance corrects it
-/// (`SPILL` in `src/decide.rs`).
+/// (`TOLERATED_LAG_FRACTION` in `src/policy/leases.rs`).
 const LAG: f64 = 1.0 / 8.0;
 /// Windows after which a count is forgotten.
 const EXPIRY_WINDOWS: f64 = 2.0;
