--- a/load/src/error.rs
+++ b/load/src/error.rs
@@ -27,12 +27,14 @@
         source: io::Error,
     },
     /// An instance ended before it accepted connections.
-    #[error("a front door of {program} ended at its start: {status}")]
+    #[error("a front door of {program} ended at its start: {status}: {last_line}")]
     EndedAtStart {
         /// The program.
         program: String,
         /// How it ended.
         status: ExitStatus,
+        /// The last line of its log.
+        last_line: String,
     },
     /// An instance did not accept connections in time.
     #[error("a front door of {program} does not accept at {address}")]
--- a/load/src/fleet/configuration.rs
+++ b/load/src/fleet/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration files of the instances.
 use crate::error::RunError;
 use crate::experiment::Experiment;
-use crate::test_bed::loopback::{bind_datagram, bind_datagram_at, bind_listener_at, own_loopback};
+use crate::test_bed::loopback::{bind_datagram, reserve_address};
 use crate::test_bed::peer_relay;
 use quillramp_emulator::deployment::gateway_settings;
 use serde_json::{json, Value};
@@ -33,29 +33,6 @@
     pub files: Vec<PathBuf>,
 }
 
-/// Addresses for the instances to listen at: for clients, and for gossip.
-struct Addresses {
-    clients: Vec<SocketAddr>,
-    gossip: Vec<SocketAddr>,
-}
-
-/// Chooses addresses for the instances. All are bound at once, so that they differ, and are free again afterwards, until the
-/// instances bind them.
-fn choose_addresses(instances: usize) -> Result<Addresses, RunError> {
-    let mut clients = vec![];
-    let mut gossip = vec![];
-    let mut bound = vec![];
-    for _ in 0..instances {
-        let listener = bind_listener_at(own_loopback())?;
-        let datagram = bind_datagram_at(own_loopback())?;
-        clients.push(listener.address);
-        gossip.push(datagram.address);
-        bound.push((listener, datagram));
-    }
-    drop(bound);
-    Ok(Addresses { clients, gossip })
-}
-
 /// Writes the configuration files, and starts the relay for gossip where instances have peers.
 pub(super) fn write(
     experiment: &Experiment,
@@ -64,7 +41,8 @@
 ) -> Result<Written, RunError> {
     let world = &experiment.world;
     let mut settings = gateway_settings(world, None);
-    let Addresses { clients, gossip } = choose_addresses(world.instances)?;
+    let clients: Vec<SocketAddr> = (0..world.instances).map(|_| reserve_address()).collect();
+    let gossip: Vec<SocketAddr> = (0..world.instances).map(|_| reserve_address()).collect();
     let relay = bind_datagram()?;
     if world.gossip {
         peer_relay::start(relay.socket, gossip.clone());
--- a/load/src/fleet/mod.rs
+++ b/load/src/fleet/mod.rs
@@ -96,10 +96,13 @@
         let until = Instant::now() + START_TIMEOUT;
         for (address, member) in self.routes.addresses.iter().zip(self.members.iter()) {
             while TcpStream::connect(address).is_err() {
-                let ended = lock(member).process.as_mut().and_then(|p| p.try_wait().ok().flatten());
+                let mut member = lock(member);
+                let ended = member.process.as_mut().and_then(|p| p.try_wait().ok().flatten());
                 if let Some(status) = ended {
-                    return Err(RunError::EndedAtStart { program: program.clone(), status });
+                    let last_line = process::last_log_line(&member.configuration);
+                    return Err(RunError::EndedAtStart { program: program.clone(), status, last_line });
                 }
+                drop(member);
                 if Instant::now() > until {
                     return Err(RunError::NotAccepting { program: program.clone(), address: *address });
                 }
--- a/load/src/fleet/process.rs
+++ b/load/src/fleet/process.rs
@@ -3,7 +3,8 @@
 use crate::error::RunError;
 use crate::experiment::Variant;
 use crate::process_stat::{self, KIB_PER_MIB, TICKS_PER_SECOND};
-use std::path::Path;
+use std::fs::File;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
 /// The program of an instance, where a variant names no other.
@@ -24,11 +25,13 @@
         Launcher { program, variant: variant.clone() }
     }
 
-    /// Starts an instance with this configuration file.
+    /// Starts an instance with this configuration file. Its log is written beside that.
     pub fn launch(&self, configuration: &Path) -> Result<Child, RunError> {
+        let log_path = log_path(configuration);
+        let log = File::create(&log_path).map_err(RunError::file(&log_path))?;
         let mut command = Command::new(&self.program);
         command.envs(&self.variant.environment).env("EDGE_CONFIG", configuration);
-        command.stderr(Stdio::null()).stdout(Stdio::null());
+        command.stderr(log).stdout(Stdio::null());
         if let Some(operator) = &self.variant.operator {
             command.env("EDGE_OPERATOR", operator);
         }
@@ -36,6 +39,17 @@
     }
 }
 
+/// The log of the instance that has this configuration file.
+fn log_path(configuration: &Path) -> PathBuf {
+    configuration.with_extension("log")
+}
+
+/// The last line that the instance with this configuration file has logged; empty if there is none.
+pub(super) fn last_log_line(configuration: &Path) -> String {
+    let log = std::fs::read_to_string(log_path(configuration)).unwrap_or_default();
+    log.lines().last().unwrap_or_default().to_owned()
+}
+
 /// What a process has used; zeros where it is gone.
 pub(super) fn usage(process: u32) -> FleetUsage {
     let stat = process_stat::read(process);
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -11,9 +11,9 @@
 use super::stand_ins::{Backends, StandIns};
 use super::steady_state::{self, SpanUsage};
 use crate::sync::lock;
-use crate::test_bed::loopback::own_loopback;
+use crate::test_bed::loopback::reserve_address;
 use serde_json::json;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::thread::sleep;
@@ -91,12 +91,6 @@
     }
 }
 
-/// A port of this process's own address. No other process chooses there, so it is still free when the instance binds it.
-fn free_port() -> Result<SocketAddr, ScaleError> {
-    let listener = TcpListener::bind((own_loopback(), 0)).map_err(ScaleError::Port)?;
-    listener.local_addr().map_err(ScaleError::Port)
-}
-
 /// Measures one instance of the program at a point.
 pub fn measure(
     program: &Path,
@@ -106,7 +100,7 @@
 ) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::Real, point);
     let stand_ins = StandIns::start(point, 1, Backends::Served)?;
-    let address = free_port()?;
+    let address = reserve_address();
     let instance = InstanceProcess::start(program, point, &stand_ins, address)?;
     sleep(SETTLE);
     add_start_rows(&mut rows, &stand_ins, &instance);
--- a/load/src/test_bed/loopback.rs
+++ b/load/src/test_bed/loopback.rs
@@ -2,9 +2,14 @@
 use crate::error::RunError;
 use std::io::{BufRead, Error, ErrorKind, Result};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// Stack of a thread that serves one connection, bytes.
 const STACK_BYTES: usize = 128 * 1024;
+/// The first port that is reserved for instances, above the ports of listed backends of a scale run.
+const FIRST_RESERVED_PORT: u16 = 20_000;
+/// Number of ports that are reserved in turns; they end below those that the system chooses by itself, from 32768 on.
+const RESERVED_PORTS: usize = 12_000;
 
 /// Serves a connection on a small thread of its own.
 pub fn spawn_connection(stream: TcpStream, serve: impl FnOnce(TcpStream) -> Result<()> + Send + 'static) {
@@ -20,6 +25,22 @@
     Ipv4Addr::new(127, high.wrapping_add(1), middle, low)
 }
 
+/// An address for an instance to bind later: on this process's own loopback address, and nobody listens there.
+///
+/// It is not bound here to find it. A listener that was bound and closed again stays open for a moment where another thread is
+/// starting a process just then: until its exec, that process has a copy of every descriptor. The instance would fail to bind.
+pub fn reserve_address() -> SocketAddr {
+    static NEXT: AtomicUsize = AtomicUsize::new(0);
+    loop {
+        let turn = NEXT.fetch_add(1, Ordering::Relaxed) % RESERVED_PORTS;
+        let port = FIRST_RESERVED_PORT + turn as u16;
+        let address = SocketAddr::from((own_loopback(), port));
+        if TcpStream::connect(address).is_err() {
+            return address;
+        }
+    }
+}
+
 /// A bound socket with its address.
 pub struct Bound<S> {
     /// The socket.
@@ -30,24 +51,14 @@
 
 /// A listener at any free port.
 pub fn bind_listener() -> std::result::Result<Bound<TcpListener>, RunError> {
-    bind_listener_at(Ipv4Addr::LOCALHOST)
-}
-
-/// A listener at any free port of an address.
-pub fn bind_listener_at(ip: Ipv4Addr) -> std::result::Result<Bound<TcpListener>, RunError> {
-    let socket = TcpListener::bind((ip, 0)).map_err(RunError::Port)?;
+    let socket = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(RunError::Port)?;
     let address = socket.local_addr().map_err(RunError::Port)?;
     Ok(Bound { socket, address })
 }
 
 /// A datagram socket at any free port.
 pub fn bind_datagram() -> std::result::Result<Bound<UdpSocket>, RunError> {
-    bind_datagram_at(Ipv4Addr::LOCALHOST)
-}
-
-/// A datagram socket at any free port of an address.
-pub fn bind_datagram_at(ip: Ipv4Addr) -> std::result::Result<Bound<UdpSocket>, RunError> {
-    let socket = UdpSocket::bind((ip, 0)).map_err(RunError::Port)?;
+    let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).map_err(RunError::Port)?;
     let address = socket.local_addr().map_err(RunError::Port)?;
     Ok(Bound { socket, address })
 }
