--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -137,7 +137,7 @@
 
     /// Sends the requests, and injects the faults meanwhile.
     fn drive(&self, fleet: &Fleet) -> Result<Vec<RequestRow>, RunError> {
-        let start = self.test_bed.now();
+        let start = self.test_bed.begin_traffic();
         let steps = fault_schedule::schedule(&self.experiment.faults, &self.experiment.world);
         let finished = AtomicBool::new(false);
         let label = RunLabel { variant: self.variant.name.clone(), repetition: self.repetition };
--- a/load/src/test_bed/executions.rs
+++ b/load/src/test_bed/executions.rs
@@ -51,6 +51,8 @@
     pub connections: u64,
     /// Deliveries by backend.
     pub by_backend: Vec<u64>,
+    /// When the traffic began, seconds since the start of the run: the columns count from then.
+    pub traffic_start: f64,
     /// Units by backend and column of time.
     pub columns: Vec<Vec<f64>>,
     /// When units of a customer were first executed.
@@ -67,7 +69,7 @@
     pub fn record(&mut self, at: f64, backend: usize, request: &BackendRequest) {
         self.deliveries += 1;
         self.by_backend[backend] += 1;
-        let column = (at / COLUMN_SECONDS) as usize;
+        let column = ((at - self.traffic_start).max(0.0) / COLUMN_SECONDS) as usize;
         let columns = &mut self.columns[backend];
         if columns.len() <= column {
             columns.resize(column + 1, 0.0);
@@ -108,7 +110,7 @@
     pub variant: String,
     /// Repetition, from 0.
     pub repetition: usize,
-    /// Start of the column, seconds since the start of the run.
+    /// Start of the column, seconds since the start of the traffic.
     pub at: f64,
     /// The backend's index.
     pub backend: usize,
--- a/load/src/test_bed/mod.rs
+++ b/load/src/test_bed/mod.rs
@@ -98,6 +98,14 @@
         self.start.elapsed().as_secs_f64()
     }
 
+    /// The traffic begins now, and with it the time of faults and of the columns of what backends executed. Seconds since the start
+    /// of the run.
+    pub fn begin_traffic(&self) -> f64 {
+        let now = self.now();
+        lock(&self.executions).traffic_start = now;
+        now
+    }
+
     /// The condition of a backend now.
     pub fn condition(&self, backend: usize) -> BackendCondition {
         lock(&self.conditions[backend]).clone()
