--- a/gateway/tests/logger.rs
+++ b/gateway/tests/logger.rs
@@ -1,9 +1,9 @@
-//! The formats of the log.
+//! The formats of a log line.
 use quillramp_gateway::process::logger::{LogLine, FORMATS};
 
-/// Guards: the text of a line is the same in every form, and nothing in it breaks one.
+/// Guards: each format has the same text of the line, and escapes what would end a field.
 #[test]
-fn a_line_in_each_form() {
+fn a_line_is_written_in_each_format() {
     let fields = vec![("connection", "backend".into()), ("id", 3u64.into()), ("why", "closed".into())];
     let line = LogLine {
         at: 1764.12345,
@@ -12,9 +12,9 @@
         text: "connection backend 3 s-\"a ended: closed".into(),
         fields,
     };
-    let all = FORMATS.map(|format| {
+    let lines = FORMATS.map(|format| {
         let mut text = String::new();
-        line.write(&mut text, format).expect("a text takes it");
+        line.write(&mut text, format).expect("a string can be written to");
         text
     });
     expect_test::expect![[r#"
@@ -22,5 +22,5 @@
         at=1764.123 level=info text="connection backend 3 s-\"a ended: closed" connection="backend" id=3 why="closed" lost=2
         {"at":1764.123,"connection":"backend","id":3,"level":"info","lost":2,"text":"connection backend 3 s-\"a ended: closed","why":"closed"}
     "#]]
-    .assert_eq(&all.concat());
+    .assert_eq(&lines.concat());
 }
--- a/gateway/tests/write_buffer.rs
+++ b/gateway/tests/write_buffer.rs
@@ -1,42 +1,42 @@
-//! The output buffer of a connection: what may still be withdrawn, and that the messages round it stay whole.
+//! The output buffer of a connection: which messages can be withdrawn, and that the others stay complete.
 use quillramp_gateway::state::write_buffer::WriteBuffer;
 
 /// Three messages of four bytes each.
 fn buffer_with_three_messages() -> WriteBuffer {
-    let mut out = WriteBuffer::default();
+    let mut buffer = WriteBuffer::default();
     for (number, text) in [(7, b"aaaa"), (8, b"bbbb"), (9, b"cccc")] {
-        out.append(number, |buffer| buffer.extend_from_slice(text));
+        buffer.append(number, |bytes| bytes.extend_from_slice(text));
     }
-    out
+    buffer
 }
 
 #[test]
-fn a_message_that_has_not_begun_to_leave_is_withdrawn_whole() {
-    let mut out = buffer_with_three_messages();
-    assert!(out.withdraw(8) && !out.withdraw(8));
-    assert_eq!(out.bytes(), b"aaaacccc");
-    assert_eq!(out.consume(5), 1);
-    assert_eq!(out.bytes(), b"ccc");
+fn a_message_of_which_nothing_is_written_is_withdrawn_completely() {
+    let mut buffer = buffer_with_three_messages();
+    assert!(buffer.withdraw(8) && !buffer.withdraw(8));
+    assert_eq!(buffer.bytes(), b"aaaacccc");
+    assert_eq!(buffer.consume(5), 1);
+    assert_eq!(buffer.bytes(), b"ccc");
 }
 
 #[test]
-fn a_message_that_has_begun_to_leave_is_finished() {
-    let mut out = buffer_with_three_messages();
-    assert_eq!(out.consume(1), 0);
-    assert!(!out.withdraw(7));
-    assert!(out.withdraw(9) && out.withdraw(8));
-    assert_eq!(out.bytes(), b"aaa");
-    assert_eq!(out.consume(3), 1);
-    assert!(out.is_empty() && !out.withdraw(7));
+fn a_message_that_is_partly_written_is_not_withdrawn() {
+    let mut buffer = buffer_with_three_messages();
+    assert_eq!(buffer.consume(1), 0);
+    assert!(!buffer.withdraw(7));
+    assert!(buffer.withdraw(9) && buffer.withdraw(8));
+    assert_eq!(buffer.bytes(), b"aaa");
+    assert_eq!(buffer.consume(3), 1);
+    assert!(buffer.is_empty() && !buffer.withdraw(7));
 }
 
 #[test]
-fn a_message_that_begins_where_the_written_part_ends_has_not_begun() {
-    let mut out = buffer_with_three_messages();
-    assert_eq!(out.consume(4), 1);
-    assert!(out.withdraw(8));
-    out.append(10, |buffer| buffer.extend_from_slice(b"dddd"));
-    assert!(out.withdraw(9));
-    assert_eq!(out.bytes(), b"dddd");
-    assert_eq!(out.consume(4), 1);
+fn a_message_that_starts_where_the_written_bytes_end_is_withdrawn() {
+    let mut buffer = buffer_with_three_messages();
+    assert_eq!(buffer.consume(4), 1);
+    assert!(buffer.withdraw(8));
+    buffer.append(10, |bytes| bytes.extend_from_slice(b"dddd"));
+    assert!(buffer.withdraw(9));
+    assert_eq!(buffer.bytes(), b"dddd");
+    assert_eq!(buffer.consume(4), 1);
 }
