--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -1,20 +1,25 @@
-//! The broker at the real program: twenty teams of which one floods, and contracts that change under load.
+//! The broker of a gateway on loopback: one of twenty teams floods it, and contracts change under load.
 use quillramp_load::experiment::Experiment;
 use quillramp_load::generator::{Outcome, RequestRow};
 use quillramp_load::run::{run_variant, RunResult};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::sleep;
+use std::time::Duration;
 
 const TEAMS: u64 = 20;
+/// The team that sends far more than its contract allows.
+const FLOODING_TEAM: u64 = 0;
 
-fn folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("broker-{name}"));
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+fn empty_directory(name: &str) -> PathBuf {
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("broker-{name}"));
+    let _ = std::fs::remove_dir_all(&directory); // there is none if the last run succeeded
+    std::fs::create_dir_all(&directory).expect("a directory");
+    directory
 }
 
-/// A contract for each team, which speaks for the customer of its number.
+/// An operator file with a contract for each team, which may send requests of the customer with its number.
 fn contracts_with_rate(rate: f64) -> String {
     let mut text = format!("[broker]\ncapacity = {}\nstrangers = \"refuse\"\n", rate * 25.0);
     for team in 0..TEAMS {
@@ -27,100 +32,117 @@
     text
 }
 
-fn experiment(file: &Path, seconds: f64, rest: &str) -> Experiment {
+/// Two instances with this operator file: the variant `flooded`, and `calm`, which is spared the experiment's flood.
+fn experiment(operator_file: &Path, seconds: f64, flood_or_faults: &str) -> Experiment {
     let program = env!("CARGO_BIN_EXE_quillramp");
     let text = format!(
         "seed = 21\nrepetitions = 1\n[world]\ndoors = 2\nbackends = 6\nservice = 0.004\nslots = 8\ncustomers = {TEAMS}\n\
-         [traffic]\nseconds = {seconds:.1}\nrate = 100.0\nconnections = 40\norders = 0.3\n{rest}\
+         [traffic]\nseconds = {seconds:.1}\nrate = 100.0\nconnections = 40\norders = 0.3\n{flood_or_faults}\
          [[variant]]\nname = \"flooded\"\nprogram = \"{program}\"\noperator = \"{0}\"\n\
          [[variant]]\nname = \"calm\"\nprogram = \"{program}\"\noperator = \"{0}\"\nspared = true\n",
-        file.display()
+        operator_file.display()
     );
-    Experiment::read(&text).expect("a good experiment")
+    Experiment::read(&text).expect("a valid experiment")
 }
 
-fn succeeded(p: &RunResult, of: impl Fn(&RequestRow) -> bool) -> (usize, usize) {
-    let own: Vec<&RequestRow> = p.rows.iter().filter(|r| of(r)).collect();
-    (own.iter().filter(|r| r.outcome == Outcome::Succeeded).count(), own.len())
+/// Requests of some customers.
+struct RequestCounts {
+    sent: usize,
+    succeeded: usize,
 }
 
-/// One team asks for three hundred a second beside its own five. The others' invocations are the same ones in both plays.
+impl RequestCounts {
+    fn of(result: &RunResult, is_counted: impl Fn(&RequestRow) -> bool) -> RequestCounts {
+        let counted: Vec<&RequestRow> = result.rows.iter().filter(|row| is_counted(row)).collect();
+        let succeeded = counted.iter().filter(|row| row.outcome == Outcome::Succeeded).count();
+        RequestCounts { sent: counted.len(), succeeded }
+    }
+}
+
+fn count(result: &RunResult, outcome: Outcome) -> usize {
+    result.rows.iter().filter(|row| row.outcome == outcome).count()
+}
+
+/// One team sends 300 requests a second besides its usual five. The others send the same requests in both runs.
 #[test]
-fn one_team_floods_and_the_others_do_not_notice() {
-    let at = folder("flood");
-    let file = at.join("operator.toml");
-    std::fs::write(&file, contracts_with_rate(16.0)).expect("written");
-    let e = experiment(&file, 6.0, "[traffic.flood]\ncustomer = 0\nrate = 300.0\nfrom = 0.5\n");
-    let [flooded, calm] = [0, 1].map(|i| run_variant(&e, &e.variants[i], 0, &at).expect("played"));
-    std::fs::remove_dir_all(&at).expect("ours");
-    let others = |p: &RunResult| succeeded(p, |r| r.customer != 0);
-    let ((served, all), (served_calm, all_calm)) = (others(&flooded), others(&calm));
-    assert_eq!(all, all_calm, "the same invocations");
-    let differs = (served as f64 - served_calm as f64).abs() / served_calm as f64;
-    assert!(differs < 0.02, "{served} served beside a flood, {served_calm} without");
-    assert!(
-        served_calm as f64 > 0.98 * all_calm as f64,
-        "{served_calm} of {all_calm}: they keep to their contracts"
-    );
-    let (own, asked) = succeeded(&flooded, |r| r.customer == 0);
+fn a_team_that_floods_does_not_affect_the_others() {
+    let directory = empty_directory("flood");
+    let operator_file = directory.join("operator.toml");
+    std::fs::write(&operator_file, contracts_with_rate(16.0)).expect("a file");
+    let flood = "[traffic.flood]\ncustomer = 0\nrate = 300.0\nfrom = 0.5\n";
+    let experiment = experiment(&operator_file, 6.0, flood);
+    let run = |variant: usize| run_variant(&experiment, &experiment.variants[variant], 0, &directory);
+    let [flooded, calm] = [0, 1].map(|variant| run(variant).expect("the run succeeds"));
+    std::fs::remove_dir_all(&directory).expect("the directory of this test");
+
+    let others = |result: &RunResult| RequestCounts::of(result, |row| row.customer != FLOODING_TEAM);
+    let (others_flooded, others_calm) = (others(&flooded), others(&calm));
+    assert_eq!(others_flooded.sent, others_calm.sent, "the same requests");
+    let (served_flooded, served_calm) = (others_flooded.succeeded as f64, others_calm.succeeded as f64);
+    let difference = (served_flooded - served_calm).abs() / served_calm;
+    assert!(difference < 0.02, "{served_flooded} served during the flood, {served_calm} without it");
+    let sent_calm = others_calm.sent as f64;
+    assert!(served_calm > 0.98 * sent_calm, "{served_calm} of {sent_calm}, all within the contracts");
+
+    let flooding = RequestCounts::of(&flooded, |row| row.customer == FLOODING_TEAM);
+    let RequestCounts { sent, succeeded } = flooding;
     assert!(
-        asked > 1200 && own * 4 < asked,
-        "{own} of {asked}: the flood is held to its contract and what is lent"
+        sent > 1200 && succeeded * 4 < sent,
+        "{succeeded} of {sent}: the flooding team has its contract and what it may borrow"
     );
     assert_eq!((flooded.summary.duplicates, flooded.summary.died), (0, 0));
-    let unanswered = flooded.rows.iter().filter(|r| r.outcome == Outcome::NoAnswer).count();
-    assert_eq!(unanswered, 0);
+    assert_eq!(count(&flooded, Outcome::NoAnswer), 0);
 }
 
-/// Contracts change fifty times while invocations are under way: each is answered, and none twice.
-#[test]
-fn contracts_change_under_load_and_nothing_is_lost() {
-    let at = folder("changes");
-    let file = at.join("operator.toml");
-    std::fs::write(&file, contracts_with_rate(16.0)).expect("written");
+/// Fifty reloads, in both instances in turn.
+fn reloads() -> String {
     let mut faults = String::new();
     for i in 0..50 {
-        let _ = write!(
-            faults,
-            "[[fault]]\nat = {:.3}\nkind = \"reload\"\ndoor = {}\n",
-            0.3 + 0.05 * f64::from(i),
-            i % 2
-        );
+        let at = 0.3 + 0.05 * f64::from(i);
+        let _ = write!(faults, "[[fault]]\nat = {at:.3}\nkind = \"reload\"\ndoor = {}\n", i % 2);
+    }
+    faults
+}
+
+/// Replaces a file by these versions in turn until the run is over.
+fn replace_until(run_is_over: &AtomicBool, file: &Path, versions: &[String]) {
+    let new_file = file.with_file_name("new.toml");
+    for version in versions.iter().cycle() {
+        if run_is_over.load(Ordering::Relaxed) {
+            return;
+        }
+        // Renaming replaces the file atomically.
+        std::fs::write(&new_file, version).expect("a file");
+        std::fs::rename(&new_file, file).expect("a file");
+        sleep(Duration::from_millis(40));
     }
-    let e = experiment(&file, 3.0, &faults);
-    let over = std::sync::atomic::AtomicBool::new(false);
-    let played = std::thread::scope(|all| {
-        all.spawn(|| {
-            std::thread::sleep(std::time::Duration::from_millis(600));
+}
+
+/// Each request is answered, and no attempt is repeated.
+#[test]
+fn contracts_that_change_under_load_lose_no_request() {
+    let directory = empty_directory("changes");
+    let operator_file = directory.join("operator.toml");
+    std::fs::write(&operator_file, contracts_with_rate(16.0)).expect("a file");
+    let experiment = experiment(&operator_file, 3.0, &reloads());
+    let run_is_over = AtomicBool::new(false);
+    let result = std::thread::scope(|scope| {
+        scope.spawn(|| {
+            sleep(Duration::from_millis(600));
             let versions = [
                 contracts_with_rate(20.0),
                 contracts_with_rate(16.0).replace("t7", "t77"),
                 contracts_with_rate(12.0),
             ];
-            for i in 0.. {
-                if over.load(std::sync::atomic::Ordering::Relaxed) {
-                    return;
-                }
-                // Whole or not at all: a new file takes the place of the old one.
-                let new = at.join("new.toml");
-                std::fs::write(&new, &versions[i % 3])
-                    .and_then(|()| std::fs::rename(&new, &file))
-                    .expect("written");
-                std::thread::sleep(std::time::Duration::from_millis(40));
-            }
+            replace_until(&run_is_over, &operator_file, &versions);
         });
-        let played = run_variant(&e, &e.variants[0], 0, &at);
-        over.store(true, std::sync::atomic::Ordering::Relaxed);
-        played.expect("played")
+        let result = run_variant(&experiment, &experiment.variants[0], 0, &directory);
+        run_is_over.store(true, Ordering::Relaxed);
+        result.expect("the run succeeds")
     });
-    std::fs::remove_dir_all(&at).expect("ours");
-    assert_eq!((played.summary.duplicates, played.summary.died), (0, 0));
-    let of = |o: Outcome| played.rows.iter().filter(|r| r.outcome == o).count();
-    assert_eq!((of(Outcome::NoAnswer), of(Outcome::NotConnected)), (0, 0));
-    assert!(
-        of(Outcome::Succeeded) * 10 > played.rows.len() * 9,
-        "{} of {}",
-        of(Outcome::Succeeded),
-        played.rows.len()
-    );
+    std::fs::remove_dir_all(&directory).expect("the directory of this test");
+    assert_eq!((result.summary.duplicates, result.summary.died), (0, 0));
+    assert_eq!((count(&result, Outcome::NoAnswer), count(&result, Outcome::NotConnected)), (0, 0));
+    let (succeeded, sent) = (count(&result, Outcome::Succeeded), result.rows.len());
+    assert!(succeeded * 10 > sent * 9, "{succeeded} of {sent}");
 }
