--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -1,70 +1,108 @@
-//! The real program and its operator's file: the command line, and the file read again under load.
+//! The operator file: the commands that check and show it, and reloads of it under load.
 use expect_test::{expect, Expect};
 use quillramp_load::experiment::Experiment;
 use quillramp_load::generator::Outcome;
-use quillramp_load::run::run_variant;
+use quillramp_load::run::{run_variant, RunResult};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::sleep;
+use std::time::Duration;
 
-fn folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("operator-{name}"));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+fn directory(name: &str) -> PathBuf {
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("operator-{name}"));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    directory
 }
 
-fn quillramp(words: &[&str]) -> Output {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
-    program.args(words).env_remove("EDGE_CONFIG").env_remove("EDGE_OPERATOR").output().expect("it starts")
+fn run_quillramp(arguments: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_quillramp"));
+    command.args(arguments).env_remove("EDGE_CONFIG").env_remove("EDGE_OPERATOR");
+    command.output().expect("the program starts")
 }
 
-/// Its exit code and what it says, with the names of files left out.
-fn assert_output(words: &[&str], expected: Expect) {
-    let out = quillramp(words);
-    let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    let text = words
-        .iter()
-        .filter(|w| w.contains('/'))
-        .fold(text, |t, w| t.replace(w, &Path::new(w).file_name().expect("a file").to_string_lossy()));
-    expected.assert_eq(&format!("{}\n{text}", out.status.code().expect("an exit")));
+fn exit_code(arguments: &[&str]) -> Option<i32> {
+    run_quillramp(arguments).status.code()
 }
 
-const GOOD: &str = "[[class]]\nname = \"short\"\nattempts = 2\nper_try = 0.3\ntimeout = 0.9\n\n\
-                    [[route]]\noperations = [\"look\"]\nclass = \"short\"\n";
+/// Compares the exit code and the output of a command, in which paths are shortened to their file names.
+fn assert_output(arguments: &[&str], expected: Expect) {
+    let output = run_quillramp(arguments);
+    let mut text =
+        String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
+    for path in arguments.iter().filter(|argument| argument.contains('/')) {
+        let file_name = Path::new(path).file_name().expect("a file").to_string_lossy();
+        text = text.replace(path, &file_name);
+    }
+    expected.assert_eq(&format!("{}\n{text}", output.status.code().expect("an exit code")));
+}
+
+const VALID: &str = "[[class]]\nname = \"short\"\nattempts = 2\nper_try = 0.3\ntimeout = 0.9\n\n\
+                     [[route]]\noperations = [\"look\"]\nclass = \"short\"\n";
+
+/// A valid operator file, one that conflicts with the configuration, and the configuration; removed at the end of the test.
+struct CommandLineFiles {
+    directory: PathBuf,
+    valid: String,
+    conflicting: String,
+    configuration: String,
+}
+
+impl CommandLineFiles {
+    fn create(name: &str) -> CommandLineFiles {
+        let directory = directory(name);
+        let write = |name: &str, text: &str| {
+            let path = directory.join(name);
+            std::fs::write(&path, text).expect("a file");
+            path.to_string_lossy().into_owned()
+        };
+        CommandLineFiles {
+            valid: write("good.toml", VALID),
+            conflicting: write("bad.toml", &VALID.replace("look", "order")),
+            configuration: write("c.json", include_str!("../../examples/configuration.json")),
+            directory,
+        }
+    }
+}
+
+impl Drop for CommandLineFiles {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.directory); // a panic in here would hide that of the test
+    }
+}
 
 #[test]
-fn files_are_checked_and_shown_on_the_command_line() {
-    let at = folder("line");
-    let write = |name: &str, text: &str| {
-        let path = at.join(name);
-        std::fs::write(&path, text).expect("written");
-        path.to_string_lossy().into_owned()
-    };
-    let configuration = write("c.json", include_str!("../../examples/configuration.json"));
-    let (good, bad) = (write("good.toml", GOOD), write("bad.toml", &GOOD.replace("look", "order")));
+fn check_accepts_a_valid_file_and_reports_each_conflict_with_the_configuration() {
+    let files = CommandLineFiles::create("check");
     assert_output(
-        &["check", &good],
+        &["check", &files.valid],
         expect![[r#"
         0
         good.toml: well; 1 classes, 1 routes; without a configuration, operations and plans were not looked up
     "#]],
     );
     assert_output(
-        &["check", &good, "--configuration", &configuration],
+        &["check", &files.valid, "--configuration", &files.configuration],
         expect![[r#"
         0
         good.toml: well; 1 classes, 1 routes
     "#]],
     );
     assert_output(
-        &["check", &bad, "--configuration", &configuration],
+        &["check", &files.conflicting, "--configuration", &files.configuration],
         expect![[r#"
         1
         quillramp: bad.toml: line 3: class 'short'.attempts: 'order' is non-idempotent: a second delivery could have its effect twice (by the route on line 7)
         quillramp: bad.toml: line 4: class 'short'.per_try: 'order' is not idempotent: a delivery of it that is out is not given up for another (by the route on line 7)
     "#]],
     );
+}
+
+#[test]
+fn show_prints_the_limits_in_force_for_each_operation_and_where_they_are_set() {
+    let files = CommandLineFiles::create("show");
     assert_output(
-        &["show", &good, "--configuration", &configuration],
+        &["show", &files.valid, "--configuration", &files.configuration],
         expect![[r#"
             0
             admission: off
@@ -108,6 +146,10 @@
                 integration timeout 3 s (configuration)
         "#]],
     );
+}
+
+#[test]
+fn check_reports_a_missing_file() {
     assert_output(
         &["check", "/nowhere/x.toml"],
         expect![[r#"
@@ -115,15 +157,25 @@
         quillramp: x.toml: No such file or directory (os error 2)
     "#]],
     );
-    assert_eq!(quillramp(&["check"]).status.code(), Some(2));
-    assert_eq!(quillramp(&["chekc", &good]).status.code(), Some(2));
-    assert_eq!(quillramp(&["--version"]).status.code(), Some(0));
-    let help = quillramp(&["--help"]);
+}
+
+#[test]
+fn wrong_arguments_are_rejected_and_help_and_completions_are_printed() {
+    let files = CommandLineFiles::create("arguments");
+    assert_eq!(exit_code(&["check"]), Some(2));
+    assert_eq!(exit_code(&["chekc", &files.valid]), Some(2));
+    assert_eq!(exit_code(&["--version"]), Some(0));
+    let help = run_quillramp(&["--help"]);
     let help = String::from_utf8_lossy(&help.stdout).into_owned();
-    assert!(["serve", "check", "show", "completions"].iter().all(|w| help.contains(w)), "{help}");
-    let shell = quillramp(&["completions", "bash"]).stdout;
-    assert!(String::from_utf8_lossy(&shell).contains("_quillramp()"));
-    // What would have kept it from serving keeps it from serving by its command, too.
+    let commands = ["serve", "check", "show", "completions"];
+    assert!(commands.iter().all(|command| help.contains(command)), "{help}");
+    let completions = run_quillramp(&["completions", "bash"]).stdout;
+    assert!(String::from_utf8_lossy(&completions).contains("_quillramp()"));
+}
+
+/// The command `serve` fails for the same reasons as the program without a command.
+#[test]
+fn serve_without_a_configuration_fails_at_startup() {
     assert_output(
         &["serve"],
         expect![[r#"
@@ -131,66 +183,86 @@
         quillramp: EDGE_CONFIG names no configuration file
     "#]],
     );
-    std::fs::remove_dir_all(&at).expect("ours");
 }
 
-/// Waits until the front door of this configuration accepts.
-fn serves(configuration: &Path) {
+/// Waits until the instance with this configuration file accepts connections.
+fn wait_until_listening(configuration: &Path) {
     for _ in 0..2000 {
-        let text = std::fs::read(configuration).unwrap_or_default();
-        let at = serde_json::from_slice::<serde_json::Value>(&text).ok();
-        let at = at.and_then(|c| c["listen"].as_str().map(str::to_owned));
-        if at.is_some_and(|at| std::net::TcpStream::connect(at).is_ok()) {
+        if listen_address(configuration).is_some_and(|address| std::net::TcpStream::connect(address).is_ok())
+        {
             return;
         }
-        std::thread::sleep(std::time::Duration::from_millis(5));
+        sleep(Duration::from_millis(5));
     }
-    panic!("{}: it does not serve", configuration.display());
+    panic!("{}: the instance does not accept connections", configuration.display());
 }
 
-/// A file that is read again a hundred times under load: nothing is lost and nothing sent twice, whether it is well or not.
-#[test]
-fn a_file_is_read_again_under_load() {
-    let at = folder("reload");
-    let file = at.join("operator.toml");
-    let good = GOOD.to_owned() + "\n[log]\nform = \"json\"\n";
-    std::fs::write(&file, &good).expect("written");
+/// The address in a configuration file; `None` while the file is missing or incomplete.
+fn listen_address(configuration: &Path) -> Option<String> {
+    let text = std::fs::read(configuration).ok()?;
+    let configuration = serde_json::from_slice::<serde_json::Value>(&text).ok()?;
+    configuration["listen"].as_str().map(str::to_owned)
+}
+
+const RELOADS: u32 = 100;
+
+/// Two instances with this operator file, which read it again 100 times in all within 2 s.
+fn experiment_with_reloads(operator_file: &Path) -> Experiment {
     let program = env!("CARGO_BIN_EXE_quillramp");
     let mut text = format!(
         "seed = 3\nrepetitions = 1\n[world]\ndoors = 2\nbackends = 4\nservice = 0.01\ncustomers = 40\n\
          [traffic]\nseconds = 2.2\nrate = 120.0\nconnections = 16\norders = 0.4\n\
          [[variant]]\nname = \"front door\"\nprogram = \"{program}\"\noperator = \"{}\"\n",
-        file.display()
+        operator_file.display()
     );
-    for i in 0..100 {
-        text += &format!("[[fault]]\nat = {:.3}\nkind = \"reload\"\ndoor = {}\n", 0.02 * f64::from(i), i % 2);
+    for i in 0..RELOADS {
+        let at = 0.02 * f64::from(i);
+        text += &format!("[[fault]]\nat = {at:.3}\nkind = \"reload\"\ndoor = {}\n", i % 2);
     }
-    let e = Experiment::read(&text).expect("a good experiment");
-    let over = std::sync::atomic::AtomicBool::new(false);
-    let played = std::thread::scope(|all| {
-        // Meanwhile the file changes: well, wrong, half written, well again.
-        all.spawn(|| {
-            // Who accepts has read it.
-            (0..2).for_each(|d| serves(&at.join(format!("door-{d}.json"))));
-            let wrong = good.replace("\"look\"", "\"order\"");
-            for i in 0.. {
-                if over.load(std::sync::atomic::Ordering::Relaxed) {
-                    return;
-                }
-                let text = [&good[..], &wrong, &good[..good.len() / 2], ""][i % 4];
-                std::fs::write(&file, text).expect("written");
-                std::thread::sleep(std::time::Duration::from_millis(7));
-            }
+    Experiment::read(&text).expect("a valid experiment")
+}
+
+/// Writes these versions of a file in turn until the run is over.
+fn rewrite_until(run_is_over: &AtomicBool, file: &Path, versions: &[&str]) {
+    for version in versions.iter().cycle() {
+        if run_is_over.load(Ordering::Relaxed) {
+            return;
+        }
+        std::fs::write(file, version).expect("a file");
+        sleep(Duration::from_millis(7));
+    }
+}
+
+fn count(result: &RunResult, outcome: Outcome) -> usize {
+    result.rows.iter().filter(|row| row.outcome == outcome).count()
+}
+
+/// The file is valid, conflicting, truncated and empty in turn: no request is lost and no attempt repeated.
+#[test]
+fn an_operator_file_that_is_reloaded_under_load_loses_no_request() {
+    let directory = directory("reload");
+    let file = directory.join("operator.toml");
+    let valid = VALID.to_owned() + "\n[log]\nform = \"json\"\n";
+    std::fs::write(&file, &valid).expect("a file");
+    let experiment = experiment_with_reloads(&file);
+    let run_is_over = AtomicBool::new(false);
+    let result = std::thread::scope(|scope| {
+        scope.spawn(|| {
+            // An instance that accepts connections has read the file.
+            (0..2).for_each(|i| wait_until_listening(&directory.join(format!("door-{i}.json"))));
+            let conflicting = valid.replace("\"look\"", "\"order\"");
+            let truncated = &valid[..valid.len() / 2];
+            rewrite_until(&run_is_over, &file, &[&valid, &conflicting, truncated, ""]);
         });
-        let played = run_variant(&e, &e.variants[0], 0, &at);
-        over.store(true, std::sync::atomic::Ordering::Relaxed);
-        played
+        let result = run_variant(&experiment, &experiment.variants[0], 0, &directory);
+        run_is_over.store(true, Ordering::Relaxed);
+        result
     });
-    let played = played.expect("played");
-    std::fs::remove_dir_all(&at).expect("ours");
-    assert_eq!((played.summary.duplicates, played.summary.died), (0, 0));
-    assert!(played.rows.len() > 200);
-    let of = |o: Outcome| played.rows.iter().filter(|r| r.outcome == o).count();
-    assert_eq!((of(Outcome::NoAnswer), of(Outcome::NotConnected)), (0, 0));
-    assert!(of(Outcome::Succeeded) * 20 > played.rows.len() * 19, "{}", of(Outcome::Succeeded));
+    let result = result.expect("the run succeeds");
+    std::fs::remove_dir_all(&directory).expect("the directory of this test");
+    assert_eq!((result.summary.duplicates, result.summary.died), (0, 0));
+    assert!(result.rows.len() > 200);
+    assert_eq!((count(&result, Outcome::NoAnswer), count(&result, Outcome::NotConnected)), (0, 0));
+    let succeeded = count(&result, Outcome::Succeeded);
+    assert!(succeeded * 20 > result.rows.len() * 19, "{succeeded} of {}", result.rows.len());
 }
