--- a/examples/example_backend.rs
+++ b/examples/example_backend.rs
@@ -13,189 +13,237 @@
 const SLOW_OPERATION: Duration = Duration::from_millis(300);
 
 /// Runs `serve` on a thread of its own for each connection.
-pub fn each(listener: TcpListener, serve: impl Fn(TcpStream) -> Result<()> + Clone + Send + 'static) {
+pub fn serve_connections(
+    listener: TcpListener,
+    serve: impl Fn(TcpStream) -> Result<()> + Clone + Send + 'static,
+) {
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
-            let _ = stream.set_nodelay(true); // replies in several writes would wait for each other
-            spawn(move || serve(stream)); // it ends with its connection
+            let _ = stream.set_nodelay(true); // with Nagle's algorithm, a reply in several writes is delayed
+            spawn(move || serve(stream)); // an error ends this connection only
         }
     });
 }
 
-/// Reads one RESP2 array of bulk strings; none at the end.
-pub fn command(from: &mut impl BufRead) -> Result<Option<Vec<String>>> {
+/// Reads one RESP2 array of bulk strings; `None` at the end of the connection.
+pub fn command(reader: &mut impl BufRead) -> Result<Option<Vec<String>>> {
     let mut line = String::new();
-    if from.read_line(&mut line)? == 0 {
+    if reader.read_line(&mut line)? == 0 {
         return Ok(None);
     }
+    let item_count = length(&line);
     let mut items = Vec::new();
-    for _ in 0..line[1..].trim().parse::<usize>().unwrap_or(0) {
+    for _ in 0..item_count {
         line.clear();
-        from.read_line(&mut line)?;
-        let mut item = vec![0; line[1..].trim().parse::<usize>().unwrap_or(0) + 2];
-        from.read_exact(&mut item)?;
-        items.push(String::from_utf8_lossy(&item[..item.len() - 2]).into_owned());
+        reader.read_line(&mut line)?;
+        items.push(read_bulk_string(reader, length(&line))?);
     }
     Ok(Some(items))
 }
 
-/// A backend: replies to each request with its own name, the operation and the body. The operation named
+/// The length that the first line of a RESP2 array or bulk string announces; 0 if it is not a number.
+fn length(line: &str) -> usize {
+    line[1..].trim().parse().unwrap_or(0)
+}
+
+/// Reads a bulk string of this length, and the line break after it.
+fn read_bulk_string(reader: &mut impl BufRead, length: usize) -> Result<String> {
+    let mut bytes = vec![0; length + 2];
+    reader.read_exact(&mut bytes)?;
+    Ok(String::from_utf8_lossy(&bytes[..length]).into_owned())
+}
+
+/// Starts a backend that replies to each request with its own name, the operation and the body. The operation named
 /// `slow` takes 300 ms, the one named `fail` fails.
-pub fn backend(listener: TcpListener, name: &'static str) {
-    watched(listener, name, Arc::default());
+pub fn start_backend(listener: TcpListener, name: &'static str) {
+    start_backend_with_statistics(listener, name, Arc::default());
+}
+
+/// Requests of one plan in flight at the backends.
+#[derive(Default)]
+pub struct InFlight {
+    /// How many there are.
+    pub now: usize,
+    /// The most that there ever were at once.
+    pub peak: usize,
 }
 
-/// By plan: how many requests are in flight now, and the most there ever were.
-pub type HeldByPlan = Arc<Mutex<HashMap<String, (usize, usize)>>>;
+/// Requests in flight, by the name of their plan; backends may share it.
+pub type InFlightByPlan = Arc<Mutex<HashMap<String, InFlight>>>;
 
-/// One that records the most requests in flight at once of a plan; with each reply it reports that it is idle.
-pub fn watched(listener: TcpListener, name: &'static str, held: HeldByPlan) {
-    each(listener, move |stream| {
-        let mut from = BufReader::new(stream.try_clone()?);
-        let mut to = stream;
-        while let Some(items) = command(&mut from)? {
+/// Starts a backend as [`start_backend`] does, which counts its requests in flight. With each reply it reports a low load.
+pub fn start_backend_with_statistics(listener: TcpListener, name: &'static str, in_flight: InFlightByPlan) {
+    serve_connections(listener, move |stream| {
+        let mut reader = BufReader::new(stream.try_clone()?);
+        let mut writer = stream;
+        while let Some(items) = command(&mut reader)? {
             let arguments = items.get(3).map_or("", |list| list);
             let operation = argument(arguments, "c=");
             let plan = argument(arguments, "t=");
-            begin(&held, plan);
+            request_started(&in_flight, plan);
             if operation == "slow" {
                 sleep(SLOW_OPERATION);
             }
-            held.lock().expect("nobody panics").entry(plan.into()).and_modify(|count| count.0 -= 1);
+            request_ended(&in_flight, plan);
             let body = items.get(4).map_or("", |body| body);
             let value = format!("{name} {operation} {body}").trim().to_string();
             match (items.first().map_or("", |verb| verb), operation) {
-                ("PING", _) => write!(to, "+PONG\r\n")?,
-                (_, "fail") => write!(to, "-ERR failed\r\n")?,
-                _ => write!(to, "*3\r\n${}\r\n{value}\r\n$-1\r\n$15\r\nload_share=0.25\r\n", value.len())?,
+                ("PING", _) => write!(writer, "+PONG\r\n")?,
+                (_, "fail") => write!(writer, "-ERR failed\r\n")?,
+                _ => write_value(&mut writer, &value)?,
             }
         }
         Ok(())
     });
 }
 
-/// The value behind this prefix in a list of names and values.
+/// Writes a backend's reply: a value, no billed units, and a load report.
+fn write_value(writer: &mut impl Write, value: &str) -> Result<()> {
+    write!(writer, "*3\r\n${}\r\n{value}\r\n$-1\r\n$15\r\nload_share=0.25\r\n", value.len())
+}
+
+/// The value with this prefix in a list of names and values.
 fn argument<'a>(list: &'a str, prefix: &str) -> &'a str {
     list.split(',').find_map(|pair| pair.strip_prefix(prefix)).unwrap_or("?")
 }
 
-fn begin(held: &HeldByPlan, plan: &str) {
-    let mut held = held.lock().expect("nobody panics");
-    let (now, most) = held.entry(plan.into()).or_default();
-    *now += 1;
-    *most = (*now).max(*most);
+fn request_started(in_flight: &InFlightByPlan, plan: &str) {
+    let mut by_plan = in_flight.lock().expect("no thread panics while it holds the lock");
+    let requests = by_plan.entry(plan.into()).or_default();
+    requests.now += 1;
+    requests.peak = requests.peak.max(requests.now);
+}
+
+fn request_ended(in_flight: &InFlightByPlan, plan: &str) {
+    let mut by_plan = in_flight.lock().expect("no thread panics while it holds the lock");
+    by_plan.entry(plan.into()).and_modify(|requests| requests.now -= 1);
 }
 
-/// Reads the head of an HTTP request without a body: its target; none at the end.
-pub fn target(from: &mut impl BufRead) -> Result<Option<String>> {
-    let mut first = String::new();
-    if from.read_line(&mut first)? == 0 {
+/// Reads the head of an HTTP request without a body and returns its target; `None` at the end of the connection.
+pub fn target(reader: &mut impl BufRead) -> Result<Option<String>> {
+    let mut request_line = String::new();
+    if reader.read_line(&mut request_line)? == 0 {
         return Ok(None);
     }
-    let mut line = String::new();
-    while from.read_line(&mut line)? > 2 {
-        line.clear();
+    let mut header = String::new();
+    while reader.read_line(&mut header)? > 2 {
+        header.clear();
     }
-    Ok(first.split(' ').nth(1).map(str::to_owned))
+    Ok(request_line.split(' ').nth(1).map(str::to_owned))
 }
 
-/// The number of this name in the query of a target; 0 without one.
+/// The number with this name in the query of a target; 0 if there is none.
 pub fn number(target: &str, name: &str) -> f64 {
     let query = target.split_once('?').map_or("", |(_, query)| query);
     let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     value.and_then(|value| value.parse().ok()).unwrap_or(0.0)
 }
 
-/// The shared counter.
-pub fn counter(listener: TcpListener) {
-    let counts: Arc<Mutex<HashMap<String, f64>>> = Arc::default();
-    each(listener, move |stream| {
-        let mut from = BufReader::new(stream.try_clone()?);
-        let mut to = stream;
-        while let Some(target) = target(&mut from)? {
+/// Starts the shared counter.
+pub fn start_counter(listener: TcpListener) {
+    let totals: Arc<Mutex<HashMap<String, f64>>> = Arc::default();
+    serve_connections(listener, move |stream| {
+        let mut reader = BufReader::new(stream.try_clone()?);
+        let mut writer = stream;
+        while let Some(target) = target(&mut reader)? {
             let name = target.split('?').next().unwrap_or("").to_string();
-            let total = {
-                let mut counts = counts.lock().expect("no call panics");
-                let total = counts.entry(name).or_default();
-                *total += number(&target, "by");
-                total.to_string()
-            };
-            write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{total}", total.len())?;
+            let total = add(&totals, name, number(&target, "by"));
+            write_ok(&mut writer, &total.to_string())?;
         }
         Ok(())
     });
 }
 
-/// The list service: it has one list, and a watch for changes waits in vain.
-pub fn list(listener: TcpListener, listing: String) {
-    each(listener, move |stream| {
-        let mut from = BufReader::new(stream.try_clone()?);
-        let mut to = stream;
-        while let Some(target) = target(&mut from)? {
-            let known = number(&target, "since") >= 1.0;
-            if known {
+/// Adds to the total of this name; returns the new total.
+fn add(totals: &Mutex<HashMap<String, f64>>, name: String, delta: f64) -> f64 {
+    let mut totals = totals.lock().expect("no thread panics while it holds the lock");
+    let total = totals.entry(name).or_default();
+    *total += delta;
+    *total
+}
+
+/// Writes an HTTP response with this body.
+pub fn write_ok(writer: &mut impl Write, body: &str) -> Result<()> {
+    write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
+
+/// Starts the list service. Its endpoint list never changes: a watch ends with its time-out and reports no change.
+pub fn start_list_service(listener: TcpListener, endpoint_list: String) {
+    serve_connections(listener, move |stream| {
+        let mut reader = BufReader::new(stream.try_clone()?);
+        let mut writer = stream;
+        while let Some(target) = target(&mut reader)? {
+            let is_watch = number(&target, "since") >= 1.0;
+            if is_watch {
                 sleep(Duration::from_millis(number(&target, "timeout_ms") as u64));
             }
-            let nothing = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
-            let body = if known { nothing } else { &listing };
-            write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+            let no_change = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
+            write_ok(&mut writer, if is_watch { no_change } else { &endpoint_list })?;
         }
         Ok(())
     });
 }
 
+/// The gateway instances through which a customer's requests arrive.
+#[derive(Clone, Copy)]
+pub struct InstanceRange {
+    /// The slot of the first one.
+    pub first: usize,
+    /// How many there are.
+    pub count: usize,
+}
+
 /// One request as a client writes it; operations other than `look` and `slow` are not idempotent.
-pub fn invocation(operation: &str, wait_ms: u64) -> String {
-    invocation_of("small", (0, 1), operation, wait_ms)
+pub fn request(operation: &str, timeout_ms: u64) -> String {
+    request_of_plan("small", InstanceRange { first: 0, count: 1 }, operation, timeout_ms)
 }
 
-/// One under this plan, of a customer whose requests arrive through so many gateway instances.
-pub fn invocation_of(plan: &str, (first, doors): (usize, usize), operation: &str, wait_ms: u64) -> String {
+/// One request under this plan, of a customer whose requests arrive through these gateway instances.
+pub fn request_of_plan(plan: &str, instances: InstanceRange, operation: &str, timeout_ms: u64) -> String {
+    static ID: AtomicU64 = AtomicU64::new(1);
     let (verb, body) =
         if matches!(operation, "look" | "slow") { ("CALL.GET", "") } else { ("CALL.POST", "$4\r\nbody\r\n") };
-    let list = format!("c={operation},t={plan},d={wait_ms},units=1,spread={doors},first={first}");
+    let InstanceRange { first, count } = instances;
+    let arguments = format!("c={operation},t={plan},d={timeout_ms},units=1,spread={count},first={first}");
     let item_count = if body.is_empty() { 4 } else { 5 };
-    static ID: AtomicU64 = AtomicU64::new(1);
-    // One customer of each plan.
+    // One customer of each plan, as long as no two names of plans have the same length.
     let customer = format!("{:016x}", plan.len());
     let id = format!("{:016x}", ID.fetch_add(1, Ordering::Relaxed));
     format!(
-        "*{item_count}\r\n${}\r\n{verb}\r\n$16\r\n{customer}\r\n$16\r\n{id}\r\n${}\r\n{list}\r\n{body}",
+        "*{item_count}\r\n${}\r\n{verb}\r\n$16\r\n{customer}\r\n$16\r\n{id}\r\n${}\r\n{arguments}\r\n{body}",
         verb.len(),
-        list.len()
+        arguments.len()
     )
 }
 
-/// Reads one reply: its line, and a value if there is one.
-pub fn reply(from: &mut impl BufRead) -> Result<String> {
+/// Reads one reply: the value if it has one, else its line.
+pub fn read_reply(reader: &mut impl BufRead) -> Result<String> {
     let mut line = String::new();
-    from.read_line(&mut line)?;
-    if let Some(length) = line.strip_prefix('$').and_then(|length| length.trim().parse::<usize>().ok()) {
-        let mut value = vec![0; length + 2];
-        from.read_exact(&mut value)?;
-        return Ok(String::from_utf8_lossy(&value[..length]).into_owned());
+    reader.read_line(&mut line)?;
+    match line.strip_prefix('$').and_then(|length| length.trim().parse().ok()) {
+        Some(length) => read_bulk_string(reader, length),
+        None => Ok(line.trim_end().to_string()),
     }
-    Ok(line.trim_end().to_string())
 }
 
 /// Sends requests to the gateway instance, one after another, and prints the replies.
 #[allow(dead_code)] // see `main`
 fn send_requests(operation: &str, count: usize) -> Result<()> {
-    let mut to = TcpStream::connect("127.0.0.1:7400")?;
-    let mut from = BufReader::new(to.try_clone()?);
+    let mut writer = TcpStream::connect("127.0.0.1:7400")?;
+    let mut reader = BufReader::new(writer.try_clone()?);
     for _ in 0..count {
-        to.write_all(invocation(operation, 1000).as_bytes())?;
-        let reply = reply(&mut from)?;
+        writer.write_all(request(operation, 1000).as_bytes())?;
+        let reply = read_reply(&mut reader)?;
         if reply.is_empty() {
-            return Err(std::io::Error::other("the front door ended the connection without an answer"));
+            return Err(std::io::Error::other("the gateway closed the connection without an answer"));
         }
         println!("{reply}");
     }
     Ok(())
 }
 
-/// The entry of one backend on the endpoint list.
+/// The entry of one backend in the endpoint list.
 #[allow(dead_code)] // see `main`
 fn entry(name: &str, port: u16) -> String {
     format!(
@@ -204,22 +252,22 @@
     )
 }
 
-#[allow(dead_code)] // as a module of a test it is not started by this
+#[allow(dead_code)] // tests and the load tool include this file as a module
 fn main() -> Result<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     if let [call, operation, count] = &arguments[..] {
         assert_eq!(call, "call", "usage: example_backend [call OPERATION N]");
         return send_requests(operation, count.parse().unwrap_or(1));
     }
-    backend(TcpListener::bind("127.0.0.1:7411")?, "a");
-    backend(TcpListener::bind("127.0.0.1:7412")?, "b");
-    counter(TcpListener::bind("127.0.0.1:7402")?);
-    let listing = format!(
+    start_backend(TcpListener::bind("127.0.0.1:7411")?, "a");
+    start_backend(TcpListener::bind("127.0.0.1:7412")?, "b");
+    start_counter(TcpListener::bind("127.0.0.1:7402")?);
+    let endpoint_list = format!(
         r#"{{"index":1,"snapshot":true,"endpoints":[{},{}]}}"#,
         entry("s-a", 7411),
         entry("s-b", 7412)
     );
-    list(TcpListener::bind("127.0.0.1:7401")?, listing);
+    start_list_service(TcpListener::bind("127.0.0.1:7401")?, endpoint_list);
     println!("backends listen on 127.0.0.1:7411 and 7412, the counter on 7402, the list service on 7401; end with Ctrl-C");
     loop {
         std::thread::park();
--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -11,7 +11,9 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{example_configuration, free_listener, serve_endpoints, toy, wait_until_ready, GatewayProcess};
+use help::{
+    example_configuration, example_servers, free_listener, serve_endpoints, wait_until_ready, GatewayProcess,
+};
 
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
@@ -27,11 +29,12 @@
 
 /// The next line that it hears; none if it is ended without one.
 fn read_reply(stream: &TcpStream) -> Option<String> {
-    let line = toy::reply(&mut BufReader::new(stream.try_clone().expect("a second handle"))).ok()?;
+    let line = example_servers::read_reply(&mut BufReader::new(stream.try_clone().expect("a second handle")))
+        .ok()?;
     (!line.is_empty()).then_some(line)
 }
 
-/// A toy world with one front door that may have so many descriptors, by its configuration and by the machine, and what its
+/// The example servers with one front door that may have so many descriptors, by its configuration and by the machine, and what its
 /// operator wrote.
 fn start_gateway_with(
     name: &str,
@@ -42,8 +45,8 @@
     let ((backend, backend_at), (counter, counter_at), (list, list_at)) =
         (free_listener(), free_listener(), free_listener());
     let (_, listen) = free_listener();
-    toy::backend(backend, "a");
-    toy::counter(counter);
+    example_servers::start_backend(backend, "a");
+    example_servers::start_counter(counter);
     serve_endpoints(list, &[("a", backend_at)]);
     let configuration = example_configuration(list_at, counter_at)
         .replace("127.0.0.1:7400", &listen.to_string())
@@ -75,7 +78,7 @@
     let (door, at, file) = start_gateway_with("admission", (160, 160), Some(LIMITS));
     // Taken before the flood, answered in it.
     let mut early = connect_from([127, 0, 0, 3], at).expect("room");
-    early.write_all(toy::invocation("slow", 1400).as_bytes()).expect("it reads");
+    early.write_all(example_servers::request("slow", 1400).as_bytes()).expect("it reads");
     sleep(Duration::from_millis(50));
 
     let flood: Vec<TcpStream> =
@@ -87,7 +90,7 @@
         let mut known = connect_from([127, 0, 0, 9], at).expect("the reserve");
         known.write_all(PING).expect("it reads");
         served += usize::from(read_reply(&known).as_deref() == Some("+PONG"));
-        known.write_all(toy::invocation("look", 1000).as_bytes()).expect("it reads");
+        known.write_all(example_servers::request("look", 1000).as_bytes()).expect("it reads");
         served +=
             usize::from(read_reply(&known).is_some_and(|said| said == "a look" || said.starts_with("-BUSY")));
     }
@@ -140,7 +143,7 @@
 fn out_of_descriptors_it_waits_without_a_spin_and_goes_on() {
     let (door, at, _) = start_gateway_with("descriptors", (400, 60), None);
     let mut early = connect_from([127, 0, 0, 3], at).expect("room");
-    early.write_all(toy::invocation("look", 1000).as_bytes()).expect("it reads");
+    early.write_all(example_servers::request("look", 1000).as_bytes()).expect("it reads");
     assert_eq!(read_reply(&early).as_deref(), Some("a look"));
     let flood: Vec<TcpStream> = (0..120).filter_map(|_| connect_from([127, 0, 0, 4], at).ok()).collect();
     sleep(Duration::from_millis(200));
--- a/gateway/tests/clients_that_leave/busy_backend.rs
+++ b/gateway/tests/clients_that_leave/busy_backend.rs
@@ -1,5 +1,5 @@
 //! A request whose backend has enough to do.
-use crate::help::{free_listener, toy};
+use crate::help::{example_servers, free_listener};
 use crate::world::*;
 use std::io::BufReader;
 use std::thread::sleep;
@@ -20,7 +20,7 @@
         disconnect(client, disconnect_kind);
         wait_until_client_is_gone(&gateway, disconnect_kind);
         answer.send(DONE).expect("it waits");
-        assert_eq!(toy::reply(&mut BufReader::new(stays)).expect("a reply"), "done");
+        assert_eq!(example_servers::read_reply(&mut BufReader::new(stays)).expect("a reply"), "done");
         assert_eq!(seen.recv_timeout(QUIET_TIME).ok(), None, "{disconnect_kind:?}");
     }
 }
@@ -49,7 +49,7 @@
         disconnect(client, disconnect_kind);
         wait_until_client_is_gone(&gateway, disconnect_kind);
         answer.send(DONE).expect("it waits");
-        assert_eq!(toy::reply(&mut BufReader::new(stays)).expect("a reply"), "done");
+        assert_eq!(example_servers::read_reply(&mut BufReader::new(stays)).expect("a reply"), "done");
         assert_eq!(at_next.recv_timeout(QUIET_TIME).ok(), None, "{disconnect_kind:?}");
     }
 }
--- a/gateway/tests/clients_that_leave/counter.rs
+++ b/gateway/tests/clients_that_leave/counter.rs
@@ -1,5 +1,5 @@
 //! A request that waits for the counter.
-use crate::help::{free_listener, toy};
+use crate::help::{example_servers, free_listener};
 use crate::world::*;
 use std::io::{BufReader, Write};
 
@@ -21,7 +21,8 @@
         let mut client = gateway.connect();
         send_order(&mut client, "early");
         let (mut counter, _) = counter.accept().expect("a call");
-        toy::target(&mut BufReader::new(counter.try_clone().expect("a second handle"))).expect("a call");
+        example_servers::target(&mut BufReader::new(counter.try_clone().expect("a second handle")))
+            .expect("a call");
         disconnect(client, disconnect_kind);
         wait_until_client_is_gone(&gateway, disconnect_kind);
         counter.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1").expect("it reads");
--- a/gateway/tests/clients_that_leave/shared_connection.rs
+++ b/gateway/tests/clients_that_leave/shared_connection.rs
@@ -1,5 +1,5 @@
 //! A request behind another one in the buffer of a shared connection.
-use crate::help::{free_listener, toy, TestGateway};
+use crate::help::{example_servers, free_listener, TestGateway};
 use crate::world::*;
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -43,7 +43,7 @@
         for _ in 0..40 {
             assert_eq!(blocked.body(), "first");
             blocked.answer("done");
-            assert_eq!(toy::reply(&mut replies).expect("a reply"), "done");
+            assert_eq!(example_servers::read_reply(&mut replies).expect("a reply"), "done");
             send_order(&mut first, "first");
         }
         assert_eq!(blocked.body(), "first");
@@ -89,8 +89,8 @@
         blocked.answer("long done");
         other.answer("other done");
         let mut replies = BufReader::new(second.try_clone().expect("a second handle"));
-        assert_eq!(toy::reply(&mut replies).expect("a reply"), "other done");
-        assert_eq!(toy::reply(&mut replies).expect("a reply"), "long done");
+        assert_eq!(example_servers::read_reply(&mut replies).expect("a reply"), "other done");
+        assert_eq!(example_servers::read_reply(&mut replies).expect("a reply"), "long done");
         send_order(&mut second, "next");
         assert_bodies(&mut blocked, &["next"], disconnect_kind);
     }
@@ -112,8 +112,8 @@
         blocked.answer("long done");
         other.answer("other done");
         let mut replies = BufReader::new(second);
-        assert_eq!(toy::reply(&mut replies).expect("a reply"), "other done");
-        assert_eq!(toy::reply(&mut replies).expect("a reply"), "long done");
+        assert_eq!(example_servers::read_reply(&mut replies).expect("a reply"), "other done");
+        assert_eq!(example_servers::read_reply(&mut replies).expect("a reply"), "long done");
     }
 }
 
@@ -132,6 +132,6 @@
     tell.send(()).expect("a watch is open");
     assert_eq!(at_next.recv_timeout(20 * TENTH_OF_A_SECOND).expect("it goes elsewhere"), "first");
     answer.send(DONE).expect("it waits");
-    assert_eq!(toy::reply(&mut BufReader::new(first)).expect("a reply"), "done");
+    assert_eq!(example_servers::read_reply(&mut BufReader::new(first)).expect("a reply"), "done");
     assert_bodies(&mut blocked, &[&long], Disconnect::Fin);
 }
--- a/gateway/tests/clients_that_leave/unread.rs
+++ b/gateway/tests/clients_that_leave/unread.rs
@@ -1,5 +1,5 @@
 //! A client that is not read from.
-use crate::help::{free_listener, toy, FullBacklogBackend, TestGateway};
+use crate::help::{example_servers, free_listener, FullBacklogBackend, TestGateway};
 use crate::world::*;
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -47,12 +47,13 @@
     answer.send(DONE).expect("it waits");
     drop(answer); // every later one fails
     let mut replies = BufReader::new(client.try_clone().expect("a second handle"));
-    let said: Vec<String> = (0..KEPT + LONG).map(|_| toy::reply(&mut replies).expect("a reply")).collect();
+    let said: Vec<String> =
+        (0..KEPT + LONG).map(|_| example_servers::read_reply(&mut replies).expect("a reply")).collect();
     assert_eq!(said[0], "done");
     let refused = said.iter().rev().take_while(|s| s.starts_with("-BUSY")).count();
     assert!(refused >= LONG - 2 * MIB / 64_000, "{refused} refused at the end");
     client.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
-    assert_eq!(toy::reply(&mut replies).expect("a reply"), "+PONG");
+    assert_eq!(example_servers::read_reply(&mut replies).expect("a reply"), "+PONG");
 }
 
 /// The beginning of an order with a long body.
@@ -73,7 +74,7 @@
     // It has been read once another's answer has come.
     let mut other = gateway.connect();
     other.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
-    assert_eq!(toy::reply(&mut BufReader::new(other)).expect("a reply"), "+PONG");
+    assert_eq!(example_servers::read_reply(&mut BufReader::new(other)).expect("a reply"), "+PONG");
     client
 }
 
@@ -113,7 +114,7 @@
         first.write_all(("x".repeat(500_000) + "\r\n").as_bytes()).expect("it reads");
         assert_eq!(seen.recv_timeout(50 * TENTH_OF_A_SECOND).expect("delivered").len(), 900_000);
         answer.send(DONE).expect("it waits");
-        assert_eq!(toy::reply(&mut BufReader::new(first)).expect("a reply"), "done");
+        assert_eq!(example_servers::read_reply(&mut BufReader::new(first)).expect("a reply"), "done");
         assert_eq!(seen.recv_timeout(QUIET_TIME).ok().map(|body| body.len()), None, "{disconnect_kind:?}");
     }
 }
--- a/gateway/tests/clients_that_leave/world.rs
+++ b/gateway/tests/clients_that_leave/world.rs
@@ -5,7 +5,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use crate::help::{free_listener, serve_endpoints, toy, FullBacklogBackend, TestGateway};
+use crate::help::{example_servers, free_listener, serve_endpoints, FullBacklogBackend, TestGateway};
 
 pub const TENTH_OF_A_SECOND: Duration = Duration::from_millis(100);
 /// So long nothing may come for a client that has left.
@@ -49,7 +49,7 @@
 /// An operation that must not be repeated, with this text as its body.
 pub fn order(body: &str) -> String {
     let body = format!("${}\r\n{body}\r\n", body.len());
-    toy::invocation("order", WAIT_MS).replace("$4\r\nbody\r\n", &body)
+    example_servers::request("order", WAIT_MS).replace("$4\r\nbody\r\n", &body)
 }
 
 pub fn send_order(client: &mut TcpStream, body: &str) {
@@ -89,7 +89,7 @@
 
     /// The body of the next command.
     pub fn body(&mut self) -> String {
-        let words = toy::command(&mut self.from).expect("a command").expect("not the end");
+        let words = example_servers::command(&mut self.from).expect("a command").expect("not the end");
         words[4].clone()
     }
 
@@ -110,7 +110,8 @@
         }
         self.to.set_read_timeout(Some(50 * TENTH_OF_A_SECOND)).expect("a time-out");
         let mut rest = &all[..];
-        let next = || toy::command(&mut rest).expect("a whole command").map(|words| words[4].clone());
+        let next =
+            || example_servers::command(&mut rest).expect("a whole command").map(|words| words[4].clone());
         std::iter::from_fn(next).collect()
     }
 }
@@ -119,10 +120,10 @@
 pub fn controlled_backend(listener: TcpListener) -> (Receiver<String>, Sender<&'static str>) {
     let ((seen_by, seen), (answer, answers)) = (channel(), channel::<&'static str>());
     let answers = std::sync::Arc::new(std::sync::Mutex::new(answers));
-    toy::each(listener, move |stream| {
+    example_servers::serve_connections(listener, move |stream| {
         let mut served = BackendSession::of(stream);
         served.to.set_read_timeout(None)?;
-        while let Some(words) = toy::command(&mut served.from)? {
+        while let Some(words) = example_servers::command(&mut served.from)? {
             let _ = seen_by.send(words[4].clone()); // the test may be over
             let Ok(text) = answers.lock().expect("no panic").recv() else { return Ok(()) };
             served.send_text(text);
@@ -179,9 +180,9 @@
     let change_of_list = crate::help::endpoint_list(&[("a", a), ("b", b)])
         .replacen("SERVING", "DRAINING", 1)
         .replace("\"index\":1,\"snapshot\":true", "\"index\":2,\"snapshot\":false");
-    toy::each(list, move |stream| {
+    example_servers::serve_connections(list, move |stream| {
         let (mut from, mut to) = (BufReader::new(stream.try_clone()?), stream);
-        while toy::target(&mut from)?.is_some() {
+        while example_servers::target(&mut from)?.is_some() {
             let Ok(()) = replaced.lock().expect("no panic").recv() else { return Ok(()) };
             write!(
                 to,
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{free_listener, read_to_end, serve_endpoints, toy, FullBacklogBackend, TestGateway};
+use help::{example_servers, free_listener, read_to_end, serve_endpoints, FullBacklogBackend, TestGateway};
 
 const SECOND: Duration = Duration::from_secs(1);
 const TENTH_OF_A_SECOND: Duration = Duration::from_millis(100);
@@ -19,9 +19,9 @@
 /// A backend that never answers, and tells of each command that reaches it whole.
 fn silent_backend(listener: TcpListener) -> Receiver<Vec<String>> {
     let (to, seen) = channel();
-    toy::each(listener, move |stream| {
+    example_servers::serve_connections(listener, move |stream| {
         let mut from = BufReader::new(stream);
-        while let Some(words) = toy::command(&mut from)? {
+        while let Some(words) = example_servers::command(&mut from)? {
             let _ = to.send(words); // the test may be over
         }
         Ok(())
@@ -40,7 +40,7 @@
 }
 
 fn send_request(to: &mut TcpStream, operation: &str, wait_ms: u64) {
-    to.write_all(toy::invocation(operation, wait_ms).as_bytes()).expect("it reads");
+    to.write_all(example_servers::request(operation, wait_ms).as_bytes()).expect("it reads");
 }
 
 // ======== shutdown
@@ -118,7 +118,7 @@
     let from = Instant::now();
     let (next, _) = moved.accept().expect("the next one comes");
     assert!(from.elapsed() < 3 * SECOND, "{:?}", from.elapsed());
-    let target = toy::target(&mut BufReader::new(next)).expect("a call");
+    let target = example_servers::target(&mut BufReader::new(next)).expect("a call");
     assert_eq!(target.as_deref(), Some("/v1/endpoints"));
     drop(mute);
 }
@@ -131,13 +131,13 @@
     let (to, calls) = channel();
     let listing = help::endpoint_list(&[("a", at)]);
     let first = Arc::new(AtomicBool::new(true));
-    toy::each(list, move |stream| {
+    example_servers::serve_connections(list, move |stream| {
         let (mut from, mut back) = (BufReader::new(stream.try_clone()?), stream);
-        while toy::target(&mut from)?.is_some() {
+        while example_servers::target(&mut from)?.is_some() {
             let _ = to.send(Instant::now()); // the test may be over
             if first.swap(false, Ordering::Relaxed) {
                 write!(back, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{listing}", listing.len())?;
-                toy::target(&mut from)?; // the watch breaks off
+                example_servers::target(&mut from)?; // the watch breaks off
                 return Ok(());
             }
         }
@@ -173,9 +173,9 @@
     backend.wait_for_connection_attempt();
     gateway.pause();
     drop(backend.accept_pending());
-    toy::backend(backend.listener, "a");
+    example_servers::start_backend(backend.listener, "a");
     gateway.resume();
-    assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "a order body");
+    assert_eq!(example_servers::read_reply(&mut BufReader::new(client)).expect("a reply"), "a order body");
 }
 
 /// Guards: the client left and the connection for its delivery came up in the same batch: the delivery was written as the
@@ -209,14 +209,14 @@
     let mut client = gateway.connect();
     send_request(&mut client, "order", 2900);
     let (mut first, _) = backend.accept().expect("a connection");
-    let words = toy::command(&mut BufReader::new(first.try_clone().expect("a second handle")));
+    let words = example_servers::command(&mut BufReader::new(first.try_clone().expect("a second handle")));
     assert!(words.expect("a command").is_some());
     gateway.pause();
     first.write_all(b"-BUSY\r\n").expect("it is open");
     drop(first);
-    toy::backend(backend, "a");
+    example_servers::start_backend(backend, "a");
     gateway.resume();
-    assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "a order body");
+    assert_eq!(example_servers::read_reply(&mut BufReader::new(client)).expect("a reply"), "a order body");
 }
 
 // ======== clients that leave
@@ -231,7 +231,7 @@
         configuration.replace("\"depth\": 12", "\"depth\": 100000")
     });
     let mut client = gateway.connect();
-    let many: String = (0..4000).map(|_| toy::invocation("order", 2900)).collect();
+    let many: String = (0..4000).map(|_| example_servers::request("order", 2900)).collect();
     client.write_all(many.as_bytes()).expect("the machine takes it");
     seen.recv_timeout(5 * SECOND).expect("the first one waits for its answer");
     let from = Instant::now();
@@ -250,7 +250,7 @@
         configuration.replace("\"memory_mb\": 192", "\"memory_mb\": 1")
     });
     let half = |bytes: usize| {
-        let head = toy::invocation("order", 2900).replace("$4\r\nbody\r\n", "$900000\r\n");
+        let head = example_servers::request("order", 2900).replace("$4\r\nbody\r\n", "$900000\r\n");
         head + &"x".repeat(bytes)
     };
     let mut goes_on = gateway.connect();
@@ -260,7 +260,7 @@
     // It has been read as far as there is room once another's answer has come.
     let mut other = gateway.connect();
     other.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
-    assert_eq!(toy::reply(&mut BufReader::new(other)).expect("a reply"), "+PONG");
+    assert_eq!(example_servers::read_reply(&mut BufReader::new(other)).expect("a reply"), "+PONG");
     let from = Instant::now();
     drop(waits);
     gateway.wait_for_log_line("client 3 ended: closed");
@@ -281,5 +281,5 @@
     sleep(2 * SECOND);
     client.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it is open");
     gateway.resume();
-    assert_eq!(toy::reply(&mut BufReader::new(client)).expect("a reply"), "+PONG");
+    assert_eq!(example_servers::read_reply(&mut BufReader::new(client)).expect("a reply"), "+PONG");
 }
--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -14,8 +14,8 @@
 
 mod help;
 use help::{
-    connect_when_listening, endpoint_list, example_configuration, free_listener, own_address, toy,
-    GatewayProcess,
+    connect_when_listening, endpoint_list, example_configuration, example_servers, free_listener,
+    own_address, GatewayProcess,
 };
 
 /// What the machine allows the front door.
@@ -37,20 +37,23 @@
         let (down, returned) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
         let (to, requests) = channel();
         let (is_down, has_returned) = (down.clone(), returned.clone());
-        toy::each(listener, move |stream| {
+        example_servers::serve_connections(listener, move |stream| {
             let mut from = BufReader::new(stream.try_clone()?);
-            while let Some(target) = toy::target(&mut from)? {
+            while let Some(target) = example_servers::target(&mut from)? {
                 if is_down.load(Ordering::SeqCst) {
                     return Ok(()); // nothing is answered, and its connections end
                 }
-                let body = match (has_returned.load(Ordering::SeqCst), toy::number(&target, "since") as u64) {
+                let body = match (
+                    has_returned.load(Ordering::SeqCst),
+                    example_servers::number(&target, "since") as u64,
+                ) {
                     (false, 0) => before.clone(),
                     (true, 0 | 1) => {
                         let _ = to.send(Instant::now()); // the test may be over
                         after.clone()
                     }
                     (_, since) => {
-                        sleep(Duration::from_millis(toy::number(&target, "timeout_ms") as u64));
+                        sleep(Duration::from_millis(example_servers::number(&target, "timeout_ms") as u64));
                         format!(r#"{{"index":{since},"snapshot":false,"endpoints":[]}}"#)
                     }
                 };
@@ -112,7 +115,7 @@
 /// A front door that may have so many descriptors by its configuration, and `DESCRIPTORS` by the machine.
 fn start_configured(name: &str, configured: usize, list: SocketAddr) -> (GatewayProcess, SocketAddr) {
     let ((counter, counter_at), at) = (free_listener(), own_address(7400));
-    toy::counter(counter);
+    example_servers::start_counter(counter);
     let configuration = example_configuration(list, counter_at)
         .replace("127.0.0.1:7400", &at.to_string())
         .replace("\"sockets\": 1024", &format!("\"sockets\": {configured}"));
@@ -143,7 +146,7 @@
 
     fn request(&mut self, text: &[u8]) -> String {
         self.0.get_mut().write_all(text).expect("it reads");
-        toy::reply(&mut self.0).expect("a reply")
+        example_servers::read_reply(&mut self.0).expect("a reply")
     }
 
     /// Keeps at it for so long.
@@ -160,8 +163,8 @@
 fn descriptors_filled_while_discovery_is_down(name: &str, configured: usize) {
     let (list, list_at) = free_listener();
     let ((backend, before), (other, after)) = (free_listener(), free_listener());
-    toy::backend(backend, "a");
-    toy::backend(other, "b");
+    example_servers::start_backend(backend, "a");
+    example_servers::start_backend(other, "b");
     let after = endpoint_list(&[("b", after)]).replace("\"index\":1", "\"index\":2");
     let list = List::start(list, endpoint_list(&[("a", before)]), after);
     let (_door, at) = start_configured(name, configured, list_at);
@@ -180,7 +183,7 @@
     }
     let polled_at = polled_at.expect("the list service was not reached in 8 s");
     assert!(polled_at - from < 2 * SECOND, "told after {:?}", polled_at - from);
-    let said = client.request(toy::invocation("look", 1000).as_bytes());
+    let said = client.request(example_servers::request("look", 1000).as_bytes());
     assert_eq!(said, "b look", "with the counter and a new backend");
     assert!(flood.connected.load(Ordering::Relaxed) > DESCRIPTORS as usize);
 }
--- a/gateway/tests/help/mod.rs
+++ b/gateway/tests/help/mod.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 #[path = "../../../examples/example_backend.rs"]
-pub mod toy;
+pub mod example_servers;
 
 /// A front door that ends with the test, whatever comes of it.
 pub struct GatewayProcess(pub Child);
@@ -66,10 +66,10 @@
 
 /// A list service that knows these backends.
 pub fn serve_endpoints(list: TcpListener, backends: &[(&str, SocketAddr)]) {
-    toy::list(list, endpoint_list(backends));
+    example_servers::start_list_service(list, endpoint_list(backends));
 }
 
-/// The example's configuration, for a toy world at these addresses.
+/// The example's configuration, for the example servers at these addresses.
 pub fn example_configuration(list: SocketAddr, counter: SocketAddr) -> String {
     include_str!("../../../examples/configuration.json")
         .replace("127.0.0.1:7401", &list.to_string())
@@ -84,11 +84,11 @@
     to.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     let mut from = BufReader::new(to.try_clone().expect("a second handle"));
     to.write_all(text.as_bytes()).expect("it reads");
-    let replies = (0..replies).map(|_| toy::reply(&mut from).expect("a reply") + "\n");
+    let replies = (0..replies).map(|_| example_servers::read_reply(&mut from).expect("a reply") + "\n");
     replies.collect()
 }
 
-/// A front door that a test holds still, stops and listens to, with a toy counter; its list service is the caller's.
+/// A front door that a test holds still, stops and listens to, with an example counter; its list service is the caller's.
 pub struct TestGateway {
     pub process: GatewayProcess,
     pub at: SocketAddr,
@@ -102,7 +102,7 @@
     /// Starts it with the list service at this address, its configuration changed so.
     pub fn start(name: &str, list: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
         let ((counter, counter_at), at) = (free_listener(), own_address(7400));
-        toy::counter(counter);
+        example_servers::start_counter(counter);
         let configuration =
             change(example_configuration(list, counter_at).replace("127.0.0.1:7400", &at.to_string()));
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("crossing-{name}.json"));
@@ -213,7 +213,7 @@
     }
 }
 
-/// The toy list of these backends.
+/// The endpoint list of these backends.
 pub fn endpoint_list(backends: &[(&str, SocketAddr)]) -> String {
     let entry = |(name, at): &(&str, SocketAddr)| {
         format!(
--- a/gateway/tests/identity.rs
+++ b/gateway/tests/identity.rs
@@ -14,7 +14,9 @@
 mod help;
 #[path = "../../identity/tests/help/mod.rs"]
 mod issuer;
-use help::{example_configuration, free_listener, serve_endpoints, toy, wait_until_ready, GatewayProcess};
+use help::{
+    example_configuration, example_servers, free_listener, serve_endpoints, wait_until_ready, GatewayProcess,
+};
 use issuer::Signer;
 
 const TEAMS: u64 = 4;
@@ -67,7 +69,7 @@
     }
     fn exchange(&mut self, text: &str) -> String {
         self.0.write_all(text.as_bytes()).expect("it reads");
-        toy::reply(&mut self.1).expect("an answer")
+        example_servers::read_reply(&mut self.1).expect("an answer")
     }
     fn auth(&mut self, token: &str) -> String {
         self.exchange(&format!("*2\r\n$4\r\nAUTH\r\n${}\r\n{token}\r\n", token.len()))
@@ -80,9 +82,9 @@
     std::fs::create_dir_all(folder).expect("a folder");
     let ((list, list_at), (counter, counter_at), (a, a_at), (b, b_at)) =
         (free_listener(), free_listener(), free_listener(), free_listener());
-    toy::backend(a, "a");
-    toy::backend(b, "b");
-    toy::counter(counter);
+    example_servers::start_backend(a, "a");
+    example_servers::start_backend(b, "b");
+    example_servers::start_counter(counter);
     serve_endpoints(list, &[("a", a_at), ("b", b_at)]);
     let ((own, at), (operators, mgmt)) = (free_listener(), free_listener());
     drop((own, operators));
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback, among the toy world of `examples/`.
+//! The real program on loopback, with the example servers of `examples/`.
 use expect_test::expect;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -10,8 +10,8 @@
 
 mod help;
 use help::{
-    example_configuration, exchange, free_listener, serve_endpoints, start_gateway, toy, wait_until_ready,
-    GatewayProcess,
+    example_configuration, example_servers, exchange, free_listener, serve_endpoints, start_gateway,
+    wait_until_ready, GatewayProcess,
 };
 
 #[test]
@@ -27,8 +27,8 @@
     let (counter, counter_at) = free_listener();
     let (list, list_at) = free_listener();
     let (_, listen) = free_listener(); // free again for the front door
-    toy::backend(backend, "a");
-    toy::counter(counter);
+    example_servers::start_backend(backend, "a");
+    example_servers::start_counter(counter);
     serve_endpoints(list, &[("a", backend_at)]);
     let configuration = example_configuration(list_at, counter_at)
         .replace("127.0.0.1:7400", &listen.to_string())
@@ -40,9 +40,13 @@
     wait_until_ready(&[listen]);
 
     text += &exchange(listen, "*1\r\n$4\r\nPING\r\n", 1);
-    text += &exchange(listen, &(toy::invocation("slow", 1400) + &toy::invocation("sing", 2900)), 2);
-    text += &exchange(listen, &toy::invocation("order", 2900), 1);
-    text += &exchange(listen, &toy::invocation("fail", 2900), 1);
+    text += &exchange(
+        listen,
+        &(example_servers::request("slow", 1400) + &example_servers::request("sing", 2900)),
+        2,
+    );
+    text += &exchange(listen, &example_servers::request("order", 2900), 1);
+    text += &exchange(listen, &example_servers::request("fail", 2900), 1);
     text += &exchange(listen, "PING\r\n", 2);
     // Unfinished commands are kept as far as there is memory for them.
     let half = format!("*5\r\n$9\r\nCALL.POST\r\n$60000\r\n{}", "x".repeat(50_000));
@@ -52,8 +56,11 @@
     text += &exchange(listen, &half, 1);
     drop(halves);
     // Far ahead of its answers: they all come, in the end.
-    let ahead =
-        exchange(listen, &(toy::invocation("slow", 1400) + &"*1\r\n$4\r\nPING\r\n".repeat(20_000)), 20_001);
+    let ahead = exchange(
+        listen,
+        &(example_servers::request("slow", 1400) + &"*1\r\n$4\r\nPING\r\n".repeat(20_000)),
+        20_001,
+    );
     text += &format!("{} answers\n", ahead.lines().count());
     let pid = Pid::from_raw(i32::try_from(door.id()).expect("a process id"));
     // Read again: what can't be read leaves the old one in force, and what can moves list and counter over.
@@ -61,11 +68,11 @@
         std::fs::write(&good, configuration).expect("a file");
         kill(pid, Signal::SIGHUP).expect("it runs");
         sleep(Duration::from_millis(100));
-        text += &exchange(listen, &toy::invocation("look", 1000), 1);
+        text += &exchange(listen, &example_servers::request("look", 1000), 1);
     }
     kill(pid, Signal::SIGTERM).expect("it runs");
     sleep(Duration::from_millis(150));
-    text += &exchange(listen, &toy::invocation("look", 1000), 1);
+    text += &exchange(listen, &example_servers::request("look", 1000), 1);
     text += &format!("{:?}\n", door.wait().expect("it ends").code());
     let mut log = String::new();
     door.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
@@ -93,19 +100,22 @@
     .assert_eq(&text);
 }
 
+const ALL_INSTANCES: example_servers::InstanceRange = example_servers::InstanceRange { first: 0, count: 4 };
+const NEW_INSTANCES: example_servers::InstanceRange = example_servers::InstanceRange { first: 2, count: 2 };
+
 /// During the move old- and new-shape front doors stand before the same backends: the old one knows neither the plan with
 /// a cap alone nor load reports.
 #[test]
 fn doors_of_the_old_shape_and_the_new_serve_side_by_side() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let held: toy::HeldByPlan = Default::default();
+    let held: example_servers::InFlightByPlan = Default::default();
     let (mut backends, (counter, counter_at), (list, list_at)) = (vec![], free_listener(), free_listener());
     for name in ["a", "b"] {
         let (backend, at) = free_listener();
-        toy::watched(backend, name, held.clone());
+        example_servers::start_backend_with_statistics(backend, name, held.clone());
         backends.push((name, at));
     }
-    toy::counter(counter);
+    example_servers::start_counter(counter);
     serve_endpoints(list, &backends);
     let example = example_configuration(list_at, counter_at)
         .replace("\"aim_us\": 400000", "\"aim_us\": 2000000") // no delivery is doubted meanwhile
@@ -136,7 +146,8 @@
     // answer leaves a door to its slice.
     let (from, mut served) = (Instant::now(), [0; 4]);
     for slot in (0..24).map(|i| i % 4) {
-        let said = exchange(at[slot], &toy::invocation_of("small", (0, 4), "look", 1000), 1);
+        let said =
+            exchange(at[slot], &example_servers::request_of_plan("small", ALL_INSTANCES, "look", 1000), 1);
         served[slot] += usize::from(!said.starts_with('-'));
     }
     let regained = 2.0 * from.elapsed().as_secs_f64();
@@ -144,21 +155,21 @@
     assert!(old >= 4 && new >= 4 && all as f64 <= 16.0 + regained, "{served:?}, {regained:.1} regained");
 
     // A cap of 2 over both new doors, while the old ones serve on: refused at once, every one answered once.
-    let calls = |slot: usize, plan: &'static str, of: (usize, usize)| {
+    let calls = |slot: usize, plan: &'static str, of: example_servers::InstanceRange| {
         let at = at[slot];
-        std::thread::spawn(move || exchange(at, &toy::invocation_of(plan, of, "slow", 1400), 1))
+        std::thread::spawn(move || exchange(at, &example_servers::request_of_plan(plan, of, "slow", 1400), 1))
     };
-    let capped: Vec<_> = (0..8).map(|i| calls(2 + i % 2, "capped", (2, 2))).collect();
+    let capped: Vec<_> = (0..8).map(|i| calls(2 + i % 2, "capped", NEW_INSTANCES)).collect();
     sleep(Duration::from_millis(20));
-    let before = calls(0, "small", (0, 4));
+    let before = calls(0, "small", ALL_INSTANCES);
     let capped: Vec<String> = capped.into_iter().map(|c| c.join().expect("an answer")).collect();
     let refused = capped.iter().filter(|said| said.starts_with("-BUSY")).count();
-    let most = held.lock().expect("nobody panics").get("capped").map_or(0, |h| h.1);
+    let most = held.lock().expect("nobody panics").get("capped").map_or(0, |requests| requests.peak);
     assert!((1..=2).contains(&most) && refused == 8 - most, "{most} at once, {refused} refused: {capped:?}");
     assert!(!before.join().expect("an answer").is_empty());
-    let again = exchange(at[3], &toy::invocation_of("capped", (2, 2), "look", 1400), 1);
+    let again = exchange(at[3], &example_servers::request_of_plan("capped", NEW_INSTANCES, "look", 1400), 1);
     assert!(!again.starts_with('-'), "a place came back: {again}");
-    let old = exchange(at[0], &toy::invocation_of("capped", (2, 2), "look", 1000), 1);
+    let old = exchange(at[0], &example_servers::request_of_plan("capped", NEW_INSTANCES, "look", 1000), 1);
     assert_eq!(old.trim(), "-ERR unknown plan");
     for GatewayProcess(door) in &mut doors {
         kill(Pid::from_raw(i32::try_from(door.id()).expect("a process id")), Signal::SIGTERM)
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -9,7 +9,8 @@
 
 mod help;
 use help::{
-    endpoint_list, example_configuration, free_listener, own_address, start_gateway, toy, GatewayProcess,
+    endpoint_list, example_configuration, example_servers, free_listener, own_address, start_gateway,
+    GatewayProcess,
 };
 
 const FRONT_DOORS: usize = 30;
@@ -33,7 +34,8 @@
 fn is_ready(at: SocketAddr) -> bool {
     let Ok(mut to) = TcpStream::connect(at) else { return false };
     to.set_read_timeout(Some(Duration::from_secs(1))).expect("a time-out");
-    to.write_all(PING).is_ok() && toy::reply(&mut BufReader::new(to)).is_ok_and(|said| said == "+PONG")
+    to.write_all(PING).is_ok()
+        && example_servers::read_reply(&mut BufReader::new(to)).is_ok_and(|said| said == "+PONG")
 }
 
 /// How long each took from its start to its first `+PONG`.
@@ -70,9 +72,9 @@
     drop(mute);
     nine_in_ten_are_ready("refuses", own_address(7401));
     let (slow, at) = free_listener();
-    toy::each(slow, |stream: TcpStream| {
+    example_servers::serve_connections(slow, |stream: TcpStream| {
         let mut from = BufReader::new(stream.try_clone()?);
-        while toy::target(&mut from)?.is_some() {
+        while example_servers::target(&mut from)?.is_some() {
             sleep(Duration::from_secs(3));
             let body = endpoint_list(&[]);
             write!(&stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 mod help;
-use help::{free_listener, serve_endpoints, toy, TestGateway};
+use help::{example_servers, free_listener, serve_endpoints, TestGateway};
 
 const LENGTH: usize = 4 * 1024 * 1024;
 const WAIT_MS: u64 = 1000;
@@ -15,9 +15,9 @@
 /// A backend that writes the first bytes of a long value at once, and the rest of it, slowly, when it is told to.
 fn backend(listener: TcpListener, first: usize, rest: Receiver<()>) {
     let rest = std::sync::Arc::new(std::sync::Mutex::new(rest));
-    toy::each(listener, move |stream| {
+    example_servers::serve_connections(listener, move |stream| {
         let (mut from, mut to) = (BufReader::new(stream.try_clone()?), stream);
-        while toy::command(&mut from)?.is_some() {
+        while example_servers::command(&mut from)?.is_some() {
             let value = "v".repeat(LENGTH);
             write!(to, "*3\r\n${LENGTH}\r\n{}", &value[..first])?;
             let _ = rest.lock().expect("no panic").recv();
@@ -42,7 +42,7 @@
 
 fn connect_and_send_request(gateway: &TestGateway) -> TcpStream {
     let mut client = gateway.connect();
-    client.write_all(toy::invocation("look", WAIT_MS).as_bytes()).expect("it reads");
+    client.write_all(example_servers::request("look", WAIT_MS).as_bytes()).expect("it reads");
     client
 }
 
@@ -88,8 +88,8 @@
     let mut client = connect_and_send_request(&gateway);
     rest.send(()).expect("the backend listens");
     let (mut reply, from) = (BufReader::new(client.try_clone().expect("a second handle")), Instant::now());
-    assert_eq!(toy::reply(&mut reply).expect("a value").len(), LENGTH);
+    assert_eq!(example_servers::read_reply(&mut reply).expect("a value").len(), LENGTH);
     assert!(from.elapsed() > Duration::from_millis(WAIT_MS * 5 / 4), "past its client's time");
     client.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it is open");
-    assert_eq!(toy::reply(&mut reply).expect("a reply"), "+PONG");
+    assert_eq!(example_servers::read_reply(&mut reply).expect("a reply"), "+PONG");
 }
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 mod help;
-use help::{connect_when_listening, free_listener, toy, GatewayProcess};
+use help::{connect_when_listening, example_servers, free_listener, GatewayProcess};
 
 const LONG: usize = 4 * 1024 * 1024;
 
@@ -24,7 +24,9 @@
             spawn(move || {
                 let (mut from, mut to) = (BufReader::new(stream.try_clone()?), stream);
                 loop {
-                    let Some(words) = toy::command(&mut from)? else { return std::io::Result::Ok(()) };
+                    let Some(words) = example_servers::command(&mut from)? else {
+                        return std::io::Result::Ok(());
+                    };
                     if words[3].contains("c=order") {
                         sleep(Duration::from_millis(20));
                         let sum: u64 = words[4].bytes().map(u64::from).sum();
@@ -57,8 +59,8 @@
         (free_listener(), free_listener(), free_listener());
     let (_, listen) = free_listener();
     backend(behind);
-    toy::counter(counter);
-    toy::list(
+    example_servers::start_counter(counter);
+    example_servers::start_list_service(
         list,
         format!(
             r#"{{"index":1,"snapshot":true,"endpoints":[{{"name":"s-a","address":"{behind_at}","zone":"z","group":0,"status":"SERVING","weight":1.0,"since_ms":0}}]}}"#
@@ -95,7 +97,7 @@
 fn send_request(at: SocketAddr, operation: &str) -> TcpStream {
     let mut to = TcpStream::connect(at).expect("it accepts");
     to.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
-    to.write_all(toy::invocation(operation, 1400).as_bytes()).expect("it reads");
+    to.write_all(example_servers::request(operation, 1400).as_bytes()).expect("it reads");
     to
 }
 
@@ -163,7 +165,7 @@
     let clients: Vec<_> = (0..30)
         .map(|_| {
             spawn(move || {
-                let text = toy::invocation("order", 2900);
+                let text = example_servers::request("order", 2900);
                 let body = format!("${BODY}\r\n{}\r\n", "b".repeat(BODY));
                 let text = text.replace("$4\r\nbody\r\n", &body);
                 let mut to = TcpStream::connect(at).expect("it accepts");
@@ -171,7 +173,7 @@
                     to.write_all(piece).expect("it reads");
                     sleep(Duration::from_millis(1));
                 }
-                toy::reply(&mut BufReader::new(to)).expect("an answer")
+                example_servers::read_reply(&mut BufReader::new(to)).expect("an answer")
             })
         })
         .collect();
@@ -181,7 +183,7 @@
     sleep(Duration::from_millis(300));
     small.write_all(b"NG\r\n").expect("it reads");
     small.set_read_timeout(Some(Duration::from_millis(500))).expect("a time-out");
-    assert_eq!(toy::reply(&mut BufReader::new(small)).expect("at once"), "+PONG");
+    assert_eq!(example_servers::read_reply(&mut BufReader::new(small)).expect("at once"), "+PONG");
     let expected = format!("{BODY} {}", BODY as u64 * u64::from(b'b'));
     let said: Vec<String> = clients.into_iter().map(|c| c.join().expect("no panic")).collect();
     let served = said.iter().filter(|s| **s == expected).count();
@@ -190,10 +192,11 @@
     assert!(peak < 32 * 1024, "{peak} kB at the most");
     // Too long, and a length that is none.
     for (length, why) in [("4194305", "4 MiB"), ("-5", "negative"), ("4e6", "no number")] {
-        let text = toy::invocation("order", 2900).replace("$4\r\nbody", &format!("${length}\r\nbody"));
+        let text =
+            example_servers::request("order", 2900).replace("$4\r\nbody", &format!("${length}\r\nbody"));
         let mut to = TcpStream::connect(at).expect("it accepts");
         to.write_all(text.as_bytes()).expect("it reads");
-        let said = toy::reply(&mut BufReader::new(to)).expect("an answer");
+        let said = example_servers::read_reply(&mut BufReader::new(to)).expect("an answer");
         assert!(said.starts_with("-ERR protocol") && said.contains(why), "{said}");
     }
 }
