--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -1,86 +1,111 @@
-//! The real program on loopback, with the example servers of `examples/`.
+//! Gateway instances on loopback with the example backends: replies, limits on buffers, reload, shutdown, and instances with old
+//! and new settings next to each other.
 use expect_test::expect;
-use nix::sys::signal::{kill, Signal};
-use nix::unistd::Pid;
-use std::io::{Read, Write};
-use std::net::TcpStream;
-use std::path::Path;
-use std::thread::sleep;
+use nix::sys::signal::Signal;
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::thread::{sleep, JoinHandle};
 use std::time::{Duration, Instant};
 
-mod help;
-use help::{
-    example_configuration, example_servers, exchange, free_listener, serve_endpoints, start_gateway,
-    wait_until_ready, GatewayProcess,
+mod common;
+use common::example_servers::{self, request, request_of_plan, InFlightByPlan, InstanceRange};
+use common::{
+    example_configuration, exchange, free_listener, serve_endpoints, start_gateway, unique_address,
+    wait_until_ready, GatewayProcess, ListedBackend,
 };
 
+const PING: &str = "*1\r\n$4\r\nPING\r\n";
+
+fn temporary_file(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
+}
+
+/// The exit code and the output of an instance that can't start with this configuration.
+fn startup_failure(file: &Path, configuration: &str) -> (Option<i32>, String) {
+    std::fs::write(file, configuration).expect("a file");
+    let mut process = start_gateway(file);
+    let output = process.read_log();
+    (process.exit_code(), output)
+}
+
 #[test]
-fn it_serves_says_what_is_wrong_and_ends_in_order() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let bad = folder.join("bad.json");
-    std::fs::write(&bad, "{\"name\": 3}").expect("a file");
-    let output = start_gateway(&bad).wait_with_output().expect("it ends");
-    let said = String::from_utf8_lossy(&output.stderr).replace(&*bad.to_string_lossy(), "FILE");
-    let mut text = format!("{:?}: {said}", output.status.code());
-
-    let (backend, backend_at) = free_listener();
-    let (counter, counter_at) = free_listener();
-    let (list, list_at) = free_listener();
-    let (_, listen) = free_listener(); // free again for the front door
-    example_servers::start_backend(backend, "a");
-    example_servers::start_counter(counter);
-    serve_endpoints(list, &[("a", backend_at)]);
-    let configuration = example_configuration(list_at, counter_at)
-        .replace("127.0.0.1:7400", &listen.to_string())
-        .replace("\"memory_mb\": 192", "\"memory_mb\": 1");
-    let good = folder.join("good.json");
-    std::fs::write(&good, &configuration).expect("a file");
-    let mut started = GatewayProcess(start_gateway(&good));
-    let door = &mut started.0;
-    wait_until_ready(&[listen]);
-
-    text += &exchange(listen, "*1\r\n$4\r\nPING\r\n", 1);
-    text += &exchange(
-        listen,
-        &(example_servers::request("slow", 1400) + &example_servers::request("sing", 2900)),
-        2,
-    );
-    text += &exchange(listen, &example_servers::request("order", 2900), 1);
-    text += &exchange(listen, &example_servers::request("fail", 2900), 1);
-    text += &exchange(listen, "PING\r\n", 2);
-    // Unfinished commands are kept as far as there is memory for them.
-    let half = format!("*5\r\n$9\r\nCALL.POST\r\n$60000\r\n{}", "x".repeat(50_000));
-    let mut halves: Vec<_> = (0..2).map(|_| TcpStream::connect(listen).expect("it accepts")).collect();
-    halves.iter_mut().for_each(|to| to.write_all(half.as_bytes()).expect("it reads"));
-    sleep(Duration::from_millis(100));
-    text += &exchange(listen, &half, 1);
-    drop(halves);
-    // Far ahead of its answers: they all come, in the end.
-    let ahead = exchange(
-        listen,
-        &(example_servers::request("slow", 1400) + &"*1\r\n$4\r\nPING\r\n".repeat(20_000)),
-        20_001,
-    );
-    text += &format!("{} answers\n", ahead.lines().count());
-    let pid = Pid::from_raw(i32::try_from(door.id()).expect("a process id"));
-    // Read again: what can't be read leaves the old one in force, and what can moves list and counter over.
-    for configuration in ["{", &configuration.replace(&counter_at.to_string(), "127.0.0.1:1")] {
-        std::fs::write(&good, configuration).expect("a file");
-        kill(pid, Signal::SIGHUP).expect("it runs");
+fn a_configuration_that_can_not_be_decoded_is_reported_at_startup() {
+    let file = temporary_file("bad.json");
+    let (exit_code, output) = startup_failure(&file, "{\"name\": 3}");
+    let output = output.replace(&*file.to_string_lossy(), "FILE");
+    expect![[r#"
+        Some(1): quillramp: FILE: invalid type: integer `3`, expected a string at line 1 column 10
+    "#]]
+    .assert_eq(&format!("{exit_code:?}: {output}"));
+}
+
+/// One instance with little memory, the backend `a`, a counter and a list service.
+struct SingleInstance {
+    process: GatewayProcess,
+    address: SocketAddr,
+    configuration_file: PathBuf,
+    configuration: String,
+    counter: SocketAddr,
+}
+
+impl SingleInstance {
+    fn start(name: &str) -> SingleInstance {
+        let (backend, backend_address) = free_listener();
+        let (counter, counter_address) = free_listener();
+        let (list_service, list_service_address) = free_listener();
+        example_servers::start_backend(backend, "a");
+        example_servers::start_counter(counter);
+        serve_endpoints(list_service, &[ListedBackend { name: "a", address: backend_address }]);
+        let address = unique_address(7400);
+        let configuration = example_configuration(list_service_address, counter_address)
+            .replace("127.0.0.1:7400", &address.to_string())
+            .replace("\"memory_mb\": 192", "\"memory_mb\": 1");
+        let configuration_file = temporary_file(&format!("loopback-{name}.json"));
+        std::fs::write(&configuration_file, &configuration).expect("a file");
+        let process = start_gateway(&configuration_file);
+        wait_until_ready(&[address]);
+        SingleInstance { process, address, configuration_file, configuration, counter: counter_address }
+    }
+
+    /// Sends requests on a connection of their own and reads this number of replies.
+    fn exchange(&self, requests: &str, reply_count: usize) -> String {
+        exchange(self.address, requests, reply_count)
+    }
+
+    /// Replaces the configuration file and has it read again.
+    fn reload(&self, configuration: &str) {
+        std::fs::write(&self.configuration_file, configuration).expect("a file");
+        self.process.signal(Signal::SIGHUP);
         sleep(Duration::from_millis(100));
-        text += &exchange(listen, &example_servers::request("look", 1000), 1);
     }
-    kill(pid, Signal::SIGTERM).expect("it runs");
-    sleep(Duration::from_millis(150));
-    text += &exchange(listen, &example_servers::request("look", 1000), 1);
-    text += &format!("{:?}\n", door.wait().expect("it ends").code());
-    let mut log = String::new();
-    door.stderr.take().expect("piped").read_to_string(&mut log).expect("text");
-    let again = log.lines().filter(|l| l.contains("configuration")).map(|l| l.split(' ').nth(3));
-    text += &format!("{:?}\n", again.collect::<Vec<_>>());
-    text += &format!("{} clients ended with a reason\n", log.matches("connection client").count());
+
+    /// The log, once the process has exited after SIGTERM.
+    fn exit_log(mut self) -> String {
+        assert_eq!(self.process.exit_code(), Some(0));
+        self.process.read_log()
+    }
+
+    fn shut_down(self) -> String {
+        self.process.signal(Signal::SIGTERM);
+        self.exit_log()
+    }
+}
+
+/// The number of client connections whose end was logged with a reason.
+fn logged_client_count(log: &str) -> usize {
+    log.matches("connection client").count()
+}
+
+#[test]
+fn each_request_gets_its_reply_and_a_protocol_error_ends_the_connection() {
+    let instance = SingleInstance::start("replies");
+    let mut replies = instance.exchange(PING, 1);
+    replies += &instance.exchange(&(request("slow", 1400) + &request("sing", 2900)), 2);
+    replies += &instance.exchange(&request("order", 2900), 1);
+    replies += &instance.exchange(&request("fail", 2900), 1);
+    replies += &instance.exchange("PING\r\n", 2);
     expect![[r#"
-        Some(1): quillramp: FILE: invalid type: integer `3`, expected a string at line 1 column 10
         +PONG
         a slow
         -ERR unknown operation
@@ -88,39 +113,88 @@
         -ERR failed
         -ERR protocol: expected an array of bulk strings
 
+    "#]]
+    .assert_eq(&replies);
+    assert_eq!(logged_client_count(&instance.shut_down()), 6);
+}
+
+#[test]
+fn partial_commands_are_buffered_as_far_as_the_memory_allows() {
+    let instance = SingleInstance::start("partial");
+    let partial_command = format!("*5\r\n$9\r\nCALL.POST\r\n$60000\r\n{}", "x".repeat(50_000));
+    let connect = |_| TcpStream::connect(instance.address).expect("the gateway accepts");
+    let mut clients: Vec<_> = (0..2).map(connect).collect();
+    for client in &mut clients {
+        client.write_all(partial_command.as_bytes()).expect("the gateway reads");
+    }
+    sleep(Duration::from_millis(100));
+    expect![[r#"
         -ERR protocol: too much unfinished
-        20001 answers
+    "#]]
+    .assert_eq(&instance.exchange(&partial_command, 1));
+    drop(clients);
+    assert_eq!(logged_client_count(&instance.shut_down()), 4);
+}
+
+#[test]
+fn a_client_that_pipelines_thousands_of_commands_gets_every_answer() {
+    let instance = SingleInstance::start("pipelined");
+    let replies = instance.exchange(&(request("slow", 1400) + &PING.repeat(20_000)), 20_001);
+    assert_eq!(replies.lines().count(), 20_001);
+    assert_eq!(logged_client_count(&instance.shut_down()), 2);
+}
+
+/// A configuration that can't be read leaves the old one in force; one with other addresses moves the list and counter
+/// connections.
+#[test]
+fn requests_are_answered_across_reloads_and_while_the_instance_drains() {
+    let instance = SingleInstance::start("reload");
+    let moved = instance.configuration.replace(&instance.counter.to_string(), "127.0.0.1:1");
+    let mut replies = String::new();
+    for configuration in ["{", &moved] {
+        instance.reload(configuration);
+        replies += &instance.exchange(&request("look", 1000), 1);
+    }
+    instance.process.signal(Signal::SIGTERM);
+    sleep(Duration::from_millis(150));
+    replies += &instance.exchange(&request("look", 1000), 1);
+    expect![[r#"
         a look
         a look
         a look
-        Some(0)
-        [Some("rejected,"), Some("read")]
-        13 clients ended with a reason
     "#]]
-    .assert_eq(&text);
+    .assert_eq(&replies);
+
+    let log = instance.exit_log();
+    let reload_results = log.lines().filter(|line| line.contains("configuration"));
+    let reload_results: Vec<_> = reload_results.map(|line| line.split(' ').nth(3)).collect();
+    assert_eq!(reload_results, [Some("rejected,"), Some("read")]);
+    assert_eq!(logged_client_count(&log), 4);
 }
 
-const ALL_INSTANCES: example_servers::InstanceRange = example_servers::InstanceRange { first: 0, count: 4 };
-const NEW_INSTANCES: example_servers::InstanceRange = example_servers::InstanceRange { first: 2, count: 2 };
+const INSTANCES: usize = 4;
+/// The instances that know the plan with only a cap on requests in flight, and load reports.
+const NEW_INSTANCES: InstanceRange = InstanceRange { first: 2, count: 2 };
+const ALL_INSTANCES: InstanceRange = InstanceRange { first: 0, count: INSTANCES };
 
-/// During the move old- and new-shape front doors stand before the same backends: the old one knows neither the plan with
-/// a cap alone nor load reports.
-#[test]
-fn doors_of_the_old_shape_and_the_new_serve_side_by_side() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let held: example_servers::InFlightByPlan = Default::default();
-    let (mut backends, (counter, counter_at), (list, list_at)) = (vec![], free_listener(), free_listener());
-    for name in ["a", "b"] {
-        let (backend, at) = free_listener();
-        example_servers::start_backend_with_statistics(backend, name, held.clone());
-        backends.push((name, at));
-    }
-    example_servers::start_counter(counter);
-    serve_endpoints(list, &backends);
-    let example = example_configuration(list_at, counter_at)
-        .replace("\"aim_us\": 400000", "\"aim_us\": 2000000") // no delivery is doubted meanwhile
-        .replace("\"balancers\": 1", "\"balancers\": 4");
-    let fresh = example
+/// Two instances with settings of the old form and two with settings of the new form, with the same two backends. The old ones
+/// know neither the plan `capped` nor load reports.
+struct MixedFleet {
+    processes: Vec<GatewayProcess>,
+    addresses: Vec<SocketAddr>,
+    in_flight: InFlightByPlan,
+}
+
+/// The settings of the old form.
+fn old_configuration(list_service: SocketAddr, counter: SocketAddr) -> String {
+    example_configuration(list_service, counter)
+        .replace("\"aim_us\": 400000", "\"aim_us\": 2000000") // no attempt is hedged
+        .replace("\"balancers\": 1", "\"balancers\": 4")
+}
+
+/// The settings of the new form: load reports, and a plan with only a cap on requests in flight.
+fn new_configuration(old_configuration: &str) -> String {
+    old_configuration
         .replace(
             "\"rules\":",
             "\"feedback\": {\"source\": \"piggyback\", \"fields\": [\"load_share\"]},\n\"rules\":",
@@ -129,61 +203,120 @@
             "\"tariffs\": [",
             r#""tariffs": [{"name": "capped", "per_second": 0, "depth": 0, "parallel": 2,
                  "ceiling_rate": 0, "ceiling_slack": 0, "hard_burst": 0}, "#,
-        );
-    let (mut doors, mut at) = (vec![], vec![]);
-    for (slot, configuration) in [&example, &example, &fresh, &fresh].into_iter().enumerate() {
-        let (_, listen) = free_listener();
-        let file = folder.join(format!("mixed-{slot}.json"));
-        let configuration = configuration.replace("127.0.0.1:7400", &listen.to_string());
-        std::fs::write(&file, configuration.replace("\"slot_no\": 0", &format!("\"slot_no\": {slot}")))
-            .expect("a file");
-        doors.push(GatewayProcess(start_gateway(&file)));
-        at.push(listen);
+        )
+}
+
+impl MixedFleet {
+    fn start(name: &str) -> MixedFleet {
+        let in_flight = InFlightByPlan::default();
+        let backends = ["a", "b"].map(|name| {
+            let (listener, address) = free_listener();
+            example_servers::start_backend_with_statistics(listener, name, in_flight.clone());
+            ListedBackend { name, address }
+        });
+        let (counter, counter_address) = free_listener();
+        let (list_service, list_service_address) = free_listener();
+        example_servers::start_counter(counter);
+        serve_endpoints(list_service, &backends);
+        let old = old_configuration(list_service_address, counter_address);
+        let new = new_configuration(&old);
+        let mut fleet = MixedFleet { processes: vec![], addresses: vec![], in_flight };
+        for slot in 0..INSTANCES {
+            let configuration = if slot < NEW_INSTANCES.first { &old } else { &new };
+            fleet.start_instance(name, slot, configuration);
+        }
+        wait_until_ready(&fleet.addresses);
+        fleet
+    }
+
+    fn start_instance(&mut self, name: &str, slot: usize, configuration: &str) {
+        let address = unique_address(7400);
+        let configuration = configuration
+            .replace("127.0.0.1:7400", &address.to_string())
+            .replace("\"slot_no\": 0", &format!("\"slot_no\": {slot}"));
+        let file = temporary_file(&format!("mixed-{name}-{slot}.json"));
+        std::fs::write(&file, configuration).expect("a file");
+        self.processes.push(start_gateway(&file));
+        self.addresses.push(address);
     }
-    wait_until_ready(&at);
-
-    // One customer's 12 units are asked for at all doors in turn, 6 at each; a count may lag by an eighth, and a late
-    // answer leaves a door to its slice.
-    let (from, mut served) = (Instant::now(), [0; 4]);
-    for slot in (0..24).map(|i| i % 4) {
-        let said =
-            exchange(at[slot], &example_servers::request_of_plan("small", ALL_INSTANCES, "look", 1000), 1);
-        served[slot] += usize::from(!said.starts_with('-'));
+
+    /// Sends one request to an instance and reads the reply.
+    fn call(&self, slot: usize, request: &str) -> String {
+        exchange(self.addresses[slot], request, 1)
     }
-    let regained = 2.0 * from.elapsed().as_secs_f64();
-    let (old, new, all) = (served[0] + served[1], served[2] + served[3], served.iter().sum::<usize>());
-    assert!(old >= 4 && new >= 4 && all as f64 <= 16.0 + regained, "{served:?}, {regained:.1} regained");
-
-    // A cap of 2 over both new doors, while the old ones serve on: refused at once, every one answered once.
-    let calls = |slot: usize, plan: &'static str, of: example_servers::InstanceRange| {
-        let at = at[slot];
-        std::thread::spawn(move || exchange(at, &example_servers::request_of_plan(plan, of, "slow", 1400), 1))
-    };
-    let capped: Vec<_> = (0..8).map(|i| calls(2 + i % 2, "capped", NEW_INSTANCES)).collect();
-    sleep(Duration::from_millis(20));
-    let before = calls(0, "small", ALL_INSTANCES);
-    let capped: Vec<String> = capped.into_iter().map(|c| c.join().expect("an answer")).collect();
-    let refused = capped.iter().filter(|said| said.starts_with("-BUSY")).count();
-    let most = held.lock().expect("nobody panics").get("capped").map_or(0, |requests| requests.peak);
-    assert!((1..=2).contains(&most) && refused == 8 - most, "{most} at once, {refused} refused: {capped:?}");
-    assert!(!before.join().expect("an answer").is_empty());
-    let again = exchange(at[3], &example_servers::request_of_plan("capped", NEW_INSTANCES, "look", 1400), 1);
-    assert!(!again.starts_with('-'), "a place came back: {again}");
-    let old = exchange(at[0], &example_servers::request_of_plan("capped", NEW_INSTANCES, "look", 1000), 1);
-    assert_eq!(old.trim(), "-ERR unknown plan");
-    for GatewayProcess(door) in &mut doors {
-        kill(Pid::from_raw(i32::try_from(door.id()).expect("a process id")), Signal::SIGTERM)
-            .expect("it runs");
-        assert_eq!(door.wait().expect("it ends").code(), Some(0));
+
+    /// Sends one request to an instance on a thread of its own.
+    fn spawn_call(&self, slot: usize, request: String) -> JoinHandle<String> {
+        let address = self.addresses[slot];
+        std::thread::spawn(move || exchange(address, &request, 1))
+    }
+
+    /// The most requests of a plan that the backends have held at once.
+    fn peak_in_flight(&self, plan: &str) -> usize {
+        let in_flight = self.in_flight.lock().expect("no thread panics while it holds the lock");
+        in_flight.get(plan).map_or(0, |requests| requests.peak)
     }
 
-    // A setting that can't hold is said plainly.
-    let bad = folder.join("low.json");
-    std::fs::write(&bad, example.replace("\"ceiling_rate\": 0", "\"ceiling_rate\": 1")).expect("a file");
-    let said = start_gateway(&bad).wait_with_output().expect("it ends");
-    let text = String::from_utf8_lossy(&said.stderr).into_owned();
+    fn shut_down(mut self) {
+        for process in &mut self.processes {
+            process.signal(Signal::SIGTERM);
+            assert_eq!(process.exit_code(), Some(0));
+        }
+    }
+}
+
+/// A customer's burst of 12 units is requested from all instances in turn, 6 units from each. A total may lag by an eighth, and
+/// after a late answer of the counter an instance has its even share.
+#[test]
+fn instances_with_old_and_new_settings_share_a_customers_quota() {
+    let fleet = MixedFleet::start("quota");
+    let start = Instant::now();
+    let mut served = [0; INSTANCES];
+    for slot in (0..24).map(|i| i % INSTANCES) {
+        let reply = fleet.call(slot, &request_of_plan("small", ALL_INSTANCES, "look", 1000));
+        served[slot] += usize::from(!reply.starts_with('-'));
+    }
+    let regained = 2.0 * start.elapsed().as_secs_f64();
+    let (old, new) = (served[0] + served[1], served[2] + served[3]);
+    let all = (old + new) as f64;
+    assert!(old >= 4 && new >= 4 && all <= 16.0 + regained, "{served:?}, {regained:.1} regained");
+    fleet.shut_down();
+}
+
+/// The plan's cap is 2 over both new instances. Requests beyond it are rejected at once, and each request has one answer, while
+/// the old instances go on serving.
+#[test]
+fn a_cap_on_requests_in_flight_holds_across_the_instances_that_know_its_plan() {
+    let fleet = MixedFleet::start("capped");
+    let capped_request =
+        |operation, timeout_ms| request_of_plan("capped", NEW_INSTANCES, operation, timeout_ms);
+    let capped_calls: Vec<_> =
+        (0..8).map(|i| fleet.spawn_call(2 + i % 2, capped_request("slow", 1400))).collect();
+    sleep(Duration::from_millis(20));
+    let call_at_old_instance = fleet.spawn_call(0, request_of_plan("small", ALL_INSTANCES, "slow", 1400));
+    let replies: Vec<String> = capped_calls.into_iter().map(|call| call.join().expect("an answer")).collect();
+    let rejected = replies.iter().filter(|reply| reply.starts_with("-BUSY")).count();
+    let peak = fleet.peak_in_flight("capped");
+    assert!(
+        (1..=2).contains(&peak) && rejected == 8 - peak,
+        "{peak} in flight at once, {rejected} rejected: {replies:?}"
+    );
+    assert!(!call_at_old_instance.join().expect("an answer").is_empty());
+    let later = fleet.call(3, &capped_request("look", 1400));
+    assert!(!later.starts_with('-'), "a permit is free again: {later}");
+    let unknown = fleet.call(0, &capped_request("look", 1000));
+    assert_eq!(unknown.trim(), "-ERR unknown plan");
+    fleet.shut_down();
+}
+
+#[test]
+fn a_ceiling_below_its_quota_is_reported_at_startup() {
+    let unused = unique_address(7401);
+    let configuration = old_configuration(unused, unused);
+    let configuration = configuration.replace("\"ceiling_rate\": 0", "\"ceiling_rate\": 1");
+    let (exit_code, output) = startup_failure(&temporary_file("low.json"), &configuration);
     assert_eq!(
-        (said.status.code(), text.trim()),
+        (exit_code, output.trim()),
         (Some(1), "quillramp: settings: tariff 'small': its ceiling lies under its quota")
     );
 }
