--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -1,8 +1,7 @@
-//! Admission on loopback: descriptors opened up to the limit by the real program's clients, from several addresses.
+//! Admission on loopback: clients of several addresses open connections until no descriptor is left.
 use nix::sys::resource::{setrlimit, Resource};
-use nix::sys::signal::{kill, Signal};
-use nix::unistd::Pid;
-use std::io::{BufReader, Read, Write};
+use nix::sys::signal::Signal;
+use std::io::{Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -10,176 +9,232 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-mod help;
-use help::{
-    example_configuration, example_servers, free_listener, serve_endpoints, wait_until_ready, GatewayProcess,
+mod common;
+use common::example_servers::{self, request};
+use common::{
+    example_configuration, free_listener, gateway_command, serve_endpoints, unique_address, wait_until_ready,
+    GatewayProcess, ListedBackend, PING,
 };
 
-const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
+/// The address that `LIMITS` lists as known.
+const KNOWN_CLIENT: [u8; 4] = [127, 0, 0, 9];
+const LIMITS: &str = "[admission]\nconnections = 90\nreserve = 30\nper_address = 80\nstrangers = 70\n\
+                      new_per_second = 1000.0\nburst = 1000\nfirst_word = 30.0\nknown = [\"127.0.0.9\"]\n";
+/// Connections of clients that are not known, under `LIMITS`.
+const MAX_UNKNOWN_CONNECTIONS: usize = 70;
 
-/// A client of that address.
-fn connect_from(address: [u8; 4], to: SocketAddr) -> std::io::Result<TcpStream> {
+/// Connects as a client with this address.
+fn connect_from(client: [u8; 4], gateway: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
-    socket.bind(&SocketAddr::new(IpAddr::V4(Ipv4Addr::from(address)), 0).into())?;
-    socket.connect_timeout(&to.into(), Duration::from_secs(2))?;
+    socket.bind(&SocketAddr::new(IpAddr::V4(Ipv4Addr::from(client)), 0).into())?;
+    socket.connect_timeout(&gateway.into(), Duration::from_secs(2))?;
     let stream = TcpStream::from(socket);
     stream.set_read_timeout(Some(Duration::from_secs(3)))?;
     Ok(stream)
 }
 
-/// The next line that it hears; none if it is ended without one.
+/// The next reply; `None` if the connection ends without one.
 fn read_reply(stream: &TcpStream) -> Option<String> {
-    let line = example_servers::read_reply(&mut BufReader::new(stream.try_clone().expect("a second handle")))
-        .ok()?;
-    (!line.is_empty()).then_some(line)
+    let reply = example_servers::read_reply(&mut std::io::BufReader::new(stream)).ok()?;
+    (!reply.is_empty()).then_some(reply)
 }
 
-/// The example servers with one front door that may have so many descriptors, by its configuration and by the machine, and what its
-/// operator wrote.
-fn start_gateway_with(
-    name: &str,
-    (sockets, machine): (usize, u64),
-    operator: Option<&str>,
-) -> (GatewayProcess, SocketAddr, PathBuf) {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let ((backend, backend_at), (counter, counter_at), (list, list_at)) =
-        (free_listener(), free_listener(), free_listener());
-    let (_, listen) = free_listener();
-    example_servers::start_backend(backend, "a");
-    example_servers::start_counter(counter);
-    serve_endpoints(list, &[("a", backend_at)]);
-    let configuration = example_configuration(list_at, counter_at)
-        .replace("127.0.0.1:7400", &listen.to_string())
-        .replace("\"sockets\": 1024", &format!("\"sockets\": {sockets}"));
-    let (file, by_operator) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.toml")));
-    std::fs::write(&file, configuration).expect("a file");
-    let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
-    program.env("EDGE_CONFIG", file).stderr(Stdio::null());
-    if let Some(text) = operator {
-        std::fs::write(&by_operator, text).expect("a file");
-        program.env("EDGE_OPERATOR", &by_operator);
-    }
-    // Only a limit is set between fork and exec.
+/// How many descriptors an instance may have.
+struct DescriptorLimits {
+    /// By its configuration.
+    configured: usize,
+    /// By the resource limit of its process.
+    process: u64,
+}
+
+/// One instance with a backend, a counter and a list service.
+struct LimitedGateway {
+    process: GatewayProcess,
+    address: SocketAddr,
+    operator_file: PathBuf,
+}
+
+fn limit_descriptors(command: &mut Command, limit: u64) {
+    let set_limit = move || setrlimit(Resource::RLIMIT_NOFILE, limit, limit).map_err(std::io::Error::from);
+    // SAFETY: between fork and exec only a resource limit is set.
     unsafe {
-        program.pre_exec(move || {
-            setrlimit(Resource::RLIMIT_NOFILE, machine, machine).map_err(std::io::Error::from)
-        });
+        command.pre_exec(set_limit);
     }
-    let door = GatewayProcess(program.spawn().expect("the program starts"));
-    wait_until_ready(&[listen]);
-    (door, listen, by_operator)
 }
 
-const LIMITS: &str = "[admission]\nconnections = 90\nreserve = 30\nper_address = 80\nstrangers = 70\n\
-                      new_per_second = 1000.0\nburst = 1000\nfirst_word = 30.0\nknown = [\"127.0.0.9\"]\n";
+impl LimitedGateway {
+    fn start(name: &str, limits: DescriptorLimits, operator_settings: Option<&str>) -> LimitedGateway {
+        let (backend, backend_address) = free_listener();
+        let (counter, counter_address) = free_listener();
+        let (list_service, list_service_address) = free_listener();
+        example_servers::start_backend(backend, "a");
+        example_servers::start_counter(counter);
+        serve_endpoints(list_service, &[ListedBackend { name: "a", address: backend_address }]);
+        let address = unique_address(7400);
+        let configuration = example_configuration(list_service_address, counter_address)
+            .replace("127.0.0.1:7400", &address.to_string())
+            .replace("\"sockets\": 1024", &format!("\"sockets\": {}", limits.configured));
+        let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
+        let configuration_file = directory.join(format!("{name}.json"));
+        let operator_file = directory.join(format!("{name}.toml"));
+        std::fs::write(&configuration_file, configuration).expect("a file");
+        let mut command = gateway_command(&configuration_file);
+        if let Some(settings) = operator_settings {
+            std::fs::write(&operator_file, settings).expect("a file");
+            command.env("EDGE_OPERATOR", &operator_file);
+        }
+        limit_descriptors(&mut command, limits.process);
+        let process = GatewayProcess::spawn(command.stderr(Stdio::null()));
+        wait_until_ready(&[address]);
+        LimitedGateway { process, address, operator_file }
+    }
 
-#[test]
-fn at_the_limit_known_clients_are_served_and_nothing_accepted_goes_unanswered() {
-    let (door, at, file) = start_gateway_with("admission", (160, 160), Some(LIMITS));
-    // Taken before the flood, answered in it.
-    let mut early = connect_from([127, 0, 0, 3], at).expect("room");
-    early.write_all(example_servers::request("slow", 1400).as_bytes()).expect("it reads");
-    sleep(Duration::from_millis(50));
+    fn connect_from(&self, client: [u8; 4]) -> std::io::Result<TcpStream> {
+        connect_from(client, self.address)
+    }
 
-    let flood: Vec<TcpStream> =
-        (0..400).filter_map(|i| connect_from([127, 0, 0, 10 + (i % 5) as u8], at).ok()).collect();
-    assert!(flood.len() > 300, "{} got in at the machine", flood.len());
-    let before = Instant::now();
-    let mut served = 0;
-    for _ in 0..25 {
-        let mut known = connect_from([127, 0, 0, 9], at).expect("the reserve");
-        known.write_all(PING).expect("it reads");
-        served += usize::from(read_reply(&known).as_deref() == Some("+PONG"));
-        known.write_all(example_servers::request("look", 1000).as_bytes()).expect("it reads");
-        served +=
-            usize::from(read_reply(&known).is_some_and(|said| said == "a look" || said.starts_with("-BUSY")));
+    fn reload_operator_file(&self, settings: &str) {
+        std::fs::write(&self.operator_file, settings).expect("a file");
+        self.process.signal(Signal::SIGHUP);
+        sleep(Duration::from_millis(150));
+    }
+
+    /// Processor time that it has used, in hundredths of a second.
+    fn processor_ticks(&self) -> u64 {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).expect("it runs");
+        let after_name = stat.rsplit(')').next().expect("a process name");
+        let fields: Vec<&str> = after_name.split_whitespace().collect();
+        let (user, system) = (fields[11], fields[12]);
+        [user, system].iter().map(|ticks| ticks.parse::<u64>().expect("a number")).sum()
     }
-    assert_eq!(served, 50, "a known client is served in the flood");
-    assert!(before.elapsed() < Duration::from_secs(5), "{:?}", before.elapsed());
-    assert_eq!(read_reply(&early).as_deref(), Some("a slow"), "what was taken before is answered");
-
-    // Everyone else hears why not, or is held and served; who said nothing may have been ended for a known one.
-    let (mut rejected, mut ended, mut held) = (0, 0, 0);
-    for stream in &flood {
-        let mut to = stream;
-        let _ = to.write_all(PING); // it may have been ended before that
+}
+
+/// How connections of clients that are not known ended.
+#[derive(Debug, Default)]
+struct FloodOutcome {
+    /// With an error that says why.
+    rejected: usize,
+    /// Without a reply; an idle connection may be closed in favour of a known client.
+    closed: usize,
+    /// They were admitted and served.
+    served: usize,
+}
+
+fn ping_all(clients: &[TcpStream]) -> FloodOutcome {
+    let mut outcome = FloodOutcome::default();
+    for stream in clients {
+        let mut writer = stream;
+        let _ = writer.write_all(PING); // the connection may be closed already
         match read_reply(stream) {
-            Some(said) if said.starts_with("-ERR ") => rejected += 1,
-            Some(said) if said == "+PONG" => held += 1,
-            Some(said) => panic!("{said}"),
-            None => ended += 1,
+            Some(reply) if reply.starts_with("-ERR ") => outcome.rejected += 1,
+            Some(reply) if reply == "+PONG" => outcome.served += 1,
+            Some(reply) => panic!("{reply}"),
+            None => outcome.closed += 1,
         }
     }
+    outcome
+}
+
+/// Connects as a known client and sends two requests; returns how many of them were served.
+fn requests_served_to_known_client(gateway: &LimitedGateway) -> usize {
+    let mut client = gateway.connect_from(KNOWN_CLIENT).expect("the reserve");
+    client.write_all(PING).expect("the gateway reads");
+    let ping_served = read_reply(&client).as_deref() == Some("+PONG");
+    client.write_all(request("look", 1000).as_bytes()).expect("the gateway reads");
+    let look_served =
+        read_reply(&client).is_some_and(|reply| reply == "a look" || reply.starts_with("-BUSY"));
+    usize::from(ping_served) + usize::from(look_served)
+}
+
+#[test]
+fn at_the_connection_limit_known_clients_are_served_and_admitted_requests_answered() {
+    let limits = DescriptorLimits { configured: 160, process: 160 };
+    let gateway = LimitedGateway::start("admission", limits, Some(LIMITS));
+    // Its request is taken in before the flood and answered during the flood.
+    let mut early = gateway.connect_from([127, 0, 0, 3]).expect("a free connection");
+    early.write_all(request("slow", 1400).as_bytes()).expect("the gateway reads");
+    sleep(Duration::from_millis(50));
+
+    let flood: Vec<TcpStream> =
+        (0..400).filter_map(|i| gateway.connect_from([127, 0, 0, 10 + (i % 5) as u8]).ok()).collect();
+    assert!(flood.len() > 300, "{} were connected by the operating system", flood.len());
+    let start = Instant::now();
+    let served: usize = (0..25).map(|_| requests_served_to_known_client(&gateway)).sum();
+    assert_eq!(served, 50, "a known client is served during the flood");
+    assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
+    assert_eq!(read_reply(&early).as_deref(), Some("a slow"), "a request from before the flood is answered");
+
+    let outcome = ping_all(&flood);
+    let FloodOutcome { rejected, closed, served } = outcome;
     assert!(
-        rejected + ended + held == flood.len() && held + ended <= 70,
-        "{rejected} rejected, {ended} ended, {held} held"
+        rejected + closed + served == flood.len() && served + closed <= MAX_UNKNOWN_CONNECTIONS,
+        "{outcome:?}"
     );
-    assert!(held >= 20, "{held} held");
+    assert!(served >= 20, "{outcome:?}");
+    gateway.process.signal(Signal::SIGTERM);
+}
 
-    // Lowered below what is open, then raised: read again, in force at once; a wrong file changes nothing.
-    let pid = Pid::from_raw(i32::try_from(door.0.id()).expect("a process id"));
-    drop(flood);
-    let keeps: Vec<TcpStream> = (0..40).map(|_| connect_from([127, 0, 0, 9], at).expect("room")).collect();
+/// The limit is lowered below the number of open connections and raised again. An invalid file changes nothing.
+#[test]
+fn a_reloaded_connection_limit_is_in_force_at_once() {
+    let limits = DescriptorLimits { configured: 160, process: 160 };
+    let gateway = LimitedGateway::start("admission-reload", limits, Some(LIMITS));
+    let connect = |_| gateway.connect_from(KNOWN_CLIENT).expect("a free connection");
+    let open: Vec<TcpStream> = (0..40).map(connect).collect();
     sleep(Duration::from_millis(100));
-    for (text, may) in [
+    for (settings, is_served) in [
         ("[admission]\nconnections = 10\n", false),
         ("[admission]\nconnections = 0\n", false),
         ("[admission]\nconnections = 90\n", true),
     ] {
-        std::fs::write(&file, text).expect("a file");
-        kill(pid, Signal::SIGHUP).expect("it runs");
-        sleep(Duration::from_millis(150));
-        let mut new = connect_from([127, 0, 0, 30], at).expect("at the machine");
-        let _ = new.write_all(PING); // it may be turned away before that
-        assert_eq!(read_reply(&new).as_deref() == Some("+PONG"), may, "{text}");
+        gateway.reload_operator_file(settings);
+        let mut client = gateway.connect_from([127, 0, 0, 30]).expect("the operating system connects it");
+        let _ = client.write_all(PING); // it may have been rejected before that
+        assert_eq!(read_reply(&client).as_deref() == Some("+PONG"), is_served, "{settings}");
     }
-    drop(keeps);
-    kill(pid, Signal::SIGTERM).expect("it runs");
+    drop(open);
+    gateway.process.signal(Signal::SIGTERM);
 }
 
-/// Fewer descriptors than the configuration says: the machine's word counts, without a spin, and the front door goes on once
-/// there are some again.
+/// The process may have fewer descriptors than the configuration says.
 #[test]
-fn out_of_descriptors_it_waits_without_a_spin_and_goes_on() {
-    let (door, at, _) = start_gateway_with("descriptors", (400, 60), None);
-    let mut early = connect_from([127, 0, 0, 3], at).expect("room");
-    early.write_all(example_servers::request("look", 1000).as_bytes()).expect("it reads");
+fn without_free_descriptors_it_waits_without_using_the_processor_and_serves_once_some_are_free() {
+    let limits = DescriptorLimits { configured: 400, process: 60 };
+    let gateway = LimitedGateway::start("descriptors", limits, None);
+    let mut early = gateway.connect_from([127, 0, 0, 3]).expect("a free connection");
+    early.write_all(request("look", 1000).as_bytes()).expect("the gateway reads");
     assert_eq!(read_reply(&early).as_deref(), Some("a look"));
-    let flood: Vec<TcpStream> = (0..120).filter_map(|_| connect_from([127, 0, 0, 4], at).ok()).collect();
+    let flood: Vec<TcpStream> = (0..120).filter_map(|_| gateway.connect_from([127, 0, 0, 4]).ok()).collect();
     sleep(Duration::from_millis(200));
-    let used = || {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", door.0.id())).expect("it runs");
-        let fields: Vec<&str> = stat.rsplit(')').next().expect("its name").split_whitespace().collect();
-        fields[11..13].iter().map(|f| f.parse::<u64>().expect("ticks")).sum::<u64>()
-    };
-    let before = used();
+    let ticks_before = gateway.processor_ticks();
     sleep(Duration::from_secs(1));
-    let ticks = used() - before;
+    let ticks = gateway.processor_ticks() - ticks_before;
     assert!(ticks < 30, "{ticks} hundredths of a second of processor time in one second of waiting");
+
     drop(flood);
     sleep(Duration::from_millis(300));
-    let mut late = connect_from([127, 0, 0, 3], at).expect("room again");
-    late.write_all(PING).expect("it reads");
+    let mut late = gateway.connect_from([127, 0, 0, 3]).expect("a free connection");
+    late.write_all(PING).expect("the gateway reads");
     assert_eq!(read_reply(&late).as_deref(), Some("+PONG"));
     let mut rest = String::new();
-    late.set_read_timeout(Some(Duration::from_millis(50))).expect("a time-out");
+    late.set_read_timeout(Some(Duration::from_millis(50))).expect("an open socket");
     let _ = late.read_to_string(&mut rest); // it times out
-    assert_eq!(rest, "", "nothing after it");
+    assert_eq!(rest, "", "nothing follows the reply");
 }
 
 #[test]
-fn a_wrong_file_is_named_with_all_that_is_wrong() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let ((_, list_at), (_, counter_at)) = (free_listener(), free_listener());
-    let (file, by_operator) = (folder.join("wrong.json"), folder.join("wrong.toml"));
-    std::fs::write(&file, example_configuration(list_at, counter_at)).expect("a file");
-    std::fs::write(&by_operator, "[admission]\nconnections = 5000\nstrangers = 0\n").expect("a file");
-    let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
-    program.env("EDGE_CONFIG", file).env("EDGE_OPERATOR", &by_operator).stderr(Stdio::piped());
-    let said = program.spawn().expect("the program starts").wait_with_output().expect("it ends");
-    let text = String::from_utf8_lossy(&said.stderr).replace(&*by_operator.to_string_lossy(), "FILE");
+fn an_invalid_operator_file_is_reported_at_startup_with_every_error() {
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
+    let (configuration_file, operator_file) = (directory.join("wrong.json"), directory.join("wrong.toml"));
+    let configuration = example_configuration(unique_address(7401), unique_address(7402));
+    std::fs::write(&configuration_file, configuration).expect("a file");
+    std::fs::write(&operator_file, "[admission]\nconnections = 5000\nstrangers = 0\n").expect("a file");
+    let mut command = gateway_command(&configuration_file);
+    command.env("EDGE_OPERATOR", &operator_file).stderr(Stdio::piped());
+    let mut process = GatewayProcess::spawn(&mut command);
+    let output = process.read_log().replace(&*operator_file.to_string_lossy(), "FILE");
     assert_eq!(
-        (said.status.code(), text.trim()),
+        (process.exit_code(), output.trim()),
         (
             Some(1),
             "quillramp: FILE: line 2: admission.connections: expected 1 to 960, as 1024 descriptors are allowed and 64 \
