--- a/gateway/tests/handover.rs
+++ b/gateway/tests/handover.rs
@@ -1,190 +1,222 @@
-//! The real program and its next version on loopback: one listening socket, one folder for what both must know.
-use nix::sys::signal::{kill, Signal};
-use nix::unistd::Pid;
+//! A gateway process and its next version on loopback: both listen on one inherited socket and share a file.
+use nix::sys::signal::Signal;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::os::fd::AsRawFd;
+use std::os::fd::{AsFd, AsRawFd};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::thread::sleep;
 use std::time::Duration;
 
-mod help;
-use help::{connect_when_listening, free_listener, own_address, GatewayProcess};
+mod common;
+use common::{
+    connect_when_listening, empty_directory, free_listener, gateway_command, process_state, unique_address,
+    wait_until, GatewayProcess, PING,
+};
 
-fn folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
-}
+/// The file that the processes of one gateway instance share, in their temporary directory.
+const SHARED_FILE: &str = "quillramp-n0.json";
 
-fn program(folder: &Path, mgmt: &str) -> Command {
+/// The command that starts a process with this admin address. It knows the backend `s-a`; the configuration and the shared file
+/// are in this directory.
+fn command(directory: &Path, admin_address: &str) -> Command {
     let configuration =
         include_str!("../../examples/configuration.json").replace("127.0.0.1:7403", "127.0.0.1:0").replace(
             r#""endpoints": []"#,
             r#""endpoints": [{"name": "s-a", "address": "127.0.0.1:9", "zone": "z", "group": 0,
             "status": "SERVING", "weight": 1.0, "since_ms": 0}]"#,
         );
-    let file = folder.join("told.json");
+    let file = configuration_file(directory);
     std::fs::write(&file, configuration).expect("a file");
-    let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
-    program.env("EDGE_CONFIG", file).env("TMPDIR", folder).env("EDGE_MGMT", mgmt).stderr(Stdio::piped());
-    program
+    let mut command = gateway_command(&file);
+    command.env("TMPDIR", directory).env("EDGE_MGMT", admin_address).stderr(Stdio::piped());
+    command
+}
+
+fn configuration_file(directory: &Path) -> PathBuf {
+    directory.join("told.json")
+}
+
+/// Lets the processes that are started here inherit this descriptor.
+fn make_inheritable(descriptor: impl AsFd) {
+    let no_flags = nix::fcntl::FcntlArg::F_SETFD(nix::fcntl::FdFlag::empty());
+    nix::fcntl::fcntl(descriptor, no_flags).expect("an open descriptor");
+}
+
+/// Processes that listen on one socket.
+struct Upgrade {
+    directory: PathBuf,
+    listener: TcpListener,
+    address: SocketAddr,
 }
 
-/// A listening socket that the processes started here inherit.
-fn inherited_listener() -> (TcpListener, SocketAddr) {
-    let (listener, listen) = free_listener();
-    nix::fcntl::fcntl(&listener, nix::fcntl::FcntlArg::F_SETFD(nix::fcntl::FdFlag::empty()))
-        .expect("inherited");
-    (listener, listen)
+impl Upgrade {
+    fn new(name: &str) -> Upgrade {
+        let (listener, address) = free_listener();
+        make_inheritable(&listener);
+        Upgrade { directory: empty_directory(name), listener, address }
+    }
+
+    /// Starts a process that accepts connections on the shared socket, and waits until it serves.
+    fn start_process(&self) -> UpgradeProcess {
+        let admin_address = unique_address(7404);
+        let mut command = command(&self.directory, &admin_address.to_string());
+        command.env("EDGE_PASSED_SOCKET", self.listener.as_raw_fd().to_string());
+        let process = UpgradeProcess { process: GatewayProcess::spawn(&mut command), admin_address };
+        assert_eq!(process.admin_call("GET /healthcheck"), "200 serving");
+        process
+    }
+
+    fn connect(&self) -> TcpStream {
+        TcpStream::connect(self.address).expect("the shared socket listens")
+    }
 }
 
-/// A process of the front door that accepts on it.
-fn start_on(listener: &TcpListener, folder: &Path, mgmt: SocketAddr) -> GatewayProcess {
-    let mut program = program(folder, &mgmt.to_string());
-    let fd = listener.as_raw_fd().to_string();
-    GatewayProcess(program.env("EDGE_PASSED_SOCKET", fd).spawn().expect("the program starts"))
+/// A process that listens on the shared socket.
+struct UpgradeProcess {
+    process: GatewayProcess,
+    admin_address: SocketAddr,
 }
 
-fn terminate(process: &GatewayProcess) {
-    kill(Pid::from_raw(process.0.id() as i32), Signal::SIGTERM).expect("it runs");
+impl UpgradeProcess {
+    fn admin_call(&self, request_line: &str) -> String {
+        admin_call(self.admin_address, request_line)
+    }
+
+    /// The log of a process that exits with code 0.
+    fn exit_log(&mut self) -> String {
+        assert_eq!(self.process.exit_code(), Some(0));
+        self.process.read_log()
+    }
 }
 
-/// What an operator's call gets: the status and the body.
-fn admin_call(at: SocketAddr, call: &str) -> String {
-    let mut to = connect_when_listening(at);
-    write!(to, "{call} HTTP/1.1\r\nHost: x\r\n\r\n").expect("it reads");
-    let mut said = String::new();
-    to.read_to_string(&mut said).expect("it ends");
-    let status = said.split(' ').nth(1).unwrap_or("none").to_owned();
-    status + " " + said.split("\r\n\r\n").nth(1).unwrap_or("").trim()
+/// The status and the body of the response to an admin call.
+fn admin_call(address: SocketAddr, request_line: &str) -> String {
+    let mut stream = connect_when_listening(address);
+    write!(stream, "{request_line} HTTP/1.1\r\nHost: x\r\n\r\n").expect("the gateway reads");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("the response ends");
+    let status = response.split(' ').nth(1).unwrap_or("none").to_owned();
+    status + " " + response.split("\r\n\r\n").nth(1).unwrap_or("").trim()
 }
 
-fn ping(to: &mut TcpStream) -> String {
-    to.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it reads");
-    let mut said = [0; 64];
-    let n = to.read(&mut said).expect("it answers");
-    String::from_utf8_lossy(&said[..n]).trim().to_owned()
+fn ping(stream: &mut TcpStream) -> String {
+    stream.write_all(PING).expect("the gateway reads");
+    let mut reply = [0; 64];
+    let length = stream.read(&mut reply).expect("a reply");
+    String::from_utf8_lossy(&reply[..length]).trim().to_owned()
+}
+
+fn assert_closed(stream: &mut TcpStream) {
+    assert_eq!(stream.read(&mut [0]).expect("an end, not a reset"), 0);
 }
 
 #[test]
-fn the_next_version_takes_over_the_socket_and_the_bans() {
-    let folder = folder("takes-over");
-    let (listener, listen) = inherited_listener();
-    let start = |mgmt: SocketAddr| start_on(&listener, &folder, mgmt);
-    let (first, second) = (own_address(7404), own_address(7404));
-    let mut old = start(first);
-    assert_eq!(admin_call(first, "GET /healthcheck"), "200 serving");
-    let connect = || TcpStream::connect(listen).expect("it listens");
-    let (mut kept, mut silent) = (connect(), connect());
-    assert_eq!(ping(&mut kept), "+PONG");
-    assert_eq!(admin_call(first, "POST /backends/s-a/maint"), "200 done");
-
-    let new = start(second);
-    assert_eq!(admin_call(second, "GET /healthcheck"), "200 serving");
+fn the_next_version_takes_over_the_listener_and_the_manual_ejections() {
+    let upgrade = Upgrade::new("takes-over");
+    let mut old = upgrade.start_process();
+    let (mut active, mut idle) = (upgrade.connect(), upgrade.connect());
+    assert_eq!(ping(&mut active), "+PONG");
+    assert_eq!(old.admin_call("POST /backends/s-a/maint"), "200 done");
+
+    let new = upgrade.start_process();
     assert!(
-        admin_call(second, "GET /stats").contains(r#""members":1,"members_unavailable":1"#),
-        "the ban came along"
+        new.admin_call("GET /stats").contains(r#""members":1,"members_unavailable":1"#),
+        "the manual ejection is taken over"
     );
-    // A call at the new one reaches the old one too.
-    assert_eq!(admin_call(second, "POST /backends/s-a/ready"), "200 done");
+    // An admin call at the new process takes effect in the old one too.
+    assert_eq!(new.admin_call("POST /backends/s-a/ready"), "200 done");
     sleep(Duration::from_millis(300));
-    assert!(admin_call(first, "GET /stats").contains(r#""members_unavailable":0"#));
-    terminate(&old);
+    assert!(old.admin_call("GET /stats").contains(r#""members_unavailable":0"#));
+
+    old.process.signal(Signal::SIGTERM);
     sleep(Duration::from_millis(100));
-    assert!(admin_call(first, "GET /healthcheck").starts_with("503"));
-    assert_eq!(kept.read(&mut [0]).expect("an end"), 0, "ended between two commands");
-    // What nobody had asked anything on is still served, and each new one finds a process that listens.
+    assert!(old.admin_call("GET /healthcheck").starts_with("503"));
+    assert_closed(&mut active); // between two commands
+                                // A connection without a command yet is still served, and each new one is accepted by a process that listens.
     for _ in 0..20 {
-        assert_eq!(ping(&mut connect()), "+PONG");
+        assert_eq!(ping(&mut upgrade.connect()), "+PONG");
     }
-    assert_eq!(ping(&mut silent), "+PONG");
-    assert_eq!(silent.read(&mut [0]).expect("an end"), 0);
-    assert_eq!(old.0.wait().expect("it ends").code(), Some(0));
-    assert_eq!(ping(&mut connect()), "+PONG");
+    assert_eq!(ping(&mut idle), "+PONG");
+    assert_closed(&mut idle);
+    assert_eq!(old.process.exit_code(), Some(0));
+    assert_eq!(ping(&mut upgrade.connect()), "+PONG");
     drop(new);
 }
 
-/// Guards: a next version that had died and was not yet looked after by its parent counted as there: told to stop, the old one left
-/// the socket to it at once, and nobody accepted. A process that only has the number of one that is long gone is not it either.
+/// Guards: a next version that had exited, and that its parent had not waited for yet, counted as running: on SIGTERM the old
+/// process left the listener to it at once, and nobody accepted.
 #[test]
-fn nothing_is_handed_over_to_a_process_that_has_died() {
-    let folder = folder("died");
-    let (listener, listen) = inherited_listener();
-    let start = |mgmt: SocketAddr| start_on(&listener, &folder, mgmt);
-    let logs = |process: &mut GatewayProcess| {
-        assert_eq!(process.0.wait().expect("it ends").code(), Some(0));
-        let mut said = String::new();
-        process.0.stderr.take().expect("piped").read_to_string(&mut said).expect("text");
-        said
-    };
-    // Told of a process with the number of this test's, which started at another time.
-    let stale = format!(r#"{{"serves": {}, "since": 1}}"#, std::process::id());
-    std::fs::write(folder.join("quillramp-n0.json"), stale).expect("a file");
-    let (alone, first, second) = (own_address(7404), own_address(7404), own_address(7404));
-    let mut process = start(alone);
-    assert_eq!(admin_call(alone, "GET /healthcheck"), "200 serving");
-    terminate(&process);
-    let said = logs(&mut process);
-    assert!(!said.contains("another process"), "{said}");
-
-    let mut old = start(first);
-    assert_eq!(admin_call(first, "GET /healthcheck"), "200 serving");
-    let new = start(second);
-    assert_eq!(admin_call(second, "GET /healthcheck"), "200 serving");
-    // It dies, and nobody has looked yet.
-    kill(Pid::from_raw(new.0.id() as i32), Signal::SIGKILL).expect("it runs");
-    help::wait_until("it has died", || help::process_state(new.0.id()) == Some('Z'));
-    terminate(&old);
-    help::wait_until("it has heard", || admin_call(first, "GET /healthcheck").starts_with("503"));
-    let mut late = TcpStream::connect(listen).expect("somebody listens");
-    late.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
-    assert_eq!(ping(&mut late), "-ERR draining", "the old one still accepts");
+fn the_listener_is_not_handed_over_to_a_process_that_has_exited() {
+    let upgrade = Upgrade::new("died");
+    let mut old = upgrade.start_process();
+    let new = upgrade.start_process();
+    new.process.signal(Signal::SIGKILL);
+    wait_until("the new process has exited", || process_state(new.process.id()) == Some('Z'));
+    old.process.signal(Signal::SIGTERM);
+    wait_until("the old process drains", || old.admin_call("GET /healthcheck").starts_with("503"));
+    let mut late = upgrade.connect();
+    late.set_read_timeout(Some(Duration::from_secs(5))).expect("an open socket");
+    assert_eq!(ping(&mut late), "-ERR draining", "the old process still accepts");
     drop((late, new));
-    let said = logs(&mut old);
-    assert!(
-        said.contains("shutting down: serving on") && !said.contains("the next process accepts"),
-        "{said}"
-    );
+    let log = old.exit_log();
+    assert!(log.contains("shutting down: serving on") && !log.contains("the next process accepts"), "{log}");
 }
 
+/// Guards: a process with the id of one that had exited long ago counted as the next version.
 #[test]
-fn what_is_passed_and_kept_wrongly_is_said_in_one_line() {
-    let folder = folder("wrongly");
-    let said = |program: &mut Command| {
-        let output = program.output().expect("it runs");
-        let text = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!((output.status.code(), text.lines().count()), (Some(1), 1), "{text}");
-        text.trim().to_owned()
-    };
-    let file = std::fs::File::create(folder.join("plain")).expect("a file");
-    nix::fcntl::fcntl(&file, nix::fcntl::FcntlArg::F_SETFD(nix::fcntl::FdFlag::empty())).expect("inherited");
-    for (fd, why) in [
+fn the_listener_is_not_handed_over_to_a_process_with_a_reused_id() {
+    let upgrade = Upgrade::new("reused-id");
+    // The id of this test's process, with another start time.
+    let stale = format!(r#"{{"serves": {}, "since": 1}}"#, std::process::id());
+    std::fs::write(upgrade.directory.join(SHARED_FILE), stale).expect("a file");
+    let mut only = upgrade.start_process();
+    only.process.signal(Signal::SIGTERM);
+    let log = only.exit_log();
+    assert!(!log.contains("another process"), "{log}");
+}
+
+/// The output of a program that fails at startup; it must be a single line.
+fn startup_failure(command: &mut Command) -> String {
+    let output = command.output().expect("the program starts");
+    let text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!((output.status.code(), text.lines().count()), (Some(1), 1), "{text}");
+    text.trim().to_owned()
+}
+
+#[test]
+fn an_invalid_passed_socket_or_admin_address_is_reported_in_one_line() {
+    let directory = empty_directory("invalid-passed-socket");
+    let file = std::fs::File::create(directory.join("plain")).expect("a file");
+    make_inheritable(&file);
+    for (descriptor, reason) in [
         ("x", "is no descriptor"),
         ("0", "is no descriptor"),
         ("977", "EBADF"),
         (&file.as_raw_fd().to_string(), "non-socket"),
     ] {
-        let line = said(program(&folder, "127.0.0.1:0").env("EDGE_PASSED_SOCKET", fd)).to_lowercase();
-        assert!(line.contains(&why.to_lowercase()), "{line}");
+        let mut command = command(&directory, "127.0.0.1:0");
+        let line = startup_failure(command.env("EDGE_PASSED_SOCKET", descriptor)).to_lowercase();
+        assert!(line.contains(&reason.to_lowercase()), "{line}");
     }
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let at = taken.local_addr().expect("an address").to_string();
-    for mgmt in ["here", at.as_str()] {
-        said(&mut program(&folder, mgmt));
+    let (_listener, address_in_use) = free_listener();
+    for admin_address in ["here", &address_in_use.to_string()] {
+        startup_failure(&mut command(&directory, admin_address));
     }
-    // A spoilt file stops nothing.
-    std::fs::write(folder.join("quillramp-n0.json"), "{\"out\": 3").expect("a file");
-    let (mgmt, listen) = (free_listener().1, free_listener().1);
-    let mut program = program(&folder, &mgmt.to_string());
-    let configuration = std::fs::read_to_string(folder.join("told.json")).expect("written");
-    std::fs::write(folder.join("told.json"), configuration.replace("127.0.0.1:7400", &listen.to_string()))
-        .expect("a file");
-    let _door = GatewayProcess(program.spawn().expect("the program starts"));
-    assert_eq!(admin_call(mgmt, "GET /healthcheck"), "200 serving");
-    assert!(admin_call(mgmt, "POST /backends/s-b/maint").starts_with("404"));
-    assert_eq!(admin_call(mgmt, "POST /backends/s%2Da/maint"), "200 done");
-    assert_eq!(admin_call(mgmt, "GET /backends/s-a/maint"), "405 no such call");
+}
+
+#[test]
+fn an_unreadable_shared_file_does_not_prevent_a_start_and_admin_calls_are_answered() {
+    let directory = empty_directory("unreadable-shared-file");
+    std::fs::write(directory.join(SHARED_FILE), "{\"out\": 3").expect("a file");
+    let (admin_address, address) = (unique_address(7404), unique_address(7400));
+    let mut command = command(&directory, &admin_address.to_string());
+    let file = configuration_file(&directory);
+    let configuration = std::fs::read_to_string(&file).expect("the configuration");
+    std::fs::write(&file, configuration.replace("127.0.0.1:7400", &address.to_string())).expect("a file");
+    let _process = GatewayProcess::spawn(&mut command);
+    assert_eq!(admin_call(admin_address, "GET /healthcheck"), "200 serving");
+    assert!(admin_call(admin_address, "POST /backends/s-b/maint").starts_with("404"));
+    assert_eq!(admin_call(admin_address, "POST /backends/s%2Da/maint"), "200 done");
+    assert_eq!(admin_call(admin_address, "GET /backends/s-a/maint"), "405 no such call");
 }
