--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -1,106 +1,132 @@
-//! Thirty front doors started at once before a list service that is mute, refuses or is slow: when they answer `PING`. What
-//! readiness waits on stands in docs/list-service.md.
+//! When an instance answers its first `PING`: thirty are started at once while the list service is unresponsive, refuses
+//! connections or is slow, or one while another process holds the lock of the shared file. docs/list-service.md says what
+//! readiness waits for.
 use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
+use std::process::Stdio;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-mod help;
-use help::{
-    endpoint_list, example_configuration, example_servers, free_listener, own_address, start_gateway,
-    GatewayProcess,
+mod common;
+use common::example_servers::{self, read_reply, serve_connections, target};
+use common::{
+    endpoint_list, example_configuration, free_listener, gateway_command, start_gateway, unique_address,
+    GatewayProcess, PING,
 };
 
-const FRONT_DOORS: usize = 30;
-/// Of ten front doors nine are to be ready within this.
-const READY: Duration = Duration::from_secs(6);
-/// How long the start may wait for the lock on the file that two processes share, and a margin for a busy machine.
+const INSTANCES: usize = 30;
+/// Nine in ten instances must be ready within this time.
+const READY_WITHIN: Duration = Duration::from_secs(6);
+/// The longest that a start may wait for the lock of the shared file, and a margin for a busy machine.
 const LOCKED_START: Duration = Duration::from_secs(4);
-/// A front door that is not ready by then is counted as one that never was.
-const PATIENCE: Duration = Duration::from_secs(30);
-const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
+/// An instance that is not ready by then counts as one that never is.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Its configuration, with the list service there.
-fn configuration(name: &str, list: SocketAddr) -> (PathBuf, SocketAddr) {
-    let (at, counter) = (own_address(7400), own_address(7402));
-    let text = example_configuration(list, counter).replace("127.0.0.1:7400", &at.to_string());
-    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("readiness-{name}.json"));
-    std::fs::write(&file, text).expect("a file");
-    (file, at)
+/// An instance whose configuration file is written, and that may have been started.
+struct ConfiguredInstance {
+    file: PathBuf,
+    address: SocketAddr,
 }
 
-fn is_ready(at: SocketAddr) -> bool {
-    let Ok(mut to) = TcpStream::connect(at) else { return false };
-    to.set_read_timeout(Some(Duration::from_secs(1))).expect("a time-out");
-    to.write_all(PING).is_ok()
-        && example_servers::read_reply(&mut BufReader::new(to)).is_ok_and(|said| said == "+PONG")
+impl ConfiguredInstance {
+    fn new(name: &str, list_service: SocketAddr) -> ConfiguredInstance {
+        let address = unique_address(7400);
+        let configuration = example_configuration(list_service, unique_address(7402))
+            .replace("127.0.0.1:7400", &address.to_string());
+        let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("readiness-{name}.json"));
+        std::fs::write(&file, configuration).expect("a file");
+        ConfiguredInstance { file, address }
+    }
+
+    fn is_ready(&self) -> bool {
+        let Ok(mut stream) = TcpStream::connect(self.address) else { return false };
+        stream.set_read_timeout(Some(Duration::from_secs(1))).expect("an open socket");
+        stream.write_all(PING).is_ok()
+            && read_reply(&mut BufReader::new(stream)).is_ok_and(|reply| reply == "+PONG")
+    }
+}
+
+struct StartedInstance {
+    configured: ConfiguredInstance,
+    _process: GatewayProcess,
+    started_at: Instant,
+    /// From its start to its first `+PONG`.
+    ready_after: Option<Duration>,
 }
 
-/// How long each took from its start to its first `+PONG`.
-fn start_all_at_once(name: &str, list: SocketAddr) -> Vec<Duration> {
-    let files: Vec<_> = (0..FRONT_DOORS).map(|i| configuration(&format!("{name}-{i}"), list)).collect();
-    let mut doors: Vec<_> = files
-        .into_iter()
-        .map(|(file, at)| (Instant::now(), GatewayProcess(start_gateway(&file)), at, None))
-        .collect();
-    let from = Instant::now();
-    while from.elapsed() < PATIENCE && doors.iter().any(|(.., ready)| ready.is_none()) {
-        for (started, _, at, ready) in doors.iter_mut().filter(|(.., ready)| ready.is_none()) {
-            *ready = is_ready(*at).then(|| started.elapsed());
+impl StartedInstance {
+    fn start(configured: ConfiguredInstance) -> StartedInstance {
+        let started_at = Instant::now();
+        let process = start_gateway(&configured.file);
+        StartedInstance { configured, _process: process, started_at, ready_after: None }
+    }
+
+    fn check_readiness(&mut self) {
+        if self.ready_after.is_none() && self.configured.is_ready() {
+            self.ready_after = Some(self.started_at.elapsed());
         }
+    }
+}
+
+/// How long each instance took to become ready.
+fn start_all_at_once(name: &str, list_service: SocketAddr) -> Vec<Duration> {
+    let configure = |i| ConfiguredInstance::new(&format!("{name}-{i}"), list_service);
+    let configured: Vec<_> = (0..INSTANCES).map(configure).collect();
+    let mut instances: Vec<_> = configured.into_iter().map(StartedInstance::start).collect();
+    let start = Instant::now();
+    while start.elapsed() < READY_TIMEOUT && instances.iter().any(|instance| instance.ready_after.is_none()) {
+        instances.iter_mut().for_each(StartedInstance::check_readiness);
         sleep(Duration::from_millis(2));
     }
-    doors.into_iter().map(|(.., ready)| ready.unwrap_or(PATIENCE)).collect()
+    instances.into_iter().map(|instance| instance.ready_after.unwrap_or(READY_TIMEOUT)).collect()
 }
 
 #[track_caller]
-fn nine_in_ten_are_ready(name: &str, list: SocketAddr) {
-    let mut took = start_all_at_once(name, list);
-    took.sort_unstable();
-    println!("{name}: median {:?}, slowest {:?}", took[FRONT_DOORS / 2], took[FRONT_DOORS - 1]);
-    let ready = took.iter().filter(|t| **t <= READY).count();
-    assert!(10 * ready >= 9 * FRONT_DOORS, "{ready} of {FRONT_DOORS} ready in {READY:?}: {took:?}");
+fn assert_nine_in_ten_are_ready(name: &str, list_service: SocketAddr) {
+    let mut times = start_all_at_once(name, list_service);
+    times.sort_unstable();
+    println!("{name}: median {:?}, slowest {:?}", times[INSTANCES / 2], times[INSTANCES - 1]);
+    let ready = times.iter().filter(|time| **time <= READY_WITHIN).count();
+    assert!(10 * ready >= 9 * INSTANCES, "{ready} of {INSTANCES} ready in {READY_WITHIN:?}: {times:?}");
 }
 
-/// Guards: none of what a start waits on is the list service. One after another, for each starts thirty processes.
+/// Guards: a start waits for nothing that needs the list service. One test for all cases, so that they run one after another:
+/// each starts thirty processes.
 #[test]
-fn thirty_started_at_once_are_ready_whatever_the_list_service_does() {
-    let (mute, at) = free_listener(); // it takes connections in, and never answers
-    nine_in_ten_are_ready("mute", at);
-    drop(mute);
-    nine_in_ten_are_ready("refuses", own_address(7401));
-    let (slow, at) = free_listener();
-    example_servers::serve_connections(slow, |stream: TcpStream| {
-        let mut from = BufReader::new(stream.try_clone()?);
-        while example_servers::target(&mut from)?.is_some() {
+fn thirty_instances_started_at_once_are_ready_whatever_the_list_service_does() {
+    let (unresponsive, address) = free_listener(); // the operating system accepts connections; nothing is answered
+    assert_nine_in_ten_are_ready("unresponsive", address);
+    drop(unresponsive);
+    assert_nine_in_ten_are_ready("refuses", unique_address(7401));
+    let (slow, address) = free_listener();
+    serve_connections(slow, |mut stream: TcpStream| {
+        let mut reader = BufReader::new(stream.try_clone()?);
+        while target(&mut reader)?.is_some() {
             sleep(Duration::from_secs(3));
-            let body = endpoint_list(&[]);
-            write!(&stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+            example_servers::write_ok(&mut stream, &endpoint_list(&[]))?;
         }
         Ok(())
     });
-    nine_in_ten_are_ready("slow", at);
+    assert_nine_in_ten_are_ready("slow", address);
 }
 
-/// Guards: where operators may call, the start waited without end for the lock on the file that two processes share: one that
-/// stood still with the lock kept the next from ever serving.
+/// Guards: with an admin address, the start waited without a limit for the lock of the file that two processes share. A process
+/// that was stopped while it held the lock kept the next one from ever serving.
 #[test]
-fn a_lock_that_is_never_released_does_not_hold_a_start_back() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("readiness-locked");
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let lock = std::fs::File::create(folder.join("quillramp-n0.lock")).expect("a file");
-    lock.lock().expect("nobody else has it");
-    let (_list, list_at) = free_listener();
-    let (file, at) = configuration("locked", list_at);
-    let operators = TcpListener::bind(own_address(7404)).and_then(|l| l.local_addr()).expect("an address");
-    let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
-    program.env("EDGE_CONFIG", file).env("TMPDIR", &folder).env("EDGE_MGMT", operators.to_string());
-    let from = Instant::now();
-    let _door = GatewayProcess(program.stderr(Stdio::null()).spawn().expect("the program starts"));
-    while !is_ready(at) {
-        assert!(from.elapsed() < LOCKED_START, "not ready in {:?}", from.elapsed());
+fn an_instance_is_ready_although_the_lock_of_the_shared_file_is_never_released() {
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join("readiness-locked");
+    std::fs::create_dir_all(&directory).expect("a directory");
+    let lock = std::fs::File::create(directory.join("quillramp-n0.lock")).expect("a file");
+    lock.lock().expect("no other process has it");
+    let (_list_service, list_service_address) = free_listener();
+    let instance = ConfiguredInstance::new("locked", list_service_address);
+    let mut command = gateway_command(&instance.file);
+    command.env("TMPDIR", &directory).env("EDGE_MGMT", unique_address(7404).to_string());
+    let start = Instant::now();
+    let _process = GatewayProcess::spawn(command.stderr(Stdio::null()));
+    while !instance.is_ready() {
+        assert!(start.elapsed() < LOCKED_START, "not ready in {:?}", start.elapsed());
         sleep(Duration::from_millis(10));
     }
     drop(lock);
