--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -1,202 +1,240 @@
-//! The real program, whose descriptors idle clients fill while the list service is down: at its return the list, the counter
-//! and backends still get theirs.
+//! Idle clients take all descriptors that are left to them while the list service is down. When it returns, there are still
+//! descriptors for the connections to it, to the counter and to backends.
 use nix::sys::resource::{setrlimit, Resource};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::process::CommandExt;
 use std::path::Path;
-use std::process::{Command, Stdio};
+use std::process::Stdio;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use std::sync::mpsc::{channel, Receiver};
+use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-mod help;
-use help::{
-    connect_when_listening, endpoint_list, example_configuration, example_servers, free_listener,
-    own_address, GatewayProcess,
+mod common;
+use common::example_servers::{self, number, read_reply, request, serve_connections, target, write_ok};
+use common::{
+    connect_when_listening, endpoint_list, example_configuration, free_listener, gateway_command,
+    unique_address, GatewayProcess, ListedBackend, PING,
 };
 
-/// What the machine allows the front door.
+/// The resource limit of the gateway process.
 const DESCRIPTORS: u64 = 160;
-/// More than the front door may take in, so that somebody always waits for the next descriptor that is free.
+/// More than the gateway admits, so that some client always waits for the next descriptor that is free.
 const IDLE_CLIENTS: usize = 500;
-const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A list service that can be silenced. It lists `a` before that and `b` after; each list that it gives is told of.
-struct List {
-    down: Arc<AtomicBool>,
-    returned: Arc<AtomicBool>,
-    requests: Receiver<Instant>,
+/// Both endpoint lists of a [`ListService`].
+struct EndpointLists {
+    before_outage: String,
+    after_outage: String,
 }
 
-impl List {
-    fn start(listener: TcpListener, before: String, after: String) -> List {
-        let (down, returned) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        let (to, requests) = channel();
-        let (is_down, has_returned) = (down.clone(), returned.clone());
-        example_servers::serve_connections(listener, move |stream| {
-            let mut from = BufReader::new(stream.try_clone()?);
-            while let Some(target) = example_servers::target(&mut from)? {
-                if is_down.load(Ordering::SeqCst) {
-                    return Ok(()); // nothing is answered, and its connections end
+/// A list service that can be stopped and restarted.
+struct ListService {
+    state: Arc<ListServiceState>,
+    /// When each endpoint list was sent after the restart.
+    lists_sent: Receiver<Instant>,
+}
+
+#[derive(Default)]
+struct ListServiceState {
+    is_down: AtomicBool,
+    has_restarted: AtomicBool,
+}
+
+impl ListService {
+    fn start(listener: TcpListener, lists: EndpointLists) -> ListService {
+        let state = Arc::<ListServiceState>::default();
+        let (sender, lists_sent) = channel();
+        let (lists, shared_state) = (Arc::new(lists), state.clone());
+        serve_connections(listener, move |mut stream| {
+            let mut reader = BufReader::new(stream.try_clone()?);
+            while let Some(target) = target(&mut reader)? {
+                if shared_state.is_down.load(Ordering::SeqCst) {
+                    return Ok(()); // the call is not answered, and its connection ends
                 }
-                let body = match (
-                    has_returned.load(Ordering::SeqCst),
-                    example_servers::number(&target, "since") as u64,
-                ) {
-                    (false, 0) => before.clone(),
-                    (true, 0 | 1) => {
-                        let _ = to.send(Instant::now()); // the test may be over
-                        after.clone()
-                    }
-                    (_, since) => {
-                        sleep(Duration::from_millis(example_servers::number(&target, "timeout_ms") as u64));
-                        format!(r#"{{"index":{since},"snapshot":false,"endpoints":[]}}"#)
-                    }
-                };
-                write!(&stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+                write_ok(&mut stream, &response_body(&target, &shared_state, &lists, &sender))?;
             }
             Ok(())
         });
-        List { down, returned, requests }
+        ListService { state, lists_sent }
     }
 
     fn stop(&self) {
-        self.down.store(true, Ordering::SeqCst);
+        self.state.is_down.store(true, Ordering::SeqCst);
     }
 
     fn restart(&self) -> Instant {
-        self.returned.store(true, Ordering::SeqCst);
-        self.down.store(false, Ordering::SeqCst);
+        self.state.has_restarted.store(true, Ordering::SeqCst);
+        self.state.is_down.store(false, Ordering::SeqCst);
         Instant::now()
     }
 }
 
-/// Clients that say nothing, and connect again when they are ended.
-struct Flood {
-    goes_on: Arc<AtomicBool>,
+/// The endpoint list where the caller does not have it, else a watch event without changes when the watch times out.
+fn response_body(
+    target: &str,
+    state: &ListServiceState,
+    lists: &EndpointLists,
+    lists_sent: &Sender<Instant>,
+) -> String {
+    let known_index = number(target, "since") as u64;
+    match (state.has_restarted.load(Ordering::SeqCst), known_index) {
+        (false, 0) => lists.before_outage.clone(),
+        (true, 0 | 1) => {
+            let _ = lists_sent.send(Instant::now()); // the test may be over
+            lists.after_outage.clone()
+        }
+        _ => {
+            sleep(Duration::from_millis(number(target, "timeout_ms") as u64));
+            format!(r#"{{"index":{known_index},"snapshot":false,"endpoints":[]}}"#)
+        }
+    }
+}
+
+/// Clients that send nothing and connect again when the gateway closes their connections; they stop at the end of the test.
+struct IdleClients {
+    stop: Arc<AtomicBool>,
     connected: Arc<AtomicUsize>,
 }
 
-impl Flood {
-    fn start(at: SocketAddr) -> Flood {
-        let (goes_on, connected) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
-        let (on, count) = (goes_on.clone(), connected.clone());
+impl IdleClients {
+    fn start(gateway: SocketAddr) -> IdleClients {
+        let clients = IdleClients { stop: Arc::default(), connected: Arc::default() };
+        let (stop, connected) = (clients.stop.clone(), clients.connected.clone());
         spawn(move || {
             let mut idle: Vec<TcpStream> = vec![];
-            while on.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 idle.retain(is_open);
                 while idle.len() < IDLE_CLIENTS {
-                    let Ok(stream) = TcpStream::connect_timeout(&at, SECOND) else { break };
-                    stream.set_nonblocking(true).expect("a socket");
+                    let Ok(stream) = TcpStream::connect_timeout(&gateway, SECOND) else { break };
+                    stream.set_nonblocking(true).expect("an open socket");
                     idle.push(stream);
-                    count.fetch_add(1, Ordering::Relaxed);
+                    connected.fetch_add(1, Ordering::Relaxed);
                 }
                 sleep(Duration::from_millis(2));
             }
         });
-        Flood { goes_on, connected }
+        clients
     }
 }
 
-impl Drop for Flood {
+impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.goes_on.store(false, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
     }
 }
 
 fn is_open(mut stream: &TcpStream) -> bool {
-    matches!(stream.read(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
+    matches!(stream.read(&mut [0]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// A front door that may have so many descriptors by its configuration, and `DESCRIPTORS` by the machine.
-fn start_configured(name: &str, configured: usize, list: SocketAddr) -> (GatewayProcess, SocketAddr) {
-    let ((counter, counter_at), at) = (free_listener(), own_address(7400));
+/// Starts an instance that may have this number of descriptors by its configuration, and `DESCRIPTORS` by the resource limit of
+/// its process.
+fn start_with_descriptors(
+    name: &str,
+    configured: usize,
+    list_service: SocketAddr,
+) -> (GatewayProcess, SocketAddr) {
+    let (counter, counter_address) = free_listener();
     example_servers::start_counter(counter);
-    let configuration = example_configuration(list, counter_at)
-        .replace("127.0.0.1:7400", &at.to_string())
+    let address = unique_address(7400);
+    let configuration = example_configuration(list_service, counter_address)
+        .replace("127.0.0.1:7400", &address.to_string())
         .replace("\"sockets\": 1024", &format!("\"sockets\": {configured}"));
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("descriptors-{name}.json"));
     std::fs::write(&file, configuration).expect("a file");
-    let mut program = Command::new(env!("CARGO_BIN_EXE_quillramp"));
-    program.env("EDGE_CONFIG", file).stderr(Stdio::null());
-    // Only a limit is set between fork and exec.
+    let mut command = gateway_command(&file);
+    let set_limit =
+        || setrlimit(Resource::RLIMIT_NOFILE, DESCRIPTORS, DESCRIPTORS).map_err(std::io::Error::from);
+    // SAFETY: between fork and exec only a resource limit is set.
     unsafe {
-        program.pre_exec(|| {
-            setrlimit(Resource::RLIMIT_NOFILE, DESCRIPTORS, DESCRIPTORS).map_err(std::io::Error::from)
-        });
+        command.pre_exec(set_limit);
     }
-    let door = GatewayProcess(program.spawn().expect("the program starts"));
-    connect_when_listening(at);
-    (door, at)
+    let process = GatewayProcess::spawn(command.stderr(Stdio::null()));
+    connect_when_listening(address);
+    (process, address)
 }
 
-/// A client that goes on asking.
-struct Client(BufReader<TcpStream>);
+/// A client that sends requests all the time, on one connection.
+struct ActiveClient {
+    stream: BufReader<TcpStream>,
+}
 
-impl Client {
-    fn connect(at: SocketAddr) -> Client {
-        let stream = TcpStream::connect(at).expect("it accepts");
-        stream.set_read_timeout(Some(5 * SECOND)).expect("a time-out");
-        Client(BufReader::new(stream))
+impl ActiveClient {
+    fn connect(gateway: SocketAddr) -> ActiveClient {
+        let stream = TcpStream::connect(gateway).expect("the gateway accepts");
+        stream.set_read_timeout(Some(5 * SECOND)).expect("an open socket");
+        ActiveClient { stream: BufReader::new(stream) }
     }
 
-    fn request(&mut self, text: &[u8]) -> String {
-        self.0.get_mut().write_all(text).expect("it reads");
-        example_servers::read_reply(&mut self.0).expect("a reply")
+    fn exchange(&mut self, request: &[u8]) -> String {
+        self.stream.get_mut().write_all(request).expect("the gateway reads");
+        read_reply(&mut self.stream).expect("a reply")
     }
 
-    /// Keeps at it for so long.
-    fn ping_for(&mut self, during: Duration) {
-        let from = Instant::now();
-        while from.elapsed() < during {
-            assert_eq!(self.request(PING), "+PONG");
+    fn ping_for(&mut self, duration: Duration) {
+        let start = Instant::now();
+        while start.elapsed() < duration {
+            assert_eq!(self.exchange(PING), "+PONG");
             sleep(Duration::from_millis(50));
         }
     }
+
+    /// Sends requests until the list service has sent an endpoint list; returns when that was.
+    fn ping_until_listed(&mut self, list_service: &ListService, restarted_at: Instant) -> Instant {
+        while restarted_at.elapsed() < 8 * SECOND {
+            self.ping_for(Duration::from_millis(50));
+            if let Ok(sent_at) = list_service.lists_sent.try_recv() {
+                return sent_at;
+            }
+        }
+        panic!("the list service was not called in 8 s");
+    }
 }
 
-/// Idle clients fill the descriptors while the list service is down; then it returns, and an invocation is sent on.
-fn descriptors_filled_while_discovery_is_down(name: &str, configured: usize) {
-    let (list, list_at) = free_listener();
-    let ((backend, before), (other, after)) = (free_listener(), free_listener());
-    example_servers::start_backend(backend, "a");
-    example_servers::start_backend(other, "b");
-    let after = endpoint_list(&[("b", after)]).replace("\"index\":1", "\"index\":2");
-    let list = List::start(list, endpoint_list(&[("a", before)]), after);
-    let (_door, at) = start_configured(name, configured, list_at);
-    let mut client = Client::connect(at);
+/// Idle clients fill the descriptors during an outage of the list service. After it, the backend `b`, which is new, is listed
+/// in time and serves a request.
+fn assert_outage_is_survived_with_idle_clients(name: &str, configured_descriptors: usize) {
+    let (list_service, list_service_address) = free_listener();
+    let (backend_before, before_address) = free_listener();
+    let (backend_after, after_address) = free_listener();
+    example_servers::start_backend(backend_before, "a");
+    example_servers::start_backend(backend_after, "b");
+    let lists = EndpointLists {
+        before_outage: endpoint_list(&[ListedBackend { name: "a", address: before_address }]),
+        after_outage: endpoint_list(&[ListedBackend { name: "b", address: after_address }])
+            .replace("\"index\":1", "\"index\":2"),
+    };
+    let list_service = ListService::start(list_service, lists);
+    let (_process, address) = start_with_descriptors(name, configured_descriptors, list_service_address);
+    let mut client = ActiveClient::connect(address);
     client.ping_for(Duration::from_millis(300));
-    list.stop();
-    // The watch that is out is answered within 2 s; from then on no connection to the service lives.
+    list_service.stop();
+    // The watch in flight is answered within 2 s. From then on no connection to the service is open.
     client.ping_for(3 * SECOND);
-    let flood = Flood::start(at);
+    let idle_clients = IdleClients::start(address);
     client.ping_for(SECOND);
-    let from = list.restart();
-    let mut polled_at = None;
-    while polled_at.is_none() && from.elapsed() < 8 * SECOND {
-        client.ping_for(Duration::from_millis(50));
-        polled_at = list.requests.try_recv().ok();
-    }
-    let polled_at = polled_at.expect("the list service was not reached in 8 s");
-    assert!(polled_at - from < 2 * SECOND, "told after {:?}", polled_at - from);
-    let said = client.request(example_servers::request("look", 1000).as_bytes());
-    assert_eq!(said, "b look", "with the counter and a new backend");
-    assert!(flood.connected.load(Ordering::Relaxed) > DESCRIPTORS as usize);
+
+    let restarted_at = list_service.restart();
+    let listed_after = client.ping_until_listed(&list_service, restarted_at) - restarted_at;
+    assert!(listed_after < 2 * SECOND, "listed after {listed_after:?}");
+    let reply = client.exchange(request("look", 1000).as_bytes());
+    assert_eq!(reply, "b look", "the counter and a new backend have connections");
+    assert!(idle_clients.connected.load(Ordering::Relaxed) > DESCRIPTORS as usize);
 }
 
-/// Guards: clients in a flood were taken in up to the machine's limit before the reducer had seen the first of them, and a
-/// client that asked all the while was ended for them.
+/// Guards: clients were accepted up to the resource limit before the reducer had seen the first of them, and a client that sent
+/// requests all the time was closed to make room.
 #[test]
-fn idle_clients_leave_the_list_the_counter_and_backends_theirs() {
-    descriptors_filled_while_discovery_is_down("configured", DESCRIPTORS as usize);
+fn idle_clients_leave_descriptors_for_the_list_service_the_counter_and_backends() {
+    assert_outage_is_survived_with_idle_clients("configured", DESCRIPTORS as usize);
 }
 
-/// Guards: where the machine allows fewer descriptors than the configuration, none was kept at all.
+/// Guards: with a resource limit below the configured number, no descriptors were reserved at all.
 #[test]
-fn they_do_so_where_the_machine_allows_less_than_the_configuration() {
-    descriptors_filled_while_discovery_is_down("machine", 4 * DESCRIPTORS as usize);
+fn descriptors_are_reserved_within_a_resource_limit_below_the_configured_number() {
+    assert_outage_is_survived_with_idle_clients("machine", 4 * DESCRIPTORS as usize);
 }
