--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -1,95 +1,110 @@
-//! Long values that stop in the middle, through the real program on loopback: the backend's silence is told from a client
-//! that reads slowly.
+//! Long values that stop in the middle, through a gateway on loopback: an unresponsive backend is distinguished from a client that
+//! reads late.
 use std::io::{BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc::{channel, Receiver};
+use std::net::TcpStream;
+use std::sync::mpsc::{channel, Sender};
+use std::sync::{Arc, Mutex};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-mod help;
-use help::{example_servers, free_listener, serve_endpoints, TestGateway};
+mod common;
+use common::example_servers::{command, read_reply, request, serve_connections};
+use common::{free_listener, serve_endpoints, with_known_backends, ListedBackend, TestGateway, PING};
 
-const LENGTH: usize = 4 * 1024 * 1024;
-const WAIT_MS: u64 = 1000;
+const VALUE_LENGTH: usize = 4 * 1024 * 1024;
+/// The part of the value that the backend writes at once.
+const FIRST_PART: usize = VALUE_LENGTH / 2;
+const CLIENT_TIMEOUT_MS: u64 = 1000;
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(CLIENT_TIMEOUT_MS);
 
-/// A backend that writes the first bytes of a long value at once, and the rest of it, slowly, when it is told to.
-fn backend(listener: TcpListener, first: usize, rest: Receiver<()>) {
-    let rest = std::sync::Arc::new(std::sync::Mutex::new(rest));
-    example_servers::serve_connections(listener, move |stream| {
-        let (mut from, mut to) = (BufReader::new(stream.try_clone()?), stream);
-        while example_servers::command(&mut from)?.is_some() {
-            let value = "v".repeat(LENGTH);
-            write!(to, "*3\r\n${LENGTH}\r\n{}", &value[..first])?;
-            let _ = rest.lock().expect("no panic").recv();
-            for piece in value.as_bytes()[first..].chunks(LENGTH / 64) {
-                to.write_all(piece)?;
-                sleep(Duration::from_millis(50));
-            }
-            write!(to, "\r\n$-1\r\n$-1\r\n")?;
-        }
-        Ok(())
-    });
+/// An instance with a backend that writes the first part of a long value at once, and the rest slowly when the test says so.
+struct StalledStream {
+    gateway: TestGateway,
+    write_rest: Sender<()>,
 }
 
-fn gateway_with_backend(name: &str, at: SocketAddr) -> TestGateway {
-    let (list, list_at) = free_listener();
-    serve_endpoints(list, &[("a", at)]);
-    let none = r#"{"index": 0, "snapshot": true, "endpoints": []}"#;
-    TestGateway::start(&format!("stalled-{name}"), list_at, |configuration| {
-        configuration.replace(none, &help::endpoint_list(&[("a", at)]))
-    })
-}
+impl StalledStream {
+    fn start(name: &str) -> StalledStream {
+        let (listener, address) = free_listener();
+        let backend = ListedBackend { name: "a", address };
+        let (write_rest, rest_requested) = channel();
+        let rest_requested = Arc::new(Mutex::new(rest_requested));
+        serve_connections(listener, move |stream| {
+            let (mut reader, mut writer) = (BufReader::new(stream.try_clone()?), stream);
+            while command(&mut reader)?.is_some() {
+                let value = "v".repeat(VALUE_LENGTH);
+                write!(writer, "*3\r\n${VALUE_LENGTH}\r\n{}", &value[..FIRST_PART])?;
+                let _ = rest_requested.lock().expect("no panic").recv(); // the test may be over
+                for piece in value.as_bytes()[FIRST_PART..].chunks(VALUE_LENGTH / 64) {
+                    writer.write_all(piece)?;
+                    sleep(Duration::from_millis(50));
+                }
+                write!(writer, "\r\n$-1\r\n$-1\r\n")?;
+            }
+            Ok(())
+        });
+        let (list_service, list_service_address) = free_listener();
+        serve_endpoints(list_service, &[backend]);
+        let gateway = TestGateway::start(&format!("stalled-{name}"), list_service_address, |configuration| {
+            with_known_backends(&configuration, &[backend])
+        });
+        StalledStream { gateway, write_rest }
+    }
 
-fn connect_and_send_request(gateway: &TestGateway) -> TcpStream {
-    let mut client = gateway.connect();
-    client.write_all(example_servers::request("look", WAIT_MS).as_bytes()).expect("it reads");
-    client
+    fn connect_and_send_request(&self) -> TcpStream {
+        let mut client = self.gateway.connect();
+        client.write_all(request("look", CLIENT_TIMEOUT_MS).as_bytes()).expect("the gateway reads");
+        client
+    }
+
+    fn write_rest(&self) {
+        self.write_rest.send(()).expect("the backend runs");
+    }
 }
 
-/// Guards: a value whose backend fell silent in the middle was given up after 30 s; until then its client could not tell
-/// that it would never be whole, and the answers behind it waited.
+/// Guards: a value was given up 30 s after its backend became unresponsive. Until then its client could not know that it would
+/// never be complete, and the replies after it waited.
 #[test]
-fn a_value_whose_backend_falls_silent_is_given_up_once_its_clients_time_is_up() {
-    let ((listener, at), (_rest, never)) = (free_listener(), channel());
-    backend(listener, LENGTH / 2, never);
-    let gateway = gateway_with_backend("silent", at);
-    let from = Instant::now();
-    let mut text = vec![];
-    connect_and_send_request(&gateway).read_to_end(&mut text).expect("an end, not a reset");
-    let (time, ended) = (Duration::from_millis(WAIT_MS), from.elapsed());
-    assert!(text.len() > LENGTH / 2 && text.len() < LENGTH, "cut off after {} bytes", text.len());
-    assert!(ended > time * 9 / 10 && ended < time * 3 / 2, "given up after {ended:?}");
+fn a_value_whose_backend_becomes_unresponsive_is_given_up_at_its_clients_timeout() {
+    let stream = StalledStream::start("silent");
+    let start = Instant::now();
+    let mut received = vec![];
+    stream.connect_and_send_request().read_to_end(&mut received).expect("an end, not a reset");
+    let given_up_after = start.elapsed();
+    let length = received.len();
+    assert!(length > FIRST_PART && length < VALUE_LENGTH, "cut off after {length} bytes");
+    assert!(
+        given_up_after > CLIENT_TIMEOUT * 9 / 10 && given_up_after < CLIENT_TIMEOUT * 3 / 2,
+        "given up after {given_up_after:?}"
+    );
 }
 
-/// Guards: a value is not given up for a client that reads late, past its time.
+/// Guards: a value is not given up because its client reads late, after its timeout.
 #[test]
-fn a_value_whose_client_reads_late_comes_whole() {
-    let ((listener, at), (rest, told)) = (free_listener(), channel());
-    backend(listener, LENGTH / 2, told);
-    rest.send(()).expect("the backend listens");
-    let gateway = gateway_with_backend("late", at);
-    let mut client = connect_and_send_request(&gateway);
-    sleep(Duration::from_millis(2 * WAIT_MS));
-    let (mut text, mut piece) = (vec![], vec![0; 65_536]);
-    while text.len() < LENGTH {
-        let n = client.read(&mut piece).expect("more");
-        assert!(n > 0, "cut off after {} bytes", text.len());
-        text.extend_from_slice(&piece[..n]);
+fn a_value_is_delivered_complete_to_a_client_that_reads_after_its_timeout() {
+    let stream = StalledStream::start("late");
+    stream.write_rest();
+    let mut client = stream.connect_and_send_request();
+    sleep(2 * CLIENT_TIMEOUT);
+    let (mut received, mut buffer) = (vec![], vec![0; 65_536]);
+    while received.len() < VALUE_LENGTH {
+        let length = client.read(&mut buffer).expect("more of the value");
+        assert!(length > 0, "cut off after {} bytes", received.len());
+        received.extend_from_slice(&buffer[..length]);
     }
-    assert!(text.ends_with(b"v\r\n"));
+    assert!(received.ends_with(b"v\r\n"));
 }
 
-/// Guards: the same for one that comes slowly, but comes, past its client's time.
+/// Guards: a value is not given up because its backend writes slowly, past its client's timeout.
 #[test]
-fn a_value_that_still_moves_comes_whole() {
-    let ((listener, at), (rest, told)) = (free_listener(), channel());
-    backend(listener, LENGTH / 2, told);
-    let gateway = gateway_with_backend("moves", at);
-    let mut client = connect_and_send_request(&gateway);
-    rest.send(()).expect("the backend listens");
-    let (mut reply, from) = (BufReader::new(client.try_clone().expect("a second handle")), Instant::now());
-    assert_eq!(example_servers::read_reply(&mut reply).expect("a value").len(), LENGTH);
-    assert!(from.elapsed() > Duration::from_millis(WAIT_MS * 5 / 4), "past its client's time");
-    client.write_all(b"*1\r\n$4\r\nPING\r\n").expect("it is open");
-    assert_eq!(example_servers::read_reply(&mut reply).expect("a reply"), "+PONG");
+fn a_value_that_makes_progress_is_delivered_complete_after_its_clients_timeout() {
+    let stream = StalledStream::start("moves");
+    let mut client = stream.connect_and_send_request();
+    stream.write_rest();
+    let start = Instant::now();
+    let mut reader = BufReader::new(client.try_clone().expect("a second handle"));
+    assert_eq!(read_reply(&mut reader).expect("a value").len(), VALUE_LENGTH);
+    assert!(start.elapsed() > CLIENT_TIMEOUT * 5 / 4, "after its client's timeout");
+    client.write_all(PING).expect("an open connection");
+    assert_eq!(read_reply(&mut reader).expect("a reply"), "+PONG");
 }
