--- a/tests/policy/concurrency_limit.rs
+++ b/tests/policy/concurrency_limit.rs
@@ -17,8 +17,8 @@
         harness.poll(at);
     }
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
-        30.010 1 comes: not yet; count 1: +1.00
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
+        30.010 1 submitted: pending; count 1: +1.00
         30.270 1: throttled, 1.00 s"#]]);
 }
 
@@ -43,11 +43,11 @@
             harness.submit_from(33.0, customer, 1.0);
         }
         harness.answer_counter_calls(33.0);
-        all += &format!("busy {busy}: {} sent on\n", harness.take_forwarded().len());
+        all += &format!("busy {busy}: {} forwarded\n", harness.take_forwarded().len());
     }
     expect![[r#"
-        busy 0.5: 6 sent on
-        busy 1: 4 sent on
+        busy 0.5: 6 forwarded
+        busy 1: 4 forwarded
     "#]]
     .assert_eq(&all);
 }
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -13,8 +13,8 @@
     harness.answer_counter_calls(30.01);
     harness.answer_counter_calls(30.02);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00
-        30.001 1 comes: not yet
+        30.000 0 submitted: pending; count 1: +1.00
+        30.001 1 submitted: pending
         30.010 0: to 2; count 1: +1.00; 1: to 1"#]]);
 }
 
@@ -30,18 +30,18 @@
     harness.submit(31.0, 0, 1.0);
     harness.answer_counter_calls(31.01);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00
+        30.000 0 submitted: pending; count 1: +1.00
         30.040 0: to 0
-        30.100 1 comes: not yet; count 1: +2.00
+        30.100 1 submitted: pending; count 1: +2.00
         30.140 1: to 2
-        30.200 2 comes: not yet; count 1: +2.00
+        30.200 2 submitted: pending; count 1: +2.00
         30.240 2: to 3; log: counter unresponsive: 5 calls missed in 0.24 s; even shares stand in
-        30.300 3 comes: to 1
-        30.400 4 comes: throttled, 0.64 s
-        30.500 5 comes: throttled, 0.54 s; count 1: +0.00
-        30.600 6 comes: throttled, 0.44 s
-        30.700 7 comes: throttled, 0.34 s
-        31.000 0: to 1; 1: to 0; 2: to 1; 3: to 2; 8 comes: throttled, 0.05 s; count 1: +0.00
+        30.300 3 submitted: to 1
+        30.400 4 submitted: throttled, 0.64 s
+        30.500 5 submitted: throttled, 0.54 s; count 1: +0.00
+        30.600 6 submitted: throttled, 0.44 s
+        30.700 7 submitted: throttled, 0.34 s
+        31.000 0: to 1; 1: to 0; 2: to 1; 3: to 2; 8 submitted: throttled, 0.05 s; count 1: +0.00
         31.010 log: counter recovered after 1.01 s; leases resume"#]]);
 }
 
@@ -55,9 +55,9 @@
     harness.poll(32.04);
     harness.answer_counter_calls(32.045);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00
+        30.000 0 submitted: pending; count 1: +1.00
         30.030 0: to 0
-        32.000 1 comes: not yet; count 1: +1.00
+        32.000 1 submitted: pending; count 1: +1.00
         32.045 count 1: +3.09; 1: to 2"#]]);
 }
 
@@ -96,6 +96,6 @@
     let after_miss = called(true, &[200; 12]);
     assert!(after_miss[11] < all[11] && after_miss[11] > after_miss[1], "{after_miss:?}");
     // Calls that were allowed but not made do not show what the counter can take.
-    let quiet = [vec![1; 60], vec![90]].concat();
-    assert!(called(false, &quiet)[60] <= 20, "{:?}", called(false, &quiet));
+    let mostly_idle = [vec![1; 60], vec![90]].concat();
+    assert!(called(false, &mostly_idle)[60] <= 20, "{:?}", called(false, &mostly_idle));
 }
--- a/tests/policy/even_shares.rs
+++ b/tests/policy/even_shares.rs
@@ -14,13 +14,13 @@
     harness.submit(30.1, 0, 1.0);
     harness.fail_counter_calls(30.13, NotApplied);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +6.00
+        30.000 0 submitted: pending; count 1: +6.00
         30.030 0: to 0
-        30.100 1 comes: not yet; count 1: +7.00
+        30.100 1 submitted: pending; count 1: +7.00
         30.130 1: to 2"#]]);
 }
 
-/// Guards: two processes of one instance each spent the whole even share of the instance while the counter was unresponsive.
+/// Guards: two processes of one instance each spent the complete even share of the instance while the counter was unresponsive.
 #[test]
 fn two_processes_of_an_instance_share_its_even_share() {
     let served = |two_processes: bool| {
@@ -55,14 +55,14 @@
     harness.answer_counter_calls(40.01);
     harness.submit(40.3, 0, 1.0);
     harness.expect_trace(expect![[r#"
-        40.000 10 comes: to 0; count 1: +0.00
+        40.000 10 submitted: to 0; count 1: +0.00
         40.010 log: counter recovered after 10.01 s; leases resume
-        40.300 11 comes: not yet; count 1: +2.05"#]]);
+        40.300 11 submitted: pending; count 1: +2.05"#]]);
 }
 
 /// Guards: where the counter takes fewer calls than requests arrive, an even share of less than one unit admitted hardly any.
 #[test]
-fn an_overloaded_counter_lets_a_even_share_go_into_debt_unless_the_quota_is_known_exhausted() {
+fn an_overloaded_counter_lets_an_even_share_go_into_debt_unless_the_quota_is_known_exhausted() {
     let plan = Plan { burst: 16.0, ..plan() };
     let mut harness = one_of_200_instances(Idempotency::Idempotent, plan);
     for units in [8.0, 4.0, 1.0] {
@@ -71,7 +71,7 @@
     harness.receive_counter_total(30.0, 1, 1, 15.5);
     harness.submit_from(30.0, 1, 1.0);
     harness.expect_trace(expect![
-        "30.000 0 comes: to 108; 1 comes: to 389; 2 comes: throttled, 2.00 s; 3 comes: throttled, 0.25 s"
+        "30.000 0 submitted: to 108; 1 submitted: to 389; 2 submitted: throttled, 2.00 s; 3 submitted: throttled, 0.25 s"
     ]);
 }
 
@@ -94,17 +94,17 @@
         harness.submit_across_instances(31.6, 100, units);
     }
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: to 108; 1 comes: to 389; 2 comes: throttled, 2.00 s
-        31.500 3 comes: not yet; count 1: +10.00
+        30.000 0 submitted: to 108; 1 submitted: to 389; 2 submitted: throttled, 2.00 s
+        31.500 3 submitted: pending; count 1: +10.00
         31.510 3: to 226
-        31.600 4 comes: not yet; count 1: +2.05; 5 comes: not yet; count 1: +2.05; 6 comes: to 180; 7 comes: to 62; 8 comes: to 246; 9 comes: throttled, 2.00 s"#]]);
+        31.600 4 submitted: pending; count 1: +2.05; 5 submitted: pending; count 1: +2.05; 6 submitted: to 180; 7 submitted: to 62; 8 submitted: to 246; 9 submitted: throttled, 2.00 s"#]]);
 }
 
 /// Guards: a customer that requests more than its quota at many instances was admitted at each of them: a token bucket seen nearly
 /// empty counted as half full once it had had the time to regain that much, although other instances spent it as it came. On a
 /// calm day of 300 instances 17% of what was forwarded was beyond quotas.
 #[test]
-fn beside_an_overloaded_counter_a_bucket_is_as_full_as_it_was_seen() {
+fn with_an_overloaded_counter_a_bucket_is_as_full_as_it_was_observed() {
     let plan = Plan { burst: 16.0, ..plan() };
     let seen = |at: f64, total: f64| {
         let mut harness = one_of_200_instances(Idempotency::Idempotent, plan.clone());
@@ -119,18 +119,18 @@
     };
     // Of 16 units: one was left 6 s ago, so 13 are there now if nobody spent any; nearly all were there a moment ago.
     seen(30.0, 15.0).expect_trace(expect![[r#"
-        30.000 0 comes: to 108
-        36.000 1 comes: not yet; count 1: +8.21; 2 comes: not yet; count 1: +8.20; 3 comes: not yet; count 1: +8.19; 4 comes: not yet; count 1: +8.18; 5 comes: to 343; 6 comes: throttled, 2.00 s"#]]);
+        30.000 0 submitted: to 108
+        36.000 1 submitted: pending; count 1: +8.21; 2 submitted: pending; count 1: +8.20; 3 submitted: pending; count 1: +8.19; 4 submitted: pending; count 1: +8.18; 5 submitted: to 343; 6 submitted: throttled, 2.00 s"#]]);
     seen(35.9, 13.0).expect_trace(expect![[r#"
-        30.000 0 comes: to 108
-        36.000 1 comes: not yet; count 1: +8.21; 2 comes: not yet; count 1: +8.20; 3 comes: not yet; count 1: +8.19; 4 comes: not yet; count 1: +8.18; 5 comes: to 343; 6 comes: to 296"#]]);
+        30.000 0 submitted: to 108
+        36.000 1 submitted: pending; count 1: +8.21; 2 submitted: pending; count 1: +8.20; 3 submitted: pending; count 1: +8.19; 4 submitted: pending; count 1: +8.18; 5 submitted: to 343; 6 submitted: to 296"#]]);
 }
 
 /// Guards: beside a counter that answers, a full even share smaller than the request went into debt however empty the token bucket was,
 /// for one request at each of the customer's instances: on calm days of 300 instances a third of what was admitted so was beyond
 /// quotas.
 #[test]
-fn beside_a_responsive_counter_a_small_even_share_goes_into_debt_only_for_a_bucket_seen_full() {
+fn with_a_responsive_counter_a_small_even_share_goes_into_debt_only_for_a_bucket_observed_full() {
     let plan = Plan { burst: 16.0, ..plan() };
     let seen = |total: f64, answers: bool| {
         let mut harness = one_of_200_instances(Idempotency::Idempotent, plan.clone());
@@ -153,9 +153,9 @@
     // Seen nearly empty: throttled at once. Seen nearly full, or the counter unresponsive: the even share goes into debt.
     let (nearly_empty, nearly_full) = (seen(26.0, true), seen(13.0, true));
     assert!(
-        nearly_empty.contains("5 comes: throttled") && nearly_full.contains("5 comes: to "),
+        nearly_empty.contains("5 submitted: throttled") && nearly_full.contains("5 submitted: to "),
         "{nearly_empty}\n{nearly_full}"
     );
     let unresponsive = seen(26.0, false);
-    assert!(unresponsive.contains("6 comes: to "), "{unresponsive}");
+    assert!(unresponsive.contains("6 submitted: to "), "{unresponsive}");
 }
--- a/tests/policy/gossip.rs
+++ b/tests/policy/gossip.rs
@@ -13,7 +13,7 @@
         harness.answer_counter_calls(now);
     }
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; tells CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 8.0 }; 0: to 0
-        30.100 1 comes: throttled, 0.40 s
-        31.000 0: to 2; 2 comes: not yet; count 1: +1.00; 2: to 3"#]]);
+        30.000 0 submitted: pending; count 1: +1.00; gossips CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 8.0 }; 0: to 0
+        30.100 1 submitted: throttled, 0.40 s
+        31.000 0: to 2; 2 submitted: pending; count 1: +1.00; 2: to 3"#]]);
 }
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -148,7 +148,7 @@
         let request = self.requests.len();
         self.requests.push(attributes);
         let output = self.engine.route(now, request, &attributes);
-        self.record(now, request, " comes", output);
+        self.record(now, request, " submitted", output);
         request
     }
 
--- a/tests/policy/lifecycle.rs
+++ b/tests/policy/lifecycle.rs
@@ -12,7 +12,7 @@
     harness.answer_counter_calls(30.0);
     harness.complete_attempt(33.996, 0, 0, NotConnected, 0.25);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         33.996 0 NotConnected: throttled, 1.00 s"#]]);
 }
 
@@ -37,7 +37,7 @@
     harness.engine.endpoint_fetch_failed(30.1);
     harness.poll(30.2);
     harness.poll(33.2);
-    harness.expect_trace(expect!["33.200 asks for the list"]);
+    harness.expect_trace(expect!["33.200 fetches the endpoint list"]);
 }
 
 /// Guards: a customer with a request that was in hand for longer than the idle timeout lost its state.
@@ -50,7 +50,7 @@
     harness.answer_counter_calls(60.0);
     harness.complete_attempt(61.0, 0, 0, Broken, 31.0);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         61.000 0 Broken: throttled, 1.00 s"#]]);
 }
 
--- a/tests/policy/load_balancing.rs
+++ b/tests/policy/load_balancing.rs
@@ -20,8 +20,8 @@
     harness.answer_counter_calls(30.2);
     harness.poll(30.46);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 1
-        30.200 1 comes: not yet; count 1: +1.00
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 1
+        30.200 1 submitted: pending; count 1: +1.00
         30.460 1: throttled, 1.00 s"#]]);
 }
 
@@ -100,9 +100,9 @@
         harness.complete_attempt(now, i, 0, Succeeded, 0.1);
     }
     harness.expect_trace(expect![[r#"
-        35.000 4 comes: not yet; count 1: +1.00; count 1: +10.00; 4: to 4; 4 Succeeded: not yet
-        36.000 5 comes: not yet; count 1: +1.00; count 1: +12.00; 5: to 4; 5 Succeeded: not yet
-        37.000 6 comes: not yet; count 1: +1.00; count 1: +14.00; 6: to 4; 6 Succeeded: not yet"#]]);
+        35.000 4 submitted: pending; count 1: +1.00; count 1: +10.00; 4: to 4; 4 Succeeded: pending
+        36.000 5 submitted: pending; count 1: +1.00; count 1: +12.00; 5: to 4; 5 Succeeded: pending
+        37.000 6 submitted: pending; count 1: +1.00; count 1: +14.00; 6: to 4; 6 Succeeded: pending"#]]);
 }
 
 /// Guards: some backends reject one plan although they have capacity, and each retry went to another of them.
@@ -128,10 +128,10 @@
         harness.complete_attempt(31.1, request, 0, Succeeded, 0.1);
     }
     harness.expect_trace(expect![[r#"
-        31.000 1: to 36; 2: to 5; 3: to 28; 4: to 23; 6 comes: not yet; count 1: +1.00; count 1: +2.00; 6: to 6
-        31.100 6 Succeeded: not yet
-        31.000 7 comes: not yet; count 1: +1.00; count 1: +2.00; 7: to 6
-        31.100 7 Succeeded: not yet
-        31.000 8 comes: not yet; count 1: +1.00; count 1: +2.00; 8: to 6
-        31.100 8 Succeeded: not yet"#]]);
+        31.000 1: to 36; 2: to 5; 3: to 28; 4: to 23; 6 submitted: pending; count 1: +1.00; count 1: +2.00; 6: to 6
+        31.100 6 Succeeded: pending
+        31.000 7 submitted: pending; count 1: +1.00; count 1: +2.00; 7: to 6
+        31.100 7 Succeeded: pending
+        31.000 8 submitted: pending; count 1: +1.00; count 1: +2.00; 8: to 6
+        31.100 8 Succeeded: pending"#]]);
 }
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -70,18 +70,18 @@
     harness.answer_counter_calls(now + 2.0);
     harness.complete_attempt(now + 2.1, request, 0, Succeeded, 0.1);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         30.200 0 Broken: throttled, 1.00 s
-        33.000 1 comes: not yet; count 1: +1.00; count 1: +5.00; 1: to 0
+        33.000 1 submitted: pending; count 1: +1.00; count 1: +5.00; 1: to 0
         33.200 1 Broken: throttled, 1.00 s
-        36.000 2 comes: not yet; count 1: +1.00; count 1: +5.00; 2: to 0
+        36.000 2 submitted: pending; count 1: +1.00; count 1: +5.00; 2: to 0
         36.200 2 Broken: throttled, 1.00 s; log: backend 0 ejected for 1 s: 3 failures in a row, last Broken
-        39.000 3 comes: not yet; count 1: +1.00; count 1: +5.00; 3: to 0
+        39.000 3 submitted: pending; count 1: +1.00; count 1: +5.00; 3: to 0
         39.200 3 Broken: throttled, 1.00 s; log: backend 0 ejected for 2 s: 4 failures in a row, last Broken
-        42.000 4 comes: not yet; count 1: +1.00; count 1: +5.00; 4: to 0
+        42.000 4 submitted: pending; count 1: +1.00; count 1: +5.00; 4: to 0
         42.200 4 Broken: throttled, 1.00 s; log: backend 0 ejected for 4 s: 5 failures in a row, last Broken
-        47.000 5 comes: not yet; count 1: +1.00; count 1: +9.00; 5: to 0
-        47.100 5 Succeeded: not yet; tells BackendRecovered { backend: 0 }; log: backend 0 recovered: answered in 0.100 s"#]]);
+        47.000 5 submitted: pending; count 1: +1.00; count 1: +9.00; 5: to 0
+        47.100 5 Succeeded: pending; gossips BackendRecovered { backend: 0 }; log: backend 0 recovered: answered in 0.100 s"#]]);
 }
 
 /// Guards: clients that disconnect very early and try again: two cancelled attempts ejected the backend.
@@ -96,12 +96,12 @@
         harness.complete_attempt(now + 0.1, request, 0, Cancelled, 0.1);
     }
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
-        30.100 cancel 0.0; 0 Cancelled: not yet
-        31.000 1 comes: not yet; count 1: +1.00; 1: to 0
-        31.100 cancel 1.0; 1 Cancelled: not yet
-        32.000 2 comes: not yet; count 1: +1.00; count 1: +2.00; 2: to 0
-        32.100 cancel 2.0; 2 Cancelled: not yet"#]]);
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
+        30.100 cancel 0.0; 0 Cancelled: pending
+        31.000 1 submitted: pending; count 1: +1.00; 1: to 0
+        31.100 cancel 1.0; 1 Cancelled: pending
+        32.000 2 submitted: pending; count 1: +1.00; count 1: +2.00; 2: to 0
+        32.100 cancel 2.0; 2 Cancelled: pending"#]]);
 }
 
 /// Guards: with many instances a backend rarely answers any one of them: a slow one was found only after tens of answers.
@@ -136,7 +136,7 @@
     }
     harness.complete_attempt(36.0, first, 0, Broken, 0.1);
     harness.expect_trace(expect![[r#"
-        35.050 5 Succeeded: not yet
+        35.050 5 Succeeded: pending
         36.000 0 Broken: throttled, 1.00 s"#]]);
 }
 
--- a/tests/policy/permits.rs
+++ b/tests/policy/permits.rs
@@ -22,11 +22,11 @@
     harness.submit(30.6, 0, 1.0);
     harness.answer_counter_calls(30.6);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1073741827: +1.00; 0: to 0
-        30.010 1 comes: not yet; count 1073741827: +1.00; 1: to 2
-        30.020 2 comes: not yet; count 1073741827: +1.00; count 1073741827: -1.00; 2: throttled, 0.12 s
-        30.500 0 Succeeded: not yet; count 1073741827: -1.00
-        30.600 3 comes: not yet; count 1073741827: +1.00; 3: to 1"#]]);
+        30.000 0 submitted: pending; count 1073741827: +1.00; 0: to 0
+        30.010 1 submitted: pending; count 1073741827: +1.00; 1: to 2
+        30.020 2 submitted: pending; count 1073741827: +1.00; count 1073741827: -1.00; 2: throttled, 0.12 s
+        30.500 0 Succeeded: pending; count 1073741827: -1.00
+        30.600 3 submitted: pending; count 1073741827: +1.00; 3: to 1"#]]);
 }
 
 /// Without the counter one of N instances waits N times as long for its next permit. Guards: a late answer gave a permit that
@@ -45,12 +45,12 @@
     harness.submit(31.1, 0, 1.0);
     harness.fail_counter_calls(31.12, NotApplied);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1073741827: +1.00
+        30.000 0 submitted: pending; count 1073741827: +1.00
         30.040 0: to 0
         30.050 count 1073741827: -1.00
-        30.100 0 Succeeded: not yet
-        30.110 1 comes: not yet; count 1073741827: +1.00
+        30.100 0 Succeeded: pending
+        30.110 1 submitted: pending; count 1073741827: +1.00
         30.120 1: throttled, 0.24 s
-        31.100 2 comes: not yet; count 1073741827: +1.00
+        31.100 2 submitted: pending; count 1073741827: +1.00
         31.120 2: to 0"#]]);
 }
--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -18,9 +18,9 @@
     harness.submit(30.1, 0, 1.0);
     harness.poll(31.02);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +3.00
+        30.000 0 submitted: pending; count 1: +3.00
         30.010 0: to 0
-        30.100 1 comes: to 1
+        30.100 1 submitted: to 1
         31.020 count 1: -1.00; 1: to 0"#]]);
 }
 
@@ -34,9 +34,9 @@
     harness.poll(31.0);
     harness.submit(31.6, 0, 1.0);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +3.00; count 1: -3.00; 0: throttled, 1.00 s
-        30.500 1 comes: throttled, 0.50 s
-        31.600 2 comes: not yet; count 1: +1.00"#]]);
+        30.000 0 submitted: pending; count 1: +3.00; count 1: -3.00; 0: throttled, 1.00 s
+        30.500 1 submitted: throttled, 0.50 s
+        31.600 2 submitted: pending; count 1: +1.00"#]]);
 }
 
 /// Guards: a counter that was flushed, or came back empty, gave every customer a second burst.
@@ -53,8 +53,8 @@
     harness.submit(33.1, 0, 1.0);
     harness.answer_counter_calls(33.1);
     harness.expect_trace(expect![[r#"
-        33.000 0 comes: not yet; count 1: +1.00; 0: to 0
-        33.100 1 comes: throttled, 0.40 s; 2 comes: not yet; count 1: +1.00; count 1: +13.00; tells CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 14.0 }; 2: to 2"#]]);
+        33.000 0 submitted: pending; count 1: +1.00; 0: to 0
+        33.100 1 submitted: throttled, 0.40 s; 2 submitted: pending; count 1: +1.00; count 1: +13.00; gossips CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 14.0 }; 2: to 2"#]]);
 }
 
 #[test]
@@ -66,8 +66,8 @@
     harness.submit(60.0, 0, 1.0);
     harness.answer_counter_calls(60.0);
     harness.expect_trace(expect![[r#"
-        59.900 0 comes: not yet; count 1: +1.00; 0: to 0
-        60.000 1 comes: not yet; count 2: +1.00; count 2: +6.00; 1: to 2"#]]);
+        59.900 0 submitted: pending; count 1: +1.00; 0: to 0
+        60.000 1 submitted: pending; count 2: +1.00; count 2: +6.00; 1: to 2"#]]);
 }
 
 /// Guards: the most expensive plans were throttled within their quotas: the fraction of the ceiling is only for what no
@@ -87,11 +87,11 @@
     harness.submit(36.1, 0, 1.0);
     harness.fail_counter_calls(36.14, NotApplied);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: throttled, 1.00 s
-        35.000 count 1: -1.00; 1 comes: not yet; count 1: +1.00; count 1: +10.00; 1: to 1
-        35.100 2 comes: not yet; count 1: +1.00
+        30.000 0 submitted: pending; count 1: +1.00; 0: throttled, 1.00 s
+        35.000 count 1: -1.00; 1 submitted: pending; count 1: +1.00; count 1: +10.00; 1: to 1
+        35.100 2 submitted: pending; count 1: +1.00
         35.140 2: to 0
-        36.100 count 1: +1.00; 2: to 1; 3 comes: not yet; count 1: +1.03
+        36.100 count 1: +1.00; 2: to 1; 3 submitted: pending; count 1: +1.03
         36.140 3: to 0"#]]);
 }
 
@@ -104,7 +104,7 @@
     harness.engine.attempt_ended(30.1, request, &outcome);
     harness.poll(31.2);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         31.200 count 1: +3.00"#]]);
 }
 
@@ -120,6 +120,6 @@
     harness.submit(32.0, 0, 1.0);
     harness.answer_counter_calls(32.0);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; count 1: -1.00; tells CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 10.0 }; 0: throttled, 1.50 s
-        32.000 1 comes: not yet; count 1: +1.00; 1: to 0"#]]);
+        30.000 0 submitted: pending; count 1: +1.00; count 1: -1.00; gossips CounterTotal { key: CounterKey { customer: 0, series: 1 }, plan: 0, instances: InstanceRange { first: 0, count: 2 }, total: 10.0 }; 0: throttled, 1.50 s
+        32.000 1 submitted: pending; count 1: +1.00; 1: to 0"#]]);
 }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -15,9 +15,9 @@
         all += &format!("{}\n", harness.take_trace());
     }
     expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         30.100 0 Rejected: to 1
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         30.100 0 Broken: error
     "#]]
     .assert_eq(&all);
@@ -31,7 +31,7 @@
     harness.complete_attempt(30.1, 0, 0, Broken, 0.1);
     harness.complete_attempt(30.6, 0, 1, Errored, 0.5);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         30.100 0 Broken: to 1
         30.600 0 Errored: error"#]]);
 }
@@ -46,7 +46,7 @@
     harness.poll(30.0);
     harness.complete_attempt(31.0, request, 0, AttemptResult::TimedOut, 1.0);
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         31.000 0 TimedOut: error"#]]);
 }
 
@@ -62,10 +62,10 @@
         harness.complete_attempt(now + 0.9, request, 1, Succeeded, 0.1);
     }
     harness.expect_trace(expect![[r#"
-        30.000 0 comes: not yet; count 1: +1.00; 0: to 0
+        30.000 0 submitted: pending; count 1: +1.00; 0: to 0
         30.800 0: to 1
-        30.900 0 Succeeded: not yet; cancel 0.0
-        31.000 1 comes: not yet; count 1: +1.00; 1: to 1
+        30.900 0 Succeeded: pending; cancel 0.0
+        31.000 1 submitted: pending; count 1: +1.00; 1: to 1
         31.800 1: to 0
-        31.900 1 Succeeded: not yet; cancel 1.0"#]]);
+        31.900 1 Succeeded: pending; cancel 1.0"#]]);
 }
--- a/tests/policy/trace.rs
+++ b/tests/policy/trace.rs
@@ -13,7 +13,7 @@
     pub fn add_decision(&mut self, now: f64, request: RequestIndex, cause: &str, decision: Decision) {
         let text = match decision {
             Decision::Forward { backend } => format!("to {backend}"),
-            Decision::Pending => "not yet".into(),
+            Decision::Pending => "pending".into(),
             Decision::Throttle { retry_after: Some(seconds) } => format!("throttled, {seconds:.2} s"),
             Decision::Throttle { retry_after: None } => "throttled".into(),
             Decision::Error => "error".into(),
@@ -30,10 +30,10 @@
             self.add(now, format_args!("cancel {request}.{attempt}"));
         }
         if effects.fetch_endpoints {
-            self.add(now, format_args!("asks for the list"));
+            self.add(now, format_args!("fetches the endpoint list"));
         }
         for message in &effects.gossip {
-            self.add(now, format_args!("tells {message:?}"));
+            self.add(now, format_args!("gossips {message:?}"));
         }
         for line in &effects.log {
             self.add(now, format_args!("log: {line}"));
