--- a/gateway/src/sockets/connection/streaming.rs
+++ b/gateway/src/sockets/connection/streaming.rs
@@ -68,12 +68,13 @@
         self.stream_source.last_progress.borrow().elapsed().as_secs_f64()
     }
 
-    /// A value is being streamed, all that has arrived of it has left for its client, and more would be read.
+    /// A value is being streamed, all that has arrived of it has left for its client, and more would be read. Bytes that have arrived
+    /// while the process was paused may not have been read yet.
     pub fn is_waiting_for_backend(&self) -> bool {
         let target = self.stream_source.target.borrow();
         let flushed = target.as_ref().is_some_and(|target| target.is_flushed());
         let waits_for_client = self.stream_source.waits_for_client.load(Ordering::Relaxed);
-        flushed && self.reader.borrow().is_streaming() && !waits_for_client
+        flushed && self.reader.borrow().is_streaming() && !waits_for_client && !self.has_unread_input()
     }
 
     /// How much of a value may be read now, in bytes; all of it where nobody waits for it.
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -86,12 +86,14 @@
     stream.write_rest();
     let mut client = stream.connect_and_send_request();
     sleep(2 * CLIENT_TIMEOUT);
+    let reply_length = format!("${VALUE_LENGTH}\r\n").len() + VALUE_LENGTH + "\r\n".len();
     let (mut received, mut buffer) = (vec![], vec![0; 65_536]);
-    while received.len() < VALUE_LENGTH {
+    while received.len() < reply_length {
         let length = client.read(&mut buffer).expect("more of the value");
         assert!(length > 0, "cut off after {} bytes", received.len());
         received.extend_from_slice(&buffer[..length]);
     }
+    assert_eq!(received.len(), reply_length);
     assert!(received.ends_with(b"v\r\n"));
 }
 
@@ -108,3 +110,24 @@
     client.write_all(PING).expect("an open connection");
     assert_eq!(read_reply(&mut reader).expect("a reply"), "+PONG");
 }
+
+/// Guards: after a pause of its own a gateway gave up a value whose backend had written meanwhile.
+#[test]
+fn a_value_is_not_given_up_for_a_pause_of_the_gateway() {
+    let stream = StalledStream::start("paused");
+    let mut client = stream.connect_and_send_request();
+    stream.write_rest();
+    let start = Instant::now();
+    let mut reader = BufReader::new(client.try_clone().expect("a second handle"));
+    let value = std::thread::spawn(move || read_reply(&mut reader));
+    sleep(CLIENT_TIMEOUT);
+    while start.elapsed() < CLIENT_TIMEOUT * 3 / 2 && !value.is_finished() {
+        stream.gateway.pause();
+        sleep(Duration::from_millis(250));
+        stream.gateway.resume();
+        sleep(Duration::from_millis(20));
+    }
+    let value = value.join().expect("no panic").expect("a value");
+    assert_eq!(value.len(), VALUE_LENGTH);
+    client.write_all(PING).expect("an open connection");
+}
