--- a/emulator/src/gateway_process/effects.rs
+++ b/emulator/src/gateway_process/effects.rs
@@ -129,10 +129,10 @@
         let command_waits = self
             .inbox
             .iter()
-            .any(|event| matches!(event, Event::ClientCommand(sender, _) if *sender == client));
+            .any(|event| matches!(event, Event::ClientCommand { client: sender, .. } if *sender == client));
         if all_read && !command_waits {
             self.close(ctx, id);
-            self.deliver_event(ctx, Event::IdleClientClosed(client, reason));
+            self.deliver_event(ctx, Event::IdleClientClosed { client, reason });
         }
     }
 
--- a/emulator/src/gateway_process/inbound.rs
+++ b/emulator/src/gateway_process/inbound.rs
@@ -49,7 +49,10 @@
         let (connection_id, event) = if link.remote == Remote::Operator {
             (ConnectionId::Admin(number), Event::AdminConnected(number))
         } else {
-            (ConnectionId::Client(number), Event::ClientAccepted(number, link.client_address))
+            (
+                ConnectionId::Client(number),
+                Event::ClientAccepted { client: number, address: link.client_address },
+            )
         };
         link.connection = connection_id;
         if link.malformed {
--- a/emulator/src/gateway_process/sabotage.rs
+++ b/emulator/src/gateway_process/sabotage.rs
@@ -70,7 +70,8 @@
 
     /// The event that the reducer gets in place of this one.
     pub(super) fn tampered_event(&self, event: Event) -> Event {
-        let Event::HttpResponse(connection @ ConnectionId::Discovery(_), mut response) = event else {
+        let Event::HttpResponse { connection: connection @ ConnectionId::Discovery(_), mut response } = event
+        else {
             return event;
         };
         let body = String::from_utf8_lossy(&response.body);
@@ -79,10 +80,10 @@
                 body.replace("DRAINING", "SERVING").replace("DELETED", "SERVING")
             }
             Some(Sabotage::SkipsSlowStart) => without_start_times(&body),
-            _ => return Event::HttpResponse(connection, response),
+            _ => return Event::HttpResponse { connection, response },
         };
         response.body = tampered.into_bytes();
-        Event::HttpResponse(connection, response)
+        Event::HttpResponse { connection, response }
     }
 }
 
--- a/gateway/src/sockets/acceptor.rs
+++ b/gateway/src/sockets/acceptor.rs
@@ -132,7 +132,7 @@
         let number = self.last_number;
         let (id, event) = match self.kind {
             ListenerKind::Clients { .. } => {
-                (ConnectionId::Client(number), Event::ClientAccepted(number, peer.ip()))
+                (ConnectionId::Client(number), Event::ClientAccepted { client: number, address: peer.ip() })
             }
             ListenerKind::Operators => (ConnectionId::Admin(number), Event::AdminConnected(number)),
         };
--- a/gateway/src/sockets/connection/decoding.rs
+++ b/gateway/src/sockets/connection/decoding.rs
@@ -38,7 +38,7 @@
         }
         if self.backlog.drops() {
             // It is sending a command, stored or not.
-            self.push(Event::BodyProgress(connection.client_number() as u64, true));
+            self.push(Event::BodyProgress { client: connection.client_number() as u64, has_capacity: true });
         }
         if !connection.count_partial(before, self.backlog.len()) {
             self.protocol_error("too much unfinished");
@@ -86,7 +86,7 @@
                 Some(Due::Refusal) => {
                     let client = connection.client_number() as u64;
                     connection.count_command(0);
-                    self.push(Event::ClientCommand(client, ClientCommand::Dropped));
+                    self.push(Event::ClientCommand { client, command: ClientCommand::Dropped });
                 }
                 Some(Due::TooMany) => {
                     self.backlog.clear(MAX_KEPT_BUFFER_BYTES);
--- a/gateway/src/sockets/connection/read_loop.rs
+++ b/gateway/src/sockets/connection/read_loop.rs
@@ -205,7 +205,7 @@
         let connection = self.connection;
         if !connection.commands.waits_for_capacity.swap(true, Ordering::Relaxed) {
             connection.context.waiting_for_capacity.borrow_mut().push(connection.clone());
-            self.push(Event::BodyProgress(connection.client_number() as u64, false));
+            self.push(Event::BodyProgress { client: connection.client_number() as u64, has_capacity: false });
         }
     }
 
--- a/gateway/src/sockets/connection/sink.rs
+++ b/gateway/src/sockets/connection/sink.rs
@@ -11,7 +11,7 @@
         if matches!(event, Event::StreamStarted(_)) {
             self.0.stream_source.progressed();
         }
-        if matches!(event, Event::ClientCommand(..)) {
+        if matches!(event, Event::ClientCommand { .. }) {
             self.0.count_command(long);
         }
         self.0.context.events.push(event);
--- a/gateway/src/sockets/effects.rs
+++ b/gateway/src/sockets/effects.rs
@@ -127,7 +127,7 @@
         let idle = self.connections.with(id, |connection| !connection.has_unread_input());
         if idle == Some(true) {
             self.close(id, batch);
-            self.context.events.push(Event::IdleClientClosed(client, reason));
+            self.context.events.push(Event::IdleClientClosed { client, reason });
         }
     }
 
--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -54,8 +54,14 @@
         self.close_backend_connection(connection_id, CloseReason::UnexpectedData);
     }
 
-    /// A reply to the first attempt on a connection. `more`: something has come behind it.
-    pub(super) fn backend_replied(&mut self, now: f64, connection_id: u64, reply: BackendReply, more: bool) {
+    /// A reply to the first attempt on a connection. `more_received`: bytes have come right behind it.
+    pub(super) fn backend_replied(
+        &mut self,
+        now: f64,
+        connection_id: u64,
+        reply: BackendReply,
+        more_received: bool,
+    ) {
         let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
         let Some(front) = connection.queue.pop_front() else {
             return self.unexpected_backend_data(connection_id);
@@ -70,12 +76,12 @@
                 BackendReply::Failed => self.attempt_failed(id, AttemptResult::Errored),
             }
         }
-        self.response_complete(now, connection_id, more);
+        self.response_complete(now, connection_id, more_received);
     }
 
     /// The first attempt on a connection has been taken off it.
-    pub(super) fn response_complete(&mut self, now: f64, connection_id: u64, more: bool) {
-        if more {
+    pub(super) fn response_complete(&mut self, now: f64, connection_id: u64, more_received: bool) {
+        if more_received {
             self.unexpected_backend_data(connection_id);
         }
         self.park_if_idle(now, connection_id);
--- a/gateway/src/state/dispatch.rs
+++ b/gateway/src/state/dispatch.rs
@@ -9,18 +9,20 @@
     /// Handles one event.
     pub fn handle(&mut self, now: f64, event: Event) {
         match event {
-            Event::ClientAccepted(id, address) => self.client_accepted(now, id, address),
-            Event::ClientCommand(id, command) => self.client_command(now, id, command),
-            Event::BodyProgress(id, has_room) => self.body_progressed(now, id, has_room),
-            Event::IdleClientClosed(id, reason) => self.idle_client_closed(id, reason),
-            Event::BackendReply(id, reply, more) => self.backend_replied(now, id, reply, more),
+            Event::ClientAccepted { client, address } => self.client_accepted(now, client, address),
+            Event::ClientCommand { client, command } => self.client_command(now, client, command),
+            Event::BodyProgress { client, has_capacity } => self.body_progressed(now, client, has_capacity),
+            Event::IdleClientClosed { client, reason } => self.idle_client_closed(client, reason),
+            Event::BackendReply { connection, reply, more_received } => {
+                self.backend_replied(now, connection, reply, more_received);
+            }
             Event::StreamStarted(id) => self.stream_started(now, id),
             Event::StreamForwarded(id) => self.stream_forwarded(now, id),
-            Event::StreamTrailer(id, billed_units, load_report, more) => {
-                self.stream_trailer_received(now, id, billed_units, load_report, more);
+            Event::StreamTrailer { connection, billed_units, load_report, more_received } => {
+                self.stream_trailer_received(now, connection, billed_units, load_report, more_received);
             }
             Event::Withdrawn { connection, attempt } => self.attempt_withdrawn(now, connection, attempt),
-            Event::HttpResponse(connection, response) => self.http_response(now, connection, response),
+            Event::HttpResponse { connection, response } => self.http_response(now, connection, response),
             Event::PartialMessage(connection) => self.partial_message(now, connection),
             Event::Connected(connection) => self.connected(now, connection),
             Event::ConnectionEnded { connection, reason, unsent } => {
@@ -31,7 +33,7 @@
             Event::DescriptorsExhausted if self.clients.rejected_in_batch => {}
             Event::DescriptorsExhausted => self.free_descriptor_for_client(now),
             Event::AdminConnected(id) => self.admin_connected(now, id),
-            Event::AdminCall(id, call) => self.admin_call(now, id, call),
+            Event::AdminCall { connection, call } => self.admin_call(now, connection, call),
             Event::SharedStateSaved { call, shared } => self.shared_state_saved(now, call, shared),
             Event::ReloadFailed(error) => self.reload_failed(&error),
             Event::ConfigurationReloaded { discovery, counter } => {
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -172,12 +172,22 @@
 /// What has happened. Numbers are those of connections, unless stated otherwise.
 #[derive(Debug)]
 pub enum Event {
-    /// A client connected, from this address.
-    ClientAccepted(u64, IpAddr),
+    /// A client connected.
+    ClientAccepted {
+        /// The client's connection.
+        client: u64,
+        /// The address that it connected from.
+        address: IpAddr,
+    },
     /// An operator connected.
     AdminConnected(u64),
     /// An operator's call.
-    AdminCall(u64, admin::AdminCall),
+    AdminCall {
+        /// The operator's connection.
+        connection: u64,
+        /// What the operator asks for.
+        call: admin::AdminCall,
+    },
     /// The shared state was saved, or could not be: for an operator's call on this connection, or by another process.
     SharedStateSaved {
         /// The operator's connection; `None` where another process saved it.
@@ -186,23 +196,59 @@
         shared: Result<SharedState, String>,
     },
     /// A client's connection was closed after `Effect::CloseIfIdle`.
-    IdleClientClosed(u64, CloseReason),
+    IdleClientClosed {
+        /// The client's connection.
+        client: u64,
+        /// The reason that the effect gave.
+        reason: CloseReason,
+    },
     /// A client's command.
-    ClientCommand(u64, ClientCommand),
-    /// A backend's reply, and whether more has come right behind it.
-    BackendReply(u64, BackendReply, bool),
+    ClientCommand {
+        /// The client's connection.
+        client: u64,
+        /// The command.
+        command: ClientCommand,
+    },
+    /// A backend's reply.
+    BackendReply {
+        /// The backend's connection.
+        connection: u64,
+        /// The reply.
+        reply: BackendReply,
+        /// More bytes were received right behind it.
+        more_received: bool,
+    },
     /// The head of a value that is to be streamed has come from a backend.
     StreamStarted(u64),
     /// All of that value is on its way to the client.
     StreamForwarded(u64),
-    /// What stood behind that value: the billed units, the load report, and whether more has come behind them.
-    StreamTrailer(u64, Option<f64>, Option<Vec<u8>>, bool),
+    /// What follows that value.
+    StreamTrailer {
+        /// The backend's connection.
+        connection: u64,
+        /// The units that the backend billed, where it reports them.
+        billed_units: Option<f64>,
+        /// The backend's load report, as it was written.
+        load_report: Option<Vec<u8>>,
+        /// More bytes were received right behind it.
+        more_received: bool,
+    },
     /// A response of the counter or of the discovery service.
-    HttpResponse(ConnectionId, Response),
+    HttpResponse {
+        /// The connection to the service.
+        connection: ConnectionId,
+        /// The response.
+        response: Response,
+    },
     /// The beginning of a message has come, and not the rest yet.
     PartialMessage(ConnectionId),
-    /// More of a long body has come from a client, and whether there is memory for the rest.
-    BodyProgress(u64, bool),
+    /// More of a long body has come from a client.
+    BodyProgress {
+        /// The client's connection.
+        client: u64,
+        /// There is memory for the rest.
+        has_capacity: bool,
+    },
     /// A connection that was opened from here is up.
     Connected(ConnectionId),
     /// An attempt was taken out of the buffer of a backend's connection before any of its bytes was written.
--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -103,9 +103,9 @@
 
     fn decode_one(&mut self, bytes: &[u8], to: &mut dyn MessageSink) -> Result<DecodeStep, CloseReason> {
         match self.connection {
-            ConnectionId::Client(id) => match resp::decode_command(bytes) {
+            ConnectionId::Client(client) => match resp::decode_command(bytes) {
                 Ok(command) => Ok(DecodeStep::from_message(
-                    command.map(|(command, length)| (Event::ClientCommand(id, command), length)),
+                    command.map(|(command, length)| (Event::ClientCommand { client, command }, length)),
                 )),
                 Err(ProtocolError(error)) => {
                     self.protocol_error(error, to);
@@ -113,14 +113,14 @@
                 }
             },
             ConnectionId::Backend(id) => self.decode_reply(id, bytes, to),
-            ConnectionId::Admin(id) => {
+            ConnectionId::Admin(connection) => {
                 let Some(call) = admin::decode_call(bytes) else { return Ok(DecodeStep::Partial) };
                 self.discard = true; // one call to a connection
-                Ok(DecodeStep::Message(Event::AdminCall(id, call), bytes.len()))
+                Ok(DecodeStep::Message(Event::AdminCall { connection, call }, bytes.len()))
             }
             connection => {
                 let response = http::decode_response(bytes).map_err(|_| CloseReason::BadFraming)?;
-                let event = |(response, length)| (Event::HttpResponse(connection, response), length);
+                let event = |(response, length)| (Event::HttpResponse { connection, response }, length);
                 Ok(DecodeStep::from_message(response.map(event)))
             }
         }
@@ -147,9 +147,12 @@
             }
             ReplyStage::Trailer => {
                 let trailer = resp::decode_trailer(bytes).map_err(|_| CloseReason::BadFraming)?;
-                let Some(((billed, report), length)) = trailer else { return Ok(DecodeStep::Blocked) };
+                let Some(((billed_units, load_report), length)) = trailer else {
+                    return Ok(DecodeStep::Blocked);
+                };
                 self.stage = ReplyStage::Head;
-                let event = Event::StreamTrailer(id, billed, report, length < bytes.len());
+                let more_received = length < bytes.len();
+                let event = Event::StreamTrailer { connection: id, billed_units, load_report, more_received };
                 Ok(DecodeStep::Message(event, length))
             }
         }
@@ -162,14 +165,17 @@
             return Ok(DecodeStep::Message(Event::StreamStarted(id), length));
         }
         let reply = resp::decode_reply(bytes).map_err(|_| CloseReason::BadFraming)?;
-        let event = |(reply, length)| (Event::BackendReply(id, reply, length < bytes.len()), length);
-        Ok(DecodeStep::from_message(reply.map(event)))
+        let Some((reply, length)) = reply else { return Ok(DecodeStep::Partial) };
+        let more_received = length < bytes.len();
+        Ok(DecodeStep::Message(Event::BackendReply { connection: id, reply, more_received }, length))
     }
 
     /// The event for a message of which so many bytes have come, and not the rest.
     fn partial_message(&self, bytes: usize) -> Event {
         match self.connection {
-            ConnectionId::Client(id) if bytes > resp::MAX_MESSAGE_BYTES => Event::BodyProgress(id, true),
+            ConnectionId::Client(client) if bytes > resp::MAX_MESSAGE_BYTES => {
+                Event::BodyProgress { client, has_capacity: true }
+            }
             connection => Event::PartialMessage(connection),
         }
     }
@@ -196,9 +202,10 @@
 
     /// Nothing more of what this client sends can be understood.
     pub fn protocol_error(&mut self, error: &'static str, to: &mut dyn MessageSink) {
-        let ConnectionId::Client(id) = self.connection else { return };
+        let ConnectionId::Client(client) = self.connection else { return };
         if !std::mem::replace(&mut self.discard, true) {
-            to.event(Event::ClientCommand(id, resp::ClientCommand::ProtocolError(error)), 0);
+            let command = resp::ClientCommand::ProtocolError(error);
+            to.event(Event::ClientCommand { client, command }, 0);
         }
     }
 }
--- a/gateway/src/state/idle.rs
+++ b/gateway/src/state/idle.rs
@@ -35,11 +35,11 @@
         self.timers.schedule(now + PARTIAL_COMMAND_TIMEOUT, TimerKind::PartialCommand(id));
     }
 
-    /// More of a command's long body has come. `has_room`: its next part can be read.
-    pub(super) fn body_progressed(&mut self, now: f64, id: u64, has_room: bool) {
+    /// More of a command's long body has come. `has_capacity`: its next part can be read.
+    pub(super) fn body_progressed(&mut self, now: f64, id: u64, has_capacity: bool) {
         self.partial_command_received(now, id);
         if let Some(client) = self.clients.connections.get_mut(&id) {
-            client.body_progress_at = Some(if has_room { now } else { f64::INFINITY });
+            client.body_progress_at = Some(if has_capacity { now } else { f64::INFINITY });
         }
     }
 
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -116,14 +116,14 @@
     /// Handles events that have come together. Commands last: a new attempt must not be sent on a connection whose end is
     /// in the same batch.
     pub fn handle_batch(&mut self, now: f64, events: &mut Vec<Event>) {
-        events.sort_by_key(|event| matches!(event, Event::ClientCommand(..)));
+        events.sort_by_key(|event| matches!(event, Event::ClientCommand { .. }));
         let ended: HashSet<ConnectionId> = events.iter().filter_map(ended_connection).collect();
         // A connection that came up and ended in the same batch never was: nothing has been written to it.
         events.retain(|event| !matches!(event, Event::Connected(connection) if ended.contains(connection)));
         self.mark_ending(&ended);
         for event in &*events {
-            if let Event::ClientCommand(id, _) = event {
-                self.command_read(*id);
+            if let Event::ClientCommand { client, .. } = event {
+                self.command_read(*client);
             }
         }
         self.clients.rejected_in_batch = false;
--- a/gateway/src/state/streams.rs
+++ b/gateway/src/state/streams.rs
@@ -67,21 +67,21 @@
         }
     }
 
-    /// What stood behind the value: its attempt has ended. `more`: something has come behind that.
+    /// What stood behind the value: its attempt has ended. `more_received`: bytes have come right behind that.
     pub(super) fn stream_trailer_received(
         &mut self,
         now: f64,
         connection_id: u64,
         billed_units: Option<f64>,
         load_report: Option<Vec<u8>>,
-        more: bool,
+        more_received: bool,
     ) {
         let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
         let Some(front) = connection.queue.pop_front() else { return };
         if let Some(id) = front.id {
             self.attempt_succeeded(id, billed_units, load_report);
         }
-        self.response_complete(now, connection_id, more);
+        self.response_complete(now, connection_id, more_received);
     }
 
     /// The connection of an attempt ended. What has been streamed of its value can't be taken back, so the client's
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -104,7 +104,10 @@
 }
 
 pub fn command_event(client: u64, text: &str) -> Event {
-    Event::ClientCommand(client, resp::decode_command(text.as_bytes()).expect("framed").expect("whole").0)
+    Event::ClientCommand {
+        client,
+        command: resp::decode_command(text.as_bytes()).expect("framed").expect("whole").0,
+    }
 }
 
 impl Bench {
@@ -119,7 +122,7 @@
         let mut idle: Vec<Event> = effects
             .iter()
             .filter_map(idle)
-            .map(|id| Event::IdleClientClosed(id, CloseReason::Idle))
+            .map(|id| Event::IdleClientClosed { client: id, reason: CloseReason::Idle })
             .collect();
         if idle.is_empty() {
             return next;
@@ -149,7 +152,7 @@
         self
     }
     pub fn client(&mut self, id: u64) -> &mut Self {
-        self.event(Event::ClientAccepted(id, HERE))
+        self.event(Event::ClientAccepted { client: id, address: HERE })
     }
     pub fn call(&mut self, client: u64, operation: &str, customer: u64) -> &mut Self {
         self.command(client, operation, &format!("{customer:016x}"), "t=small,d=800,units=1,spread=1,first=0")
@@ -177,20 +180,20 @@
         self.replies(id, value, false)
     }
     pub fn replies(&mut self, id: u64, value: &str, more: bool) -> &mut Self {
-        self.event(Event::BackendReply(
-            id,
-            BackendReply::Value { value: value.into(), billed: None, report: None },
-            more,
-        ))
+        self.event(Event::BackendReply {
+            connection: id,
+            reply: BackendReply::Value { value: value.into(), billed: None, report: None },
+            more_received: more,
+        })
     }
     pub fn ended(&mut self, connection: ConnectionId, reason: CloseReason, unsent: bool) -> &mut Self {
         self.event(Event::ConnectionEnded { connection, reason, unsent })
     }
     pub fn counter(&mut self, id: u64, status: u16, body: &str) -> &mut Self {
-        self.event(Event::HttpResponse(
-            ConnectionId::Counter(id),
-            Response { status, body: body.into(), closes_connection: false },
-        ))
+        self.event(Event::HttpResponse {
+            connection: ConnectionId::Counter(id),
+            response: Response { status, body: body.into(), closes_connection: false },
+        })
     }
     /// Keeps these lines of what was said.
     pub fn only(&mut self, which: impl Fn(&str) -> bool) {
@@ -209,7 +212,7 @@
 
 pub fn call(b: &mut Bench, id: u64, text: &str) {
     let call = admin::decode_call(format!("{text} HTTP/1.1\r\n\r\n").as_bytes()).expect("whole");
-    b.event(Event::AdminConnected(id)).event(Event::AdminCall(id, call));
+    b.event(Event::AdminConnected(id)).event(Event::AdminCall { connection: id, call });
 }
 
 /// A change that is kept by now, as the thread that keeps it tells.
@@ -230,10 +233,10 @@
     };
     let all: Vec<String> = names.iter().map(entry).collect();
     let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, all.join(","));
-    Event::HttpResponse(
-        ConnectionId::Discovery(1),
-        Response { status: 200, body: body.into(), closes_connection: false },
-    )
+    Event::HttpResponse {
+        connection: ConnectionId::Discovery(1),
+        response: Response { status: 200, body: body.into(), closes_connection: false },
+    }
 }
 
 pub const PING: &str = "*1\r\n$4\r\nPING\r\n";
--- a/gateway/tests/reducer/descriptors.rs
+++ b/gateway/tests/reducer/descriptors.rs
@@ -82,7 +82,7 @@
 fn a_client_whose_command_has_been_read_is_not_let_go() {
     let mut b = bench_with_descriptors(32 + 5);
     b.client(1).sends(1, PING).client(2).sends(2, PING).until(1.0).text.clear();
-    let come = [3, 4, 5].map(|id| Event::ClientAccepted(id, HERE));
+    let come = [3, 4, 5].map(|id| Event::ClientAccepted { client: id, address: HERE });
     b.batch(come.into_iter().chain([command_event(1, PING)]).collect());
     b.is_but_list(expect![[r#"
         1.000 log: connection client 2 ended: crowded
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -21,8 +21,15 @@
 #[test]
 fn who_finds_no_place_hears_why_and_a_known_one_has_its_place() {
     let mut b = bench_with_admission();
-    b.client(1).client(2).client(3).event(Event::ClientAccepted(4, address_in_network(1))).sends(4, PING);
-    b.sends(1, PING).until(0.5).event(Event::ClientAccepted(5, address_in_network(1))).sends(5, PING);
+    b.client(1)
+        .client(2)
+        .client(3)
+        .event(Event::ClientAccepted { client: 4, address: address_in_network(1) })
+        .sends(4, PING);
+    b.sends(1, PING)
+        .until(0.5)
+        .event(Event::ClientAccepted { client: 5, address: address_in_network(1) })
+        .sends(5, PING);
     b.is_but_list(expect![[r#"
         0.000 client 3 is not taken in: too many connections of this address on which nothing was asked
         0.000 log: connection client 3 ended: turned-away
@@ -73,7 +80,11 @@
     let mut b = bench_with_descriptors(32 + 4);
     let limits = Limits { connections: 30, reserve: 0, per_address: 30, strangers: 30, ..LIMITS };
     b.set_admission_limits(limits).client(1).client(2).until(0.5).text.clear();
-    b.batch(vec![Event::ClientAccepted(3, HERE), command_event(3, PING), command_event(3, PING)]);
+    b.batch(vec![
+        Event::ClientAccepted { client: 3, address: HERE },
+        command_event(3, PING),
+        command_event(3, PING),
+    ]);
     b.is_but_list(expect![[r#"
         0.500 client 3: +PONG
         0.500 client 3: +PONG
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -40,10 +40,10 @@
         .up(6)
         .value(6, "served");
     let whole = r#"{"index":3,"snapshot":true,"endpoints":[]}"#;
-    b.event(Event::HttpResponse(
-        ConnectionId::Discovery(3),
-        Response { status: 200, body: whole.into(), closes_connection: false },
-    ));
+    b.event(Event::HttpResponse {
+        connection: ConnectionId::Discovery(3),
+        response: Response { status: 200, body: whole.into(), closes_connection: false },
+    });
     b.is(expect![[r#"
         0.000 Discovery(1): watch since 41
         0.000 connect Counter(2) to 127.0.0.1:7007
@@ -84,10 +84,10 @@
         };
         let all: Vec<String> = names.iter().map(entry).collect();
         let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, all.join(","));
-        b.event(Event::HttpResponse(
-            ConnectionId::Discovery(1),
-            Response { status: 200, body: body.into(), closes_connection: false },
-        ));
+        b.event(Event::HttpResponse {
+            connection: ConnectionId::Discovery(1),
+            response: Response { status: 200, body: body.into(), closes_connection: false },
+        });
         let until = b.now - 1000.0 + 1.0;
         b.until(until).text.clear();
         b.reducer.backend_count()
@@ -108,7 +108,7 @@
     let none = r#"{"index":41,"snapshot":false,"endpoints":[]}"#;
     let answer = |id| {
         let response = Response { status: 200, body: none.into(), closes_connection: false };
-        Event::HttpResponse(ConnectionId::Discovery(id), response)
+        Event::HttpResponse { connection: ConnectionId::Discovery(id), response }
     };
     b.event(Event::Connected(ConnectionId::Discovery(1)))
         .until(5.5)
--- a/gateway/tests/reducer/requests.rs
+++ b/gateway/tests/reducer/requests.rs
@@ -111,10 +111,10 @@
     let list = r#"{"index":42,"snapshot":false,"endpoints":[{"name":"s-a","address":"127.0.0.1:7011",
         "zone":"z","group":0,"status":"DRAINING","weight":1.0,"since_ms":0}]}"#;
     b.event(Event::Connected(ConnectionId::Discovery(1)));
-    b.event(Event::HttpResponse(
-        ConnectionId::Discovery(1),
-        Response { status: 200, body: list.into(), closes_connection: false },
-    ));
+    b.event(Event::HttpResponse {
+        connection: ConnectionId::Discovery(1),
+        response: Response { status: 200, body: list.into(), closes_connection: false },
+    });
     b.up(3).until(0.1);
     b.ended(ConnectionId::Client(1), CloseReason::Closed, false).up(4);
     b.is(expect![[r#"
@@ -155,7 +155,7 @@
     let mut b = bench();
     b.client(1)
         .call(1, "look", 5)
-        .event(Event::ClientCommand(1, resp::ClientCommand::ProtocolError("no array")));
+        .event(Event::ClientCommand { client: 1, command: resp::ClientCommand::ProtocolError("no array") });
     b.until(0.05).up(3).value(3, "a");
     b.is(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
@@ -202,7 +202,12 @@
     b.event(Event::StreamStarted(5)).value(4, "first").until(5.0);
     call(&mut b, 9, "GET /stats");
     b.event(Event::StreamForwarded(5))
-        .event(Event::StreamTrailer(5, None, None, false))
+        .event(Event::StreamTrailer {
+            connection: 5,
+            billed_units: None,
+            load_report: None,
+            more_received: false,
+        })
         .call(1, "look", 7)
         .until(5.02)
         .text += "--\n";
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -7,11 +7,11 @@
 fn told_to_stop_it_serves_on_then_ends_connections_and_leaves_when_all_is_answered() {
     let mut b = bench();
     b.client(1).client(2).event(Event::Shutdown).until(0.3).call(1, "look", 5).until(0.35).up(3).until(0.5);
-    b.event(Event::IdleClientClosed(2, CloseReason::Stopping))
+    b.event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
         .until(0.6)
         .value(3, "a")
         .event(Event::Shutdown)
-        .event(Event::IdleClientClosed(1, CloseReason::Stopping));
+        .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping });
     b.is(expect![[r#"
         0.000 log: shutting down: serving on, then closing connections
         0.300 connect Counter(2) to 127.0.0.1:7007
@@ -45,8 +45,8 @@
     b.until(0.3)
         .client(3)
         .until(0.6)
-        .event(Event::IdleClientClosed(2, CloseReason::Draining))
-        .event(Event::IdleClientClosed(3, CloseReason::Draining));
+        .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Draining })
+        .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Draining });
     // One that asks on and on is read no more.
     b.call(1, "look", 6).until(1.6).text += "--\n";
     call(&mut b, 4, "POST /healthcheck/fail");
@@ -56,7 +56,10 @@
     b.client(4).sends(4, "*1\r\n$4\r\nPING\r\n").until(2.0).text += "--\n";
     call(&mut b, 6, "POST /healthcheck/fail");
     shared_state_saved(&mut b, 6, &[], true);
-    b.until(2.4).event(Event::Shutdown).until(3.0).event(Event::IdleClientClosed(4, CloseReason::Stopping));
+    b.until(2.4)
+        .event(Event::Shutdown)
+        .until(3.0)
+        .event(Event::IdleClientClosed { client: 4, reason: CloseReason::Stopping });
     call(&mut b, 7, "POST /healthcheck/ok");
     shared_state_saved(&mut b, 7, &[], false);
     call(&mut b, 8, "GET /healthcheck");
@@ -131,11 +134,11 @@
     });
     b.event(Event::Shutdown)
         .sends(2, "*1\r\n$4\r\nPING\r\n")
-        .event(Event::IdleClientClosed(2, CloseReason::Stopping))
+        .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
         .until(3.1);
     b.sends(3, "*1\r\n$4\r\nPING\r\n")
-        .event(Event::IdleClientClosed(3, CloseReason::Stopping))
-        .event(Event::IdleClientClosed(1, CloseReason::Stopping));
+        .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping })
+        .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping });
     b.only(|l| !l.contains("ounter"));
     b.is(expect![[r#"
         0.050 log: backend s-a ejected by an operator
@@ -172,9 +175,9 @@
     let shared = SharedState { peer_process_running: true, ..SharedState::default() };
     b.event(Event::SharedStateSaved { call: None, shared: Ok(shared) }).text.clear();
     b.event(Event::Shutdown).sends(2, "*1\r\n$4\r\nPING\r\n").until(0.3).client(3).until(0.6);
-    b.event(Event::IdleClientClosed(1, CloseReason::Stopping))
-        .event(Event::IdleClientClosed(2, CloseReason::Stopping))
-        .event(Event::IdleClientClosed(3, CloseReason::Stopping));
+    b.event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping })
+        .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
+        .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping });
     b.is(expect![[r#"
         0.000 log: shutting down: serving on, then closing connections
         0.000 client 2: -ERR draining
@@ -198,10 +201,10 @@
     call(&mut b, 1, "POST /healthcheck/fail");
     shared_state_saved(&mut b, 1, &[], true);
     b.until(0.7).event(Event::Shutdown).until(0.9).text.clear();
-    b.batch(vec![Event::ClientAccepted(2, HERE), command_event(2, PING)]).until(1.25);
+    b.batch(vec![Event::ClientAccepted { client: 2, address: HERE }, command_event(2, PING)]).until(1.25);
     // From now on connections end; one on which something was read is answered first.
-    b.batch(vec![Event::ClientAccepted(3, HERE), command_event(3, PING)])
-        .event(Event::ClientAccepted(4, HERE));
+    b.batch(vec![Event::ClientAccepted { client: 3, address: HERE }, command_event(3, PING)])
+        .event(Event::ClientAccepted { client: 4, address: HERE });
     b.is_but_list(expect![[r#"
         0.900 client 2: -ERR draining
         1.000 log: connection operator 1 ended: called
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -107,7 +107,7 @@
         };
         for client in 0..CLIENTS {
             new.streams.insert(ConnectionId::Client(client), Stream::new(ConnectionId::Client(client)));
-            new.inbox.push(Event::ClientAccepted(client, IpAddr::V4(Ipv4Addr::LOCALHOST)));
+            new.inbox.push(Event::ClientAccepted { client, address: IpAddr::V4(Ipv4Addr::LOCALHOST) });
         }
         if let Some(update) = update {
             new.reducer.apply_operator_update(now, update);
