--- a/emulator/src/gateway_process/effects.rs
+++ b/emulator/src/gateway_process/effects.rs
@@ -23,31 +23,31 @@
         effect: Effect,
     ) -> Option<ProcessRequest> {
         match effect {
-            Effect::Reply(client, response) => self.respond(ctx, client, response),
-            Effect::Reject(client, reason) => self.reject(ctx, client, reason),
-            Effect::SendAttempt { connection, attempt: delivery, request: call, timeout_ms } => {
-                self.send_attempt(ctx, connection, delivery, &call, timeout_ms)
+            Effect::Reply { client, reply } => self.respond(ctx, client, reply),
+            Effect::Reject { client, reason } => self.reject(ctx, client, reason),
+            Effect::SendAttempt { connection, attempt, request, timeout_ms } => {
+                self.send_attempt(ctx, connection, attempt, &request, timeout_ms)
             }
-            Effect::Withdraw { connection, attempt: delivery } => self.withdraw(ctx, connection, delivery),
-            Effect::AdminRespond(call, response) => self.respond_to_operator(call, &response),
-            Effect::SaveChange(call, change) => return Some(ProcessRequest::SaveChange { call, change }),
+            Effect::Withdraw { connection, attempt } => self.withdraw(ctx, connection, attempt),
+            Effect::AdminRespond { connection, response } => self.respond_to_operator(connection, &response),
+            Effect::SaveChange { call, change } => return Some(ProcessRequest::SaveChange { call, change }),
             Effect::AnnounceDescriptorLimit(limit) => {
                 return Some(ProcessRequest::AnnounceDescriptorLimit(limit));
             }
-            Effect::CloseIfIdle(client, reason) => self.close_if_idle(ctx, client, reason),
+            Effect::CloseIfIdle { client, reason } => self.close_if_idle(ctx, client, reason),
             Effect::StopReading(client) => self.stop_reading(client),
-            Effect::Stream(backend, client) => self.start_stream(ctx, backend, client),
+            Effect::Stream { connection, client } => self.start_stream(ctx, connection, client),
             Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
                 self.close_if_stalled(ctx, connection, unresponsive_for, stalled_for)
             }
-            Effect::HttpRequest(id, request) => {
-                if let Some(connection) = self.connections.get_mut(&id) {
+            Effect::HttpRequest { connection, request } => {
+                if let Some(connection) = self.connections.get_mut(&connection) {
                     request.encode(self.own_address, connection.write_buffer.buffer());
                 }
             }
-            Effect::Connect(id, to) => self.connect(ctx, addresses, id, to),
+            Effect::Connect { connection, address } => self.connect(ctx, addresses, connection, address),
             Effect::Close(id) => self.close(ctx, id),
-            Effect::SendDatagram(to, body) => self.send_datagram(ctx, addresses, to, &body),
+            Effect::SendDatagram { to, body } => self.send_datagram(ctx, addresses, to, &body),
             Effect::Log(line) => self.log(ctx, &line),
             Effect::LogClosed(closed) => self.log(ctx, &closed.to_string()),
             Effect::StopAccepting => self.accepting = false,
@@ -77,8 +77,8 @@
         }
     }
 
-    fn respond_to_operator(&mut self, call: u64, response: &AdminResponse) {
-        if let Some(connection) = self.connections.get_mut(&ConnectionId::Admin(call)) {
+    fn respond_to_operator(&mut self, connection: u64, response: &AdminResponse) {
+        if let Some(connection) = self.connections.get_mut(&ConnectionId::Admin(connection)) {
             response.encode(connection.write_buffer.buffer());
         }
     }
--- a/gateway/src/sockets/effects.rs
+++ b/gateway/src/sockets/effects.rs
@@ -10,8 +10,8 @@
 impl Driver {
     pub(super) fn carry_out(&self, effect: Effect, batch: &mut Batch) {
         match effect {
-            Effect::Reply(client, reply) => self.reply(client, &reply, batch),
-            Effect::Reject(client, text) => self.reject(client, text, batch),
+            Effect::Reply { client, reply } => self.reply(client, &reply, batch),
+            Effect::Reject { client, reason } => self.reject(client, reason, batch),
             Effect::SendAttempt { connection, attempt, request, timeout_ms } => {
                 self.write(ConnectionId::Backend(connection), batch, |connection| {
                     let encode = |buffer: &mut Vec<u8>| request.encode(timeout_ms, buffer);
@@ -19,8 +19,8 @@
                 })
             }
             Effect::Withdraw { connection, attempt } => self.withdraw(connection, attempt),
-            Effect::AdminRespond(operator, response) => self.respond(operator, &response, batch),
-            Effect::SaveChange(call, change) => {
+            Effect::AdminRespond { connection, response } => self.respond(connection, &response, batch),
+            Effect::SaveChange { call, change } => {
                 if let Some(keeper) = &self.keeper {
                     keeper.write(call, change);
                 }
@@ -28,18 +28,18 @@
             Effect::AnnounceDescriptorLimit(limit) => {
                 self.keeper.iter().for_each(|keeper| keeper.announce_descriptor_limit(limit))
             }
-            Effect::Stream(backend, client) => self.stream(backend, client, batch),
+            Effect::Stream { connection, client } => self.stream(connection, client, batch),
             Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
                 self.close_if_stalled(connection, unresponsive_for, stalled_for, batch)
             }
             Effect::StopReading(client) => self.stop_reading(client),
-            Effect::CloseIfIdle(client, reason) => self.close_if_idle(client, reason, batch),
-            Effect::HttpRequest(id, request) => self.write(id, batch, |connection| {
+            Effect::CloseIfIdle { client, reason } => self.close_if_idle(client, reason, batch),
+            Effect::HttpRequest { connection, request } => self.write(connection, batch, |connection| {
                 request.encode(connection.peer, connection.out.borrow_mut().buffer())
             }),
-            Effect::Connect(id, address) => self.connect(id, address),
+            Effect::Connect { connection, address } => self.connect(connection, address),
             Effect::Close(id) => self.close(id, batch),
-            Effect::SendDatagram(to, body) => self.gossip.iter().for_each(|gossip| gossip.send(to, &body)),
+            Effect::SendDatagram { to, body } => self.gossip.iter().for_each(|gossip| gossip.send(to, &body)),
             Effect::Log(line) => tracing::info!("{line}"),
             Effect::LogClosed(closed) => log_closed(&closed),
             Effect::StopAccepting => self.stop_accepting(),
@@ -62,8 +62,8 @@
         });
     }
 
-    fn reject(&self, client: u64, text: &str, batch: &mut Batch) {
-        let reply = ClientReply::Error(text.into());
+    fn reject(&self, client: u64, reason: &str, batch: &mut Batch) {
+        let reply = ClientReply::Error(reason.into());
         self.write(ConnectionId::Client(client), batch, |connection| {
             reply.encode(connection.out.borrow_mut().buffer());
         });
--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -117,7 +117,8 @@
         let Some(timeout) = self.admin.connections.get_mut(&id) else { return };
         self.timers.cancel(*timeout);
         *timeout = self.timers.schedule(now + RESPONSE_TIMEOUT, TimerKind::AdminTimeout(id));
-        self.effects.push(Effect::AdminRespond(id, AdminResponse { status, body }));
+        let response = AdminResponse { status, body };
+        self.effects.push(Effect::AdminRespond { connection: id, response });
     }
 
     /// Takes effect at once; the response is sent when the change is saved, too.
@@ -126,7 +127,7 @@
         change.clone().apply(&mut shared.ejected_backends, &mut shared.drained);
         self.update_shared_state(now, shared);
         if self.config.saves_changes {
-            return self.effects.push(Effect::SaveChange(id, change));
+            return self.effects.push(Effect::SaveChange { call: id, change });
         }
         self.respond_to_admin(now, id, 200, "done\n".into());
     }
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -53,7 +53,7 @@
             }
             ConnectionVerdict::Reject(reason) => {
                 self.clients.rejected_in_batch = true;
-                self.effects.push(Effect::Reject(id, reason.message()));
+                self.effects.push(Effect::Reject { client: id, reason: reason.message() });
                 self.close(ConnectionId::Client(id), CloseReason::Rejected);
                 false
             }
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -42,7 +42,7 @@
         let mut connection = BackendConnection::new(backend, now);
         connection.enqueue(id);
         self.backends.connections.insert(connection_id, connection);
-        self.effects.push(Effect::Connect(ConnectionId::Backend(connection_id), address));
+        self.effects.push(Effect::Connect { connection: ConnectionId::Backend(connection_id), address });
         let timeout = now + self.instance.connect_timeout;
         self.timers.schedule(timeout, TimerKind::ConnectTimeout(connection_id));
     }
--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -173,6 +173,6 @@
 
     /// Streams a response from this connection to that client, or drops it.
     pub(super) fn stream_to(&mut self, connection_id: u64, client: Option<u64>) {
-        self.effects.push(Effect::Stream(connection_id, client));
+        self.effects.push(Effect::Stream { connection: connection_id, client });
     }
 }
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -190,7 +190,7 @@
     fn send_ready_replies(&mut self, id: u64) {
         let Some(client) = self.clients.connections.get_mut(&id) else { return };
         while let Some(reply) = client.take_ready_reply() {
-            self.effects.push(Effect::Reply(id, reply));
+            self.effects.push(Effect::Reply { client: id, reply });
         }
         if let Some(request) = client.next_request() {
             self.forward_stream_in_turn(request);
--- a/gateway/src/state/counter.rs
+++ b/gateway/src/state/counter.rs
@@ -70,7 +70,7 @@
         let id = self.next_connection_id();
         let connection = CounterConnection { last_used: now, ..CounterConnection::default() };
         self.counter.connections.insert(id, connection);
-        self.effects.push(Effect::Connect(ConnectionId::Counter(id), address));
+        self.effects.push(Effect::Connect { connection: ConnectionId::Counter(id), address });
         id
     }
 
@@ -104,7 +104,7 @@
         let key = format!("{customer:x}.{}", call.key.series);
         let expire_ms = (call.lifetime * 1e3).ceil() as u64;
         let request = Request::AddToCounter { key, add: call.delta, expire_ms };
-        self.effects.push(Effect::HttpRequest(ConnectionId::Counter(connection), request));
+        self.effects.push(Effect::HttpRequest { connection: ConnectionId::Counter(connection), request });
     }
 
     /// A connection is up: the calls that waited for it are sent.
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -93,7 +93,8 @@
     pub(super) fn open_watch(&mut self, now: f64) {
         let id = self.next_connection_id();
         self.discovery.connection = Some(id);
-        self.effects.push(Effect::Connect(ConnectionId::Discovery(id), self.config.discovery));
+        let address = self.config.discovery;
+        self.effects.push(Effect::Connect { connection: ConnectionId::Discovery(id), address });
         self.schedule_watch_timeout(now, id);
     }
 
@@ -113,7 +114,7 @@
         let wait_ms = if self.discovery.is_unresponsive { 1 } else { (WATCH_SECONDS * 1e3) as u64 };
         let request =
             self.discovery.version.map_or(Request::List, |since| Request::WatchEndpoints { since, wait_ms });
-        self.effects.push(Effect::HttpRequest(connection, request));
+        self.effects.push(Effect::HttpRequest { connection, request });
     }
 
     fn schedule_watch_timeout(&mut self, now: f64, id: u64) {
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -295,18 +295,42 @@
 #[derive(Debug)]
 pub enum Effect {
     /// Sends a reply to a client.
-    Reply(u64, ClientReply),
+    Reply {
+        /// The client's connection.
+        client: u64,
+        /// The reply.
+        reply: ClientReply,
+    },
     /// Tells a client why it is not accepted.
-    Reject(u64, &'static str),
+    Reject {
+        /// The client's connection.
+        client: u64,
+        /// Why, as the client reads it.
+        reason: &'static str,
+    },
     /// Responds to an operator's call; that side of the connection ends with it.
-    AdminRespond(u64, admin::AdminResponse),
-    /// Saves a change by an operator for the next process, and notifies the other one of this instance. With the operator's
-    /// connection.
-    SaveChange(u64, AdminChange),
+    AdminRespond {
+        /// The operator's connection.
+        connection: u64,
+        /// The response.
+        response: admin::AdminResponse,
+    },
+    /// Saves a change by an operator for the next process, and notifies the other one of this instance.
+    SaveChange {
+        /// The operator's connection, on which the result is awaited.
+        call: u64,
+        /// The change.
+        change: AdminChange,
+    },
     /// From now on this process holds no more descriptors than these: the other one may use the rest.
     AnnounceDescriptorLimit(usize),
     /// Closes a client's connection unless something unread has come on it.
-    CloseIfIdle(u64, CloseReason),
+    CloseIfIdle {
+        /// The client's connection.
+        client: u64,
+        /// Why it is closed.
+        reason: CloseReason,
+    },
     /// Reads no more of this client's commands; only the end of its connection is reported.
     StopReading(u64),
     /// Writes a request to a backend's connection, with the time in which its response is awaited, in milliseconds.
@@ -327,8 +351,13 @@
         /// Its number on that connection.
         attempt: u64,
     },
-    /// Forwards the value that has begun on this backend's connection to that client, or drops it.
-    Stream(u64, Option<u64>),
+    /// Forwards the value that has begun on a backend's connection to a client, or drops it.
+    Stream {
+        /// The backend's connection.
+        connection: u64,
+        /// The client's connection; `None` where the value is dropped.
+        client: Option<u64>,
+    },
     /// Closes a backend's connection on which a value is being streamed, if that does not move.
     CloseIfStalled {
         /// The backend's connection.
@@ -339,13 +368,28 @@
         stalled_for: f64,
     },
     /// Sends a request to the counter or to the discovery service.
-    HttpRequest(ConnectionId, Request),
+    HttpRequest {
+        /// The connection to the service.
+        connection: ConnectionId,
+        /// The request.
+        request: Request,
+    },
     /// Opens a connection.
-    Connect(ConnectionId, SocketAddr),
+    Connect {
+        /// The new connection.
+        connection: ConnectionId,
+        /// The address that it is opened to.
+        address: SocketAddr,
+    },
     /// Closes a connection; what was written to it before leaves first.
     Close(ConnectionId),
     /// Sends a datagram to another instance, or to all.
-    SendDatagram(SocketAddr, Vec<u8>),
+    SendDatagram {
+        /// The instance's address, or the one that reaches all.
+        to: SocketAddr,
+        /// All of it.
+        body: Vec<u8>,
+    },
     /// Writes a line to the log.
     Log(String),
     /// Logs the end of a connection.
--- a/gateway/src/state/gossip.rs
+++ b/gateway/src/state/gossip.rs
@@ -13,7 +13,7 @@
                 let Some(name) = self.backends.names.resolve(backend) else { return };
                 let body = gossip::encode(&WireMessage::BackendRecovered(name.as_bytes().to_vec()));
                 let peers = self.config.peer_broadcast;
-                self.effects.extend(peers.map(|peers| Effect::SendDatagram(peers, body)));
+                self.effects.extend(peers.map(|peers| Effect::SendDatagram { to: peers, body }));
             }
             GossipMessage::CounterTotal { key, plan, instances, total } => {
                 let Some(&customer) = self.customers.resolve(key.customer) else { return };
@@ -31,7 +31,7 @@
                 continue;
             }
             if let Some(&address) = self.config.peers.get(peer) {
-                self.effects.push(Effect::SendDatagram(address, body.to_vec()));
+                self.effects.push(Effect::SendDatagram { to: address, body: body.to_vec() });
             }
         }
     }
--- a/gateway/src/state/idle.rs
+++ b/gateway/src/state/idle.rs
@@ -87,7 +87,8 @@
         let mut idle: Vec<u64> = idle.map(|(id, _)| *id).collect();
         idle.sort_unstable();
         // A command may have come just now: it is looked for before the connection is closed.
-        self.effects.extend(idle.into_iter().map(|id| Effect::CloseIfIdle(id, CloseReason::Idle)));
+        let close_if_idle = |client| Effect::CloseIfIdle { client, reason: CloseReason::Idle };
+        self.effects.extend(idle.into_iter().map(close_if_idle));
     }
 
     /// Connections that have been idle for half of what the other side allows are closed here, not there.
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -179,7 +179,7 @@
                 self.disconnect_client(id, self.drain_reason());
                 self.exit_when_done();
             } else if client.partial_since.is_none() {
-                self.effects.push(Effect::CloseIfIdle(id, self.drain_reason()));
+                self.effects.push(Effect::CloseIfIdle { client: id, reason: self.drain_reason() });
             }
         }
     }
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -59,10 +59,10 @@
 /// An effect as a line of the trace; none where another effect tells.
 pub fn describe(effect: &Effect) -> Option<String> {
     Some(match effect {
-        Effect::Reply(id, answer) => {
+        Effect::Reply { client, reply } => {
             let mut out = vec![];
-            answer.encode(&mut out);
-            format!("client {id}: {}", String::from_utf8_lossy(&out).trim_end().replace("\r\n", " "))
+            reply.encode(&mut out);
+            format!("client {client}: {}", String::from_utf8_lossy(&out).trim_end().replace("\r\n", " "))
         }
         Effect::SendAttempt { connection, request, timeout_ms, .. } => {
             let operation = String::from_utf8_lossy(request.operation());
@@ -71,30 +71,34 @@
         Effect::Withdraw { connection, attempt } => {
             format!("backend link {connection}: withdraw {attempt} if not begun")
         }
-        Effect::HttpRequest(connection, Request::AddToCounter { add, .. }) => {
+        Effect::HttpRequest { connection, request: Request::AddToCounter { add, .. } } => {
             format!("{connection:?}: add {add}")
         }
-        Effect::HttpRequest(connection, Request::WatchEndpoints { since, wait_ms: 1 }) => {
+        Effect::HttpRequest { connection, request: Request::WatchEndpoints { since, wait_ms: 1 } } => {
             format!("{connection:?}: since {since}, at once")
         }
-        Effect::HttpRequest(connection, Request::WatchEndpoints { since, .. }) => {
+        Effect::HttpRequest { connection, request: Request::WatchEndpoints { since, .. } } => {
             format!("{connection:?}: watch since {since}")
         }
-        Effect::HttpRequest(connection, Request::List) => format!("{connection:?}: list"),
-        Effect::Connect(connection, to) => format!("connect {connection:?} to {to}"),
-        Effect::SendDatagram(to, body) => format!("datagram of {} to {to}", body.len()),
+        Effect::HttpRequest { connection, request: Request::List } => format!("{connection:?}: list"),
+        Effect::Connect { connection, address } => format!("connect {connection:?} to {address}"),
+        Effect::SendDatagram { to, body } => format!("datagram of {} to {to}", body.len()),
         Effect::Close(_) => return None, // its log line tells
         Effect::Log(line) => format!("log: {line}"),
         Effect::LogClosed(end) => format!("log: {end}"),
-        Effect::AdminRespond(id, r) => format!("operator {id}: {} {}", r.status, r.body.trim_end()),
+        Effect::AdminRespond { connection, response } => {
+            format!("operator {connection}: {} {}", response.status, response.body.trim_end())
+        }
         Effect::AnnounceDescriptorLimit(most) => format!("will hold {most} descriptors at the most"),
-        Effect::Reject(id, reason) => format!("client {id} is not taken in: {reason}"),
-        Effect::SaveChange(_, change) => format!("keep {change:?}"),
-        Effect::CloseIfIdle(_, CloseReason::Idle) => return None, // see `settle`
-        Effect::CloseIfIdle(id, _) => format!("part with client {id} if it is quiet"),
-        Effect::Stream(id, to) => format!("backend link {id} passes to client {to:?}"),
-        Effect::CloseIfStalled { connection, unresponsive_for: silent_for, stalled_for: still_for } => {
-            format!("backend link {connection} ends if silent for {silent_for} s, or still for {still_for} s")
+        Effect::Reject { client, reason } => format!("client {client} is not taken in: {reason}"),
+        Effect::SaveChange { change, .. } => format!("keep {change:?}"),
+        Effect::CloseIfIdle { reason: CloseReason::Idle, .. } => return None, // see `settle`
+        Effect::CloseIfIdle { client, .. } => format!("part with client {client} if it is quiet"),
+        Effect::Stream { connection, client } => {
+            format!("backend link {connection} passes to client {client:?}")
+        }
+        Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
+            format!("backend link {connection} ends if silent for {unresponsive_for} s, or still for {stalled_for} s")
         }
         Effect::StopReading(id) => format!("read client {id} no more"),
         Effect::StopAccepting => "stop accepting".into(),
@@ -110,24 +114,28 @@
     }
 }
 
+/// What follows an effect that closes a client that has been idle for too long.
+fn idle_client_closed(effect: &Effect) -> Option<Event> {
+    match effect {
+        Effect::CloseIfIdle { client, reason: CloseReason::Idle } => {
+            Some(Event::IdleClientClosed { client: *client, reason: CloseReason::Idle })
+        }
+        _ => None,
+    }
+}
+
 impl Bench {
     pub fn settle(&mut self) -> Option<f64> {
         let (next, effects) = self.reducer.poll(self.now);
         for line in effects.iter().filter_map(describe) {
             self.text += &format!("{:.3} {line}\n", self.now - 1000.0);
         }
-        // Nothing unread stands on a connection that is idle here: it ends, and the reducer hears of it.
-        let idle =
-            |e: &Effect| if let Effect::CloseIfIdle(id, CloseReason::Idle) = e { Some(*id) } else { None };
-        let mut idle: Vec<Event> = effects
-            .iter()
-            .filter_map(idle)
-            .map(|id| Event::IdleClientClosed { client: id, reason: CloseReason::Idle })
-            .collect();
-        if idle.is_empty() {
+        // Nothing is unread on a connection that is idle here: it is closed, and the reducer is notified.
+        let mut closed: Vec<Event> = effects.iter().filter_map(idle_client_closed).collect();
+        if closed.is_empty() {
             return next;
         }
-        self.reducer.handle_batch(self.now, &mut idle);
+        self.reducer.handle_batch(self.now, &mut closed);
         self.settle()
     }
     pub fn event(&mut self, event: Event) -> &mut Self {
@@ -151,8 +159,8 @@
         self.settle();
         self
     }
-    pub fn client(&mut self, id: u64) -> &mut Self {
-        self.event(Event::ClientAccepted { client: id, address: HERE })
+    pub fn client(&mut self, client: u64) -> &mut Self {
+        self.event(Event::ClientAccepted { client, address: HERE })
     }
     pub fn call(&mut self, client: u64, operation: &str, customer: u64) -> &mut Self {
         self.command(client, operation, &format!("{customer:016x}"), "t=small,d=800,units=1,spread=1,first=0")
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -196,15 +196,15 @@
             }
         };
         match effect {
-            Effect::Reply(_, reply) => self.count(&reply),
+            Effect::Reply { reply, .. } => self.count(&reply),
             // What has been written leaves with the batch, so nothing can be withdrawn later.
             Effect::SendAttempt { connection, request: call, timeout_ms, .. } => {
                 write(ConnectionId::Backend(connection), &|out| call.encode(timeout_ms, out))
             }
-            Effect::HttpRequest(connection, request) => {
+            Effect::HttpRequest { connection, request } => {
                 write(connection, &|out| request.encode(self.host, out))
             }
-            Effect::Connect(connection, address) => {
+            Effect::Connect { connection, address } => {
                 self.streams.insert(connection, Stream::new(connection));
                 commands.push(ConnectionCommand::Connect(connection, address));
             }
