--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -3,7 +3,7 @@
 use super::process_identity::ProcessIdentity;
 use super::shared_file::{SharedFile, SharedFileError, SharedRecord};
 use crate::sockets::event_queue::EventQueue;
-use crate::state::event::{AdminChange, Event, SharedState};
+use crate::state::event::{AdminChange, Event, SaveError, SharedState};
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::sync::Arc;
@@ -161,7 +161,7 @@
         if let Ok(shared) = &shared {
             self.known.clone_from(shared);
         }
-        let shared = shared.map_err(|error| error.to_string());
+        let shared = shared.map_err(SaveError::new);
         self.events.push_from_thread(Event::SharedStateSaved { call, shared });
     }
 }
--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -1,5 +1,5 @@
 //! Operators' calls, and the state that the processes of one instance share.
-use super::event::{AdminChange, CloseReason, ConnectionId, Effect, OperatorUpdate, SharedState};
+use super::event::{AdminChange, CloseReason, ConnectionId, Effect, OperatorUpdate, SaveError, SharedState};
 use super::reducer::Reducer;
 use super::timers::{TimerKey, TimerKind};
 use crate::wire::admin::{AdminCall, AdminResponse};
@@ -137,7 +137,7 @@
         &mut self,
         now: f64,
         call: Option<u64>,
-        shared: Result<SharedState, String>,
+        shared: Result<SharedState, SaveError>,
     ) {
         let (status, body) = match shared {
             Ok(shared) => {
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -7,6 +7,7 @@
 use quillramp_operator::broker::BrokerSettings;
 use quillramp_operator::routes::Table;
 use std::collections::BTreeMap;
+use std::error::Error;
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -169,6 +170,18 @@
     pub peer_descriptor_limit: Option<usize>,
 }
 
+/// The shared state could not be saved. Whoever saves it says why; to the reducer that is a text for operators.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct SaveError(Box<dyn Error + Send + Sync>);
+
+impl SaveError {
+    /// The state could not be saved because of this.
+    pub fn new(cause: impl Error + Send + Sync + 'static) -> SaveError {
+        SaveError(Box::new(cause))
+    }
+}
+
 /// What has happened. Numbers are those of connections, unless stated otherwise.
 #[derive(Debug)]
 pub enum Event {
@@ -193,7 +206,7 @@
         /// The operator's connection; `None` where another process saved it.
         call: Option<u64>,
         /// The state as it is now, or why it could not be saved.
-        shared: Result<SharedState, String>,
+        shared: Result<SharedState, SaveError>,
     },
     /// A client's connection was closed after `Effect::CloseIfIdle`.
     IdleClientClosed {
--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -1,7 +1,8 @@
 //! Operators' calls.
 use crate::bench::*;
 use expect_test::expect;
-use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
+use quillramp_gateway::process::shared_file::SharedFileError;
+use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event, SaveError};
 
 /// Guards: a backend out by hand gets nothing new, whatever the list says; one call back ends it, and then it is used
 /// again, as a cold one; nobody can leave out what was never listed.
@@ -52,6 +53,23 @@
     "#]]);
 }
 
+/// A change that can't be saved is in force all the same, and the operator reads why it is not saved.
+#[test]
+fn an_operator_is_notified_of_a_change_that_can_not_be_saved() {
+    let mut b = bench_configured(1024, false, true);
+    call(&mut b, 1, "POST /healthcheck/fail");
+    let error = SaveError::new(SharedFileError::Foreign { path: "shared.json".into() });
+    b.event(Event::SharedStateSaved { call: Some(1), shared: Err(error) });
+    call(&mut b, 2, "GET /healthcheck");
+    b.is(expect![[r#"
+        0.000 log: drained by an operator: closing connections
+        0.000 keep SetDrained(true)
+        0.000 log: in force, but not saved for the next process: shared.json: no file of ours
+        0.000 operator 1: 500 in force, but not kept: shared.json: no file of ours
+        0.000 operator 2: 503 draining
+    "#]]);
+}
+
 /// Guards: each figure counts what was served, refused and failed, an abandoned one as none of these.
 #[test]
 fn the_figures_are_those_of_what_happened() {
