--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -30,8 +30,13 @@
 
 /// What was found at the beginning of some bytes.
 enum DecodeStep {
-    /// A message of so many bytes.
-    Message(Event, usize),
+    /// A message.
+    Message {
+        /// What it says.
+        event: Event,
+        /// How many bytes it took.
+        length: usize,
+    },
     /// So many bytes of a value, which have been forwarded.
     Forwarded(usize),
     /// The beginning of a message.
@@ -40,12 +45,6 @@
     Blocked,
 }
 
-impl DecodeStep {
-    fn from_message(message: Option<(Event, usize)>) -> DecodeStep {
-        message.map_or(DecodeStep::Partial, |(event, length)| DecodeStep::Message(event, length))
-    }
-}
-
 /// Reads the messages on one connection.
 pub struct MessageReader {
     connection: ConnectionId,
@@ -86,7 +85,7 @@
                 return Ok(done);
             }
             match self.decode_one(rest, to)? {
-                DecodeStep::Message(event, length) => {
+                DecodeStep::Message { event, length } => {
                     let is_long = length > resp::MAX_MESSAGE_BYTES;
                     to.event(event, if is_long { length } else { 0 });
                     done += length;
@@ -103,29 +102,41 @@
 
     fn decode_one(&mut self, bytes: &[u8], to: &mut dyn MessageSink) -> Result<DecodeStep, CloseReason> {
         match self.connection {
-            ConnectionId::Client(client) => match resp::decode_command(bytes) {
-                Ok(command) => Ok(DecodeStep::from_message(
-                    command.map(|(command, length)| (Event::ClientCommand { client, command }, length)),
-                )),
-                Err(ProtocolError(error)) => {
-                    self.protocol_error(error, to);
-                    Ok(DecodeStep::Forwarded(bytes.len()))
-                }
-            },
+            ConnectionId::Client(client) => Ok(self.decode_command(client, bytes, to)),
             ConnectionId::Backend(id) => self.decode_reply(id, bytes, to),
             ConnectionId::Admin(connection) => {
                 let Some(call) = admin::decode_call(bytes) else { return Ok(DecodeStep::Partial) };
                 self.discard = true; // one call to a connection
-                Ok(DecodeStep::Message(Event::AdminCall { connection, call }, bytes.len()))
+                let event = Event::AdminCall { connection, call };
+                Ok(DecodeStep::Message { event, length: bytes.len() })
+            }
+            ConnectionId::Counter(_) | ConnectionId::Discovery(_) => self.decode_response(bytes),
+        }
+    }
+
+    /// The command at the beginning of these bytes of a client.
+    fn decode_command(&mut self, client: u64, bytes: &[u8], to: &mut dyn MessageSink) -> DecodeStep {
+        match resp::decode_command(bytes) {
+            Ok(Some((command, length))) => {
+                let event = Event::ClientCommand { client, command };
+                DecodeStep::Message { event, length }
             }
-            connection => {
-                let response = http::decode_response(bytes).map_err(|_| CloseReason::BadFraming)?;
-                let event = |(response, length)| (Event::HttpResponse { connection, response }, length);
-                Ok(DecodeStep::from_message(response.map(event)))
+            Ok(None) => DecodeStep::Partial,
+            Err(ProtocolError(error)) => {
+                self.protocol_error(error, to);
+                DecodeStep::Forwarded(bytes.len())
             }
         }
     }
 
+    /// The response at the beginning of these bytes of the counter or of the discovery service.
+    fn decode_response(&self, bytes: &[u8]) -> Result<DecodeStep, CloseReason> {
+        let decoded = http::decode_response(bytes).map_err(|_| CloseReason::BadFraming)?;
+        let Some((response, length)) = decoded else { return Ok(DecodeStep::Partial) };
+        let event = Event::HttpResponse { connection: self.connection, response };
+        Ok(DecodeStep::Message { event, length })
+    }
+
     /// The reply on a backend's connection, as far as it has come.
     fn decode_reply(
         &mut self,
@@ -147,13 +158,12 @@
             }
             ReplyStage::Trailer => {
                 let trailer = resp::decode_trailer(bytes).map_err(|_| CloseReason::BadFraming)?;
-                let Some(((billed_units, load_report), length)) = trailer else {
-                    return Ok(DecodeStep::Blocked);
-                };
+                let Some((trailer, length)) = trailer else { return Ok(DecodeStep::Blocked) };
+                let resp::ReplyTrailer { billed_units, load_report } = trailer;
                 self.stage = ReplyStage::Head;
                 let more_received = length < bytes.len();
                 let event = Event::StreamTrailer { connection: id, billed_units, load_report, more_received };
-                Ok(DecodeStep::Message(event, length))
+                Ok(DecodeStep::Message { event, length })
             }
         }
     }
@@ -162,12 +172,13 @@
         let stream = resp::decode_stream_head(bytes).map_err(|_| CloseReason::BadFraming)?;
         if let Some((bytes_left, length)) = stream {
             self.stage = ReplyStage::StreamPending { bytes_left };
-            return Ok(DecodeStep::Message(Event::StreamStarted(id), length));
+            return Ok(DecodeStep::Message { event: Event::StreamStarted(id), length });
         }
         let reply = resp::decode_reply(bytes).map_err(|_| CloseReason::BadFraming)?;
         let Some((reply, length)) = reply else { return Ok(DecodeStep::Partial) };
         let more_received = length < bytes.len();
-        Ok(DecodeStep::Message(Event::BackendReply { connection: id, reply, more_received }, length))
+        let event = Event::BackendReply { connection: id, reply, more_received };
+        Ok(DecodeStep::Message { event, length })
     }
 
     /// The event for a message of which so many bytes have come, and not the rest.
--- a/gateway/src/wire/http.rs
+++ b/gateway/src/wire/http.rs
@@ -127,15 +127,24 @@
     let framing = Framing::read(&head)?;
     let closes_connection = framing.closes_connection;
     if framing.chunked {
-        let Some((body, end)) = decode_chunks(bytes, body_start)? else { return Ok(None) };
-        return Ok(Some((Response { status, body, closes_connection }, end)));
+        let Some(chunked) = decode_chunks(bytes, body_start)? else { return Ok(None) };
+        return Ok(Some((Response { status, body: chunked.body, closes_connection }, chunked.end)));
     }
     let end = body_start + framing.body_length(status)?;
     let Some(body) = bytes.get(body_start..end) else { return Ok(None) };
     Ok(Some((Response { status, body: body.to_vec(), closes_connection }, end)))
 }
 
-fn decode_chunks(bytes: &[u8], mut position: usize) -> Decoded<Vec<u8>> {
+/// A body that came in chunks.
+struct ChunkedBody {
+    /// The chunks, joined.
+    body: Vec<u8>,
+    /// Where the message ends.
+    end: usize,
+}
+
+/// The body of which the first chunk begins at `position`; none until all of it has arrived.
+fn decode_chunks(bytes: &[u8], mut position: usize) -> Result<Option<ChunkedBody>, ProtocolError> {
     let mut body = Vec::new();
     loop {
         let (start, size) = match httparse::parse_chunk_size(&bytes[position..]) {
@@ -154,7 +163,7 @@
         body.extend_from_slice(&chunk[..size]);
         position = start + size + 2;
         if size == 0 {
-            return Ok(Some((body, position)));
+            return Ok(Some(ChunkedBody { body, end: position }));
         }
     }
 }
--- a/gateway/src/wire/resp/command.rs
+++ b/gateway/src/wire/resp/command.rs
@@ -109,17 +109,18 @@
     /// Finds the items, within the limits on the command's length; false until all of it has arrived. In place: a copy
     /// would be part of every connection's stack.
     fn decode(&mut self) -> Result<bool, ProtocolError> {
-        let Some((count, mut position)) = array_header(self.bytes)? else { return Ok(false) };
-        let count = count.unwrap_or(0);
+        let Some(header) = array_header(self.bytes)? else { return Ok(false) };
+        let count = header.value.unwrap_or(0);
+        let mut position = header.next;
         for (index, item) in self.items.iter_mut().enumerate().take(count) {
             item.start = position;
             let body = is_body(index, count);
-            let Some((value, next)) = bulk_string(self.bytes, position, max_item_bytes(body))? else {
+            let Some(element) = bulk_string(self.bytes, position, max_item_bytes(body))? else {
                 let too_long = self.bytes.len() > MAX_MESSAGE_BYTES && !body;
                 return if too_long { Err(ProtocolError("message over 64 KiB")) } else { Ok(false) };
             };
-            item.value = value.ok_or(ProtocolError("null in a command"))?;
-            position = next;
+            item.value = element.value.ok_or(ProtocolError("null in a command"))?;
+            position = element.next;
         }
         let last_bounded = count.saturating_sub(1).min(ITEMS_OF_POST - 1);
         let unbounded_end = count == ITEMS_OF_POST;
--- a/gateway/src/wire/resp/extent.rs
+++ b/gateway/src/wire/resp/extent.rs
@@ -1,5 +1,5 @@
 //! How far a command reaches, from its length lines alone.
-use super::framing::{array_header, bulk_length, is_body, max_item_bytes};
+use super::framing::{array_header, bulk_length, is_body, max_item_bytes, Element};
 use super::MAX_MESSAGE_BYTES;
 use crate::wire::ProtocolError;
 
@@ -21,14 +21,15 @@
         Some(b'*') => {}
         Some(_) => return Err(ProtocolError("expected an array of bulk strings")),
     }
-    let Some((item_count, mut position)) = array_header(bytes)? else { return Ok(Extent::Unknown) };
-    let item_count = item_count.unwrap_or(0);
+    let Some(header) = array_header(bytes)? else { return Ok(Extent::Unknown) };
+    let item_count = header.value.unwrap_or(0);
+    let mut position = header.next;
     for index in 0..item_count {
         if position > MAX_MESSAGE_BYTES {
             return Err(ProtocolError("message over 64 KiB"));
         }
         let max_bytes = max_item_bytes(is_body(index, item_count));
-        let Some((length, start)) = bulk_length(bytes, position, max_bytes)? else {
+        let Some(Element { value: length, next: start }) = bulk_length(bytes, position, max_bytes)? else {
             return Ok(Extent::Unknown);
         };
         let end = start + length.ok_or(ProtocolError("null in a command"))? + 2;
--- a/gateway/src/wire/resp/mod.rs
+++ b/gateway/src/wire/resp/mod.rs
@@ -7,7 +7,9 @@
 
 pub use command::{decode_command, ClientCommand, RequestCommand};
 pub use extent::{command_extent, Extent};
-pub use reply::{decode_reply, decode_stream_head, decode_trailer, find_number, BackendReply, ClientReply};
+pub use reply::{
+    decode_reply, decode_stream_head, decode_trailer, find_number, BackendReply, ClientReply, ReplyTrailer,
+};
 
 /// The longest value that is buffered in full, in bytes.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
--- a/gateway/src/wire/resp/reply.rs
+++ b/gateway/src/wire/resp/reply.rs
@@ -1,5 +1,5 @@
 //! Replies of backends: decoding; and replies to clients: encoding.
-use super::framing::{array_header, bulk_string, line, parse_length};
+use super::framing::{array_header, bulk_string, line, parse_length, DecodedElement, Element};
 use super::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 use crate::wire::{Decoded, ProtocolError};
 use std::ops::Range;
@@ -74,26 +74,35 @@
     if bytes.first() != Some(&b'*') {
         return Ok(None);
     }
-    let Some((Some(ITEMS_OF_REPLY), value_line)) = array_header(bytes)? else { return Ok(None) };
-    let Some((header, value_start)) = line(bytes, value_line)? else { return Ok(None) };
-    let length = match header.split_first() {
+    let Some(Element { value: Some(ITEMS_OF_REPLY), next }) = array_header(bytes)? else { return Ok(None) };
+    let Some(header) = line(bytes, next)? else { return Ok(None) };
+    let length = match header.value.split_first() {
         Some((b'$', length)) => parse_length(length)?,
         _ => return Ok(None),
     };
     let streamed = MAX_BUFFERED_VALUE_BYTES as i64 + 1..=MAX_VALUE_BYTES as i64;
-    Ok(streamed.contains(&length).then_some((length as usize, value_start)))
+    Ok(streamed.contains(&length).then_some((length as usize, header.next)))
 }
 
-/// What follows a streamed value: the billed units and the load report.
-pub fn decode_trailer(bytes: &[u8]) -> Decoded<(Option<f64>, Option<Vec<u8>>)> {
+/// What follows the value of a reply.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ReplyTrailer {
+    /// The units that the backend billed, where it reports them.
+    pub billed_units: Option<f64>,
+    /// The backend's load report, as it was written.
+    pub load_report: Option<Vec<u8>>,
+}
+
+/// What follows a value, from the line behind it.
+pub fn decode_trailer(bytes: &[u8]) -> Decoded<ReplyTrailer> {
     if bytes.is_empty() {
         return Ok(None);
     }
-    let Some((usage, report_start)) = optional_item(bytes, 0)? else { return Ok(None) };
-    let Some((report, end)) = optional_item(bytes, report_start)? else { return Ok(None) };
-    let billed = usage.and_then(|usage| find_number(&bytes[usage], "cost"));
-    let report = report.map(|report| bytes[report].to_vec());
-    Ok(Some(((billed, report), end)))
+    let Some(usage) = optional_item(bytes, 0)? else { return Ok(None) };
+    let Some(report) = optional_item(bytes, usage.next)? else { return Ok(None) };
+    let billed_units = usage.value.and_then(|usage| find_number(&bytes[usage], "cost"));
+    let load_report = report.value.map(|report| bytes[report].to_vec());
+    Ok(Some((ReplyTrailer { billed_units, load_report }, report.next)))
 }
 
 /// One reply of a backend.
@@ -107,34 +116,38 @@
 }
 
 fn decode_value(bytes: &[u8]) -> Decoded<BackendReply> {
-    let Some((item_count, value_line)) = array_header(bytes)? else { return Ok(None) };
-    if item_count != Some(ITEMS_OF_REPLY) {
+    let Some(header) = array_header(bytes)? else { return Ok(None) };
+    if header.value != Some(ITEMS_OF_REPLY) {
         return Err(ProtocolError("expected a value, figures on use and a report"));
     }
-    let Some((value, trailer)) = bulk_string(bytes, value_line, MAX_BUFFERED_VALUE_BYTES)? else {
-        return Ok(None);
+    let Some(element) = bulk_string(bytes, header.next, MAX_BUFFERED_VALUE_BYTES)? else { return Ok(None) };
+    let value = element.value.ok_or(ProtocolError("no value"))?;
+    let Some((trailer, length)) = decode_trailer(&bytes[element.next..])? else { return Ok(None) };
+    let reply = BackendReply::Value {
+        value: bytes[value].to_vec(),
+        billed: trailer.billed_units,
+        report: trailer.load_report,
     };
-    let value = value.ok_or(ProtocolError("no value"))?;
-    let Some(((billed, report), length)) = decode_trailer(&bytes[trailer..])? else { return Ok(None) };
-    let reply = BackendReply::Value { value: bytes[value].to_vec(), billed, report };
-    Ok(Some((reply, trailer + length)))
+    Ok(Some((reply, element.next + length)))
 }
 
 fn decode_error(bytes: &[u8]) -> Decoded<BackendReply> {
-    let Some((text, end)) = line(bytes, 0)? else { return Ok(None) };
+    let Some(Element { value: text, next }) = line(bytes, 0)? else { return Ok(None) };
     match text.split(|byte| *byte == b' ').next().unwrap_or_default() {
-        b"-BUSY" => Ok(Some((BackendReply::Rejected, end))),
+        b"-BUSY" => Ok(Some((BackendReply::Rejected, next))),
         [b'-', code @ ..] if !code.is_empty() && code.iter().all(u8::is_ascii_uppercase) => {
-            Ok(Some((BackendReply::Failed, end)))
+            Ok(Some((BackendReply::Failed, next)))
         }
         _ => Err(ProtocolError("unknown error")),
     }
 }
 
 /// An optional item after a value: one of another type counts as absent and spoils nothing.
-fn optional_item(bytes: &[u8], start: usize) -> Decoded<Option<Range<usize>>> {
+fn optional_item(bytes: &[u8], start: usize) -> DecodedElement<Option<Range<usize>>> {
     match bytes.get(start) {
-        Some(b'+' | b'-' | b':') => Ok(line(bytes, start)?.map(|(_, next)| (None, next))),
+        Some(b'+' | b'-' | b':') => {
+            Ok(line(bytes, start)?.map(|line| Element { value: None, next: line.next }))
+        }
         _ => bulk_string(bytes, start, MAX_BUFFERED_VALUE_BYTES),
     }
 }
