--- a/gateway/src/sockets/connection/decoding.rs
+++ b/gateway/src/sockets/connection/decoding.rs
@@ -2,7 +2,7 @@
 use super::read_loop::ReadLoop;
 use super::sink::EventSink;
 use super::MAX_KEPT_BUFFER_BYTES;
-use crate::state::backlog::Due;
+use crate::state::backlog::Rejection;
 use crate::state::event::{CloseReason, Event};
 use crate::wire::resp::ClientCommand;
 use std::sync::atomic::Ordering;
@@ -36,7 +36,7 @@
             self.backlog.extend(bytes, LONG_COMMAND_STEP);
             self.decode_backlog()?;
         }
-        if self.backlog.drops() {
+        if self.backlog.is_dropping() {
             // It is sending a command, stored or not.
             self.push(Event::BodyProgress { client: connection.client_number() as u64, has_capacity: true });
         }
@@ -67,9 +67,9 @@
         loop {
             let decodable = self.backlog.decodable();
             let decoded = connection.reader.borrow_mut().decode(decodable, &mut EventSink(connection))?;
-            self.backlog.decoded(decoded);
+            self.backlog.consume(decoded);
             self.reject_dropped();
-            if !self.backlog.stops_dropping() {
+            if !self.backlog.try_stop_dropping() {
                 break;
             }
         }
@@ -82,13 +82,13 @@
     fn reject_dropped(&mut self) {
         let connection = self.connection;
         while !connection.commands.is_full() {
-            match self.backlog.next_due() {
-                Some(Due::Refusal) => {
+            match self.backlog.next_rejection() {
+                Some(Rejection::Command) => {
                     let client = connection.client_number() as u64;
                     connection.count_command(0);
                     self.push(Event::ClientCommand { client, command: ClientCommand::Dropped });
                 }
-                Some(Due::TooMany) => {
+                Some(Rejection::Overflow) => {
                     self.backlog.clear(MAX_KEPT_BUFFER_BYTES);
                     self.protocol_error("too many commands at once");
                 }
--- a/gateway/src/sockets/connection/read_loop.rs
+++ b/gateway/src/sockets/connection/read_loop.rs
@@ -183,13 +183,13 @@
             connection.count_partial(before, self.backlog.len());
             connection.wake_waiting_for_capacity();
         }
-        if (self.backlog.drops() || self.discards()) && total >= MAX_READ_TURN_BYTES {
+        if (self.backlog.is_dropping() || self.discards()) && total >= MAX_READ_TURN_BYTES {
             connection.context.paused.borrow_mut().push(connection.clone());
             connection.context.events.wake();
             return None;
         }
         let long = self.backlog.len() > resp::MAX_MESSAGE_BYTES;
-        if long && !self.backlog.drops() && !self.discards() && !connection.reserve_capacity() {
+        if long && !self.backlog.is_dropping() && !self.discards() && !connection.reserve_capacity() {
             self.wait_for_capacity();
             return None;
         }
@@ -238,7 +238,7 @@
     /// capacity for that, it is dropped.
     fn must_drop(&self) -> bool {
         let connection = self.connection;
-        if !connection.is_client() || connection.commands.is_empty() || self.backlog.drops() {
+        if !connection.is_client() || connection.commands.is_empty() || self.backlog.is_dropping() {
             return false;
         }
         let stored = self.backlog.len();
--- a/gateway/src/state/backlog.rs
+++ b/gateway/src/state/backlog.rs
@@ -5,38 +5,41 @@
 //! memory, commands beyond the bound are dropped as they come and only counted; each of them is rejected in its turn.
 use crate::wire::resp::{self, Extent};
 
-/// So many dropped commands may wait to be rejected, for which the replies take less than half a MiB; with more, the
+/// How many dropped commands may wait for their rejection, for which the replies take less than half a MiB; with more, the
 /// client's connection is closed.
-pub const MOST_DROPPED: usize = 65_536;
+pub const MAX_DROPPED_COMMANDS: usize = 65_536;
 
-/// What is due once all commands before it are decoded.
+/// What is rejected next, once all commands before it are decoded.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Due {
-    /// A dropped command is to be rejected.
-    Refusal,
-    /// More commands have been dropped than may be: nothing behind them is accepted.
-    TooMany,
+pub enum Rejection {
+    /// One dropped command.
+    Command,
+    /// All that follows: more commands have been dropped than `MAX_DROPPED_COMMANDS`.
+    Overflow,
 }
 
 /// Commands that are dropped as they come.
 #[derive(Default)]
 struct Dropping {
     /// The length of the complete commands before them, which are still to be decoded.
-    bytes_before: usize,
+    decodable_bytes: usize,
     /// Commands that were dropped completely and not rejected yet.
-    unrejected: usize,
+    pending_rejections: usize,
     /// How many bytes of the one that is being dropped are still to come.
-    bytes_missing: usize,
-    /// What follows can't be understood; decoding it will report that.
-    is_broken: bool,
-    /// More have come than may be dropped.
-    too_many: bool,
+    missing_bytes: usize,
+    /// What follows can't be decoded; the attempt to do so will report that.
+    is_malformed: bool,
+    /// More have come than `MAX_DROPPED_COMMANDS`.
+    has_overflowed: bool,
 }
 
 impl Dropping {
-    /// Every command before and every dropped one has its reply.
-    fn is_over(&self) -> bool {
-        self.bytes_before == 0 && self.unrejected == 0 && self.bytes_missing == 0 && !self.too_many
+    /// Every command before has been decoded, and every dropped one rejected.
+    fn is_finished(&self) -> bool {
+        self.decodable_bytes == 0
+            && self.pending_rejections == 0
+            && self.missing_bytes == 0
+            && !self.has_overflowed
     }
 }
 
@@ -59,101 +62,101 @@
     }
 
     /// Whether new commands are dropped.
-    pub fn drops(&self) -> bool {
+    pub fn is_dropping(&self) -> bool {
         self.dropping.is_some()
     }
 
     /// What may be decoded next.
     pub fn decodable(&self) -> &[u8] {
-        let end = self.dropping.as_ref().map_or(self.bytes.len(), |dropping| dropping.bytes_before);
+        let end = self.dropping.as_ref().map_or(self.bytes.len(), |dropping| dropping.decodable_bytes);
         &self.bytes[..end]
     }
 
-    /// So many bytes have been decoded.
-    pub fn decoded(&mut self, bytes: usize) {
-        self.bytes.drain(..bytes);
+    /// Removes the first `length` bytes, which have been decoded.
+    pub fn consume(&mut self, length: usize) {
+        self.bytes.drain(..length);
         if let Some(dropping) = &mut self.dropping {
-            dropping.bytes_before -= bytes;
+            dropping.decodable_bytes -= length;
         }
     }
 
-    /// Adds what has been read. `step`: the bytes by which the capacity grows for a message over
+    /// Adds what has been read. `growth_step`: the bytes by which the capacity grows for a message over
     /// `resp::MAX_MESSAGE_BYTES`.
-    pub fn extend(&mut self, bytes: &[u8], step: usize) {
+    pub fn extend(&mut self, bytes: &[u8], growth_step: usize) {
         let Some(dropping) = &mut self.dropping else {
             if self.bytes.len() > resp::MAX_MESSAGE_BYTES
                 && self.bytes.capacity() < self.bytes.len() + bytes.len()
             {
-                self.bytes.reserve_exact(step); // not by doubling
+                self.bytes.reserve_exact(growth_step); // not by doubling
             }
             return self.bytes.extend_from_slice(bytes);
         };
-        if dropping.is_broken || dropping.too_many {
+        if dropping.is_malformed || dropping.has_overflowed {
             return;
         }
-        let skipped = dropping.bytes_missing.min(bytes.len());
+        let skipped = dropping.missing_bytes.min(bytes.len());
         if skipped > 0 {
-            dropping.bytes_missing -= skipped;
-            dropping.unrejected += usize::from(dropping.bytes_missing == 0);
+            dropping.missing_bytes -= skipped;
+            dropping.pending_rejections += usize::from(dropping.missing_bytes == 0);
         }
         self.bytes.extend_from_slice(&bytes[skipped..]);
-        self.drop_complete();
+        self.drop_received();
     }
 
-    /// From now on commands are dropped, but for the complete ones that are here; until all of these are decoded and all
+    /// Drops commands from now on, except for the complete ones that are buffered, until all of these are decoded and all
     /// dropped ones are rejected.
     pub fn start_dropping(&mut self) {
-        let mut bytes_before = 0;
-        while let Ok(Extent::Complete(length)) = resp::command_extent(&self.bytes[bytes_before..]) {
-            bytes_before += length;
+        let mut decodable_bytes = 0;
+        while let Ok(Extent::Complete(length)) = resp::command_extent(&self.bytes[decodable_bytes..]) {
+            decodable_bytes += length;
         }
-        self.dropping = Some(Dropping { bytes_before, ..Dropping::default() });
-        self.drop_complete();
+        self.dropping = Some(Dropping { decodable_bytes, ..Dropping::default() });
+        self.drop_received();
     }
 
-    /// Drops the commands behind the first `bytes_before` bytes, as far as they have come.
-    fn drop_complete(&mut self) {
+    /// Drops the commands behind the decodable bytes, as far as they have come.
+    fn drop_received(&mut self) {
         let Some(dropping) = &mut self.dropping else { return };
-        let mut at = dropping.bytes_before;
+        let mut position = dropping.decodable_bytes;
         loop {
-            match resp::command_extent(&self.bytes[at..]) {
+            match resp::command_extent(&self.bytes[position..]) {
                 Ok(Extent::Complete(length)) => {
-                    dropping.unrejected += 1;
-                    at += length;
+                    dropping.pending_rejections += 1;
+                    position += length;
                 }
                 Ok(Extent::Missing(missing)) => {
-                    dropping.bytes_missing = missing;
-                    at = self.bytes.len();
+                    dropping.missing_bytes = missing;
+                    position = self.bytes.len();
                     break;
                 }
                 Ok(Extent::Unknown) => break,
                 Err(_) => {
-                    dropping.is_broken = true;
+                    dropping.is_malformed = true;
                     break;
                 }
             }
         }
-        self.bytes.drain(dropping.bytes_before..at);
-        dropping.too_many = dropping.unrejected > MOST_DROPPED;
+        self.bytes.drain(dropping.decodable_bytes..position);
+        dropping.has_overflowed = dropping.pending_rejections > MAX_DROPPED_COMMANDS;
     }
 
-    /// What is due next, once for each dropped command.
-    pub fn next_due(&mut self) -> Option<Due> {
-        let dropping = self.dropping.as_mut().filter(|dropping| dropping.bytes_before == 0)?;
-        if dropping.unrejected > 0 {
-            dropping.unrejected -= 1;
-            return Some(Due::Refusal);
+    /// What is to be rejected next, if its turn has come; each dropped command is returned once.
+    pub fn next_rejection(&mut self) -> Option<Rejection> {
+        let dropping = self.dropping.as_mut().filter(|dropping| dropping.decodable_bytes == 0)?;
+        if dropping.pending_rejections > 0 {
+            dropping.pending_rejections -= 1;
+            return Some(Rejection::Command);
         }
-        dropping.too_many.then_some(Due::TooMany)
+        dropping.has_overflowed.then_some(Rejection::Overflow)
     }
 
-    /// Ends dropping once every command before is decoded or rejected; returns whether it did.
-    pub fn stops_dropping(&mut self) -> bool {
-        let is_over = self.dropping.as_ref().is_some_and(Dropping::is_over);
-        if is_over {
+    /// Stops dropping if every command so far is decoded or rejected; returns whether it did.
+    pub fn try_stop_dropping(&mut self) -> bool {
+        let is_finished = self.dropping.as_ref().is_some_and(Dropping::is_finished);
+        if is_finished {
             self.dropping = None;
         }
-        is_over
+        is_finished
     }
 
     /// Drops everything, and frees memory beyond this capacity, in bytes.
@@ -163,7 +166,7 @@
         self.shrink(capacity);
     }
 
-    /// Frees memory beyond this capacity, in bytes, if nothing is held.
+    /// Frees memory beyond this capacity, in bytes, if nothing is buffered.
     pub fn shrink(&mut self, capacity: usize) {
         if self.bytes.is_empty() && self.bytes.capacity() > capacity {
             self.bytes = Vec::new();
--- a/gateway/tests/backlog.rs
+++ b/gateway/tests/backlog.rs
@@ -1,5 +1,5 @@
 //! What is kept of commands that come faster than they may be taken in.
-use quillramp_gateway::state::backlog::{Backlog, Due, MOST_DROPPED};
+use quillramp_gateway::state::backlog::{Backlog, Rejection, MAX_DROPPED_COMMANDS};
 use quillramp_gateway::wire::resp::{command_extent, decode_command, Extent};
 
 const STEP: usize = 1024;
@@ -11,7 +11,9 @@
 
 /// How many dropped commands are refused now.
 fn rejected_count(backlog: &mut Backlog) -> usize {
-    std::iter::repeat_with(|| backlog.next_due()).take_while(|due| *due == Some(Due::Refusal)).count()
+    std::iter::repeat_with(|| backlog.next_rejection())
+        .take_while(|rejection| *rejection == Some(Rejection::Command))
+        .count()
 }
 
 #[test]
@@ -64,11 +66,11 @@
         assert!(
             backlog.decodable() == command_with_body(3)
                 && rejected_count(&mut backlog) == 0
-                && !backlog.stops_dropping()
+                && !backlog.try_stop_dropping()
         );
-        backlog.decoded(command_with_body(3).len());
+        backlog.consume(command_with_body(3).len());
         assert_eq!(rejected_count(&mut backlog), 5, "in pieces of {piece}");
-        assert!(backlog.stops_dropping() && backlog.is_empty());
+        assert!(backlog.try_stop_dropping() && backlog.is_empty());
         backlog.extend(&command_with_body(2), STEP);
         assert_eq!(backlog.decodable(), command_with_body(2));
     }
@@ -81,10 +83,10 @@
     backlog.start_dropping();
     assert_eq!((backlog.len(), backlog.is_empty()), (0, false));
     backlog.extend(&long[80_000..long.len() - 1], STEP);
-    assert!(rejected_count(&mut backlog) == 0 && !backlog.stops_dropping());
+    assert!(rejected_count(&mut backlog) == 0 && !backlog.try_stop_dropping());
     backlog.extend(&[&long[long.len() - 1..], &command_with_body(1)[..]].concat(), STEP);
     assert_eq!(rejected_count(&mut backlog), 2);
-    assert!(backlog.stops_dropping());
+    assert!(backlog.try_stop_dropping());
 }
 
 #[test]
@@ -94,9 +96,9 @@
     backlog.start_dropping();
     backlog.extend(&[&command_with_body(2)[..], b"nonsense\r\n"].concat(), STEP);
     backlog.extend(&command_with_body(3), STEP);
-    backlog.decoded(command_with_body(1).len());
+    backlog.consume(command_with_body(1).len());
     assert_eq!(rejected_count(&mut backlog), 1);
-    assert!(backlog.stops_dropping());
+    assert!(backlog.try_stop_dropping());
     assert!(decode_command(backlog.decodable()).is_err());
 }
 
@@ -104,10 +106,10 @@
 fn after_so_many_dropped_commands_nothing_more_is_taken() {
     let (ping, mut backlog) = (b"*1\r\n$4\r\nPING\r\n", Backlog::default());
     backlog.start_dropping();
-    for _ in 0..MOST_DROPPED + 100 {
+    for _ in 0..MAX_DROPPED_COMMANDS + 100 {
         backlog.extend(ping, STEP);
     }
-    assert_eq!(rejected_count(&mut backlog), MOST_DROPPED + 1);
-    assert_eq!((backlog.stops_dropping(), backlog.len()), (false, 0));
-    assert_eq!(backlog.next_due(), Some(Due::TooMany));
+    assert_eq!(rejected_count(&mut backlog), MAX_DROPPED_COMMANDS + 1);
+    assert_eq!((backlog.try_stop_dropping(), backlog.len()), (false, 0));
+    assert_eq!(backlog.next_rejection(), Some(Rejection::Overflow));
 }
