--- a/gateway/tests/backlog.rs
+++ b/gateway/tests/backlog.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_extent_is_as_long_as_the_command_that_is_decoded() {
+fn an_extent_is_the_length_of_the_decoded_command() {
     for text in [
         command_with_body(0),
         command_with_body(70_000),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn whole_commands_are_kept_and_later_ones_are_dropped_however_they_are_cut() {
+fn complete_commands_are_buffered_and_later_ones_dropped_in_pieces_of_any_size() {
     let all = [
         command_with_body(3),
         command_with_body(70_000),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_dropped_command_is_refused_once_all_of_it_has_come() {
+fn a_dropped_command_is_rejected_once_all_of_it_has_arrived() {
     let (long, mut backlog) = (command_with_body(200_000), Backlog::default());
     backlog.extend(&long[..80_000], STEP);
     backlog.start_dropping();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_can_not_be_understood_behind_dropped_commands_is_met_in_its_turn() {
+fn malformed_input_behind_dropped_commands_is_decoded_in_its_turn() {
     let mut backlog = Backlog::default();
     backlog.extend(&command_with_body(1), STEP);
     backlog.start_dropping();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn after_so_many_dropped_commands_nothing_more_is_taken() {
+fn input_is_discarded_once_too_many_commands_have_been_dropped() {
     let (ping, mut backlog) = (b"*1\r\n$4\r\nPING\r\n", Backlog::default());
     backlog.start_dropping();
     for _ in 0..MAX_DROPPED_COMMANDS + 100 {
--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -7,7 +7,7 @@
 /// Guards: a backend out by hand gets nothing new, whatever the list says; one call back ends it, and then it is used
 /// again, as a cold one; nobody can leave out what was never listed.
 #[test]
-fn a_backend_out_by_hand_stays_out_until_it_is_called_back() {
+fn an_ejected_backend_gets_no_attempts_until_an_operator_restores_it() {
     let mut b = bench_configured(1024, false, true);
     b.event(Event::Connected(ConnectionId::Discovery(1))).client(1).text.clear();
     call(&mut b, 1, "POST /backends/s-x/maint");
@@ -72,7 +72,7 @@
 
 /// Guards: each figure counts what was served, refused and failed, an abandoned one as none of these.
 #[test]
-fn the_figures_are_those_of_what_happened() {
+fn stats_count_completed_rejected_and_failed_requests() {
     let mut b = bench_configured(1024, false, true);
     b.client(1)
         .client(2)
@@ -103,7 +103,7 @@
 
 /// Guards: callers that finish no call hold nothing up; their number is bounded, and so is their time.
 #[test]
-fn callers_that_say_nothing_are_let_go() {
+fn idle_admin_connections_are_limited_in_number_and_time_out() {
     let mut b = bench_configured(1024, false, true);
     for id in 0..17 {
         b.event(Event::AdminConnected(id));
--- a/gateway/tests/reducer/counter.rs
+++ b/gateway/tests/reducer/counter.rs
@@ -4,7 +4,7 @@
 use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
 
 #[test]
-fn a_silent_counter_connection_is_not_written_to_and_its_late_answer_is_dropped() {
+fn an_unresponsive_counter_connection_gets_no_calls_and_its_late_response_is_dropped() {
     let mut b = bench();
     b.client(1).call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(2))).until(0.1);
     b.call(1, "look", 6)
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn calls_on_one_name_have_their_turns_in_order() {
+fn calls_on_one_counter_are_sent_in_order_on_one_connection() {
     let mut b = bench();
     b.client(1).event(Event::Connected(ConnectionId::Discovery(1)));
     for customer in [5, 6] {
@@ -50,7 +50,7 @@
 
 /// Guards: a counter's answer without a number kept its connection in use, and what it added was not given back.
 #[test]
-fn an_answer_of_the_counter_without_a_number_ends_its_connection_and_the_units_go_back() {
+fn a_counter_response_without_a_total_closes_its_connection_and_its_units_are_refunded() {
     let mut b = bench();
     b.client(1)
         .call(1, "look", 5)
--- a/gateway/tests/reducer/descriptors.rs
+++ b/gateway/tests/reducer/descriptors.rs
@@ -4,7 +4,7 @@
 use quillramp_gateway::state::event::{ConnectionId, Event, SharedState};
 
 #[test]
-fn where_descriptors_run_short_idle_connections_go_first_and_then_deliveries_share() {
+fn idle_connections_are_closed_first_when_descriptors_are_short() {
     let mut b = bench_with_descriptors(32 + 5);
     b.client(1).client(2).call(1, "look", 5).until(0.05).up(3).value(3, "a").client(3);
     b.call(1, "look", 6).until(0.1).call(1, "look", 7).until(0.15);
@@ -28,7 +28,7 @@
 /// Guards: clients that keep a connection and ask no more took the descriptors of backend connections, each of which
 /// costs a handshake to have again; and clients that say nothing held theirs for ever.
 #[test]
-fn clients_that_only_hold_on_are_let_go() {
+fn idle_clients_are_closed_when_descriptors_are_short_and_after_their_timeout() {
     let mut b = bench_with_descriptors(32 + 6);
     b.client(1).client(2).call(2, "look", 5).until(0.05).up(3).value(3, "a").until(2.2).text.clear();
     // Short of descriptors: who never said anything goes first, then who was answered long ago, then a backend's.
@@ -59,7 +59,7 @@
 
 /// Guards: a client that took 2 s for a command was cut off, 2 s after its last answer and with more of it on the way.
 #[test]
-fn a_slow_command_has_its_time_from_its_first_byte() {
+fn a_partial_command_times_out_from_its_first_byte() {
     let mut b = bench();
     b.client(1).client(2).sends(1, "*1\r\n$4\r\nPING\r\n").until(1.9).text.clear();
     for at in [1.9, 2.5, 3.0, 3.8] {
@@ -79,7 +79,7 @@
 /// Guards: descriptors ran short in the batch in which a client's command had been read; its connection was spared for
 /// another's and the command, which has its turn after all else, was lost without an answer.
 #[test]
-fn a_client_whose_command_has_been_read_is_not_let_go() {
+fn a_client_whose_command_has_been_read_is_not_evicted() {
     let mut b = bench_with_descriptors(32 + 5);
     b.client(1).sends(1, PING).client(2).sends(2, PING).until(1.0).text.clear();
     let come = [3, 4, 5].map(|id| Event::ClientAccepted { client: id, address: HERE });
@@ -92,7 +92,7 @@
 
 /// Guards: over an upgrade each process had half of the descriptors, however few the one that left still needed.
 #[test]
-fn what_a_leaving_process_will_not_use_the_other_one_has() {
+fn descriptors_that_a_stopping_process_releases_are_available_to_the_other_one() {
     let room = |holds| {
         let mut b = bench_configured(200, true, true);
         b.event(Event::SharedStateSaved {
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -19,7 +19,7 @@
 
 /// Guards: nothing limited what one address holds, and a known client found no place.
 #[test]
-fn who_finds_no_place_hears_why_and_a_known_one_has_its_place() {
+fn a_rejected_client_gets_the_reason_and_a_known_address_its_reserved_connection() {
     let mut b = bench_with_admission();
     b.client(1)
         .client(2)
@@ -42,7 +42,7 @@
 
 /// Guards: the gate was not told that a command had begun, and a slow client was let go as a silent one.
 #[test]
-fn a_client_at_its_first_command_is_not_silent() {
+fn a_client_with_a_partial_first_command_is_not_closed_as_idle() {
     let mut b = bench_with_admission();
     b.client(1).client(2).event(Event::PartialMessage(ConnectionId::Client(1))).until(1.6);
     b.is_but_list(expect![[r#"
@@ -56,7 +56,7 @@
 
 /// Guards: one hospital's commands took all that its gateway's address may have unfinished.
 #[test]
-fn commands_past_an_addresss_part_may_come_again_soon() {
+fn commands_beyond_an_addresss_quota_are_rejected_with_a_retry_delay() {
     let mut b = bench_with_admission();
     b.client(1)
         .call(1, "look", 5)
@@ -76,7 +76,7 @@
 /// Guards: a command that had been read before its connection was held did not count, and the connection was spared for
 /// want of descriptors (emulator, seed 2698).
 #[test]
-fn what_came_with_a_connection_counts_from_the_moment_it_is_held() {
+fn commands_that_were_read_before_their_connection_was_admitted_are_counted() {
     let mut b = bench_with_descriptors(32 + 4);
     let limits = Limits { connections: 30, reserve: 0, per_address: 30, strangers: 30, ..LIMITS };
     b.set_admission_limits(limits).client(1).client(2).until(0.5).text.clear();
@@ -96,7 +96,7 @@
 /// Guards: an invocation is kept under the limits it was taken under, and its class may be gone by then; two files in one batch
 /// are taken up in their order; what is taken up is told once.
 #[test]
-fn invocations_keep_the_limits_they_began_under() {
+fn requests_keep_the_limits_under_which_they_were_accepted() {
     let mut b = bench();
     b.client(1).client(2).client(3);
     b.call(1, "look", 1).until(0.1);
@@ -117,7 +117,7 @@
 
 /// Guards: a gate that is switched on while connections are open did not know them, and their addresses passed their caps.
 #[test]
-fn admission_knows_who_was_there_before_it() {
+fn admission_counts_the_connections_that_were_open_before_it() {
     let mut b = bench();
     b.client(1).client(2).sends(1, PING).call(2, "look", 5).until(0.01);
     b.set_admission_limits(LIMITS).text.clear();
@@ -137,7 +137,7 @@
 
 /// Guards: what a contract refuses never reaches the decisions, what they refuse is given back to it, and who has no contract hears so.
 #[test]
-fn an_invocation_has_room_in_its_contract_first() {
+fn a_request_is_checked_against_its_contract_before_it_is_routed() {
     let mut b = bench();
     reload_operator_file(&mut b, CONTRACT);
     b.client(1).text.clear();
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -5,7 +5,7 @@
 use quillramp_gateway::wire::http::Response;
 
 #[test]
-fn strangers_and_malformed_datagrams_are_dropped_and_counted() {
+fn datagrams_that_are_malformed_or_from_unknown_peers_are_dropped_and_counted() {
     let mut b = bench();
     let peer = "127.0.0.1:7004".parse().expect("an address");
     let stranger = "127.0.0.1:9".parse().expect("an address");
@@ -25,7 +25,7 @@
 
 /// Guards: a configuration read again under load moves the list and the counter over and ends no invocation.
 #[test]
-fn the_list_and_the_counter_move_under_load() {
+fn a_reload_moves_discovery_and_the_counter_without_failing_requests() {
     let mut b = bench();
     b.client(1)
         .event(Event::Connected(ConnectionId::Discovery(1)))
@@ -67,7 +67,7 @@
 /// Guards: backends that had gone were kept for ever, by name, place and what the decisions knew of them; and an index
 /// must not come to mean another backend while anything here has to do with the first.
 #[test]
-fn gone_backends_are_forgotten_once_nothing_has_to_do_with_them() {
+fn removed_backends_are_forgotten_once_nothing_refers_to_them() {
     let mut b = bench();
     b.event(Event::Connected(ConnectionId::Discovery(1)))
         .client(1)
@@ -103,7 +103,7 @@
 /// Guards: a connection to the list service that had gone mute was waited on for 22 s, while all backends were replaced.
 /// No answer by when one is due, news or not, is asked for anew at once, by calls that do not wait; an end, too.
 #[test]
-fn a_mute_list_connection_is_left_when_its_answer_is_due() {
+fn an_unresponsive_discovery_connection_is_replaced_when_its_response_is_overdue() {
     let mut b = bench();
     let none = r#"{"index":41,"snapshot":false,"endpoints":[]}"#;
     let answer = |id| {
--- a/gateway/tests/reducer/requests.rs
+++ b/gateway/tests/reducer/requests.rs
@@ -6,7 +6,7 @@
 use quillramp_gateway::wire::resp;
 
 #[test]
-fn what_is_out_when_the_clients_time_is_up_has_timed_out_and_is_answered() {
+fn attempts_in_flight_at_the_clients_deadline_time_out_and_their_request_fails() {
     let mut b = bench();
     b.client(1).call(1, "order", 5).until(0.05).up(3).until(1.0);
     b.is(expect![[r#"
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn answers_go_in_the_order_of_the_commands() {
+fn replies_are_sent_in_the_order_of_the_commands() {
     let mut b = bench();
     b.client(1).call(1, "look", 5).call(1, "look", 6).until(0.05).up(4).up(5).value(5, "second");
     b.value(4, "first");
@@ -39,7 +39,7 @@
 /// Guards: units of 0, a non-idempotent operation sent as an idempotent one and the id of an invocation that is out
 /// went on to backends, which said so five times over and were set aside for it.
 #[test]
-fn a_command_that_the_settings_do_not_allow_is_said_to_be_wrong_and_goes_nowhere() {
+fn a_command_that_the_settings_do_not_allow_is_rejected_and_not_forwarded() {
     let mut b = bench();
     b.client(1).call(1, "look", 5).until(0.05).up(3).text.clear();
     b.id = 1;
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_non_idempotent_delivery_goes_again_only_if_it_had_not_left_whole() {
+fn a_non_idempotent_attempt_is_retried_only_if_it_was_not_sent_completely() {
     let mut b = bench();
     b.client(1).call(1, "order", 5).until(0.05).up(3);
     b.ended(ConnectionId::Backend(3), CloseReason::Reset, true).up(4).ended(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_link_that_comes_up_late_is_written_to_only_if_that_still_makes_sense() {
+fn a_late_backend_connection_is_used_only_if_its_backend_serves_and_its_client_waits() {
     let mut b = bench();
     b.client(1).call(1, "look", 5).until(0.05);
     let list = r#"{"index":42,"snapshot":false,"endpoints":[{"name":"s-a","address":"127.0.0.1:7011",
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_idle_link_serves_again_and_closes_well_before_the_backend_would() {
+fn an_idle_backend_connection_is_reused_and_closed_before_the_backend_does() {
     let mut b = bench();
     b.client(1).call(1, "look", 5).until(0.05).up(3).value(3, "a").until(1.0).call(1, "look", 5).until(1.05);
     b.until(1.1).value(3, "b").until(10.0);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn broken_framing_is_said_and_the_connection_closes_after_what_it_is_owed() {
+fn a_protocol_error_is_reported_and_closes_the_connection_after_pending_replies() {
     let mut b = bench();
     b.client(1)
         .call(1, "look", 5)
@@ -170,7 +170,7 @@
 /// Guards: a reply that can't be read set its backend aside; a second copy behind a good one was the next delivery's
 /// answer; and so was what came on an idle connection.
 #[test]
-fn spoilt_replies_fail_and_what_nobody_asked_for_ends_the_connection() {
+fn malformed_replies_fail_their_attempt_and_unexpected_data_closes_the_connection() {
     let mut b = bench();
     b.client(1).call(1, "order", 5).until(0.05).up(3).ended(
         ConnectionId::Backend(3),
@@ -196,7 +196,7 @@
 /// Guards: a value over 64 KiB broke its connection off. It passes when it is its turn, nothing is delivered again from
 /// then on, and one that breaks off ends its client's connection.
 #[test]
-fn a_long_value_passes_in_its_turn_and_is_never_asked_for_again() {
+fn a_long_value_is_streamed_in_its_turn_and_never_retried() {
     let mut b = bench();
     b.client(1).client(2).call(1, "look", 5).call(1, "look", 6).until(0.05).up(4).up(5).text.clear();
     b.event(Event::StreamStarted(5)).value(4, "first").until(5.0);
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -4,7 +4,7 @@
 use quillramp_gateway::state::event::{CloseReason, Event, SharedState};
 
 #[test]
-fn told_to_stop_it_serves_on_then_ends_connections_and_leaves_when_all_is_answered() {
+fn a_shutdown_serves_on_then_closes_connections_and_exits_when_all_is_answered() {
     let mut b = bench();
     b.client(1).client(2).event(Event::Shutdown).until(0.3).call(1, "look", 5).until(0.35).up(3).until(0.5);
     b.event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
@@ -33,7 +33,7 @@
 /// Guards: a drained front door says no at once, takes what comes, ends connections between commands and takes clients
 /// again after one call; SIGTERM in a drain ends in an exit all the same.
 #[test]
-fn a_drain_says_no_ends_connections_and_is_over_with_one_call() {
+fn a_drain_fails_health_checks_closes_connections_and_ends_with_one_call() {
     let mut b = bench_configured(1024, false, true);
     b.client(1).client(2).sends(2, "*1\r\n$4\r\nPING\r\n").call(1, "order", 5).until(0.05).text.clear();
     call(&mut b, 1, "POST /healthcheck/ok");
@@ -111,7 +111,7 @@
 /// Guards: with the listening socket passed on, the old process leaves it at once, still says yes for the front door,
 /// ends connections between commands only, and none that nobody has asked anything on; bans made at the new one hold.
 #[test]
-fn an_old_version_serves_out_while_the_new_one_accepts() {
+fn a_replaced_process_answers_pending_requests_while_the_new_one_accepts() {
     let mut b = bench_configured(1024, true, true);
     b.client(1)
         .client(2)
@@ -168,7 +168,7 @@
 /// Guards: with a passed socket, and nobody there to take over, a stop waited for clients that had never said anything and
 /// kept the next start from coming.
 #[test]
-fn a_stop_with_nobody_to_take_over_is_like_any_other() {
+fn a_shutdown_without_a_successor_is_like_any_other() {
     let mut b = bench_configured(1024, true, true);
     b.client(1).client(2).sends(2, "*1\r\n$4\r\nPING\r\n");
     // The one before is still there: it takes nothing over.
@@ -195,7 +195,7 @@
 /// Guards: a front door that was drained by hand and then told to stop ended connections that had just come, with commands
 /// on them that had been read.
 #[test]
-fn a_drained_front_door_that_is_told_to_stop_serves_on_for_a_while() {
+fn a_shutdown_of_a_drained_instance_serves_on_before_connections_are_closed() {
     let mut b = bench_configured(1024, false, true);
     b.client(1);
     call(&mut b, 1, "POST /healthcheck/fail");
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn commands() {
+fn commands_are_decoded_and_encoded_for_backends() {
     let mut all = command("*1\r\n$4\r\nping\r\n");
     let call = |customer: &str, id: &str, list: &str| {
         let items = [customer, id, list].map(|item| format!("${}\r\n{item}\r\n", item.len()));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn replies() {
+fn backend_replies_are_decoded_and_client_replies_encoded() {
     let reply = |message: &str| decoded(resp::decode_reply, message, |reply| format!("{reply:?}"));
     let mut all = String::new();
     for message in [
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn responses() {
+fn http_responses_are_decoded_and_requests_encoded() {
     let response = |message: &str| {
         decoded(http::decode_response, message, |response| {
             format!(
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn endpoint_lists_and_datagrams() {
+fn endpoint_lists_and_datagrams_are_decoded() {
     let entry = r#"{"name":"s","address":"127.0.0.1:1","zone":"a","group":3,"status":"DRAINING","weight":1,"since_ms":5}"#;
     let list = format!(r#"{{"index":4,"snapshot":false,"endpoints":[{entry}]}}"#);
     let mut all = format!("{:?}\n", decode_list(&list));
@@ -261,7 +261,7 @@
 
 /// The settings name the values of a load report; others, and what is no figure, say nothing.
 #[test]
-fn a_load_report_is_read_by_the_names_of_the_settings() {
+fn load_report_fields_are_named_by_the_settings() {
     let example = include_str!("../../examples/configuration.json");
     let told = quillramp_gateway::process::configuration::decode(example.as_bytes()).expect("a good one");
     let with = |feedback: &str| {
@@ -295,7 +295,7 @@
 
 /// Guards: operators' calls come in pieces, too long, or not at all as they should.
 #[test]
-fn operators_calls_are_read_whole_or_said_to_be_wrong() {
+fn admin_calls_are_decoded_once_complete_and_invalid_ones_have_a_status() {
     use quillramp_gateway::wire::admin::{decode_call, AdminCall};
     let whole = "POST /backends/s-1%2d2/maint?x=1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
     for cut in 0..whole.len() {
