--- a/gateway/tests/backlog.rs
+++ b/gateway/tests/backlog.rs
@@ -1,15 +1,16 @@
-//! What is kept of commands that come faster than they may be taken in.
+//! What is buffered of commands that arrive faster than they may be accepted.
 use quillramp_gateway::state::backlog::{Backlog, Rejection, MAX_DROPPED_COMMANDS};
 use quillramp_gateway::wire::resp::{command_extent, decode_command, Extent};
 
-const STEP: usize = 1024;
+/// The bytes by which a buffer grows.
+const GROWTH_STEP: usize = 1024;
 
 fn command_with_body(body: usize) -> Vec<u8> {
     let head = "*5\r\n$9\r\nCALL.POST\r\n$16\r\n0000000000000001\r\n$16\r\n0000000000000002\r\n$3\r\nc=x\r\n";
     format!("{head}${body}\r\n{}\r\n", "b".repeat(body)).into_bytes()
 }
 
-/// How many dropped commands are refused now.
+/// How many dropped commands are rejected now.
 fn rejected_count(backlog: &mut Backlog) -> usize {
     std::iter::repeat_with(|| backlog.next_rejection())
         .take_while(|rejection| *rejection == Some(Rejection::Command))
@@ -24,13 +25,13 @@
         b"*1\r\n$4\r\nPING\r\n".to_vec(),
         b"*0\r\n".to_vec(),
     ] {
-        let (_, length) = decode_command(&text).expect("framed").expect("whole");
+        let (_, length) = decode_command(&text).expect("valid framing").expect("complete");
         assert_eq!(command_extent(&text), Ok(Extent::Complete(length)));
         for cut in 0..text.len().min(200) {
-            let reach = command_extent(&text[..cut]).expect("framed");
+            let extent = command_extent(&text[..cut]).expect("valid framing");
             assert!(
-                reach == Extent::Unknown || reach == Extent::Missing(text.len() - cut),
-                "{cut}: {reach:?}"
+                extent == Extent::Unknown || extent == Extent::Missing(text.len() - cut),
+                "{cut}: {extent:?}"
             );
         }
     }
@@ -55,13 +56,13 @@
     .concat();
     for piece in [1, 7, 4096, 100_000] {
         let mut backlog = Backlog::default();
-        backlog.extend(&command_with_body(3), STEP);
-        backlog.extend(&command_with_body(9)[..20], STEP);
+        backlog.extend(&command_with_body(3), GROWTH_STEP);
+        backlog.extend(&command_with_body(9)[..20], GROWTH_STEP);
         backlog.start_dropping();
-        backlog.extend(&command_with_body(9)[20..], STEP);
+        backlog.extend(&command_with_body(9)[20..], GROWTH_STEP);
         for bytes in all.chunks(piece) {
-            backlog.extend(bytes, STEP);
-            assert!(backlog.len() < 70_000, "{} bytes are kept", backlog.len());
+            backlog.extend(bytes, GROWTH_STEP);
+            assert!(backlog.len() < 70_000, "{} bytes are buffered", backlog.len());
         }
         assert!(
             backlog.decodable() == command_with_body(3)
@@ -71,7 +72,7 @@
         backlog.consume(command_with_body(3).len());
         assert_eq!(rejected_count(&mut backlog), 5, "in pieces of {piece}");
         assert!(backlog.try_stop_dropping() && backlog.is_empty());
-        backlog.extend(&command_with_body(2), STEP);
+        backlog.extend(&command_with_body(2), GROWTH_STEP);
         assert_eq!(backlog.decodable(), command_with_body(2));
     }
 }
@@ -79,12 +80,12 @@
 #[test]
 fn a_dropped_command_is_rejected_once_all_of_it_has_arrived() {
     let (long, mut backlog) = (command_with_body(200_000), Backlog::default());
-    backlog.extend(&long[..80_000], STEP);
+    backlog.extend(&long[..80_000], GROWTH_STEP);
     backlog.start_dropping();
     assert_eq!((backlog.len(), backlog.is_empty()), (0, false));
-    backlog.extend(&long[80_000..long.len() - 1], STEP);
+    backlog.extend(&long[80_000..long.len() - 1], GROWTH_STEP);
     assert!(rejected_count(&mut backlog) == 0 && !backlog.try_stop_dropping());
-    backlog.extend(&[&long[long.len() - 1..], &command_with_body(1)[..]].concat(), STEP);
+    backlog.extend(&[&long[long.len() - 1..], &command_with_body(1)[..]].concat(), GROWTH_STEP);
     assert_eq!(rejected_count(&mut backlog), 2);
     assert!(backlog.try_stop_dropping());
 }
@@ -92,10 +93,10 @@
 #[test]
 fn malformed_input_behind_dropped_commands_is_decoded_in_its_turn() {
     let mut backlog = Backlog::default();
-    backlog.extend(&command_with_body(1), STEP);
+    backlog.extend(&command_with_body(1), GROWTH_STEP);
     backlog.start_dropping();
-    backlog.extend(&[&command_with_body(2)[..], b"nonsense\r\n"].concat(), STEP);
-    backlog.extend(&command_with_body(3), STEP);
+    backlog.extend(&[&command_with_body(2)[..], b"nonsense\r\n"].concat(), GROWTH_STEP);
+    backlog.extend(&command_with_body(3), GROWTH_STEP);
     backlog.consume(command_with_body(1).len());
     assert_eq!(rejected_count(&mut backlog), 1);
     assert!(backlog.try_stop_dropping());
@@ -107,7 +108,7 @@
     let (ping, mut backlog) = (b"*1\r\n$4\r\nPING\r\n", Backlog::default());
     backlog.start_dropping();
     for _ in 0..MAX_DROPPED_COMMANDS + 100 {
-        backlog.extend(ping, STEP);
+        backlog.extend(ping, GROWTH_STEP);
     }
     assert_eq!(rejected_count(&mut backlog), MAX_DROPPED_COMMANDS + 1);
     assert_eq!((backlog.try_stop_dropping(), backlog.len()), (false, 0));
--- a/gateway/tests/reducer/descriptors.rs
+++ b/gateway/tests/reducer/descriptors.rs
@@ -28,7 +28,7 @@
 /// Guards: clients that keep a connection and ask no more took the descriptors of backend connections, each of which
 /// costs a handshake to have again; and clients that say nothing held theirs for ever.
 #[test]
-fn idle_clients_are_closed_when_descriptors_are_short_and_after_their_timeout() {
+fn idle_clients_are_closed_before_backend_connections_when_descriptors_are_short() {
     let mut b = bench_with_descriptors(32 + 6);
     b.client(1).client(2).call(2, "look", 5).until(0.05).up(3).value(3, "a").until(2.2).text.clear();
     // Short of descriptors: who never said anything goes first, then who was answered long ago, then a backend's.
@@ -38,7 +38,11 @@
         2.200 log: connection client 1 ended: crowded
         2.200 log: connection client 2 ended: crowded
     "#]]);
-    // With enough of them, one that has asked may stay for longer, unless it stopped in mid-command.
+}
+
+/// A client that has sent a command may stay for longer than one that has not, unless it stopped in the middle of one.
+#[test]
+fn idle_clients_are_closed_after_their_timeout_when_descriptors_are_not_short() {
     let mut b = bench();
     b.client(1).client(2).call(2, "look", 5).until(0.05).up(3).value(3, "a").text.clear();
     b.until(0.5).client(3).call(3, "order", 5).event(Event::PartialMessage(ConnectionId::Client(3)));
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -100,32 +100,35 @@
     expect!["[4, 4, 4]"].assert_eq(&format!("{places:?}"));
 }
 
-/// Guards: a connection to the list service that had gone mute was waited on for 22 s, while all backends were replaced.
-/// No answer by when one is due, news or not, is asked for anew at once, by calls that do not wait; an end, too.
-#[test]
-fn an_unresponsive_discovery_connection_is_replaced_when_its_response_is_overdue() {
+/// The response of the list service that nothing has changed.
+fn unchanged_endpoints(connection: u64) -> Event {
+    let body = r#"{"index":41,"snapshot":false,"endpoints":[]}"#;
+    Event::HttpResponse {
+        connection: ConnectionId::Discovery(connection),
+        response: Response { status: 200, body: body.into(), closes_connection: false },
+    }
+}
+
+/// A discovery service whose first connection becomes unresponsive, and whose second one is reset.
+fn bench_with_replaced_discovery_connections() -> Bench {
     let mut b = bench();
-    let none = r#"{"index":41,"snapshot":false,"endpoints":[]}"#;
-    let answer = |id| {
-        let response = Response { status: 200, body: none.into(), closes_connection: false };
-        Event::HttpResponse { connection: ConnectionId::Discovery(id), response }
-    };
     b.event(Event::Connected(ConnectionId::Discovery(1)))
         .until(5.5)
         .event(Event::Connected(ConnectionId::Discovery(2)))
-        .event(answer(2));
+        .event(unchanged_endpoints(2));
     b.until(7.0)
         .ended(ConnectionId::Discovery(2), CloseReason::Reset, false)
         .event(Event::Connected(ConnectionId::Discovery(3)))
-        .event(answer(3));
-    // Nobody there: a call is out at any time, however long that lasts.
-    b.until(8.0).ended(ConnectionId::Discovery(3), CloseReason::Reset, false);
-    for id in 4..8 {
-        b.ended(ConnectionId::Discovery(id), CloseReason::Refused, false);
-        let next = b.now - 1000.0 + 0.25;
-        b.until(next);
-    }
-    b.until(12.0);
+        .event(unchanged_endpoints(3));
+    b
+}
+
+/// Guards: a connection to the list service that had become unresponsive was waited on for 22 s, while all backends were
+/// replaced. Where no response has come when one is due, changes or not, the service is polled at once, without a wait;
+/// the same after a connection has ended.
+#[test]
+fn an_unresponsive_discovery_connection_is_replaced_when_its_response_is_overdue() {
+    let mut b = bench_with_replaced_discovery_connections();
     b.is(expect![[r#"
         0.000 Discovery(1): watch since 41
         5.400 connect Discovery(2) to 127.0.0.1:7002
@@ -136,6 +139,22 @@
         7.000 connect Discovery(3) to 127.0.0.1:7002
         7.000 Discovery(3): since 41, at once
         7.000 Discovery(3): watch since 41
+    "#]]);
+}
+
+/// Guards: while the service can't be reached a request to it is pending at any time, however long that lasts.
+#[test]
+fn an_unreachable_discovery_service_is_polled_without_a_pause() {
+    let mut b = bench_with_replaced_discovery_connections();
+    b.text.clear();
+    b.until(8.0).ended(ConnectionId::Discovery(3), CloseReason::Reset, false);
+    for id in 4..8 {
+        b.ended(ConnectionId::Discovery(id), CloseReason::Refused, false);
+        let next = b.now - 1000.0 + 0.25;
+        b.until(next);
+    }
+    b.until(12.0);
+    b.is(expect![[r#"
         8.000 log: connection list 3 ended: reset
         8.000 connect Discovery(4) to 127.0.0.1:7002
         8.000 log: connection list 4 ended: refused
--- a/gateway/tests/reducer/requests.rs
+++ b/gateway/tests/reducer/requests.rs
@@ -1,6 +1,6 @@
 //! Requests: commands, attempts and their replies.
 use crate::bench::*;
-use expect_test::expect;
+use expect_test::{expect, Expect};
 use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
 use quillramp_gateway::wire::http::Response;
 use quillramp_gateway::wire::resp;
@@ -193,10 +193,9 @@
     "#]]);
 }
 
-/// Guards: a value over 64 KiB broke its connection off. It passes when it is its turn, nothing is delivered again from
-/// then on, and one that breaks off ends its client's connection.
-#[test]
-fn a_long_value_is_streamed_in_its_turn_and_never_retried() {
+/// Two requests of one client: the second one's value is streamed once the first is answered, and then a third is sent on
+/// its connection.
+fn bench_with_streamed_value() -> Bench {
     let mut b = bench();
     b.client(1).client(2).call(1, "look", 5).call(1, "look", 6).until(0.05).up(4).up(5).text.clear();
     b.event(Event::StreamStarted(5)).value(4, "first").until(5.0);
@@ -209,47 +208,72 @@
             more_received: false,
         })
         .call(1, "look", 7)
-        .until(5.02)
-        .text += "--\n";
-    // The same one breaks off.
+        .until(5.02);
+    b
+}
+
+/// The trace without the connections to the counter and to discovery.
+fn assert_trace_of_streams(b: &mut Bench, expected: Expect) {
+    b.only(|line| !line.contains("ounter"));
+    b.is_but_list(expected);
+}
+
+/// Guards: a value over 64 KiB ended its connection. It is forwarded when it is its turn, and nothing is retried from then
+/// on.
+#[test]
+fn a_long_value_is_streamed_in_its_turn_and_never_retried() {
+    let mut b = bench_with_streamed_value();
+    assert_trace_of_streams(
+        &mut b,
+        expect![[r#"
+            0.050 client 1: $5 first
+            0.050 backend link 5 passes to client Some(1)
+            0.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            1.000 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            1.200 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            1.400 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            1.600 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            1.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            2.000 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            2.200 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            2.400 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            2.500 log: connection client 2 ended: idle
+            2.600 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            2.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            3.000 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            3.200 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            3.400 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            3.600 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            3.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            4.000 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            4.200 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            4.400 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            4.600 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            4.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
+            5.000 operator 9: 200 {"completed":{"look":1,"order":0},"rejected":{"look":0,"order":0},"failed":{"look":0,"order":0},"upstream_requests":0,"pending":1,"members":2,"members_unavailable":0,"config_reloads":0,"config_reload_errors":0}
+            5.000 client 1: 
+            5.000 backend link 5: look for 799 ms
+        "#]],
+    );
+}
+
+/// Guards: a client whose value was cut off waited for the rest of it.
+#[test]
+fn a_stream_that_its_backend_aborts_closes_the_clients_connection() {
+    let mut b = bench_with_streamed_value();
+    b.text.clear();
     b.event(Event::StreamStarted(5))
         .until(5.1)
         .ended(ConnectionId::Backend(5), CloseReason::Reset, false)
         .until(8.0);
-    b.only(|l| !l.contains("ounter"));
-    b.is_but_list(expect![[r#"
-        0.050 client 1: $5 first
-        0.050 backend link 5 passes to client Some(1)
-        0.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        1.000 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        1.200 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        1.400 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        1.600 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        1.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        2.000 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        2.200 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        2.400 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        2.500 log: connection client 2 ended: idle
-        2.600 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        2.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        3.000 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        3.200 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        3.400 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        3.600 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        3.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        4.000 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        4.200 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        4.400 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        4.600 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        4.800 backend link 5 ends if silent for 0.2 s, or still for 30 s
-        5.000 operator 9: 200 {"completed":{"look":1,"order":0},"rejected":{"look":0,"order":0},"failed":{"look":0,"order":0},"upstream_requests":0,"pending":1,"members":2,"members_unavailable":0,"config_reloads":0,"config_reload_errors":0}
-        5.000 client 1: 
-        5.000 backend link 5: look for 799 ms
-        --
-        5.020 backend link 5 passes to client Some(1)
-        5.100 log: connection backend 5 s-a ended: reset
-        5.100 log: connection client 1 ended: cut-off
-        6.000 log: connection operator 9 ended: called
-        8.000 log: connection backend 4 s-b ended: idle
-    "#]]);
+    assert_trace_of_streams(
+        &mut b,
+        expect![[r#"
+            5.020 backend link 5 passes to client Some(1)
+            5.100 log: connection backend 5 s-a ended: reset
+            5.100 log: connection client 1 ended: cut-off
+            6.000 log: connection operator 9 ended: called
+            8.000 log: connection backend 4 s-b ended: idle
+        "#]],
+    );
 }
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -1,6 +1,6 @@
 //! Draining and graceful shutdown.
 use crate::bench::*;
-use expect_test::expect;
+use expect_test::{expect, Expect};
 use quillramp_gateway::state::event::{CloseReason, Event, SharedState};
 
 #[test]
@@ -30,16 +30,14 @@
     "#]]);
 }
 
-/// Guards: a drained front door says no at once, takes what comes, ends connections between commands and takes clients
-/// again after one call; SIGTERM in a drain ends in an exit all the same.
-#[test]
-fn a_drain_fails_health_checks_closes_connections_and_ends_with_one_call() {
+/// Drains an instance of three clients, one of which asks on and on: it is not read from any more.
+fn bench_drained_by_an_operator() -> Bench {
     let mut b = bench_configured(1024, false, true);
-    b.client(1).client(2).sends(2, "*1\r\n$4\r\nPING\r\n").call(1, "order", 5).until(0.05).text.clear();
+    b.client(1).client(2).sends(2, PING).call(1, "order", 5).until(0.05).text.clear();
     call(&mut b, 1, "POST /healthcheck/ok");
     shared_state_saved(&mut b, 1, &[], false);
     call(&mut b, 2, "POST /healthcheck/fail");
-    b.sends(2, "*1\r\n$4\r\nPING\r\n");
+    b.sends(2, PING);
     shared_state_saved(&mut b, 2, &[], true);
     call(&mut b, 3, "GET /healthcheck");
     b.until(0.3)
@@ -47,13 +45,79 @@
         .until(0.6)
         .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Draining })
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Draining });
-    // One that asks on and on is read no more.
-    b.call(1, "look", 6).until(1.6).text += "--\n";
-    call(&mut b, 4, "POST /healthcheck/fail");
-    shared_state_saved(&mut b, 4, &[], true);
-    call(&mut b, 5, "POST /healthcheck/ok");
-    shared_state_saved(&mut b, 5, &[], false);
-    b.client(4).sends(4, "*1\r\n$4\r\nPING\r\n").until(2.0).text += "--\n";
+    b.call(1, "look", 6).until(1.6);
+    b
+}
+
+/// Drains the instance once more, ends the drain, and connects a client.
+fn end_drain(b: &mut Bench) {
+    call(b, 4, "POST /healthcheck/fail");
+    shared_state_saved(b, 4, &[], true);
+    call(b, 5, "POST /healthcheck/ok");
+    shared_state_saved(b, 5, &[], false);
+    b.client(4).sends(4, PING).until(2.0);
+}
+
+/// The trace without the connections to backends and to the counter.
+fn assert_trace_of_clients(b: &mut Bench, expected: Expect) {
+    b.only(|line| !line.contains("ackend") && !line.contains("ounter"));
+    b.is(expected);
+}
+
+/// Guards: a drained instance fails its health check at once, accepts new clients for a while and closes connections
+/// between commands.
+#[test]
+fn a_drain_fails_health_checks_at_once_and_closes_connections_between_commands() {
+    let mut b = bench_drained_by_an_operator();
+    assert_trace_of_clients(
+        &mut b,
+        expect![[r#"
+            0.050 keep SetDrained(false)
+            0.050 operator 1: 200 done
+            0.050 log: drained by an operator: closing connections
+            0.050 keep SetDrained(true)
+            0.050 client 2: -ERR draining
+            0.050 operator 2: 200 done
+            0.050 operator 3: 503 draining
+            0.550 part with client 2 if it is quiet
+            0.550 part with client 3 if it is quiet
+            0.600 log: connection client 2 ended: draining
+            0.600 log: connection client 3 ended: draining
+            0.790 client 1: -BUSY 500
+            1.050 log: connection operator 1 ended: called
+            1.050 log: connection operator 2 ended: called
+            1.050 log: connection operator 3 ended: called
+            1.116 client 1: -BUSY 500
+            1.116 part with client 1 if it is quiet
+        "#]],
+    );
+}
+
+/// Guards: clients are accepted again after one call, however often the drain was asked for.
+#[test]
+fn a_drain_that_was_requested_twice_ends_with_one_call() {
+    let mut b = bench_drained_by_an_operator();
+    b.text.clear();
+    end_drain(&mut b);
+    assert_trace_of_clients(
+        &mut b,
+        expect![[r#"
+            1.600 keep SetDrained(true)
+            1.600 operator 4: 200 done
+            1.600 log: the drain has ended
+            1.600 keep SetDrained(false)
+            1.600 operator 5: 200 done
+            1.600 client 4: +PONG
+        "#]],
+    );
+}
+
+/// Guards: SIGTERM in a drain ends in an exit all the same, also where the drain is ended meanwhile.
+#[test]
+fn a_shutdown_during_a_drain_goes_on_after_the_drain_has_ended() {
+    let mut b = bench_drained_by_an_operator();
+    end_drain(&mut b);
+    b.text.clear();
     call(&mut b, 6, "POST /healthcheck/fail");
     shared_state_saved(&mut b, 6, &[], true);
     b.until(2.4)
@@ -63,64 +127,32 @@
     call(&mut b, 7, "POST /healthcheck/ok");
     shared_state_saved(&mut b, 7, &[], false);
     call(&mut b, 8, "GET /healthcheck");
-    b.only(|l| !l.contains("ackend") && !l.contains("ounter"));
-    b.is(expect![[r#"
-        0.050 keep SetDrained(false)
-        0.050 operator 1: 200 done
-        0.050 log: drained by an operator: closing connections
-        0.050 keep SetDrained(true)
-        0.050 client 2: -ERR draining
-        0.050 operator 2: 200 done
-        0.050 operator 3: 503 draining
-        0.550 part with client 2 if it is quiet
-        0.550 part with client 3 if it is quiet
-        0.600 log: connection client 2 ended: draining
-        0.600 log: connection client 3 ended: draining
-        0.790 client 1: -BUSY 500
-        1.050 log: connection operator 1 ended: called
-        1.050 log: connection operator 2 ended: called
-        1.050 log: connection operator 3 ended: called
-        1.116 client 1: -BUSY 500
-        1.116 part with client 1 if it is quiet
-        --
-        1.600 keep SetDrained(true)
-        1.600 operator 4: 200 done
-        1.600 log: the drain has ended
-        1.600 keep SetDrained(false)
-        1.600 operator 5: 200 done
-        1.600 client 4: +PONG
-        --
-        2.000 log: drained by an operator: closing connections
-        2.000 keep SetDrained(true)
-        2.000 operator 6: 200 done
-        2.400 log: shutting down: serving on, then closing connections
-        2.600 log: connection operator 4 ended: called
-        2.600 log: connection operator 5 ended: called
-        2.900 stop accepting
-        2.900 part with client 1 if it is quiet
-        2.900 part with client 4 if it is quiet
-        3.000 log: connection operator 6 ended: called
-        3.000 log: connection client 4 ended: stopping
-        3.000 log: the drain has ended
-        3.000 keep SetDrained(false)
-        3.000 operator 7: 200 done
-        3.000 operator 8: 503 draining
-    "#]]);
+    assert_trace_of_clients(
+        &mut b,
+        expect![[r#"
+            2.000 log: drained by an operator: closing connections
+            2.000 keep SetDrained(true)
+            2.000 operator 6: 200 done
+            2.400 log: shutting down: serving on, then closing connections
+            2.600 log: connection operator 4 ended: called
+            2.600 log: connection operator 5 ended: called
+            2.900 stop accepting
+            2.900 part with client 1 if it is quiet
+            2.900 part with client 4 if it is quiet
+            3.000 log: connection operator 6 ended: called
+            3.000 log: connection client 4 ended: stopping
+            3.000 log: the drain has ended
+            3.000 keep SetDrained(false)
+            3.000 operator 7: 200 done
+            3.000 operator 8: 503 draining
+        "#]],
+    );
 }
 
-/// Guards: with the listening socket passed on, the old process leaves it at once, still says yes for the front door,
-/// ends connections between commands only, and none that nobody has asked anything on; bans made at the new one hold.
-#[test]
-fn a_replaced_process_answers_pending_requests_while_the_new_one_accepts() {
+/// An instance with a pending request whose listening socket a new process has taken over; that one has ejected a backend.
+fn bench_replaced_by_a_new_process() -> Bench {
     let mut b = bench_configured(1024, true, true);
-    b.client(1)
-        .client(2)
-        .client(3)
-        .sends(2, "*1\r\n$4\r\nPING\r\n")
-        .call(1, "order", 5)
-        .until(0.05)
-        .text
-        .clear();
+    b.client(1).client(2).client(3).sends(2, PING).call(1, "order", 5).until(0.05).text.clear();
     let out = [("s-a".to_string(), 1000.0)].into();
     b.event(Event::SharedStateSaved {
         call: None,
@@ -132,11 +164,19 @@
             peer_descriptor_limit: None,
         }),
     });
+    b
+}
+
+/// Guards: with the listening socket passed on, the old process leaves it at once, still says yes for the front door,
+/// ends connections between commands only, and none that nobody has asked anything on; bans made at the new one hold.
+#[test]
+fn a_replaced_process_answers_pending_requests_while_the_new_one_accepts() {
+    let mut b = bench_replaced_by_a_new_process();
     b.event(Event::Shutdown)
-        .sends(2, "*1\r\n$4\r\nPING\r\n")
+        .sends(2, PING)
         .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
         .until(3.1);
-    b.sends(3, "*1\r\n$4\r\nPING\r\n")
+    b.sends(3, PING)
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping });
     b.only(|l| !l.contains("ounter"));
@@ -170,11 +210,11 @@
 #[test]
 fn a_shutdown_without_a_successor_is_like_any_other() {
     let mut b = bench_configured(1024, true, true);
-    b.client(1).client(2).sends(2, "*1\r\n$4\r\nPING\r\n");
+    b.client(1).client(2).sends(2, PING);
     // The one before is still there: it takes nothing over.
     let shared = SharedState { peer_process_running: true, ..SharedState::default() };
     b.event(Event::SharedStateSaved { call: None, shared: Ok(shared) }).text.clear();
-    b.event(Event::Shutdown).sends(2, "*1\r\n$4\r\nPING\r\n").until(0.3).client(3).until(0.6);
+    b.event(Event::Shutdown).sends(2, PING).until(0.3).client(3).until(0.6);
     b.event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping });
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -7,6 +7,7 @@
 use quillramp_gateway::wire::{endpoints, Decoded};
 use std::fmt::Debug;
 
+/// What the message decodes to, and its length; or its error, and after how many bytes that is known.
 fn decoded<T: Debug + PartialEq>(
     decode: fn(&[u8]) -> Decoded<T>,
     message: &str,
@@ -16,7 +17,7 @@
     for cut in 0..bytes.len() {
         match decode(&bytes[..cut]) {
             Ok(None) => {}
-            Err(broken) => return format!("after {cut} bytes: {broken:?}\n"),
+            Err(error) => return format!("after {cut} bytes: {error:?}\n"),
             Ok(Some((message, length))) => {
                 return format!("{} in {length} of {} bytes\n", show(&message), bytes.len())
             }
@@ -26,36 +27,53 @@
     assert_eq!(once, decode(&[bytes, b"*1\r\n"].concat()), "what follows changes nothing");
     match once {
         Ok(Some((message, length))) => format!("{} in {length} of {} bytes\n", show(&message), bytes.len()),
-        Ok(None) => "more is wanted\n".into(),
-        Err(broken) => format!("{broken:?}\n"),
+        Ok(None) => "incomplete\n".into(),
+        Err(error) => format!("{error:?}\n"),
     }
 }
 
 fn command(message: &str) -> String {
     decoded(resp::decode_command, message, |command| match command {
-        ClientCommand::Request(call) => {
+        ClientCommand::Request(request) => {
             let mut out = vec![];
-            call.encode(77, &mut out);
-            format!("{}; passed on as {:?}", call.customer, String::from_utf8_lossy(&out))
+            request.encode(77, &mut out);
+            format!("{}; forwarded as {:?}", request.customer, String::from_utf8_lossy(&out))
         }
         other => format!("{other:?}"),
     })
 }
 
+/// A request without a body, of these items.
+fn get_request(customer: &str, id: &str, arguments: &str) -> String {
+    let items = [customer, id, arguments].map(|item| format!("${}\r\n{item}\r\n", item.len()));
+    format!("*4\r\n$8\r\nCALL.GET\r\n{}", items.concat())
+}
+
+const CUSTOMER: &str = "000000000000001f";
+const REQUEST_ID: &str = "9b1f03aa5c7e2d41";
+
 #[test]
-fn commands_are_decoded_and_encoded_for_backends() {
+fn commands_are_decoded_and_requests_encoded_for_backends() {
     let mut all = command("*1\r\n$4\r\nping\r\n");
-    let call = |customer: &str, id: &str, list: &str| {
-        let items = [customer, id, list].map(|item| format!("${}\r\n{item}\r\n", item.len()));
-        command(&format!("*4\r\n$8\r\nCALL.GET\r\n{}", items.concat()))
-    };
-    let (customer, id) = ("000000000000001f", "9b1f03aa5c7e2d41");
-    all += &call(customer, id, "c=look,d=480,k=z,t=big,units=2.5,spread=3,first=1");
+    let arguments = "c=look,d=480,k=z,t=big,units=2.5,spread=3,first=1";
+    all += &command(&get_request(CUSTOMER, REQUEST_ID, arguments));
     all += &command(
         "*5\r\n$9\r\nCALL.POST\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n\
          $37\r\nc=o,t=b,d=10,units=1,spread=1,first=0\r\n$3\r\n\r\nx\r\n",
     );
-    for list in [
+    all += &command("*2\r\n$3\r\nGET\r\n$0\r\n\r\n");
+    expect![[r#"
+        Ping in 14 of 14 bytes
+        31; forwarded as "*4\r\n$8\r\nCALL.GET\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n$48\r\nc=look,d=77,k=z,t=big,units=2.5,spread=3,first=1\r\n" in 120 of 120 bytes
+        31; forwarded as "*5\r\n$9\r\nCALL.POST\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n$37\r\nc=o,t=b,d=77,units=1,spread=1,first=0\r\n$3\r\n\r\nx\r\n" in 118 of 118 bytes
+        Invalid("unknown command") in 19 of 19 bytes
+    "#]].assert_eq(&all);
+}
+
+#[test]
+fn requests_with_invalid_arguments_are_complete_and_say_what_is_wrong() {
+    let mut all = String::new();
+    for arguments in [
         "c=o,t=b,units=1,spread=1,first=0",
         "c=o,d=1,units=1,spread=1,first=0",
         "c=o,t=b,d=1,spread=1,first=0",
@@ -69,30 +87,9 @@
         "c=o,t=b,d=1,units=1,spread=1.5,first=0",
         "c=o,t=b,d=1,units=1,spread=1,first=99999999999999999999",
     ] {
-        all += &call(customer, id, list);
+        all += &command(&get_request(CUSTOMER, REQUEST_ID, arguments));
     }
-    for (customer, id) in [
-        ("1f", id),
-        ("0000000200000000", id),
-        ("+00000000000001f", id),
-        (customer, ""),
-        (customer, "9b1f03aa5c7e2d4 "),
-    ] {
-        all += &call(customer, id, "c=o,t=b,d=1,units=1,spread=1,first=0");
-    }
-    all += &command("*2\r\n$3\r\nGET\r\n$0\r\n\r\n");
-    for broken in
-        ["PING\r\n", "*1\r\n:1\r\n", "*1\r\n$x\r\n", "*1\r\n$-2\r\n", "*1\r\n$1\r\nab\r\n", "*99\r\n"]
-    {
-        all += &command(broken);
-    }
-    all += &command("*1\r\n$65537\r\n");
-    all += &command("*1\n");
-    all += &command(&format!("*5\r\n{0}{0}", format!("$40000\r\n{}\r\n", "x".repeat(40000))));
     expect![[r#"
-        Ping in 14 of 14 bytes
-        31; passed on as "*4\r\n$8\r\nCALL.GET\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n$48\r\nc=look,d=77,k=z,t=big,units=2.5,spread=3,first=1\r\n" in 120 of 120 bytes
-        31; passed on as "*5\r\n$9\r\nCALL.POST\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n$37\r\nc=o,t=b,d=77,units=1,spread=1,first=0\r\n$3\r\n\r\nx\r\n" in 118 of 118 bytes
         Invalid("d is missing") in 103 of 103 bytes
         Invalid("t is missing") in 103 of 103 bytes
         Invalid("units is missing") in 99 of 99 bytes
@@ -105,12 +102,44 @@
         Invalid("c stands there twice") in 111 of 111 bytes
         Invalid("spread: expected a whole number") in 109 of 109 bytes
         Invalid("first: expected a whole number") in 126 of 126 bytes
+    "#]]
+    .assert_eq(&all);
+}
+
+#[test]
+fn requests_with_an_invalid_customer_or_id_are_complete_and_say_what_is_wrong() {
+    let mut all = String::new();
+    for (customer, id) in [
+        ("1f", REQUEST_ID),
+        ("0000000200000000", REQUEST_ID),
+        ("+00000000000001f", REQUEST_ID),
+        (CUSTOMER, ""),
+        (CUSTOMER, "9b1f03aa5c7e2d4 "),
+    ] {
+        all += &command(&get_request(customer, id, "c=o,t=b,d=1,units=1,spread=1,first=0"));
+    }
+    expect![[r#"
         Invalid("customer: expected 16 hex digits, below 2^33") in 92 of 92 bytes
         Invalid("customer: expected 16 hex digits, below 2^33") in 107 of 107 bytes
         Invalid("customer: expected 16 hex digits, below 2^33") in 107 of 107 bytes
         Invalid("id: expected 16 hex digits") in 90 of 90 bytes
         Invalid("id: expected 16 hex digits") in 107 of 107 bytes
-        Invalid("unknown command") in 19 of 19 bytes
+    "#]]
+    .assert_eq(&all);
+}
+
+#[test]
+fn commands_with_broken_framing_are_protocol_errors() {
+    let mut all = String::new();
+    for malformed in
+        ["PING\r\n", "*1\r\n:1\r\n", "*1\r\n$x\r\n", "*1\r\n$-2\r\n", "*1\r\n$1\r\nab\r\n", "*99\r\n"]
+    {
+        all += &command(malformed);
+    }
+    all += &command("*1\r\n$65537\r\n");
+    all += &command("*1\n");
+    all += &command(&format!("*5\r\n{0}{0}", format!("$40000\r\n{}\r\n", "x".repeat(40000))));
+    expect![[r#"
         after 1 bytes: ProtocolError("expected an array of bulk strings")
         ProtocolError("expected a bulk string")
         ProtocolError("length is no number")
@@ -120,12 +149,16 @@
         ProtocolError("value over 64 KiB")
         ProtocolError("line without CR")
         after 69633 bytes: ProtocolError("message over 64 KiB")
-    "#]].assert_eq(&all);
+    "#]]
+    .assert_eq(&all);
+}
+
+fn backend_reply(message: &str) -> String {
+    decoded(resp::decode_reply, message, |reply| format!("{reply:?}"))
 }
 
 #[test]
-fn backend_replies_are_decoded_and_client_replies_encoded() {
-    let reply = |message: &str| decoded(resp::decode_reply, message, |reply| format!("{reply:?}"));
+fn replies_with_a_value_are_decoded_with_their_usage_and_load_report() {
     let mut all = String::new();
     for message in [
         "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n",
@@ -139,28 +172,8 @@
         "*2\r\n$1\r\nv\r\n$-1\r\n",
         "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
         "*-1\r\n",
-        "-ERR failed inflight=7\r\n",
-        "-BUSY\r\n",
-        "-BUSY inflight=7\r\n",
-        "-SYNTAX\r\n",
-        "-xk\r\n",
-        ":5\r\n",
-        "+OK\r\n",
-        "$1\r\nx\r\n",
-        "?\r\n",
     ] {
-        all += &reply(message);
-    }
-    let value = ClientReply::Value(b"a\r\nb".to_vec());
-    for answer in [
-        ClientReply::Pong,
-        value,
-        ClientReply::Busy { retry_after_ms: None },
-        ClientReply::Error("no".into()),
-    ] {
-        let mut out = vec![];
-        answer.encode(&mut out);
-        all += &format!("{:?}\n", String::from_utf8_lossy(&out));
+        all += &backend_reply(message);
     }
     expect![[r#"
         Value { value: [118], billed: None, report: None } in 21 of 21 bytes
@@ -174,6 +187,27 @@
         after 4 bytes: ProtocolError("expected a value, figures on use and a report")
         after 9 bytes: ProtocolError("no value")
         ProtocolError("expected a value, figures on use and a report")
+    "#]]
+    .assert_eq(&all);
+}
+
+#[test]
+fn error_replies_are_decoded_and_replies_of_other_types_are_protocol_errors() {
+    let mut all = String::new();
+    for message in [
+        "-ERR failed inflight=7\r\n",
+        "-BUSY\r\n",
+        "-BUSY inflight=7\r\n",
+        "-SYNTAX\r\n",
+        "-xk\r\n",
+        ":5\r\n",
+        "+OK\r\n",
+        "$1\r\nx\r\n",
+        "?\r\n",
+    ] {
+        all += &backend_reply(message);
+    }
+    expect![[r#"
         Failed in 24 of 24 bytes
         Rejected in 7 of 7 bytes
         Rejected in 18 of 18 bytes
@@ -183,6 +217,25 @@
         after 1 bytes: ProtocolError("unknown type of reply")
         after 1 bytes: ProtocolError("unknown type of reply")
         after 1 bytes: ProtocolError("unknown type of reply")
+    "#]]
+    .assert_eq(&all);
+}
+
+#[test]
+fn client_replies_are_encoded() {
+    let mut all = String::new();
+    let value = ClientReply::Value(b"a\r\nb".to_vec());
+    for reply in [
+        ClientReply::Pong,
+        value,
+        ClientReply::Busy { retry_after_ms: None },
+        ClientReply::Error("no".into()),
+    ] {
+        let mut out = vec![];
+        reply.encode(&mut out);
+        all += &format!("{:?}\n", String::from_utf8_lossy(&out));
+    }
+    expect![[r#"
         "+PONG\r\n"
         "$4\r\na\r\nb\r\n"
         "-BUSY\r\n"
@@ -191,18 +244,19 @@
     .assert_eq(&all);
 }
 
+fn http_response(message: &str) -> String {
+    decoded(http::decode_response, message, |response| {
+        format!(
+            "{} {:?}{}",
+            response.status,
+            String::from_utf8_lossy(&response.body),
+            if response.closes_connection { ", the last" } else { "" }
+        )
+    })
+}
+
 #[test]
-fn http_responses_are_decoded_and_requests_encoded() {
-    let response = |message: &str| {
-        decoded(http::decode_response, message, |response| {
-            format!(
-                "{} {:?}{}",
-                response.status,
-                String::from_utf8_lossy(&response.body),
-                if response.closes_connection { ", the last" } else { "" }
-            )
-        })
-    };
+fn http_responses_are_decoded() {
     let mut all = String::new();
     for message in [
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5",
@@ -213,14 +267,8 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
         "SMTP\r\n\r\n",
     ] {
-        all += &response(message);
+        all += &http_response(message);
     }
-    let mut out = vec![];
-    let host = "127.0.0.1:80".parse().expect("an address");
-    Request::AddToCounter { key: "5.1".into(), add: -2.5, expire_ms: 45000 }.encode(host, &mut out);
-    Request::WatchEndpoints { since: 41, wait_ms: 20000 }.encode(host, &mut out);
-    Request::List.encode(host, &mut out);
-    all += &String::from_utf8_lossy(&out).replace("\r\n", "|");
     expect![[r#"
         200 "12.5" in 42 of 42 bytes
         503 "", the last in 59 of 59 bytes
@@ -229,6 +277,19 @@
         after 19 bytes: ProtocolError("response without a length")
         ProtocolError("body too long")
         after 1 bytes: ProtocolError("no HTTP")
+    "#]]
+    .assert_eq(&all);
+}
+
+#[test]
+fn http_requests_are_encoded() {
+    let mut out = vec![];
+    let host = "127.0.0.1:80".parse().expect("an address");
+    Request::AddToCounter { key: "5.1".into(), add: -2.5, expire_ms: 45000 }.encode(host, &mut out);
+    Request::WatchEndpoints { since: 41, wait_ms: 20000 }.encode(host, &mut out);
+    Request::List.encode(host, &mut out);
+    let all = String::from_utf8_lossy(&out).replace("\r\n", "|");
+    expect![[r#"
         POST /counters/5.1?by=-2.5&expire_ms=45000 HTTP/1.1|Host: 127.0.0.1:80|Content-Length: 0||GET /v1/endpoints?since=41&timeout_ms=20000 HTTP/1.1|Host: 127.0.0.1:80||GET /v1/endpoints HTTP/1.1|Host: 127.0.0.1:80||"#]].assert_eq(&all);
 }
 
@@ -238,40 +299,49 @@
 }
 
 #[test]
-fn endpoint_lists_and_datagrams_are_decoded() {
+fn endpoint_lists_are_decoded() {
     let entry = r#"{"name":"s","address":"127.0.0.1:1","zone":"a","group":3,"status":"DRAINING","weight":1,"since_ms":5}"#;
     let list = format!(r#"{{"index":4,"snapshot":false,"endpoints":[{entry}]}}"#);
     let mut all = format!("{:?}\n", decode_list(&list));
     all += &format!("{:?}\n", decode_list(&list.replace("DRAINING", "GONE")));
-    let of = InstanceRange { first: 2, count: 3 };
-    let count =
-        WireMessage::CounterTotal { customer: 1 << 32 | 9, plan: 1, instances: of, series: 7, total: 2.5 };
-    for said in [WireMessage::BackendRecovered(b"s-5be2a07c".to_vec()), count] {
-        let body = gossip::encode(&said);
-        assert_eq!(gossip::decode(&body), Some(said));
-        all += &format!("{} bytes; cut short: {:?}\n", body.len(), gossip::decode(&body[..1]));
-    }
     expect![[r#"
         Ok(EndpointList { index: 4, snapshot: false, endpoints: [ListedEndpoint { name: "s", address: 127.0.0.1:1, zone: "a", group: 3, status: Draining, weight: 1.0, since_ms: 5.0 }] })
         Err("list: unknown status 'GONE' at line 1 column 113")
+    "#]].assert_eq(&all);
+}
+
+#[test]
+fn datagrams_are_decoded_as_they_were_encoded() {
+    let mut all = String::new();
+    let instances = InstanceRange { first: 2, count: 3 };
+    let total =
+        WireMessage::CounterTotal { customer: 1 << 32 | 9, plan: 1, instances, series: 7, total: 2.5 };
+    for message in [WireMessage::BackendRecovered(b"s-5be2a07c".to_vec()), total] {
+        let body = gossip::encode(&message);
+        assert_eq!(gossip::decode(&body), Some(message));
+        all += &format!("{} bytes; cut short: {:?}\n", body.len(), gossip::decode(&body[..1]));
+    }
+    expect![[r#"
         11 bytes; cut short: None
         19 bytes; cut short: None
-    "#]].assert_eq(&all);
+    "#]]
+    .assert_eq(&all);
 }
 
-/// The settings name the values of a load report; others, and what is no figure, say nothing.
+/// The settings name the values of a load report; others, and what is no number, are ignored.
 #[test]
 fn load_report_fields_are_named_by_the_settings() {
     let example = include_str!("../../examples/configuration.json");
-    let told = quillramp_gateway::process::configuration::decode(example.as_bytes()).expect("a good one");
-    let with = |feedback: &str| {
-        let settings = told.settings.get().replacen('{', &format!("{{\"feedback\": {feedback},"), 1);
+    let configuration = quillramp_gateway::process::configuration::decode(example.as_bytes()).expect("valid");
+    let load_report_fields = |feedback: &str| {
+        let settings = configuration.settings.get().replacen('{', &format!("{{\"feedback\": {feedback},"), 1);
         quillramp::settings::load(1, settings.as_bytes())
-            .map(|s| s.instance.load_report_fields)
-            .map_err(|e| e.to_string())
+            .map(|loaded| loaded.instance.load_report_fields)
+            .map_err(|error| error.to_string())
     };
-    let names = with(r#"{"source": "piggyback", "fields": ["load_share", "mean_ms", "colour"]}"#);
-    let names = names.expect("good settings");
+    let names =
+        load_report_fields(r#"{"source": "piggyback", "fields": ["load_share", "mean_ms", "colour"]}"#);
+    let names = names.expect("valid settings");
     let mut all = String::new();
     for text in ["mean_ms=40,load_share=0.5,colour=3", "load_share=x,mean_ms=-1", "depth=2"] {
         let report =
@@ -281,8 +351,8 @@
             report.map(|report| (report.cpu_utilization, report.service_time, report.queued))
         );
     }
-    all += &format!("{:?}\n", with(r#"{"source": "silent", "fields": ["depth"]}"#));
-    all += &format!("{:?}\n", with(r#"{"source": "loud"}"#));
+    all += &format!("{:?}\n", load_report_fields(r#"{"source": "silent", "fields": ["depth"]}"#));
+    all += &format!("{:?}\n", load_report_fields(r#"{"source": "loud"}"#));
     expect![[r#"
         Some((Some(0.5), Some(0.04), None))
         None
@@ -293,18 +363,18 @@
     .assert_eq(&all);
 }
 
-/// Guards: operators' calls come in pieces, too long, or not at all as they should.
+/// Guards: operators' calls arrive in pieces, are too long or are malformed.
 #[test]
 fn admin_calls_are_decoded_once_complete_and_invalid_ones_have_a_status() {
     use quillramp_gateway::wire::admin::{decode_call, AdminCall};
-    let whole = "POST /backends/s-1%2d2/maint?x=1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
-    for cut in 0..whole.len() {
-        assert_eq!(decode_call(&whole.as_bytes()[..cut]), None, "{cut}");
+    let complete = "POST /backends/s-1%2d2/maint?x=1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
+    for cut in 0..complete.len() {
+        assert_eq!(decode_call(&complete.as_bytes()[..cut]), None, "{cut}");
     }
-    assert_eq!(decode_call(whole.as_bytes()), Some(AdminCall::EjectBackend("s-1-2".into())));
-    let says = |text: &str| decode_call(text.as_bytes());
-    let head = |line: &str, header: &str| says(&format!("{line} HTTP/1.1\r\n{header}\r\n"));
-    assert_eq!(head("GET /stats", ""), Some(AdminCall::Stats));
+    assert_eq!(decode_call(complete.as_bytes()), Some(AdminCall::EjectBackend("s-1-2".into())));
+    let decode = |text: &str| decode_call(text.as_bytes());
+    let decode_head = |line: &str, header: &str| decode(&format!("{line} HTTP/1.1\r\n{header}\r\n"));
+    assert_eq!(decode_head("GET /stats", ""), Some(AdminCall::Stats));
     for (line, header, status) in [
         ("GET /nowhere", "", 404),
         ("POST /backends//maint", "", 404),
@@ -317,7 +387,7 @@
         ("GET /stats", &format!("a: {}\r\n", "b".repeat(9000)), 431),
         ("*1\r\n$4\r\nPING", "", 400),
     ] {
-        assert_eq!(head(line, header), Some(AdminCall::Invalid(status)), "{line} {}", header.len());
+        assert_eq!(decode_head(line, header), Some(AdminCall::Invalid(status)), "{line} {}", header.len());
     }
-    assert_eq!(says(&"G".repeat(9000)), Some(AdminCall::Invalid(431)));
+    assert_eq!(decode(&"G".repeat(9000)), Some(AdminCall::Invalid(431)));
 }
