--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -4,49 +4,52 @@
 use quillramp_gateway::process::shared_file::SharedFileError;
 use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event, SaveError};
 
-/// Guards: a backend out by hand gets nothing new, whatever the list says; one call back ends it, and then it is used
-/// again, as a cold one; nobody can leave out what was never listed.
+/// Guards: a backend that an operator has ejected gets no new attempts, whatever the endpoint list reports; one call restores
+/// it, and it begins with a slow start; a backend that was never listed can't be ejected.
 #[test]
 fn an_ejected_backend_gets_no_attempts_until_an_operator_restores_it() {
-    let mut b = bench_configured(1024, false, true);
-    b.event(Event::Connected(ConnectionId::Discovery(1))).client(1).text.clear();
-    call(&mut b, 1, "POST /backends/s-x/maint");
+    let mut bench = bench_configured(1024, false, true);
+    bench.event(Event::Connected(ConnectionId::Discovery(1))).client_connects(1).trace.clear();
+    admin_call(&mut bench, 1, "POST /backends/s-x/maint");
     for id in [2, 3] {
-        call(&mut b, id, "POST /backends/s-b/maint");
-        shared_state_saved(&mut b, id, &["s-b"], false);
+        admin_call(&mut bench, id, "POST /backends/s-b/maint");
+        shared_state_saved(&mut bench, id, &["s-b"], false);
     }
-    // It leaves the list, is forgotten, and is listed again.
-    b.event(whole_list(&[("s-a", 7011)])).until(1.0).event(whole_list(&[("s-a", 7011), ("s-b", 7012)]));
+    // It is removed from the list, forgotten, and listed again.
+    bench
+        .event(complete_endpoint_list(&[("s-a", 7011)]))
+        .run_until(1.0)
+        .event(complete_endpoint_list(&[("s-a", 7011), ("s-b", 7012)]));
     for customer in 0..6 {
-        let at = b.now - 1000.0 + 0.1;
-        b.call(1, "order", customer).until(at);
+        let at = bench.now - 1000.0 + 0.1;
+        bench.request(1, "order", customer).run_until(at);
     }
-    assert!(b.text.contains(":7011") && !b.text.contains(":7012"), "{}", b.text);
-    call(&mut b, 4, "POST /backends/s-b/ready");
-    shared_state_saved(&mut b, 4, &[], false);
-    call(&mut b, 5, "POST /backends/s-b/ready");
-    shared_state_saved(&mut b, 5, &[], false);
-    let before = b.text.len();
+    assert!(bench.trace.contains(":7011") && !bench.trace.contains(":7012"), "{}", bench.trace);
+    admin_call(&mut bench, 4, "POST /backends/s-b/ready");
+    shared_state_saved(&mut bench, 4, &[], false);
+    admin_call(&mut bench, 5, "POST /backends/s-b/ready");
+    shared_state_saved(&mut bench, 5, &[], false);
+    let before = bench.trace.len();
     for customer in 10..40 {
-        let at = b.now - 1000.0 + 0.1;
-        b.call(1, "order", customer).until(at);
+        let at = bench.now - 1000.0 + 0.1;
+        bench.request(1, "order", customer).run_until(at);
     }
-    assert!(b.text[before..].contains(":7012"), "it is used again");
-    b.only(|l| l.contains("operator") || l.contains("by hand") || l.contains("keep"));
-    b.is(expect![[r#"
+    assert!(bench.trace[before..].contains(":7012"), "it gets attempts again");
+    bench.retain_lines(|l| l.contains("operator") || l.contains("by hand") || l.contains("save"));
+    bench.assert_trace(expect![[r#"
         0.000 operator 1: 404 backend s-x was never listed
         0.000 log: backend s-b ejected by an operator
-        0.000 keep EjectBackend("s-b", 1000.0)
+        0.000 save EjectBackend("s-b", 1000.0)
         0.000 operator 2: 200 done
-        0.000 keep EjectBackend("s-b", 1000.0)
+        0.000 save EjectBackend("s-b", 1000.0)
         0.000 operator 3: 200 done
         1.000 log: connection operator 1 ended: called
         1.000 log: connection operator 2 ended: called
         1.000 log: connection operator 3 ended: called
         1.600 log: backend s-b restored by an operator
-        1.600 keep RestoreBackend("s-b")
+        1.600 save RestoreBackend("s-b")
         1.600 operator 4: 200 done
-        1.600 keep RestoreBackend("s-b")
+        1.600 save RestoreBackend("s-b")
         1.600 operator 5: 200 done
         2.600 log: connection operator 4 ended: called
         2.600 log: connection operator 5 ended: called
@@ -56,65 +59,66 @@
 /// A change that can't be saved is in force all the same, and the operator reads why it is not saved.
 #[test]
 fn an_operator_is_notified_of_a_change_that_can_not_be_saved() {
-    let mut b = bench_configured(1024, false, true);
-    call(&mut b, 1, "POST /healthcheck/fail");
+    let mut bench = bench_configured(1024, false, true);
+    admin_call(&mut bench, 1, "POST /healthcheck/fail");
     let error = SaveError::new(SharedFileError::Foreign { path: "shared.json".into() });
-    b.event(Event::SharedStateSaved { call: Some(1), shared: Err(error) });
-    call(&mut b, 2, "GET /healthcheck");
-    b.is(expect![[r#"
+    bench.event(Event::SharedStateSaved { call: Some(1), shared: Err(error) });
+    admin_call(&mut bench, 2, "GET /healthcheck");
+    bench.assert_trace(expect![[r#"
         0.000 log: drained by an operator: closing connections
-        0.000 keep SetDrained(true)
+        0.000 save SetDrained(true)
         0.000 log: in force, but not saved for the next process: shared.json: no file of ours
         0.000 operator 1: 500 in force, but not kept: shared.json: no file of ours
         0.000 operator 2: 503 draining
     "#]]);
 }
 
-/// Guards: each figure counts what was served, refused and failed, an abandoned one as none of these.
+/// Guards: each figure counts what was completed, rejected or failed; a request whose client has left is none of these.
 #[test]
 fn stats_count_completed_rejected_and_failed_requests() {
-    let mut b = bench_configured(1024, false, true);
-    b.client(1)
-        .client(2)
-        .call(1, "look", 5)
-        .until(0.05)
-        .up(3)
-        .value(3, "a")
-        .call(1, "order", 6)
-        .until(0.1)
-        .ended(ConnectionId::Backend(3), CloseReason::Reset, false);
-    b.call(2, "look", 7).until(0.15);
-    b.ended(ConnectionId::Client(2), CloseReason::Closed, false);
-    // A full quota refuses.
+    let mut bench = bench_configured(1024, false, true);
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .request(1, "look", 5)
+        .run_until(0.05)
+        .backend_connected(3)
+        .backend_replies(3, "a")
+        .request(1, "order", 6)
+        .run_until(0.1)
+        .connection_ended(ConnectionId::Backend(3), CloseReason::Reset, false);
+    bench.request(2, "look", 7).run_until(0.15);
+    bench.connection_ended(ConnectionId::Client(2), CloseReason::Closed, false);
+    // An exhausted quota rejects.
     for _ in 0..12 {
-        b.call(1, "look", 8);
+        bench.request(1, "look", 8);
     }
-    b.event(Event::ReloadFailed("no file".into())).reducer.stats.written += 2;
-    b.text.clear();
-    call(&mut b, 1, "GET /stats");
-    b.until(0.5);
-    call(&mut b, 2, "GET /stats");
-    b.only(|l| l.contains("operator"));
-    b.is(expect![[r#"
+    bench.event(Event::ReloadFailed("no file".into())).reducer.stats.written += 2;
+    bench.trace.clear();
+    admin_call(&mut bench, 1, "GET /stats");
+    bench.run_until(0.5);
+    admin_call(&mut bench, 2, "GET /stats");
+    bench.retain_lines(|l| l.contains("operator"));
+    bench.assert_trace(expect![[r#"
         0.150 operator 1: 200 {"completed":{"look":1,"order":0},"rejected":{"look":0,"order":0},"failed":{"look":0,"order":1},"upstream_requests":2,"pending":12,"members":2,"members_unavailable":0,"config_reloads":0,"config_reload_errors":1}
         0.500 operator 2: 200 {"completed":{"look":1,"order":0},"rejected":{"look":10,"order":0},"failed":{"look":0,"order":1},"upstream_requests":2,"pending":2,"members":2,"members_unavailable":0,"config_reloads":0,"config_reload_errors":1}
     "#]]);
 }
 
-/// Guards: callers that finish no call hold nothing up; their number is bounded, and so is their time.
+/// Guards: operators' connections without a complete call delay nothing: their number and their time are limited.
 #[test]
 fn idle_admin_connections_are_limited_in_number_and_time_out() {
-    let mut b = bench_configured(1024, false, true);
+    let mut bench = bench_configured(1024, false, true);
     for id in 0..17 {
-        b.event(Event::AdminConnected(id));
+        bench.event(Event::AdminConnected(id));
     }
-    b.until(4.9);
-    call(&mut b, 17, "GET /nowhere");
-    b.until(5.1);
-    let ended = b.text.matches("ended: called").count();
-    assert_eq!(ended, 17, "{}", b.text);
-    b.only(|l| l.contains("404") || l.contains("operator 0 "));
-    b.is(expect![[r#"
+    bench.run_until(4.9);
+    admin_call(&mut bench, 17, "GET /nowhere");
+    bench.run_until(5.1);
+    let ended = bench.trace.matches("ended: called").count();
+    assert_eq!(ended, 17, "{}", bench.trace);
+    bench.retain_lines(|l| l.contains("404") || l.contains("operator 0 "));
+    bench.assert_trace(expect![[r#"
         0.000 log: connection operator 0 ended: called
         4.900 operator 17: 404 no such call
     "#]]);
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -13,7 +13,7 @@
 
 pub const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// Three front doors, two backends, an idempotent operation `look` and a non-idempotent one `order`.
+/// Three gateway instances, two backends, an idempotent operation `look` and a non-idempotent one `order`.
 pub const CONFIGURATION: &str = include_str!("../told.json");
 
 /// An instance with so many descriptors that shares its listening socket or not, and that operators may call or not.
@@ -32,9 +32,9 @@
         saves_changes: admin,
     };
     let reducer = Reducer::new(1000.0, settings, config, &loaded.known);
-    let mut bench = Bench { reducer, now: 1000.0, id: 1, text: String::new() };
-    bench.settle();
-    bench.text.clear();
+    let mut bench = Bench { reducer, now: 1000.0, id: 1, trace: String::new() };
+    bench.poll();
+    bench.trace.clear();
     bench
 }
 
@@ -45,7 +45,7 @@
     pub now: f64,
     /// The id of the next request.
     pub id: u64,
-    pub text: String,
+    pub trace: String,
 }
 
 pub fn bench() -> Bench {
@@ -56,7 +56,7 @@
     bench_configured(max_descriptors, false, false)
 }
 
-/// An effect as a line of the trace; none where another effect tells.
+/// An effect as a line of the trace; none where another effect has a line for it.
 pub fn describe(effect: &Effect) -> Option<String> {
     Some(match effect {
         Effect::Reply { client, reply } => {
@@ -66,54 +66,56 @@
         }
         Effect::SendAttempt { connection, request, timeout_ms, .. } => {
             let operation = String::from_utf8_lossy(request.operation());
-            format!("backend link {connection}: {operation} for {timeout_ms} ms")
+            format!("backend connection {connection}: {operation} for {timeout_ms} ms")
         }
         Effect::Withdraw { connection, attempt } => {
-            format!("backend link {connection}: withdraw {attempt} if not begun")
+            format!("backend connection {connection}: withdraw attempt {attempt} unless begun")
         }
-        Effect::HttpRequest { connection, request: Request::AddToCounter { add, .. } } => {
-            format!("{connection:?}: add {add}")
+        Effect::HttpRequest { connection, request } => {
+            format!("{connection:?}: {}", describe_http_request(request))
         }
-        Effect::HttpRequest { connection, request: Request::WatchEndpoints { since, wait_ms: 1 } } => {
-            format!("{connection:?}: since {since}, at once")
-        }
-        Effect::HttpRequest { connection, request: Request::WatchEndpoints { since, .. } } => {
-            format!("{connection:?}: watch since {since}")
-        }
-        Effect::HttpRequest { connection, request: Request::List } => format!("{connection:?}: list"),
         Effect::Connect { connection, address } => format!("connect {connection:?} to {address}"),
         Effect::SendDatagram { to, body } => format!("datagram of {} to {to}", body.len()),
-        Effect::Close(_) => return None, // its log line tells
+        Effect::Close(_) => return None, // it has a log line
         Effect::Log(line) => format!("log: {line}"),
-        Effect::LogClosed(end) => format!("log: {end}"),
+        Effect::LogClosed(closed) => format!("log: {closed}"),
         Effect::AdminRespond { connection, response } => {
             format!("operator {connection}: {} {}", response.status, response.body.trim_end())
         }
-        Effect::AnnounceDescriptorLimit(most) => format!("will hold {most} descriptors at the most"),
-        Effect::Reject { client, reason } => format!("client {client} is not taken in: {reason}"),
-        Effect::SaveChange { change, .. } => format!("keep {change:?}"),
-        Effect::CloseIfIdle { reason: CloseReason::Idle, .. } => return None, // see `settle`
-        Effect::CloseIfIdle { client, .. } => format!("part with client {client} if it is quiet"),
+        Effect::AnnounceDescriptorLimit(limit) => format!("announce a limit of {limit} descriptors"),
+        Effect::Reject { client, reason } => format!("client {client} rejected: {reason}"),
+        Effect::SaveChange { change, .. } => format!("save {change:?}"),
+        Effect::CloseIfIdle { reason: CloseReason::Idle, .. } => return None, // see `idle_client_closed`
+        Effect::CloseIfIdle { client, .. } => format!("close client {client} if idle"),
         Effect::Stream { connection, client } => {
-            format!("backend link {connection} passes to client {client:?}")
+            format!("backend connection {connection} streams to client {client:?}")
         }
         Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
-            format!("backend link {connection} ends if silent for {unresponsive_for} s, or still for {stalled_for} s")
+            format!("backend connection {connection}: close if unresponsive for {unresponsive_for} s, or stalled for {stalled_for} s")
         }
-        Effect::StopReading(id) => format!("read client {id} no more"),
+        Effect::StopReading(client) => format!("stop reading client {client}"),
         Effect::StopAccepting => "stop accepting".into(),
         Effect::Exit => "exit once all is written".into(),
         Effect::ExitImmediately => "exit now".into(),
     })
 }
 
-pub fn command_event(client: u64, text: &str) -> Event {
-    Event::ClientCommand {
-        client,
-        command: resp::decode_command(text.as_bytes()).expect("framed").expect("whole").0,
+fn describe_http_request(request: &Request) -> String {
+    match request {
+        Request::AddToCounter { add, .. } => format!("add {add}"),
+        Request::WatchEndpoints { since, wait_ms: 1 } => format!("since {since}, at once"),
+        Request::WatchEndpoints { since, .. } => format!("watch since {since}"),
+        Request::List => "list".into(),
     }
 }
 
+/// The event of a client's command, from its text on the wire.
+pub fn command_event(client: u64, text: &str) -> Event {
+    let decoded = resp::decode_command(text.as_bytes()).expect("valid framing");
+    let (command, _) = decoded.expect("a complete command");
+    Event::ClientCommand { client, command }
+}
+
 /// What follows an effect that closes a client that has been idle for too long.
 fn idle_client_closed(effect: &Effect) -> Option<Event> {
     match effect {
@@ -125,10 +127,11 @@
 }
 
 impl Bench {
-    pub fn settle(&mut self) -> Option<f64> {
+    /// Traces what the reducer asks for; returns when it is to be polled next.
+    pub fn poll(&mut self) -> Option<f64> {
         let (next, effects) = self.reducer.poll(self.now);
         for line in effects.iter().filter_map(describe) {
-            self.text += &format!("{:.3} {line}\n", self.now - 1000.0);
+            self.trace += &format!("{:.3} {line}\n", self.now - 1000.0);
         }
         // Nothing is unread on a connection that is idle here: it is closed, and the reducer is notified.
         let mut closed: Vec<Event> = effects.iter().filter_map(idle_client_closed).collect();
@@ -136,111 +139,157 @@
             return next;
         }
         self.reducer.handle_batch(self.now, &mut closed);
-        self.settle()
+        self.poll()
     }
+
+    /// Has the reducer handle one event.
     pub fn event(&mut self, event: Event) -> &mut Self {
         self.batch(vec![event])
     }
+
+    /// Has an operator's file declare these limits.
     pub fn set_admission_limits(&mut self, limits: Limits) -> &mut Self {
-        let declares = OperatorUpdate { admission: Some(limits), ..OperatorUpdate::default() };
-        self.event(Event::OperatorFileReloaded(Box::new(declares)))
+        let update = OperatorUpdate { admission: Some(limits), ..OperatorUpdate::default() };
+        self.event(Event::OperatorFileReloaded(Box::new(update)))
     }
+
+    /// Has the reducer handle events that came together.
     pub fn batch(&mut self, mut events: Vec<Event>) -> &mut Self {
         self.reducer.handle_batch(self.now, &mut events);
-        self.settle();
+        self.poll();
         self
     }
-    /// Lets time go by, with a look whenever one is due.
-    pub fn until(&mut self, at: f64) -> &mut Self {
-        while let Some(next) = self.settle().filter(|n| *n <= 1000.0 + at) {
+
+    /// Advances the clock to `at` seconds after the start, and polls the reducer whenever it asked for that.
+    pub fn run_until(&mut self, at: f64) -> &mut Self {
+        while let Some(next) = self.poll().filter(|next| *next <= 1000.0 + at) {
             self.now = self.now.max(next);
         }
         self.now = 1000.0 + at;
-        self.settle();
+        self.poll();
         self
     }
-    pub fn client(&mut self, client: u64) -> &mut Self {
+
+    /// A client connects, from `HERE`.
+    pub fn client_connects(&mut self, client: u64) -> &mut Self {
         self.event(Event::ClientAccepted { client, address: HERE })
     }
-    pub fn call(&mut self, client: u64, operation: &str, customer: u64) -> &mut Self {
-        self.command(client, operation, &format!("{customer:016x}"), "t=small,d=800,units=1,spread=1,first=0")
+
+    /// A client sends a request of one unit.
+    pub fn request(&mut self, client: u64, operation: &str, customer: u64) -> &mut Self {
+        self.request_with(
+            client,
+            operation,
+            &format!("{customer:016x}"),
+            "t=small,d=800,units=1,spread=1,first=0",
+        )
     }
-    pub fn command(&mut self, client: u64, operation: &str, customer: &str, list: &str) -> &mut Self {
+
+    /// A client sends a request with these arguments after the operation.
+    pub fn request_with(
+        &mut self,
+        client: u64,
+        operation: &str,
+        customer: &str,
+        arguments: &str,
+    ) -> &mut Self {
         let (verb, body) = if operation == "look" { ("CALL.GET", "") } else { ("CALL.POST", "$1\r\nx\r\n") };
-        let (n, list) = (if body.is_empty() { 4 } else { 5 }, format!("c={operation},{list}"));
+        let item_count = if body.is_empty() { 4 } else { 5 };
+        let arguments = format!("c={operation},{arguments}");
         let text = format!(
-            "*{n}\r\n${}\r\n{verb}\r\n${}\r\n{customer}\r\n$16\r\n{:016x}\r\n${}\r\n{list}\r\n{body}",
+            "*{item_count}\r\n${}\r\n{verb}\r\n${}\r\n{customer}\r\n$16\r\n{:016x}\r\n${}\r\n{arguments}\r\n{body}",
             verb.len(),
             customer.len(),
             self.id,
-            list.len()
+            arguments.len()
         );
         self.id += 1;
-        self.sends(client, &text)
+        self.client_sends(client, &text)
     }
-    pub fn sends(&mut self, client: u64, text: &str) -> &mut Self {
+
+    /// A client sends a command.
+    pub fn client_sends(&mut self, client: u64, text: &str) -> &mut Self {
         self.event(command_event(client, text))
     }
-    pub fn up(&mut self, id: u64) -> &mut Self {
-        self.event(Event::Connected(ConnectionId::Backend(id)))
+
+    /// A connection to a backend is up.
+    pub fn backend_connected(&mut self, connection: u64) -> &mut Self {
+        self.event(Event::Connected(ConnectionId::Backend(connection)))
     }
-    pub fn value(&mut self, id: u64, value: &str) -> &mut Self {
-        self.replies(id, value, false)
+
+    /// A backend replies with a value.
+    pub fn backend_replies(&mut self, connection: u64, value: &str) -> &mut Self {
+        self.backend_replies_with(connection, value, false)
     }
-    pub fn replies(&mut self, id: u64, value: &str, more: bool) -> &mut Self {
-        self.event(Event::BackendReply {
-            connection: id,
-            reply: BackendReply::Value { value: value.into(), billed: None, report: None },
-            more_received: more,
-        })
+
+    /// A backend replies with a value; `more_received`: more bytes follow it at once.
+    pub fn backend_replies_with(&mut self, connection: u64, value: &str, more_received: bool) -> &mut Self {
+        let reply = BackendReply::Value { value: value.into(), billed: None, report: None };
+        self.event(Event::BackendReply { connection, reply, more_received })
     }
-    pub fn ended(&mut self, connection: ConnectionId, reason: CloseReason, unsent: bool) -> &mut Self {
+
+    /// A connection ended that the reducer did not close.
+    pub fn connection_ended(
+        &mut self,
+        connection: ConnectionId,
+        reason: CloseReason,
+        unsent: bool,
+    ) -> &mut Self {
         self.event(Event::ConnectionEnded { connection, reason, unsent })
     }
-    pub fn counter(&mut self, id: u64, status: u16, body: &str) -> &mut Self {
+
+    /// The counter responds to the first call on a connection.
+    pub fn counter_responds(&mut self, connection: u64, status: u16, body: &str) -> &mut Self {
         self.event(Event::HttpResponse {
-            connection: ConnectionId::Counter(id),
+            connection: ConnectionId::Counter(connection),
             response: Response { status, body: body.into(), closes_connection: false },
         })
     }
-    /// Keeps these lines of what was said.
-    pub fn only(&mut self, which: impl Fn(&str) -> bool) {
-        let lines = std::mem::take(&mut self.text);
-        self.text = lines.lines().filter(|l| which(l)).map(|l| l.to_owned() + "\n").collect();
+
+    /// Removes all other lines from the trace.
+    pub fn retain_lines(&mut self, is_retained: impl Fn(&str) -> bool) {
+        let lines = std::mem::take(&mut self.trace);
+        self.trace =
+            lines.lines().filter(|line| is_retained(line)).map(|line| line.to_owned() + "\n").collect();
     }
-    /// What was said, the list service apart.
-    pub fn is_but_list(&mut self, expected: Expect) {
-        self.only(|l| !l.contains("connection list") && !l.contains("connect Discovery"));
-        self.is(expected);
+
+    /// Compares the trace, without the connections to the discovery service.
+    pub fn assert_trace_without_discovery(&mut self, expected: Expect) {
+        self.retain_lines(|line| !line.contains("connection list") && !line.contains("connect Discovery"));
+        self.assert_trace(expected);
     }
-    pub fn is(&mut self, expected: Expect) {
-        expected.assert_eq(&std::mem::take(&mut self.text));
+
+    /// Compares the trace with the expected one, and begins a new one.
+    pub fn assert_trace(&mut self, expected: Expect) {
+        expected.assert_eq(&std::mem::take(&mut self.trace));
     }
 }
 
-pub fn call(b: &mut Bench, id: u64, text: &str) {
-    let call = admin::decode_call(format!("{text} HTTP/1.1\r\n\r\n").as_bytes()).expect("whole");
-    b.event(Event::AdminConnected(id)).event(Event::AdminCall { connection: id, call });
+/// An operator makes a call, on a connection of its own.
+pub fn admin_call(bench: &mut Bench, connection: u64, text: &str) {
+    let call = admin::decode_call(format!("{text} HTTP/1.1\r\n\r\n").as_bytes()).expect("a complete call");
+    bench.event(Event::AdminConnected(connection)).event(Event::AdminCall { connection, call });
 }
 
-/// A change that is kept by now, as the thread that keeps it tells.
-pub fn shared_state_saved(b: &mut Bench, id: u64, out: &[&str], drained: bool) {
+/// The change of an operator's call has been saved: the backends that are ejected now, and whether the instance is drained.
+pub fn shared_state_saved(bench: &mut Bench, call: u64, ejected: &[&str], drained: bool) {
     let shared = SharedState {
-        ejected_backends: out.iter().map(|n| (n.to_string(), 1000.0)).collect(),
+        ejected_backends: ejected.iter().map(|name| (name.to_string(), 1000.0)).collect(),
         drained,
         ..SharedState::default()
     };
-    b.event(Event::SharedStateSaved { call: Some(id), shared: Ok(shared) });
+    bench.event(Event::SharedStateSaved { call: Some(call), shared: Ok(shared) });
 }
 
-pub fn whole_list(names: &[(&str, u16)]) -> Event {
+/// A response of the discovery service with the complete list: names of backends and their ports.
+pub fn complete_endpoint_list(names: &[(&str, u16)]) -> Event {
     let entry = |(name, port): &(&str, u16)| {
         format!(
             r#"{{"name":"{name}","address":"127.0.0.1:{port}","zone":"z","group":0,"status":"SERVING","weight":1,"since_ms":0}}"#
         )
     };
-    let all: Vec<String> = names.iter().map(entry).collect();
-    let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, all.join(","));
+    let entries: Vec<String> = names.iter().map(entry).collect();
+    let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
     Event::HttpResponse {
         connection: ConnectionId::Discovery(1),
         response: Response { status: 200, body: body.into(), closes_connection: false },
@@ -249,14 +298,14 @@
 
 pub const PING: &str = "*1\r\n$4\r\nPING\r\n";
 
-/// A front door under this operator's file.
-pub fn reload_operator_file(b: &mut Bench, text: &str) {
+/// Has the instance read this operator's file.
+pub fn reload_operator_file(bench: &mut Bench, text: &str) {
     let loaded = configuration::decode(CONFIGURATION.as_bytes()).expect("a good configuration");
     let start =
         quillramp::settings::load(loaded.seed, loaded.settings.get().as_bytes()).expect("good settings");
     let platform = operator::platform(&start.instance, 1024);
     let read = quillramp_operator::read(text, Some(&platform)).expect("a good file");
-    b.event(Event::OperatorFileReloaded(Box::new(operator::operator_update(read, &platform))));
+    bench.event(Event::OperatorFileReloaded(Box::new(operator::operator_update(read, &platform))));
 }
 
 pub const LIMITS: Limits = Limits {
--- a/gateway/tests/reducer/counter.rs
+++ b/gateway/tests/reducer/counter.rs
@@ -5,14 +5,19 @@
 
 #[test]
 fn an_unresponsive_counter_connection_gets_no_calls_and_its_late_response_is_dropped() {
-    let mut b = bench();
-    b.client(1).call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(2))).until(0.1);
-    b.call(1, "look", 6)
+    let mut bench = bench();
+    bench
+        .client_connects(1)
+        .request(1, "look", 5)
+        .event(Event::Connected(ConnectionId::Counter(2)))
+        .run_until(0.1);
+    bench
+        .request(1, "look", 6)
         .event(Event::Connected(ConnectionId::Counter(4)))
-        .counter(2, 200, "1")
-        .counter(4, 200, "1");
-    b.call(1, "look", 7).counter(2, 503, "").until(0.2);
-    b.is(expect![[r#"
+        .counter_responds(2, 200, "1")
+        .counter_responds(4, 200, "1");
+    bench.request(1, "look", 7).counter_responds(2, 503, "").run_until(0.2);
+    bench.assert_trace(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.000 Counter(2): add 1
         0.016 connect Backend(3) to 127.0.0.1:7011
@@ -26,15 +31,19 @@
 
 #[test]
 fn calls_on_one_counter_are_sent_in_order_on_one_connection() {
-    let mut b = bench();
-    b.client(1).event(Event::Connected(ConnectionId::Discovery(1)));
+    let mut bench = bench();
+    bench.client_connects(1).event(Event::Connected(ConnectionId::Discovery(1)));
     for customer in [5, 6] {
-        b.call(1, "look", customer);
+        bench.request(1, "look", customer);
     }
-    b.event(Event::Connected(ConnectionId::Counter(2))).event(Event::Connected(ConnectionId::Counter(3)));
-    // The other connection is free, but the lift of the first name is still out.
-    b.counter(3, 200, "1").counter(3, 200, "21").counter(2, 200, "1").call(1, "look", 5);
-    b.is(expect![[r#"
+    bench.event(Event::Connected(ConnectionId::Counter(2))).event(Event::Connected(ConnectionId::Counter(3)));
+    // The other connection is idle, but the correction of the first total is still pending.
+    bench
+        .counter_responds(3, 200, "1")
+        .counter_responds(3, 200, "21")
+        .counter_responds(2, 200, "1")
+        .request(1, "look", 5);
+    bench.assert_trace(expect![[r#"
         0.000 Discovery(1): watch since 41
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.000 connect Counter(3) to 127.0.0.1:7007
@@ -48,23 +57,29 @@
     "#]]);
 }
 
-/// Guards: a counter's answer without a number kept its connection in use, and what it added was not given back.
+/// Guards: after a response of the counter without a number its connection stayed in use, and the units that it had added
+/// were not refunded.
 #[test]
 fn a_counter_response_without_a_total_closes_its_connection_and_its_units_are_refunded() {
-    let mut b = bench();
-    b.client(1)
-        .call(1, "look", 5)
+    let mut bench = bench();
+    bench
+        .client_connects(1)
+        .request(1, "look", 5)
         .event(Event::Connected(ConnectionId::Counter(2)))
-        .counter(2, 200, "none")
-        .until(0.2);
-    b.call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(4))).ended(
+        .counter_responds(2, 200, "none")
+        .run_until(0.2);
+    bench.request(1, "look", 5).event(Event::Connected(ConnectionId::Counter(4))).connection_ended(
         ConnectionId::Counter(4),
         CloseReason::BadFraming,
         false,
     );
-    b.until(0.4).call(1, "look", 5).event(Event::Connected(ConnectionId::Counter(6))).counter(6, 200, "1");
-    b.counter(6, 200, "21").event(Event::PartialMessage(ConnectionId::Counter(6)));
-    b.is(expect![[r#"
+    bench
+        .run_until(0.4)
+        .request(1, "look", 5)
+        .event(Event::Connected(ConnectionId::Counter(6)))
+        .counter_responds(6, 200, "1");
+    bench.counter_responds(6, 200, "21").event(Event::PartialMessage(ConnectionId::Counter(6)));
+    bench.assert_trace(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.000 Counter(2): add 1
         0.000 log: connection counter 2 ended: bad-framing
--- a/gateway/tests/reducer/descriptors.rs
+++ b/gateway/tests/reducer/descriptors.rs
@@ -5,13 +5,20 @@
 
 #[test]
 fn idle_connections_are_closed_first_when_descriptors_are_short() {
-    let mut b = bench_with_descriptors(32 + 5);
-    b.client(1).client(2).call(1, "look", 5).until(0.05).up(3).value(3, "a").client(3);
-    b.call(1, "look", 6).until(0.1).call(1, "look", 7).until(0.15);
-    b.is(expect![[r#"
+    let mut bench = bench_with_descriptors(32 + 5);
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .request(1, "look", 5)
+        .run_until(0.05)
+        .backend_connected(3)
+        .backend_replies(3, "a")
+        .client_connects(3);
+    bench.request(1, "look", 6).run_until(0.1).request(1, "look", 7).run_until(0.15);
+    bench.assert_trace(expect![[r#"
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.016 connect Backend(3) to 127.0.0.1:7011
-        0.050 backend link 3: look for 750 ms
+        0.050 backend connection 3: look for 750 ms
         0.050 client 1: $1 a
         0.050 log: connection backend 3 s-a ended: crowded
         0.050 connect Counter(4) to 127.0.0.1:7007
@@ -25,15 +32,24 @@
     "#]]);
 }
 
-/// Guards: clients that keep a connection and ask no more took the descriptors of backend connections, each of which
-/// costs a handshake to have again; and clients that say nothing held theirs for ever.
+/// Guards: clients that keep a connection open without sending anything took the descriptors of backend connections, each
+/// of which costs a handshake to open again; and clients that never sent a command kept theirs for ever.
 #[test]
 fn idle_clients_are_closed_before_backend_connections_when_descriptors_are_short() {
-    let mut b = bench_with_descriptors(32 + 6);
-    b.client(1).client(2).call(2, "look", 5).until(0.05).up(3).value(3, "a").until(2.2).text.clear();
-    // Short of descriptors: who never said anything goes first, then who was answered long ago, then a backend's.
-    b.client(3).client(4).call(3, "look", 6).client(5).client(6);
-    b.is_but_list(expect![[r#"
+    let mut bench = bench_with_descriptors(32 + 6);
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .request(2, "look", 5)
+        .run_until(0.05)
+        .backend_connected(3)
+        .backend_replies(3, "a")
+        .run_until(2.2)
+        .trace
+        .clear();
+    // First a client that never sent a command is closed, then one that was answered long ago, then a backend connection.
+    bench.client_connects(3).client_connects(4).request(3, "look", 6).client_connects(5).client_connects(6);
+    bench.assert_trace_without_discovery(expect![[r#"
         2.200 connect Counter(5) to 127.0.0.1:7007
         2.200 log: connection client 1 ended: crowded
         2.200 log: connection client 2 ended: crowded
@@ -43,14 +59,26 @@
 /// A client that has sent a command may stay for longer than one that has not, unless it stopped in the middle of one.
 #[test]
 fn idle_clients_are_closed_after_their_timeout_when_descriptors_are_not_short() {
-    let mut b = bench();
-    b.client(1).client(2).call(2, "look", 5).until(0.05).up(3).value(3, "a").text.clear();
-    b.until(0.5).client(3).call(3, "order", 5).event(Event::PartialMessage(ConnectionId::Client(3)));
-    b.until(11.0);
-    b.is_but_list(expect![[r#"
+    let mut bench = bench();
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .request(2, "look", 5)
+        .run_until(0.05)
+        .backend_connected(3)
+        .backend_replies(3, "a")
+        .trace
+        .clear();
+    bench
+        .run_until(0.5)
+        .client_connects(3)
+        .request(3, "order", 5)
+        .event(Event::PartialMessage(ConnectionId::Client(3)));
+    bench.run_until(11.0);
+    bench.assert_trace_without_discovery(expect![[r#"
         0.080 log: connection counter 2 ended: dial-timeout
         0.500 connect Counter(4) to 127.0.0.1:7007
-        0.540 backend link 3: order for 759 ms
+        0.540 backend connection 3: order for 759 ms
         0.580 log: connection counter 4 ended: dial-timeout
         0.580 log: counter unresponsive: 4 calls missed in 0.58 s; even shares stand in
         1.300 log: connection backend 3 s-a ended: gave-up
@@ -61,54 +89,73 @@
     "#]]);
 }
 
-/// Guards: a client that took 2 s for a command was cut off, 2 s after its last answer and with more of it on the way.
+/// Guards: a client that took 2 s for a command was disconnected, 2 s after its last reply, while more of the command was
+/// arriving.
 #[test]
 fn a_partial_command_times_out_from_its_first_byte() {
-    let mut b = bench();
-    b.client(1).client(2).sends(1, "*1\r\n$4\r\nPING\r\n").until(1.9).text.clear();
+    let mut bench = bench();
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .client_sends(1, "*1\r\n$4\r\nPING\r\n")
+        .run_until(1.9)
+        .trace
+        .clear();
     for at in [1.9, 2.5, 3.0, 3.8] {
-        b.until(at).event(Event::PartialMessage(ConnectionId::Client(1)));
+        bench.run_until(at).event(Event::PartialMessage(ConnectionId::Client(1)));
     }
-    b.until(3.9)
-        .sends(1, "*1\r\n$4\r\nPING\r\n")
+    bench
+        .run_until(3.9)
+        .client_sends(1, "*1\r\n$4\r\nPING\r\n")
         .event(Event::PartialMessage(ConnectionId::Client(1)))
-        .until(8.0);
-    b.is_but_list(expect![[r#"
+        .run_until(8.0);
+    bench.assert_trace_without_discovery(expect![[r#"
         2.500 log: connection client 2 ended: idle
         3.900 client 1: +PONG
         6.400 log: connection client 1 ended: idle
     "#]]);
 }
 
-/// Guards: descriptors ran short in the batch in which a client's command had been read; its connection was spared for
-/// another's and the command, which has its turn after all else, was lost without an answer.
+/// Guards: descriptors ran short in the batch in which a client's command had been read; the client was evicted for another
+/// one, and the command, which is handled after all other events, was lost without a reply.
 #[test]
 fn a_client_whose_command_has_been_read_is_not_evicted() {
-    let mut b = bench_with_descriptors(32 + 5);
-    b.client(1).sends(1, PING).client(2).sends(2, PING).until(1.0).text.clear();
-    let come = [3, 4, 5].map(|id| Event::ClientAccepted { client: id, address: HERE });
-    b.batch(come.into_iter().chain([command_event(1, PING)]).collect());
-    b.is_but_list(expect![[r#"
+    let mut bench = bench_with_descriptors(32 + 5);
+    bench
+        .client_connects(1)
+        .client_sends(1, PING)
+        .client_connects(2)
+        .client_sends(2, PING)
+        .run_until(1.0)
+        .trace
+        .clear();
+    let accepted = [3, 4, 5].map(|id| Event::ClientAccepted { client: id, address: HERE });
+    bench.batch(accepted.into_iter().chain([command_event(1, PING)]).collect());
+    bench.assert_trace_without_discovery(expect![[r#"
         1.000 log: connection client 2 ended: crowded
         1.000 client 1: +PONG
     "#]]);
 }
 
-/// Guards: over an upgrade each process had half of the descriptors, however few the one that left still needed.
+/// Guards: during an upgrade each process had half of the descriptors, however few the stopping one still needed.
 #[test]
 fn descriptors_that_a_stopping_process_releases_are_available_to_the_other_one() {
-    let room = |holds| {
-        let mut b = bench_configured(200, true, true);
-        b.event(Event::SharedStateSaved {
+    let accepted_clients = |peer_descriptor_limit| {
+        let mut bench = bench_configured(200, true, true);
+        bench.event(Event::SharedStateSaved {
             call: None,
             shared: Ok(SharedState {
                 peer_process_running: true,
-                peer_descriptor_limit: holds,
+                peer_descriptor_limit,
                 ..SharedState::default()
             }),
         });
-        (1..200).find(|id| b.client(*id).text.contains("crowded")).expect("room for fewer than that")
+        (1..200)
+            .find(|id| bench.client_connects(*id).trace.contains("crowded"))
+            .expect("capacity for fewer than that")
     };
-    let (half, all_but_60, all_but_half) = (room(None), room(Some(60)), room(Some(150)));
+    let half = accepted_clients(None);
+    let all_but_60 = accepted_clients(Some(60));
+    let all_but_half = accepted_clients(Some(150));
     assert_eq!((all_but_60 - half, all_but_half), (40, half), "{half}");
 }
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -5,33 +5,35 @@
 use quillramp_gateway::state::event::{ConnectionId, Event};
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Room for three clients, one of them from the known address.
+/// Capacity for three clients, one of them reserved for the known address.
 fn bench_with_admission() -> Bench {
-    let mut b = bench_configured(1024, false, false);
-    b.set_admission_limits(Limits { known: vec!["10.0.0.1".parse().expect("an address")], ..LIMITS });
-    b.text.clear();
-    b
+    let mut bench = bench_configured(1024, false, false);
+    bench.set_admission_limits(Limits { known: vec!["10.0.0.1".parse().expect("an address")], ..LIMITS });
+    bench.trace.clear();
+    bench
 }
 
 fn address_in_network(last: u8) -> IpAddr {
     Ipv4Addr::new(10, 0, 0, last).into()
 }
 
-/// Guards: nothing limited what one address holds, and a known client found no place.
+/// Guards: the connections of one address were not limited, and a client of a known address could not connect.
 #[test]
 fn a_rejected_client_gets_the_reason_and_a_known_address_its_reserved_connection() {
-    let mut b = bench_with_admission();
-    b.client(1)
-        .client(2)
-        .client(3)
+    let mut bench = bench_with_admission();
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .client_connects(3)
         .event(Event::ClientAccepted { client: 4, address: address_in_network(1) })
-        .sends(4, PING);
-    b.sends(1, PING)
-        .until(0.5)
+        .client_sends(4, PING);
+    bench
+        .client_sends(1, PING)
+        .run_until(0.5)
         .event(Event::ClientAccepted { client: 5, address: address_in_network(1) })
-        .sends(5, PING);
-    b.is_but_list(expect![[r#"
-        0.000 client 3 is not taken in: too many connections of this address on which nothing was asked
+        .client_sends(5, PING);
+    bench.assert_trace_without_discovery(expect![[r#"
+        0.000 client 3 rejected: too many connections of this address on which nothing was asked
         0.000 log: connection client 3 ended: turned-away
         0.000 client 4: +PONG
         0.000 client 1: +PONG
@@ -40,52 +42,57 @@
     "#]]);
 }
 
-/// Guards: the gate was not told that a command had begun, and a slow client was let go as a silent one.
+/// Guards: the admission controller was not notified that a command had begun, and a slow client was closed as an idle one.
 #[test]
 fn a_client_with_a_partial_first_command_is_not_closed_as_idle() {
-    let mut b = bench_with_admission();
-    b.client(1).client(2).event(Event::PartialMessage(ConnectionId::Client(1))).until(1.6);
-    b.is_but_list(expect![[r#"
+    let mut bench = bench_with_admission();
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .event(Event::PartialMessage(ConnectionId::Client(1)))
+        .run_until(1.6);
+    bench.assert_trace_without_discovery(expect![[r#"
         1.000 log: connection client 2 ended: idle
     "#]]);
-    b.sends(1, PING);
-    b.is_but_list(expect![[r#"
+    bench.client_sends(1, PING);
+    bench.assert_trace_without_discovery(expect![[r#"
         1.600 client 1: +PONG
     "#]]);
 }
 
-/// Guards: one hospital's commands took all that its gateway's address may have unfinished.
+/// Guards: the commands of one customer took all that its address may have pending.
 #[test]
 fn commands_beyond_an_addresss_quota_are_rejected_with_a_retry_delay() {
-    let mut b = bench_with_admission();
-    b.client(1)
-        .call(1, "look", 5)
-        .call(1, "look", 5)
-        .client(2)
-        .call(2, "look", 5)
-        .call(2, "look", 6)
-        .until(0.05);
-    b.up(4);
-    b.only(|l| l.contains("client") || l.contains("link"));
-    b.is(expect![[r#"
+    let mut bench = bench_with_admission();
+    bench
+        .client_connects(1)
+        .request(1, "look", 5)
+        .request(1, "look", 5)
+        .client_connects(2)
+        .request(2, "look", 5)
+        .request(2, "look", 6)
+        .run_until(0.05);
+    bench.backend_connected(4);
+    bench.retain_lines(|l| l.contains("client") || l.contains("backend connection"));
+    bench.assert_trace(expect![[r#"
         0.000 client 2: -BUSY 50
-        0.050 backend link 4: look for 750 ms
+        0.050 backend connection 4: look for 750 ms
     "#]]);
 }
 
-/// Guards: a command that had been read before its connection was held did not count, and the connection was spared for
-/// want of descriptors (emulator, seed 2698).
+/// Guards: a command that had been read before its connection was admitted was not counted, and the connection was evicted
+/// when descriptors were short (emulator, seed 2698).
 #[test]
 fn commands_that_were_read_before_their_connection_was_admitted_are_counted() {
-    let mut b = bench_with_descriptors(32 + 4);
+    let mut bench = bench_with_descriptors(32 + 4);
     let limits = Limits { connections: 30, reserve: 0, per_address: 30, strangers: 30, ..LIMITS };
-    b.set_admission_limits(limits).client(1).client(2).until(0.5).text.clear();
-    b.batch(vec![
+    bench.set_admission_limits(limits).client_connects(1).client_connects(2).run_until(0.5).trace.clear();
+    bench.batch(vec![
         Event::ClientAccepted { client: 3, address: HERE },
         command_event(3, PING),
         command_event(3, PING),
     ]);
-    b.is_but_list(expect![[r#"
+    bench.assert_trace_without_discovery(expect![[r#"
         0.500 client 3: +PONG
         0.500 client 3: +PONG
     "#]]);
@@ -93,20 +100,20 @@
 
 const SHORT_TIMEOUT_CLASS: &str = "[[class]]\nname = \"short\"\nattempts = 1\ntimeout = 0.2\n[[route]]\noperations = [\"look\"]\nclass = \"short\"\n";
 
-/// Guards: an invocation is kept under the limits it was taken under, and its class may be gone by then; two files in one batch
-/// are taken up in their order; what is taken up is told once.
+/// Guards: a request keeps the limits under which it was accepted, also where its class has been removed since; two files in
+/// one batch are applied in their order; each change is logged once.
 #[test]
 fn requests_keep_the_limits_under_which_they_were_accepted() {
-    let mut b = bench();
-    b.client(1).client(2).client(3);
-    b.call(1, "look", 1).until(0.1);
-    reload_operator_file(&mut b, SHORT_TIMEOUT_CLASS);
-    b.call(2, "look", 2).until(0.15);
-    reload_operator_file(&mut b, SHORT_TIMEOUT_CLASS);
-    reload_operator_file(&mut b, "");
-    b.call(3, "look", 3).until(2.0);
-    b.only(|l| l.contains("client") || l.contains("declared"));
-    b.is(expect![[r#"
+    let mut bench = bench();
+    bench.client_connects(1).client_connects(2).client_connects(3);
+    bench.request(1, "look", 1).run_until(0.1);
+    reload_operator_file(&mut bench, SHORT_TIMEOUT_CLASS);
+    bench.request(2, "look", 2).run_until(0.15);
+    reload_operator_file(&mut bench, SHORT_TIMEOUT_CLASS);
+    reload_operator_file(&mut bench, "");
+    bench.request(3, "look", 3).run_until(2.0);
+    bench.retain_lines(|l| l.contains("client") || l.contains("declared"));
+    bench.assert_trace(expect![[r#"
         0.100 log: limits declared: 1 classes, for 1 pairs of operation and plan
         0.150 log: limits declared: 0 classes, for 0 pairs of operation and plan
         0.254 client 3: -BUSY 400
@@ -115,18 +122,19 @@
     "#]]);
 }
 
-/// Guards: a gate that is switched on while connections are open did not know them, and their addresses passed their caps.
+/// Guards: an admission controller that was enabled while connections were open did not count them, and their addresses
+/// exceeded their limits.
 #[test]
 fn admission_counts_the_connections_that_were_open_before_it() {
-    let mut b = bench();
-    b.client(1).client(2).sends(1, PING).call(2, "look", 5).until(0.01);
-    b.set_admission_limits(LIMITS).text.clear();
-    b.client(3).client(4).sends(3, PING).sends(4, PING);
-    b.only(|l| l.contains("client"));
-    b.is(expect![[r#"
-        0.010 client 3 is not taken in: full
+    let mut bench = bench();
+    bench.client_connects(1).client_connects(2).client_sends(1, PING).request(2, "look", 5).run_until(0.01);
+    bench.set_admission_limits(LIMITS).trace.clear();
+    bench.client_connects(3).client_connects(4).client_sends(3, PING).client_sends(4, PING);
+    bench.retain_lines(|l| l.contains("client"));
+    bench.assert_trace(expect![[r#"
+        0.010 client 3 rejected: full
         0.010 log: connection client 3 ended: turned-away
-        0.010 client 4 is not taken in: full
+        0.010 client 4 rejected: full
         0.010 log: connection client 4 ended: turned-away
     "#]]);
 }
@@ -135,20 +143,26 @@
     "[broker]\ncapacity = 100\nstrangers = \"refuse\"\n[[contract]]\nteam = \"t\"\nrate = 3\nburst = 3\n\
                         operations = [\"look\"]\ncustomers = [\"0000000000000005\"]\n";
 
-/// Guards: what a contract refuses never reaches the decisions, what they refuse is given back to it, and who has no contract hears so.
+/// Guards: what a contract rejects never reaches the policy engine, what the engine rejects is refunded to the contract, and
+/// a customer without a contract is notified of that.
 #[test]
 fn a_request_is_checked_against_its_contract_before_it_is_routed() {
-    let mut b = bench();
-    reload_operator_file(&mut b, CONTRACT);
-    b.client(1).text.clear();
-    // An even part of three a second is one, with which it begins.
-    b.call(1, "look", 5).call(1, "look", 5).call(1, "order", 5).call(1, "look", 6).until(1.5);
-    b.only(|l| l.contains("client"));
-    b.is(expect![[r#"
+    let mut bench = bench();
+    reload_operator_file(&mut bench, CONTRACT);
+    bench.client_connects(1).trace.clear();
+    // An even share of three a second is one, with which it begins.
+    bench
+        .request(1, "look", 5)
+        .request(1, "look", 5)
+        .request(1, "order", 5)
+        .request(1, "look", 6)
+        .run_until(1.5);
+    bench.retain_lines(|l| l.contains("client"));
+    bench.assert_trace(expect![[r#"
         0.516 client 1: -BUSY 500
         0.516 client 1: -BUSY 1000
         0.516 client 1: -ERR contract: not an operation of its contract
         0.516 client 1: -ERR contract: no contract in force
     "#]]);
-    assert_eq!(b.reducer.figures().matches("\"look\":").count(), 3);
+    assert_eq!(bench.reducer.figures().matches("\"look\":").count(), 3);
 }
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -6,45 +6,54 @@
 
 #[test]
 fn datagrams_that_are_malformed_or_from_unknown_peers_are_dropped_and_counted() {
-    let mut b = bench();
+    let mut bench = bench();
     let peer = "127.0.0.1:7004".parse().expect("an address");
-    let stranger = "127.0.0.1:9".parse().expect("an address");
-    b.event(Event::Datagram { from: peer, body: b"\x01s-a".to_vec() });
-    b.event(Event::Datagram { from: stranger, body: b"\x01s-a".to_vec() });
-    b.event(Event::Datagram { from: peer, body: vec![2; 300] });
-    // A count for more front doors than there are.
-    b.event(Event::Datagram { from: peer, body: [&[2, 5, 0, 0, 0, 0, 0, 0, 0, 9, 0][..], &[0; 8]].concat() });
-    b.event(Event::Datagram { from: peer, body: [&[2, 5, 0, 0, 0, 0, 0, 0, 0, 3, 0][..], &[0; 8]].concat() });
-    b.event(Event::Datagram { from: peer, body: vec![] });
-    b.is(expect![[r#"
+    let unknown_peer = "127.0.0.1:9".parse().expect("an address");
+    bench.event(Event::Datagram { from: peer, body: b"\x01s-a".to_vec() });
+    bench.event(Event::Datagram { from: unknown_peer, body: b"\x01s-a".to_vec() });
+    bench.event(Event::Datagram { from: peer, body: vec![2; 300] });
+    // A counter's total for more instances than there are.
+    bench.event(Event::Datagram {
+        from: peer,
+        body: [&[2, 5, 0, 0, 0, 0, 0, 0, 0, 9, 0][..], &[0; 8]].concat(),
+    });
+    bench.event(Event::Datagram {
+        from: peer,
+        body: [&[2, 5, 0, 0, 0, 0, 0, 0, 0, 3, 0][..], &[0; 8]].concat(),
+    });
+    bench.event(Event::Datagram { from: peer, body: vec![] });
+    bench.assert_trace(expect![[r#"
         0.000 log: datagrams dropped so far: 1
         0.000 log: datagrams dropped so far: 2
         0.000 log: datagrams dropped so far: 4
     "#]]);
 }
 
-/// Guards: a configuration read again under load moves the list and the counter over and ends no invocation.
+/// Guards: a configuration that is read again under load moves discovery and the counter, and fails no request.
 #[test]
 fn a_reload_moves_discovery_and_the_counter_without_failing_requests() {
-    let mut b = bench();
-    b.client(1)
+    let mut bench = bench();
+    bench
+        .client_connects(1)
         .event(Event::Connected(ConnectionId::Discovery(1)))
-        .call(1, "look", 5)
+        .request(1, "look", 5)
         .event(Event::Connected(ConnectionId::Counter(2)));
     let (list, counter) = ("127.0.0.1:8006".parse().expect("address"), "127.0.0.1:8007".parse().ok());
-    b.event(Event::ConfigurationReloaded { discovery: list, counter })
+    bench
+        .event(Event::ConfigurationReloaded { discovery: list, counter })
         .event(Event::Connected(ConnectionId::Discovery(3)));
-    b.call(1, "look", 6)
+    bench
+        .request(1, "look", 6)
         .event(Event::Connected(ConnectionId::Counter(4)))
-        .counter(2, 200, "1")
-        .up(6)
-        .value(6, "served");
-    let whole = r#"{"index":3,"snapshot":true,"endpoints":[]}"#;
-    b.event(Event::HttpResponse {
+        .counter_responds(2, 200, "1")
+        .backend_connected(6)
+        .backend_replies(6, "served");
+    let complete = r#"{"index":3,"snapshot":true,"endpoints":[]}"#;
+    bench.event(Event::HttpResponse {
         connection: ConnectionId::Discovery(3),
-        response: Response { status: 200, body: whole.into(), closes_connection: false },
+        response: Response { status: 200, body: complete.into(), closes_connection: false },
     });
-    b.is(expect![[r#"
+    bench.assert_trace(expect![[r#"
         0.000 Discovery(1): watch since 41
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.000 Counter(2): add 1
@@ -57,26 +66,27 @@
         0.000 log: connection counter 2 ended: moved
         0.000 connect Counter(5) to 127.0.0.1:8007
         0.000 connect Backend(6) to 127.0.0.1:7012
-        0.000 backend link 6: look for 799 ms
+        0.000 backend connection 6: look for 799 ms
         0.000 client 1: $6 served
         0.000 log: connection backend 6 s-b ended: delisted
         0.000 Discovery(3): watch since 3
     "#]]);
 }
 
-/// Guards: backends that had gone were kept for ever, by name, place and what the decisions knew of them; and an index
-/// must not come to mean another backend while anything here has to do with the first.
+/// Guards: removed backends were remembered for ever, by name, index and record of the policy engine; and an index must not
+/// be used for another backend while anything refers to the first.
 #[test]
 fn removed_backends_are_forgotten_once_nothing_refers_to_them() {
-    let mut b = bench();
-    b.event(Event::Connected(ConnectionId::Discovery(1)))
-        .client(1)
-        .call(1, "order", 5)
-        .until(0.05)
-        .up(3)
-        .text
+    let mut bench = bench();
+    bench
+        .event(Event::Connected(ConnectionId::Discovery(1)))
+        .client_connects(1)
+        .request(1, "order", 5)
+        .run_until(0.05)
+        .backend_connected(3)
+        .trace
         .clear();
-    let mut list = |names: &[&str]| {
+    let mut list_backends = |names: &[&str]| {
         let entry = |n: &&str| {
             format!(
                 r#"{{"name":"{n}","address":"127.0.0.1:7011","zone":"z","group":0,"status":"SERVING","weight":1,"since_ms":0}}"#
@@ -84,20 +94,20 @@
         };
         let all: Vec<String> = names.iter().map(entry).collect();
         let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, all.join(","));
-        b.event(Event::HttpResponse {
+        bench.event(Event::HttpResponse {
             connection: ConnectionId::Discovery(1),
             response: Response { status: 200, body: body.into(), closes_connection: false },
         });
-        let until = b.now - 1000.0 + 1.0;
-        b.until(until).text.clear();
-        b.reducer.backend_count()
+        let until = bench.now - 1000.0 + 1.0;
+        bench.run_until(until).trace.clear();
+        bench.reducer.backend_count()
     };
-    // The order is out at the first backend all the while; the indices of others are used again.
-    let mut places = vec![];
+    // The order is in flight at the first backend all the while; the indices of others are reused.
+    let mut backend_counts = vec![];
     for names in [&["s-c", "s-d"], &["s-e", "s-f"], &["s-g", "s-h"]] {
-        places.push(list(names));
+        backend_counts.push(list_backends(names));
     }
-    expect!["[4, 4, 4]"].assert_eq(&format!("{places:?}"));
+    expect!["[4, 4, 4]"].assert_eq(&format!("{backend_counts:?}"));
 }
 
 /// The response of the list service that nothing has changed.
@@ -111,16 +121,18 @@
 
 /// A discovery service whose first connection becomes unresponsive, and whose second one is reset.
 fn bench_with_replaced_discovery_connections() -> Bench {
-    let mut b = bench();
-    b.event(Event::Connected(ConnectionId::Discovery(1)))
-        .until(5.5)
+    let mut bench = bench();
+    bench
+        .event(Event::Connected(ConnectionId::Discovery(1)))
+        .run_until(5.5)
         .event(Event::Connected(ConnectionId::Discovery(2)))
         .event(unchanged_endpoints(2));
-    b.until(7.0)
-        .ended(ConnectionId::Discovery(2), CloseReason::Reset, false)
+    bench
+        .run_until(7.0)
+        .connection_ended(ConnectionId::Discovery(2), CloseReason::Reset, false)
         .event(Event::Connected(ConnectionId::Discovery(3)))
         .event(unchanged_endpoints(3));
-    b
+    bench
 }
 
 /// Guards: a connection to the list service that had become unresponsive was waited on for 22 s, while all backends were
@@ -128,8 +140,8 @@
 /// the same after a connection has ended.
 #[test]
 fn an_unresponsive_discovery_connection_is_replaced_when_its_response_is_overdue() {
-    let mut b = bench_with_replaced_discovery_connections();
-    b.is(expect![[r#"
+    let mut bench = bench_with_replaced_discovery_connections();
+    bench.assert_trace(expect![[r#"
         0.000 Discovery(1): watch since 41
         5.400 connect Discovery(2) to 127.0.0.1:7002
         5.500 Discovery(2): since 41, at once
@@ -145,16 +157,16 @@
 /// Guards: while the service can't be reached a request to it is pending at any time, however long that lasts.
 #[test]
 fn an_unreachable_discovery_service_is_polled_without_a_pause() {
-    let mut b = bench_with_replaced_discovery_connections();
-    b.text.clear();
-    b.until(8.0).ended(ConnectionId::Discovery(3), CloseReason::Reset, false);
+    let mut bench = bench_with_replaced_discovery_connections();
+    bench.trace.clear();
+    bench.run_until(8.0).connection_ended(ConnectionId::Discovery(3), CloseReason::Reset, false);
     for id in 4..8 {
-        b.ended(ConnectionId::Discovery(id), CloseReason::Refused, false);
-        let next = b.now - 1000.0 + 0.25;
-        b.until(next);
+        bench.connection_ended(ConnectionId::Discovery(id), CloseReason::Refused, false);
+        let next = bench.now - 1000.0 + 0.25;
+        bench.run_until(next);
     }
-    b.until(12.0);
-    b.is(expect![[r#"
+    bench.run_until(12.0);
+    bench.assert_trace(expect![[r#"
         8.000 log: connection list 3 ended: reset
         8.000 connect Discovery(4) to 127.0.0.1:7002
         8.000 log: connection list 4 ended: refused
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -5,26 +5,35 @@
 
 #[test]
 fn a_shutdown_serves_on_then_closes_connections_and_exits_when_all_is_answered() {
-    let mut b = bench();
-    b.client(1).client(2).event(Event::Shutdown).until(0.3).call(1, "look", 5).until(0.35).up(3).until(0.5);
-    b.event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
-        .until(0.6)
-        .value(3, "a")
+    let mut bench = bench();
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .event(Event::Shutdown)
+        .run_until(0.3)
+        .request(1, "look", 5)
+        .run_until(0.35)
+        .backend_connected(3)
+        .run_until(0.5);
+    bench
+        .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
+        .run_until(0.6)
+        .backend_replies(3, "a")
         .event(Event::Shutdown)
         .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping });
-    b.is(expect![[r#"
+    bench.assert_trace(expect![[r#"
         0.000 log: shutting down: serving on, then closing connections
         0.300 connect Counter(2) to 127.0.0.1:7007
         0.316 connect Backend(3) to 127.0.0.1:7011
-        0.350 backend link 3: look for 749 ms
+        0.350 backend connection 3: look for 749 ms
         0.380 log: connection counter 2 ended: dial-timeout
         0.500 stop accepting
-        0.500 part with client 2 if it is quiet
+        0.500 close client 2 if idle
         0.500 log: connection client 2 ended: stopping
         0.566 connect Backend(4) to 127.0.0.1:7012
         0.600 client 1: $1 a
         0.600 log: connection backend 4 s-b ended: gave-up
-        0.600 part with client 1 if it is quiet
+        0.600 close client 1 if idle
         0.600 log: connection client 1 ended: stopping
         0.600 exit once all is written
     "#]]);
@@ -32,55 +41,63 @@
 
 /// Drains an instance of three clients, one of which asks on and on: it is not read from any more.
 fn bench_drained_by_an_operator() -> Bench {
-    let mut b = bench_configured(1024, false, true);
-    b.client(1).client(2).sends(2, PING).call(1, "order", 5).until(0.05).text.clear();
-    call(&mut b, 1, "POST /healthcheck/ok");
-    shared_state_saved(&mut b, 1, &[], false);
-    call(&mut b, 2, "POST /healthcheck/fail");
-    b.sends(2, PING);
-    shared_state_saved(&mut b, 2, &[], true);
-    call(&mut b, 3, "GET /healthcheck");
-    b.until(0.3)
-        .client(3)
-        .until(0.6)
+    let mut bench = bench_configured(1024, false, true);
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .client_sends(2, PING)
+        .request(1, "order", 5)
+        .run_until(0.05)
+        .trace
+        .clear();
+    admin_call(&mut bench, 1, "POST /healthcheck/ok");
+    shared_state_saved(&mut bench, 1, &[], false);
+    admin_call(&mut bench, 2, "POST /healthcheck/fail");
+    bench.client_sends(2, PING);
+    shared_state_saved(&mut bench, 2, &[], true);
+    admin_call(&mut bench, 3, "GET /healthcheck");
+    bench
+        .run_until(0.3)
+        .client_connects(3)
+        .run_until(0.6)
         .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Draining })
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Draining });
-    b.call(1, "look", 6).until(1.6);
-    b
+    bench.request(1, "look", 6).run_until(1.6);
+    bench
 }
 
 /// Drains the instance once more, ends the drain, and connects a client.
-fn end_drain(b: &mut Bench) {
-    call(b, 4, "POST /healthcheck/fail");
-    shared_state_saved(b, 4, &[], true);
-    call(b, 5, "POST /healthcheck/ok");
-    shared_state_saved(b, 5, &[], false);
-    b.client(4).sends(4, PING).until(2.0);
+fn end_drain(bench: &mut Bench) {
+    admin_call(bench, 4, "POST /healthcheck/fail");
+    shared_state_saved(bench, 4, &[], true);
+    admin_call(bench, 5, "POST /healthcheck/ok");
+    shared_state_saved(bench, 5, &[], false);
+    bench.client_connects(4).client_sends(4, PING).run_until(2.0);
 }
 
 /// The trace without the connections to backends and to the counter.
-fn assert_trace_of_clients(b: &mut Bench, expected: Expect) {
-    b.only(|line| !line.contains("ackend") && !line.contains("ounter"));
-    b.is(expected);
+fn assert_trace_of_clients(bench: &mut Bench, expected: Expect) {
+    bench.retain_lines(|line| !line.contains("ackend") && !line.contains("ounter"));
+    bench.assert_trace(expected);
 }
 
 /// Guards: a drained instance fails its health check at once, accepts new clients for a while and closes connections
 /// between commands.
 #[test]
 fn a_drain_fails_health_checks_at_once_and_closes_connections_between_commands() {
-    let mut b = bench_drained_by_an_operator();
+    let mut bench = bench_drained_by_an_operator();
     assert_trace_of_clients(
-        &mut b,
+        &mut bench,
         expect![[r#"
-            0.050 keep SetDrained(false)
+            0.050 save SetDrained(false)
             0.050 operator 1: 200 done
             0.050 log: drained by an operator: closing connections
-            0.050 keep SetDrained(true)
+            0.050 save SetDrained(true)
             0.050 client 2: -ERR draining
             0.050 operator 2: 200 done
             0.050 operator 3: 503 draining
-            0.550 part with client 2 if it is quiet
-            0.550 part with client 3 if it is quiet
+            0.550 close client 2 if idle
+            0.550 close client 3 if idle
             0.600 log: connection client 2 ended: draining
             0.600 log: connection client 3 ended: draining
             0.790 client 1: -BUSY 500
@@ -88,7 +105,7 @@
             1.050 log: connection operator 2 ended: called
             1.050 log: connection operator 3 ended: called
             1.116 client 1: -BUSY 500
-            1.116 part with client 1 if it is quiet
+            1.116 close client 1 if idle
         "#]],
     );
 }
@@ -96,16 +113,16 @@
 /// Guards: clients are accepted again after one call, however often the drain was asked for.
 #[test]
 fn a_drain_that_was_requested_twice_ends_with_one_call() {
-    let mut b = bench_drained_by_an_operator();
-    b.text.clear();
-    end_drain(&mut b);
+    let mut bench = bench_drained_by_an_operator();
+    bench.trace.clear();
+    end_drain(&mut bench);
     assert_trace_of_clients(
-        &mut b,
+        &mut bench,
         expect![[r#"
-            1.600 keep SetDrained(true)
+            1.600 save SetDrained(true)
             1.600 operator 4: 200 done
             1.600 log: the drain has ended
-            1.600 keep SetDrained(false)
+            1.600 save SetDrained(false)
             1.600 operator 5: 200 done
             1.600 client 4: +PONG
         "#]],
@@ -115,34 +132,35 @@
 /// Guards: SIGTERM in a drain ends in an exit all the same, also where the drain is ended meanwhile.
 #[test]
 fn a_shutdown_during_a_drain_goes_on_after_the_drain_has_ended() {
-    let mut b = bench_drained_by_an_operator();
-    end_drain(&mut b);
-    b.text.clear();
-    call(&mut b, 6, "POST /healthcheck/fail");
-    shared_state_saved(&mut b, 6, &[], true);
-    b.until(2.4)
+    let mut bench = bench_drained_by_an_operator();
+    end_drain(&mut bench);
+    bench.trace.clear();
+    admin_call(&mut bench, 6, "POST /healthcheck/fail");
+    shared_state_saved(&mut bench, 6, &[], true);
+    bench
+        .run_until(2.4)
         .event(Event::Shutdown)
-        .until(3.0)
+        .run_until(3.0)
         .event(Event::IdleClientClosed { client: 4, reason: CloseReason::Stopping });
-    call(&mut b, 7, "POST /healthcheck/ok");
-    shared_state_saved(&mut b, 7, &[], false);
-    call(&mut b, 8, "GET /healthcheck");
+    admin_call(&mut bench, 7, "POST /healthcheck/ok");
+    shared_state_saved(&mut bench, 7, &[], false);
+    admin_call(&mut bench, 8, "GET /healthcheck");
     assert_trace_of_clients(
-        &mut b,
+        &mut bench,
         expect![[r#"
             2.000 log: drained by an operator: closing connections
-            2.000 keep SetDrained(true)
+            2.000 save SetDrained(true)
             2.000 operator 6: 200 done
             2.400 log: shutting down: serving on, then closing connections
             2.600 log: connection operator 4 ended: called
             2.600 log: connection operator 5 ended: called
             2.900 stop accepting
-            2.900 part with client 1 if it is quiet
-            2.900 part with client 4 if it is quiet
+            2.900 close client 1 if idle
+            2.900 close client 4 if idle
             3.000 log: connection operator 6 ended: called
             3.000 log: connection client 4 ended: stopping
             3.000 log: the drain has ended
-            3.000 keep SetDrained(false)
+            3.000 save SetDrained(false)
             3.000 operator 7: 200 done
             3.000 operator 8: 503 draining
         "#]],
@@ -151,10 +169,18 @@
 
 /// An instance with a pending request whose listening socket a new process has taken over; that one has ejected a backend.
 fn bench_replaced_by_a_new_process() -> Bench {
-    let mut b = bench_configured(1024, true, true);
-    b.client(1).client(2).client(3).sends(2, PING).call(1, "order", 5).until(0.05).text.clear();
+    let mut bench = bench_configured(1024, true, true);
+    bench
+        .client_connects(1)
+        .client_connects(2)
+        .client_connects(3)
+        .client_sends(2, PING)
+        .request(1, "order", 5)
+        .run_until(0.05)
+        .trace
+        .clear();
     let out = [("s-a".to_string(), 1000.0)].into();
-    b.event(Event::SharedStateSaved {
+    bench.event(Event::SharedStateSaved {
         call: None,
         shared: Ok(SharedState {
             ejected_backends: out,
@@ -164,31 +190,34 @@
             peer_descriptor_limit: None,
         }),
     });
-    b
+    bench
 }
 
-/// Guards: with the listening socket passed on, the old process leaves it at once, still says yes for the front door,
-/// ends connections between commands only, and none that nobody has asked anything on; bans made at the new one hold.
+/// Guards: with the listening socket handed over, the old process stops accepting at once, still reports the instance as
+/// healthy, closes connections only between commands, and none on which no command has been sent; ejections at the new
+/// process hold here too.
 #[test]
 fn a_replaced_process_answers_pending_requests_while_the_new_one_accepts() {
-    let mut b = bench_replaced_by_a_new_process();
-    b.event(Event::Shutdown)
-        .sends(2, PING)
+    let mut bench = bench_replaced_by_a_new_process();
+    bench
+        .event(Event::Shutdown)
+        .client_sends(2, PING)
         .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
-        .until(3.1);
-    b.sends(3, PING)
+        .run_until(3.1);
+    bench
+        .client_sends(3, PING)
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping });
-    b.only(|l| !l.contains("ounter"));
-    b.is(expect![[r#"
+    bench.retain_lines(|l| !l.contains("ounter"));
+    bench.assert_trace(expect![[r#"
         0.050 log: backend s-a ejected by an operator
         0.050 log: another process of this instance is running
         0.050 log: shutting down: the next process accepts, this one answers its pending requests
         0.050 stop accepting
-        0.050 will hold 62 descriptors at the most
-        0.050 part with client 2 if it is quiet
+        0.050 announce a limit of 62 descriptors
+        0.050 close client 2 if idle
         0.050 client 2: +PONG
-        0.050 part with client 2 if it is quiet
+        0.050 close client 2 if idle
         0.050 log: connection client 2 ended: stopping
         0.290 log: connection backend 3 s-a ended: dial-timeout
         0.290 connect Backend(4) to 127.0.0.1:7012
@@ -196,35 +225,36 @@
         0.540 connect Backend(5) to 127.0.0.1:7012
         0.790 log: connection backend 5 s-b ended: dial-timeout
         0.790 client 1: -BUSY 500
-        0.790 part with client 1 if it is quiet
+        0.790 close client 1 if idle
         3.100 client 3: +PONG
-        3.100 part with client 3 if it is quiet
+        3.100 close client 3 if idle
         3.100 log: connection client 3 ended: stopping
         3.100 log: connection client 1 ended: stopping
         3.100 exit once all is written
     "#]]);
 }
 
-/// Guards: with a passed socket, and nobody there to take over, a stop waited for clients that had never said anything and
-/// kept the next start from coming.
+/// Guards: with an inherited socket and no successor, a shutdown waited for clients that had never sent a command and delayed
+/// the next start.
 #[test]
 fn a_shutdown_without_a_successor_is_like_any_other() {
-    let mut b = bench_configured(1024, true, true);
-    b.client(1).client(2).sends(2, PING);
-    // The one before is still there: it takes nothing over.
+    let mut bench = bench_configured(1024, true, true);
+    bench.client_connects(1).client_connects(2).client_sends(2, PING);
+    // The process before is still running: it takes nothing over.
     let shared = SharedState { peer_process_running: true, ..SharedState::default() };
-    b.event(Event::SharedStateSaved { call: None, shared: Ok(shared) }).text.clear();
-    b.event(Event::Shutdown).sends(2, PING).until(0.3).client(3).until(0.6);
-    b.event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping })
+    bench.event(Event::SharedStateSaved { call: None, shared: Ok(shared) }).trace.clear();
+    bench.event(Event::Shutdown).client_sends(2, PING).run_until(0.3).client_connects(3).run_until(0.6);
+    bench
+        .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping });
-    b.is(expect![[r#"
+    bench.assert_trace(expect![[r#"
         0.000 log: shutting down: serving on, then closing connections
         0.000 client 2: -ERR draining
         0.500 stop accepting
-        0.500 part with client 1 if it is quiet
-        0.500 part with client 2 if it is quiet
-        0.500 part with client 3 if it is quiet
+        0.500 close client 1 if idle
+        0.500 close client 2 if idle
+        0.500 close client 3 if idle
         0.600 log: connection client 1 ended: stopping
         0.600 log: connection client 2 ended: stopping
         0.600 log: connection client 3 ended: stopping
@@ -232,27 +262,30 @@
     "#]]);
 }
 
-/// Guards: a front door that was drained by hand and then told to stop ended connections that had just come, with commands
-/// on them that had been read.
+/// Guards: an instance that an operator had drained and that was then shut down closed connections that it had just accepted,
+/// although commands had been read on them.
 #[test]
 fn a_shutdown_of_a_drained_instance_serves_on_before_connections_are_closed() {
-    let mut b = bench_configured(1024, false, true);
-    b.client(1);
-    call(&mut b, 1, "POST /healthcheck/fail");
-    shared_state_saved(&mut b, 1, &[], true);
-    b.until(0.7).event(Event::Shutdown).until(0.9).text.clear();
-    b.batch(vec![Event::ClientAccepted { client: 2, address: HERE }, command_event(2, PING)]).until(1.25);
-    // From now on connections end; one on which something was read is answered first.
-    b.batch(vec![Event::ClientAccepted { client: 3, address: HERE }, command_event(3, PING)])
+    let mut bench = bench_configured(1024, false, true);
+    bench.client_connects(1);
+    admin_call(&mut bench, 1, "POST /healthcheck/fail");
+    shared_state_saved(&mut bench, 1, &[], true);
+    bench.run_until(0.7).event(Event::Shutdown).run_until(0.9).trace.clear();
+    bench
+        .batch(vec![Event::ClientAccepted { client: 2, address: HERE }, command_event(2, PING)])
+        .run_until(1.25);
+    // From now on connections are closed; one on which a command was read is answered first.
+    bench
+        .batch(vec![Event::ClientAccepted { client: 3, address: HERE }, command_event(3, PING)])
         .event(Event::ClientAccepted { client: 4, address: HERE });
-    b.is_but_list(expect![[r#"
+    bench.assert_trace_without_discovery(expect![[r#"
         0.900 client 2: -ERR draining
         1.000 log: connection operator 1 ended: called
         1.200 stop accepting
-        1.200 part with client 1 if it is quiet
-        1.200 part with client 2 if it is quiet
+        1.200 close client 1 if idle
+        1.200 close client 2 if idle
         1.250 client 3: -ERR draining
-        1.250 part with client 3 if it is quiet
+        1.250 close client 3 if idle
         1.250 log: connection client 4 ended: stopping
     "#]]);
 }
