--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -103,7 +103,7 @@
                 self.respond_to_admin(now, id, 404, format!("backend {name} was never listed\n"));
             }
             AdminCall::EjectBackend(name) => {
-                self.apply_admin_change(now, id, AdminChange::EjectBackend(name, now));
+                self.apply_admin_change(now, id, AdminChange::EjectBackend { name, since: now });
             }
             AdminCall::RestoreBackend(name) => {
                 self.apply_admin_change(now, id, AdminChange::RestoreBackend(name));
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -132,9 +132,14 @@
 /// A change by an operator, which is saved for the next process too.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminChange {
-    /// The backend's name, and since when it is ejected, in seconds.
-    EjectBackend(String, f64),
-    /// The backend's name.
+    /// No new attempts are sent to a backend.
+    EjectBackend {
+        /// The backend's name.
+        name: String,
+        /// Since when it is ejected, in seconds.
+        since: f64,
+    },
+    /// Attempts are sent to the backend of this name again.
     RestoreBackend(String),
     /// Whether the instance is drained.
     SetDrained(bool),
@@ -144,7 +149,7 @@
     /// Makes the change to these parts of the shared state.
     pub fn apply(self, ejected_backends: &mut BTreeMap<String, f64>, drained: &mut bool) {
         match self {
-            AdminChange::EjectBackend(name, since) => {
+            AdminChange::EjectBackend { name, since } => {
                 ejected_backends.entry(name).or_insert(since);
             }
             AdminChange::RestoreBackend(name) => {
--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -39,9 +39,9 @@
     bench.assert_trace(expect![[r#"
         0.000 operator 1: 404 backend s-x was never listed
         0.000 log: backend s-b ejected by an operator
-        0.000 save EjectBackend("s-b", 1000.0)
+        0.000 save EjectBackend { name: "s-b", since: 1000.0 }
         0.000 operator 2: 200 done
-        0.000 save EjectBackend("s-b", 1000.0)
+        0.000 save EjectBackend { name: "s-b", since: 1000.0 }
         0.000 operator 3: 200 done
         1.000 log: connection operator 1 ended: called
         1.000 log: connection operator 2 ended: called
--- a/gateway/tests/shared_file.rs
+++ b/gateway/tests/shared_file.rs
@@ -13,8 +13,8 @@
             let file = &file;
             scope.spawn(move || {
                 for change in 0..20 {
-                    file.apply(AdminChange::EjectBackend(format!("{writer}-{change}"), 0.0))
-                        .expect("written");
+                    let name = format!("{writer}-{change}");
+                    file.apply(AdminChange::EjectBackend { name, since: 0.0 }).expect("written");
                 }
             });
         }
