--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -1,5 +1,5 @@
 //! Operators' calls, and the state that the processes of one instance share.
-use super::event::{AdminChange, CloseReason, ConnectionId, Effect, OperatorUpdate, SharedState};
+use super::event::{AdminChange, CloseReason, ConnectionId, Effect, OperatorUpdate, SaveError, SharedState};
 use super::reducer::Reducer;
 use super::timers::{TimerKey, TimerKind};
 use crate::wire::admin::{AdminCall, AdminResponse};
@@ -103,7 +103,7 @@
                 self.respond_to_admin(now, id, 404, format!("backend {name} was never listed\n"));
             }
             AdminCall::EjectBackend(name) => {
-                self.apply_admin_change(now, id, AdminChange::EjectBackend(name, now));
+                self.apply_admin_change(now, id, AdminChange::EjectBackend { name, since: now });
             }
             AdminCall::RestoreBackend(name) => {
                 self.apply_admin_change(now, id, AdminChange::RestoreBackend(name));
@@ -117,7 +117,8 @@
         let Some(timeout) = self.admin.connections.get_mut(&id) else { return };
         self.timers.cancel(*timeout);
         *timeout = self.timers.schedule(now + RESPONSE_TIMEOUT, TimerKind::AdminTimeout(id));
-        self.effects.push(Effect::AdminRespond(id, AdminResponse { status, body }));
+        let response = AdminResponse { status, body };
+        self.effects.push(Effect::AdminRespond { connection: id, response });
     }
 
     /// Takes effect at once; the response is sent when the change is saved, too.
@@ -126,7 +127,7 @@
         change.clone().apply(&mut shared.ejected_backends, &mut shared.drained);
         self.update_shared_state(now, shared);
         if self.config.saves_changes {
-            return self.effects.push(Effect::SaveChange(id, change));
+            return self.effects.push(Effect::SaveChange { call: id, change });
         }
         self.respond_to_admin(now, id, 200, "done\n".into());
     }
@@ -136,7 +137,7 @@
         &mut self,
         now: f64,
         call: Option<u64>,
-        shared: Result<SharedState, String>,
+        shared: Result<SharedState, SaveError>,
     ) {
         let (status, body) = match shared {
             Ok(shared) => {
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -7,6 +7,7 @@
 use quillramp_operator::broker::BrokerSettings;
 use quillramp_operator::routes::Table;
 use std::collections::BTreeMap;
+use std::error::Error;
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -131,9 +132,14 @@
 /// A change by an operator, which is saved for the next process too.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminChange {
-    /// The backend's name, and since when it is ejected, in seconds.
-    EjectBackend(String, f64),
-    /// The backend's name.
+    /// No new attempts are sent to a backend.
+    EjectBackend {
+        /// The backend's name.
+        name: String,
+        /// Since when it is ejected, in seconds.
+        since: f64,
+    },
+    /// Attempts are sent to the backend of this name again.
     RestoreBackend(String),
     /// Whether the instance is drained.
     SetDrained(bool),
@@ -143,7 +149,7 @@
     /// Makes the change to these parts of the shared state.
     pub fn apply(self, ejected_backends: &mut BTreeMap<String, f64>, drained: &mut bool) {
         match self {
-            AdminChange::EjectBackend(name, since) => {
+            AdminChange::EjectBackend { name, since } => {
                 ejected_backends.entry(name).or_insert(since);
             }
             AdminChange::RestoreBackend(name) => {
@@ -169,40 +175,98 @@
     pub peer_descriptor_limit: Option<usize>,
 }
 
+/// The shared state could not be saved. Whoever saves it says why; to the reducer that is a text for operators.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct SaveError(Box<dyn Error + Send + Sync>);
+
+impl SaveError {
+    /// The state could not be saved because of this.
+    pub fn new(cause: impl Error + Send + Sync + 'static) -> SaveError {
+        SaveError(Box::new(cause))
+    }
+}
+
 /// What has happened. Numbers are those of connections, unless stated otherwise.
 #[derive(Debug)]
 pub enum Event {
-    /// A client connected, from this address.
-    ClientAccepted(u64, IpAddr),
+    /// A client connected.
+    ClientAccepted {
+        /// The client's connection.
+        client: u64,
+        /// The address that it connected from.
+        address: IpAddr,
+    },
     /// An operator connected.
     AdminConnected(u64),
     /// An operator's call.
-    AdminCall(u64, admin::AdminCall),
+    AdminCall {
+        /// The operator's connection.
+        connection: u64,
+        /// What the operator asks for.
+        call: admin::AdminCall,
+    },
     /// The shared state was saved, or could not be: for an operator's call on this connection, or by another process.
     SharedStateSaved {
         /// The operator's connection; `None` where another process saved it.
         call: Option<u64>,
         /// The state as it is now, or why it could not be saved.
-        shared: Result<SharedState, String>,
+        shared: Result<SharedState, SaveError>,
     },
     /// A client's connection was closed after `Effect::CloseIfIdle`.
-    IdleClientClosed(u64, CloseReason),
+    IdleClientClosed {
+        /// The client's connection.
+        client: u64,
+        /// The reason that the effect gave.
+        reason: CloseReason,
+    },
     /// A client's command.
-    ClientCommand(u64, ClientCommand),
-    /// A backend's reply, and whether more has come right behind it.
-    BackendReply(u64, BackendReply, bool),
+    ClientCommand {
+        /// The client's connection.
+        client: u64,
+        /// The command.
+        command: ClientCommand,
+    },
+    /// A backend's reply.
+    BackendReply {
+        /// The backend's connection.
+        connection: u64,
+        /// The reply.
+        reply: BackendReply,
+        /// More bytes were received right behind it.
+        more_received: bool,
+    },
     /// The head of a value that is to be streamed has come from a backend.
     StreamStarted(u64),
     /// All of that value is on its way to the client.
     StreamForwarded(u64),
-    /// What stood behind that value: the billed units, the load report, and whether more has come behind them.
-    StreamTrailer(u64, Option<f64>, Option<Vec<u8>>, bool),
+    /// What follows that value.
+    StreamTrailer {
+        /// The backend's connection.
+        connection: u64,
+        /// The units that the backend billed, where it reports them.
+        billed_units: Option<f64>,
+        /// The backend's load report, as it was written.
+        load_report: Option<Vec<u8>>,
+        /// More bytes were received right behind it.
+        more_received: bool,
+    },
     /// A response of the counter or of the discovery service.
-    HttpResponse(ConnectionId, Response),
+    HttpResponse {
+        /// The connection to the service.
+        connection: ConnectionId,
+        /// The response.
+        response: Response,
+    },
     /// The beginning of a message has come, and not the rest yet.
     PartialMessage(ConnectionId),
-    /// More of a long body has come from a client, and whether there is memory for the rest.
-    BodyProgress(u64, bool),
+    /// More of a long body has come from a client.
+    BodyProgress {
+        /// The client's connection.
+        client: u64,
+        /// There is memory for the rest.
+        has_capacity: bool,
+    },
     /// A connection that was opened from here is up.
     Connected(ConnectionId),
     /// An attempt was taken out of the buffer of a backend's connection before any of its bytes was written.
@@ -249,18 +313,42 @@
 #[derive(Debug)]
 pub enum Effect {
     /// Sends a reply to a client.
-    Reply(u64, ClientReply),
+    Reply {
+        /// The client's connection.
+        client: u64,
+        /// The reply.
+        reply: ClientReply,
+    },
     /// Tells a client why it is not accepted.
-    Reject(u64, &'static str),
+    Reject {
+        /// The client's connection.
+        client: u64,
+        /// Why, as the client reads it.
+        reason: &'static str,
+    },
     /// Responds to an operator's call; that side of the connection ends with it.
-    AdminRespond(u64, admin::AdminResponse),
-    /// Saves a change by an operator for the next process, and notifies the other one of this instance. With the operator's
-    /// connection.
-    SaveChange(u64, AdminChange),
+    AdminRespond {
+        /// The operator's connection.
+        connection: u64,
+        /// The response.
+        response: admin::AdminResponse,
+    },
+    /// Saves a change by an operator for the next process, and notifies the other one of this instance.
+    SaveChange {
+        /// The operator's connection, on which the result is awaited.
+        call: u64,
+        /// The change.
+        change: AdminChange,
+    },
     /// From now on this process holds no more descriptors than these: the other one may use the rest.
     AnnounceDescriptorLimit(usize),
     /// Closes a client's connection unless something unread has come on it.
-    CloseIfIdle(u64, CloseReason),
+    CloseIfIdle {
+        /// The client's connection.
+        client: u64,
+        /// Why it is closed.
+        reason: CloseReason,
+    },
     /// Reads no more of this client's commands; only the end of its connection is reported.
     StopReading(u64),
     /// Writes a request to a backend's connection, with the time in which its response is awaited, in milliseconds.
@@ -281,8 +369,13 @@
         /// Its number on that connection.
         attempt: u64,
     },
-    /// Forwards the value that has begun on this backend's connection to that client, or drops it.
-    Stream(u64, Option<u64>),
+    /// Forwards the value that has begun on a backend's connection to a client, or drops it.
+    Stream {
+        /// The backend's connection.
+        connection: u64,
+        /// The client's connection; `None` where the value is dropped.
+        client: Option<u64>,
+    },
     /// Closes a backend's connection on which a value is being streamed, if that does not move.
     CloseIfStalled {
         /// The backend's connection.
@@ -293,13 +386,28 @@
         stalled_for: f64,
     },
     /// Sends a request to the counter or to the discovery service.
-    HttpRequest(ConnectionId, Request),
+    HttpRequest {
+        /// The connection to the service.
+        connection: ConnectionId,
+        /// The request.
+        request: Request,
+    },
     /// Opens a connection.
-    Connect(ConnectionId, SocketAddr),
+    Connect {
+        /// The new connection.
+        connection: ConnectionId,
+        /// The address that it is opened to.
+        address: SocketAddr,
+    },
     /// Closes a connection; what was written to it before leaves first.
     Close(ConnectionId),
     /// Sends a datagram to another instance, or to all.
-    SendDatagram(SocketAddr, Vec<u8>),
+    SendDatagram {
+        /// The instance's address, or the one that reaches all.
+        to: SocketAddr,
+        /// All of it.
+        body: Vec<u8>,
+    },
     /// Writes a line to the log.
     Log(String),
     /// Logs the end of a connection.
--- a/gateway/src/state/idle.rs
+++ b/gateway/src/state/idle.rs
@@ -35,11 +35,11 @@
         self.timers.schedule(now + PARTIAL_COMMAND_TIMEOUT, TimerKind::PartialCommand(id));
     }
 
-    /// More of a command's long body has come. `has_room`: its next part can be read.
-    pub(super) fn body_progressed(&mut self, now: f64, id: u64, has_room: bool) {
+    /// More of a command's long body has come. `has_capacity`: its next part can be read.
+    pub(super) fn body_progressed(&mut self, now: f64, id: u64, has_capacity: bool) {
         self.partial_command_received(now, id);
         if let Some(client) = self.clients.connections.get_mut(&id) {
-            client.body_progress_at = Some(if has_room { now } else { f64::INFINITY });
+            client.body_progress_at = Some(if has_capacity { now } else { f64::INFINITY });
         }
     }
 
@@ -87,7 +87,8 @@
         let mut idle: Vec<u64> = idle.map(|(id, _)| *id).collect();
         idle.sort_unstable();
         // A command may have come just now: it is looked for before the connection is closed.
-        self.effects.extend(idle.into_iter().map(|id| Effect::CloseIfIdle(id, CloseReason::Idle)));
+        let close_if_idle = |client| Effect::CloseIfIdle { client, reason: CloseReason::Idle };
+        self.effects.extend(idle.into_iter().map(close_if_idle));
     }
 
     /// Connections that have been idle for half of what the other side allows are closed here, not there.
--- a/gateway/tests/backlog.rs
+++ b/gateway/tests/backlog.rs
@@ -1,34 +1,37 @@
-//! What is kept of commands that come faster than they may be taken in.
-use quillramp_gateway::state::backlog::{Backlog, Due, MOST_DROPPED};
+//! What is buffered of commands that arrive faster than they may be accepted.
+use quillramp_gateway::state::backlog::{Backlog, Rejection, MAX_DROPPED_COMMANDS};
 use quillramp_gateway::wire::resp::{command_extent, decode_command, Extent};
 
-const STEP: usize = 1024;
+/// The bytes by which a buffer grows.
+const GROWTH_STEP: usize = 1024;
 
 fn command_with_body(body: usize) -> Vec<u8> {
     let head = "*5\r\n$9\r\nCALL.POST\r\n$16\r\n0000000000000001\r\n$16\r\n0000000000000002\r\n$3\r\nc=x\r\n";
     format!("{head}${body}\r\n{}\r\n", "b".repeat(body)).into_bytes()
 }
 
-/// How many dropped commands are refused now.
+/// How many dropped commands are rejected now.
 fn rejected_count(backlog: &mut Backlog) -> usize {
-    std::iter::repeat_with(|| backlog.next_due()).take_while(|due| *due == Some(Due::Refusal)).count()
+    std::iter::repeat_with(|| backlog.next_rejection())
+        .take_while(|rejection| *rejection == Some(Rejection::Command))
+        .count()
 }
 
 #[test]
-fn an_extent_is_as_long_as_the_command_that_is_decoded() {
+fn an_extent_is_the_length_of_the_decoded_command() {
     for text in [
         command_with_body(0),
         command_with_body(70_000),
         b"*1\r\n$4\r\nPING\r\n".to_vec(),
         b"*0\r\n".to_vec(),
     ] {
-        let (_, length) = decode_command(&text).expect("framed").expect("whole");
+        let (_, length) = decode_command(&text).expect("valid framing").expect("complete");
         assert_eq!(command_extent(&text), Ok(Extent::Complete(length)));
         for cut in 0..text.len().min(200) {
-            let reach = command_extent(&text[..cut]).expect("framed");
+            let extent = command_extent(&text[..cut]).expect("valid framing");
             assert!(
-                reach == Extent::Unknown || reach == Extent::Missing(text.len() - cut),
-                "{cut}: {reach:?}"
+                extent == Extent::Unknown || extent == Extent::Missing(text.len() - cut),
+                "{cut}: {extent:?}"
             );
         }
     }
@@ -43,7 +46,7 @@
 }
 
 #[test]
-fn whole_commands_are_kept_and_later_ones_are_dropped_however_they_are_cut() {
+fn complete_commands_are_buffered_and_later_ones_dropped_in_pieces_of_any_size() {
     let all = [
         command_with_body(3),
         command_with_body(70_000),
@@ -53,61 +56,61 @@
     .concat();
     for piece in [1, 7, 4096, 100_000] {
         let mut backlog = Backlog::default();
-        backlog.extend(&command_with_body(3), STEP);
-        backlog.extend(&command_with_body(9)[..20], STEP);
+        backlog.extend(&command_with_body(3), GROWTH_STEP);
+        backlog.extend(&command_with_body(9)[..20], GROWTH_STEP);
         backlog.start_dropping();
-        backlog.extend(&command_with_body(9)[20..], STEP);
+        backlog.extend(&command_with_body(9)[20..], GROWTH_STEP);
         for bytes in all.chunks(piece) {
-            backlog.extend(bytes, STEP);
-            assert!(backlog.len() < 70_000, "{} bytes are kept", backlog.len());
+            backlog.extend(bytes, GROWTH_STEP);
+            assert!(backlog.len() < 70_000, "{} bytes are buffered", backlog.len());
         }
         assert!(
             backlog.decodable() == command_with_body(3)
                 && rejected_count(&mut backlog) == 0
-                && !backlog.stops_dropping()
+                && !backlog.try_stop_dropping()
         );
-        backlog.decoded(command_with_body(3).len());
+        backlog.consume(command_with_body(3).len());
         assert_eq!(rejected_count(&mut backlog), 5, "in pieces of {piece}");
-        assert!(backlog.stops_dropping() && backlog.is_empty());
-        backlog.extend(&command_with_body(2), STEP);
+        assert!(backlog.try_stop_dropping() && backlog.is_empty());
+        backlog.extend(&command_with_body(2), GROWTH_STEP);
         assert_eq!(backlog.decodable(), command_with_body(2));
     }
 }
 
 #[test]
-fn a_dropped_command_is_refused_once_all_of_it_has_come() {
+fn a_dropped_command_is_rejected_once_all_of_it_has_arrived() {
     let (long, mut backlog) = (command_with_body(200_000), Backlog::default());
-    backlog.extend(&long[..80_000], STEP);
+    backlog.extend(&long[..80_000], GROWTH_STEP);
     backlog.start_dropping();
     assert_eq!((backlog.len(), backlog.is_empty()), (0, false));
-    backlog.extend(&long[80_000..long.len() - 1], STEP);
-    assert!(rejected_count(&mut backlog) == 0 && !backlog.stops_dropping());
-    backlog.extend(&[&long[long.len() - 1..], &command_with_body(1)[..]].concat(), STEP);
+    backlog.extend(&long[80_000..long.len() - 1], GROWTH_STEP);
+    assert!(rejected_count(&mut backlog) == 0 && !backlog.try_stop_dropping());
+    backlog.extend(&[&long[long.len() - 1..], &command_with_body(1)[..]].concat(), GROWTH_STEP);
     assert_eq!(rejected_count(&mut backlog), 2);
-    assert!(backlog.stops_dropping());
+    assert!(backlog.try_stop_dropping());
 }
 
 #[test]
-fn what_can_not_be_understood_behind_dropped_commands_is_met_in_its_turn() {
+fn malformed_input_behind_dropped_commands_is_decoded_in_its_turn() {
     let mut backlog = Backlog::default();
-    backlog.extend(&command_with_body(1), STEP);
+    backlog.extend(&command_with_body(1), GROWTH_STEP);
     backlog.start_dropping();
-    backlog.extend(&[&command_with_body(2)[..], b"nonsense\r\n"].concat(), STEP);
-    backlog.extend(&command_with_body(3), STEP);
-    backlog.decoded(command_with_body(1).len());
+    backlog.extend(&[&command_with_body(2)[..], b"nonsense\r\n"].concat(), GROWTH_STEP);
+    backlog.extend(&command_with_body(3), GROWTH_STEP);
+    backlog.consume(command_with_body(1).len());
     assert_eq!(rejected_count(&mut backlog), 1);
-    assert!(backlog.stops_dropping());
+    assert!(backlog.try_stop_dropping());
     assert!(decode_command(backlog.decodable()).is_err());
 }
 
 #[test]
-fn after_so_many_dropped_commands_nothing_more_is_taken() {
+fn input_is_discarded_once_too_many_commands_have_been_dropped() {
     let (ping, mut backlog) = (b"*1\r\n$4\r\nPING\r\n", Backlog::default());
     backlog.start_dropping();
-    for _ in 0..MOST_DROPPED + 100 {
-        backlog.extend(ping, STEP);
+    for _ in 0..MAX_DROPPED_COMMANDS + 100 {
+        backlog.extend(ping, GROWTH_STEP);
     }
-    assert_eq!(rejected_count(&mut backlog), MOST_DROPPED + 1);
-    assert_eq!((backlog.stops_dropping(), backlog.len()), (false, 0));
-    assert_eq!(backlog.next_due(), Some(Due::TooMany));
+    assert_eq!(rejected_count(&mut backlog), MAX_DROPPED_COMMANDS + 1);
+    assert_eq!((backlog.try_stop_dropping(), backlog.len()), (false, 0));
+    assert_eq!(backlog.next_rejection(), Some(Rejection::Overflow));
 }
--- a/gateway/tests/shared_file.rs
+++ b/gateway/tests/shared_file.rs
@@ -15,8 +15,8 @@
             let file = &file;
             scope.spawn(move || {
                 for change in 0..CHANGES {
-                    file.apply(AdminChange::EjectBackend(format!("{writer}-{change}"), 0.0))
-                        .expect("the file is written");
+                    let name = format!("{writer}-{change}");
+                    file.apply(AdminChange::EjectBackend { name, since: 0.0 }).expect("the file is written");
                 }
             });
         }
