--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -125,8 +125,7 @@
             warming_check_interval: WARMING_CHECK_INTERVAL,
             slow_start: &self.slow_start,
         };
-        let rng = self.rng.as_mut().expect("seeded at the start");
-        Some(self.backends.sample(now, rng, &settings))
+        Some(self.backends.sample(now, &mut self.rng, &settings))
     }
 
     /// Whether backends that give good outcomes of this kind are hard to find.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -50,9 +50,8 @@
 const INITIAL_LATENCY_FRACTION: f64 = 0.25;
 
 /// The decisions of one gateway instance, and all that they remember.
-#[derive(Default)]
 pub struct PolicyEngine {
-    rng: Option<ChaCha8Rng>,
+    rng: ChaCha8Rng,
     /// Number of gateway instances.
     instances: f64,
     /// Number of processes of this instance: two during an upgrade.
@@ -94,7 +93,7 @@
             LatencyEstimate::initial(operation.latency_objective * INITIAL_LATENCY_FRACTION)
         };
         PolicyEngine {
-            rng: Some(ChaCha8Rng::seed_from_u64(settings.seed)),
+            rng: ChaCha8Rng::seed_from_u64(settings.seed),
             instances,
             local_processes: 1.0,
             gossip_budget: GossipBudget::new(settings.gossip_intake_rate),
@@ -104,11 +103,17 @@
             plans,
             slow_start: settings.slow_start,
             attempt_settings: settings.attempts,
+            requests: BTreeMap::new(),
+            accounts: BTreeMap::new(),
+            backends: BackendSet::default(),
+            concurrency: ConcurrencyLimit::default(),
             retry_tokens: attempts::INITIAL_RETRY_TOKENS,
             counter: CounterHealth::new(counter, instances),
             last_call_at: f64::INFINITY,
+            reconsider: BTreeSet::new(),
+            evicted_customers: Vec::new(),
             timers,
-            ..PolicyEngine::default()
+            effects: Effects::default(),
         }
     }
 
@@ -216,7 +221,7 @@
 
     /// A random number from 0 to 1.
     fn random_fraction(&mut self) -> f64 {
-        self.rng.as_mut().expect("seeded at the start").gen_range(0.0..1.0)
+        self.rng.gen_range(0.0..1.0)
     }
 
     /// A request that the engine is deciding on.
