--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -196,7 +196,7 @@
                 .ejection
                 .is_some_and(|ejection| now < ejection.until || idempotency != Idempotency::Idempotent);
             let was_tried = selection.tried.contains(&index);
-            let backlog = || (backend.throughput(now, THROUGHPUT_WINDOW) * backlog_time).max(1.0);
+            let backlog = || (backend.throughput(now, &THROUGHPUT_WINDOW) * backlog_time).max(1.0);
             if is_ejected || was_tried || self.is_unresponsive(now, backend, p95) {
                 candidates.fallback.push(index);
             } else if backend.in_flight_units >= backlog() {
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -2,7 +2,7 @@
 //! estimates of answer times follow.
 use super::requests::EndedAttempt;
 use super::{PolicyEngine, GOSSIP_INTERVAL};
-use crate::state::{update_fraction, update_quantile, Backend, Ejection, LatencyEstimate};
+use crate::state::{update_fraction, update_quantile, Backend, Ejection, LatencyEstimate, ThroughputWindow};
 use crate::types::*;
 
 /// The quantile of answer times that judges a backend.
@@ -17,8 +17,10 @@
 const FAILURE_RATE_STEP: f64 = 0.05;
 /// An answer is slow, and so is a median, that takes so many times the least median.
 pub(super) const SLOW_FACTOR: f64 = 3.0;
-/// Answers of a backend are counted over about so long, seconds.
-pub(super) const THROUGHPUT_WINDOW: f64 = 2.0;
+/// Answers of a backend are counted over about 2 s. The first answers of one that has just been listed came in next to no time: taken
+/// as a rate they would allow any backlog, so it counts as observed for 0.1 s, a twentieth of the window, from the start.
+pub(super) const THROUGHPUT_WINDOW: ThroughputWindow =
+    ThroughputWindow { time_constant: 2.0, initial_observation: 0.1 };
 /// So many failures in a row eject a backend.
 const FAILURES_UNTIL_EJECTION: u32 = 3;
 /// How long the first ejection lasts, seconds; each further one in a row lasts twice as long,
@@ -120,9 +122,7 @@
         let relative = outcome.duration / units / *p95;
         let backend = self.backend_mut(outcome.backend);
         update_quantile(&mut backend.slowness, relative, TAIL_QUANTILE, BACKEND_QUANTILE_STEP);
-        let decay = ((backend.answered_at - now) / THROUGHPUT_WINDOW).exp();
-        backend.answered_units = backend.answered_units * decay + units;
-        backend.answered_at = now;
+        backend.record_answer(now, units, &THROUGHPUT_WINDOW);
         backend.last_progress_at = now;
         backend.consecutive_failures = 0;
         if backend.ejection.take().is_some() {
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -21,6 +21,15 @@
     pub successes: u32,
 }
 
+/// How the throughput of a backend is averaged.
+#[derive(Clone, Copy)]
+pub struct ThroughputWindow {
+    /// Answers decay exponentially with this time constant, seconds.
+    pub time_constant: f64,
+    /// A backend counts as observed for so many seconds longer than it is listed.
+    pub initial_observation: f64,
+}
+
 /// A backend as the endpoint list has it, and what this instance has seen of it.
 #[derive(Default)]
 pub struct Backend {
@@ -72,10 +81,22 @@
         }
     }
 
-    /// Units a second that it has answered, averaged over about `window` seconds.
-    pub fn throughput(&self, now: f64, window: f64) -> f64 {
-        let observed = window * (1.0 - ((self.listed_at - now - window / 20.0) / window).exp());
-        self.answered_units * ((self.answered_at - now) / window).exp() / observed
+    /// Units a second that it has answered, averaged over about the time constant of the window.
+    pub fn throughput(&self, now: f64, window: &ThroughputWindow) -> f64 {
+        let ThroughputWindow { time_constant, initial_observation } = *window;
+        let weight_before = ((self.listed_at - now - initial_observation) / time_constant).exp();
+        self.recent_units(now, window) / (time_constant * (1.0 - weight_before))
+    }
+
+    /// Units answered, decayed until now.
+    fn recent_units(&self, now: f64, window: &ThroughputWindow) -> f64 {
+        self.answered_units * ((self.answered_at - now) / window.time_constant).exp()
+    }
+
+    /// Counts an answer of so many units.
+    pub fn record_answer(&mut self, now: f64, units: f64, window: &ThroughputWindow) {
+        self.answered_units = self.recent_units(now, window) + units;
+        self.answered_at = now;
     }
 
     /// Whether an idle connection to it, last used after `since`, can be expected.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -12,7 +12,7 @@
 mod timers;
 
 pub use account::{CallPurpose, CustomerAccount, PendingCall};
-pub use backend::{Backend, Ejection};
+pub use backend::{Backend, Ejection, ThroughputWindow};
 pub use backend_set::{BackendSet, Sample, SampleSettings};
 pub use counter::CounterHealth;
 pub use estimate::{update_fraction, update_quantile, LatencyEstimate};
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -55,6 +55,9 @@
     pub ceiling_slack: f64,
 }
 
+/// A fraction of capacity is never less: loads and latencies are divided by it.
+const MIN_CAPACITY_FRACTION: f64 = 0.01;
+
 /// Slow start of a backend that has just started. (Draining needs no settings: a draining backend gets nothing new.)
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
@@ -67,7 +70,8 @@
 impl SlowStart {
     /// Fraction of its full capacity, 0.01 to 1, that a backend has at least, `age` seconds after its start.
     pub fn capacity_fraction(&self, age: f64) -> f64 {
-        (self.initial_fraction + (1.0 - self.initial_fraction) * age / self.duration).clamp(0.01, 1.0)
+        (self.initial_fraction + (1.0 - self.initial_fraction) * age / self.duration)
+            .clamp(MIN_CAPACITY_FRACTION, 1.0)
     }
 }
 
