--- a/counter/src/main.rs
+++ b/counter/src/main.rs
@@ -10,9 +10,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A counter of named totals, in a durable log.
+/// A counter service: named totals in a durable log, alone or replicated by Raft.
 ///
-/// Exit codes: 0 done, 1 a start, a disk or a file has something wrong, which is said, 2 a call that can't be understood.
+/// Exit codes: 0 success; 1 an option, a socket, the disk or a file is not usable, which standard error names; 2 a command line
+/// that can't be understood.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -22,33 +23,41 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM.
+    /// Run a replica until SIGTERM or SIGINT.
     Serve {
-        /// Where front doors call.
+        /// Address on which gateway instances are accepted, as IP:PORT.
         #[arg(long)]
         listen: SocketAddr,
-        /// The folder of its log, which nobody else may have.
-        #[arg(long)]
+        /// Directory of the log, created if necessary; no other replica may use it.
+        #[arg(long, value_name = "DIRECTORY")]
         data: PathBuf,
-        /// Which of the members this is.
+        /// The id of this replica among the members.
         #[arg(long, default_value_t = 1)]
         id: u64,
-        /// All members, this one included, as ID=ADDRESS; left out: alone.
-        #[arg(long = "member", value_parser = parse_member)]
+        /// A replica and the address on which it accepts its peers; given once for each of two or three replicas, this one
+        /// included [default: this replica runs alone]
+        #[arg(long = "member", value_name = "ID=IP:PORT", value_parser = parse_member)]
         members: Vec<Member>,
-        /// Seconds without a word of the leader, at least, before another one stands.
-        #[arg(long = "patience", value_name = "PATIENCE", default_value_t = Timing::default().election_timeout)]
+        /// The shortest election timeout, 0.02 to 60 seconds: a replica that has heard nothing from the leader for once to twice
+        /// this time, drawn at random, stands for election.
+        #[arg(long = "patience", value_name = "SECONDS", default_value_t = Timing::default().election_timeout)]
         election_timeout: f64,
-        /// The longest that a name lives, seconds; budgets of longer periods need more.
-        #[arg(long = "longest-life", value_name = "LONGEST_LIFE", default_value_t = Timing::default().max_lifetime)]
+        /// The longest time for which a name and its total are kept, 1 to 1e8 seconds; at least the longest budget period.
+        #[arg(long = "longest-life", value_name = "SECONDS", default_value_t = Timing::default().max_lifetime)]
         max_lifetime: f64,
     },
-    /// Look whether a folder's files are whole.
-    Verify { data: PathBuf },
-    /// Print what a folder holds.
+    /// Check the files of a replica: whether they can be read and all checksums match.
+    Verify {
+        /// The directory of the replica's log.
+        #[arg(value_name = "DIRECTORY")]
+        data: PathBuf,
+    },
+    /// Print what the files of a replica contain.
     Show {
+        /// The directory of the replica's log.
+        #[arg(value_name = "DIRECTORY")]
         data: PathBuf,
-        /// With every name and its total.
+        /// Print every name and its total as well.
         #[arg(long)]
         names: bool,
     },
--- a/emulator/src/arguments.rs
+++ b/emulator/src/arguments.rs
@@ -5,12 +5,14 @@
 use quillramp_emulator::quota_study::CounterFault;
 use std::path::PathBuf;
 
-/// The front door's own code on a virtual clock, with faults from a seed and every rule checked after each step.
+/// Runs the gateway's own code on a virtual clock, injects faults that a seed generates, and checks every invariant after
+/// each event.
 ///
-/// Exit codes: 0 no rule broken, 1 a rule broken, 2 a script or a call that can't be understood.
+/// Exit codes: 0 no invariant violated, 1 an invariant violated, 2 a scenario file or a command line that can't be understood.
 #[derive(Parser)]
 #[command(version)]
 pub struct Arguments {
+    /// What to do.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -18,47 +20,58 @@
 /// The commands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Play a script.
+    /// Run a scenario file.
     Run {
-        script: PathBuf,
-        /// In place of the script's own.
+        /// The scenario, a TOML file.
+        scenario: PathBuf,
+        /// The seed of the run [default: the one in the scenario]
         #[arg(long)]
         seed: Option<u64>,
+        /// How it is run and printed.
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Play the run that a seed draws, as `sweep` does.
+    /// Run the scenario that a seed generates, as `sweep` does.
     Replay {
+        /// The seed.
         seed: u64,
+        /// How it is run and printed.
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Print the script that a seed draws.
-    Draw { seed: u64 },
-    /// Play the runs of many seeds.
+    /// Print the scenario that a seed generates, as a TOML file.
+    Draw {
+        /// The seed.
+        seed: u64,
+    },
+    /// Run the scenarios of many seeds.
     Sweep(SweepArguments),
-    /// Make a script that breaks a rule smaller, as long as it breaks the same one.
+    /// Make a scenario that violates an invariant smaller, as long as it violates the same one.
     Shrink(ShrinkArguments),
-    /// Play one traffic behind more and more front doors, calm and with half of them killed at once.
+    /// Run the same traffic through more and more gateway instances, undisturbed and with half of them killed at once.
     Grow(GrowthArguments),
-    /// Play a counter that is ill for minutes, with the roster and without, and set overshoot against its bound.
+    /// Run with a counter that is faulty for minutes, with and without the roster, and compare the overshoot of quotas with its
+    /// bound.
     Quotas(QuotaArguments),
-    /// Play days of about a hundred front doors: a herd, a zone lost, most backends replaced.
+    /// Run fleets of about a hundred gateway instances: a mass restart, the loss of a zone, the replacement of most backends.
     Fleets(FleetArguments),
-    /// Check scripts without playing them.
-    Check { scripts: Vec<PathBuf> },
-    /// The kinds of faults that a script may name.
+    /// Check scenario files without running them.
+    Check {
+        /// The scenarios, TOML files.
+        scenarios: Vec<PathBuf>,
+    },
+    /// Print the kinds of faults that a scenario may contain.
     Kinds,
 }
 
 /// How one run is run and printed.
 #[derive(Args)]
 pub struct RunOptions {
-    /// How many of the last lines to print; all steps that broke a rule print theirs.
-    #[arg(long, default_value_t = 0)]
+    /// How many lines to print from the end of the trace; at least 20 if an invariant is violated.
+    #[arg(long, value_name = "LINES", default_value_t = 0)]
     pub trace: usize,
-    /// Front doors broken on purpose.
-    #[arg(long = "break", value_enum)]
+    /// Break the gateway in this way, to see that the check finds it [default: not broken]
+    #[arg(long = "break", value_name = "BREAK", value_enum)]
     pub sabotage: Option<Sabotage>,
 }
 
@@ -66,81 +79,89 @@
 #[derive(Args)]
 pub struct SweepArguments {
     /// The first seed.
-    #[arg(long, default_value_t = 0)]
+    #[arg(long, value_name = "SEED", default_value_t = 0)]
     pub from: u64,
-    /// How many.
+    /// Number of seeds; each gives one run.
     #[arg(long, default_value_t = 1000)]
     pub runs: u64,
-    /// At once.
+    /// Number of runs at once; by default the number of cores.
     #[arg(long, default_value_t = default_threads())]
     pub threads: usize,
-    /// So many broken rules are enough.
-    #[arg(long, default_value_t = 10)]
-    pub enough: usize,
-    /// A folder for rows, summary and charts.
-    #[arg(long)]
+    /// Stop after this number of runs with a violation.
+    #[arg(long = "enough", value_name = "VIOLATIONS", default_value_t = 10)]
+    pub max_violations: usize,
+    /// Directory to write rows (CSV), the summary and charts to; it is created if necessary [default: nothing is written]
+    #[arg(long, value_name = "DIRECTORY")]
     pub out: Option<PathBuf>,
-    /// Front doors broken on purpose.
-    #[arg(long = "break", value_enum)]
+    /// Break the gateway in this way, to see that the check finds it [default: not broken]
+    #[arg(long = "break", value_name = "BREAK", value_enum)]
     pub sabotage: Option<Sabotage>,
 }
 
 /// The arguments of `shrink`.
 #[derive(Args)]
 pub struct ShrinkArguments {
-    /// A script; or a seed, with --seed.
+    /// The scenario, a TOML file; required unless --seed is given.
     #[arg(required_unless_present = "seed")]
-    pub script: Option<PathBuf>,
-    #[arg(long, conflicts_with = "script")]
+    pub scenario: Option<PathBuf>,
+    /// Shrink the scenario that this seed generates, in place of a file.
+    #[arg(long, conflicts_with = "scenario")]
     pub seed: Option<u64>,
-    /// So many runs at the most.
-    #[arg(long, default_value_t = 200)]
-    pub runs: usize,
-    /// Where to write it; else it is printed.
-    #[arg(long)]
+    /// Most runs that the search may take.
+    #[arg(long = "runs", value_name = "RUNS", default_value_t = 200)]
+    pub max_runs: usize,
+    /// File to write the smaller scenario to [default: standard output]
+    #[arg(long, value_name = "FILE")]
     pub out: Option<PathBuf>,
-    #[arg(long = "break", value_enum)]
+    /// Break the gateway in this way, to see that the check finds it [default: not broken]
+    #[arg(long = "break", value_name = "BREAK", value_enum)]
     pub sabotage: Option<Sabotage>,
 }
 
 /// The arguments of `grow`.
 #[derive(Args)]
 pub struct GrowthArguments {
-    /// How many front doors, one size after another.
-    #[arg(long, value_delimiter = ',', default_values_t = [8, 48, 300, 2000], value_parser = clap::value_parser!(u16).range(2..=4096))]
-    pub doors: Vec<u16>,
+    /// Numbers of gateway instances, 2 to 4096 each, separated by commas; each is run twice.
+    #[arg(long = "doors", value_name = "INSTANCES", value_delimiter = ',', default_values_t = [8, 48, 300, 2000], value_parser = clap::value_parser!(u16).range(2..=4096))]
+    pub instances: Vec<u16>,
+    /// The seed of all runs.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
+    /// Number of runs at once; by default the number of cores.
     #[arg(long, default_value_t = default_threads())]
     pub threads: usize,
-    /// A file for the table.
-    #[arg(long)]
+    /// File to write the table to, besides standard output [default: none]
+    #[arg(long, value_name = "FILE")]
     pub out: Option<PathBuf>,
 }
 
 /// The arguments of `quotas`.
 #[derive(Args)]
 pub struct QuotaArguments {
-    #[arg(long, value_enum, value_delimiter = ',', default_values_t = [CounterFault::None, CounterFault::Split, CounterFault::Down, CounterFault::Silent, CounterFault::Lost, CounterFault::Deaf, CounterFault::Mixed])]
-    pub ill: Vec<CounterFault>,
-    /// Seconds of each run.
+    /// Faults of the counter, separated by commas; each is run with all seeds, with and without the roster.
+    #[arg(long = "ill", value_name = "FAULTS", value_enum, value_delimiter = ',', default_values_t = [CounterFault::None, CounterFault::Split, CounterFault::Down, CounterFault::Silent, CounterFault::Lost, CounterFault::Deaf, CounterFault::Mixed])]
+    pub counter_faults: Vec<CounterFault>,
+    /// Duration of each run in virtual seconds, 10 to 600.
     #[arg(long, default_value_t = 60.0)]
     pub seconds: f64,
+    /// The seeds.
     #[command(flatten)]
     pub seeds: SeedRange,
-    /// A file for the table.
-    #[arg(long)]
+    /// File to write the table to, besides standard output [default: none]
+    #[arg(long, value_name = "FILE")]
     pub out: Option<PathBuf>,
 }
 
 /// The arguments of `fleets`.
 #[derive(Args)]
 pub struct FleetArguments {
-    #[arg(long, value_enum, value_delimiter = ',', default_values_t = [FleetScenario::MassRestart, FleetScenario::ZoneLoss, FleetScenario::MassReplacement])]
-    pub day: Vec<FleetScenario>,
+    /// Scenarios, separated by commas; each is run with all seeds.
+    #[arg(long = "day", value_name = "SCENARIOS", value_enum, value_delimiter = ',', default_values_t = [FleetScenario::MassRestart, FleetScenario::ZoneLoss, FleetScenario::MassReplacement])]
+    pub fleet_scenarios: Vec<FleetScenario>,
+    /// The seeds.
     #[command(flatten)]
     pub seeds: SeedRange,
-    /// Print the script of the first seed of the first day in place of playing it.
+    /// Run nothing; print what the first scenario is with the first seed, as a scenario file.
     #[arg(long)]
     pub draw: bool,
 }
@@ -149,12 +170,12 @@
 #[derive(Args)]
 pub struct SeedRange {
     /// The first seed.
-    #[arg(long, default_value_t = 0)]
+    #[arg(long, value_name = "SEED", default_value_t = 0)]
     pub from: u64,
-    /// How many seeds of each.
+    /// Number of seeds.
     #[arg(long, default_value_t = 20)]
     pub runs: u64,
-    /// At once.
+    /// Number of runs at once; by default the number of cores.
     #[arg(long, default_value_t = default_threads())]
     pub threads: usize,
 }
--- a/emulator/src/clients/command.rs
+++ b/emulator/src/clients/command.rs
@@ -32,7 +32,9 @@
 /// The gateway instances of a customer: consecutive ones.
 #[derive(Clone, Copy)]
 pub(super) struct InstanceRange {
+    /// The index of the first one.
     pub first: usize,
+    /// How many; after the last index follows 0.
     pub count: usize,
 }
 
@@ -46,12 +48,19 @@
 
 /// A request as it is sent.
 pub(super) struct Command<'a> {
+    /// What is requested.
     pub operation: &'a ClientOperation,
+    /// The name of the customer's plan.
     pub plan: &'a str,
+    /// The customer's number.
     pub customer: u64,
+    /// The request's id, which no other request has.
     pub id: u64,
+    /// Units that it takes of the customer's quota.
     pub units: f64,
+    /// Milliseconds that the client waits.
     pub timeout_ms: f64,
+    /// The gateway instances that may serve the customer.
     pub instances: InstanceRange,
     /// Bytes of its body, for `CALL.POST`.
     pub body: Option<usize>,
--- a/emulator/src/commands.rs
+++ b/emulator/src/commands.rs
@@ -64,8 +64,8 @@
 /// Carries out the command of a call.
 pub fn run(arguments: Arguments) -> CommandResult {
     match arguments.command {
-        Command::Run { script, seed, options } => {
-            let scenario = read_scenario(&script)?;
+        Command::Run { scenario, seed, options } => {
+            let scenario = read_scenario(&scenario)?;
             let scenario = Scenario { seed: seed.unwrap_or(scenario.seed), ..scenario };
             Ok(print_report(&simulate(&scenario, options.sabotage), options.trace))
         }
@@ -82,7 +82,7 @@
         Command::Grow(arguments) => run_growth_study(arguments),
         Command::Quotas(arguments) => run_quota_study(arguments),
         Command::Fleets(arguments) => run_fleet_study(arguments),
-        Command::Check { scripts } => check_scenarios(&scripts),
+        Command::Check { scenarios } => check_scenarios(&scenarios),
         Command::Kinds => {
             print_fault_kinds();
             Ok(ExitCode::SUCCESS)
@@ -101,7 +101,7 @@
 }
 
 fn run_sweep(arguments: SweepArguments) -> CommandResult {
-    let SweepArguments { from, runs, threads, enough, out, sabotage } = arguments;
+    let SweepArguments { from, runs, threads, max_violations, out, sabotage } = arguments;
     let start = Instant::now();
     let interval = (runs / PROGRESS_LINES).max(1);
     let progress = |done: u64| {
@@ -112,7 +112,7 @@
     let options = sweep::SweepOptions {
         seeds: from..from.saturating_add(runs),
         threads,
-        max_violations: enough.max(1),
+        max_violations: max_violations.max(1),
         sabotage,
     };
     let reports = sweep::sweep(&options, &progress);
@@ -127,11 +127,11 @@
 }
 
 fn run_shrink(arguments: ShrinkArguments) -> CommandResult {
-    let scenario = match &arguments.script {
+    let scenario = match &arguments.scenario {
         Some(path) => read_scenario(path)?,
         None => Scenario::generate(arguments.seed.unwrap_or(0)),
     };
-    let Some(smaller) = shrinker::shrink(&scenario, arguments.sabotage, arguments.runs) else {
+    let Some(smaller) = shrinker::shrink(&scenario, arguments.sabotage, arguments.max_runs) else {
         print("no rule is broken: nothing to shrink");
         return Ok(ExitCode::SUCCESS);
     };
@@ -147,8 +147,8 @@
 }
 
 fn run_growth_study(arguments: GrowthArguments) -> CommandResult {
-    let GrowthArguments { doors, seed, threads, out } = arguments;
-    let sizes: Vec<usize> = doors.into_iter().map(usize::from).collect();
+    let GrowthArguments { instances, seed, threads, out } = arguments;
+    let sizes: Vec<usize> = instances.into_iter().map(usize::from).collect();
     let progress = |result: &GrowthResult| {
         let how = if result.mass_restart { "half killed at once" } else { "calm" };
         eprintln!("{} front doors, {how}: {:.1} s", result.instances, result.elapsed);
@@ -164,11 +164,11 @@
 }
 
 fn run_quota_study(arguments: QuotaArguments) -> CommandResult {
-    let QuotaArguments { ill, seconds, seeds, out } = arguments;
+    let QuotaArguments { counter_faults, seconds, seeds, out } = arguments;
     if !QUOTA_STUDY_SECONDS.contains(&seconds) {
         return Err(CommandError::Seconds(seconds));
     }
-    let results = quota_study::sweep(&ill, seconds, seeds.range(), seeds.threads);
+    let results = quota_study::sweep(&counter_faults, seconds, seeds.range(), seeds.threads);
     let table = quota_study::table(&results);
     if let Some(path) = out {
         write_file(&path, &table)?;
@@ -180,12 +180,12 @@
 }
 
 fn run_fleet_study(arguments: FleetArguments) -> CommandResult {
-    let FleetArguments { day, seeds, draw } = arguments;
+    let FleetArguments { fleet_scenarios, seeds, draw } = arguments;
     if draw {
-        print(&fleet_study::scenario(day[0], seeds.from).to_toml());
+        print(&fleet_study::scenario(fleet_scenarios[0], seeds.from).to_toml());
         return Ok(ExitCode::SUCCESS);
     }
-    let results = fleet_study::sweep(&day, seeds.range(), seeds.threads);
+    let results = fleet_study::sweep(&fleet_scenarios, seeds.range(), seeds.threads);
     print(&fleet_study::table(&results));
     let violated: Vec<_> = results.iter().filter(|result| result.report.violation.is_some()).collect();
     for result in &violated {
--- a/emulator/src/fleet_study.rs
+++ b/emulator/src/fleet_study.rs
@@ -18,13 +18,13 @@
 /// What strikes a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, ValueEnum)]
 pub enum FleetScenario {
-    /// Most front doors are killed at once during a release, some of them twice, while the list service turns callers away.
+    /// Most gateway instances are killed at once during a rollout of the backends, some of them twice, while the list service is down.
     #[value(name = "herd")]
     MassRestart,
-    /// A zone is lost and comes back cold; some other backends are bad.
+    /// A zone is lost, and its backends have to warm up afterwards; some others are degraded.
     #[value(name = "zone")]
     ZoneLoss,
-    /// Six in ten backends are replaced within seconds; some are bad.
+    /// Six in ten backends are replaced or drained within seconds; some are degraded.
     #[value(name = "join")]
     MassReplacement,
 }
--- a/emulator/src/quota_study.rs
+++ b/emulator/src/quota_study.rs
@@ -24,19 +24,19 @@
 /// What is wrong with the counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum CounterFault {
-    /// Nothing does: what the ordinary path leaves.
+    /// No fault: the overshoot of normal operation.
     None,
-    /// Every other front door meets another one that answers too.
+    /// Two counters, each of which answers half of the gateway instances.
     Split,
-    /// It is gone for all.
+    /// Connections to it are refused.
     Down,
-    /// It says nothing to anybody.
+    /// It is unresponsive.
     Silent,
-    /// It is replaced by an empty one, again and again.
+    /// It loses all totals, several times.
     Lost,
-    /// It adds and does not say so, one call in three.
+    /// It adds the units of one call in three without an answer.
     Deaf,
-    /// Any of these, one after another.
+    /// Several of these, one after another.
     Mixed,
 }
 
--- a/lease/src/bin/quillramp-lease-shard/main.rs
+++ b/lease/src/bin/quillramp-lease-shard/main.rs
@@ -18,18 +18,18 @@
 use std::process::ExitCode;
 use std::sync::mpsc::Sender;
 
-/// One shard of the lease service: keeps the buckets of the tenants that it owns, in memory.
+/// One shard of the lease service: keeps the token buckets of the tenants that it owns, in memory.
 ///
-/// SIGHUP reads the map again; SIGTERM ends it. Exit codes: 0 done, 1 the start has something wrong, which is said, 2 a
-/// call that can't be understood.
+/// SIGHUP reloads the shard map, SIGTERM and SIGINT stop the shard. Exit codes: 0 stopped by a signal; 1 the shard could not start,
+/// standard error says why; 2 a command line that can't be understood.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// Where front doors and other shards call.
+    /// Address on which gateway instances and other shards are accepted, as IP:PORT.
     #[arg(long)]
     listen: SocketAddr,
     /// The shard map, a TOML file.
-    #[arg(long)]
+    #[arg(long, value_name = "FILE")]
     map: PathBuf,
     /// The region of this shard in the map.
     #[arg(long)]
--- a/load/src/bin/quillramp-load.rs
+++ b/load/src/bin/quillramp-load.rs
@@ -1,4 +1,4 @@
-//! quillramp-load: plays experiments and keeps what came of them.
+//! quillramp-load: runs experiments and writes their results.
 use clap::{Parser, Subcommand};
 use quillramp_load::error::RunError;
 use quillramp_load::experiment::{Experiment, ExperimentError};
@@ -11,9 +11,10 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Loads front doors on loopback and measures them.
+/// Starts gateway instances on loopback, sends them requests and measures them.
 ///
-/// Exit codes: 0 all was played, 1 an effect was there twice or a front door died, 2 a file or a call that can't be understood.
+/// Exit codes: 0 success; 1 a non-idempotent request was executed twice, or an instance crashed; 2 a file or a command line that
+/// can't be understood, or a run that could not be made.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -23,19 +24,29 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play an experiment: each variant so often, in turns.
+    /// Run an experiment: all variants in turn, as many times as the experiment says.
     Run {
+        /// The experiment, a TOML file.
         experiment: PathBuf,
-        /// A folder for rows, plays, summary and chart.
-        #[arg(long)]
+        /// Directory to write rows (CSV), the summary and charts to; it is created if necessary.
+        #[arg(long, value_name = "DIRECTORY")]
         out: PathBuf,
     },
-    /// Compare what two folders keep, variant by variant.
-    Compare { first: PathBuf, second: PathBuf },
-    /// Check experiments without playing them.
-    Check { experiments: Vec<PathBuf> },
-    /// Measure what one front door of a large fleet costs.
+    /// Compare the results of two sessions, variant by variant.
+    Compare {
+        /// The directory that the first session was written to.
+        first: PathBuf,
+        /// The directory that the second session was written to.
+        second: PathBuf,
+    },
+    /// Check experiments without running them.
+    Check {
+        /// The experiments, TOML files.
+        experiments: Vec<PathBuf>,
+    },
+    /// Measure what one gateway instance of a large fleet costs.
     Scale {
+        /// What to measure.
         #[command(subcommand)]
         what: Scale,
     },
--- a/load/src/scale/command.rs
+++ b/load/src/scale/command.rs
@@ -1,4 +1,4 @@
-//! The `scale` commands of the program. On the command line an instance is called a front door, and an embedded one hollow.
+//! The `scale` commands of the program. Names of commands and options call an instance a front door, and an embedded one hollow.
 use super::embedded_run::{self, Transport};
 use super::error::ScaleError;
 use super::fit::{self, Factor};
@@ -13,87 +13,104 @@
 use std::path::{Path, PathBuf};
 
 /// What can be measured.
-// Doc comments of flattened and positional arguments would appear in `--help`.
-#[allow(missing_docs)]
 #[derive(Subcommand)]
 pub enum Scale {
-    /// One front door of the program at a point of the fleet's sizes, among stand-ins on loopback.
+    /// Measure one process of the gateway program, among stand-in servers on loopback.
     Real {
+        /// The sizes and the traffic.
         #[command(flatten)]
         point: OperatingPoint,
+        /// How long it is measured.
         #[command(flatten)]
         span: Span,
-        /// The name of the run in its rows.
+        /// Name of the run in its rows.
         #[arg(long, default_value = "real")]
         run: String,
-        /// The program of the front door.
-        #[arg(long, default_value = "target/release/quillramp")]
+        /// The gateway program.
+        #[arg(long, value_name = "FILE", default_value = "target/release/quillramp")]
         program: PathBuf,
-        /// A file that the rows are appended to.
-        #[arg(long)]
+        /// CSV file to append the rows to.
+        #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Hollow front doors of the same fleet.
+    /// Measure embedded ("hollow") instances: the gateway's code in this process, without its sockets.
     Hollow {
+        /// The sizes and the traffic.
         #[command(flatten)]
         point: OperatingPoint,
+        /// How long they are measured.
         #[command(flatten)]
         span: Span,
-        /// The name of the run in its rows.
+        /// Name of the run in its rows.
         #[arg(long, default_value = "hollow")]
         run: String,
-        /// What they run on.
+        /// How they reach the counter and the list service.
         #[arg(long, value_enum, default_value_t = Transport::InProcess)]
         on: Transport,
-        /// Front doors that are there; the counter reckons the rest of the fleet.
-        #[arg(long, default_value_t = 4)]
-        hollow: usize,
-        /// A file that the rows are appended to.
-        #[arg(long)]
+        /// Number of embedded instances; for the rest of the fleet the stand-in counter adds an estimate.
+        #[arg(long = "hollow", value_name = "INSTANCES", default_value_t = 4)]
+        embedded: usize,
+        /// CSV file to append the rows to.
+        #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Hollow front doors over the factors, one at a time, five sizes each.
+    /// Measure embedded ("hollow") instances while one factor at a time is varied over five sizes.
     Sweep {
-        /// What is varied; all, where none is named.
+        /// The factors to vary [default: all]
         #[arg(value_enum)]
         factors: Vec<Factor>,
+        /// The sizes and the traffic of the factors that are not varied.
         #[command(flatten)]
         base: OperatingPoint,
+        /// How long each point is measured.
         #[command(flatten)]
         span: Span,
+        /// What the sweep may use.
         #[command(flatten)]
         bounds: Bounds,
-        /// Front doors that are there at each point.
-        #[arg(long, default_value_t = 4)]
-        hollow: usize,
-        /// A file that the rows are appended to.
-        #[arg(long)]
+        /// Number of embedded instances at each point.
+        #[arg(long = "hollow", value_name = "INSTANCES", default_value_t = 4)]
+        embedded: usize,
+        /// CSV file to append the rows to.
+        #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// A burst of changes of the list while front doors restart: seconds from write to in force. Hollow ones, on sockets.
+    /// Measure how long changes of the endpoint list take to be in force, in seconds, while some instances restart; embedded
+    /// ("hollow") instances on sockets.
     Changes {
+        /// The sizes and the traffic.
         #[command(flatten)]
         point: OperatingPoint,
+        /// The changes and the restarts.
         #[command(flatten)]
         burst: Burst,
-        /// The name of the run in its rows.
+        /// Name of the run in its rows.
         #[arg(long, default_value = "changes")]
         run: String,
-        /// Front doors that are there.
-        #[arg(long, default_value_t = 420)]
-        hollow: usize,
-        /// A file that the rows are appended to.
-        #[arg(long)]
+        /// Number of embedded instances.
+        #[arg(long = "hollow", value_name = "INSTANCES", default_value_t = 420)]
+        embedded: usize,
+        /// CSV file to append the rows to.
+        #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Slopes of the rows of a sweep: a table on standard output, `slopes.csv` and charts in the folder.
+    /// Fit straight lines to the rows of a sweep; prints a table of the slopes.
     Fit {
+        /// The CSV file of the sweep's rows.
         rows: PathBuf,
-        #[arg(long)]
+        /// Existing directory to write `slopes.csv` and charts to.
+        #[arg(long, value_name = "DIRECTORY")]
         folder: PathBuf,
     },
-    /// Two runs at the same point beside each other, by the names of the runs.
-    Beside { rows: PathBuf, real: String, hollow: String },
+    /// Compare a run of the program with one of embedded ("hollow") instances at the same point, figure by figure.
+    Beside {
+        /// The CSV file of rows that has both runs.
+        rows: PathBuf,
+        /// Name of the run of the program.
+        real: String,
+        /// Name of the run of embedded instances.
+        hollow: String,
+    },
 }
 
 /// Measures and appends the rows to their file; the text for standard output.
@@ -102,26 +119,27 @@
         Scale::Real { point, span, run, program, out } => {
             keep(out, &real::measure(program, run, point, span)?)
         }
-        Scale::Hollow { point, span, run, on, hollow, out } => {
+        Scale::Hollow { point, span, run, on, embedded, out } => {
             let measured = match on {
-                Transport::InProcess => embedded_run::in_process(run, point, *hollow, span)?,
-                Transport::Sockets => embedded_run::on_sockets(run, point, *hollow, span)?,
+                Transport::InProcess => embedded_run::in_process(run, point, *embedded, span)?,
+                Transport::Sockets => embedded_run::on_sockets(run, point, *embedded, span)?,
             };
             keep(out, &measured)
         }
-        Scale::Sweep { factors, base, span, bounds, hollow, out } => {
-            let plan = Plan { base, factors, span, instances: *hollow, bounds };
+        Scale::Sweep { factors, base, span, bounds, embedded, out } => {
+            let plan = Plan { base, factors, span, instances: *embedded, bounds };
             let missing = sweep::sweep(&plan, out)?;
             Ok(missing.iter().map(|line| format!("missing: {line}\n")).collect())
         }
-        Scale::Changes { point, burst, run, hollow, out } => {
-            keep(out, &propagation::measure(run, point, *hollow, burst)?)
+        Scale::Changes { point, burst, run, embedded, out } => {
+            keep(out, &propagation::measure(run, point, *embedded, burst)?)
         }
         Scale::Fit { rows, folder } => fit(rows, folder),
         Scale::Beside { rows, real, hollow } => {
             let rows = rows::read(rows)?;
-            let of = |run: &str| -> Vec<Row> { rows.iter().filter(|r| r.run == run).cloned().collect() };
-            Ok(slope_report::compare_runs(&of(real), &of(hollow)))
+            let of_run =
+                |run: &str| -> Vec<Row> { rows.iter().filter(|row| row.run == run).cloned().collect() };
+            Ok(slope_report::compare_runs(&of_run(real), &of_run(hollow)))
         }
     }
 }
@@ -129,7 +147,7 @@
 /// Writes the slopes and the charts of a sweep into the folder; the slopes as a table.
 fn fit(rows: &Path, folder: &Path) -> Result<String, ScaleError> {
     let rows = rows::read(rows)?;
-    let source = rows.first().map_or(Source::InProcess, |r| r.source);
+    let source = rows.first().map_or(Source::InProcess, |row| row.source);
     let fits = fit::fits(&rows);
     slope_report::write_slopes(&folder.join("slopes.csv"), &fits, source)?;
     slope_report::draw_charts(folder, &fits)?;
@@ -139,6 +157,6 @@
 /// Appends measured rows to a file; a line for each.
 fn keep(out: &Path, rows: &[Row]) -> Result<String, ScaleError> {
     rows::append(out, rows)?;
-    let line = |r: &Row| format!("{}: {} {:.4} {}\n", r.run, r.figure, r.value, r.unit);
+    let line = |row: &Row| format!("{}: {} {:.4} {}\n", row.run, row.figure, row.value, row.unit);
     Ok(rows.iter().map(line).collect())
 }
--- a/load/src/scale/embedded_run.rs
+++ b/load/src/scale/embedded_run.rs
@@ -17,9 +17,9 @@
 /// What embedded instances are run on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Transport {
-    /// Stand-ins in this process, on a clock of their own.
+    /// Stand-ins in this process, on a virtual clock.
     InProcess,
-    /// A counter and a list service on loopback, in real time.
+    /// Sockets on loopback, in real time.
     Sockets,
 }
 
--- a/load/src/scale/fit.rs
+++ b/load/src/scale/fit.rs
@@ -37,16 +37,20 @@
 }
 
 /// What is varied, one at a time.
-// Doc comments of the variants would appear in `--help`.
-#[allow(missing_docs)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum Factor {
+    /// Gateway instances of the fleet, 25 to 420; traffic and quotas grow with them.
     #[value(name = "front-doors")]
     Instances,
+    /// Backends on the endpoint list, 240 to 3,800.
     Backends,
+    /// Tenants, 900 to 14,000.
     Tenants,
+    /// Routes in the operator's file, 60 to 1,000.
     Routes,
+    /// Changes of the endpoint list, 0 to 10 a second.
     Changes,
+    /// Requests at one instance, 23 to 231 a second.
     Requests,
 }
 
--- a/load/src/scale/operating_point.rs
+++ b/load/src/scale/operating_point.rs
@@ -8,9 +8,9 @@
 /// How the requests of the fleet are spread over its tenants.
 #[derive(Clone, Copy, Debug, PartialEq, clap::ValueEnum)]
 pub enum Spread {
-    /// Every tenant asks as often as any other.
+    /// Every tenant sends as many requests as any other.
     Uniform,
-    /// The tenant of rank n asks 1/n as often as the first (Zipf's law, exponent 1).
+    /// The tenant of rank n sends 1/n as many requests as the first (Zipf's law, exponent 1).
     Zipf,
 }
 
@@ -27,37 +27,37 @@
 /// The sizes and the traffic of one measurement.
 #[derive(Clone, Debug, clap::Args)]
 pub struct OperatingPoint {
-    /// Seed of traffic and decisions.
+    /// Seed of the traffic and of the instances' random draws.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Front doors that each front door believes to be in the fleet.
-    #[arg(long = "front-doors", value_name = "FRONT_DOORS", default_value_t = 420)]
+    /// Number of gateway instances in the fleet, as the settings of each instance have it.
+    #[arg(long = "front-doors", value_name = "INSTANCES", default_value_t = 420)]
     pub instances: usize,
-    /// Backends on the list.
+    /// Number of backends on the endpoint list.
     #[arg(long, default_value_t = 3_800)]
     pub backends: usize,
-    /// Tenants, each with a quota of its own.
+    /// Number of tenants, each with a quota of its own.
     #[arg(long, default_value_t = 14_000)]
     pub tenants: usize,
-    /// Requests a second of the whole fleet; the quotas follow from it.
+    /// Requests a second at all instances of the fleet together; the quotas are derived from it.
     #[arg(long, default_value_t = 97_000.0)]
     pub fleet_requests: f64,
-    /// Requests a second that one front door gets here.
+    /// Requests a second at each instance that is measured.
     #[arg(long, default_value_t = 231.0)]
     pub requests: f64,
-    /// Routes in the operator's file, each for a few tenants of its own; without any there is no such file.
+    /// Number of routes in the operator's file, each for a few tenants of its own; 0: no such file.
     #[arg(long, default_value_t = 0)]
     pub routes: usize,
-    /// Changes of the list a second: a backend drains, or serves again.
+    /// Changes of the endpoint list a second: a backend is draining, or is ready again.
     #[arg(long, default_value_t = 0.0)]
     pub changes: f64,
-    /// How the requests are spread over the tenants.
+    /// How the requests are distributed over the tenants.
     #[arg(long, value_enum, default_value_t = Spread::Uniform)]
     pub spread: Spread,
-    /// The front door is told that there is no counter.
+    /// Run the instances without a counter.
     #[arg(long)]
     pub without_counter: bool,
-    /// The stand-in counter adds nothing for the front doors that are not there.
+    /// Let the stand-in counter add nothing for instances of the fleet that do not run.
     #[arg(long)]
     pub alone: bool,
 }
--- a/load/src/scale/propagation.rs
+++ b/load/src/scale/propagation.rs
@@ -13,24 +13,24 @@
 /// The burst of changes.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Burst {
-    /// Changes, evenly over the span.
-    #[arg(long, default_value_t = 20)]
+    /// Number of changes, evenly over the span.
+    #[arg(long, value_name = "CHANGES", default_value_t = 20)]
     pub burst: usize,
     /// Seconds from the first change to the end of the span.
-    #[arg(long, default_value_t = 60.0)]
+    #[arg(long, value_name = "SECONDS", default_value_t = 60.0)]
     pub over: f64,
-    /// One front door in so many restarts within the span; 0: none does.
+    /// One of this number of instances restarts within the span; 0: none does.
     #[arg(long, default_value_t = 10)]
     pub one_in: usize,
-    /// Seconds before the first change, in which the front doors start.
-    #[arg(long, default_value_t = 15.0)]
+    /// Seconds before the first change, in which the instances start.
+    #[arg(long, value_name = "SECONDS", default_value_t = 15.0)]
     pub warm_up: f64,
 }
 
 /// Seconds after the span in which changes may still come into force; the longest watch is shorter.
 const DRAIN_SECONDS: f64 = 7.0;
 
-/// Front doors that restart, evenly over the span.
+/// The instances that restart, evenly over the span.
 fn restarts(instances: usize, burst: &Burst, begin: f64) -> Vec<Restart> {
     if burst.one_in == 0 {
         return vec![];
--- a/load/src/scale/span.rs
+++ b/load/src/scale/span.rs
@@ -3,10 +3,10 @@
 /// Seconds of a measurement.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Span {
-    /// Seconds of traffic before anything is counted: the pace of counter calls is learnt in them.
-    #[arg(long, default_value_t = 10.0)]
+    /// Seconds of traffic before the measurement, in which instances adapt the rate of their counter calls.
+    #[arg(long, value_name = "SECONDS", default_value_t = 10.0)]
     pub warm_up: f64,
-    /// Seconds that are counted.
+    /// Seconds that are measured.
     #[arg(long, default_value_t = 15.0)]
     pub seconds: f64,
 }
--- a/load/src/scale/sweep.rs
+++ b/load/src/scale/sweep.rs
@@ -16,14 +16,14 @@
 /// How often the running points are looked at.
 const POLL: Duration = Duration::from_millis(100);
 
-/// What a sweep is bounded by.
+/// What a sweep may use.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Bounds {
-    /// Points that run at once.
+    /// Number of points that are measured at once, each in a process of its own.
     #[arg(long, default_value_t = 4)]
     pub at_once: usize,
-    /// Seconds after which what still runs is stopped, and says so.
-    #[arg(long, default_value_t = 80.0)]
+    /// Seconds after which points that still run are stopped, and reported as missing.
+    #[arg(long, value_name = "SECONDS", default_value_t = 80.0)]
     pub longest: f64,
 }
 
@@ -37,7 +37,7 @@
     pub span: &'a Span,
     /// Embedded instances at each point.
     pub instances: usize,
-    /// What the sweep is bounded by.
+    /// What the sweep may use.
     pub bounds: &'a Bounds,
 }
 
