--- a/load/tests/scale.rs
+++ b/load/tests/scale.rs
@@ -1,4 +1,6 @@
 //! Scale runs, small: embedded instances with their stand-ins in process and on sockets, slopes, a burst of changes.
+use clap::Subcommand;
+use quillramp_load::scale::command::Scale;
 use quillramp_load::scale::counts::Counts;
 use quillramp_load::scale::embedded_run;
 use quillramp_load::scale::fit::{fits, Factor, Line};
@@ -87,6 +89,12 @@
     assert!(busy > calm + 4.0 * 100.0, "{calm:.0} B/s calm, {busy:.0} B/s with four changes a second");
 }
 
+/// Only a debug build finds options of one name when a command is called.
+#[test]
+fn the_commands_have_consistent_options() {
+    Scale::augment_subcommands(clap::Command::new("scale")).debug_assert();
+}
+
 #[test]
 fn a_tenants_quota_covers_its_requests_at_the_fleet() {
     for spread in [Spread::Uniform, Spread::Zipf] {
