--- a/emulator/src/commands.rs
+++ b/emulator/src/commands.rs
@@ -132,7 +132,7 @@
         None => Scenario::generate(arguments.seed.unwrap_or(0)),
     };
     let Some(smaller) = shrinker::shrink(&scenario, arguments.sabotage, arguments.max_runs) else {
-        print("no rule is broken: nothing to shrink");
+        print("no invariant is violated: nothing to shrink");
         return Ok(ExitCode::SUCCESS);
     };
     let text = smaller.scenario.to_toml();
@@ -142,7 +142,7 @@
     }
     let before = scenario.faults.len();
     let after = smaller.scenario.faults.len();
-    print(&format!("{before} faults before, {after} after, in {} runs", smaller.runs));
+    print(&format!("{after} of {before} faults are left, after {} runs", smaller.runs));
     Ok(print_report(&smaller.report, 0))
 }
 
@@ -150,8 +150,7 @@
     let GrowthArguments { instances, seed, threads, out } = arguments;
     let sizes: Vec<usize> = instances.into_iter().map(usize::from).collect();
     let progress = |result: &GrowthResult| {
-        let how = if result.mass_restart { "half killed at once" } else { "calm" };
-        eprintln!("{} front doors, {how}: {:.1} s", result.instances, result.elapsed);
+        eprintln!("{} instances, {}: {:.1} s", result.instances, result.scenario_name(), result.elapsed);
     };
     let results = growth_study::run(&sizes, seed, threads, &progress);
     let table = growth_study::table(&results);
@@ -189,7 +188,7 @@
     print(&fleet_study::table(&results));
     let violated: Vec<_> = results.iter().filter(|result| result.report.violation.is_some()).collect();
     for result in &violated {
-        print(&format!("rule broken: {}, seed {}", result.fleet_scenario.name(), result.report.seed));
+        print(&format!("violation: scenario {}, seed {}", result.fleet_scenario.name(), result.report.seed));
     }
     Ok(violated.first().map_or(ExitCode::SUCCESS, |result| print_report(&result.report, 0)))
 }
@@ -199,6 +198,6 @@
     if !errors.is_empty() {
         return Err(CommandError::Scenarios(errors));
     }
-    print(&format!("{} scripts are well", paths.len()));
+    print(&format!("{} scenarios are valid", paths.len()));
     Ok(ExitCode::SUCCESS)
 }
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -95,7 +95,7 @@
 
     /// Adds a change; it reaches each agent after a while.
     pub fn publish(&mut self, ctx: &mut Context, entry: EndpointEntry) {
-        ctx.trace.record_line(ctx.now, &format!("list: {} {}", entry.name, entry.status));
+        ctx.trace.record_line(ctx.now, &format!("endpoint list: {} {}", entry.name, entry.status));
         self.log.push(entry);
         for (instance, agent) in self.agents.iter_mut().enumerate() {
             let at = ctx.now + ctx.rng.gen_range(PROPAGATION_DELAY) + self.extra_delay;
--- a/emulator/src/fleet_study.rs
+++ b/emulator/src/fleet_study.rs
@@ -178,7 +178,7 @@
 /// The results as a Markdown table, a row for each scenario.
 pub fn table(results: &[FleetResult]) -> String {
     let mut text = String::from(
-        "| day | runs | invocations | succeeded | throttled | errored | deliveries an invocation | to cold backends | rules broken |\n\
+        "| scenario | runs | requests | succeeded | throttled | errored | attempts per request | attempts to warming backends | violations |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for &fleet_scenario in FleetScenario::value_variants() {
--- a/emulator/src/growth_study.rs
+++ b/emulator/src/growth_study.rs
@@ -25,6 +25,17 @@
     pub elapsed: f64,
 }
 
+impl GrowthResult {
+    /// The scenario, in words.
+    pub fn scenario_name(&self) -> &'static str {
+        if self.mass_restart {
+            "half killed at once"
+        } else {
+            "undisturbed"
+        }
+    }
+}
+
 /// The scenario of the study: forty backends, four hundred customers, that many instances.
 pub fn scenario(instances: usize, mass_restart: bool, seed: u64) -> Scenario {
     let world = World {
@@ -71,8 +82,8 @@
 /// The results as a Markdown table.
 pub fn table(results: &[GrowthResult]) -> String {
     let mut text = String::from(
-        "| front doors | | succeeded | throttled | errored | deliveries an invocation | counter calls an invocation | \
-         connections to backends a front door | units beyond quotas | worst customer | rule broken | played in |\n\
+        "| instances | scenario | succeeded | throttled | errored | attempts per request | counter calls per request | \
+         backend connections per instance | units beyond quotas | worst customer's overshoot | violation | duration |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for result in results {
@@ -90,7 +101,7 @@
     format!(
         "| {} | {} | {} | {} | {} | {} | {} | {:.1} | {:.4} | {:.2} | {violated} | {:.1} s |",
         result.instances,
-        if result.mass_restart { "half killed at once" } else { "calm" },
+        result.scenario_name(),
         fraction(coverage.succeeded),
         fraction(coverage.throttled),
         fraction(coverage.errored),
--- a/emulator/src/output.rs
+++ b/emulator/src/output.rs
@@ -20,13 +20,13 @@
         print(line);
     }
     print(&format!(
-        "seed {seed}: {steps} steps, digest {digest:016x}; {} invocations: {} succeeded, {} throttled, {} errored; {} \
-         deliveries, {counter_calls} calls of the counter",
+        "seed {seed}: {steps} steps, digest {digest:016x}; {} requests: {} succeeded, {} throttled, {} errored; {} \
+         attempts, {counter_calls} counter calls",
         coverage.requests, coverage.succeeded, coverage.throttled, coverage.errored, coverage.attempts
     ));
     let Some(violation) = violation else { return ExitCode::SUCCESS };
     print(&format!(
-        "broken: {}, {:.4} s after the start, step {steps}: {}",
+        "violation: {}, {:.4} s after the start, step {steps}: {}",
         violation.invariant.name(),
         violation.at,
         violation.message
@@ -37,9 +37,9 @@
     ExitCode::FAILURE
 }
 
-/// Prints the kinds of faults, and what each needs.
+/// Prints the kinds of faults, with the keys that each needs in a scenario file.
 pub fn print_fault_kinds() {
-    print("| kind | needs | by |\n| --- | --- | --- |");
+    print("| kind | keys | range of `by` |\n| --- | --- | --- |");
     for kind in FaultKind::all() {
         let target = match kind.target() {
             FaultTarget::Backend => "backend, ",
--- a/emulator/src/quota_study.rs
+++ b/emulator/src/quota_study.rs
@@ -159,8 +159,8 @@
 /// The results as a Markdown table, a row for each fault with and without the roster.
 pub fn table(results: &[QuotaResult]) -> String {
     let mut text = String::from(
-        "| the counter | roster | runs | overshoot of the worst customer: median, most | bound, at that one | past the bound | \
-         succeeded | rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
+        "| counter fault | roster | runs | worst customer's overshoot: median, maximum | bound of that maximum | runs beyond their bound | \
+         succeeded | violations |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     let mut rows: Vec<(CounterFault, bool)> =
         results.iter().map(|result| (result.counter_fault, result.roster_interval > 0.0)).collect();
--- a/emulator/src/results/charts.rs
+++ b/emulator/src/results/charts.rs
@@ -20,7 +20,7 @@
     let root = SVGBackend::new(path, (760, height)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
-        .caption("Faults that struck", ("sans-serif", 16))
+        .caption("Faults", ("sans-serif", 16))
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(150)
@@ -56,7 +56,7 @@
     let root = SVGBackend::new(path, (760, 320)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
-        .caption("Steps of a run", ("sans-serif", 16))
+        .caption("Length of the runs", ("sans-serif", 16))
         .margin(8)
         .x_label_area_size(32)
         .y_label_area_size(48)
--- a/emulator/src/results/summary.rs
+++ b/emulator/src/results/summary.rs
@@ -34,7 +34,7 @@
 }
 
 fn write_invariants(text: &mut String, reports: &[Report], coverage: &Coverage) {
-    let _ = writeln!(text, "| rule | looks that bound something | broken |\n| --- | --- | --- |");
+    let _ = writeln!(text, "| invariant | checks | violations |\n| --- | --- | --- |");
     for invariant in Invariant::ALL {
         let violated = |report: &&Report| {
             report.violation.as_ref().is_some_and(|violation| violation.invariant == invariant)
@@ -50,8 +50,8 @@
     let percent = |count: u64| 100.0 * count as f64 / coverage.requests.max(1) as f64;
     let _ = writeln!(
         text,
-        "\n{} invocations: {:.1}% succeeded, {:.1}% throttled, {:.1}% errored; {} deliveries, {} of them repeats of what \
-         may have run; {counter_calls} calls of the counter.\n\nThe world is plain: these shares say nothing of service.\n",
+        "\n{} requests: {:.1}% succeeded, {:.1}% throttled, {:.1}% errored; {} attempts, {} of them after one that may have \
+         been executed; {counter_calls} counter calls.\n\nThe models are simple: these figures say nothing about the quality of service.\n",
         coverage.requests,
         percent(coverage.succeeded),
         percent(coverage.throttled),
@@ -62,7 +62,8 @@
 }
 
 fn write_faults(text: &mut String, reports: &[Report]) {
-    let _ = writeln!(text, "| fault | strikes | runs | runs with a broken rule |\n| --- | --- | --- | --- |");
+    let _ =
+        writeln!(text, "| fault | occurrences | runs | runs with a violation |\n| --- | --- | --- | --- |");
     for (kind, counts) in count_faults(reports) {
         let name = kind.name();
         let _ =
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -60,7 +60,7 @@
     fn trace_line(&self) -> String {
         let Fault { backend, instance, zone, .. } = self.fault;
         let target = backend.or(instance).or(zone).map_or(String::new(), |index| format!(" {index}"));
-        format!("{}{target} {}", self.fault.kind.name(), if self.ended { "is over" } else { "strikes" })
+        format!("{}{target} {}", self.fault.kind.name(), if self.ended { "ends" } else { "starts" })
     }
 }
 
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -166,7 +166,7 @@
             return;
         }
         let instance = self.processes[process].instance;
-        let how = if killed { "is killed" } else { "has ended" };
+        let how = if killed { "is killed" } else { "exits" };
         self.ctx.trace.record_line(self.ctx.now, &format!("door {instance} [{process}] {how}"));
         self.processes[process].terminate(&mut self.ctx, killed);
         self.instances[instance].processes.retain(|other| *other != process);
--- a/load/src/bin/quillramp-load.rs
+++ b/load/src/bin/quillramp-load.rs
@@ -62,7 +62,7 @@
     #[error("{}", prefix_lines(path, error))]
     Experiment { path: PathBuf, error: ExperimentError },
     /// A variant could not be run; the runs until then are kept.
-    #[error("{variant}: {error}; {done} plays are kept in {}", folder.display())]
+    #[error("{variant}: {error}; the results of {done} runs are in {}", folder.display())]
     Run { variant: String, error: RunError, done: usize, folder: PathBuf },
     /// Several experiments are wrong.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
@@ -96,7 +96,7 @@
         for variant in &experiment.variants {
             let done = session.runs.len();
             let left = time_left(start, done, all);
-            eprintln!("play {} of {all}: {}, repetition {}{left}", done + 1, variant.name, repetition + 1);
+            eprintln!("run {} of {all}: {}, repetition {}{left}", done + 1, variant.name, repetition + 1);
             match run_variant(&experiment, variant, repetition, folder) {
                 Ok(result) => session.add(result),
                 Err(error) => {
@@ -120,7 +120,7 @@
         return String::new();
     }
     let left = start.elapsed().as_secs_f64() / done as f64 * (all - done) as f64;
-    format!(", about {left:.0} s to go")
+    format!(", about {left:.0} s left")
 }
 
 fn compare(first: &Path, second: &Path) -> Result<ExitCode, CommandError> {
--- a/load/src/charts.rs
+++ b/load/src/charts.rs
@@ -131,7 +131,7 @@
         }
     }
     let axes = Axes {
-        title: "What came of invocations, by their time of arrival".into(),
+        title: "Outcomes of requests, by time of arrival".into(),
         x: Axis { label: "seconds", max: last },
         y: Axis { label: "share", max: 1.0 },
     };
--- a/load/src/results/comparison.rs
+++ b/load/src/results/comparison.rs
@@ -50,10 +50,10 @@
 
 /// Compares two sessions: each variant that both have run, in pairs by repetition.
 pub fn compare_sessions(first: &Session, second: &Session) -> Result<String, SessionError> {
-    let mut text = String::from("# One session against another\n\nPlayed apart: what drifts on a machine between sessions counts as a difference here.\n");
+    let mut text = String::from("# Comparison of two sessions\n\nThe sessions were run at different times: a drift of the machine between them counts as a difference.\n");
     for (which, session) in [("first", first), ("second", second)] {
         if !session.complete {
-            let _ = writeln!(text, "\nThe {which} one was interrupted.");
+            let _ = writeln!(text, "\nThe {which} session was interrupted.");
         }
     }
     let in_second = second.variants();
--- a/load/src/results/summary.rs
+++ b/load/src/results/summary.rs
@@ -34,10 +34,10 @@
 pub fn summary(session: &Session) -> String {
     let all = by_variant(&session.runs, &session.rows);
     let mut text = String::from(
-        "# Results of quillramp-load\n\nFigures of this tool, among its own stand-ins; no other's.\n\n",
+        "# Results of quillramp-load\n\nMeasured with stand-in servers on one machine: compare them only with other results of this program.\n\n",
     );
     if !session.complete {
-        let _ = writeln!(text, "**{INTERRUPTED}: what was played until then.**\n");
+        let _ = writeln!(text, "**{INTERRUPTED}: the runs made until then.**\n");
     }
     write_figures(&mut text, &all);
     write_sums(&mut text, &all, &session.runs);
@@ -46,7 +46,7 @@
     }
     let latest = all.iter().flat_map(|v| &v.runs).map(|f| f.late).fold(0.0, f64::max);
     if latest > LATE_WARNING {
-        let _ = writeln!(text, "\nThe generator was late by up to {latest:.1} ms (99th percentile of a play): too few cores for it.");
+        let _ = writeln!(text, "\nThe generator was late by up to {latest:.1} ms (99th percentile of a run): it has too few cores.");
     }
     text
 }
@@ -80,9 +80,9 @@
         };
         all.iter().map(of).collect::<Vec<_>>().join(" | ")
     };
-    let _ = writeln!(text, "| plays | {} |", sum(&|_| 1));
-    let _ = writeln!(text, "| invocations | {} |", sum(&|run| run.sent));
+    let _ = writeln!(text, "| runs | {} |", sum(&|_| 1));
+    let _ = writeln!(text, "| requests | {} |", sum(&|run| run.sent));
     let _ = writeln!(text, "| counter calls | {} |", sum(&|run| run.counter_calls));
     let _ = writeln!(text, "| effects twice | {} |", sum(&|run| run.duplicates));
-    let _ = writeln!(text, "| front doors that died | {} |", sum(&|run| run.died as u64));
+    let _ = writeln!(text, "| instances that crashed | {} |", sum(&|run| run.died as u64));
 }
--- a/load/src/scale/slope_report.rs
+++ b/load/src/scale/slope_report.rs
@@ -26,7 +26,7 @@
 /// All slopes, a line each.
 pub fn table(fits: &[Fit], source: Source) -> String {
     let mut text = String::from(
-        "| factor | figure | slope | a | at the target | range | points | residual | source |\n\
+        "| factor | figure | slope | per | at the target | range | points | residual | source |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for fit in fits {
@@ -99,8 +99,13 @@
         |of: &dyn Fn(&(f64, f64)) -> f64| fit.points.iter().map(of).fold(LEAST_AXIS, f64::max) * HEADROOM;
     let x_max = max(&|point| point.0);
     let y_max = max(&|point| point.1);
-    let title =
-        format!("{} over {}: {:.3e} a {}", fit.figure, fit.factor.name(), fit.line.slope, fit.factor.unit());
+    let title = format!(
+        "{} over {}: {:.3e} per {}",
+        fit.figure,
+        fit.factor.name(),
+        fit.line.slope,
+        fit.factor.unit()
+    );
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 15))
         .margin(8)
@@ -117,8 +122,9 @@
 
 /// Rows of a run of the program beside those of embedded instances at the same point, and their ratios.
 pub fn compare_runs(real: &[Row], embedded: &[Row]) -> String {
-    let mut text =
-        String::from("| figure | unit | real | hollow | hollow / real |\n| --- | --- | --- | --- | --- |\n");
+    let mut text = String::from(
+        "| figure | unit | program | embedded | embedded / program |\n| --- | --- | --- | --- | --- |\n",
+    );
     for row in real {
         let Some(other) = embedded.iter().find(|h| h.figure == row.figure && h.unit == row.unit) else {
             continue;
