--- a/emulator/src/checker/attempts.rs
+++ b/emulator/src/checker/attempts.rs
@@ -18,7 +18,9 @@
 /// A connection from a process to a backend.
 #[derive(Default)]
 pub(super) struct BackendConnection {
+    /// The backend, by index.
     backend: usize,
+    /// Bytes of the process that are no complete command yet.
     request_bytes: Vec<u8>,
     /// When the first byte of the command that is being written was written.
     first_byte: f64,
@@ -28,7 +30,7 @@
     pub in_flight: VecDeque<AttemptRef>,
 }
 
-/// The connection, and the process at its one end.
+/// Where an attempt was written: the connection, and the process that wrote it.
 #[derive(Clone, Copy)]
 struct Sender {
     link: LinkId,
@@ -78,7 +80,7 @@
         self.coverage.attempts += 1;
         let Some(request) = self.requests.get_mut(&id) else {
             let message = format!("backend {} is sent {id:016x}, which no client requested", attempt.backend);
-            return self.record_violation(Invariant::SingleResponse, now, message);
+            return self.record_request_violation(Invariant::SingleResponse, now, id, message);
         };
         self.coverage.repeated_attempts += u64::from(request.possibly_executed_attempt().is_some());
         let problem = sent_after_response(request, id, &attempt)
@@ -93,7 +95,7 @@
         }
         let problem = problem.or_else(|| self.sent_past_drain_grace(sender.process, id, &attempt));
         if let Some(problem) = problem {
-            self.record_violation(problem.invariant, now, problem.message);
+            self.record_request_violation(problem.invariant, now, id, problem.message);
         }
     }
 
@@ -118,7 +120,7 @@
         let first_execution = self.executed.insert(id);
         if idempotency == Idempotency::NonIdempotent && !first_execution {
             let message = format!("non-idempotent {id:016x} is executed a second time, at backend {backend}");
-            self.record_violation(Invariant::AtMostOnce, now, message);
+            self.record_request_violation(Invariant::AtMostOnce, now, id, message);
         }
     }
 }
--- a/emulator/src/checker/backend_replies.rs
+++ b/emulator/src/checker/backend_replies.rs
@@ -1,16 +1,14 @@
 //! Follows the replies of backends: which attempts were answered, rejected or lost with their connection.
 use super::attempts::{AttemptRef, BackendConnection};
 use super::request::{AttemptOutcome, RequestEvent};
+use super::response::LINE_END;
 use super::Checker;
 use crate::network::LinkId;
 use quillramp_gateway::wire::resp;
 
-/// Bytes of the line end behind a value.
-const LINE_END: usize = 2;
-
 /// What the bytes of a connection begin with.
 enum Decoded {
-    /// Nothing complete.
+    /// No complete reply yet.
     Incomplete,
     /// The head of a long value, whose rest has not arrived.
     LongValueStarted,
@@ -43,6 +41,7 @@
         }
     }
 
+    /// A value has begun to arrive for the request of an attempt.
     fn value_received(&mut self, attempt: Option<AttemptRef>) {
         if let Some(request) = attempt.and_then(|attempt| self.requests.get_mut(&attempt.request)) {
             request.value_received = true;
--- a/emulator/src/checker/client_connection.rs
+++ b/emulator/src/checker/client_connection.rs
@@ -13,11 +13,20 @@
 /// A command that has no response yet.
 #[derive(Clone, Copy)]
 pub(super) struct PendingCommand {
+    /// What it is.
     pub kind: CommandKind,
     /// When its last byte arrived.
     pub received_at: f64,
 }
 
+/// A request whose client got no response.
+pub(super) struct LostRequest {
+    /// The request's id.
+    pub id: u64,
+    /// When its last byte arrived.
+    pub received_at: f64,
+}
+
 /// A client's connection.
 #[derive(Default)]
 pub(super) struct ClientConnection {
@@ -40,14 +49,22 @@
 }
 
 impl ClientConnection {
-    /// The oldest request without a response, and when it was received; none where a response has begun, for the client can tell that a
-    /// truncated one is not complete.
-    pub fn lost_request(&self) -> Option<(u64, f64)> {
+    /// The request at the front of the pipeline, if that is one.
+    pub fn overdue_request(&self) -> Option<u64> {
+        match self.pending.front()?.kind {
+            CommandKind::Request(id) if !self.malformed => Some(id),
+            _ => None,
+        }
+    }
+
+    /// The oldest request without a response; none where a response has begun, for the client can tell that a truncated one is not
+    /// complete.
+    pub fn lost_request(&self) -> Option<LostRequest> {
         if !self.response_bytes.is_empty() {
             return None;
         }
         self.pending.iter().find_map(|command| match command.kind {
-            CommandKind::Request(id) => Some((id, command.received_at)),
+            CommandKind::Request(id) => Some(LostRequest { id, received_at: command.received_at }),
             CommandKind::Other => None,
         })
     }
--- a/emulator/src/checker/client_responses.rs
+++ b/emulator/src/checker/client_responses.rs
@@ -1,9 +1,9 @@
 //! Checks that each command of a client gets one final response, in order; `deadlines` checks that it comes in time.
-use super::client_connection::{ClientConnection, CommandKind, PendingCommand};
+use super::client_connection::{ClientConnection, CommandKind, LostRequest, PendingCommand};
 use super::deadlines::{Deadline, MALFORMED_TIMEOUT};
 use super::request::{AttemptOutcome, RequestEvent, RequestRecord};
 use super::response::escape;
-use super::{parse_response, Checker, Invariant, ResponseKind, SHUTDOWN_INTAKE, TOLERANCE};
+use super::{parse_response, Checker, Invariant, ParsedResponse, ResponseKind, SHUTDOWN_INTAKE, TOLERANCE};
 use crate::network::LinkId;
 use quillramp::types::Idempotency;
 use quillramp_gateway::wire::resp;
@@ -88,34 +88,46 @@
     pub fn response_bytes_written(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
         let Some(client) = self.clients.get_mut(&link) else { return };
         if client.malformed {
-            if bytes.starts_with(b"-") {
-                self.clients.remove(&link);
-            } else {
-                let message =
-                    format!("connection {link}: a client whose bytes can't be parsed gets no error");
-                self.record_violation(Invariant::SingleResponse, now, message);
-            }
-            return;
+            return self.malformed_client_answered(now, link, bytes);
         }
         client.response_bytes.extend_from_slice(bytes);
         loop {
             let Some(client) = self.clients.get_mut(&link) else { return };
-            let Some((kind, length)) = parse_response(&client.response_bytes) else { return };
+            let Some(ParsedResponse { kind, length }) = parse_response(&client.response_bytes) else {
+                return;
+            };
             let response: Vec<u8> = client.response_bytes.drain(..length).collect();
-            client.front_since = now;
-            let Some(command) = client.pending.pop_front() else {
-                if client.unparseable && kind == ResponseKind::Error {
-                    continue; // the response to what could not be parsed
-                }
-                let shown = escape(&response);
+            self.response_written(now, link, kind, &response);
+        }
+    }
+
+    /// A client that sent what can't be parsed gets an error, and nothing else.
+    fn malformed_client_answered(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
+        if bytes.starts_with(b"-") {
+            self.clients.remove(&link);
+        } else {
+            let message = format!("connection {link}: a client whose bytes can't be parsed gets no error");
+            self.record_violation(Invariant::SingleResponse, now, message);
+        }
+    }
+
+    /// A complete response has left a process: it belongs to the oldest command on the connection.
+    fn response_written(&mut self, now: f64, link: LinkId, kind: ResponseKind, response: &[u8]) {
+        let Some(client) = self.clients.get_mut(&link) else { return };
+        client.front_since = now;
+        let Some(command) = client.pending.pop_front() else {
+            let answers_malformed_bytes = client.unparseable && kind == ResponseKind::Error;
+            if !answers_malformed_bytes {
+                let shown = escape(response);
                 let message = format!("connection {link}: a response without a command: {shown}");
-                return self.record_violation(Invariant::SingleResponse, now, message);
-            };
-            if let CommandKind::Request(id) = command.kind {
-                self.request_answered(now, id, kind, &response);
+                self.record_violation(Invariant::SingleResponse, now, message);
             }
-            self.schedule_deadline(link);
+            return;
+        };
+        if let CommandKind::Request(id) = command.kind {
+            self.request_answered(now, id, kind, response);
         }
+        self.schedule_deadline(link);
     }
 
     fn request_answered(&mut self, now: f64, id: u64, kind: ResponseKind, response: &[u8]) {
@@ -123,7 +135,7 @@
         request.record(now, RequestEvent::Answered(kind));
         if request.answered_at.replace(now).is_some() {
             let message = format!("request {id:016x} is answered twice");
-            return self.record_violation(Invariant::SingleResponse, now, message);
+            return self.record_request_violation(Invariant::SingleResponse, now, id, message);
         }
         match kind {
             ResponseKind::Value => {
@@ -137,7 +149,7 @@
             ResponseKind::Error => self.coverage.errored += 1,
             ResponseKind::Other => {
                 let message = format!("request {id:016x} is answered by {}", escape(response));
-                self.record_violation(Invariant::SingleResponse, now, message);
+                self.record_request_violation(Invariant::SingleResponse, now, id, message);
             }
         }
     }
@@ -150,7 +162,7 @@
         let names_request = head.windows(ID_LENGTH).any(|window| window == expected_id.as_bytes());
         if !names_request || !value_received {
             let message = format!("request {id:016x} is answered by a value that no backend made for it");
-            self.record_violation(Invariant::SingleResponse, now, message);
+            self.record_request_violation(Invariant::SingleResponse, now, id, message);
         }
     }
 
@@ -168,7 +180,7 @@
                 operation.name,
                 attempts.join(", ")
             );
-            self.record_violation(Invariant::AtMostOnce, now, message);
+            self.record_request_violation(Invariant::AtMostOnce, now, id, message);
         }
     }
 
@@ -183,15 +195,15 @@
         if now <= process.stalled_until + TOLERANCE {
             return;
         }
-        let due = |received_at: f64| {
-            let received_at = received_at.max(process.stalled_until);
+        let is_due = |lost: &LostRequest| {
+            let received_at = lost.received_at.max(process.stalled_until);
             process.shutdown_requested.is_none_or(|at| received_at <= at + SHUTDOWN_INTAKE)
         };
-        if let Some((id, received_at)) = client.lost_request().filter(|(_, received_at)| due(*received_at)) {
+        if let Some(LostRequest { id, received_at }) = client.lost_request().filter(is_due) {
             let message = format!(
                 "request {id:016x}, received at {received_at:.4}: its connection {link} is closed without a response"
             );
-            self.record_violation(Invariant::SingleResponse, now, message);
+            self.record_request_violation(Invariant::SingleResponse, now, id, message);
         }
     }
 }
--- a/emulator/src/checker/deadlines.rs
+++ b/emulator/src/checker/deadlines.rs
@@ -42,7 +42,7 @@
         let received_at = command.received_at.max(stalled_until);
         Some(match command.kind {
             CommandKind::Request(id) => {
-                let timeout = self.requests.get(&id).map_or(1.0, |request| request.timeout);
+                let timeout = self.requests.get(&id).map_or(COMMAND_TIMEOUT, |request| request.timeout);
                 (received_at + timeout).max(client.front_since) + TOLERANCE
             }
             CommandKind::Other => client.front_since.max(received_at) + COMMAND_TIMEOUT,
@@ -56,9 +56,14 @@
         }
     }
 
+    /// The connection with the earliest deadline, if that has passed.
+    fn next_overdue(&self, now: f64) -> Option<LinkId> {
+        self.deadlines.first().filter(|deadline| deadline.at() < now).map(|deadline| deadline.link)
+    }
+
     /// Finds the commands that should have had a response by now.
     pub fn check_deadlines(&mut self, now: f64) {
-        while let Some(link) = self.deadlines.first().filter(|deadline| deadline.at() < now).map(|d| d.link) {
+        while let Some(link) = self.next_overdue(now) {
             self.deadlines.pop_first();
             let Some(deadline) = self.response_deadline(link) else { continue };
             let client = &self.clients[&link];
@@ -71,7 +76,10 @@
                 // Its response is arriving in pieces.
                 self.deadlines.insert(Deadline::new(now + RECHECK_INTERVAL, link));
             } else if let Some(message) = self.overdue_message(link, client) {
-                self.record_violation(Invariant::SingleResponse, now, message);
+                match client.overdue_request() {
+                    Some(id) => self.record_request_violation(Invariant::SingleResponse, now, id, message),
+                    None => self.record_violation(Invariant::SingleResponse, now, message),
+                }
             }
         }
     }
--- a/emulator/src/checker/mod.rs
+++ b/emulator/src/checker/mod.rs
@@ -29,7 +29,7 @@
 pub use invariant::{Coverage, Invariant, Violation};
 pub use limits::{Ceiling, CheckedLimits, OperationSpec, QuotaLimit, SlowStartLimit};
 pub use rate_ceiling::CustomerPlan;
-pub use response::{parse_response, ResponseKind};
+pub use response::{parse_response, ParsedResponse, ResponseKind};
 
 use crate::network::LinkId;
 use crate::quota_usage::QuotaUsage;
@@ -67,6 +67,7 @@
     pub quota_usage: HashMap<CustomerPlan, QuotaUsage>,
     /// The requests that have begun to run at some backend.
     executed: HashSet<u64>,
+    /// Ceilings are not checked until then: two counters answer.
     split_until: f64,
     /// The backend, by index, that each endpoint name leads to.
     pub backend_names: BTreeMap<String, usize>,
@@ -94,15 +95,14 @@
         }
     }
 
-    /// Keeps the violation if it is the first one, with the history of the request that its message names.
+    /// Keeps a violation that no single request is the cause of, if it is the first one.
     fn record_violation(&mut self, invariant: Invariant, now: f64, message: String) {
-        if self.violation.is_some() {
-            return;
-        }
-        let words = message.split([' ', ',', ':']).filter(|word| word.len() == 16);
-        let request =
-            words.filter_map(|word| u64::from_str_radix(word, 16).ok()).find_map(|id| self.requests.get(&id));
-        let history = request.map_or(vec![], RequestRecord::history_lines);
-        self.violation = Some(Violation { invariant, at: now, message, history });
+        self.violation.get_or_insert(Violation { invariant, at: now, message, history: vec![] });
+    }
+
+    /// Keeps a violation with the history of the request that it is about, if it is the first one.
+    fn record_request_violation(&mut self, invariant: Invariant, now: f64, id: u64, message: String) {
+        let history = self.requests.get(&id).map_or(vec![], RequestRecord::history_lines);
+        self.violation.get_or_insert(Violation { invariant, at: now, message, history });
     }
 }
--- a/emulator/src/checker/request.rs
+++ b/emulator/src/checker/request.rs
@@ -35,10 +35,15 @@
 /// Something that happened to a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestEvent {
+    /// It was received on that connection.
     Received(LinkId),
+    /// An attempt was written to a backend.
     AttemptSent { backend: usize },
+    /// A backend has begun to execute it.
     ExecutionStarted { backend: usize },
+    /// An attempt has ended.
     AttemptEnded { backend: usize, outcome: AttemptOutcome },
+    /// Its final response was written.
     Answered(ResponseKind),
 }
 
@@ -56,6 +61,7 @@
     }
 }
 
+/// An event and when it happened.
 #[derive(Debug)]
 struct TimedEvent {
     at: f64,
--- a/emulator/src/checker/response.rs
+++ b/emulator/src/checker/response.rs
@@ -13,23 +13,35 @@
     Other,
 }
 
+/// The first response of some bytes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ParsedResponse {
+    /// What it is.
+    pub kind: ResponseKind,
+    /// Its bytes, the end of the last line included.
+    pub length: usize,
+}
+
+/// Bytes of the end of a line.
+pub(super) const LINE_END: usize = 2;
 /// Bytes within which the first line of a response ends.
 const MAX_FIRST_LINE: usize = 1024;
 /// Bytes of a response that messages show.
 const SHOWN_BYTES: usize = 60;
 
-/// The kind and the length in bytes of the first response, once it is complete.
-pub fn parse_response(bytes: &[u8]) -> Option<(ResponseKind, usize)> {
+/// The first response, once it is complete.
+pub fn parse_response(bytes: &[u8]) -> Option<ParsedResponse> {
     let line = bytes.iter().take(MAX_FIRST_LINE).position(|byte| *byte == b'\n')? + 1;
+    let of_one_line = |kind| Some(ParsedResponse { kind, length: line });
     match bytes[0] {
-        b'-' if bytes.starts_with(b"-BUSY") => Some((ResponseKind::Busy, line)),
-        b'-' => Some((ResponseKind::Error, line)),
+        b'-' if bytes.starts_with(b"-BUSY") => of_one_line(ResponseKind::Busy),
+        b'-' => of_one_line(ResponseKind::Error),
         b'$' => {
-            let value: usize = std::str::from_utf8(&bytes[1..line - 2]).ok()?.parse().ok()?;
-            let length = line + value + 2;
-            (bytes.len() >= length).then_some((ResponseKind::Value, length))
+            let value: usize = std::str::from_utf8(&bytes[1..line - LINE_END]).ok()?.parse().ok()?;
+            let length = line + value + LINE_END;
+            (bytes.len() >= length).then_some(ParsedResponse { kind: ResponseKind::Value, length })
         }
-        _ => Some((ResponseKind::Other, line)),
+        _ => of_one_line(ResponseKind::Other),
     }
 }
 
--- a/emulator/src/clients/mod.rs
+++ b/emulator/src/clients/mod.rs
@@ -4,7 +4,7 @@
 
 pub use command::ClientOperation;
 
-use crate::checker::{parse_response, ResponseKind};
+use crate::checker::{parse_response, ParsedResponse, ResponseKind};
 use crate::context::Context;
 use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
@@ -213,7 +213,7 @@
     pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         connection.received.extend_from_slice(bytes);
-        while let Some((kind, length)) = parse_response(&connection.received) {
+        while let Some(ParsedResponse { kind, length }) = parse_response(&connection.received) {
             let head: Vec<u8> = connection.received.drain(..length).take(RESPONSE_HEAD_BYTES).collect();
             let Some(index) = connection.pending.pop_front() else { continue };
             let request = &mut self.requests[index];
