--- a/emulator/src/quota_study.rs
+++ b/emulator/src/quota_study.rs
@@ -18,6 +18,10 @@
 const LOST_RESPONSES: f64 = 0.33;
 /// Seconds between the rounds of the roster, where there is one.
 const ROSTER_INTERVAL: f64 = 1.0;
+/// A fault of the counter, or its end, is noticed within so many rounds of the roster,
+const DETECTION_ROUNDS: f64 = 4.0;
+/// and so many seconds; the bound follows from both (docs/counter.md).
+const DETECTION_DELAY: f64 = 1.0;
 /// Keeps the draws of these scenarios apart from those of others.
 const SEED_MASK: u64 = 0x7173;
 
@@ -119,8 +123,9 @@
 pub fn measure(counter_fault: CounterFault, seconds: f64, roster_interval: f64, seed: u64) -> QuotaResult {
     let scenario = scenario(counter_fault, seconds, roster_interval, seed);
     let report = simulate(&scenario, None);
-    let worst = report.worst_customer(|rate, burst| {
-        let noticed = 4.0 * roster_interval + 1.0;
+    let worst = report.worst_customer(|usage| {
+        let (rate, burst) = (usage.rate(), usage.burst());
+        let noticed = DETECTION_ROUNDS * roster_interval + DETECTION_DELAY;
         (1 + transitions(&scenario)) as f64 * (burst + rate * noticed) / (burst + rate * scenario.seconds)
     });
     QuotaResult {
--- a/emulator/src/quota_usage.rs
+++ b/emulator/src/quota_usage.rs
@@ -1,6 +1,6 @@
-//! How far a customer used more than its quota, as an outside observer reckons it who sees what all gateway instances forward.
+//! How far a customer used more than its quota, as an outside observer calculates it who sees what all gateway instances forward.
 
-/// A token bucket of a quota, full at the start, and what came that it did not hold. Times are in seconds.
+/// A token bucket of a quota, full at the start, and the units that it did not hold. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaUsage {
     rate: f64,
@@ -8,19 +8,19 @@
     tokens: f64,
     last_sample: f64,
     started: f64,
-    /// The span that is worst so far: when it started.
+    /// The span with the highest overshoot that ends now: when it started.
     span_started: f64,
-    /// The units that came in that span.
+    /// The units that were forwarded in that span.
     span_units: f64,
-    /// Units that came and that the bucket did not hold. They take nothing from it: else one overshoot would count again and again.
+    /// Units that the bucket did not hold. They take nothing from it: else one overshoot would count again and again.
     pub excess_units: f64,
-    /// How much more came than the quota allowed, at the worst over any span, as a fraction of what that span allowed.
+    /// The highest overshoot over any span, as a fraction of what the quota allowed in that span.
     pub worst_overshoot: f64,
-    /// All units that came.
+    /// All units that were forwarded.
     pub units: f64,
 }
 
-/// Units that came at a time.
+/// Units that were forwarded at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Sample {
     at: f64,
@@ -28,7 +28,7 @@
 }
 
 impl QuotaUsage {
-    /// A full bucket of `burst` units that regains `rate` units a second.
+    /// A full bucket of `burst` units that is refilled with `rate` units a second.
     pub fn new(rate: f64, burst: f64, now: f64) -> QuotaUsage {
         QuotaUsage {
             rate,
@@ -64,15 +64,15 @@
         self.burst + self.rate * self.span()
     }
 
-    /// Adds units that came at that time; times never run backwards.
+    /// Adds units that were forwarded at that time; times never run backwards.
     pub fn record(&mut self, at: f64, units: f64) {
         self.units += units;
         self.tokens = (self.tokens + self.rate * (at - self.last_sample)).min(self.burst);
         self.last_sample = at;
-        let held = units.min(self.tokens);
-        self.tokens -= held;
-        self.excess_units += units - held;
-        // A span in which less came than was regained meanwhile is better started anew.
+        let covered = units.min(self.tokens);
+        self.tokens -= covered;
+        self.excess_units += units - covered;
+        // Where the refill exceeds what was forwarded in the span, a span that starts now has a higher overshoot.
         if self.span_units <= self.rate * (at - self.span_started) {
             self.span_started = at;
             self.span_units = 0.0;
--- a/emulator/src/simulation/report.rs
+++ b/emulator/src/simulation/report.rs
@@ -35,21 +35,21 @@
     pub trace: Vec<String>,
 }
 
-/// A customer's overshoot beside what is allowed of it, both as fractions of its quota in all.
+/// A customer's overshoot and its bound, both as fractions of what its quota allowed in the whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BoundedOvershoot {
     /// What was beyond the quota.
     pub overshoot: f64,
-    /// The most that may be.
+    /// The most that is tolerated.
     pub bound: f64,
 }
 
 impl Report {
-    /// The customer that comes closest to its bound, or furthest beyond it; `bound` gets a quota's rate and burst.
-    pub fn worst_customer(&self, bound: impl Fn(f64, f64) -> f64) -> BoundedOvershoot {
+    /// The customer that comes closest to its bound, or furthest beyond it.
+    pub fn worst_customer(&self, bound: impl Fn(&QuotaUsage) -> f64) -> BoundedOvershoot {
         let of_customer = |usage: &QuotaUsage| BoundedOvershoot {
             overshoot: usage.excess_units / usage.allowed_units(),
-            bound: bound(usage.rate(), usage.burst()),
+            bound: bound(usage),
         };
         let margin = |customer: &BoundedOvershoot| customer.overshoot - customer.bound;
         let customers = self.quota_usage.iter().map(of_customer);
--- a/load/src/usage.rs
+++ b/load/src/usage.rs
@@ -52,8 +52,8 @@
 impl Quota {
     fn of(settings: &Value, plan: &str) -> Quota {
         let plans = settings["tariffs"].as_array();
-        let plan = plans.and_then(|all| all.iter().find(|t| t["name"] == plan));
-        let figure = |name: &str| plan.and_then(|t| t[name].as_f64()).unwrap_or(0.0);
+        let plan = plans.and_then(|all| all.iter().find(|listed| listed["name"] == plan));
+        let figure = |name: &str| plan.and_then(|plan| plan[name].as_f64()).unwrap_or(0.0);
         Quota { rate: figure("per_second"), burst: figure("depth") }
     }
 }
@@ -66,25 +66,25 @@
 ) -> FleetQuotas {
     let settings = gateway_settings(world, None);
     let mut all = FleetQuotas { units: 0.0, beyond_quota: 0.0, worst_excess: 0.0, rows: vec![] };
-    for (key, came) in units {
+    for (key, executed) in units {
         let Quota { rate, burst } = Quota::of(&settings, &key.plan);
-        all.units += came.iter().map(|c| c.units).sum::<f64>();
+        all.units += executed.iter().map(|units| units.units).sum::<f64>();
         if rate <= 0.0 {
             continue;
         }
-        let came: Vec<(f64, f64)> = came.iter().map(|c| (c.at, c.units)).collect();
-        let bucket = QuotaUsage::from_samples(&came, rate, burst);
-        all.beyond_quota += bucket.excess_units;
-        all.worst_excess = all.worst_excess.max(bucket.worst_overshoot);
-        let span = bucket.span();
+        let samples: Vec<(f64, f64)> = executed.iter().map(|units| (units.at, units.units)).collect();
+        let usage = QuotaUsage::from_samples(&samples, rate, burst);
+        all.beyond_quota += usage.excess_units;
+        all.worst_excess = all.worst_excess.max(usage.worst_overshoot);
+        let span = usage.span();
         all.rows.push(CustomerUsage {
             variant: label.variant.clone(),
             repetition: label.repetition,
             customer: key.customer,
             plan: key.plan.clone(),
-            units: bucket.units,
-            beyond_quota: bucket.excess_units,
-            overshoot: bucket.excess_units / (burst + rate * span),
+            units: usage.units,
+            beyond_quota: usage.excess_units,
+            overshoot: usage.excess_units / (burst + rate * span),
         });
     }
     all.rows.sort_by_key(|row| row.customer);
