--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -19,6 +19,26 @@
     series >= FIRST_PERMIT_SERIES
 }
 
+/// A plan's cap on requests in flight, and how many processes share it.
+#[derive(Clone, Copy)]
+struct PermitCap {
+    permits: f64,
+    processes: f64,
+}
+
+impl PermitCap {
+    /// Permits of one process, at least one: a smaller share is one permit for part of the time.
+    fn even_share(self) -> f64 {
+        (self.permits / self.processes).ceil()
+    }
+
+    /// How long a process waits before it takes its one permit again, as a multiple of the time that a permit counts as taken; 0
+    /// where its share is a permit or more.
+    fn pause_factor(self) -> f64 {
+        (self.processes / self.permits - 1.0).max(0.0)
+    }
+}
+
 impl PolicyEngine {
     /// Takes a permit for a request whose units are granted. `None` if it has one or its plan has no cap; else the request waits
     /// or is refused.
@@ -27,33 +47,23 @@
         request.units_granted = true;
         let customer = request.attributes.customer;
         let waited = now >= request.counter_deadline;
-        let median = self.latencies[request.attributes.operation].median;
         let account = self.accounts.get_mut(&customer).expect("its units were granted");
-        let cap = self.plans[account.plan].max_in_flight as f64;
-        let processes = account.instance_count * self.local_processes;
-        if cap <= 0.0 {
+        let permits = self.plans[account.plan].max_in_flight as f64;
+        if permits <= 0.0 {
             return None;
         }
+        let cap = PermitCap { permits, processes: account.instance_count * self.local_processes };
         account.permit_waiters.retain(|waiter| *waiter != index);
         request.permit = account.free_permits.pop();
         if request.permit.is_some() {
             return None;
         }
-        // An even share of less than one permit is one permit for that part of the time.
         let share_has_permit =
-            now >= account.next_local_permit_at && (account.permits_held as f64) < (cap / processes).ceil();
+            now >= account.next_local_permit_at && (account.permits_held as f64) < cap.even_share();
         let requested = account.permits_requested();
         let is_exhausted = now < account.permits_exhausted_until;
         if is_exhausted || self.counter.should_skip(waited, requested > 0, share_has_permit) {
-            if is_exhausted || !share_has_permit {
-                self.refund_units(now, index);
-                return Some(self.throttle(median / cap));
-            }
-            let shared_out = (processes / cap - 1.0).max(0.0);
-            account.next_local_permit_at = now + LOCAL_PERMIT_MEDIANS * median * shared_out;
-            account.permits_held += 1;
-            request.permit = Some(LOCAL_PERMIT);
-            return None;
+            return self.acquire_local_permit(now, index, cap, share_has_permit && !is_exhausted);
         }
         account.permit_waiters.push(index);
         if requested < account.permit_waiters.len() {
@@ -65,6 +75,27 @@
         Some(Decision::Pending)
     }
 
+    /// Takes a permit of the even share, if one is available; else the request is refused.
+    fn acquire_local_permit(
+        &mut self,
+        now: f64,
+        index: RequestIndex,
+        cap: PermitCap,
+        is_available: bool,
+    ) -> Option<Decision> {
+        let RequestAttributes { customer, operation, .. } = self.request(index).attributes;
+        let median = self.latencies[operation].median;
+        if !is_available {
+            self.refund_units(now, index);
+            return Some(self.throttle(median / cap.permits));
+        }
+        let account = self.accounts.get_mut(&customer).expect("its units were granted");
+        account.next_local_permit_at = now + LOCAL_PERMIT_MEDIANS * median * cap.pause_factor();
+        account.permits_held += 1;
+        self.request(index).permit = Some(LOCAL_PERMIT);
+        None
+    }
+
     /// What came of a call for a permit, or of one that gave it back.
     pub(super) fn permit_answered(
         &mut self,
