--- a/load/src/generator/mod.rs
+++ b/load/src/generator/mod.rs
@@ -18,6 +18,9 @@
 /// Stack of a thread that is one client, bytes.
 const STACK_BYTES: usize = 96 * 1024;
 
+/// Sets the seeds of one repetition's clients apart from those of another.
+const REPETITION_SEED: u64 = 104_729;
+
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -34,8 +37,8 @@
     NotConnected,
 }
 
-/// A row of `rows.csv`: the outcome of one request. Times are seconds; `took` counts from the intended start, so that no stall of a
-/// instance is hidden.
+/// A row of `rows.csv`: the outcome of one request. Times are seconds; `took` counts from the intended start, so that no stall
+/// of an instance is hidden.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestRow {
     /// Name of the variant.
@@ -82,38 +85,46 @@
     experiment: Experiment,
     label: RunLabel,
     routes: Arc<Routes>,
+    /// When the traffic starts.
     start: Instant,
     /// The instance whose queue or whose customers it serves.
     instance: usize,
     source: Source,
+    /// Takes the outcome of each request.
     rows: mpsc::Sender<RequestRow>,
 }
 
 impl Worker {
+    /// Sends requests until there are no more, or nobody takes the rows.
     fn run(mut self) {
         let mut client = Client::new();
         while let Some(arrival) = self.next() {
-            let late = self.elapsed() - arrival.at;
-            let customer_routes = CustomerRoutes { routes: &self.routes, spread: self.experiment.spread() };
-            let answer = client.send(&customer_routes, &arrival);
-            let took = self.elapsed() - arrival.at;
-            let row = RequestRow {
-                variant: self.label.variant.clone(),
-                repetition: self.label.repetition,
-                at: arrival.at,
-                late,
-                took,
-                instance: answer.instance,
-                customer: arrival.customer,
-                non_idempotent: arrival.non_idempotent,
-                outcome: answer.outcome,
-            };
+            let row = self.send(&mut client, &arrival);
             if self.rows.send(row).is_err() {
                 return;
             }
         }
     }
 
+    /// Sends a request and waits for its outcome.
+    fn send(&self, client: &mut Client, arrival: &Arrival) -> RequestRow {
+        let late = self.elapsed() - arrival.at;
+        let customer_routes = CustomerRoutes { routes: &self.routes, spread: self.experiment.spread() };
+        let answer = client.send(&customer_routes, arrival);
+        let took = self.elapsed() - arrival.at;
+        RequestRow {
+            variant: self.label.variant.clone(),
+            repetition: self.label.repetition,
+            at: arrival.at,
+            late,
+            took,
+            instance: answer.instance,
+            customer: arrival.customer,
+            non_idempotent: arrival.non_idempotent,
+            outcome: answer.outcome,
+        }
+    }
+
     fn elapsed(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
@@ -126,15 +137,18 @@
             Source::Drawn(_) if now >= self.experiment.traffic.seconds => None,
             Source::Drawn(rng) => {
                 let arrival = self.experiment.draw_arrival(rng, now);
-                // Its own instance's customers: those whose set holds it.
-                let all = self.routes.addresses.len();
-                let first = arrival.customer as usize % all;
-                let within = (self.instance + all - first) % all < self.experiment.spread();
-                let instance = if within { self.instance } else { arrival.instance };
+                let instance = if self.serves(arrival.customer) { self.instance } else { arrival.instance };
                 Some(Arrival { instance, ..arrival })
             }
         }
     }
+
+    /// Whether the worker's own instance is one of the customer's: these are consecutive ones from its first.
+    fn serves(&self, customer: u64) -> bool {
+        let instances = self.routes.addresses.len();
+        let first = customer as usize % instances;
+        (self.instance + instances - first) % instances < self.experiment.spread()
+    }
 }
 
 /// The threads of the generator, and the queues of an open loop.
@@ -160,15 +174,14 @@
             queues.push(sender);
             receivers.push(Arc::new(Mutex::new(receiver)));
         }
-        let mut threads = vec![];
-        for index in 0..traffic.connections * routes.addresses.len() {
+        let new_worker = |index: usize| {
             let instance = index % routes.addresses.len();
             let source = if experiment.is_open_loop() {
                 Source::Queue(receivers[instance].clone())
             } else {
                 Source::Drawn(worker_rng(experiment, label.repetition, index))
             };
-            let worker = Worker {
+            Worker {
                 experiment: experiment.clone(),
                 label: label.clone(),
                 routes: routes.clone(),
@@ -176,7 +189,11 @@
                 instance,
                 source,
                 rows: rows_sender.clone(),
-            };
+            }
+        };
+        let mut threads = vec![];
+        for index in 0..traffic.connections * routes.addresses.len() {
+            let worker = new_worker(index);
             let thread = Builder::new().stack_size(STACK_BYTES).spawn(move || worker.run());
             threads.push(thread.map_err(|source| RunError::GeneratorThread { number: index + 1, source })?);
         }
@@ -209,7 +226,8 @@
 }
 
 fn worker_rng(experiment: &Experiment, repetition: usize, index: usize) -> Box<ChaCha8Rng> {
-    let seed = experiment.seed.wrapping_add(104_729 * (repetition as u64 + 1)).wrapping_add(index as u64);
+    let seed =
+        experiment.seed.wrapping_add(REPETITION_SEED * (repetition as u64 + 1)).wrapping_add(index as u64);
     Box::new(ChaCha8Rng::seed_from_u64(seed))
 }
 
