--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -182,16 +182,38 @@
     assert_eq!(table.lookup(1, 0, 1).expect("routed").timeout, 1.0);
 }
 
+/// The part of the shown text that is about an operation.
+fn shown_limits(operation: &str) -> String {
+    let operator = read_file(GOOD).expect("right");
+    let text = show(&operator, Some(&platform()));
+    let parts: Vec<&str> =
+        text.split("\n\n").filter(|part| part.starts_with(&format!("{operation},"))).collect();
+    assert_eq!(parts.len(), 1, "{operation} is shown once in {text}");
+    // The last part ends with the text, and the others where an empty line follows.
+    format!("{}\n", parts[0].strip_suffix('\n').unwrap_or(parts[0]))
+}
+
 #[test]
-fn effective_limits_are_shown_with_their_sources() {
+fn the_shown_text_has_the_sections_and_then_each_operation() {
     let operator = read_file(GOOD).expect("right");
+    let text = show(&operator, Some(&platform()));
+    let (sections, operations) = text.split_once("\n\n").expect("operations follow");
     expect![[r#"
         admission: off
         log: Json, levels warn, quillramp_gateway::memory debug
         roster on the counter: off
         callers: need not be known
-        broker: off
+        broker: off"#]]
+    .assert_eq(sections);
+    assert!(operations.ends_with('\n') && !operations.ends_with("\n\n"), "{operations}");
+    let names: Vec<&str> =
+        operations.split("\n\n").map(|part| part.split(',').next().expect("a name")).collect();
+    assert_eq!(names, ["look", "find", "hold", "note", "order"]);
+}
 
+#[test]
+fn limits_by_customer_and_by_plan_are_shown_with_their_sources() {
+    expect![[r#"
         look, idempotent
           all plans, customer 00000000b4d65521: class 'one try' (route on line 25)
             attempts 1 (line 18)
@@ -209,7 +231,13 @@
             second copies yes (configuration)
             latency objective 0.4 s (configuration)
             integration timeout 1.5 s (configuration)
+    "#]]
+    .assert_eq(&shown_limits("look"));
+}
 
+#[test]
+fn limits_by_a_pattern_of_operations_are_shown_with_their_sources() {
+    expect![[r#"
         find, idempotent
           small, all customers: class 'look-ups' (route on line 30)
             attempts 3 (line 11)
@@ -222,7 +250,13 @@
             second copies yes (configuration)
             latency objective 0.4 s (configuration)
             integration timeout 1.5 s (configuration)
+    "#]]
+    .assert_eq(&shown_limits("find"));
+}
 
+#[test]
+fn limits_of_a_keyed_operation_are_shown_with_their_group() {
+    expect![[r#"
         hold, tokened, in group 'cell' for 1.5 s
           all plans, all customers: class 'held' (route on line 35)
             attempts 5 (configuration)
@@ -235,14 +269,26 @@
             second copies no (configuration)
             latency objective 0.6 s (configuration)
             integration timeout 2 s (configuration)
+    "#]]
+    .assert_eq(&shown_limits("hold"));
+}
 
+#[test]
+fn an_operation_without_a_route_is_shown_as_configured() {
+    expect![[r#"
         note, tokened, in group 'all' for 1.5 s
           all else: as configured
             attempts 5 (configuration)
             second copies no (configuration)
             latency objective 0.6 s (configuration)
             integration timeout 2 s (configuration)
+    "#]]
+    .assert_eq(&shown_limits("note"));
+}
 
+#[test]
+fn a_non_idempotent_operation_is_shown_without_second_copies() {
+    expect![[r#"
         order, non-idempotent
           all plans, all customers: class 'one try' (route on line 39)
             attempts 1 (line 18)
@@ -255,7 +301,7 @@
             latency objective 1 s (configuration)
             integration timeout 3 s (configuration)
     "#]]
-    .assert_eq(&show(&operator, Some(&platform())));
+    .assert_eq(&shown_limits("order"));
 }
 
 #[test]
