--- a/lease/src/shard/account.rs
+++ b/lease/src/shard/account.rs
@@ -65,6 +65,16 @@
         is_full && is_idle && self.regional_quota.is_settled_at(configured_ppm)
     }
 
+    /// The other owner is short of units: begins a transfer to it and returns its message, if there is something to transfer.
+    fn begin_transfer(&mut self, context: &PeerMessageContext) -> Option<PeerMessage> {
+        let PeerMessageContext { now, tenant, plan, configured_ppm, next_transfer_number, .. } = *context;
+        let begins = self.regional_quota.begin_transfer(plan, configured_ppm, next_transfer_number, now);
+        if !begins {
+            return None;
+        }
+        self.regional_quota.pending_message(tenant, self.plan)
+    }
+
     /// Handles a message of the tenant's owner in the other region, and returns the response.
     pub(super) fn handle_peer_message(
         &mut self,
@@ -73,13 +83,9 @@
         context: &PeerMessageContext,
     ) -> Option<PeerMessage> {
         let quota = &mut self.regional_quota;
-        let PeerMessageContext { tenant, configured_ppm, .. } = *context;
+        let tenant = context.tenant;
         match *message {
-            PeerMessage::RequestTransfer { .. } => {
-                let number = context.next_transfer_number;
-                let begins = quota.begin_transfer(context.plan, configured_ppm, number, context.now);
-                begins.then(|| quota.pending_message(tenant, self.plan)).flatten()
-            }
+            PeerMessage::RequestTransfer { .. } => self.begin_transfer(context),
             PeerMessage::Reconcile { .. } => Some(PeerMessage::ReconcileResponse {
                 tenant,
                 allocated_ppm: quota.allocated_ppm_for(from),
@@ -87,7 +93,7 @@
             }),
             PeerMessage::ReconcileResponse { allocated_ppm, requester_incarnation, .. } => {
                 if requester_incarnation == context.incarnation {
-                    quota.reconcile(allocated_ppm, configured_ppm);
+                    quota.reconcile(allocated_ppm, context.configured_ppm);
                 }
                 None
             }
--- a/lease/src/shard_map/error.rs
+++ b/lease/src/shard_map/error.rs
@@ -5,9 +5,14 @@
 /// Why a shard map is rejected.
 #[derive(Debug, Error, PartialEq)]
 pub enum ShardMapError {
-    /// Not TOML, or a field is missing, unknown or of a wrong type; the parser's message in one line.
-    #[error("no shard map: {0}")]
-    Syntax(String),
+    /// Not TOML, or a field is missing, unknown or of a wrong type.
+    #[error("no shard map: line {line}: {message}")]
+    Syntax {
+        /// The line, counted from 1.
+        line: usize,
+        /// The parser's message, in one line.
+        message: String,
+    },
     /// `active_at` is not a time.
     #[error("active_at: expected seconds of Unix time, found {0}")]
     InvalidActiveAt(f64),
@@ -66,3 +71,12 @@
         found: u32,
     },
 }
+
+impl ShardMapError {
+    /// The parser's error on a text.
+    pub(super) fn syntax(text: &str, error: &toml::de::Error) -> ShardMapError {
+        let offset = error.span().map_or(text.len(), |span| span.start);
+        let line = text.bytes().take(offset).filter(|byte| *byte == b'\n').count() + 1;
+        ShardMapError::Syntax { line, message: error.message().replace('\n', ", ") }
+    }
+}
--- a/lease/src/shard_map/mod.rs
+++ b/lease/src/shard_map/mod.rs
@@ -108,8 +108,7 @@
     /// # Errors
     /// [`ShardMapError::Syntax`] if the text is not a map, else as [`ShardMap::validate`].
     pub fn parse(text: &str) -> Result<ShardMap, ShardMapError> {
-        let map: ShardMap = toml::from_str(text)
-            .map_err(|error| ShardMapError::Syntax(error.message().replace('\n', ", ")))?;
+        let map: ShardMap = toml::from_str(text).map_err(|error| ShardMapError::syntax(text, &error))?;
         map.validate()?;
         Ok(map)
     }
--- a/lease/tests/shard_map.rs
+++ b/lease/tests/shard_map.rs
@@ -66,8 +66,8 @@
     assert_eq!(rejection("rate = 20.0", "rate = 0.0"), plan);
     assert_eq!(rejection("burst = 40.0", "burst = inf"), plan);
     assert!(rejection("epoch = 3", "epoch = 3\nspare = 1").contains("spare"));
-    assert!(rejection("epoch = 3", "epoch = ").starts_with("no shard map: "));
-    assert!(rejection("127.0.0.1:7101", "somewhere").starts_with("no shard map: "));
+    assert!(rejection("epoch = 3", "epoch = ").starts_with("no shard map: line 2: "));
+    assert!(rejection("127.0.0.1:7101", "somewhere").starts_with("no shard map: line 15: "));
 }
 
 #[test]
--- a/load/src/scale/error.rs
+++ b/load/src/scale/error.rs
@@ -80,7 +80,7 @@
         reason: &'static str,
     },
     /// A thread that runs embedded instances panicked.
-    #[error("a group of front doors has panicked")]
+    #[error("a thread that runs embedded instances has panicked")]
     GroupPanicked,
     /// This program's own file is not known.
     #[error("this program: {0}")]
