--- a/emulator/src/quota_study.rs
+++ b/emulator/src/quota_study.rs
@@ -18,25 +18,29 @@
 const LOST_RESPONSES: f64 = 0.33;
 /// Seconds between the rounds of the roster, where there is one.
 const ROSTER_INTERVAL: f64 = 1.0;
+/// A fault of the counter, or its end, is noticed within so many rounds of the roster,
+const DETECTION_ROUNDS: f64 = 4.0;
+/// and so many seconds; the bound follows from both (docs/counter.md).
+const DETECTION_DELAY: f64 = 1.0;
 /// Keeps the draws of these scenarios apart from those of others.
 const SEED_MASK: u64 = 0x7173;
 
 /// What is wrong with the counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum CounterFault {
-    /// Nothing does: what the ordinary path leaves.
+    /// No fault: the overshoot of normal operation.
     None,
-    /// Every other front door meets another one that answers too.
+    /// Two counters, each of which answers half of the gateway instances.
     Split,
-    /// It is gone for all.
+    /// Connections to it are refused.
     Down,
-    /// It says nothing to anybody.
+    /// It is unresponsive.
     Silent,
-    /// It is replaced by an empty one, again and again.
+    /// It loses all totals, several times.
     Lost,
-    /// It adds and does not say so, one call in three.
+    /// It adds the units of one call in three without an answer.
     Deaf,
-    /// Any of these, one after another.
+    /// Several of these, one after another.
     Mixed,
 }
 
@@ -119,8 +123,9 @@
 pub fn measure(counter_fault: CounterFault, seconds: f64, roster_interval: f64, seed: u64) -> QuotaResult {
     let scenario = scenario(counter_fault, seconds, roster_interval, seed);
     let report = simulate(&scenario, None);
-    let worst = report.worst_customer(|rate, burst| {
-        let noticed = 4.0 * roster_interval + 1.0;
+    let worst = report.worst_customer(|usage| {
+        let (rate, burst) = (usage.rate(), usage.burst());
+        let noticed = DETECTION_ROUNDS * roster_interval + DETECTION_DELAY;
         (1 + transitions(&scenario)) as f64 * (burst + rate * noticed) / (burst + rate * scenario.seconds)
     });
     QuotaResult {
@@ -159,8 +164,8 @@
 /// The results as a Markdown table, a row for each fault with and without the roster.
 pub fn table(results: &[QuotaResult]) -> String {
     let mut text = String::from(
-        "| the counter | roster | runs | overshoot of the worst customer: median, most | bound, at that one | past the bound | \
-         succeeded | rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
+        "| counter fault | roster | runs | worst customer's overshoot: median, maximum | bound of that maximum | runs beyond their bound | \
+         succeeded | violations |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     let mut rows: Vec<(CounterFault, bool)> =
         results.iter().map(|result| (result.counter_fault, result.roster_interval > 0.0)).collect();
