--- a/drill/src/instance.rs
+++ b/drill/src/instance.rs
@@ -307,8 +307,8 @@
         if effects.fetch_endpoints {
             actions::fetch_endpoints(reply);
         }
-        for line in effects.log {
-            actions::log(reply, &line);
+        for message in effects.log {
+            actions::log(reply, &message.to_string());
         }
     }
 
--- a/emulator/src/gateway_process/effects.rs
+++ b/emulator/src/gateway_process/effects.rs
@@ -48,7 +48,7 @@
             Effect::Connect { connection, address } => self.connect(ctx, addresses, connection, address),
             Effect::Close(id) => self.close(ctx, id),
             Effect::SendDatagram { to, body } => self.send_datagram(ctx, addresses, to, &body),
-            Effect::Log(line) => self.log(ctx, &line),
+            Effect::Log(message) => self.log(ctx, &message.to_string()),
             Effect::LogClosed(closed) => self.log(ctx, &closed.to_string()),
             Effect::StopAccepting => self.accepting = false,
             Effect::Exit => {
--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -86,7 +86,9 @@
         let update = file.update(|record| record.set_newest(current));
         let predecessor = update.before.newest();
         let record = update.after.unwrap_or_else(|error| {
-            tracing::warn!("the next version will not know what this one does: {error}");
+            tracing::warn!(
+                "the shared file can't be written, so the next process will not know this one: {error}"
+            );
             let newest_pid = current.pid;
             let newest_started = current.started;
             SharedRecord { drained: false, newest_pid, newest_started, ..update.before }
@@ -144,7 +146,7 @@
             record.descriptor_limit = limit;
         };
         if let Err(error) = self.file.file.update(announce).after {
-            tracing::warn!("the other process is not told how many descriptors are free: {error}");
+            tracing::warn!("the limit on descriptors can't be announced to the other process: {error}");
         }
     }
 
--- a/gateway/src/process/shared_file.rs
+++ b/gateway/src/process/shared_file.rs
@@ -170,6 +170,6 @@
 
 /// A file that can't be read stops nothing.
 fn ignore_unreadable(error: SharedFileError) -> SharedRecord {
-    tracing::warn!("what was kept for this version is passed over: {error}");
+    tracing::warn!("the shared file can't be read and is ignored: {error}");
     SharedRecord::default()
 }
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -143,7 +143,7 @@
     startup.run(files, events)?;
     tracing::info!("{name} serves at {listen}");
     if let Some(admin) = admin {
-        tracing::info!("operators call at {admin}");
+        tracing::info!("operators' calls are served at {admin}");
     }
     signal_loop.run()
 }
--- a/gateway/src/sockets/effects.rs
+++ b/gateway/src/sockets/effects.rs
@@ -40,7 +40,7 @@
             Effect::Connect { connection, address } => self.connect(connection, address),
             Effect::Close(id) => self.close(id, batch),
             Effect::SendDatagram { to, body } => self.gossip.iter().for_each(|gossip| gossip.send(to, &body)),
-            Effect::Log(line) => tracing::info!("{line}"),
+            Effect::Log(message) => tracing::info!("{message}"),
             Effect::LogClosed(closed) => log_closed(&closed),
             Effect::StopAccepting => self.stop_accepting(),
             Effect::Exit => self.exit_after_flush(batch),
--- a/gateway/src/sockets/event_queue.rs
+++ b/gateway/src/sockets/event_queue.rs
@@ -26,10 +26,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum TimerError {
     /// The kernel has none.
-    #[error("alarm: {0}")]
+    #[error("timer: {0}")]
     Create(nix::errno::Errno),
     /// The runtime can't wait for it.
-    #[error("alarm: {0:?}")]
+    #[error("timer: {0:?}")]
     Register(std::io::Error),
 }
 
@@ -88,7 +88,7 @@
         let delay = Duration::from_secs_f64(seconds.clamp(MIN_TIMER_SECONDS, MAX_TIMER_SECONDS));
         let expiration = Expiration::OneShot(delay.into());
         if let Err(error) = self.timer.inner().0.set(expiration, TimerSetTimeFlags::empty()) {
-            tracing::error!("alarm: {error}");
+            tracing::error!("timer: {error}");
         }
     }
 }
--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -1,5 +1,6 @@
 //! Operators' calls, and the state that the processes of one instance share.
 use super::event::{AdminChange, CloseReason, ConnectionId, Effect, OperatorUpdate, SaveError, SharedState};
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::{TimerKey, TimerKind};
 use crate::wire::admin::{AdminCall, AdminResponse};
@@ -145,9 +146,9 @@
                 (200, "done\n".into())
             }
             Err(error) => {
-                let line = format!("in force, but not saved for the next process: {error}");
-                self.effects.push(Effect::Log(line));
-                (500, format!("in force, but not kept: {error}\n"))
+                let body = format!("in force, but not kept: {error}\n");
+                self.log(LogMessage::SaveFailed { error });
+                (500, body)
             }
         };
         if let Some(id) = call {
@@ -177,9 +178,12 @@
         for name in changed {
             self.admin.known_backends.add(&name); // it was listed for this process or the one before
             let ejected_since = self.admin.shared.ejected_backends.get(&name).copied();
-            let action =
-                if ejected_since.is_some() { "ejected by an operator" } else { "restored by an operator" };
-            self.effects.push(Effect::Log(format!("backend {name} {action}")));
+            let message = if ejected_since.is_some() {
+                LogMessage::BackendEjected { name: name.clone() }
+            } else {
+                LogMessage::BackendRestored { name: name.clone() }
+            };
+            self.log(message);
             if let Some(backend) = self.backends.names.get(&name) {
                 self.set_manual_ejection(now, backend, ejected_since);
             }
@@ -200,9 +204,7 @@
     /// for both.
     fn peer_process_changed(&mut self, now: f64) {
         let is_running = self.admin.shared.peer_process_running;
-        let line =
-            if is_running { "another process of this instance is running" } else { "the only process again" };
-        self.effects.push(Effect::Log(line.into()));
+        self.log(if is_running { LogMessage::OtherProcess } else { LogMessage::OnlyProcess });
         self.engine.set_peer_process(is_running);
         if is_running {
             self.free_descriptors(now);
@@ -216,7 +218,7 @@
         self.set_contracts(now, broker);
         self.set_presence_interval(now, presence_interval);
         if routes != self.routes {
-            self.effects.push(Effect::Log(format!("limits declared: {routes}")));
+            self.log(LogMessage::RequestLimits { routes: routes.to_string() });
             self.routes = routes;
         }
         self.set_admission_limits(now, admission);
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -1,6 +1,7 @@
 //! Admission: the controller is notified of what happens to clients' connections, and its verdicts are carried out.
 use super::client_table::Client;
 use super::event::{CloseReason, ConnectionId, Effect};
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use crate::wire::resp::ClientReply;
 use quillramp_admission::{AdmissionController, CommandVerdict, ConnectionVerdict, Limits, OpenConnection};
@@ -9,15 +10,13 @@
 impl Reducer {
     /// Limits from now on, or none. What is open above them stays.
     pub(super) fn set_admission_limits(&mut self, now: f64, limits: Option<Limits>) {
-        let line = match (&self.admission, &limits) {
+        self.log(match (&self.admission, &limits) {
             (None, None) => return,
-            (_, None) => "admission: no limits from now on".into(),
-            (_, Some(limits)) => {
-                let Limits { connections, reserve, .. } = limits;
-                format!("admission: {connections} connections, {reserve} kept for known addresses")
+            (_, None) => LogMessage::NoAdmissionLimits,
+            (_, Some(Limits { connections, reserve, .. })) => {
+                LogMessage::AdmissionLimits { connections: *connections, reserve: *reserve }
             }
-        };
-        self.effects.push(Effect::Log(line));
+        });
         match (&mut self.admission, limits) {
             (Some(admission), Some(limits)) => admission.set_limits(now, limits),
             (_, None) => self.admission = None,
--- a/gateway/src/state/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -1,6 +1,6 @@
 //! Contracts between teams: the broker is asked about a request before the policy engine is, and gets back the grants of
 //! requests that were never forwarded.
-use super::event::Effect;
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use crate::wire::resp::{ClientReply, RequestCommand};
 use quillramp::types::*;
@@ -93,15 +93,14 @@
         if self.broker.as_ref().map(|state| &state.settings) == settings.as_ref() {
             return;
         }
-        let line = match &settings {
-            None => "no contracts between teams".into(),
-            Some(BrokerSettings { contracts, capacity, .. }) => {
-                let count = contracts.all().len();
-                let teams = contracts.teams().count();
-                format!("{count} contracts of {teams} teams, {capacity} units a second in all")
-            }
-        };
-        self.effects.push(Effect::Log(line));
+        self.log(match &settings {
+            None => LogMessage::NoContracts,
+            Some(BrokerSettings { contracts, capacity, .. }) => LogMessage::Contracts {
+                contracts: contracts.all().len(),
+                teams: contracts.teams().count(),
+                capacity: *capacity,
+            },
+        });
         match (&mut self.broker, settings) {
             (broker, None) => *broker = None,
             (Some(broker), Some(settings)) => broker.update(now, settings),
--- a/gateway/src/state/decisions.rs
+++ b/gateway/src/state/decisions.rs
@@ -1,5 +1,5 @@
 //! The policy engine: asked about requests, notified of attempts, and its decisions carried out.
-use super::event::Effect;
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::requests::{AttemptId, EndedAttempt};
 use crate::wire::resp::ClientReply;
@@ -83,7 +83,9 @@
         if effects.fetch_endpoints {
             self.watch_if_not_pending(now);
         }
-        self.effects.extend(effects.log.into_iter().map(Effect::Log));
+        for message in effects.log {
+            self.log(LogMessage::Policy(message));
+        }
     }
 
     /// Frees a request that is over.
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -1,8 +1,9 @@
 //! Discovery: the endpoint list is watched, and the policy engine notified of it.
 use super::event::{CloseReason, ConnectionId, Effect};
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::{TimerKey, TimerKind};
-use crate::wire::endpoints::{self, EndpointList};
+use crate::wire::endpoints::{self, EndpointList, EndpointListError};
 use crate::wire::http::{Request, Response};
 use quillramp::types::*;
 
@@ -195,9 +196,9 @@
     fn apply_watch_response(&mut self, now: f64, id: u64, response: Response) {
         self.discovery.is_unresponsive = false;
         let list = if response.status == 200 {
-            endpoints::decode(&response.body).map_err(|error| error.to_string())
+            endpoints::decode(&response.body)
         } else {
-            Err(format!("status {}", response.status))
+            Err(EndpointListError::Status(response.status))
         };
         match list {
             Ok(list) if !response.closes_connection => {
@@ -211,7 +212,7 @@
                 self.open_watch(now);
             }
             Err(error) => {
-                self.effects.push(Effect::Log(format!("list service: {error}")));
+                self.log(LogMessage::EndpointListRejected { error });
                 self.close(ConnectionId::Discovery(id), CloseReason::BadFraming);
                 self.discovery.connection = None;
                 self.engine.endpoint_fetch_failed(now);
--- a/gateway/src/state/dispatch.rs
+++ b/gateway/src/state/dispatch.rs
@@ -1,5 +1,6 @@
 //! Which part of the reducer handles an event or a timer.
 use super::event::{CloseReason, ConnectionId, Effect, Event};
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::TimerKind;
 use crate::wire::http::Response;
@@ -35,7 +36,7 @@
             Event::AdminConnected(id) => self.admin_connected(now, id),
             Event::AdminCall { connection, call } => self.admin_call(now, connection, call),
             Event::SharedStateSaved { call, shared } => self.shared_state_saved(now, call, shared),
-            Event::ReloadFailed(error) => self.reload_failed(&error),
+            Event::ReloadFailed(error) => self.reload_failed(error),
             Event::ConfigurationReloaded { discovery, counter } => {
                 self.configuration_reloaded(now, discovery, counter);
             }
@@ -81,16 +82,14 @@
         }
     }
 
-    fn reload_failed(&mut self, error: &str) {
+    fn reload_failed(&mut self, error: String) {
         self.stats.reload_errors += 1;
-        let line = format!("configuration rejected, the old one stays in force: {error}");
-        self.effects.push(Effect::Log(line));
+        self.log(LogMessage::ConfigurationRejected { error });
     }
 
     fn configuration_reloaded(&mut self, now: f64, discovery: SocketAddr, counter: Option<SocketAddr>) {
         self.stats.reloads += 1;
-        let line = format!("configuration read again: list service at {discovery}, counter at {counter:?}");
-        self.effects.push(Effect::Log(line));
+        self.log(LogMessage::ConfigurationReloaded { discovery, counter });
         if std::mem::replace(&mut self.config.discovery, discovery) != discovery {
             self.discovery_address_changed(now);
         }
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -1,4 +1,5 @@
 //! Events, which the reducer takes in, and effects, which it wants to be carried out.
+use super::log_message::LogMessage;
 use crate::wire::admin;
 use crate::wire::http::{Request, Response};
 use crate::wire::resp::{BackendReply, ClientCommand, ClientReply, RequestCommand};
@@ -124,8 +125,12 @@
 
 impl fmt::Display for ClosedConnection {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        let (space, name) = self.name.as_ref().map_or(("", ""), |n| (" ", n));
-        write!(formatter, "connection {} {}{space}{name} ended: {}", self.kind, self.id, self.reason.code())
+        let ClosedConnection { kind, id, name, reason } = self;
+        let code = reason.code();
+        match name {
+            Some(name) => write!(formatter, "connection {kind} {id} {name} ended: {code}"),
+            None => write!(formatter, "connection {kind} {id} ended: {code}"),
+        }
     }
 }
 
@@ -408,8 +413,8 @@
         /// All of it.
         body: Vec<u8>,
     },
-    /// Writes a line to the log.
-    Log(String),
+    /// Writes a message to the log.
+    Log(LogMessage),
     /// Logs the end of a connection.
     LogClosed(ClosedConnection),
     /// Closes the listening socket.
--- a/gateway/src/state/gossip.rs
+++ b/gateway/src/state/gossip.rs
@@ -1,5 +1,6 @@
 //! Gossip: messages to and from other instances.
 use super::event::Effect;
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use quillramp::gossip::{self, WireMessage};
 use quillramp::types::*;
@@ -62,8 +63,7 @@
     fn datagram_dropped(&mut self) {
         self.dropped_datagrams += 1;
         if self.dropped_datagrams.is_power_of_two() {
-            let line = format!("datagrams dropped so far: {}", self.dropped_datagrams);
-            self.effects.push(Effect::Log(line));
+            self.log(LogMessage::DatagramsDropped { count: self.dropped_datagrams });
         }
     }
 }
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -1,5 +1,5 @@
 //! Callers, where they have to be known: each sends a token once, by AUTH, which is validated again for each command.
-use super::event::Effect;
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use crate::wire::resp::{ClientReply, RequestCommand};
 use quillramp_identity::{Authenticator, Trust};
@@ -11,16 +11,14 @@
         if self.identity.as_ref().map(Authenticator::trust) == trust.as_ref() {
             return;
         }
-        let line = match &trust {
-            None => "callers need not be known".into(),
-            Some(trust) => {
-                let issuer = &trust.issuer;
-                let keys = trust.keys.len();
-                let revoked = trust.revoked.len();
-                format!("callers are known by tokens of {issuer}: {keys} keys, {revoked} revoked")
-            }
-        };
-        self.effects.push(Effect::Log(line));
+        self.log(match &trust {
+            None => LogMessage::CallersNotAuthenticated,
+            Some(trust) => LogMessage::CallersAuthenticated {
+                issuer: trust.issuer.clone(),
+                keys: trust.keys.len(),
+                revoked: trust.revoked.len(),
+            },
+        });
         match (&mut self.identity, trust) {
             (identity, None) => *identity = None,
             (Some(authenticator), Some(trust)) => authenticator.set_trust(trust),
@@ -42,7 +40,7 @@
             }
             Err(rejection) => {
                 client.caller = None;
-                self.effects.push(Effect::Log(format!("client {id}: token rejected: {rejection}")));
+                self.log(LogMessage::TokenRejected { client: id, rejection });
                 ClientReply::Denied(format!("WRONGPASS {rejection}"))
             }
         }
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -23,6 +23,7 @@
 mod gossip;
 mod identity;
 mod idle;
+pub mod log_message;
 mod presence;
 pub mod reducer;
 mod requests;
--- a/gateway/src/state/presence.rs
+++ b/gateway/src/state/presence.rs
@@ -1,6 +1,7 @@
 //! Presence: counters by which instances learn which of them reach the counter. Calls on these go where all calls to the
 //! counter go, under numbers that no customer has.
 use super::event::Effect;
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::TimerKind;
 use quillramp::settings::InstanceSettings;
@@ -60,11 +61,10 @@
         if self.presence.as_ref().map(|presence| presence.interval) == interval {
             return;
         }
-        let line = match interval {
-            None => "no roster on the counter".into(),
-            Some(interval) => format!("roster on the counter, every {interval} s"),
-        };
-        self.effects.push(Effect::Log(line));
+        self.log(match interval {
+            None => LogMessage::NoMembership,
+            Some(interval) => LogMessage::Membership { interval },
+        });
         let settings = &self.instance;
         self.presence = interval.map(|interval| PresenceState::new(now, interval, settings));
         if interval.is_some() {
@@ -88,8 +88,8 @@
         }
         let absent = presence.membership.absent(now);
         if absent != presence.absent {
-            let line = format!("instances that do not reach the counter: {}", instance_list(&absent));
-            self.effects.push(Effect::Log(line));
+            let message = LogMessage::InstancesAbsent { instances: absent.clone() };
+            self.effects.push(Effect::Log(message));
             presence.absent = absent;
         }
         let next_call = presence.membership.next_call(now);
@@ -100,12 +100,3 @@
         self.timers.schedule(next_call, TimerKind::PresenceCall);
     }
 }
-
-fn instance_list(instances: &BTreeSet<usize>) -> String {
-    let names: Vec<String> = instances.iter().map(usize::to_string).collect();
-    if names.is_empty() {
-        "none".into()
-    } else {
-        names.join(", ")
-    }
-}
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -7,6 +7,7 @@
 use super::counter_table::CounterTable;
 use super::discovery::DiscoveryState;
 use super::event::{CloseReason, ClosedConnection, ConnectionId, Effect, Event};
+use super::log_message::LogMessage;
 use super::presence::PresenceState;
 use super::requests::RequestTable;
 use super::shutdown::ShutdownState;
@@ -154,6 +155,11 @@
         (next, std::mem::take(&mut self.effects))
     }
 
+    /// Writes a message to the log.
+    pub(super) fn log(&mut self, message: LogMessage) {
+        self.effects.push(Effect::Log(message));
+    }
+
     /// Logs why a connection ended.
     pub(super) fn log_closed(&mut self, connection: ConnectionId, reason: CloseReason) {
         let mut name = None;
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -1,5 +1,6 @@
 //! Draining: clients' connections are closed between requests. A graceful shutdown is a drain that ends in the exit.
 use super::event::{CloseReason, ConnectionId, Effect};
+use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::{TimerKey, TimerKind};
 use quillramp::types::*;
@@ -72,12 +73,11 @@
         let is_handover = self.config.inherited_listener && self.admin.shared.peer_process_newer;
         self.shutdown.hands_over_listener = is_handover;
         if is_handover {
-            let line = "shutting down: the next process accepts, this one answers its pending requests";
-            self.effects.push(Effect::Log(line.into()));
+            self.log(LogMessage::ShutdownWithHandover);
             self.begin_drain(now);
             return self.announce_descriptor_limit();
         }
-        self.effects.push(Effect::Log("shutting down: serving on, then closing connections".into()));
+        self.log(LogMessage::ShutdownBegun);
         // An instance that an operator has drained goes on, too: for a while clients keep coming.
         self.shutdown.is_draining = false;
         self.schedule_drain(now);
@@ -86,9 +86,7 @@
     /// An operator drains this instance, or ends that.
     pub(super) fn drain_changed(&mut self, now: f64) {
         let is_drained = self.admin.shared.drained;
-        let line =
-            if is_drained { "drained by an operator: closing connections" } else { "the drain has ended" };
-        self.effects.push(Effect::Log(line.into()));
+        self.log(if is_drained { LogMessage::DrainBegun } else { LogMessage::DrainEnded });
         if is_drained {
             self.schedule_drain(now);
         } else if !self.shutdown.is_stopping {
--- a/gateway/src/wire/endpoints.rs
+++ b/gateway/src/wire/endpoints.rs
@@ -49,10 +49,16 @@
     }
 }
 
-/// An endpoint list that can't be decoded.
+/// A response of the list service that can't be used.
 #[derive(Debug, thiserror::Error)]
-#[error("list: {0}")]
-pub struct EndpointListError(#[from] serde_json::Error);
+pub enum EndpointListError {
+    /// Its status is not 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// Its body can't be decoded.
+    #[error("list: {0}")]
+    Body(#[from] serde_json::Error),
+}
 
 /// Decodes the body of the list service's response.
 pub fn decode(body: &[u8]) -> Result<EndpointList, EndpointListError> {
--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -107,7 +107,7 @@
             0
             admission: off
             log: plain, levels as usual
-            roster on the counter: off
+            membership on the counter: off
             callers: need not be known
             broker: off
 
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -77,7 +77,7 @@
         Effect::Connect { connection, address } => format!("connect {connection:?} to {address}"),
         Effect::SendDatagram { to, body } => format!("datagram of {} to {to}", body.len()),
         Effect::Close(_) => return None, // it has a log line
-        Effect::Log(line) => format!("log: {line}"),
+        Effect::Log(message) => format!("log: {message}"),
         Effect::LogClosed(closed) => format!("log: {closed}"),
         Effect::AdminRespond { connection, response } => {
             format!("operator {connection}: {} {}", response.status, response.body.trim_end())
--- a/operator/src/show/sections.rs
+++ b/operator/src/show/sections.rs
@@ -11,7 +11,7 @@
     let lines = [
         settings.admission.as_ref().map_or("admission: off".into(), admission),
         settings.log.as_ref().map_or("log: plain, levels as usual".into(), log),
-        settings.presence.map_or("roster on the counter: off".into(), presence),
+        settings.presence.map_or("membership on the counter: off".into(), presence),
         settings.identity.as_ref().map_or("callers: need not be known".into(), identity),
         settings.broker.as_ref().map_or("broker: off".into(), broker),
     ];
@@ -55,7 +55,7 @@
 }
 
 fn presence(interval: f64) -> String {
-    format!("roster on the counter: every {interval} s")
+    format!("membership on the counter: every {interval} s")
 }
 
 fn identity(trust: &Trust) -> String {
--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -201,7 +201,7 @@
     expect![[r#"
         admission: off
         log: Json, levels warn, quillramp_gateway::memory debug
-        roster on the counter: off
+        membership on the counter: off
         callers: need not be known
         broker: off"#]]
     .assert_eq(sections);
@@ -310,7 +310,7 @@
     expect![[r#"
         admission: off
         log: Json, levels warn, quillramp_gateway::memory debug
-        roster on the counter: off
+        membership on the counter: off
         callers: need not be known
         broker: off
         limits: 3 classes, 4 routes; name a configuration to see what holds
--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -134,7 +134,7 @@
     pub(super) fn counter_responded(&mut self, now: f64) {
         if self.counter.unresponsive {
             let gap = now - self.counter.last_answer_at;
-            self.effects.log.push(format!("counter recovered after {gap:.2} s; leases resume"));
+            self.effects.log.push(PolicyLogMessage::CounterRecovered { gap });
             let reduced = self.counter.call_rate * RECOVERY_RATE_FRACTION;
             self.counter.call_rate = reduced.max(MIN_CALL_RATE / self.instances);
         }
@@ -149,14 +149,12 @@
         let counter = &mut self.counter;
         counter.consecutive_misses += 1;
         counter.cut_rate(now, least);
-        let misses = counter.consecutive_misses;
+        let missed_calls = counter.consecutive_misses;
         let gap = now - counter.last_answer_at;
-        if !counter.unresponsive && misses >= MISSES_UNTIL_UNRESPONSIVE && gap > CALL_SAVING_SPAN {
+        if !counter.unresponsive && missed_calls >= MISSES_UNTIL_UNRESPONSIVE && gap > CALL_SAVING_SPAN {
             counter.unresponsive = true;
             counter.schedule_next_probe(now);
-            let line =
-                format!("counter unresponsive: {misses} calls missed in {gap:.2} s; even shares stand in");
-            self.effects.log.push(line);
+            self.effects.log.push(PolicyLogMessage::CounterUnresponsive { missed_calls, gap });
         }
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -207,7 +207,7 @@
                 backend.last_progress_at = now;
                 backend.answered_at = now;
             }
-            self.effects.log.push(format!("process stalled for {late:.2} s"));
+            self.effects.log.push(PolicyLogMessage::ProcessStalled { duration: late });
         }
         self.last_call_at = now;
     }
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -131,8 +131,8 @@
     }
 
     fn record_recovery(&mut self, now: f64, outcome: &AttemptOutcome) {
-        let line = format!("backend {} recovered: answered in {:.3} s", outcome.backend, outcome.duration);
-        self.effects.log.push(line);
+        let AttemptOutcome { backend, duration, .. } = *outcome;
+        self.effects.log.push(PolicyLogMessage::BackendRecovered { backend, duration });
         let backend = self.backend_mut(outcome.backend);
         if now > backend.recovery_gossiped_at + GOSSIP_INTERVAL {
             backend.recovery_gossiped_at = now;
@@ -157,7 +157,7 @@
         let duration = backend.ejection.map_or(FIRST_EJECTION, longer);
         backend.ejection = Some(Ejection { started_at: now, until: now + duration, duration });
         let failures = backend.consecutive_failures;
-        let reason = format!("{failures} failures in a row, last {:?}", outcome.result);
-        self.effects.log.push(format!("backend {} ejected for {duration} s: {reason}", outcome.backend));
+        let AttemptOutcome { backend, result: last_result, .. } = *outcome;
+        self.effects.log.push(PolicyLogMessage::BackendEjected { backend, duration, failures, last_result });
     }
 }
--- a/src/types/effects.rs
+++ b/src/types/effects.rs
@@ -1,5 +1,5 @@
 //! What the policy engine returns: decisions, and the effects that the caller carries out.
-use super::{BackendIndex, CounterCall, CustomerIndex, GossipMessage, RequestIndex};
+use super::{BackendIndex, CounterCall, CustomerIndex, GossipMessage, PolicyLogMessage, RequestIndex};
 
 /// What becomes of a request now.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,8 +40,8 @@
     pub cancellations: Vec<Cancellation>,
     /// Request the endpoint list, and its changes from now on.
     pub fetch_endpoints: bool,
-    /// Lines for the log.
-    pub log: Vec<String>,
+    /// Messages for the log.
+    pub log: Vec<PolicyLogMessage>,
 }
 
 /// The answer to a request's arrival and to the end of an attempt.
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -8,6 +8,7 @@
 mod effects;
 mod endpoint;
 mod gossip;
+mod log_message;
 mod request;
 mod settings;
 
@@ -16,5 +17,6 @@
 pub use effects::*;
 pub use endpoint::*;
 pub use gossip::*;
+pub use log_message::*;
 pub use request::*;
 pub use settings::*;
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -148,5 +148,6 @@
     harness.answer_counter_calls(30.0);
     let outcome = succeeded(2.9);
     let output = harness.engine.attempt_ended(33.0, request, &outcome); // the timer of 30.25 has not fired yet
-    expect!["process stalled for 2.75 s"].assert_eq(&output.effects.log.join("\n"));
+    let messages: Vec<String> = output.effects.log.iter().map(ToString::to_string).collect();
+    expect!["process stalled for 2.75 s"].assert_eq(&messages.join("\n"));
 }
