--- a/emulator/src/backend/mod.rs
+++ b/emulator/src/backend/mod.rs
@@ -8,6 +8,7 @@
 use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::wire::resp;
+use quillramp_gateway::wire::DecodedMessage;
 use rand::Rng;
 use replies::{BUSY_REPLY, SURPLUS_REPLY};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -127,7 +128,7 @@
         loop {
             let Some(connection) = self.connections.get_mut(&link) else { return };
             match resp::decode_command(&connection.received) {
-                Ok(Some((resp::ClientCommand::Request(request), length))) => {
+                Ok(Some(DecodedMessage { value: resp::ClientCommand::Request(request), length })) => {
                     connection.received.drain(..length);
                     self.admit(ctx, link, &request);
                 }
--- a/emulator/src/checker/attempts.rs
+++ b/emulator/src/checker/attempts.rs
@@ -4,6 +4,7 @@
 use crate::network::LinkId;
 use quillramp::types::{Idempotency, KeyScope};
 use quillramp_gateway::wire::resp;
+use quillramp_gateway::wire::DecodedMessage;
 use std::collections::VecDeque;
 
 /// An attempt on a connection, by its request's id and its index among that request's attempts.
@@ -65,7 +66,10 @@
         loop {
             let Some(connection) = self.backends.get_mut(&link) else { return };
             let decoded = resp::decode_command(&connection.request_bytes);
-            let Ok(Some((resp::ClientCommand::Request(request), length))) = decoded else { return };
+            let Ok(Some(DecodedMessage { value: resp::ClientCommand::Request(request), length })) = decoded
+            else {
+                return;
+            };
             connection.request_bytes.drain(..length);
             let first_byte = connection.first_byte;
             connection.first_byte = now;
--- a/emulator/src/checker/backend_replies.rs
+++ b/emulator/src/checker/backend_replies.rs
@@ -5,6 +5,7 @@
 use super::Checker;
 use crate::network::LinkId;
 use quillramp_gateway::wire::resp;
+use quillramp_gateway::wire::DecodedMessage;
 
 /// What the bytes of a connection begin with.
 enum Decoded {
@@ -78,17 +79,17 @@
     fn take_reply(&mut self) -> Decoded {
         // A long value counts from its head on: it may be forwarded before all of it has arrived.
         let long_value = resp::decode_stream_head(&self.reply_bytes).ok().flatten();
-        if let Some((length, start)) = long_value {
-            let value_end = start + length + LINE_END;
+        if let Some(head) = long_value {
+            let value_end = head.length + head.value + LINE_END;
             let rest = self.reply_bytes.get(value_end..);
-            let Some(Ok(Some((_, trailer)))) = rest.map(resp::decode_trailer) else {
+            let Some(Ok(Some(trailer))) = rest.map(resp::decode_trailer) else {
                 return Decoded::LongValueStarted;
             };
-            self.reply_bytes.drain(..value_end + trailer);
+            self.reply_bytes.drain(..value_end + trailer.length);
             return Decoded::Reply { outcome: AttemptOutcome::Answered, value: true };
         }
         match resp::decode_reply(&self.reply_bytes) {
-            Ok(Some((reply, length))) => {
+            Ok(Some(DecodedMessage { value: reply, length })) => {
                 self.reply_bytes.drain(..length);
                 let outcome = match reply {
                     resp::BackendReply::Rejected => AttemptOutcome::Rejected,
--- a/emulator/src/checker/client_responses.rs
+++ b/emulator/src/checker/client_responses.rs
@@ -7,6 +7,7 @@
 use crate::network::LinkId;
 use quillramp::types::Idempotency;
 use quillramp_gateway::wire::resp;
+use quillramp_gateway::wire::DecodedMessage;
 
 /// A value names its request within so many of its first bytes.
 const VALUE_HEAD_BYTES: usize = 64;
@@ -49,7 +50,7 @@
             match resp::decode_command(&client.received) {
                 Ok(None) => return,
                 Err(_) => return client.unparseable = true,
-                Ok(Some((command, length))) => {
+                Ok(Some(DecodedMessage { value: command, length })) => {
                     client.received.drain(..length);
                     self.command_received(now, link, &command);
                 }
--- a/emulator/src/checker/drain.rs
+++ b/emulator/src/checker/drain.rs
@@ -25,8 +25,9 @@
         let Some(connection) = self.discovery.get_mut(&link) else { return };
         let process = connection.process;
         connection.received.extend_from_slice(bytes);
-        while let Ok(Some((response, length))) = http::decode_response(&connection.received) {
-            connection.received.drain(..length);
+        while let Ok(Some(decoded)) = http::decode_response(&connection.received) {
+            connection.received.drain(..decoded.length);
+            let response = decoded.value;
             let list = endpoints::decode(&response.body).ok().filter(|_| response.status == STATUS_OK);
             if let Some(list) = list {
                 return self.endpoints_known(now, process, &list);
--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -1,7 +1,7 @@
 //! Messages on one connection: bytes in, events out. No socket, so that whoever moves the bytes (the sockets, the emulator)
 //! reads them alike.
 use super::event::{CloseReason, ConnectionId, Event};
-use crate::wire::{admin, http, resp, ProtocolError};
+use crate::wire::{admin, http, resp, DecodedMessage, ProtocolError};
 
 /// Where a backend's connection is in a reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -117,7 +117,7 @@
     /// The command at the beginning of these bytes of a client.
     fn decode_command(&mut self, client: u64, bytes: &[u8], to: &mut dyn MessageSink) -> DecodeStep {
         match resp::decode_command(bytes) {
-            Ok(Some((command, length))) => {
+            Ok(Some(DecodedMessage { value: command, length })) => {
                 let event = Event::ClientCommand { client, command };
                 DecodeStep::Message { event, length }
             }
@@ -132,7 +132,9 @@
     /// The response at the beginning of these bytes of the counter or of the discovery service.
     fn decode_response(&self, bytes: &[u8]) -> Result<DecodeStep, CloseReason> {
         let decoded = http::decode_response(bytes).map_err(|_| CloseReason::BadFraming)?;
-        let Some((response, length)) = decoded else { return Ok(DecodeStep::Partial) };
+        let Some(DecodedMessage { value: response, length }) = decoded else {
+            return Ok(DecodeStep::Partial);
+        };
         let event = Event::HttpResponse { connection: self.connection, response };
         Ok(DecodeStep::Message { event, length })
     }
@@ -158,8 +160,8 @@
             }
             ReplyStage::Trailer => {
                 let trailer = resp::decode_trailer(bytes).map_err(|_| CloseReason::BadFraming)?;
-                let Some((trailer, length)) = trailer else { return Ok(DecodeStep::Blocked) };
-                let resp::ReplyTrailer { billed_units, load_report } = trailer;
+                let Some(DecodedMessage { value, length }) = trailer else { return Ok(DecodeStep::Blocked) };
+                let resp::ReplyTrailer { billed_units, load_report } = value;
                 self.stage = ReplyStage::Head;
                 let more_received = length < bytes.len();
                 let event = Event::StreamTrailer { connection: id, billed_units, load_report, more_received };
@@ -170,12 +172,12 @@
 
     fn decode_reply_head(&mut self, id: u64, bytes: &[u8]) -> Result<DecodeStep, CloseReason> {
         let stream = resp::decode_stream_head(bytes).map_err(|_| CloseReason::BadFraming)?;
-        if let Some((bytes_left, length)) = stream {
+        if let Some(DecodedMessage { value: bytes_left, length }) = stream {
             self.stage = ReplyStage::StreamPending { bytes_left };
             return Ok(DecodeStep::Message { event: Event::StreamStarted(id), length });
         }
         let reply = resp::decode_reply(bytes).map_err(|_| CloseReason::BadFraming)?;
-        let Some((reply, length)) = reply else { return Ok(DecodeStep::Partial) };
+        let Some(DecodedMessage { value: reply, length }) = reply else { return Ok(DecodeStep::Partial) };
         let more_received = length < bytes.len();
         let event = Event::BackendReply { connection: id, reply, more_received };
         Ok(DecodeStep::Message { event, length })
--- a/gateway/src/wire/http.rs
+++ b/gateway/src/wire/http.rs
@@ -1,5 +1,5 @@
 //! HTTP/1.1, as far as the counter and the list service use it: requests out, complete responses in.
-use super::{Decoded, ProtocolError};
+use super::{Decoded, DecodedMessage, ProtocolError};
 use std::net::SocketAddr;
 
 /// The longest head of a response, in bytes.
@@ -69,9 +69,12 @@
 pub fn decode_response(bytes: &[u8]) -> Decoded<Response> {
     let mut start = 0;
     loop {
-        match decode_one(&bytes[start..])? {
-            Some((response, length)) if (100..200).contains(&response.status) => start += length,
-            other => return Ok(other.map(|(response, length)| (response, start + length))),
+        let Some(DecodedMessage { value: response, length }) = decode_one(&bytes[start..])? else {
+            return Ok(None);
+        };
+        start += length;
+        if !(100..200).contains(&response.status) {
+            return Ok(Some(DecodedMessage { value: response, length: start }));
         }
     }
 }
@@ -128,11 +131,13 @@
     let closes_connection = framing.closes_connection;
     if framing.chunked {
         let Some(chunked) = decode_chunks(bytes, body_start)? else { return Ok(None) };
-        return Ok(Some((Response { status, body: chunked.body, closes_connection }, chunked.end)));
+        let response = Response { status, body: chunked.body, closes_connection };
+        return Ok(Some(DecodedMessage { value: response, length: chunked.end }));
     }
     let end = body_start + framing.body_length(status)?;
     let Some(body) = bytes.get(body_start..end) else { return Ok(None) };
-    Ok(Some((Response { status, body: body.to_vec(), closes_connection }, end)))
+    let response = Response { status, body: body.to_vec(), closes_connection };
+    Ok(Some(DecodedMessage { value: response, length: end }))
 }
 
 /// A body that came in chunks.
--- a/gateway/src/wire/mod.rs
+++ b/gateway/src/wire/mod.rs
@@ -9,5 +9,14 @@
 #[error("{0}")]
 pub struct ProtocolError(pub &'static str);
 
-/// A complete message and how many bytes it took; none until more bytes have arrived.
-pub type Decoded<T> = Result<Option<(T, usize)>, ProtocolError>;
+/// A complete message at the beginning of some bytes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecodedMessage<T> {
+    /// The message.
+    pub value: T,
+    /// How many bytes it took.
+    pub length: usize,
+}
+
+/// A complete message; none until more bytes have arrived.
+pub type Decoded<T> = Result<Option<DecodedMessage<T>>, ProtocolError>;
--- a/gateway/src/wire/resp/command.rs
+++ b/gateway/src/wire/resp/command.rs
@@ -2,7 +2,7 @@
 use super::arguments::{RequestArguments, RequestItems};
 use super::framing::{array_header, bulk_string, is_body, max_item_bytes, MAX_ARRAY_ITEMS};
 use super::MAX_MESSAGE_BYTES;
-use crate::wire::{Decoded, ProtocolError};
+use crate::wire::{Decoded, DecodedMessage, ProtocolError};
 use std::ops::Range;
 
 /// The items of a request without a body, and of one with a body.
@@ -170,7 +170,7 @@
     } else {
         ClientCommand::Invalid("unknown command".into())
     };
-    Ok(Some((command, items.end)))
+    Ok(Some(DecodedMessage { value: command, length: items.end }))
 }
 
 fn decode_request(items: &Items) -> ClientCommand {
--- a/gateway/src/wire/resp/reply.rs
+++ b/gateway/src/wire/resp/reply.rs
@@ -1,7 +1,7 @@
 //! Replies of backends: decoding; and replies to clients: encoding.
 use super::framing::{array_header, bulk_string, line, parse_length, DecodedElement, Element};
 use super::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
-use crate::wire::{Decoded, ProtocolError};
+use crate::wire::{Decoded, DecodedMessage, ProtocolError};
 use std::ops::Range;
 
 /// A value, usage figures and a load report.
@@ -81,7 +81,7 @@
         _ => return Ok(None),
     };
     let streamed = MAX_BUFFERED_VALUE_BYTES as i64 + 1..=MAX_VALUE_BYTES as i64;
-    Ok(streamed.contains(&length).then_some((length as usize, header.next)))
+    Ok(streamed.contains(&length).then_some(DecodedMessage { value: length as usize, length: header.next }))
 }
 
 /// What follows the value of a reply.
@@ -102,7 +102,8 @@
     let Some(report) = optional_item(bytes, usage.next)? else { return Ok(None) };
     let billed_units = usage.value.and_then(|usage| find_number(&bytes[usage], "cost"));
     let load_report = report.value.map(|report| bytes[report].to_vec());
-    Ok(Some((ReplyTrailer { billed_units, load_report }, report.next)))
+    let trailer = ReplyTrailer { billed_units, load_report };
+    Ok(Some(DecodedMessage { value: trailer, length: report.next }))
 }
 
 /// One reply of a backend.
@@ -122,24 +123,26 @@
     }
     let Some(element) = bulk_string(bytes, header.next, MAX_BUFFERED_VALUE_BYTES)? else { return Ok(None) };
     let value = element.value.ok_or(ProtocolError("no value"))?;
-    let Some((trailer, length)) = decode_trailer(&bytes[element.next..])? else { return Ok(None) };
+    let Some(trailer) = decode_trailer(&bytes[element.next..])? else { return Ok(None) };
+    let length = element.next + trailer.length;
     let reply = BackendReply::Value {
         value: bytes[value].to_vec(),
-        billed: trailer.billed_units,
-        report: trailer.load_report,
+        billed: trailer.value.billed_units,
+        report: trailer.value.load_report,
     };
-    Ok(Some((reply, element.next + length)))
+    Ok(Some(DecodedMessage { value: reply, length }))
 }
 
 fn decode_error(bytes: &[u8]) -> Decoded<BackendReply> {
     let Some(Element { value: text, next }) = line(bytes, 0)? else { return Ok(None) };
-    match text.split(|byte| *byte == b' ').next().unwrap_or_default() {
-        b"-BUSY" => Ok(Some((BackendReply::Rejected, next))),
+    let reply = match text.split(|byte| *byte == b' ').next().unwrap_or_default() {
+        b"-BUSY" => BackendReply::Rejected,
         [b'-', code @ ..] if !code.is_empty() && code.iter().all(u8::is_ascii_uppercase) => {
-            Ok(Some((BackendReply::Failed, next)))
+            BackendReply::Failed
         }
-        _ => Err(ProtocolError("unknown error")),
-    }
+        _ => return Err(ProtocolError("unknown error")),
+    };
+    Ok(Some(DecodedMessage { value: reply, length: next }))
 }
 
 /// An optional item after a value: one of another type counts as absent and spoils nothing.
--- a/gateway/tests/backlog.rs
+++ b/gateway/tests/backlog.rs
@@ -25,7 +25,7 @@
         b"*1\r\n$4\r\nPING\r\n".to_vec(),
         b"*0\r\n".to_vec(),
     ] {
-        let (_, length) = decode_command(&text).expect("valid framing").expect("complete");
+        let length = decode_command(&text).expect("valid framing").expect("complete").length;
         assert_eq!(command_extent(&text), Ok(Extent::Complete(length)));
         for cut in 0..text.len().min(200) {
             let extent = command_extent(&text[..cut]).expect("valid framing");
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -112,7 +112,7 @@
 /// The event of a client's command, from its text on the wire.
 pub fn command_event(client: u64, text: &str) -> Event {
     let decoded = resp::decode_command(text.as_bytes()).expect("valid framing");
-    let (command, _) = decoded.expect("a complete command");
+    let command = decoded.expect("a complete command").value;
     Event::ClientCommand { client, command }
 }
 
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -4,7 +4,7 @@
 use quillramp::types::InstanceRange;
 use quillramp_gateway::wire::http::{self, Request};
 use quillramp_gateway::wire::resp::{self, ClientCommand, ClientReply};
-use quillramp_gateway::wire::{endpoints, Decoded};
+use quillramp_gateway::wire::{endpoints, Decoded, DecodedMessage};
 use std::fmt::Debug;
 
 /// What the message decodes to, and its length; or its error, and after how many bytes that is known.
@@ -18,15 +18,17 @@
         match decode(&bytes[..cut]) {
             Ok(None) => {}
             Err(error) => return format!("after {cut} bytes: {error:?}\n"),
-            Ok(Some((message, length))) => {
-                return format!("{} in {length} of {} bytes\n", show(&message), bytes.len())
+            Ok(Some(DecodedMessage { value, length })) => {
+                return format!("{} in {length} of {} bytes\n", show(&value), bytes.len())
             }
         }
     }
     let once = decode(bytes);
     assert_eq!(once, decode(&[bytes, b"*1\r\n"].concat()), "what follows changes nothing");
     match once {
-        Ok(Some((message, length))) => format!("{} in {length} of {} bytes\n", show(&message), bytes.len()),
+        Ok(Some(DecodedMessage { value, length })) => {
+            format!("{} in {length} of {} bytes\n", show(&value), bytes.len())
+        }
         Ok(None) => "incomplete\n".into(),
         Err(error) => format!("{error:?}\n"),
     }
--- a/load/src/scale/server_protocol.rs
+++ b/load/src/scale/server_protocol.rs
@@ -3,7 +3,7 @@
 use super::endpoint_rotation::EndpointRotation;
 use crate::example_servers::number;
 use quillramp_gateway::wire::resp::{self, ClientCommand};
-use quillramp_gateway::wire::{Decoded, ProtocolError};
+use quillramp_gateway::wire::{Decoded, DecodedMessage, ProtocolError};
 use std::time::Duration;
 
 /// The most headers of a request.
@@ -24,7 +24,8 @@
     let mut request = httparse::Request::new(&mut headers);
     match request.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
-            Ok(Some((request.path.unwrap_or_default().to_owned(), length)))
+            let target = request.path.unwrap_or_default().to_owned();
+            Ok(Some(DecodedMessage { value: target, length }))
         }
         Ok(httparse::Status::Partial) => Ok(None),
         Err(_) => Err(ProtocolError("no HTTP")),
@@ -37,19 +38,19 @@
 
 /// The counter's answer to the first call of these bytes; `now` is Unix time in seconds.
 pub fn answer_count(now: f64, counts: &mut Counts, bytes: &[u8]) -> Decoded<Vec<u8>> {
-    let Some((target, length)) = decode_target(bytes)? else { return Ok(None) };
+    let Some(DecodedMessage { value: target, length }) = decode_target(bytes)? else { return Ok(None) };
     let path = target.split('?').next().unwrap_or_default();
     let name = path.strip_prefix("/counters/").unwrap_or_default();
     let total = counts.add(now, name, number(&target, "by"));
-    Ok(Some((encode_response(&total.to_string()), length)))
+    Ok(Some(DecodedMessage { value: encode_response(&total.to_string()), length }))
 }
 
 /// The first call of the list service of these bytes.
 pub fn decode_watch(bytes: &[u8]) -> Decoded<WatchRequest> {
-    let Some((target, length)) = decode_target(bytes)? else { return Ok(None) };
+    let Some(DecodedMessage { value: target, length }) = decode_target(bytes)? else { return Ok(None) };
     let since = number(&target, "since") as u64;
     let wait = Duration::from_millis(number(&target, "timeout_ms") as u64);
-    Ok(Some((WatchRequest { since, wait }, length)))
+    Ok(Some(DecodedMessage { value: WatchRequest { since, wait }, length }))
 }
 
 /// What the list service answers to a caller that knows a version.
@@ -59,10 +60,12 @@
 
 /// A backend's answer to the first command of these bytes: the id of the request, its cost of one unit, no load report.
 pub fn answer_command(bytes: &[u8]) -> Decoded<Vec<u8>> {
-    let Some((command, length)) = resp::decode_command(bytes)? else { return Ok(None) };
+    let Some(DecodedMessage { value: command, length }) = resp::decode_command(bytes)? else {
+        return Ok(None);
+    };
     let reply = match command {
         ClientCommand::Request(call) => format!("*3\r\n$16\r\n{:016x}\r\n$6\r\ncost=1\r\n$-1\r\n", call.id),
         _ => "+PONG\r\n".to_owned(),
     };
-    Ok(Some((reply.into_bytes(), length)))
+    Ok(Some(DecodedMessage { value: reply.into_bytes(), length }))
 }
--- a/load/src/scale/simulation/servers.rs
+++ b/load/src/scale/simulation/servers.rs
@@ -36,23 +36,23 @@
         match role {
             Role::Counter => {
                 let answer = server_protocol::answer_count(self.events.now, &mut self.counts, bytes)?;
-                Ok(answer.map(|(answer, length)| {
-                    self.answer(port, role, answer.into(), 0.0);
-                    length
+                Ok(answer.map(|answer| {
+                    self.answer(port, role, answer.value.into(), 0.0);
+                    answer.length
                 }))
             }
             Role::Backend => {
                 let answer = server_protocol::answer_command(bytes)?;
-                Ok(answer.map(|(answer, length)| {
-                    self.answer(port, role, answer.into(), BACKEND_SECONDS);
-                    length
+                Ok(answer.map(|answer| {
+                    self.answer(port, role, answer.value.into(), BACKEND_SECONDS);
+                    answer.length
                 }))
             }
             Role::Discovery => {
                 let watch = server_protocol::decode_watch(bytes)?;
-                Ok(watch.map(|(watch, length)| {
-                    self.watch(port, watch);
-                    length
+                Ok(watch.map(|watch| {
+                    self.watch(port, watch.value);
+                    watch.length
                 }))
             }
         }
--- a/load/src/scale/socket_group/instances.rs
+++ b/load/src/scale/socket_group/instances.rs
@@ -40,7 +40,8 @@
 
     /// Records the versions that a watch's caller has in force: all until the one that it knows.
     fn record_in_force(&mut self, slot: usize, bytes: &[u8]) {
-        let Ok(Some((watch, _))) = server_protocol::decode_watch(bytes) else { return };
+        let Ok(Some(decoded)) = server_protocol::decode_watch(bytes) else { return };
+        let watch = decoded.value;
         let instance = self.first + slot;
         let state = &mut self.slots[slot];
         if watch.since > state.version {
@@ -112,9 +113,9 @@
     fn answer_commands(&mut self, port: BackendPort, bytes: &[u8]) {
         let at = self.events.now + 2.0 * LATENCY + BACKEND_SECONDS;
         let mut rest = bytes;
-        while let Ok(Some((reply, length))) = server_protocol::answer_command(rest) {
-            self.events.push(at, GroupEvent::Receive(port, reply));
-            rest = &rest[length..];
+        while let Ok(Some(reply)) = server_protocol::answer_command(rest) {
+            self.events.push(at, GroupEvent::Receive(port, reply.value));
+            rest = &rest[reply.length..];
         }
     }
 
--- a/load/src/scale/stand_ins/event_loop.rs
+++ b/load/src/scale/stand_ins/event_loop.rs
@@ -183,26 +183,26 @@
         let used = match role {
             Role::Backend => {
                 let reply = server_protocol::answer_command(bytes).map_err(invalid)?;
-                reply.map(|(bytes, length)| {
+                reply.map(|reply| {
                     let at = Instant::now() + Duration::from_secs_f64(BACKEND_SECONDS);
-                    self.due_answers.push(Reverse(DueAnswer { at, token, bytes }));
-                    length
+                    self.due_answers.push(Reverse(DueAnswer { at, token, bytes: reply.value }));
+                    reply.length
                 })
             }
             Role::Discovery => {
                 let watch = server_protocol::decode_watch(bytes).map_err(invalid)?;
-                watch.map(|(watch, length)| {
-                    let until = Instant::now() + watch.wait;
-                    self.watches.push(PendingWatch { token, since: watch.since, until });
-                    length
+                watch.map(|watch| {
+                    let until = Instant::now() + watch.value.wait;
+                    self.watches.push(PendingWatch { token, since: watch.value.since, until });
+                    watch.length
                 })
             }
             Role::Counter => {
                 let counts = &mut self.setup.counts;
                 let answer = server_protocol::answer_count(unix_now(), counts, bytes).map_err(invalid)?;
-                answer.map(|(answer, length)| {
-                    self.respond(token, &answer);
-                    length
+                answer.map(|answer| {
+                    self.respond(token, &answer.value);
+                    answer.length
                 })
             }
         };
