--- a/emulator/src/clients/mod.rs
+++ b/emulator/src/clients/mod.rs
@@ -9,7 +9,7 @@
 use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
 use command::{scramble, Command, InstanceRange, MALFORMED_COMMANDS};
-use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::state::connection::ConnectionId;
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{IpAddr, Ipv4Addr};
--- a/emulator/src/gateway_process/connection.rs
+++ b/emulator/src/gateway_process/connection.rs
@@ -1,6 +1,7 @@
 //! A process's connection, with what the socket layer keeps for one.
 use crate::network::LinkId;
-use quillramp_gateway::state::event::{ConnectionId, Event};
+use quillramp_gateway::state::connection::ConnectionId;
+use quillramp_gateway::state::event::Event;
 use quillramp_gateway::state::framing::{MessageReader, MessageSink};
 use quillramp_gateway::state::write_buffer::WriteBuffer;
 
--- a/emulator/src/gateway_process/inbound.rs
+++ b/emulator/src/gateway_process/inbound.rs
@@ -3,7 +3,8 @@
 use super::{GatewayProcess, OTHER_DESCRIPTORS};
 use crate::context::Context;
 use crate::network::{LinkId, Remote, Side};
-use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
+use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
+use quillramp_gateway::state::event::Event;
 
 impl GatewayProcess {
     /// A client, or an operator, asks for a connection.
--- a/emulator/src/gateway_process/outbound.rs
+++ b/emulator/src/gateway_process/outbound.rs
@@ -2,7 +2,7 @@
 use super::GatewayProcess;
 use crate::context::Context;
 use crate::network::{LinkId, Side};
-use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::state::connection::ConnectionId;
 
 impl GatewayProcess {
     /// Writes what waits on any connection.
--- a/emulator/src/gateway_process/sabotage.rs
+++ b/emulator/src/gateway_process/sabotage.rs
@@ -1,7 +1,8 @@
 //! Gateway processes broken on purpose, so that each check is seen to find what it is for.
 use super::GatewayProcess;
 use crate::context::Context;
-use quillramp_gateway::state::event::{ConnectionId, Event};
+use quillramp_gateway::state::connection::ConnectionId;
+use quillramp_gateway::state::event::Event;
 use quillramp_gateway::wire::endpoints::EndpointList;
 use quillramp_gateway::wire::resp::ClientReply;
 
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -1,7 +1,7 @@
 //! The network: links on which bytes are delivered in order, in pieces, late, held back by a partition, or cut off between any two.
 use crate::context::Context;
 use crate::scheduled_event::ScheduledEvent;
-use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::state::connection::ConnectionId;
 use rand::Rng;
 use std::net::{IpAddr, Ipv4Addr};
 
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -7,8 +7,10 @@
 use crate::operator_files;
 use crate::scheduled_event::ScheduledEvent;
 use quillramp::settings;
-use quillramp_gateway::state::event::{ConnectionId, Event, OperatorUpdate, SharedState};
+use quillramp_gateway::state::connection::ConnectionId;
+use quillramp_gateway::state::event::{Event, OperatorUpdate};
 use quillramp_gateway::state::reducer::ReducerConfig;
+use quillramp_gateway::state::shared_state::SharedState;
 use serde_json::json;
 use std::collections::BTreeMap;
 
--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -3,7 +3,8 @@
 use super::process_identity::ProcessIdentity;
 use super::shared_file::{SharedFile, SharedFileError, SharedRecord};
 use crate::sockets::event_queue::EventQueue;
-use crate::state::event::{AdminChange, Event, SaveError, SharedState};
+use crate::state::event::Event;
+use crate::state::shared_state::{AdminChange, SaveError, SharedState};
 use std::path::PathBuf;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::sync::Arc;
--- a/gateway/src/process/shared_file.rs
+++ b/gateway/src/process/shared_file.rs
@@ -1,6 +1,6 @@
 //! The file that the processes of one gateway instance share: written complete, renamed, and changed under a lock.
 use super::process_identity::ProcessIdentity;
-use crate::state::event::AdminChange;
+use crate::state::shared_state::AdminChange;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, TryLockError};
--- a/gateway/src/sockets/acceptor.rs
+++ b/gateway/src/sockets/acceptor.rs
@@ -1,7 +1,8 @@
 //! Accepts connections of clients and operators. Without a free descriptor it waits until there is one again.
 use super::connection::{Connection, ConnectionContext};
 use super::driver::Connections;
-use crate::state::event::{ConnectionId, Event};
+use crate::state::connection::ConnectionId;
+use crate::state::event::Event;
 use may::io::{CoIo, WaitIo};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/gateway/src/sockets/connection/decoding.rs
+++ b/gateway/src/sockets/connection/decoding.rs
@@ -3,7 +3,8 @@
 use super::sink::EventSink;
 use super::MAX_KEPT_BUFFER_BYTES;
 use crate::state::backlog::Rejection;
-use crate::state::event::{CloseReason, Event};
+use crate::state::connection::CloseReason;
+use crate::state::event::Event;
 use crate::wire::resp::ClientCommand;
 use std::sync::atomic::Ordering;
 
--- a/gateway/src/sockets/connection/lifecycle.rs
+++ b/gateway/src/sockets/connection/lifecycle.rs
@@ -3,7 +3,7 @@
 use super::read_loop::ReadLoop;
 use super::streaming::{StreamSource, StreamTarget};
 use super::{Connection, ConnectionContext};
-use crate::state::event::ConnectionId;
+use crate::state::connection::ConnectionId;
 use crate::state::framing::MessageReader;
 use atomic_refcell::AtomicRefCell;
 use may::io::{CoIo, WaitIo};
--- a/gateway/src/sockets/connection/mod.rs
+++ b/gateway/src/sockets/connection/mod.rs
@@ -10,7 +10,7 @@
 
 pub use context::ConnectionContext;
 
-use crate::state::event::ConnectionId;
+use crate::state::connection::ConnectionId;
 use crate::state::framing::MessageReader;
 use crate::state::write_buffer::WriteBuffer;
 use atomic_refcell::AtomicRefCell;
--- a/gateway/src/sockets/connection/read_loop.rs
+++ b/gateway/src/sockets/connection/read_loop.rs
@@ -2,7 +2,8 @@
 use super::readiness::{ENDED, ERROR, READABLE, WRITABLE};
 use super::{Connection, SCRATCH_BYTES};
 use crate::state::backlog::Backlog;
-use crate::state::event::{CloseReason, ConnectionId, Event};
+use crate::state::connection::{CloseReason, ConnectionId};
+use crate::state::event::Event;
 use crate::wire::resp;
 use may::io::WaitIo;
 use std::io::{ErrorKind, Read};
--- a/gateway/src/sockets/connection/writing.rs
+++ b/gateway/src/sockets/connection/writing.rs
@@ -1,6 +1,6 @@
 //! Writing: what waits in a connection's buffer leaves as far as the socket takes it.
 use super::{Connection, MAX_KEPT_BUFFER_BYTES};
-use crate::state::event::ConnectionId;
+use crate::state::connection::ConnectionId;
 use std::io::{ErrorKind, Write};
 use std::net::Shutdown;
 use std::sync::atomic::Ordering;
--- a/gateway/src/sockets/effects.rs
+++ b/gateway/src/sockets/effects.rs
@@ -1,7 +1,9 @@
 //! Carries out the effects that the reducer asks for.
 use super::connection::Connection;
 use super::driver::{exit, Batch, Driver};
-use crate::state::event::{CloseReason, ClosedConnection, ConnectionId, Effect, Event};
+use crate::state::connection::{CloseReason, ClosedConnection, ConnectionId};
+use crate::state::effect::Effect;
+use crate::state::event::Event;
 use crate::wire::admin::AdminResponse;
 use crate::wire::resp::ClientReply;
 use std::net::SocketAddr;
--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -1,7 +1,10 @@
 //! Operators' calls, and the state that the processes of one instance share.
-use super::event::{AdminChange, CloseReason, ConnectionId, Effect, OperatorUpdate, SaveError, SharedState};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
+use super::event::OperatorUpdate;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
+use super::shared_state::{AdminChange, SaveError, SharedState};
 use super::timers::{TimerKey, TimerKind};
 use crate::wire::admin::{AdminCall, AdminResponse};
 use quillramp::types::*;
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -1,6 +1,7 @@
 //! Admission: the controller is notified of what happens to clients' connections, and its verdicts are carried out.
 use super::client_table::Client;
-use super::event::{CloseReason, ConnectionId, Effect};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use crate::wire::resp::ClientReply;
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -1,6 +1,7 @@
 //! Attempts: sent to backends, cancelled, withdrawn.
 use super::backend_table::BackendConnection;
-use super::event::{CloseReason, ConnectionId, Effect};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
 use super::reducer::Reducer;
 use super::requests::{Attempt, AttemptId, EndedAttempt, ResponseMetadata};
 use super::timers::TimerKind;
--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -1,6 +1,7 @@
 //! Connections to backends: up, idle, answered on, ended.
 use super::backend_table::QueuedAttempt;
-use super::event::{CloseReason, ConnectionId, Effect};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
 use super::reducer::Reducer;
 use crate::wire::resp::{BackendReply, ClientReply};
 use quillramp::types::*;
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -1,6 +1,7 @@
 //! Clients: their commands in, their replies out in the same order.
 use super::client_table::{Client, PendingReply};
-use super::event::{CloseReason, ConnectionId, Effect};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
 use super::reducer::Reducer;
 use super::requests::{AttemptId, PendingRequest};
 use super::validation::{validate, InvalidCommand, ValidCommand};
--- a/gateway/src/state/counter.rs
+++ b/gateway/src/state/counter.rs
@@ -1,6 +1,7 @@
 //! Calls to the counter, over a few pipelined connections.
+use super::connection::{CloseReason, ConnectionId};
 use super::counter_table::*;
-use super::event::{CloseReason, ConnectionId, Effect};
+use super::effect::Effect;
 use super::reducer::Reducer;
 use super::timers::TimerKind;
 use crate::wire::http::{Request, Response};
--- a/gateway/src/state/descriptors.rs
+++ b/gateway/src/state/descriptors.rs
@@ -1,7 +1,8 @@
 //! File descriptors: how many this process may hold, and what is closed when they are short.
 use super::admin::MAX_ADMIN_CONNECTIONS;
 use super::client_table::Client;
-use super::event::{CloseReason, Effect};
+use super::connection::CloseReason;
+use super::effect::Effect;
 use super::idle::CLIENT_IDLE_SHORT;
 use super::reducer::Reducer;
 
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -1,5 +1,6 @@
 //! Discovery: the endpoint list is watched, and the policy engine notified of it.
-use super::event::{CloseReason, ConnectionId, Effect};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::{TimerKey, TimerKind};
--- a/gateway/src/state/dispatch.rs
+++ b/gateway/src/state/dispatch.rs
@@ -1,5 +1,7 @@
 //! Which part of the reducer handles an event or a timer.
-use super::event::{CloseReason, ConnectionId, Effect, Event};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
+use super::event::Event;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::TimerKind;
--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -1,6 +1,7 @@
 //! Messages on one connection: bytes in, events out. No socket, so that whoever moves the bytes (the sockets, the emulator)
 //! reads them alike.
-use super::event::{CloseReason, ConnectionId, Event};
+use super::connection::{CloseReason, ConnectionId};
+use super::event::Event;
 use crate::wire::{admin, http, resp, DecodedMessage, ProtocolError};
 
 /// Where a backend's connection is in a reply.
--- a/gateway/src/state/gossip.rs
+++ b/gateway/src/state/gossip.rs
@@ -1,5 +1,5 @@
 //! Gossip: messages to and from other instances.
-use super::event::Effect;
+use super::effect::Effect;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use quillramp::gossip::{self, WireMessage};
--- a/gateway/src/state/idle.rs
+++ b/gateway/src/state/idle.rs
@@ -1,7 +1,8 @@
 //! Idle connections, and commands that do not become complete.
 use super::client_table::Client;
+use super::connection::CloseReason;
 use super::counter_table::CounterConnection;
-use super::event::{CloseReason, Effect};
+use super::effect::Effect;
 use super::reducer::Reducer;
 use super::timers::TimerKind;
 
--- a/gateway/src/state/log_message.rs
+++ b/gateway/src/state/log_message.rs
@@ -1,5 +1,5 @@
 //! Messages of the reducer for the operators' log. docs/on-call.md has a row for each of them.
-use super::event::SaveError;
+use super::shared_state::SaveError;
 use crate::wire::endpoints::EndpointListError;
 use quillramp::types::PolicyLogMessage;
 use quillramp_identity::Rejection;
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -1,6 +1,7 @@
 //! What an instance keeps, and the one reducer through which all of it changes. Nothing here touches a socket.
 //!
-//! `reducer` takes events in, `dispatch` hands each to the part that handles it, and `decisions` asks the policy engine. The
+//! `reducer` takes each `event` in and returns `effect`s; `dispatch` hands an event to the part that handles it, and `decisions`
+//! asks the policy engine. `connection`, `shared_state` and `log_message` are the values that events and effects carry. The
 //! tables (`requests`, `client_table`, `backend_table`, `counter_table`, `timers`) keep what the parts share. `backlog`,
 //! `framing` and `write_buffer` keep the bytes of one connection.
 mod admin;
@@ -12,12 +13,14 @@
 mod broker;
 mod client_table;
 mod clients;
+pub mod connection;
 mod counter;
 mod counter_table;
 mod decisions;
 pub mod descriptors;
 mod discovery;
 mod dispatch;
+pub mod effect;
 pub mod event;
 pub mod framing;
 mod gossip;
@@ -27,6 +30,7 @@
 mod presence;
 pub mod reducer;
 mod requests;
+pub mod shared_state;
 mod shutdown;
 mod stats;
 mod streams;
--- a/gateway/src/state/presence.rs
+++ b/gateway/src/state/presence.rs
@@ -1,6 +1,6 @@
 //! Presence: counters by which instances learn which of them reach the counter. Calls on these go where all calls to the
 //! counter go, under numbers that no customer has.
-use super::event::Effect;
+use super::effect::Effect;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::TimerKind;
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -1,5 +1,6 @@
 //! Draining: clients' connections are closed between requests. A graceful shutdown is a drain that ends in the exit.
-use super::event::{CloseReason, ConnectionId, Effect};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::timers::{TimerKey, TimerKind};
--- a/gateway/src/state/streams.rs
+++ b/gateway/src/state/streams.rs
@@ -1,5 +1,6 @@
 //! Long values: not stored here, but forwarded from a backend's connection to the client's, when their turn has come there.
-use super::event::{CloseReason, ConnectionId, Effect};
+use super::connection::{CloseReason, ConnectionId};
+use super::effect::Effect;
 use super::reducer::Reducer;
 use super::requests::AttemptId;
 use super::timers::TimerKind;
--- a/gateway/tests/on_call.rs
+++ b/gateway/tests/on_call.rs
@@ -11,7 +11,7 @@
 
 /// Files whose `write!` calls are the text of typed messages for the log.
 const MESSAGE_FILES: [&str; 3] =
-    ["src/types/log_message.rs", "gateway/src/state/log_message.rs", "gateway/src/state/event.rs"];
+    ["src/types/log_message.rs", "gateway/src/state/log_message.rs", "gateway/src/state/connection.rs"];
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
@@ -75,7 +75,8 @@
 
 /// The codes that `CloseReason::code` returns.
 fn close_codes() -> BTreeSet<String> {
-    let source = fs::read_to_string(repository().join("gateway/src/state/event.rs")).expect("a source file");
+    let source =
+        fs::read_to_string(repository().join("gateway/src/state/connection.rs")).expect("a source file");
     let (_, function) = source.split_once("fn code(").expect("the function of the codes");
     let (body, _) = function.split_once("\n    }\n").expect("its end");
     let arms = body.lines().filter(|line| line.contains("=>"));
--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -2,7 +2,9 @@
 use crate::bench::*;
 use expect_test::expect;
 use quillramp_gateway::process::shared_file::SharedFileError;
-use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event, SaveError};
+use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
+use quillramp_gateway::state::event::Event;
+use quillramp_gateway::state::shared_state::SaveError;
 
 /// Guards: a backend that an operator has ejected gets no new attempts, whatever the endpoint list reports; one call restores
 /// it, and it begins with a slow start; a backend that was never listed can't be ejected.
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -2,10 +2,11 @@
 use expect_test::Expect;
 use quillramp_admission::Limits;
 use quillramp_gateway::process::{configuration, operator};
-use quillramp_gateway::state::event::{
-    CloseReason, ConnectionId, Effect, Event, OperatorUpdate, SharedState,
-};
+use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
+use quillramp_gateway::state::effect::Effect;
+use quillramp_gateway::state::event::{Event, OperatorUpdate};
 use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::state::shared_state::SharedState;
 use quillramp_gateway::wire::admin;
 use quillramp_gateway::wire::http::{Request, Response};
 use quillramp_gateway::wire::resp::{self, BackendReply};
--- a/gateway/tests/reducer/counter.rs
+++ b/gateway/tests/reducer/counter.rs
@@ -1,7 +1,8 @@
 //! Calls to the counter.
 use crate::bench::*;
 use expect_test::expect;
-use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
+use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
+use quillramp_gateway::state::event::Event;
 
 #[test]
 fn an_unresponsive_counter_connection_gets_no_calls_and_its_late_response_is_dropped() {
--- a/gateway/tests/reducer/descriptors.rs
+++ b/gateway/tests/reducer/descriptors.rs
@@ -1,7 +1,9 @@
 //! File descriptors, and clients that are idle or slow.
 use crate::bench::*;
 use expect_test::expect;
-use quillramp_gateway::state::event::{ConnectionId, Event, SharedState};
+use quillramp_gateway::state::connection::ConnectionId;
+use quillramp_gateway::state::event::Event;
+use quillramp_gateway::state::shared_state::SharedState;
 
 #[test]
 fn idle_connections_are_closed_first_when_descriptors_are_short() {
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -2,7 +2,8 @@
 use crate::bench::*;
 use expect_test::expect;
 use quillramp_admission::Limits;
-use quillramp_gateway::state::event::{ConnectionId, Event};
+use quillramp_gateway::state::connection::ConnectionId;
+use quillramp_gateway::state::event::Event;
 use std::net::{IpAddr, Ipv4Addr};
 
 /// Capacity for three clients, one of them reserved for the known address.
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -1,7 +1,8 @@
 //! The discovery service and other instances.
 use crate::bench::*;
 use expect_test::expect;
-use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
+use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
+use quillramp_gateway::state::event::Event;
 use quillramp_gateway::wire::http::Response;
 
 #[test]
--- a/gateway/tests/reducer/requests.rs
+++ b/gateway/tests/reducer/requests.rs
@@ -1,7 +1,8 @@
 //! Requests: commands, attempts and their replies.
 use crate::bench::*;
 use expect_test::{expect, Expect};
-use quillramp_gateway::state::event::{CloseReason, ConnectionId, Event};
+use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
+use quillramp_gateway::state::event::Event;
 use quillramp_gateway::wire::http::Response;
 use quillramp_gateway::wire::resp;
 
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -1,7 +1,9 @@
 //! Draining and graceful shutdown.
 use crate::bench::*;
 use expect_test::{expect, Expect};
-use quillramp_gateway::state::event::{CloseReason, Event, SharedState};
+use quillramp_gateway::state::connection::CloseReason;
+use quillramp_gateway::state::event::Event;
+use quillramp_gateway::state::shared_state::SharedState;
 
 #[test]
 fn a_shutdown_serves_on_then_closes_connections_and_exits_when_all_is_answered() {
--- a/gateway/tests/shared_file.rs
+++ b/gateway/tests/shared_file.rs
@@ -1,6 +1,6 @@
 //! The file that the processes of one gateway instance share.
 use quillramp_gateway::process::shared_file::SharedFile;
-use quillramp_gateway::state::event::AdminChange;
+use quillramp_gateway::state::shared_state::AdminChange;
 
 /// Guards: an admin call at the old process that ran at the same time as the start of the new one overwrote the new one's
 /// entry, so that SIGTERM did not hand the listener over; or the start overwrote a manual ejection.
--- a/load/src/scale/embedded/interface.rs
+++ b/load/src/scale/embedded/interface.rs
@@ -1,6 +1,6 @@
 //! What an embedded instance is given and gives: addresses, connection commands, readings.
 use crate::scale::outcomes::OutcomeCounts;
-use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::state::connection::ConnectionId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/load/src/scale/simulation/instances.rs
+++ b/load/src/scale/simulation/instances.rs
@@ -3,7 +3,7 @@
 use super::{address, Port, Simulation, SimulationEvent};
 use crate::scale::embedded::{ConnectionCommand, EmbeddedInstance, Services};
 use crate::scale::error::ScaleError;
-use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::state::connection::ConnectionId;
 
 /// Seconds from one machine to another, one way: within one zone.
 pub(super) const LATENCY: f64 = 0.000_25;
--- a/load/src/scale/simulation/mod.rs
+++ b/load/src/scale/simulation/mod.rs
@@ -11,7 +11,7 @@
 use super::operating_point::OperatingPoint;
 use super::requests::{Population, RequestSource};
 use super::server_load::ServerLoads;
-use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::state::connection::ConnectionId;
 use servers::PendingWatch;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/load/src/scale/simulation/servers.rs
+++ b/load/src/scale/simulation/servers.rs
@@ -4,7 +4,7 @@
 use crate::scale::operating_point::BACKEND_SECONDS;
 use crate::scale::server_load::Role;
 use crate::scale::server_protocol::{self, WatchRequest};
-use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::state::connection::ConnectionId;
 use quillramp_gateway::wire::ProtocolError;
 use std::sync::Arc;
 
--- a/load/src/scale/socket_group/instances.rs
+++ b/load/src/scale/socket_group/instances.rs
@@ -6,7 +6,7 @@
 use crate::scale::operating_point::BACKEND_SECONDS;
 use crate::scale::server_protocol;
 use mio::Token;
-use quillramp_gateway::state::event::{CloseReason, ConnectionId};
+use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
 
 /// Seconds from an instance to a backend in the same process, one way.
 const LATENCY: f64 = 0.000_25;
--- a/load/src/scale/socket_group/mod.rs
+++ b/load/src/scale/socket_group/mod.rs
@@ -10,7 +10,7 @@
 use super::operating_point::OperatingPoint;
 use super::requests::{Population, RequestSource};
 use mio::{Events, Token};
-use quillramp_gateway::state::event::ConnectionId;
+use quillramp_gateway::state::connection::ConnectionId;
 use sockets::Sockets;
 use std::ops::Range;
 use std::sync::Arc;
--- a/load/src/scale/socket_group/sockets.rs
+++ b/load/src/scale/socket_group/sockets.rs
@@ -3,7 +3,7 @@
 use crate::scale::stream_io::{read_available, write_pending};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
-use quillramp_gateway::state::event::{CloseReason, ConnectionId};
+use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
 use std::collections::HashMap;
 use std::io::{ErrorKind, Result};
 use std::net::SocketAddr;
