--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -130,7 +130,7 @@
         };
         OperatorUpdate {
             admission: world.admission.then(|| admission_limits(world)),
-            presence_interval: (world.roster_interval > 0.0).then_some(world.roster_interval),
+            membership_interval: (world.roster_interval > 0.0).then_some(world.roster_interval),
             ..drawn
         }
     }
--- a/gateway/src/process/operator.rs
+++ b/gateway/src/process/operator.rs
@@ -128,11 +128,11 @@
 
 /// What the state is given of the file.
 pub fn operator_update(settings: OperatorSettings, platform: &Platform) -> OperatorUpdate {
-    let OperatorSettings { admission, presence, broker, identity, .. } = settings;
+    let OperatorSettings { admission, membership_interval, broker, identity, .. } = settings;
     OperatorUpdate {
         routes: Table::new(&settings.routes, platform),
         admission,
-        presence_interval: presence,
+        membership_interval,
         broker,
         identity,
     }
--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -216,10 +216,10 @@
 
     /// Takes over what an operator's file declares. Requests that were accepted keep what was declared then.
     pub fn apply_operator_update(&mut self, now: f64, update: OperatorUpdate) {
-        let OperatorUpdate { admission, routes, presence_interval, broker, identity } = update;
+        let OperatorUpdate { admission, routes, membership_interval, broker, identity } = update;
         self.set_trust(identity);
         self.set_contracts(now, broker);
-        self.set_presence_interval(now, presence_interval);
+        self.set_membership_interval(now, membership_interval);
         if routes != self.routes {
             self.log(LogMessage::RequestLimits { routes: routes.to_string() });
             self.routes = routes;
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -126,8 +126,8 @@
         let max_timeout = declared.map_or(f64::INFINITY, |class| class.timeout);
         let deadline = (now + (command.timeout_ms / 1e3).min(max_timeout)).min(self.shutdown.deadline);
         let limits = declared.map(|class| class.request_limits).unwrap_or_default();
-        let presence = self.presence.as_mut();
-        let absent_fraction = presence.map_or(0.0, |presence| presence.absent_fraction(now, instances));
+        let membership = self.membership.as_mut();
+        let absent_fraction = membership.map_or(0.0, |membership| membership.absent_fraction(now, instances));
         Ok(RequestAttributes {
             operation,
             plan,
--- a/gateway/src/state/counter.rs
+++ b/gateway/src/state/counter.rs
@@ -84,8 +84,10 @@
         let mut next_calls: Vec<CounterCall> = vec![];
         while let Some(result) = queue.front().and_then(|pending| pending.result) {
             queue.pop_front();
-            if let Some(presence) = self.presence.as_mut().filter(|presence| presence.owns_counter(key)) {
-                presence.counter_answered(now, key, result);
+            if let Some(membership) =
+                self.membership.as_mut().filter(|membership| membership.owns_counter(key))
+            {
+                membership.counter_answered(now, key, result);
             } else if let Some(broker) = self.broker.as_mut().filter(|broker| broker.owns_counter(key)) {
                 next_calls.extend(broker.counter_answered(now, key, result));
             } else {
--- a/gateway/src/state/dispatch.rs
+++ b/gateway/src/state/dispatch.rs
@@ -117,7 +117,7 @@
             TimerKind::AdminTimeout(id) => self.close_admin_connection(id),
             TimerKind::BeginDrain => self.begin_drain(now),
             TimerKind::StopReading => self.stop_reading_busy_clients(),
-            TimerKind::PresenceCall => self.call_presence_counters(now),
+            TimerKind::MembershipCall => self.call_membership_counters(now),
             TimerKind::AnswerBeforeExit => self.answer_before_exit(now),
             TimerKind::Exit => self.effects.push(Effect::ExitImmediately),
         }
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -18,7 +18,7 @@
     /// The limits that are declared for requests.
     pub routes: Table,
     /// How often instances look which of them reach the counter, in seconds; none where they don't.
-    pub presence_interval: Option<f64>,
+    pub membership_interval: Option<f64>,
     /// Contracts between teams, where there is a broker.
     pub broker: Option<BrokerSettings>,
     /// What tokens are validated against, where callers have to be known.
--- a/gateway/src/state/presence.rs
+++ b/gateway/src/state/membership.rs
@@ -1,4 +1,4 @@
-//! Presence: counters by which instances learn which of them reach the counter. Calls on these go where all calls to the
+//! Membership: counters by which instances learn which of them reach the counter. Calls on these go where all calls to the
 //! counter go, under numbers that no customer has.
 use super::effect::Effect;
 use super::log_message::LogMessage;
@@ -6,15 +6,15 @@
 use super::timers::TimerKind;
 use quillramp::settings::InstanceSettings;
 use quillramp::types::*;
-use quillramp_presence::{Count, Membership};
+use quillramp_membership::{Count, Membership};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The lowest number that stands for a group of instances, where customers' numbers lie below.
 const FIRST_GROUP_NUMBER: u64 = 1 << 40;
 
 /// Which instances the counter hears of.
-pub struct PresenceState {
-    membership: Membership,
+pub struct MembershipState {
+    heartbeats: Membership,
     /// The time between two calls, in seconds.
     interval: f64,
     /// Groups of instances, by the customer index that stands for them.
@@ -25,10 +25,10 @@
     next_call: f64,
 }
 
-impl PresenceState {
-    fn new(now: f64, interval: f64, settings: &InstanceSettings) -> PresenceState {
-        PresenceState {
-            membership: Membership::new(settings.instances, settings.instance_index, interval),
+impl MembershipState {
+    fn new(now: f64, interval: f64, settings: &InstanceSettings) -> MembershipState {
+        MembershipState {
+            heartbeats: Membership::new(settings.instances, settings.instance_index, interval),
             interval,
             groups: BTreeMap::new(),
             absent: BTreeSet::new(),
@@ -45,20 +45,20 @@
     pub fn counter_answered(&mut self, now: f64, key: CounterKey, result: CounterResult) {
         let Some(&group) = self.groups.get(&key.customer) else { return };
         let total = if let CounterResult::Total(total) = result { Some(total) } else { None };
-        self.membership.call_answered(now, Count { group, interval: key.series }, total);
+        self.heartbeats.call_answered(now, Count { group, interval: key.series }, total);
     }
 
     /// The fraction of these instances that the counter does not hear of. They are watched from now on.
     pub fn absent_fraction(&mut self, now: f64, instances: InstanceRange) -> f64 {
-        self.membership.watch(now, instances.first, instances.count);
-        1.0 - self.membership.present_fraction(now, instances.first, instances.count)
+        self.heartbeats.watch(now, instances.first, instances.count);
+        1.0 - self.heartbeats.present_fraction(now, instances.first, instances.count)
     }
 }
 
 impl Reducer {
     /// Instances look which of them reach the counter, once in so many seconds, or do no longer.
-    pub(super) fn set_presence_interval(&mut self, now: f64, interval: Option<f64>) {
-        if self.presence.as_ref().map(|presence| presence.interval) == interval {
+    pub(super) fn set_membership_interval(&mut self, now: f64, interval: Option<f64>) {
+        if self.membership.as_ref().map(|membership| membership.interval) == interval {
             return;
         }
         self.log(match interval {
@@ -66,37 +66,37 @@
             Some(interval) => LogMessage::Membership { interval },
         });
         let settings = &self.instance;
-        self.presence = interval.map(|interval| PresenceState::new(now, interval, settings));
+        self.membership = interval.map(|interval| MembershipState::new(now, interval, settings));
         if interval.is_some() {
-            self.timers.schedule(now, TimerKind::PresenceCall);
+            self.timers.schedule(now, TimerKind::MembershipCall);
         }
     }
 
     /// Makes the calls that are due; the timer is repeated for as long as there is an interval.
-    pub(super) fn call_presence_counters(&mut self, now: f64) {
-        let Some(presence) = &mut self.presence else { return };
-        if now < presence.next_call {
+    pub(super) fn call_membership_counters(&mut self, now: f64) {
+        let Some(membership) = &mut self.membership else { return };
+        if now < membership.next_call {
             return;
         }
         let mut calls = vec![];
-        for call in presence.membership.due_calls(now) {
+        for call in membership.heartbeats.due_calls(now) {
             let group = call.count.group;
             let customer = self.customers.intern(&(FIRST_GROUP_NUMBER + group as u64));
-            presence.groups.insert(customer, group);
+            membership.groups.insert(customer, group);
             let key = CounterKey { customer, series: call.count.interval };
             calls.push(CounterCall { key, delta: call.amount, lifetime: call.lifetime });
         }
-        let absent = presence.membership.absent(now);
-        if absent != presence.absent {
+        let absent = membership.heartbeats.absent(now);
+        if absent != membership.absent {
             let message = LogMessage::InstancesAbsent { instances: absent.clone() };
             self.effects.push(Effect::Log(message));
-            presence.absent = absent;
+            membership.absent = absent;
         }
-        let next_call = presence.membership.next_call(now);
-        presence.next_call = next_call;
+        let next_call = membership.heartbeats.next_call(now);
+        membership.next_call = next_call;
         for call in calls {
             self.call_counter(now, call);
         }
-        self.timers.schedule(next_call, TimerKind::PresenceCall);
+        self.timers.schedule(next_call, TimerKind::MembershipCall);
     }
 }
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -27,7 +27,7 @@
 mod identity;
 mod idle;
 pub mod log_message;
-mod presence;
+mod membership;
 pub mod reducer;
 mod requests;
 pub mod shared_state;
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -10,7 +10,7 @@
 use super::effect::Effect;
 use super::event::Event;
 use super::log_message::LogMessage;
-use super::presence::PresenceState;
+use super::membership::MembershipState;
 use super::requests::RequestTable;
 use super::shutdown::ShutdownState;
 use super::stats::Stats;
@@ -67,7 +67,7 @@
     /// Contracts between teams, where there are any.
     pub(super) broker: Option<BrokerState>,
     /// Which instances the counter hears of, where operators want to know.
-    pub(super) presence: Option<PresenceState>,
+    pub(super) membership: Option<MembershipState>,
     /// The limits that operators have declared for requests.
     pub(super) routes: Table,
     /// Datagrams from unknown peers, or malformed.
@@ -101,7 +101,7 @@
             admission: None,
             identity: None,
             broker: None,
-            presence: None,
+            membership: None,
             routes: Table::default(),
             dropped_datagrams: 0,
             last_connection: 0,
--- a/gateway/src/state/timers.rs
+++ b/gateway/src/state/timers.rs
@@ -27,8 +27,8 @@
     BeginDrain,
     /// Clients that keep sending commands to a draining instance are read no more.
     StopReading,
-    /// The presence counters that are due are called.
-    PresenceCall,
+    /// The membership counters that are due are called.
+    MembershipCall,
     /// Everything is answered, as the process is killed soon.
     AnswerBeforeExit,
     /// The process exits, whatever is left.
--- a/presence/tests/membership.rs
+++ b/membership/tests/membership.rs
@@ -1,6 +1,6 @@
 //! Memberships on counters that are healthy, partitioned, reset and unreachable.
 use proptest::prelude::*;
-use quillramp_presence::{Count, Membership};
+use quillramp_membership::{Count, Membership};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Gateway instances, each with the counter that it reaches, if it reaches one.
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -33,7 +33,7 @@
     /// Limits of requests.
     pub routes: Routes,
     /// Heartbeat interval of the membership on the counter, seconds; none: no membership.
-    pub presence: Option<f64>,
+    pub membership_interval: Option<f64>,
     /// Contracts between teams; none: no broker.
     pub broker: Option<BrokerSettings>,
     /// Issuer, keys and rules for the tokens of callers; none: callers need no token.
@@ -65,5 +65,12 @@
     let broker = broker::read(document, &file, platform, counter.lifetime);
     let identity = file.section("identity").and_then(identity::read);
     file.finish();
-    OperatorSettings { admission, log, routes, presence: counter.membership_interval, broker, identity }
+    OperatorSettings {
+        admission,
+        log,
+        routes,
+        membership_interval: counter.membership_interval,
+        broker,
+        identity,
+    }
 }
--- a/operator/src/show/sections.rs
+++ b/operator/src/show/sections.rs
@@ -11,7 +11,7 @@
     let lines = [
         settings.admission.as_ref().map_or("admission: off".into(), admission),
         settings.log.as_ref().map_or("log: plain, levels as usual".into(), log),
-        settings.presence.map_or("membership on the counter: off".into(), presence),
+        settings.membership_interval.map_or("membership on the counter: off".into(), membership),
         settings.identity.as_ref().map_or("callers: need not be known".into(), identity),
         settings.broker.as_ref().map_or("broker: off".into(), broker),
     ];
@@ -54,7 +54,7 @@
     }
 }
 
-fn presence(interval: f64) -> String {
+fn membership(interval: f64) -> String {
     format!("membership on the counter: every {interval} s")
 }
 
--- a/drill/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! quillramp-drill: the simulator adapter on standard input and output.
-use quillramp_drill::frame::{self, Reply};
-use quillramp_drill::Host;
+//! quillramp-simulator-adapter: the simulator adapter on standard input and output.
+use quillramp_simulator_adapter::frame::{self, Reply};
+use quillramp_simulator_adapter::Host;
 use std::io::{self, Write};
 use std::process::ExitCode;
 
@@ -23,7 +23,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("quillramp-drill: {error}");
+            eprintln!("quillramp-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/drill/tests/malformed.rs
+++ b/simulator-adapter/tests/malformed.rs
@@ -1,7 +1,7 @@
 //! Malformed frames: each fault is reported, and none panics.
 use expect_test::expect;
-use quillramp_drill::frame::{self, ACTION_BYTES, EVENT_BYTES};
-use quillramp_drill::Host;
+use quillramp_simulator_adapter::frame::{self, ACTION_BYTES, EVENT_BYTES};
+use quillramp_simulator_adapter::Host;
 
 const HEADER_BYTES: usize = 16;
 const CLOCK: u64 = 7_000_000;
