--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! quillramp: the decisions of a gateway that holds customers to their quotas before a shared back end.
+//! The policy engine of a gateway that holds customers to their quotas: it decides, and does no I/O.
 pub mod gossip;
 pub mod interner;
 pub mod policy;
