--- a/emulator/src/gateway_process/mod.rs
+++ b/emulator/src/gateway_process/mod.rs
@@ -25,7 +25,7 @@
 use quillramp::types::Idempotency;
 use quillramp_gateway::state::connection::ConnectionId;
 use quillramp_gateway::state::event::{Event, OperatorUpdate};
-use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig, ReducerOutput};
 use quillramp_gateway::state::shared_state::{AdminChange, SharedState};
 use quillramp_gateway::wire::endpoints::EndpointList;
 use sabotage::tampered_endpoints;
@@ -190,7 +190,7 @@
         }
         let mut events = std::mem::take(&mut self.inbox);
         self.reducer.handle_batch(ctx.now, &mut events);
-        let (next_timer, effects) = self.reducer.poll(ctx.now);
+        let ReducerOutput { next_poll_at, effects } = self.reducer.poll(ctx.now);
         let mut requests = vec![];
         for effect in effects {
             requests.extend(self.apply_effect(ctx, addresses, effect));
@@ -200,7 +200,7 @@
         if self.exiting && self.reducer.is_done() && self.inbox.is_empty() {
             requests.push(ProcessRequest::Exit);
         }
-        if let Some(at) = next_timer {
+        if let Some(at) = next_poll_at {
             self.wake(ctx, at);
         }
         requests
--- a/gateway/src/sockets/driver.rs
+++ b/gateway/src/sockets/driver.rs
@@ -5,7 +5,7 @@
 use crate::process::{handover::SharedStateKeeper, logger};
 use crate::state::connection::ConnectionId;
 use crate::state::event::Event;
-use crate::state::reducer::Reducer;
+use crate::state::reducer::{Reducer, ReducerOutput};
 use atomic_refcell::AtomicRefCell;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -115,7 +115,7 @@
             }
         }
         reducer.handle_batch(now, events);
-        let (wake_at, effects) = reducer.poll(now);
+        let ReducerOutput { next_poll_at, effects } = reducer.poll(now);
         for effect in effects {
             self.carry_out(effect, batch);
         }
@@ -124,7 +124,7 @@
         for id in batch.written.drain(..) {
             self.connections.with(id, |connection| connection.flush());
         }
-        wake_at
+        next_poll_at
     }
 
     pub(super) fn exit_after_flush(&self, batch: &mut Batch) {
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -45,6 +45,14 @@
     pub saves_changes: bool,
 }
 
+/// The answer to a batch of events.
+pub struct ReducerOutput {
+    /// When to poll next without an event, in seconds; none where only an event can change something.
+    pub next_poll_at: Option<f64>,
+    /// What is to be done now, in this order.
+    pub effects: Vec<Effect>,
+}
+
 /// All that an instance keeps. Times are in seconds, as the caller's clock has them.
 pub struct Reducer {
     pub(super) engine: PolicyEngine,
@@ -144,17 +152,18 @@
         }
     }
 
-    /// After a batch of events: fires the timers that are due; returns when to poll next, in seconds, and what is to be
-    /// done.
-    pub fn poll(&mut self, now: f64) -> (Option<f64>, Vec<Effect>) {
+    /// After a batch of events: fires the timers that are due.
+    pub fn poll(&mut self, now: f64) -> ReducerOutput {
         while let Some(kind) = self.timers.pop_due(now) {
             self.timer_fired(now, kind);
         }
-        let next_poll_in = self.poll_engine(now);
+        let next_engine_poll = self.poll_engine(now).map(|seconds| now + seconds);
         self.close_drained_clients();
-        let next_poll = next_poll_in.map(|seconds| now + seconds);
-        let next = self.timers.next_time().into_iter().chain(next_poll).reduce(f64::min);
-        (next, std::mem::take(&mut self.effects))
+        let next_timer = self.timers.next_time();
+        ReducerOutput {
+            next_poll_at: next_timer.into_iter().chain(next_engine_poll).reduce(f64::min),
+            effects: std::mem::take(&mut self.effects),
+        }
     }
 
     /// Writes a message to the log.
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -5,7 +5,7 @@
 use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
 use quillramp_gateway::state::effect::Effect;
 use quillramp_gateway::state::event::{Event, OperatorUpdate};
-use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig, ReducerOutput};
 use quillramp_gateway::state::shared_state::SharedState;
 use quillramp_gateway::wire::admin;
 use quillramp_gateway::wire::http::{Request, Response};
@@ -130,14 +130,14 @@
 impl Bench {
     /// Traces what the reducer asks for; returns when it is to be polled next.
     pub fn poll(&mut self) -> Option<f64> {
-        let (next, effects) = self.reducer.poll(self.now);
+        let ReducerOutput { next_poll_at, effects } = self.reducer.poll(self.now);
         for line in effects.iter().filter_map(describe) {
             self.trace += &format!("{:.3} {line}\n", self.now - 1000.0);
         }
         // Nothing is unread on a connection that is idle here: it is closed, and the reducer is notified.
         let mut closed: Vec<Event> = effects.iter().filter_map(idle_client_closed).collect();
         if closed.is_empty() {
-            return next;
+            return next_poll_at;
         }
         self.reducer.handle_batch(self.now, &mut closed);
         self.poll()
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -14,7 +14,7 @@
 use quillramp_gateway::state::effect::Effect;
 use quillramp_gateway::state::event::{Event, OperatorUpdate};
 use quillramp_gateway::state::framing::{MessageReader, MessageSink};
-use quillramp_gateway::state::reducer::{Reducer, ReducerConfig};
+use quillramp_gateway::state::reducer::{Reducer, ReducerConfig, ReducerOutput};
 use quillramp_gateway::wire::endpoints::EndpointList;
 use quillramp_gateway::wire::resp::ClientReply;
 use std::collections::HashMap;
@@ -168,7 +168,7 @@
         let mut events = std::mem::take(&mut self.inbox);
         self.reducer.handle_batch(now, &mut events);
         self.inbox = events; // empty by now, its allocation is used again
-        let (next_at, effects) = self.reducer.poll(now);
+        let ReducerOutput { next_poll_at: next_at, effects } = self.reducer.poll(now);
         let mut commands = vec![];
         let mut written = vec![];
         for effect in effects {
