--- a/counter/src/frame.rs
+++ b/counter/src/frame.rs
@@ -3,7 +3,9 @@
 use serde::Serialize;
 use std::io::{self, ErrorKind, Read};
 
-const HEADER_BYTES: usize = 8;
+const LENGTH_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
+const HEADER_BYTES: usize = LENGTH_BYTES + CHECKSUM_BYTES;
 /// The longest frame: a complete snapshot has to fit, so four times the largest record of the log.
 const MAX_FRAME_BYTES: usize = 256 << 20;
 
@@ -43,7 +45,7 @@
         u32::from_le_bytes([header[offset], header[offset + 1], header[offset + 2], header[offset + 3]])
     };
     let length = u32_at(0) as usize;
-    let checksum = u32_at(4);
+    let checksum = u32_at(LENGTH_BYTES);
     if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong);
     }
--- a/counter/src/log/record.rs
+++ b/counter/src/log/record.rs
@@ -70,6 +70,6 @@
 }
 
 fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
-    let field = bytes.get(offset..offset + 4)?;
+    let field = bytes.get(offset..offset + size_of::<u32>())?;
     field.try_into().ok().map(u32::from_le_bytes)
 }
--- a/counter/src/server/replica/mod.rs
+++ b/counter/src/server/replica/mod.rs
@@ -14,6 +14,7 @@
 use clock::Deadlines;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
+use std::ops::ControlFlow;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
@@ -81,34 +82,33 @@
     pub(super) fn run(mut self, events: &Receiver<Event>) -> Result<()> {
         let tick =
             Duration::from_secs_f64((self.timing.heartbeat_interval / TICKS_PER_HEARTBEAT).max(MIN_TICK));
-        let mut batch = vec![];
-        loop {
-            match events.recv_timeout(tick) {
-                Ok(event) => batch.push(event),
-                Err(RecvTimeoutError::Timeout) => {}
-                Err(RecvTimeoutError::Disconnected) => return Ok(()),
-            }
-            let more = MAX_BATCH.saturating_sub(batch.len());
-            batch.extend(events.try_iter().take(more));
+        while let Some(batch) = next_batch(events, tick) {
             let mut effects = Effects::default();
-            let mut has_proposed = false;
-            for event in batch.drain(..) {
-                match event {
-                    Event::Shutdown => return self.log.flush(),
-                    Event::ClientCall { add, response } => {
-                        has_proposed |= self.propose_or_forward(add, ReplyTo::Client(response), &mut effects);
-                    }
-                    Event::PeerMessage { from, message } => {
-                        has_proposed |= self.handle_peer_message(from, message, &mut effects)?;
-                    }
-                }
-            }
-            if has_proposed {
-                self.node.replicate(&mut effects);
+            if self.handle_batch(batch, &mut effects)?.is_break() {
+                return self.log.flush();
             }
             self.tick(&mut effects);
             self.execute(effects)?;
         }
+        Ok(())
+    }
+
+    /// Handles events; all commands that they propose are replicated together. Breaks at a shutdown.
+    fn handle_batch(&mut self, batch: Vec<Event>, effects: &mut Effects<Add>) -> Result<ControlFlow<()>> {
+        let mut has_proposed = false;
+        for event in batch {
+            has_proposed |= match event {
+                Event::Shutdown => return Ok(ControlFlow::Break(())),
+                Event::ClientCall { add, response } => {
+                    self.propose_or_forward(add, ReplyTo::Client(response), effects)
+                }
+                Event::PeerMessage { from, message } => self.handle_peer_message(from, message, effects)?,
+            };
+        }
+        if has_proposed {
+            self.node.replicate(effects);
+        }
+        Ok(ControlFlow::Continue(()))
     }
 
     /// Handles a peer's message; true if a command was proposed.
@@ -151,3 +151,16 @@
         self.started.elapsed().as_secs_f64()
     }
 }
+
+/// The events that have arrived by the end of a tick, or as soon as there is one; none once there can be no more.
+fn next_batch(events: &Receiver<Event>, tick: Duration) -> Option<Vec<Event>> {
+    let mut batch = vec![];
+    match events.recv_timeout(tick) {
+        Ok(event) => batch.push(event),
+        Err(RecvTimeoutError::Timeout) => {}
+        Err(RecvTimeoutError::Disconnected) => return None,
+    }
+    let more = MAX_BATCH.saturating_sub(batch.len());
+    batch.extend(events.try_iter().take(more));
+    Some(batch)
+}
--- a/counter/src/totals.rs
+++ b/counter/src/totals.rs
@@ -44,12 +44,21 @@
     expires_at: u64,
 }
 
+/// When a total expires; ordered by time. The encoding follows the order of the fields, which must not change.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+struct Expiry {
+    /// Unix time, microseconds.
+    at: u64,
+    /// The name of the total.
+    name: Vec<u8>,
+}
+
 /// Totals by name. An expired total is indistinguishable from one that never existed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
     by_name: BTreeMap<Vec<u8>, Total>,
-    /// Expiry (Unix time, microseconds) and name of each total, in the order of expiry.
-    by_expiry: BTreeSet<(u64, Vec<u8>)>,
+    /// The expiry of each total, in the order of time.
+    by_expiry: BTreeSet<Expiry>,
     /// The latest time of any command, Unix time in microseconds; monotonic.
     now: u64,
 }
@@ -62,7 +71,7 @@
         self.expire();
         let expires_at = self.now + microseconds(add.lifetime);
         let total = self.by_name.entry(add.name.clone()).or_insert_with(|| {
-            self.by_expiry.insert((expires_at, add.name.clone()));
+            self.by_expiry.insert(Expiry { at: expires_at, name: add.name.clone() });
             Total { value: 0.0, expires_at }
         });
         total.value += add.amount;
@@ -85,9 +94,9 @@
     }
 
     fn expire(&mut self) {
-        while self.by_expiry.first().is_some_and(|(expires_at, _)| *expires_at <= self.now) {
-            let Some((_, name)) = self.by_expiry.pop_first() else { return };
-            self.by_name.remove(&name);
+        while self.by_expiry.first().is_some_and(|expiry| expiry.at <= self.now) {
+            let Some(expiry) = self.by_expiry.pop_first() else { return };
+            self.by_name.remove(&expiry.name);
         }
     }
 }
