--- a/counter/tests/service.rs
+++ b/counter/tests/service.rs
@@ -121,48 +121,63 @@
     assert_eq!(cluster.client(2).add("x", 0.0), Outcome::Total(total));
 }
 
-#[test]
-fn files_are_inspected_and_damage_is_reported() {
-    let run = |arguments: &[&str]| {
-        let output = Command::new(env!("CARGO_BIN_EXE_quillramp-counter"))
-            .args(arguments)
-            .output()
-            .expect("it starts");
-        let text =
-            String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
-        (output.status.code(), text)
-    };
-    let mut cluster = Cluster::start("looked-at", 1);
+/// How the program ended.
+struct Ended {
+    code: Option<i32>,
+    /// What it wrote, standard output first.
+    text: String,
+}
+
+fn run(arguments: &[&str]) -> Ended {
+    let program = env!("CARGO_BIN_EXE_quillramp-counter");
+    let output = Command::new(program).args(arguments).output().expect("it starts");
+    let text =
+        String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
+    Ended { code: output.status.code(), text }
+}
+
+/// A cluster of one member, which has stopped after twenty totals `n0` to `n19` were added to.
+fn stopped_cluster(name: &str) -> Cluster {
+    let mut cluster = Cluster::start(name, 1);
     cluster.wait_until_ready(1);
     let mut client = cluster.client(1);
     for i in 0..20 {
         client.add(&format!("n{i}"), f64::from(i));
     }
-    let directory = cluster.directory(1).to_string_lossy().into_owned();
     cluster.stop_member(1);
-    let (code, text) = run(&["verify", &directory]);
+    cluster
+}
+
+#[test]
+fn files_are_verified_and_shown() {
+    let cluster = stopped_cluster("looked-at");
+    let directory = cluster.directory(1).to_string_lossy().into_owned();
+    let Ended { code, text } = run(&["verify", &directory]);
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("all checksums fit") && text.contains("21 names"), "{text}");
-    let (_, text) = run(&["show", &directory, "--names"]);
+    let Ended { text, .. } = run(&["show", &directory, "--names"]);
     assert!(text.contains("\nn7 7\n"), "{text}");
+}
+
+#[test]
+fn damage_to_files_is_reported() {
+    let cluster = stopped_cluster("damaged");
+    let directory = cluster.directory(1).to_string_lossy().into_owned();
     let file = std::fs::read_dir(&directory).expect("there").next().expect("a log").expect("readable").path();
     let mut bytes = std::fs::read(&file).expect("readable");
     bytes[60] ^= 4;
     std::fs::write(&file, bytes).expect("written");
-    let (code, text) = run(&["verify", &directory]);
+    let Ended { code, text } = run(&["verify", &directory]);
     assert!(code == Some(1) && text.contains("damaged at byte"), "{text}");
-    assert_eq!(run(&["verify", "/nowhere"]).0, Some(1));
-    assert_eq!(run(&["serve", "--listen", "127.0.0.1:0"]).0, Some(2), "no directory");
-    let (code, text) = run(&[
-        "serve",
-        "--listen",
-        "127.0.0.1:0",
-        "--data",
-        &directory,
-        "--id",
-        "4",
-        "--member",
-        "1=127.0.0.1:1",
-    ]);
+    assert_eq!(run(&["verify", "/nowhere"]).code, Some(1));
+}
+
+#[test]
+fn unusable_options_are_reported() {
+    assert_eq!(run(&["serve", "--listen", "127.0.0.1:0"]).code, Some(2), "no directory");
+    let cluster = stopped_cluster("no-such-member");
+    let directory = cluster.directory(1).to_string_lossy().into_owned();
+    let options = ["--listen", "127.0.0.1:0", "--data", &directory, "--id", "4", "--member", "1=127.0.0.1:1"];
+    let Ended { code, text } = run(&[&["serve"], &options[..]].concat());
     assert!(code == Some(1) && text.contains("no --member has it"), "{text}");
 }
--- a/emulator/tests/emulator.rs
+++ b/emulator/tests/emulator.rs
@@ -223,6 +223,10 @@
         fault 3 (upgrade): needs world.passed = true
         fault 4 (counter-lost): by: this kind has no use for it"#]]
     .assert_eq(&Scenario::parse(wrong).expect_err("wrong").to_string());
+}
+
+#[test]
+fn unknown_fields_and_kinds_of_faults_are_named() {
     let unknown = Scenario::parse("seed = 1\nseconds = 1.0\nspeed = 2\n").expect_err("wrong").to_string();
     assert!(unknown.contains("unknown field `speed`"), "{unknown}");
     let kind = Scenario::parse("seed = 1\nseconds = 1.0\n[[fault]]\nat = 0.1\nkind = \"flood\"\n")
