--- a/emulator/src/checker/slow_start.rs
+++ b/emulator/src/checker/slow_start.rs
@@ -29,7 +29,7 @@
 }
 
 impl SlowStartLimit {
-    /// The units that overload a backend of that age, in seconds, when they arrive within one window.
+    /// The most units that may arrive within one window at a backend of that age, in seconds.
     fn max_units(&self, age: f64) -> f64 {
         let mid_window_age = (age - self.window / 2.0).max(0.0);
         let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * mid_window_age / self.duration;
@@ -38,7 +38,7 @@
 }
 
 impl Checker {
-    /// A backend's process starts, without warmth.
+    /// A backend's process starts, and has to warm up.
     pub fn backend_started(&mut self, now: f64, backend: usize) {
         self.warming.insert(backend, WarmingBackend { started: now, ..WarmingBackend::default() });
     }
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -15,6 +15,11 @@
 /// A process that was asked to shut down is killed after so many seconds.
 pub(super) const SHUTDOWN_TIMEOUT: f64 = 3.7;
 
+/// Set the seeds of instances' processes apart: by scenario,
+const SCENARIO_SEED: u64 = 31;
+/// and by instance; the starts of one instance follow each other.
+const INSTANCE_SEED: u64 = 1009;
+
 /// A gateway instance, whatever processes it has.
 #[derive(Default)]
 pub(super) struct Instance {
@@ -97,8 +102,8 @@
     fn configuration(&self, instance: usize) -> settings::Loaded {
         let mut settings = self.settings.clone();
         settings["slot_no"] = json!(instance);
-        let start = instance as u64 * 1009 + self.instances[instance].starts;
-        let seed = self.scenario.seed.wrapping_mul(31).wrapping_add(start);
+        let start = instance as u64 * INSTANCE_SEED + self.instances[instance].starts;
+        let seed = self.scenario.seed.wrapping_mul(SCENARIO_SEED).wrapping_add(start);
         settings::load(seed, settings.to_string().as_bytes()).expect("settings of our own")
     }
 
