--- a/load/src/scale/embedded_run.rs
+++ b/load/src/scale/embedded_run.rs
@@ -47,9 +47,7 @@
     let population = Population::new(point)?;
     let begin = unix_now() + span.warm_up;
     let bounds = Bounds { begin, end: begin + span.seconds };
-    let mut loads: AtBounds<LoadReadings> = AtBounds::default();
-    let mut readings = vec![];
-    let resident = scope(|threads| -> Result<f64, ScaleError> {
+    let measured = scope(|threads| -> Result<SocketReadings, ScaleError> {
         let mut groups = vec![];
         for members in partition(instances) {
             let services = stand_ins.services();
@@ -59,23 +57,35 @@
                 Ok(read_group(group, bounds))
             }));
         }
-        sleep_until(bounds.begin);
-        loads.begin = stand_ins.loads.read();
-        sleep_until(bounds.end);
-        loads.end = stand_ins.loads.read();
+        let loads = read_loads(&stand_ins, bounds);
         let resident = usage(process).resident;
-        for group in groups {
-            readings.push(group.join().map_err(|_| ScaleError::GroupPanicked)??);
-        }
-        Ok(resident)
+        let groups = groups.into_iter().map(|group| group.join().map_err(|_| ScaleError::GroupPanicked)?);
+        Ok(SocketReadings { loads, resident, groups: groups.collect::<Result<_, ScaleError>>()? })
     })?;
     rows.add("hollow front doors", instances as f64, "1");
-    let span_usage = socket_usage(span, instances, loads, &readings);
-    steady_state::add_rows(&mut rows, &span_usage);
-    rows.add("memory", (resident - before.resident) / instances as f64, "MiB");
+    steady_state::add_rows(&mut rows, &socket_usage(span, instances, &measured));
+    rows.add("memory", (measured.resident - before.resident) / instances as f64, "MiB");
     Ok(rows.all)
 }
 
+/// What was measured over a span on sockets.
+struct SocketReadings {
+    /// The load of the stand-ins.
+    loads: AtBounds<LoadReadings>,
+    /// Memory of this process at the end, MiB.
+    resident: f64,
+    /// The instances, by group.
+    groups: Vec<AtBounds<Reading>>,
+}
+
+/// Waits for the span to pass, and reads the load of the stand-ins at both of its ends.
+fn read_loads(stand_ins: &StandIns, bounds: Bounds) -> AtBounds<LoadReadings> {
+    sleep_until(bounds.begin);
+    let begin = stand_ins.loads.read();
+    sleep_until(bounds.end);
+    AtBounds { begin, end: stand_ins.loads.read() }
+}
+
 /// Runs a group over the span.
 fn read_group(mut group: Group, bounds: Bounds) -> AtBounds<Reading> {
     group.run(bounds.begin);
@@ -84,20 +94,15 @@
     AtBounds { begin, end: group.read() }
 }
 
-fn socket_usage(
-    span: &Span,
-    instances: usize,
-    loads: AtBounds<LoadReadings>,
-    readings: &[AtBounds<Reading>],
-) -> SpanUsage {
+fn socket_usage(span: &Span, instances: usize, measured: &SocketReadings) -> SpanUsage {
     let mut usage = SpanUsage {
         seconds: span.seconds,
         instances,
         outcomes: Default::default(),
-        loads: loads.end.since(&loads.begin),
+        loads: measured.loads.end.since(&measured.loads.begin),
         processor: 0.0,
     };
-    for reading in readings {
+    for reading in &measured.groups {
         let counted = reading.end.since(&reading.begin);
         usage.outcomes = usage.outcomes.plus(&counted.outcomes);
         usage.processor += counted.processor.as_secs_f64();
--- a/load/src/scale/stand_ins/mod.rs
+++ b/load/src/scale/stand_ins/mod.rs
@@ -68,15 +68,11 @@
         let poll = Poll::new().map_err(ScaleError::Poll)?;
         let listening = if backends == Backends::Served { point.backends } else { 0 };
         let listeners = listen_all(poll.registry(), listening)?;
-        let mut addresses = vec![];
-        for listener in &listeners {
-            addresses.push(listener.socket.local_addr().map_err(ScaleError::Port)?);
-        }
-        if backends == Backends::Listed {
-            let listed = |n: usize| SocketAddr::from((own_loopback(), FIRST_LISTED_PORT + n as u16));
-            addresses.extend((0..point.backends).map(listed));
-        }
-        let endpoints = EndpointRotation::new(&addresses[SERVICE_LISTENERS..]);
+        let listening = listening_addresses(&listeners)?;
+        let endpoints = match backends {
+            Backends::Served => EndpointRotation::new(&listening[SERVICE_LISTENERS..]),
+            Backends::Listed => EndpointRotation::new(&unserved_addresses(point.backends)),
+        };
         let list_bytes = endpoints.answer(0).to_string().len();
         let loads = Arc::new(ServerLoads::default());
         let changes = Arc::new(Changes::default());
@@ -95,8 +91,8 @@
             move || event_loop.run(&stop)
         });
         Ok(StandIns {
-            counter: addresses[0],
-            discovery: addresses[1],
+            counter: listening[0],
+            discovery: listening[1],
             list_bytes,
             loads,
             changes,
@@ -133,13 +129,23 @@
 /// The listeners of the counter, the list service and the backends, in this order; their tokens are their indices.
 fn listen_all(registry: &Registry, backends: usize) -> Result<Vec<Listener>, ScaleError> {
     let mut listeners = vec![];
-    for n in 0..backends + SERVICE_LISTENERS {
-        let role = [Role::Counter, Role::Discovery].get(n).copied().unwrap_or(Role::Backend);
-        listeners.push(Listener { role, socket: listen(registry, n)? });
+    for index in 0..backends + SERVICE_LISTENERS {
+        let role = [Role::Counter, Role::Discovery].get(index).copied().unwrap_or(Role::Backend);
+        listeners.push(Listener { role, socket: listen(registry, index)? });
     }
     Ok(listeners)
 }
 
+fn listening_addresses(listeners: &[Listener]) -> Result<Vec<SocketAddr>, ScaleError> {
+    listeners.iter().map(|listener| listener.socket.local_addr().map_err(ScaleError::Port)).collect()
+}
+
+/// Addresses of backends at which nothing listens.
+fn unserved_addresses(backends: usize) -> Vec<SocketAddr> {
+    let address = |index: usize| SocketAddr::from((own_loopback(), FIRST_LISTED_PORT + index as u16));
+    (0..backends).map(address).collect()
+}
+
 fn listen(registry: &Registry, token: usize) -> Result<TcpListener, ScaleError> {
     let address = SocketAddr::from((own_loopback(), 0));
     let mut listener = TcpListener::bind(address).map_err(ScaleError::Port)?;
