--- a/emulator/src/sweep.rs
+++ b/emulator/src/sweep.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Sums over many runs.
 #[derive(Default)]
@@ -55,6 +55,15 @@
     pub sabotage: Option<Sabotage>,
 }
 
+/// Locks a mutex. One that a thread poisoned is used on: the panic ends the scope of the threads in any case.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+fn into_inner<T>(mutex: Mutex<T>) -> T {
+    mutex.into_inner().unwrap_or_else(PoisonError::into_inner)
+}
+
 /// The result of each task, in the order of the tasks, worked out on so many threads.
 pub fn run_parallel<T: Send, R: Send>(tasks: Vec<T>, threads: usize, work: impl Fn(T) -> R + Sync) -> Vec<R> {
     let waiting = Mutex::new(tasks.into_iter().enumerate());
@@ -62,14 +71,14 @@
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
-                let next = waiting.lock().unwrap_or_else(|e| e.into_inner()).next();
+                let next = lock(&waiting).next();
                 let Some((index, task)) = next else { return };
                 let result = work(task);
-                results.lock().unwrap_or_else(|e| e.into_inner()).push((index, result));
+                lock(&results).push((index, result));
             });
         }
     });
-    let mut results = results.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut results = into_inner(results);
     results.sort_by_key(|(index, _)| *index);
     results.into_iter().map(|(_, result)| result).collect()
 }
@@ -86,7 +95,7 @@
                 return;
             }
             let report = simulate(&Scenario::generate(seed), options.sabotage);
-            let mut reports = reports.lock().unwrap_or_else(|e| e.into_inner());
+            let mut reports = lock(&reports);
             reports.push(report);
             progress(reports.len() as u64);
             let violations = reports.iter().filter(|report: &&Report| report.violation.is_some()).count();
@@ -98,7 +107,7 @@
             scope.spawn(work);
         }
     });
-    let mut reports = reports.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut reports = into_inner(reports);
     reports.sort_by_key(|report| report.seed);
     reports
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -173,7 +173,9 @@
         let Some(backend) = self.backends.get_mut(backend) else { return };
         backend.recovery_gossiped_at = now;
         // The message may be older than the ejection: half of its duration passes first.
-        if let Some(ejection) = backend.ejection.filter(|e| e.until - now < e.duration / 2.0) {
+        if let Some(ejection) =
+            backend.ejection.filter(|ejection| ejection.until - now < ejection.duration / 2.0)
+        {
             backend.ejection = Some(Ejection { until: now, ..ejection });
         }
     }
