--- a/load/src/charts.rs
+++ b/load/src/charts.rs
@@ -81,7 +81,9 @@
             record(histogram, row.took);
         }
     }
-    let max = latencies.values().map(|h| h.value_at_quantile(0.999)).max().unwrap_or(1) as f64 / 1e3;
+    let max = latencies.values().map(|histogram| histogram.value_at_quantile(0.999)).max().unwrap_or(1)
+        as f64
+        / 1e3;
     let line = |name: &&str| {
         let point = |per_mille: u32| {
             let quantile = f64::from(per_mille) / 1e3;
--- a/load/src/fault_schedule.rs
+++ b/load/src/fault_schedule.rs
@@ -72,7 +72,7 @@
 fn targets(fault: &Fault, world: &World) -> Vec<usize> {
     match fault.kind {
         FaultKind::ZoneLoss => {
-            (0..world.backends).filter(|b| Some(b % world.zones.max(1)) == fault.zone).collect()
+            (0..world.backends).filter(|backend| Some(backend % world.zones.max(1)) == fault.zone).collect()
         }
         _ => vec![fault.backend.or(fault.instance).unwrap_or(0)],
     }
--- a/load/src/generator/client.rs
+++ b/load/src/generator/client.rs
@@ -76,6 +76,7 @@
 
 /// The outcome of one attempt on a connection.
 enum Exchange {
+    /// The instance answered.
     Answered(Outcome),
     /// The instance is about to stop and took nothing.
     Draining,
@@ -119,7 +120,7 @@
 
     /// The connection to an instance, opened if need be; none where the instance cannot be reached.
     fn connect(&mut self, routes: &Routes, instance: usize) -> Option<&mut Connection> {
-        if self.connection.as_ref().is_none_or(|c| c.instance != instance) {
+        if self.connection.as_ref().is_none_or(|open| open.instance != instance) {
             match Connection::open(routes.addresses[instance], instance) {
                 Ok(connection) => self.connection = Some(connection),
                 Err(_) => {
--- a/load/src/process_stat.rs
+++ b/load/src/process_stat.rs
@@ -24,10 +24,10 @@
     let read = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap_or_default();
     let status = read("status");
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let resident_kib = resident.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0.0);
+    let resident_kib = resident.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0.0);
     let stat = read("stat");
     // The name in parentheses may hold blanks; the fields are counted behind it.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |field: usize| fields.get(field).and_then(|f| f.parse().ok()).unwrap_or(0.0);
+    let ticks = |field: usize| fields.get(field).and_then(|text| text.parse().ok()).unwrap_or(0.0);
     ProcessStat { user_ticks: ticks(USER_FIELD), system_ticks: ticks(SYSTEM_FIELD), resident_kib }
 }
--- a/load/src/results/comparison.rs
+++ b/load/src/results/comparison.rs
@@ -26,9 +26,10 @@
     if differences.len() < LEAST_PAIRS {
         return Comparison { mean_difference, significant: false };
     }
-    let squares = differences.iter().map(|d| (d - mean_difference).powi(2)).sum::<f64>();
+    let squares = differences.iter().map(|difference| (difference - mean_difference).powi(2)).sum::<f64>();
     let error = (squares / (pairs - 1.0) / pairs).sqrt();
-    let one_sign = differences.iter().all(|d| *d > 0.0) || differences.iter().all(|d| *d < 0.0);
+    let one_sign = differences.iter().all(|difference| *difference > 0.0)
+        || differences.iter().all(|difference| *difference < 0.0);
     let significant = one_sign && mean_difference.abs() > STANDARD_ERRORS * error;
     Comparison { mean_difference, significant }
 }
@@ -65,7 +66,10 @@
     let of_second = by_variant(&second.runs, &second.rows);
     for name in common {
         let runs = |all: &[VariantFigures]| {
-            all.iter().find(|variant| variant.name == name).map(|v| v.runs.clone()).unwrap_or_default()
+            all.iter()
+                .find(|variant| variant.name == name)
+                .map(|variant| variant.runs.clone())
+                .unwrap_or_default()
         };
         let first = VariantFigures { name: "the first session", runs: runs(&of_first) };
         let second_name = format!("{name}, the second session");
--- a/load/src/results/summary.rs
+++ b/load/src/results/summary.rs
@@ -44,7 +44,7 @@
     if let Some((first, others)) = all.split_first() {
         others.iter().for_each(|other| text += &section(first, other));
     }
-    let latest = all.iter().flat_map(|v| &v.runs).map(|f| f.late).fold(0.0, f64::max);
+    let latest = all.iter().flat_map(|variant| &variant.runs).map(|figures| figures.late).fold(0.0, f64::max);
     if latest > LATE_WARNING {
         let _ = writeln!(text, "\nThe generator was late by up to {latest:.1} ms (99th percentile of a run): it has too few cores.");
     }
--- a/load/src/scale/counts.rs
+++ b/load/src/scale/counts.rs
@@ -35,7 +35,7 @@
     /// Adds to a count (`tenant.series`, the tenant in hexadecimal); its new total. `now` is Unix time in seconds.
     pub fn add(&mut self, now: f64, name: &str, by: f64) -> f64 {
         let estimate = self.absent.and_then(|fraction| self.estimate(name, fraction));
-        let began = estimate.map_or(now, |e| e.began);
+        let began = estimate.map_or(now, |estimate| estimate.began);
         if !self.levels.contains_key(name) {
             self.levels.insert(name.to_owned(), Level { units: 0.0, at: began });
         }
--- a/load/src/scale/fit.rs
+++ b/load/src/scale/fit.rs
@@ -2,6 +2,15 @@
 use super::rows::Row;
 use std::collections::BTreeMap;
 
+/// One measurement of a figure.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Point {
+    /// The value of the factor that is varied.
+    pub factor: f64,
+    /// The value of the figure.
+    pub figure: f64,
+}
+
 /// A line through the points of one figure over one factor, and how far they lie off it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
@@ -19,13 +28,15 @@
 
 impl Line {
     /// Through these points by least squares; none where they are fewer than two or all over one value.
-    pub fn through(points: &[(f64, f64)]) -> Option<Line> {
-        let fitted: Result<(f64, f64), _> = linreg::linear_regression_of(points);
+    pub fn through(points: &[Point]) -> Option<Line> {
+        let pairs: Vec<(f64, f64)> = points.iter().map(|point| (point.factor, point.figure)).collect();
+        let fitted: Result<(f64, f64), _> = linreg::linear_regression_of(&pairs);
         let (slope, intercept) = fitted.ok()?;
         let count = points.len() as f64;
-        let squares: f64 = points.iter().map(|(x, y)| (y - slope * x - intercept).powi(2)).sum();
+        let distance = |point: &Point| point.figure - slope * point.factor - intercept;
+        let squares: f64 = points.iter().map(|point| distance(point).powi(2)).sum();
         let residual = (squares / count).sqrt();
-        let mean = points.iter().map(|(_, y)| y.abs()).sum::<f64>() / count;
+        let mean = points.iter().map(|point| point.figure.abs()).sum::<f64>() / count;
         let relative_residual = if mean > 0.0 { residual / mean } else { 0.0 };
         Some(Line { slope, intercept, residual, relative_residual, points: points.len() })
     }
@@ -122,22 +133,30 @@
     pub figure: String,
     /// The unit of the figure.
     pub unit: String,
-    /// The factor and the figure of each measurement.
-    pub points: Vec<(f64, f64)>,
+    /// The measurements.
+    pub points: Vec<Point>,
     /// The line through the points.
     pub line: Line,
 }
 
+/// A figure, told apart by its name and its unit.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct FigureKey<'a> {
+    figure: &'a str,
+    unit: &'a str,
+}
+
 /// Lines through the figures of all runs that vary a factor.
 pub fn fits(rows: &[Row]) -> Vec<Fit> {
     let mut all = vec![];
     for factor in FACTORS {
         let run = factor.run();
-        let mut points: BTreeMap<(&str, &str), Vec<(f64, f64)>> = BTreeMap::new();
-        for row in rows.iter().filter(|r| r.run == run) {
-            points.entry((&row.figure, &row.unit)).or_default().push((factor.of(row), row.value));
+        let mut points: BTreeMap<FigureKey, Vec<Point>> = BTreeMap::new();
+        for row in rows.iter().filter(|row| row.run == run) {
+            let key = FigureKey { figure: &row.figure, unit: &row.unit };
+            points.entry(key).or_default().push(Point { factor: factor.of(row), figure: row.value });
         }
-        for ((figure, unit), points) in points {
+        for (FigureKey { figure, unit }, points) in points {
             if let Some(line) = Line::through(&points) {
                 all.push(Fit { factor, figure: figure.into(), unit: unit.into(), points, line });
             }
--- a/load/src/scale/operating_point.rs
+++ b/load/src/scale/operating_point.rs
@@ -145,7 +145,7 @@
         let all: f64 = weights.iter().sum();
         let tenant = |weight: f64| {
             let offered = self.fleet_requests * weight / all;
-            let plan = (0..PLANS - 1).find(|p| quota(*p) >= offered).unwrap_or(PLANS - 1);
+            let plan = (0..PLANS - 1).find(|plan| quota(*plan) >= offered).unwrap_or(PLANS - 1);
             Tenant { plan, offered }
         };
         weights.into_iter().map(tenant).collect()
@@ -158,8 +158,8 @@
         let mut settings = gateway_settings(&world, None);
         settings["slot_no"] = json!(instance);
         settings["extra"]["counter"] = json!(!self.without_counter);
-        let plan = |p: usize| {
-            json!({"name": plan_name(p), "per_second": quota(p), "depth": burst(p), "parallel": 0,
+        let plan = |plan: usize| {
+            json!({"name": plan_name(plan), "per_second": quota(plan), "depth": burst(plan), "parallel": 0,
                    "ceiling_rate": 0.0, "ceiling_slack": 0.0, "hard_burst": 0.0})
         };
         settings["tariffs"] = (0..PLANS).map(plan).collect();
--- a/load/src/scale/operator_file.rs
+++ b/load/src/scale/operator_file.rs
@@ -13,7 +13,7 @@
     let mut text = String::from("[[class]]\nname = \"two tries\"\nattempts = 2\n");
     let each = (point.tenants / point.routes).clamp(1, TENANTS_OF_A_ROUTE);
     for route in 0..point.routes {
-        let tenants = (0..each).map(|n| (route * each + n) % point.tenants);
+        let tenants = (0..each).map(|index| (route * each + index) % point.tenants);
         let named: Vec<String> = tenants.map(|tenant| format!("\"{tenant:016x}\"")).collect();
         let _ = write!(
             text,
--- a/load/src/scale/propagation.rs
+++ b/load/src/scale/propagation.rs
@@ -37,8 +37,8 @@
     }
     let which: Vec<usize> = (0..instances).step_by(burst.one_in).collect();
     let count = which.len() as f64;
-    let at = |n: usize| begin + burst.over * (n as f64 + 0.5) / count;
-    which.into_iter().enumerate().map(|(n, instance)| Restart { at: at(n), instance }).collect()
+    let at = |index: usize| begin + burst.over * (index as f64 + 0.5) / count;
+    which.into_iter().enumerate().map(|(index, instance)| Restart { at: at(index), instance }).collect()
 }
 
 /// Seconds from write to in force, sorted, of the instances that `is_counted` accepts.
@@ -95,21 +95,22 @@
 
 /// Changes the list, evenly over the span.
 fn write_changes(stand_ins: &StandIns, burst: &Burst, begin: f64) {
-    for n in 0..burst.burst {
-        sleep_until(begin + burst.over * n as f64 / burst.burst as f64);
+    for index in 0..burst.burst {
+        sleep_until(begin + burst.over * index as f64 / burst.burst as f64);
         stand_ins.change();
     }
 }
 
 fn add_rows(rows: &mut Rows, instances: usize, written: &[f64], in_force: &[InForce], restarts: &[Restart]) {
-    let restarted = |instance: usize| restarts.iter().any(|r| r.instance == instance);
+    let restarted = |instance: usize| restarts.iter().any(|restart| restart.instance == instance);
     let expected = written.len() * instances;
     rows.add("hollow front doors", instances as f64, "1");
     rows.add("changes written", written.len() as f64, "1");
     rows.add("front doors restarted", restarts.len() as f64, "1");
     let all = delays(written, in_force, |_| true);
     rows.add("changes not in force at the end", (expected - all.len()) as f64, "of front door and change");
-    for (who, delays) in [("all", all), ("not restarted", delays(written, in_force, |f| !restarted(f)))] {
+    let without_restart = delays(written, in_force, |instance| !restarted(instance));
+    for (who, delays) in [("all", all), ("not restarted", without_restart)] {
         rows.add(&format!("write to in force, {who}: median"), quantile(&delays, 0.5), "s");
         rows.add(&format!("write to in force, {who}: p99"), quantile(&delays, 0.99), "s");
         rows.add(&format!("write to in force, {who}: most"), quantile(&delays, 1.0), "s");
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -144,7 +144,7 @@
     clients: Option<&Clients>,
     span: &Span,
 ) {
-    let outcomes = || clients.map(|c| c.outcomes.read()).unwrap_or_default();
+    let outcomes = || clients.map(|clients| clients.outcomes.read()).unwrap_or_default();
     let loads = stand_ins.loads.read();
     let used_before = instance.usage();
     let start = Instant::now();
--- a/load/src/scale/server_load.rs
+++ b/load/src/scale/server_load.rs
@@ -121,6 +121,6 @@
 
     /// The difference from an earlier reading.
     pub fn since(&self, earlier: &LoadReadings) -> LoadReadings {
-        LoadReadings(std::array::from_fn(|i| self.0[i].since(&earlier.0[i])))
+        LoadReadings(std::array::from_fn(|role| self.0[role].since(&earlier.0[role])))
     }
 }
--- a/load/src/scale/simulation/servers.rs
+++ b/load/src/scale/simulation/servers.rs
@@ -81,8 +81,9 @@
     /// Answers a watch that has waited long enough.
     pub(super) fn end_watch(&mut self, port: Port) {
         let now = self.events.now;
-        if let Some(i) = self.watches.iter().position(|w| w.port == port && now >= w.until) {
-            let watch = self.watches.swap_remove(i);
+        let is_over = |watch: &PendingWatch| watch.port == port && now >= watch.until;
+        if let Some(index) = self.watches.iter().position(is_over) {
+            let watch = self.watches.swap_remove(index);
             self.answer_watch(port, watch.since);
         }
     }
--- a/load/src/scale/slope_report.rs
+++ b/load/src/scale/slope_report.rs
@@ -1,6 +1,6 @@
 //! Slopes as a table, a file and charts.
 use super::error::ScaleError;
-use super::fit::{Fit, FACTORS};
+use super::fit::{Fit, Point, FACTORS};
 use super::rows::{Row, Source};
 use plotters::prelude::*;
 use std::fmt::Write;
@@ -68,8 +68,8 @@
     writer.write_record(head).map_err(&failed)?;
     for fit in fits {
         let line = &fit.line;
-        let numbers =
-            [line.slope, line.intercept, line.residual, line.relative_residual].map(|n| n.to_string());
+        let numbers = [line.slope, line.intercept, line.residual, line.relative_residual]
+            .map(|number| number.to_string());
         let mut record = vec![fit.factor.name().to_owned(), fit.figure.clone(), fit.unit.clone()];
         record.extend(numbers);
         record.extend([line.points.to_string(), source.name().to_owned()]);
@@ -81,7 +81,8 @@
 /// A chart for each factor and charted figure: the points and the line through them.
 pub fn draw_charts(folder: &Path, fits: &[Fit]) -> Result<(), ScaleError> {
     for factor in FACTORS {
-        for fit in fits.iter().filter(|f| f.factor == factor && CHARTED.contains(&f.figure.as_str())) {
+        let is_charted = |fit: &&Fit| fit.factor == factor && CHARTED.contains(&fit.figure.as_str());
+        for fit in fits.iter().filter(is_charted) {
             let name = format!("{}-{}.svg", fit.factor.name(), fit.figure)
                 .replace([' ', ':'], "-")
                 .replace("--", "-");
@@ -95,10 +96,9 @@
 fn draw_chart(path: &Path, fit: &Fit) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let area = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
     area.fill(&WHITE)?;
-    let max =
-        |of: &dyn Fn(&(f64, f64)) -> f64| fit.points.iter().map(of).fold(LEAST_AXIS, f64::max) * HEADROOM;
-    let x_max = max(&|point| point.0);
-    let y_max = max(&|point| point.1);
+    let max = |of: fn(&Point) -> f64| fit.points.iter().map(of).fold(LEAST_AXIS, f64::max) * HEADROOM;
+    let x_max = max(|point| point.factor);
+    let y_max = max(|point| point.figure);
     let title = format!(
         "{} over {}: {:.3e} per {}",
         fit.figure,
@@ -115,7 +115,9 @@
     chart.configure_mesh().x_desc(fit.factor.name()).y_desc(&fit.unit).draw()?;
     let ends = [0.0, x_max].map(|x| (x, fit.line.at(x)));
     chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))?;
-    chart.draw_series(fit.points.iter().map(|point| Circle::new(*point, 4, RED.filled())))?;
+    chart.draw_series(
+        fit.points.iter().map(|point| Circle::new((point.factor, point.figure), 4, RED.filled())),
+    )?;
     area.present()?;
     Ok(())
 }
@@ -126,7 +128,8 @@
         "| figure | unit | program | embedded | embedded / program |\n| --- | --- | --- | --- | --- |\n",
     );
     for row in real {
-        let Some(other) = embedded.iter().find(|h| h.figure == row.figure && h.unit == row.unit) else {
+        let Some(other) = embedded.iter().find(|other| other.figure == row.figure && other.unit == row.unit)
+        else {
             continue;
         };
         let ratio = if row.value == 0.0 { "-".to_owned() } else { format!("{:.2}", other.value / row.value) };
--- a/load/src/scale/socket_group/instances.rs
+++ b/load/src/scale/socket_group/instances.rs
@@ -88,7 +88,7 @@
             }
             ConnectionCommand::Connect(connection, address) => {
                 if self.sockets.connect(slot, connection, address).is_err() {
-                    self.with_instance(slot, |f| f.ended(connection, CloseReason::Refused));
+                    self.with_instance(slot, |instance| instance.ended(connection, CloseReason::Refused));
                 }
             }
             ConnectionCommand::Send(connection @ ConnectionId::Backend(_), bytes) => {
--- a/load/src/scale/socket_group/mod.rs
+++ b/load/src/scale/socket_group/mod.rs
@@ -26,7 +26,7 @@
 /// Instances by thread: consecutive numbers, as evenly as they go.
 pub fn partition(instances: usize) -> impl Iterator<Item = Range<usize>> {
     let threads = THREADS.min(instances);
-    (0..threads).map(move |n| n * instances / threads..(n + 1) * instances / threads)
+    (0..threads).map(move |thread| thread * instances / threads..(thread + 1) * instances / threads)
 }
 
 enum GroupEvent {
@@ -145,7 +145,7 @@
     /// Restarts those of these instances that are its own.
     pub fn schedule_restarts(&mut self, restarts: &[Restart]) {
         let own = self.first..self.first + self.slots.len();
-        for restart in restarts.iter().filter(|r| own.contains(&r.instance)) {
+        for restart in restarts.iter().filter(|restart| own.contains(&restart.instance)) {
             self.events.push(restart.at, GroupEvent::Stop(restart.instance - self.first));
         }
     }
--- a/load/src/scale/socket_group/sockets.rs
+++ b/load/src/scale/socket_group/sockets.rs
@@ -127,7 +127,9 @@
     }
 
     fn flush(&mut self, token: Token) -> Result<()> {
-        let Some(socket) = self.sockets.get_mut(&token).filter(|s| s.established) else { return Ok(()) };
+        let Some(socket) = self.sockets.get_mut(&token).filter(|socket| socket.established) else {
+            return Ok(());
+        };
         write_pending(&mut socket.stream, &mut socket.output).map(drop)
     }
 
--- a/load/src/scale/stand_ins/event_loop.rs
+++ b/load/src/scale/stand_ins/event_loop.rs
@@ -105,7 +105,9 @@
                 self.ready(event.token());
             }
             let now = Instant::now();
-            if let Some(interval) = self.setup.change_interval.filter(|i| now >= last_change + *i) {
+            if let Some(interval) =
+                self.setup.change_interval.filter(|interval| now >= last_change + *interval)
+            {
                 last_change += interval;
                 self.setup.changes.requested.fetch_add(1, Ordering::Relaxed);
             }
--- a/load/src/scale/sweep.rs
+++ b/load/src/scale/sweep.rs
@@ -107,7 +107,8 @@
 /// Measures all sizes of the factors; each point's rows are appended to `out`. Returns which points did not complete, and why.
 pub fn sweep(plan: &Plan, out: &Path) -> Result<Vec<String>, ScaleError> {
     let factors = if plan.factors.is_empty() { &FACTORS } else { plan.factors };
-    let points = factors.iter().flat_map(|f| f.sizes().map(|size| Waiting { factor: *f, size }));
+    let points =
+        factors.iter().flat_map(|factor| factor.sizes().map(|size| Waiting { factor: *factor, size }));
     let mut sweep = Sweep {
         plan,
         out,
@@ -145,7 +146,7 @@
 
     /// Which bound is exceeded, if one is.
     fn exceeded(&self) -> Option<String> {
-        let memory: f64 = self.running.iter().map(|r| usage(r.process.id()).resident).sum();
+        let memory: f64 = self.running.iter().map(|point| usage(point.process.id()).resident).sum();
         if memory > MAX_MEMORY {
             return Some(format!("{memory:.0} MiB in all"));
         }
--- a/load/tests/scale.rs
+++ b/load/tests/scale.rs
@@ -3,7 +3,7 @@
 use quillramp_load::scale::command::Scale;
 use quillramp_load::scale::counts::Counts;
 use quillramp_load::scale::embedded_run;
-use quillramp_load::scale::fit::{fits, Factor, Line};
+use quillramp_load::scale::fit::{fits, Factor, Line, Point};
 use quillramp_load::scale::operating_point::{burst, quota, OperatingPoint, Spread, Tenant};
 use quillramp_load::scale::propagation::{self, Burst};
 use quillramp_load::scale::rows::{self, Row};
@@ -129,13 +129,19 @@
     assert!(figure(&rows, "write to in force, all: most") < 6.0, "{rows:?}");
 }
 
+/// The line through measurements, given as factor and figure.
+fn line_through(measured: &[(f64, f64)]) -> Option<Line> {
+    let points: Vec<Point> = measured.iter().map(|&(factor, figure)| Point { factor, figure }).collect();
+    Line::through(&points)
+}
+
 #[test]
 fn a_line_fits_its_points_and_reports_the_residual() {
-    let line = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("a line");
+    let line = line_through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("a line");
     assert!((line.slope - 2.0).abs() < 1e-9 && (line.intercept - 3.0).abs() < 1e-9 && line.residual < 1e-9);
-    let off = Line::through(&[(0.0, 0.0), (1.0, 3.0), (2.0, 0.0)]).expect("a line");
+    let off = line_through(&[(0.0, 0.0), (1.0, 3.0), (2.0, 0.0)]).expect("a line");
     assert!((off.at(1.0) - 1.0).abs() < 1e-9 && (off.residual - 2f64.sqrt()).abs() < 1e-9, "{off:?}");
-    assert_eq!(Line::through(&[(1.0, 1.0)]), None);
+    assert_eq!(line_through(&[(1.0, 1.0)]), None);
 }
 
 #[test]
