--- a/admission/src/address.rs
+++ b/admission/src/address.rs
@@ -40,6 +40,22 @@
         }
     }
 
+    /// Counts a connection by the customer of its last command; none if it has sent no command yet.
+    pub fn count_connection(&mut self, customer: Option<CustomerId>) {
+        match customer {
+            None => self.unidentified += 1,
+            Some(customer) => self.connections_by_customer.increment(customer),
+        }
+    }
+
+    /// Undoes [`count_connection`](Self::count_connection).
+    pub fn discount_connection(&mut self, customer: Option<CustomerId>) {
+        match customer {
+            None => self.unidentified -= 1,
+            Some(customer) => self.connections_by_customer.decrement(customer),
+        }
+    }
+
     /// Whether it is listed, or a command of it was served lately.
     pub fn is_known(&self, now: f64) -> bool {
         self.is_listed || now < self.known_until
--- a/admission/src/connection.rs
+++ b/admission/src/connection.rs
@@ -48,6 +48,13 @@
         }
     }
 
+    /// A complete command or greeting of it is about to be decided on.
+    pub fn command_received(&mut self, now: f64) {
+        self.partial_since = None;
+        self.last_active = now;
+        self.has_spoken = true;
+    }
+
     /// Whether it has no pending command, as far as the controller knows.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.queued == 0
--- a/admission/src/controller.rs
+++ b/admission/src/controller.rs
@@ -57,10 +57,7 @@
         address.connections.insert(id);
         address.pending += pending.len();
         pending.iter().for_each(|customer| address.pending_by_customer.increment(*customer));
-        match customer {
-            None => address.unidentified += 1,
-            Some(customer) => address.connections_by_customer.increment(customer),
-        }
+        address.count_connection(customer);
         let is_known = address.is_known(now);
         self.unknown_connections += usize::from(!is_known);
         let connection = Connection { customer, has_spoken, pending, ..Connection::new(now, from) };
@@ -87,9 +84,7 @@
     pub fn command_started(&mut self, now: f64, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.queued = connection.queued.saturating_sub(1);
-            connection.partial_since = None;
-            connection.last_active = now;
-            connection.has_spoken = true;
+            connection.command_received(now);
         }
     }
 
@@ -126,10 +121,7 @@
         let Some(connection) = self.connections.remove(&id) else { return };
         let Some(address) = self.addresses.get_mut(&connection.from) else { return };
         address.connections.remove(&id);
-        match connection.customer {
-            None => address.unidentified -= 1,
-            Some(customer) => address.connections_by_customer.decrement(customer),
-        }
+        address.discount_connection(connection.customer);
         address.pending = address.pending.saturating_sub(connection.pending.len());
         connection.pending.iter().for_each(|customer| address.pending_by_customer.decrement(*customer));
         let is_last = address.connections.is_empty();
@@ -172,7 +164,7 @@
         self.connections.insert(id, Connection::new(now, from));
         let address = self.address_or_new(now, from);
         address.connections.insert(id);
-        address.unidentified += 1;
+        address.count_connection(None);
         self.unknown_connections += usize::from(!is_known);
         replaced.map_or(ConnectionVerdict::Accept, ConnectionVerdict::Replace)
     }
@@ -180,17 +172,12 @@
     /// Decides on a command; an accepted one is pending until [`command_answered`](Self::command_answered).
     pub fn admit_command(&mut self, now: f64, id: ConnectionId, customer: CustomerId) -> CommandVerdict {
         let Some(connection) = self.connections.get_mut(&id) else { return CommandVerdict::Accept };
-        connection.partial_since = None;
-        connection.last_active = now;
-        connection.has_spoken = true;
+        connection.command_received(now);
         let previous = connection.customer.replace(customer);
         let Some(address) = self.addresses.get_mut(&connection.from) else { return CommandVerdict::Accept };
         if previous != Some(customer) {
-            match previous {
-                None => address.unidentified -= 1,
-                Some(previous) => address.connections_by_customer.decrement(previous),
-            }
-            address.connections_by_customer.increment(customer);
+            address.discount_connection(previous);
+            address.count_connection(Some(customer));
         }
         // Max-min fairness: at the limit, customers below their part are still served. Together that is at most twice the limit.
         let pending_of_customer = address.pending_by_customer.count(customer);
--- a/admission/src/eviction.rs
+++ b/admission/src/eviction.rs
@@ -25,6 +25,13 @@
     connections: std::cmp::Reverse<usize>,
 }
 
+/// An open connection with its id.
+#[derive(Clone, Copy)]
+struct Candidate<'a> {
+    id: ConnectionId,
+    connection: &'a Connection,
+}
+
 impl AdmissionController {
     /// Selects the idle connection to close when descriptors run short, in the order of `docs/admission.md`, and stops counting it.
     /// None if all connections have pending commands.
@@ -48,8 +55,8 @@
 
     /// The connection of an address that has been silent longest, beyond the time for a first command.
     pub(crate) fn silent_of(&self, now: f64, from: IpAddr) -> Option<ConnectionId> {
-        let silent = self.connections_of(from).filter(|(_, connection)| connection.is_silent());
-        longest_inactive(silent.filter(|(_, connection)| self.is_late(now, connection)))
+        let silent = self.connections_of(from).filter(|candidate| candidate.connection.is_silent());
+        longest_inactive(silent.filter(|candidate| self.is_late(now, candidate.connection)))
     }
 
     /// The longest idle connection of the customer with most connections from an address, if these are more than its part.
@@ -61,17 +68,18 @@
         if largest.count <= part {
             return None;
         }
-        let is_candidate = |connection: &Connection| {
+        let is_replaceable = |candidate: &Candidate| {
+            let connection = candidate.connection;
             connection.customer == Some(largest.customer)
                 && connection.is_idle()
                 && connection.partial_since.is_none()
         };
-        longest_inactive(self.connections_of(from).filter(|(_, connection)| is_candidate(connection)))
+        longest_inactive(self.connections_of(from).filter(is_replaceable))
     }
 
-    fn connections_of(&self, from: IpAddr) -> impl Iterator<Item = (ConnectionId, &Connection)> {
+    fn connections_of(&self, from: IpAddr) -> impl Iterator<Item = Candidate<'_>> {
         let ids = self.addresses.get(&from).into_iter().flat_map(|address| &address.connections);
-        ids.filter_map(|id| self.connections.get(id).map(|connection| (*id, connection)))
+        ids.filter_map(|id| Some(Candidate { id: *id, connection: self.connections.get(id)? }))
     }
 
     fn is_late(&self, now: f64, connection: &Connection) -> bool {
@@ -79,13 +87,14 @@
     }
 
     fn first_to_evict(&self, now: f64, includes: impl Fn(IpAddr) -> bool) -> Option<ConnectionId> {
-        let is_candidate = |connection: &Connection| connection.is_idle() && includes(connection.from);
-        let candidates = self.connections.iter().filter(|(_, connection)| is_candidate(connection));
+        let is_evictable = |connection: &Connection| connection.is_idle() && includes(connection.from);
+        let evictable = self.connections.iter().filter(|(_, connection)| is_evictable(connection));
+        let candidates = evictable.map(|(id, connection)| Candidate { id: *id, connection });
         let first = candidates.min_by(|a, b| {
-            let by_rank = self.rank(now, a.1).cmp(&self.rank(now, b.1));
-            by_rank.then_with(|| by_inactivity((*a.0, a.1), (*b.0, b.1)))
+            let by_rank = self.rank(now, a.connection).cmp(&self.rank(now, b.connection));
+            by_rank.then_with(|| by_inactivity(a, b))
         });
-        first.map(|(id, _)| *id)
+        first.map(|candidate| candidate.id)
     }
 
     fn rank(&self, now: f64, connection: &Connection) -> EvictionRank {
@@ -103,13 +112,11 @@
     }
 }
 
-fn longest_inactive<'a>(
-    connections: impl Iterator<Item = (ConnectionId, &'a Connection)>,
-) -> Option<ConnectionId> {
-    connections.min_by(|a, b| by_inactivity(*a, *b)).map(|(id, _)| id)
+fn longest_inactive<'a>(candidates: impl Iterator<Item = Candidate<'a>>) -> Option<ConnectionId> {
+    candidates.min_by(by_inactivity).map(|candidate| candidate.id)
 }
 
 /// The longest inactive first, then the lowest id.
-fn by_inactivity(a: (ConnectionId, &Connection), b: (ConnectionId, &Connection)) -> Ordering {
-    a.1.last_active.total_cmp(&b.1.last_active).then(a.0.cmp(&b.0))
+fn by_inactivity(a: &Candidate, b: &Candidate) -> Ordering {
+    a.connection.last_active.total_cmp(&b.connection.last_active).then(a.id.cmp(&b.id))
 }
