--- a/identity/src/used_tokens.rs
+++ b/identity/src/used_tokens.rs
@@ -5,12 +5,21 @@
 /// The most tokens in the memory; beyond, single-use tokens are rejected until some have expired.
 const MAX_TOKENS: usize = 1 << 16;
 
+/// When a token expires; ordered by time.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Expiry {
+    /// Rounded up to a Unix second.
+    at: u64,
+    /// The id of the token.
+    id: String,
+}
+
 /// Ids of used tokens, until they expire.
 #[derive(Default)]
 pub(crate) struct UsedTokens {
     ids: HashSet<String>,
-    /// Expiry, rounded up to a Unix second, and id.
-    by_expiry: BTreeSet<(u64, String)>,
+    /// The same ids, in the order of expiry.
+    by_expiry: BTreeSet<Expiry>,
 }
 
 impl UsedTokens {
@@ -25,14 +34,14 @@
             return Err(Rejection::TooManyTokens);
         }
         self.ids.insert(id.to_owned());
-        self.by_expiry.insert((expires_at.max(0.0).ceil() as u64, id.to_owned()));
+        self.by_expiry.insert(Expiry { at: expires_at.max(0.0).ceil() as u64, id: id.to_owned() });
         Ok(())
     }
 
     fn forget_before(&mut self, oldest: f64) {
-        while self.by_expiry.first().is_some_and(|(expires_at, _)| (*expires_at as f64) < oldest) {
-            if let Some((_, id)) = self.by_expiry.pop_first() {
-                self.ids.remove(&id);
+        while self.by_expiry.first().is_some_and(|expiry| (expiry.at as f64) < oldest) {
+            if let Some(expiry) = self.by_expiry.pop_first() {
+                self.ids.remove(&expiry.id);
             }
         }
     }
