--- a/broker/src/broker.rs
+++ b/broker/src/broker.rs
@@ -104,18 +104,7 @@
             Ok(contract) => self.request_units(now, id, contract, request),
             Err(reason) => Response::deny(reason),
         };
-        let usage = &mut self.teams[id].usage;
-        match &response.verdict {
-            Verdict::Grant(grant) => {
-                usage.granted += 1;
-                usage.units += request.units;
-                if grant.source == Source::Borrowed {
-                    usage.borrowed += request.units;
-                }
-            }
-            Verdict::RetryAfter { .. } => usage.deferred += 1,
-            Verdict::Deny(_) => usage.denied += 1,
-        }
+        self.teams[id].usage.record(&response.verdict, request.units);
         response
     }
 
--- a/broker/src/usage.rs
+++ b/broker/src/usage.rs
@@ -1,5 +1,8 @@
 //! Usage statistics by team.
 
+use crate::fair_share::Source;
+use crate::Verdict;
+
 /// A team's usage, counted from the creation of the broker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Usage {
@@ -15,6 +18,23 @@
     pub denied: u64,
 }
 
+impl Usage {
+    /// Counts the verdict on a request of so many units.
+    pub(crate) fn record(&mut self, verdict: &Verdict, units: f64) {
+        match verdict {
+            Verdict::Grant(grant) => {
+                self.granted += 1;
+                self.units += units;
+                if grant.source == Source::Borrowed {
+                    self.borrowed += units;
+                }
+            }
+            Verdict::RetryAfter { .. } => self.deferred += 1,
+            Verdict::Deny(_) => self.denied += 1,
+        }
+    }
+}
+
 /// The usage of one team.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamUsage<'a> {
