--- a/emulator/src/arguments.rs
+++ b/emulator/src/arguments.rs
@@ -50,7 +50,7 @@
     Shrink(ShrinkArguments),
     /// Run the same traffic through more and more gateway instances, undisturbed and with half of them killed at once.
     Grow(GrowthArguments),
-    /// Run with a counter that is faulty for minutes, with and without the roster, and compare the overshoot of quotas with its
+    /// Run with a counter that is faulty for minutes, with and without membership, and compare the overshoot of quotas with its
     /// bound.
     Quotas(QuotaArguments),
     /// Run fleets of about a hundred gateway instances: a mass restart, the loss of a zone, the replacement of most backends.
@@ -138,7 +138,7 @@
 /// The arguments of `quotas`.
 #[derive(Args)]
 pub struct QuotaArguments {
-    /// Faults of the counter, separated by commas; each is run with all seeds, with and without the roster.
+    /// Faults of the counter, separated by commas; each is run with all seeds, with and without membership.
     #[arg(long = "ill", value_name = "FAULTS", value_enum, value_delimiter = ',', default_values_t = [CounterFault::None, CounterFault::Split, CounterFault::Down, CounterFault::Silent, CounterFault::Lost, CounterFault::Deaf, CounterFault::Mixed])]
     pub counter_faults: Vec<CounterFault>,
     /// Duration of each run in virtual seconds, 10 to 600.
--- a/emulator/src/commands.rs
+++ b/emulator/src/commands.rs
@@ -173,7 +173,8 @@
         write_file(&path, &table)?;
     }
     print(&table);
-    let past_bound = |result: &QuotaResult| result.roster_interval > 0.0 && result.overshoot > result.bound;
+    let past_bound =
+        |result: &QuotaResult| result.membership_interval > 0.0 && result.overshoot > result.bound;
     let violated = results.iter().find(|result| result.report.violation.is_some() || past_bound(result));
     Ok(violated.map_or(ExitCode::SUCCESS, |result| print_report(&result.report, 0)))
 }
--- a/emulator/src/quota_study.rs
+++ b/emulator/src/quota_study.rs
@@ -1,4 +1,4 @@
-//! How far quotas hold while the counter is faulty for minutes: split, unreachable for some or for all, forgetful; with the roster and
+//! How far quotas hold while the counter is faulty for minutes: split, unreachable for some or for all, forgetful; with membership and
 //! without. What is measured is set against the bound that docs/counter.md derives.
 use crate::scenario::{Fault, FaultKind, Scenario, World};
 use crate::simulation::{simulate, Report};
@@ -16,10 +16,10 @@
 const FAULT_COUNT: u32 = 4;
 /// The fraction of calls whose response is lost.
 const LOST_RESPONSES: f64 = 0.33;
-/// Seconds between the rounds of the roster, where there is one.
-const ROSTER_INTERVAL: f64 = 1.0;
-/// A fault of the counter, or its end, is noticed within so many rounds of the roster,
-const DETECTION_ROUNDS: f64 = 4.0;
+/// Seconds between two heartbeats, where there is membership.
+const MEMBERSHIP_INTERVAL: f64 = 1.0;
+/// A fault of the counter, or its end, is noticed within so many heartbeats
+const DETECTION_HEARTBEATS: f64 = 4.0;
 /// and so many seconds; the bound follows from both (docs/counter.md).
 const DETECTION_DELAY: f64 = 1.0;
 /// Keeps the draws of these scenarios apart from those of others.
@@ -45,7 +45,7 @@
 }
 
 /// A run of so many seconds, with a fault for most of it.
-pub fn scenario(counter_fault: CounterFault, seconds: f64, roster_interval: f64, seed: u64) -> Scenario {
+pub fn scenario(counter_fault: CounterFault, seconds: f64, membership_interval: f64, seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ SEED_MASK);
     let world = World {
         instances: rng.gen_range(2..=8),
@@ -56,7 +56,7 @@
         slots: 8,
         long_values: 0.0,
         gossip: rng.gen_bool(0.5),
-        roster_interval,
+        membership_interval,
         ..World::default()
     };
     let faults = faults(&mut rng, counter_fault, seconds - CALM);
@@ -108,8 +108,8 @@
     pub counter_fault: CounterFault,
     /// The run's seed.
     pub seed: u64,
-    /// Seconds between the rounds of the roster; 0: there was none.
-    pub roster_interval: f64,
+    /// Seconds between two heartbeats; 0: there was no membership.
+    pub membership_interval: f64,
     /// What was beyond the quota.
     pub overshoot: f64,
     /// The most that may be.
@@ -120,32 +120,37 @@
 
 /// Runs one, and sets it against the bound: a burst for the run itself and one for each transition, with the rate for as long as a
 /// transition takes to be noticed.
-pub fn measure(counter_fault: CounterFault, seconds: f64, roster_interval: f64, seed: u64) -> QuotaResult {
-    let scenario = scenario(counter_fault, seconds, roster_interval, seed);
+pub fn measure(
+    counter_fault: CounterFault,
+    seconds: f64,
+    membership_interval: f64,
+    seed: u64,
+) -> QuotaResult {
+    let scenario = scenario(counter_fault, seconds, membership_interval, seed);
     let report = simulate(&scenario, None);
     let worst = report.worst_customer(|usage| {
         let (rate, burst) = (usage.rate(), usage.burst());
-        let noticed = DETECTION_ROUNDS * roster_interval + DETECTION_DELAY;
+        let noticed = DETECTION_HEARTBEATS * membership_interval + DETECTION_DELAY;
         (1 + transitions(&scenario)) as f64 * (burst + rate * noticed) / (burst + rate * scenario.seconds)
     });
     QuotaResult {
         counter_fault,
         seed,
-        roster_interval,
+        membership_interval,
         overshoot: worst.overshoot,
         bound: worst.bound,
         report,
     }
 }
 
-/// Runs these seeds of each fault, with the roster and without.
+/// Runs these seeds of each fault, with membership and without.
 pub fn sweep(
     counter_faults: &[CounterFault],
     seconds: f64,
     seeds: Range<u64>,
     threads: usize,
 ) -> Vec<QuotaResult> {
-    let intervals = [0.0, ROSTER_INTERVAL];
+    let intervals = [0.0, MEMBERSHIP_INTERVAL];
     let mut tasks = vec![];
     for fault in counter_faults {
         for seed in seeds.clone() {
@@ -156,32 +161,32 @@
     let mut results = sweep::run_parallel(tasks, threads, work);
     results.sort_by(|a, b| {
         let by_fault = (a.counter_fault, a.seed).cmp(&(b.counter_fault, b.seed));
-        by_fault.then(a.roster_interval.total_cmp(&b.roster_interval))
+        by_fault.then(a.membership_interval.total_cmp(&b.membership_interval))
     });
     results
 }
 
-/// The results as a Markdown table, a row for each fault with and without the roster.
+/// The results as a Markdown table, a row for each fault with and without membership.
 pub fn table(results: &[QuotaResult]) -> String {
     let mut text = String::from(
-        "| counter fault | roster | runs | worst customer's overshoot: median, maximum | bound of that maximum | runs beyond their bound | \
+        "| counter fault | membership | runs | worst customer's overshoot: median, maximum | bound of that maximum | runs beyond their bound | \
          succeeded | violations |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     let mut rows: Vec<(CounterFault, bool)> =
-        results.iter().map(|result| (result.counter_fault, result.roster_interval > 0.0)).collect();
+        results.iter().map(|result| (result.counter_fault, result.membership_interval > 0.0)).collect();
     rows.sort();
     rows.dedup();
-    for (fault, roster) in rows {
+    for (fault, membership) in rows {
         let own = results.iter().filter(|result| result.counter_fault == fault);
-        let own = own.filter(|result| (result.roster_interval > 0.0) == roster).collect();
-        if let Some(row) = table_row(fault, roster, own) {
+        let own = own.filter(|result| (result.membership_interval > 0.0) == membership).collect();
+        if let Some(row) = table_row(fault, membership, own) {
             let _ = writeln!(text, "{row}");
         }
     }
     text
 }
 
-fn table_row(fault: CounterFault, roster: bool, mut results: Vec<&QuotaResult>) -> Option<String> {
+fn table_row(fault: CounterFault, membership: bool, mut results: Vec<&QuotaResult>) -> Option<String> {
     results.sort_by(|a, b| a.overshoot.total_cmp(&b.overshoot));
     let median = results.get(results.len() / 2)?;
     let worst = results.last()?;
@@ -189,7 +194,7 @@
     let requests = results.iter().map(|result| result.report.coverage.requests).sum::<u64>();
     Some(format!(
         "| {fault:?} | {} | {} | {:.2}%, {:.2}% | {:.2}% | {} | {:.3} | {} |",
-        if roster { "on" } else { "off" },
+        if membership { "on" } else { "off" },
         results.len(),
         100.0 * median.overshoot,
         100.0 * worst.overshoot,
--- a/emulator/src/scenario/generate.rs
+++ b/emulator/src/scenario/generate.rs
@@ -54,7 +54,7 @@
         max_descriptors: rng.gen_range(96..=512),
         admission: rng.gen_bool(0.5),
         operator_files: rng.gen_bool(0.4),
-        roster_interval: [0.0, 0.0, 0.5, 1.0].choose(rng).copied().unwrap_or(0.0),
+        membership_interval: [0.0, 0.0, 0.5, 1.0].choose(rng).copied().unwrap_or(0.0),
         drain_grace: rng.gen_range(0.1..1.0),
         slow_start_fraction: rng.gen_range(0.15..0.3),
         slow_start_duration: rng.gen_range(5.0..18.0),
--- a/emulator/src/scenario/validate.rs
+++ b/emulator/src/scenario/validate.rs
@@ -4,8 +4,8 @@
 
 /// Descriptors of a gateway instance, at least.
 const MIN_DESCRIPTORS: usize = 64;
-/// Seconds between the rounds of a roster.
-const ROSTER_INTERVALS: std::ops::RangeInclusive<f64> = 0.5..=10.0;
+/// Seconds between two heartbeats.
+const MEMBERSHIP_INTERVALS: std::ops::RangeInclusive<f64> = 0.5..=10.0;
 /// The longest time from one machine to another, in seconds.
 const MAX_NETWORK_DELAY: f64 = 1.0;
 
@@ -75,7 +75,7 @@
             problems.require(value > 0.0 && value.is_finite(), problem);
         }
         problems.require(
-            self.roster_interval == 0.0 || ROSTER_INTERVALS.contains(&self.roster_interval),
+            self.membership_interval == 0.0 || MEMBERSHIP_INTERVALS.contains(&self.membership_interval),
             "world.presence: expected 0, or 0.5 to 10 seconds".into(),
         );
         let fractions = [
--- a/emulator/src/scenario/world.rs
+++ b/emulator/src/scenario/world.rs
@@ -61,7 +61,7 @@
     pub operator_files: bool,
     /// Seconds between the rounds in which gateway instances find out who of them reaches the counter; 0: there are none.
     #[serde(rename = "presence")]
-    pub roster_interval: f64,
+    pub membership_interval: f64,
     /// Descriptors of one gateway instance.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
@@ -104,7 +104,7 @@
             inherits_listener: false,
             admission: false,
             operator_files: false,
-            roster_interval: 0.0,
+            membership_interval: 0.0,
             max_descriptors: 256,
             drain_grace: 0.25,
             slow_start_fraction: 0.2,
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// What an operator's file declares: limits of admission and the roster as the world has them, and drawn routes if asked for.
+    /// What an operator's file declares: limits of admission and membership as the world has them, and drawn routes if asked for.
     pub(super) fn operator_update(&mut self, draw_routes: bool) -> OperatorUpdate {
         let world = &self.scenario.world;
         let drawn = if draw_routes {
@@ -135,7 +135,7 @@
         };
         OperatorUpdate {
             admission: world.admission.then(|| admission_limits(world)),
-            membership_interval: (world.roster_interval > 0.0).then_some(world.roster_interval),
+            membership_interval: (world.membership_interval > 0.0).then_some(world.membership_interval),
             ..drawn
         }
     }
--- a/emulator/tests/emulator.rs
+++ b/emulator/tests/emulator.rs
@@ -275,7 +275,7 @@
     }
 }
 
-/// Each fault within the bound that docs/counter.md states; a split without the roster far beyond it, so that the check is none that can't fail.
+/// Each fault within the bound that docs/counter.md states; a split without membership far beyond it, so that the check is none that can't fail.
 #[test]
 fn quotas_hold_within_their_bound_during_counter_faults() {
     for ill in [CounterFault::Split, CounterFault::Down, CounterFault::Silent, CounterFault::Lost] {
