--- a/docs/measured/capacity/tools/connect_time.py
+++ b/docs/measured/capacity/tools/connect_time.py
@@ -8,7 +8,7 @@
 
 import counter_cost
 
-CONNECTIONS = 840  # two for each of 420 front doors
+CONNECTIONS = 840  # two for each of 420 gateway instances
 SLOW_SECONDS = 0.05
 
 
@@ -18,13 +18,13 @@
         try:
             time.sleep(counter_cost.START_SECONDS)
             print(subprocess.run(["ss", "-ltn", "sport", "=", str(ports[0])], capture_output=True, text=True).stdout)
-            kept, took = [], []
+            connections, durations = [], []
             for _ in range(CONNECTIONS):
                 began = time.monotonic()
-                kept.append(socket.create_connection(("127.0.0.1", ports[0])))
-                took.append(time.monotonic() - began)
-            slow = [(i, round(t, 3)) for i, t in enumerate(took) if t > SLOW_SECONDS]
-            print(f"{CONNECTIONS} connections in {sum(took):.2f} s; over {SLOW_SECONDS} s: {slow}")
+                connections.append(socket.create_connection(("127.0.0.1", ports[0])))
+                durations.append(time.monotonic() - began)
+            slow = [(i, round(t, 3)) for i, t in enumerate(durations) if t > SLOW_SECONDS]
+            print(f"{CONNECTIONS} connections in {sum(durations):.2f} s; over {SLOW_SECONDS} s: {slow}")
         finally:
             members[0].terminate()
             members[0].wait()
--- a/docs/measured/capacity/tools/counter_cost.py
+++ b/docs/measured/capacity/tools/counter_cost.py
@@ -1,7 +1,7 @@
-"""Measures what a counter member spends a call: processor time, disk writes, memory, threads, bytes on the wire.
+"""Measures what a counter member spends on each call: processor time, disk writes, memory, threads, bytes on the wire.
 
-Members are processes of quillramp-counter on loopback. Callers send one call a write, at a steady rate that does not wait for
-answers, over connections that are dealt out to the members in turn. Rows go to standard output as CSV.
+Members are processes of quillramp-counter on loopback. Callers send one call in each write, at a steady rate that does not wait for
+answers, over connections that are assigned to the members in turn. Rows go to standard output as CSV.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 
 
 def drive(ports, rate, seconds, tenants, series, seed, connected, result):
-    """Sends `rate` calls a second for `seconds`, one a write; puts counts, bytes and latencies into `result`."""
+    """Sends `rate` calls a second for `seconds`, one in each write; puts counts, bytes and latencies into `result`."""
     chance = random.Random(seed)
     poll, links = select.epoll(), {}
     began = time.monotonic()
@@ -72,7 +72,7 @@
 
 
 def start_members(program, number, folder):
-    """Starts the members; returns processes, call ports and the files of what they log."""
+    """Starts the members; returns the processes, their ports for calls and their log files."""
     ports = processes.free_ports(2 * number)
     calls, peers = ports[:number], ports[number:]
     members, logs = [], []
@@ -86,7 +86,7 @@
 
 
 def leader_of(logs):
-    """The member that leads, by the members' logs."""
+    """The leader's number, by the members' logs; 0 if there is none."""
     leaders = [line.split(": member ")[-1].split()[0] for log in logs for line in log.read_text().splitlines() if "leads" in line and "nobody" not in line]
     return int(leaders[-1]) if leaders else 0
 
--- a/docs/measured/capacity/tools/front_door_cost.py
+++ b/docs/measured/capacity/tools/front_door_cost.py
@@ -1,7 +1,7 @@
-"""Measures what an idle front door spends on the list of backends and on the operator's file, by their sizes.
+"""Measures what an idle gateway instance spends on the endpoint list and on the operator's file, by their sizes.
 
-One process of quillramp on loopback, no traffic, a stand-in list service in this process. A point is a fresh start: the whole list
-is fetched, then changes come at a steady rate, an entry each. Rows go to standard output as CSV.
+One process of quillramp on loopback, no traffic, a stand-in list service in this process. A point is a fresh start: the complete list
+is fetched, then changes come at a steady rate, one entry each. Rows go to standard output as CSV.
 """
 
 import argparse
@@ -29,10 +29,10 @@
 
 
 class Listing:
-    """The list of backends, its version and the entries that changed with each version."""
+    """The endpoint list, its version and the entries that changed with each version."""
 
     def __init__(self, backends):
-        self.news = threading.Condition()
+        self.changed = threading.Condition()
         self.index = FIRST_INDEX
         self.entries = [self.entry(i) for i in range(backends)]
         self.changes = []
@@ -41,28 +41,28 @@
 
     @staticmethod
     def entry(i):
-        # Long values, as the protocol page has them: a name of ten characters, an address of a private network.
+        # Values of the lengths that the protocol page shows: a name of ten characters, an address of a private network.
         return {
             "name": f"s-{(i * 2654435761) % (1 << 32):08x}", "address": f"10.{i // 62500}.{i // 250 % 250}.{i % 250 + 1}:6379",
             "zone": "abcd"[i % 4], "type": "m2", "group": i % 8, "status": "SERVING", "weight": 1.0, "since_ms": 0,
         }
 
     def change(self, i):
-        """One entry gets another weight: news without an effect on connections."""
-        with self.news:
+        """One entry gets another weight: a change without an effect on connections."""
+        with self.changed:
             self.index += 1
             entry = self.entries[i % len(self.entries)]
             entry["weight"] = 1.5 - entry["weight"] + 1.0 if entry["weight"] != 1.0 else 1.5
             self.changes.append((self.index, i % len(self.entries)))
-            self.news.notify_all()
+            self.changed.notify_all()
 
     def answer(self, query):
-        """The body for a call: the whole list, or what is newer than `since`."""
+        """The body for a call: the complete list, or what is newer than `since`."""
         since = int(query.get("since", [0])[0])
-        with self.news:
+        with self.changed:
             if since < FIRST_INDEX:
                 return json.dumps({"index": self.index, "snapshot": True, "endpoints": self.entries}, separators=(",", ":"))
-            self.news.wait_for(lambda: self.index > since, int(query["timeout_ms"][0]) / 1e3)
+            self.changed.wait_for(lambda: self.index > since, int(query["timeout_ms"][0]) / 1e3)
             changed = sorted({i for index, i in self.changes[-1000:] if index > since})
             entries = [self.entries[i] for i in changed]
             return json.dumps({"index": self.index, "snapshot": False, "endpoints": entries}, separators=(",", ":"))
@@ -97,20 +97,20 @@
 
 
 def configuration(example, folder, port, discovery, counter, peers):
-    """The project's example configuration with a fleet of so many peers and its parties at these ports."""
-    told = json.loads(pathlib.Path(example).read_text())
-    told.update({"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "counter": f"127.0.0.1:{counter}"})
+    """The project's example configuration, with `peers` instances in the fleet and the other services at these ports."""
+    settings = json.loads(pathlib.Path(example).read_text())
+    settings.update({"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery}", "counter": f"127.0.0.1:{counter}"})
     for key in ("mgmt", "peer_listen", "peers", "peers_all"):
-        told.pop(key, None)
-    told["settings"]["balancers"] = peers
-    told["settings"]["zones"] = list("abcd")
+        settings.pop(key, None)
+    settings["settings"]["balancers"] = peers
+    settings["settings"]["zones"] = list("abcd")
     file = pathlib.Path(folder) / "configuration.json"
-    file.write_text(json.dumps(told))
+    file.write_text(json.dumps(settings))
     return file
 
 
 def operator_file(folder, routes, contracts):
-    """An operator's file with so many routes, and contracts, of one customer each, none covering another."""
+    """An operator's file with so many routes and contracts, each for one customer; none covers another."""
     lines = ['[[class]]', 'name = "one try"', 'attempts = 1', '']
     for i in range(routes):
         lines += ["[[route]]", 'operations = ["look"]', f'customers = ["{(1 << 31) + i:016x}"]', 'class = "one try"', ""]
@@ -143,7 +143,7 @@
 
 
 def point(arguments, backends, changes, routes, contracts, writer):
-    """One fresh front door at these sizes; writes a row."""
+    """Starts one gateway instance at these sizes and writes a row."""
     with tempfile.TemporaryDirectory() as folder:
         port, counter = processes.free_ports(2)
         listing = Listing(backends)
--- a/docs/measured/capacity/tools/operator_tools.py
+++ b/docs/measured/capacity/tools/operator_tools.py
@@ -1,4 +1,4 @@
-"""Measures the operator's tools: seconds of `quillramp check` by the size of a file, and bytes of the answers at `mgmt`."""
+"""Measures the operator's tools: seconds of `quillramp check` by the size of a file, and bytes of the responses at `mgmt`."""
 
 import argparse
 import csv
@@ -25,21 +25,21 @@
         file = front_door_cost.operator_file(folder, routes, contracts)
         before, began = resource.getrusage(resource.RUSAGE_CHILDREN), time.monotonic()
         done = subprocess.run([program, "check", str(file), "--configuration", example], capture_output=True)
-        took, after = time.monotonic() - began, resource.getrusage(resource.RUSAGE_CHILDREN)
+        elapsed, after = time.monotonic() - began, resource.getrusage(resource.RUSAGE_CHILDREN)
         spent = after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
-        return file.stat().st_size, round(took, 4), round(spent, 4), done.returncode
+        return file.stat().st_size, round(elapsed, 4), round(spent, 4), done.returncode
 
 
-def answers(arguments, backends):
-    """Bytes of the answers at `mgmt` of a front door with so many backends."""
+def response_sizes(arguments, backends):
+    """Bytes of the responses at `mgmt` of a gateway instance with so many backends."""
     with tempfile.TemporaryDirectory() as folder:
         port, counter, mgmt = processes.free_ports(3)
         server = front_door_cost.Server(("127.0.0.1", 0), front_door_cost.handler(front_door_cost.Listing(backends)))
         threading.Thread(target=server.serve_forever, daemon=True).start()
         file = front_door_cost.configuration(arguments.example, folder, port, server.server_address[1], counter, 420)
-        told = json.loads(file.read_text())
-        told["mgmt"] = f"127.0.0.1:{mgmt}"
-        file.write_text(json.dumps(told))
+        configuration = json.loads(file.read_text())
+        configuration["mgmt"] = f"127.0.0.1:{mgmt}"
+        file.write_text(json.dumps(configuration))
         environment = dict(os.environ, TMPDIR=folder, EDGE_CONFIG=str(file))
         with open(pathlib.Path(folder) / "log", "w") as log:
             process = subprocess.Popen([arguments.program], env=environment, stdout=log, stderr=log)
@@ -47,8 +47,8 @@
                 front_door_cost.wait_until_ready(port, process)
                 time.sleep(front_door_cost.SETTLE_SECONDS)
                 for path in ("healthcheck", "stats", "contracts"):
-                    with urllib.request.urlopen(f"http://127.0.0.1:{mgmt}/{path}") as answer:
-                        yield path, len(answer.read())
+                    with urllib.request.urlopen(f"http://127.0.0.1:{mgmt}/{path}") as response:
+                        yield path, len(response.read())
             finally:
                 process.terminate()
                 process.wait()
@@ -65,7 +65,7 @@
     writer.writerow(["what", "routes", "contracts", "bytes", "seconds", "processor_s", "exit_code"])
     for routes, contracts in SIZES:
         writer.writerow(["check", routes, contracts, *check(arguments.program, arguments.example, routes, contracts)])
-    for path, size in answers(arguments, 3800):
+    for path, size in response_sizes(arguments, 3800):
         writer.writerow([f"GET /{path}", 0, 0, size, "", "", ""])
 
 
--- a/docs/measured/capacity/tools/processes.py
+++ b/docs/measured/capacity/tools/processes.py
@@ -1,4 +1,4 @@
-"""Reads what Linux says of a process: processor time, memory, threads and bytes written."""
+"""Reads what Linux reports about a process: processor time, memory, threads and bytes written."""
 
 import os
 import pathlib
--- a/docs/measured/capacity/tools/silent_counter.py
+++ b/docs/measured/capacity/tools/silent_counter.py
@@ -1,29 +1,30 @@
-"""Computes what one front door admits of a tenant while the counter is silent, by the rule of `quota()` and `lapse()` in src/decide.rs.
+"""Computes what one gateway instance admits of a tenant while the counter is unresponsive.
 
-A model of the rule, not a run of the program: even part of the quota, a full part admits a whole unit and goes into debt, an account
-that was not asked for IDLE seconds is dropped with its debt. Poisson arrivals. Rows go to standard output as CSV.
+A model of the rule of `take_units` (src/policy/quota.rs) and `customer_timer_fired` (src/policy/leases.rs), not a run of the program: a
+full even share of the quota admits a request of one unit and goes into debt, and an account without a request for IDLE_TIMEOUT seconds is
+dropped with its debt. Poisson arrivals. Rows go to standard output as CSV.
 """
 
 import csv
 import random
 import sys
 
-FRONT_DOORS = 420
+INSTANCES = 420
 QUOTA = 97000 / 14000  # units a second
 BURST = 2.0 * QUOTA
-IDLE = 12.0  # seconds until an account is dropped
+IDLE_TIMEOUT = 12.0  # seconds until an account is dropped
 ARRIVALS = 400_000
 
 
 def admitted(load, drops):
     """Shares of arrivals admitted, at `load` times the quota; `drops`: whether accounts are dropped when idle."""
     chance = random.Random(1)
-    rate, most = QUOTA / FRONT_DOORS, BURST / FRONT_DOORS
+    rate, most = QUOTA / INSTANCES, BURST / INSTANCES
     level, granted, now = most, 0, 0.0
     for _ in range(ARRIVALS):
         gap = chance.expovariate(load * rate)
         now += gap
-        level = most if drops and gap >= IDLE else min(level + rate * gap, most)
+        level = most if drops and gap >= IDLE_TIMEOUT else min(level + rate * gap, most)
         if level >= min(1.0, most):
             level -= 1.0
             granted += 1
