--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -69,6 +69,7 @@
         .replace("127.0.0.1:7403", "127.0.0.1:0")
         .replace("127.0.0.1:7404", "127.0.0.1:0")
         .replace("\"depth\": 12", "\"depth\": 400")
+        .replace("\"aim_us\": 400000", "\"aim_us\": 1400000") // on a busy machine a slow value is no overload
         .replace("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}"));
     let directory = empty_directory(name);
     let file = directory.join("told.json");
