--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,4 +1,6 @@
-//! quillramp-drill: the simulator adapter on standard input and output.
+//! quillramp-drill: the simulator adapter on standard input and output. It has no options: the simulator starts it and sends a frame of
+//! events at a time, and each is replied to by one frame of actions. Exit codes: 0 at the end of the input, 1 where reading or writing
+//! fails.
 use quillramp_drill::frame::{self, Reply};
 use quillramp_drill::Host;
 use std::io::{self, Write};
--- a/load/src/bin/quillramp-relay.rs
+++ b/load/src/bin/quillramp-relay.rs
@@ -1,6 +1,12 @@
-//! quillramp-relay: a baseline, not the gateway. Reads the same configuration and forwards each command to a backend by a plain
-//! textbook policy, with no quota, no retries and no health checks. To compare with, and for tests: it can be slowed, and it can send
-//! duplicates.
+//! quillramp-relay: a baseline, not the gateway. Reads the same configuration (`EDGE_CONFIG` names the file) and forwards each command
+//! to a backend by a plain textbook policy, with no quota, no retries and no health checks. To compare with, and for tests: it can be
+//! slowed, and it can send duplicates.
+//!
+//! | environment variable | meaning | default |
+//! | --- | --- | --- |
+//! | `RELAY_POLICY` | `round-robin`, `random`, `two-choices` or `least-out`: how a backend is picked | `least-out` |
+//! | `RELAY_DELAY_MS` | milliseconds that each command waits | 0 |
+//! | `RELAY_TWICE` | not empty: commands that are not idempotent are sent twice | empty |
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Error, ErrorKind, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,8 +16,8 @@
 
 /// Spreads consecutive numbers over 64 bits.
 const MIX_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Words of a backend's reply; the first one is the value.
-const REPLY_WORDS: usize = 3;
+/// Bulk strings of a backend's reply; the first one is the value.
+const REPLY_PARTS: usize = 3;
 /// Bytes of a line's end.
 const LINE_END: usize = 2;
 
@@ -85,8 +91,8 @@
     }
 }
 
-fn contains(bytes: &[u8], word: &[u8]) -> bool {
-    bytes.windows(word.len()).any(|window| window == word)
+fn contains(bytes: &[u8], text: &[u8]) -> bool {
+    bytes.windows(text.len()).any(|window| window == text)
 }
 
 /// The number of a line behind its first byte, such as `$16`.
@@ -94,14 +100,14 @@
     std::str::from_utf8(&line[1..]).ok().and_then(|text| text.trim().parse().ok())
 }
 
-/// Reads one whole command as it came; none at the end.
+/// Reads one complete command, as it is on the wire; none at the end of the connection.
 fn read_command(from: &mut impl BufRead) -> Result<Option<Vec<u8>>> {
     let mut command = Vec::new();
     if from.read_until(b'\n', &mut command)? == 0 {
         return Ok(None);
     }
-    let words: usize = line_number(&command).ok_or(ErrorKind::InvalidData)?;
-    for _ in 0..words {
+    let parts: usize = line_number(&command).ok_or(ErrorKind::InvalidData)?;
+    for _ in 0..parts {
         let head = command.len();
         from.read_until(b'\n', &mut command)?;
         let length: usize = line_number(&command[head..]).ok_or(ErrorKind::InvalidData)?;
@@ -112,7 +118,7 @@
     Ok(Some(command))
 }
 
-/// Reads a backend's reply: its value, or the line that came instead.
+/// Reads a backend's reply: its value, or the error line in its place.
 fn read_reply(from: &mut impl BufRead) -> Result<Vec<u8>> {
     let mut line = Vec::new();
     from.read_until(b'\n', &mut line)?;
@@ -120,13 +126,13 @@
         return if line.is_empty() { Err(ErrorKind::UnexpectedEof.into()) } else { Ok(line) };
     }
     let mut value = Vec::new();
-    for word in 0..REPLY_WORDS {
+    for part in 0..REPLY_PARTS {
         let mut head = Vec::new();
         from.read_until(b'\n', &mut head)?;
         let length: i64 = line_number(&head).unwrap_or(-1);
         let mut body = vec![0; if length < 0 { 0 } else { length as usize + LINE_END }];
         from.read_exact(&mut body)?;
-        if word == 0 {
+        if part == 0 {
             value = [head, body].concat();
         }
     }
@@ -134,16 +140,16 @@
 }
 
 /// A connection to a backend.
-struct Link {
+struct BackendConnection {
     reader: BufReader<TcpStream>,
     writer: TcpStream,
 }
 
-impl Link {
-    fn open(address: SocketAddr) -> Result<Link> {
+impl BackendConnection {
+    fn open(address: SocketAddr) -> Result<BackendConnection> {
         let writer = TcpStream::connect(address)?;
         writer.set_nodelay(true)?;
-        Ok(Link { reader: BufReader::new(writer.try_clone()?), writer })
+        Ok(BackendConnection { reader: BufReader::new(writer.try_clone()?), writer })
     }
 
     fn exchange(&mut self, command: &[u8]) -> Result<Vec<u8>> {
@@ -152,14 +158,14 @@
     }
 }
 
-/// Forwards a command on a link, which is opened if need be and is gone after an error.
-fn forward(link: &mut Option<Link>, backend: &Backend, command: &[u8]) -> Result<Vec<u8>> {
-    let mut open = match link.take() {
+/// Forwards a command on a connection, which is opened if necessary and dropped after an error.
+fn forward(connection: &mut Option<BackendConnection>, backend: &Backend, command: &[u8]) -> Result<Vec<u8>> {
+    let mut open = match connection.take() {
         Some(open) => open,
-        None => Link::open(backend.address)?,
+        None => BackendConnection::open(backend.address)?,
     };
     let reply = open.exchange(command)?;
-    *link = Some(open);
+    *connection = Some(open);
     Ok(reply)
 }
 
@@ -167,7 +173,7 @@
 fn serve(relay: &Relay, mut client: TcpStream) -> Result<()> {
     client.set_nodelay(true)?;
     let mut from = BufReader::new(client.try_clone()?);
-    let mut links: Vec<Option<Link>> = relay.backends.iter().map(|_| None).collect();
+    let mut connections: Vec<Option<BackendConnection>> = relay.backends.iter().map(|_| None).collect();
     while let Some(command) = read_command(&mut from)? {
         if contains(&command, b"PING") {
             client.write_all(b"+PONG\r\n")?;
@@ -179,7 +185,7 @@
             let index = relay.pick();
             let backend = &relay.backends[index];
             backend.in_flight.fetch_add(1, Ordering::Relaxed);
-            let forwarded = forward(&mut links[index], backend, &command);
+            let forwarded = forward(&mut connections[index], backend, &command);
             backend.in_flight.fetch_sub(1, Ordering::Relaxed);
             if let Ok(value) = forwarded {
                 reply = value;
@@ -233,8 +239,8 @@
 fn main() -> std::process::ExitCode {
     match run() {
         Ok(()) => std::process::ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("quillramp-relay: {e}");
+        Err(error) => {
+            eprintln!("quillramp-relay: {error}");
             std::process::ExitCode::FAILURE
         }
     }
