--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -1,115 +1,131 @@
-//! Experiments: arrivals by seed, a known delay, duplicate executions, faults, and what is significant.
+//! Experiments on the relay: arrivals by seed, a known delay, duplicate executions, faults, sessions and their comparison.
 use expect_test::expect;
 use quillramp_emulator::quota_usage::QuotaUsage;
 use quillramp_emulator::scenario::FaultKind;
 use quillramp_load::experiment::Experiment;
-use quillramp_load::fault_schedule::{burst_factor, is_supported, schedule, warm_capacity};
-use quillramp_load::generator::{Outcome, RequestRow};
+use quillramp_load::fault_schedule::{burst_factor, is_supported, schedule, warm_capacity, FaultStep};
+use quillramp_load::generator::Outcome;
 use quillramp_load::results::{compare, compare_sessions, figures, summary, Session};
-use quillramp_load::run::{run_variant, RunResult, RunSummary};
+use quillramp_load::run::{run_variant, RunResult};
 use quillramp_load::test_bed::{BackendRequest, Executions, TestBed, COLUMN_SECONDS};
-use std::path::PathBuf;
+use std::ops::Range;
+use std::path::{Path, PathBuf};
 use std::thread::sleep;
 use std::time::Duration;
 
 const RELAY: &str = env!("CARGO_BIN_EXE_quillramp-relay");
+/// A relay's environment that makes it choose the backends in turn.
+const ROUND_ROBIN: &str = "RELAY_POLICY = \"round-robin\"";
+/// Largest difference of two equal figures, by their rounding.
+const ROUNDING: f64 = 1e-9;
 
-/// Two relays before three backends of 10 ms, and these variants.
+/// The variants with two relays before three backends of 10 ms.
 fn experiment(variants: &str) -> Experiment {
     let text = format!(
         "seed = 5\nrepetitions = 1\n[world]\ndoors = 2\nbackends = 3\ncells = 2\nslots = 8\nservice = 0.01\n\
          [traffic]\nseconds = 1.5\nrate = 80.0\nconnections = 16\norders = 0.5\n{variants}"
     );
-    Experiment::read(&text).expect("a good experiment")
+    Experiment::read(&text).expect("a valid experiment")
 }
 
 fn variant(name: &str, environment: &str) -> String {
     format!("[[variant]]\nname = \"{name}\"\nprogram = \"{RELAY}\"\nenvironment = {{ {environment} }}\n")
 }
 
-fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("quillramp-load-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+/// An empty directory for this test.
+fn create_directory(name: &str) -> PathBuf {
+    let directory = std::env::temp_dir().join(format!("quillramp-load-{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    directory
 }
 
-fn run_all(experiment: &Experiment, name: &str) -> Vec<(RunSummary, Vec<RequestRow>)> {
-    let folder = folder(name);
-    let split = |result: RunResult| (result.summary, result.rows);
-    let all =
-        experiment.variants.iter().map(|v| split(run_variant(experiment, v, 0, &folder).expect("played")));
-    let all = all.collect();
-    std::fs::remove_dir_all(&folder).expect("ours");
-    all
+fn remove_directory(directory: &Path) {
+    std::fs::remove_dir_all(directory).expect("the directory of this test");
+}
+
+/// Runs each variant of the experiment once, one after the other.
+fn run_variants(experiment: &Experiment, name: &str) -> Vec<RunResult> {
+    let directory = create_directory(name);
+    let run = |variant| run_variant(experiment, variant, 0, &directory).expect("the run completes");
+    let runs = experiment.variants.iter().map(run).collect();
+    remove_directory(&directory);
+    runs
+}
+
+/// Runs the experiment's first variant.
+fn run_first_variant(experiment: &Experiment, name: &str) -> RunResult {
+    run_variants(experiment, name).remove(0)
+}
+
+fn count_outcome(run: &RunResult, outcome: Outcome) -> usize {
+    run.rows.iter().filter(|row| row.outcome == outcome).count()
 }
 
 #[test]
-fn the_same_seed_has_the_same_arrivals() {
+fn arrivals_are_determined_by_the_seed_and_the_repetition() {
     let experiment = experiment(&variant("one", ""));
-    let (a, b) = (experiment.arrivals(0), experiment.arrivals(0));
-    assert_eq!(a, b);
-    assert_ne!(a, experiment.arrivals(1));
-    assert!((90..150).contains(&a.len()), "{}", a.len());
-    assert!(
-        a.windows(2).all(|w| w[0].at <= w[1].at)
-            && a.iter().any(|a| a.non_idempotent)
-            && a.iter().any(|a| !a.non_idempotent)
-    );
+    let arrivals = experiment.arrivals(0);
+    assert_eq!(arrivals, experiment.arrivals(0));
+    assert_ne!(arrivals, experiment.arrivals(1));
+    assert!((90..150).contains(&arrivals.len()), "{}", arrivals.len());
+    assert!(arrivals.windows(2).all(|pair| pair[0].at <= pair[1].at), "not in order of time: {arrivals:?}");
+    assert!(arrivals.iter().any(|arrival| arrival.non_idempotent));
+    assert!(arrivals.iter().any(|arrival| !arrival.non_idempotent));
 }
 
 #[test]
 fn a_known_delay_is_measured() {
-    let experiment = experiment(&(variant("usual", "") + &variant("slowed", "RELAY_DELAY_MS = \"40\"")));
-    let all = run_all(&experiment, "delay");
-    let of = |i: usize| figures(&all[i].0, &all[i].1);
-    let (usual, slowed) = (of(0), of(1));
-    assert_eq!((usual.failed, slowed.failed), (0.0, 0.0));
-    let more = slowed.median - usual.median;
-    assert!((38.0..60.0).contains(&more), "{more:.1} ms more; {usual:?} {slowed:?}");
-    assert_eq!((all[0].0.duplicates, all[0].0.died), (0, 0));
+    let variants = variant("usual", "") + &variant("delayed", "RELAY_DELAY_MS = \"40\"");
+    let runs = run_variants(&experiment(&variants), "delay");
+    let [usual, delayed] = [&runs[0], &runs[1]].map(|run| figures(&run.summary, &run.rows));
+    assert_eq!(usual.failed, 0.0);
+    assert_eq!(delayed.failed, 0.0);
+    let added_ms = delayed.median - usual.median;
+    assert!((38.0..60.0).contains(&added_ms), "{added_ms:.1} ms more; {usual:?} {delayed:?}");
+    assert_eq!(runs[0].summary.duplicates, 0);
+    assert_eq!(runs[0].summary.died, 0);
 }
 
 #[test]
 fn duplicate_executions_are_reported() {
-    let experiment = experiment(&variant("twice", "RELAY_TWICE = \"1\""));
-    let (run, rows) = run_all(&experiment, "twice").remove(0);
-    let orders = rows.iter().filter(|r| r.non_idempotent && r.outcome == Outcome::Succeeded).count() as u64;
-    assert!(orders > 20 && run.duplicates == orders, "{} of {orders}", run.duplicates);
-    let session = Session { runs: vec![run], rows, complete: true, ..Session::default() };
-    assert!(summary(&session).contains("| effects twice | "));
+    let run = run_first_variant(&experiment(&variant("twice", "RELAY_TWICE = \"1\"")), "twice");
+    let non_idempotent = run.rows.iter().filter(|row| row.non_idempotent);
+    let executed = non_idempotent.filter(|row| row.outcome == Outcome::Succeeded).count() as u64;
+    assert!(executed > 20, "{executed}");
+    assert_eq!(run.summary.duplicates, executed);
+    let session = Session { runs: vec![run.summary], rows: run.rows, complete: true, ..Session::default() };
+    let text = summary(&session);
+    assert!(text.contains("| effects twice | "), "{text}");
 }
 
 #[test]
-fn an_instance_that_ends_at_start_is_an_error_and_the_session_is_still_written() {
-    let text = "[[variant]]\nname = \"dead\"\nprogram = \"/bin/false\"\n";
-    let experiment = experiment(text);
-    let folder = folder("dead");
-    let why = run_variant(&experiment, &experiment.variants[0], 0, &folder)
-        .err()
-        .expect("it never accepts")
-        .to_string();
-    assert!(why.contains("/bin/false ended"), "{why}");
-    Session::default().write(&folder).expect("written");
-    let text = std::fs::read_to_string(folder.join("summary.md")).expect("there");
+fn an_instance_that_exits_at_startup_is_an_error_and_the_session_is_still_written() {
+    let experiment = experiment("[[variant]]\nname = \"dead\"\nprogram = \"/bin/false\"\n");
+    let directory = create_directory("dead");
+    let run = run_variant(&experiment, &experiment.variants[0], 0, &directory);
+    let error = run.err().expect("the instance never accepts").to_string();
+    assert!(error.contains("/bin/false ended"), "{error}");
+    Session::default().write(&directory).expect("the session is written");
+    let text = std::fs::read_to_string(directory.join("summary.md")).expect("a summary");
     assert!(text.contains("Interrupted"), "{text}");
-    std::fs::remove_dir_all(&folder).expect("ours");
+    remove_directory(&directory);
 }
 
 #[test]
 fn only_differences_beyond_the_noise_are_significant() {
     assert!(!compare(&[10.0, 11.0, 9.0], &[10.5, 10.0, 9.6]).significant);
     assert!(compare(&[10.0, 11.0, 9.0], &[15.0, 16.4, 14.1]).significant);
-    assert!(!compare(&[10.0, 11.0], &[15.0, 16.0]).significant, "two pairs say nothing");
+    assert!(!compare(&[10.0, 11.0], &[15.0, 16.0]).significant, "two pairs are too few");
     let mean = compare(&[1.0, 2.0], &[2.0, 4.0]).mean_difference;
-    assert!((mean - 1.5).abs() < 1e-9);
+    assert!((mean - 1.5).abs() < ROUNDING, "{mean}");
 }
 
 #[test]
 fn an_invalid_experiment_lists_all_violations() {
-    let wrong = "seed = 1\nrepetitions = 0\n[world]\ndoors = 0\n[traffic]\nseconds = 0.0\nrate = 1e6\nconnections = 0\norders = 2.0\n\
-                 [[variant]]\nname = \"a\"\nslowed = 0.5\n[[variant]]\nname = \"a\"\n";
-    let text = Experiment::read(wrong).expect_err("wrong").to_string();
-    for what in [
+    let text = "seed = 1\nrepetitions = 0\n[world]\ndoors = 0\n[traffic]\nseconds = 0.0\nrate = 1e6\nconnections = 0\norders = 2.0\n\
+                [[variant]]\nname = \"a\"\nslowed = 0.5\n[[variant]]\nname = \"a\"\n";
+    let error = Experiment::read(text).expect_err("an invalid experiment").to_string();
+    for violation in [
         "traffic.seconds",
         "traffic.rate",
         "traffic.connections",
@@ -119,37 +135,48 @@
         "slowed",
         "variant 2: expected a name",
     ] {
-        assert!(text.contains(what), "{what}: {text}");
+        assert!(error.contains(violation), "{violation}: {error}");
     }
-    assert!(Experiment::read("seed = 1\nspeed = 2\n[traffic]\nseconds = 1.0\nconnections = 1\n")
-        .expect_err("wrong")
-        .to_string()
-        .contains("speed"));
 }
 
 #[test]
-fn a_session_is_written_and_read_and_compared_with_another() {
+fn an_unknown_key_of_an_experiment_is_reported() {
+    let text = "seed = 1\nspeed = 2\n[traffic]\nseconds = 1.0\nconnections = 1\n";
+    let error = Experiment::read(text).expect_err("an invalid experiment").to_string();
+    assert!(error.contains("speed"), "{error}");
+}
+
+#[test]
+fn a_session_is_read_as_it_was_written_and_compared_with_another() {
     let experiment = experiment(&variant("usual", ""));
-    let at = folder("session");
-    let mut session = Session::default();
-    session.add(run_variant(&experiment, &experiment.variants[0], 0, &at).expect("played"));
-    session.complete = true;
-    session.write(&at).expect("written");
-    let again = Session::read(&at).expect("read");
-    assert!(again.complete && again.rows.len() == session.rows.len() && again.loads == session.loads);
-    let text = compare_sessions(&session, &again).expect("the same variant");
-    assert!(text.contains("| succeeded, share | +0.000 | no |"), "{text}");
-    let mut other = again.clone();
-    other.runs.iter_mut().for_each(|p| p.variant = "another".into());
-    assert_eq!(
-        compare_sessions(&session, &other).map_err(|e| e.to_string()),
-        Err("no variant is in both".into())
-    );
+    let directory = create_directory("session");
+    let mut written = Session::default();
+    let run = run_variant(&experiment, &experiment.variants[0], 0, &directory);
+    written.add(run.expect("the run completes"));
+    written.complete = true;
+    written.write(&directory).expect("the session is written");
+
+    let read = Session::read(&directory).expect("the session is read");
+    assert!(read.complete);
+    assert_eq!(read.rows.len(), written.rows.len());
+    assert_eq!(read.loads, written.loads);
     for chart in ["percentiles.svg", "service.svg", "backends.svg"] {
-        assert!(std::fs::read_to_string(at.join(chart)).expect(chart).contains("<svg"), "{chart}");
+        let image = std::fs::read_to_string(directory.join(chart)).expect(chart);
+        assert!(image.contains("<svg"), "{chart}");
     }
-    std::fs::remove_dir_all(&at).expect("ours");
-    assert!(Session::read(&at).expect_err("gone").to_string().contains("plays.csv"));
+
+    let comparison = compare_sessions(&written, &read).expect("the same variant");
+    assert!(comparison.contains("| succeeded, share | +0.000 | no |"), "{comparison}");
+    let mut other = read.clone();
+    for run in &mut other.runs {
+        run.variant = "another".into();
+    }
+    let error = compare_sessions(&written, &other).map_err(|error| error.to_string());
+    assert_eq!(error, Err("no variant is in both".into()));
+
+    remove_directory(&directory);
+    let error = Session::read(&directory).expect_err("there is no session").to_string();
+    assert!(error.contains("plays.csv"), "{error}");
 }
 
 /// However long the instances took to start, a fault and the executions around it have the same time.
@@ -158,145 +185,166 @@
     let experiment = experiment(&variant("one", ""));
     let test_bed = TestBed::new(&experiment.world, 1, &[]);
     sleep(Duration::from_millis(20));
-    let start = test_bed.begin_traffic();
-    assert!(start >= 0.02, "{start}");
+    let traffic_start = test_bed.begin_traffic();
+    assert!(traffic_start >= 0.02, "{traffic_start}");
     let mut executions = Executions::new(1);
-    executions.traffic_start = start;
+    executions.traffic_start = traffic_start;
     let request = BackendRequest { id: 1, customer: 1, plan: "small", units: 2.0, non_idempotent: false };
-    executions.record(start + 0.1, 0, &request);
-    executions.record(start + COLUMN_SECONDS + 0.1, 0, &request);
-    let columns: Vec<(f64, f64)> = executions.loads("one", 0).iter().map(|l| (l.at, l.units)).collect();
+    executions.record(traffic_start + 0.1, 0, &request);
+    executions.record(traffic_start + COLUMN_SECONDS + 0.1, 0, &request);
+    let loads = executions.loads("one", 0);
+    let columns: Vec<(f64, f64)> = loads.iter().map(|load| (load.at, load.units)).collect();
     assert_eq!(columns, [(0.0, 2.0), (COLUMN_SECONDS, 2.0)]);
 }
 
-/// Three backends in turns, of which one is struck: what the tool must see, and when.
+/// The units that a backend executed in a range of time.
+fn executed_units(run: &RunResult, backend: usize, time: Range<f64>) -> f64 {
+    let loads = run.loads.iter().filter(|load| load.backend == backend);
+    loads.filter(|load| time.contains(&load.at)).map(|load| load.units).sum()
+}
+
+/// One of three backends crashes from 0.5 s to 1.25 s of the first variant's run, and of no other.
 #[test]
 fn a_crashed_backend_executes_nothing() {
-    let text =
-        variant("struck", "RELAY_POLICY = \"round-robin\"") + &variant("spared", "") + "spared = true\n";
-    let faults = "[[fault]]\nat = 0.5\nkind = \"crash\"\nbackend = 1\nlasts = 0.75\n";
-    let experiment = experiment(&(text + faults));
-    let at = folder("crash");
-    let [struck, spared] =
-        [0, 1].map(|i| run_variant(&experiment, &experiment.variants[i], 0, &at).expect("played"));
-    std::fs::remove_dir_all(&at).expect("ours");
-    let failed = |p: &RunResult| p.rows.iter().filter(|r| r.outcome == Outcome::Errored).count();
-    assert!(failed(&struck) > 3 && failed(&spared) == 0, "{} {}", failed(&struck), failed(&spared));
-    // Afterwards the baseline's old connections there end one by one; before, nothing is amiss.
-    assert!(struck.rows.iter().all(|r| r.outcome == Outcome::Succeeded || r.at > 0.45));
-    let did = |p: &RunResult, b: usize| -> f64 {
-        p.loads.iter().filter(|l| l.backend == b && l.at >= 1.0 && l.at < 1.25).map(|l| l.units).sum()
-    };
-    assert_eq!(did(&struck, 1), 0.0);
-    assert!(did(&struck, 0) > 0.0, "the others go on");
+    let variants = variant("with the fault", ROUND_ROBIN) + &variant("without it", "") + "spared = true\n";
+    let crash = "[[fault]]\nat = 0.5\nkind = \"crash\"\nbackend = 1\nlasts = 0.75\n";
+    let runs = run_variants(&experiment(&(variants + crash)), "crash");
+    let [with_fault, without_fault] = [&runs[0], &runs[1]];
+    let errored = count_outcome(with_fault, Outcome::Errored);
+    assert!(errored > 3, "{errored} errored");
+    assert_eq!(count_outcome(without_fault, Outcome::Errored), 0);
+    // After the crash the relay's open connections to that backend fail one by one; before it no request fails.
+    let before_crash = with_fault.rows.iter().filter(|row| row.at <= 0.45);
+    assert_eq!(before_crash.filter(|row| row.outcome != Outcome::Succeeded).count(), 0);
+    let during_crash = 1.0..1.25;
+    assert_eq!(executed_units(with_fault, 1, during_crash.clone()), 0.0);
+    assert!(executed_units(with_fault, 0, during_crash) > 0.0, "the others go on");
 }
 
 #[test]
-fn a_killed_instance_gets_no_requests_until_it_is_back() {
-    let faults = "[[fault]]\nat = 0.4\nkind = \"kill\"\ndoor = 0\nlasts = 0.4\n";
-    let experiment = experiment(&(variant("one", "") + faults));
-    let (run, rows) = run_all(&experiment, "kill").remove(0);
-    assert_eq!(run.died, 0, "it was meant");
-    let at = |door: usize, from: f64, to: f64| {
-        rows.iter()
-            .filter(|r| r.instance == door && r.at >= from && r.at < to && r.outcome == Outcome::Succeeded)
-            .count()
+fn a_killed_instance_serves_no_requests_until_it_has_restarted() {
+    let kill = "[[fault]]\nat = 0.4\nkind = \"kill\"\ndoor = 0\nlasts = 0.4\n";
+    let run = run_first_variant(&experiment(&(variant("one", "") + kill)), "kill");
+    assert_eq!(run.summary.died, 0, "an instance that was killed on purpose does not count");
+    let succeeded = |instance: usize, time: Range<f64>| {
+        let rows = run.rows.iter().filter(|row| row.instance == instance && time.contains(&row.at));
+        rows.filter(|row| row.outcome == Outcome::Succeeded).count()
     };
-    assert_eq!(at(0, 0.45, 0.75), 0);
-    assert!(at(1, 0.45, 0.75) > 4 && at(0, 1.1, 1.5) > 2, "{} {}", at(1, 0.45, 0.75), at(0, 1.1, 1.5));
+    assert_eq!(succeeded(0, 0.45..0.75), 0);
+    let at_other_instance = succeeded(1, 0.45..0.75);
+    assert!(at_other_instance > 4, "{at_other_instance}");
+    let after_restart = succeeded(0, 1.1..1.5);
+    assert!(after_restart > 2, "{after_restart}");
 }
 
-/// The stall is long beside the pauses that a busy machine makes by itself in the other instance.
+/// The stall is long compared with the pauses that a busy machine causes at the other instance.
 #[test]
 fn a_stalled_instance_shows_in_the_latencies() {
-    let faults = "[[fault]]\nat = 0.4\nkind = \"stall\"\ndoor = 0\nlasts = 1.0\n";
-    let experiment = experiment(&(variant("one", "") + faults));
-    let (_, rows) = run_all(&experiment, "stall").remove(0);
-    let slow = 0.375;
-    // Requests that arrived early in the stall waited for nearly all of it.
-    let waited =
-        rows.iter().filter(|r| r.instance == 0 && (0.4..0.6).contains(&r.at) && r.took > slow).count();
-    assert!(waited > 3, "{waited}");
-    assert!(rows.iter().all(|r| r.instance == 0 || r.took < slow));
+    /// Requests that arrive early in the stall wait for nearly all of it, seconds.
+    const EARLY: Range<f64> = 0.4..0.6;
+    /// Latency that only the stall causes, seconds.
+    const LONG: f64 = 0.375;
+    let stall = "[[fault]]\nat = 0.4\nkind = \"stall\"\ndoor = 0\nlasts = 1.0\n";
+    let run = run_first_variant(&experiment(&(variant("one", "") + stall)), "stall");
+    let early = run.rows.iter().filter(|row| row.instance == 0 && EARLY.contains(&row.at));
+    let delayed = early.filter(|row| row.took > LONG).count();
+    assert!(delayed > 3, "{delayed}");
+    let at_other_instance = run.rows.iter().filter(|row| row.instance != 0);
+    let longest = at_other_instance.map(|row| row.took).fold(0.0, f64::max);
+    assert!(longest < LONG, "{longest} s at the other instance");
 }
 
 #[test]
 fn backend_faults_make_replies_malformed_failed_and_rejected() {
-    let strike = |kind: &str, backend: usize| {
+    let fault = |kind: &str, backend: usize| {
         format!("[[fault]]\nat = 0.0\nkind = \"{kind}\"\nbackend = {backend}\nlasts = 9.0\nby = 1.0\n")
     };
-    let faults = strike("err", 0) + &strike("turn-away", 1) + &strike("spoil", 2);
-    let experiment = experiment(&(variant("all ill", "RELAY_POLICY = \"round-robin\"") + &faults));
-    let (run, rows) = run_all(&experiment, "ill").remove(0);
-    let of = |o: Outcome| rows.iter().filter(|r| r.outcome == o).count();
-    assert_eq!(of(Outcome::Succeeded), 0);
-    assert!(of(Outcome::Throttled) > 20 && of(Outcome::Errored) > 40, "{rows:?}");
-    // What was turned away did not run.
-    assert_eq!(run.by_backend.split(' ').nth(1), Some("0"));
+    let faults = fault("err", 0) + &fault("turn-away", 1) + &fault("spoil", 2);
+    let run = run_first_variant(&experiment(&(variant("faulty", ROUND_ROBIN) + &faults)), "faulty");
+    assert_eq!(count_outcome(&run, Outcome::Succeeded), 0);
+    assert!(count_outcome(&run, Outcome::Throttled) > 20, "{:?}", run.rows);
+    assert!(count_outcome(&run, Outcome::Errored) > 40, "{:?}", run.rows);
+    // The requests that the second backend rejected were not executed.
+    let executed_at_rejecting_backend = run.summary.by_backend.split(' ').nth(1);
+    assert_eq!(executed_at_rejecting_backend, Some("0"));
 }
 
-#[test]
-fn faults_are_scheduled_at_their_times() {
+/// Four backends in two zones; the second zone is lost, a backend is slow, and the traffic doubles for a second from 4 s on.
+fn experiment_with_faults() -> Experiment {
     let text = "seed = 1\n[world]\nbackends = 4\nzones = 2\n[traffic]\nseconds = 9.0\nrate = 10.0\nconnections = 1\n\
                 [[variant]]\nname = \"a\"\n\
                 [[fault]]\nat = 2.0\nkind = \"zone-loss\"\nzone = 1\nlasts = 1.0\n\
                 [[fault]]\nat = 1.0\nkind = \"slow\"\nbackend = 0\nlasts = 1.0\nby = 3.0\n\
                 [[fault]]\nat = 4.0\nkind = \"burst\"\nlasts = 1.0\nby = 2.0\n";
-    let experiment = Experiment::read(text).expect("good");
-    let steps: Vec<String> = schedule(&experiment.faults, &experiment.world)
-        .iter()
-        .map(|s| {
-            format!("{} {} {} {}", s.at, s.kind.name(), s.target, if s.begins { "begins" } else { "over" })
-        })
-        .collect();
+    Experiment::read(text).expect("a valid experiment")
+}
+
+#[test]
+fn faults_are_scheduled_at_their_times() {
+    let describe = |step: &FaultStep| {
+        let change = if step.begins { "begins" } else { "ends" };
+        format!("{} {} {} {change}", step.at, step.kind.name(), step.target)
+    };
+    let experiment = experiment_with_faults();
+    let steps: Vec<String> = schedule(&experiment.faults, &experiment.world).iter().map(describe).collect();
     expect![[r#"
         1 slow 0 begins
-        2 slow 0 over
+        2 slow 0 ends
         2 crash 1 begins
         2 crash 3 begins
-        3 crash 1 over
-        3 crash 3 over"#]]
+        3 crash 1 ends
+        3 crash 3 ends"#]]
     .assert_eq(&steps.join("\n"));
-    assert_eq!(
-        (
-            burst_factor(&experiment.faults, 3.9),
-            burst_factor(&experiment.faults, 4.5),
-            burst_factor(&experiment.faults, 5.0)
-        ),
-        (1.0, 2.0, 1.0)
-    );
-    let come = experiment.arrivals(0).iter().filter(|a| (4.0..5.0).contains(&a.at)).count();
-    assert!(come > 12, "{come}");
-    assert!(is_supported(FaultKind::CounterSplit) && !is_supported(FaultKind::Upgrade));
-    let world = &experiment.world;
-    assert_eq!(
-        (warm_capacity(world, None), warm_capacity(world, Some(0.0)), warm_capacity(world, Some(99.0))),
-        (1.0, world.slow_start_fraction, 1.0)
-    );
+    assert!(is_supported(FaultKind::CounterSplit));
+    assert!(!is_supported(FaultKind::Upgrade));
+}
+
+#[test]
+fn a_burst_multiplies_the_arrivals_while_it_lasts() {
+    let experiment = experiment_with_faults();
+    let factors = [3.9, 4.5, 5.0].map(|at| burst_factor(&experiment.faults, at));
+    assert_eq!(factors, [1.0, 2.0, 1.0]);
+    let arrivals = experiment.arrivals(0);
+    let during_burst = arrivals.iter().filter(|arrival| (4.0..5.0).contains(&arrival.at)).count();
+    assert!(during_burst > 12, "{during_burst}");
+}
+
+#[test]
+fn a_backend_warms_up_from_its_slow_start_fraction_to_its_full_capacity() {
+    let world = experiment_with_faults().world;
+    let capacities = [None, Some(0.0), Some(99.0)].map(|age| warm_capacity(&world, age));
+    assert_eq!(capacities, [1.0, world.slow_start_fraction, 1.0]);
+}
+
+/// The usage of a quota of one unit a second with a burst of ten; a sample is a time in seconds and units.
+fn usage(samples: &[(f64, f64)]) -> QuotaUsage {
+    QuotaUsage::from_samples(samples, 1.0, 10.0)
 }
 
 #[test]
 fn units_beyond_a_quota_are_counted_once() {
-    // 10 at once and 1 a second: 12 at the start are 2 too many, and one a second after that none.
-    let mut came = vec![(0.0, 6.0), (0.0, 6.0)];
-    assert_eq!(QuotaUsage::from_samples(&came, 1.0, 10.0).excess_units, 2.0);
-    came.extend((1..=20).map(|s| (f64::from(s), 1.0)));
-    assert!((QuotaUsage::from_samples(&came, 1.0, 10.0).excess_units - 2.0).abs() < 1e-9);
-    assert!((QuotaUsage::from_samples(&came, 1.0, 10.0).worst_overshoot - 0.2).abs() < 1e-9);
-    // A span that begins late: a second burst after the store has filled again is none.
-    assert_eq!(QuotaUsage::from_samples(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).excess_units, 0.0);
-    assert_eq!(QuotaUsage::from_samples(&[(0.0, 10.0), (10.0, 10.0)], 1.0, 10.0).worst_overshoot, 0.0);
-    // Order does not matter, and half of what the second time brings is too much.
-    assert_eq!(QuotaUsage::from_samples(&[(5.0, 10.0), (0.0, 10.0)], 1.0, 10.0).excess_units, 5.0);
+    // 12 units at the start are 2 beyond the burst; one unit a second after that adds none.
+    let mut samples = vec![(0.0, 6.0), (0.0, 6.0)];
+    assert_eq!(usage(&samples).excess_units, 2.0);
+    samples.extend((1..=20).map(|second| (f64::from(second), 1.0)));
+    let spread = usage(&samples);
+    assert!((spread.excess_units - 2.0).abs() < ROUNDING, "{}", spread.excess_units);
+    assert!((spread.worst_overshoot - 0.2).abs() < ROUNDING, "{}", spread.worst_overshoot);
+    // A second burst after the token bucket has refilled is within the quota.
+    let refilled = usage(&[(0.0, 10.0), (10.0, 10.0)]);
+    assert_eq!(refilled.excess_units, 0.0);
+    assert_eq!(refilled.worst_overshoot, 0.0);
+    // The order of the samples makes no difference; half of the second burst is beyond the quota.
+    assert_eq!(usage(&[(5.0, 10.0), (0.0, 10.0)]).excess_units, 5.0);
 }
 
 #[test]
 fn an_invalid_fault_and_a_fleet_too_large_are_reported() {
-    let wrong =
+    let text =
         "seed = 1\n[traffic]\nseconds = 2.0\nconnections = 90\nidle = 5000\n[[variant]]\nname = \"a\"\n\
-                 [[variant]]\nname = \"b\"\ndoors = 301\n\
-                 [[fault]]\nat = 1.0\nkind = \"upgrade\"\ndoor = 0\n\
-                 [[fault]]\nat = 3.0\nkind = \"burst\"\nlasts = 1.0\nby = 2.0\n";
+                [[variant]]\nname = \"b\"\ndoors = 301\n\
+                [[fault]]\nat = 1.0\nkind = \"upgrade\"\ndoor = 0\n\
+                [[fault]]\nat = 3.0\nkind = \"burst\"\nlasts = 1.0\nby = 2.0\n";
     expect![[r#"
         traffic: 5090 connections to a front door of 1024 descriptors
         variant 2: world.doors: expected 1 to 300, found 301
@@ -306,5 +354,5 @@
         fault 1 (upgrade): needs world.passed = true
         fault 2 (burst): a closed loop has no rate that could grow
         fault 2 (burst): at: expected a time within the run"#]]
-    .assert_eq(&Experiment::read(wrong).expect_err("wrong").to_string());
+    .assert_eq(&Experiment::read(text).expect_err("an invalid experiment").to_string());
 }
--- a/load/tests/parallel_runs.rs
+++ b/load/tests/parallel_runs.rs
@@ -15,12 +15,12 @@
          [traffic]\nseconds = 0.1\nrate = 80.0\nconnections = 4\norders = 0.0\n\
          [[variant]]\nname = \"relays\"\nprogram = \"{program}\"\n"
     );
-    let experiment = Experiment::read(&text).expect("a good experiment");
-    let folder =
+    let experiment = Experiment::read(&text).expect("a valid experiment");
+    let directory =
         std::env::temp_dir().join(format!("quillramp-load-parallel-{thread}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let result = run_variant(&experiment, &experiment.variants[0], 0, &folder).expect("the fleet starts");
-    std::fs::remove_dir_all(&folder).expect("the folder of this test");
+    std::fs::create_dir_all(&directory).expect("a directory");
+    let result = run_variant(&experiment, &experiment.variants[0], 0, &directory).expect("the fleet starts");
+    std::fs::remove_dir_all(&directory).expect("the directory of this test");
     result.summary
 }
 
--- a/load/tests/scale.rs
+++ b/load/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Scale runs, small: embedded instances with their stand-ins in process and on sockets, slopes, a burst of changes.
+//! Small scale runs: embedded instances with their stand-ins in process and on sockets, fitted lines, and a burst of changes of
+//! the endpoint list.
 use clap::Subcommand;
 use quillramp_load::scale::command::Scale;
 use quillramp_load::scale::counts::Counts;
@@ -8,8 +9,16 @@
 use quillramp_load::scale::propagation::{self, Burst};
 use quillramp_load::scale::rows::{self, Row};
 use quillramp_load::scale::span::Span;
+use std::ops::Range;
 
-fn point() -> OperatingPoint {
+/// Bytes for which a backend is listed.
+const BYTES_PER_BACKEND: Range<f64> = 100.0..150.0;
+/// Bytes of a counter call, which has the name of a count, an amount and a host.
+const BYTES_PER_CALL: Range<f64> = 90.0..140.0;
+/// Largest difference of two equal figures, by their rounding.
+const ROUNDING: f64 = 1e-9;
+
+fn operating_point() -> OperatingPoint {
     OperatingPoint {
         seed: 5,
         instances: 20,
@@ -25,68 +34,88 @@
     }
 }
 
-fn figure(rows: &[Row], what: &str) -> f64 {
-    rows.iter().find(|r| r.figure == what).map(|r| r.value).unwrap_or_else(|| panic!("no row '{what}'"))
+/// The value of the row with this figure.
+fn figure(rows: &[Row], name: &str) -> f64 {
+    let row = rows.iter().find(|row| row.figure == name);
+    row.unwrap_or_else(|| panic!("no row '{name}'")).value
+}
+
+fn bytes_per_call(rows: &[Row]) -> f64 {
+    figure(rows, "counter: bytes out") / figure(rows, "counter: calls")
 }
 
 fn in_process(point: &OperatingPoint, seconds: f64) -> Vec<Row> {
-    embedded_run::in_process("test", point, 3, &Span { warm_up: 8.0, seconds }).expect("measured")
+    embedded_run::in_process("test", point, 3, &Span { warm_up: 8.0, seconds }).expect("the run completes")
 }
 
 #[test]
 fn the_simulation_is_deterministic() {
-    let counted = |rows: Vec<Row>| -> Vec<(String, f64)> {
-        let machine = |r: &Row| r.figure == "processor" || r.figure == "memory";
-        rows.into_iter().filter(|r| !machine(r)).map(|r| (r.figure, r.value)).collect()
+    let simulated_figures = || -> Vec<(String, f64)> {
+        let depends_on_machine = |row: &Row| row.figure == "processor" || row.figure == "memory";
+        let rows = in_process(&operating_point(), 4.0);
+        let simulated = rows.into_iter().filter(|row| !depends_on_machine(row));
+        simulated.map(|row| (row.figure, row.value)).collect()
     };
-    assert_eq!(counted(in_process(&point(), 4.0)), counted(in_process(&point(), 4.0)));
+    assert_eq!(simulated_figures(), simulated_figures());
 }
 
 #[test]
 fn requests_are_served_and_every_byte_is_counted() {
-    let rows = in_process(&point(), 10.0);
+    let rows = in_process(&operating_point(), 10.0);
     assert!((40.0..60.0).contains(&figure(&rows, "requests")), "{rows:?}");
     assert!(figure(&rows, "served") > 0.95, "{rows:?}");
-    let (calls, bytes) = (figure(&rows, "counter: calls"), figure(&rows, "counter: bytes out"));
-    assert!(calls > 10.0, "{rows:?}");
-    // A call names a count, an amount and a host: between 90 and 140 bytes.
-    assert!((90.0..140.0).contains(&(bytes / calls)), "{:.1} bytes a call", bytes / calls);
-    // Each backend is listed once, in some 100 to 150 bytes.
-    let listed = figure(&rows, "list sent until counted") / 60.0;
-    assert!((100.0..150.0).contains(&listed), "{listed:.1} bytes a backend");
+    assert!(figure(&rows, "counter: calls") > 10.0, "{rows:?}");
+    let bytes_per_call = bytes_per_call(&rows);
+    assert!(BYTES_PER_CALL.contains(&bytes_per_call), "{bytes_per_call:.1} bytes a call");
+    // Each of the 60 backends is listed once.
+    let bytes_per_backend = figure(&rows, "list sent until counted") / 60.0;
+    assert!(BYTES_PER_BACKEND.contains(&bytes_per_backend), "{bytes_per_backend:.1} bytes a backend");
 }
 
 #[test]
 fn what_absent_instances_spend_and_correct_is_estimated() {
     let tenant = Tenant { plan: 4, offered: 4.0 };
-    assert_eq!((quota(4), burst(4)), (7.0, 14.0));
-    let began = 1_700_000_010.0;
-    let name = format!("0.{}", (began / 30.0) as u64);
-    let mut alone = Counts::new(vec![tenant], None);
-    assert_eq!((alone.add(began + 5.0, &name, 1.0), alone.add(began + 9.0, &name, 2.0)), (1.0, 3.0));
-    let mut fleet = Counts::new(vec![tenant], Some(1.0));
-    // Regained 7 a second, spent 4: a lag of 3 a second, lifted away whenever it reaches an eighth of the burst.
-    let lag = |at: f64, total: f64| 7.0 * at - total;
-    let first = fleet.add(began + 0.5, &name, 0.0);
+    assert_eq!(quota(4), 7.0);
+    assert_eq!(burst(4), 14.0);
+    let window_start = 1_700_000_010.0;
+    let count = format!("0.{}", (window_start / 30.0) as u64);
+    let mut without_others = Counts::new(vec![tenant], None);
+    assert_eq!(without_others.add(window_start + 5.0, &count, 1.0), 1.0);
+    assert_eq!(without_others.add(window_start + 9.0, &count, 2.0), 3.0);
+
+    // The token bucket refills 7 units a second and the fleet spends 4: the total lags by 3 units a second more, and is corrected
+    // whenever it lags by an eighth of the burst.
+    let mut with_others = Counts::new(vec![tenant], Some(1.0));
+    let lag = |seconds: f64, total: f64| 7.0 * seconds - total;
+    let first = with_others.add(window_start + 0.5, &count, 0.0);
     assert!((lag(0.5, first) - 1.5).abs() < 1e-6, "{first}");
-    let second = fleet.add(began + 1.0, &name, 0.0);
+    let second = with_others.add(window_start + 1.0, &count, 0.0);
     assert!((lag(1.0, second) - 1.25).abs() < 1e-6, "{second}");
-    // What is added stays: the count is that much further.
-    let third = fleet.add(began + 1.0, &name, 1.0);
+    // What the call itself adds stays in the total.
+    let third = with_others.add(window_start + 1.0, &count, 1.0);
     assert!((third - second - 1.0).abs() < 1e-6, "{third}");
 }
 
 #[test]
 fn without_a_counter_there_are_no_counter_calls() {
-    let rows = in_process(&OperatingPoint { without_counter: true, ..point() }, 3.0);
+    let rows = in_process(&OperatingPoint { without_counter: true, ..operating_point() }, 3.0);
     assert_eq!(figure(&rows, "counter: calls"), 0.0);
 }
 
 #[test]
 fn endpoint_list_changes_cost_bytes() {
-    let calm = figure(&in_process(&point(), 5.0), "list: bytes in");
-    let busy = figure(&in_process(&OperatingPoint { changes: 4.0, ..point() }, 5.0), "list: bytes in");
-    assert!(busy > calm + 4.0 * 100.0, "{calm:.0} B/s calm, {busy:.0} B/s with four changes a second");
+    const CHANGES_PER_SECOND: f64 = 4.0;
+    let bytes_received = |changes: f64| {
+        let point = OperatingPoint { changes, ..operating_point() };
+        figure(&in_process(&point, 5.0), "list: bytes in")
+    };
+    let without_changes = bytes_received(0.0);
+    let with_changes = bytes_received(CHANGES_PER_SECOND);
+    let least_bytes = CHANGES_PER_SECOND * BYTES_PER_BACKEND.start;
+    assert!(
+        with_changes > without_changes + least_bytes,
+        "{without_changes:.0} B/s without changes, {with_changes:.0} B/s with {CHANGES_PER_SECOND} a second"
+    );
 }
 
 /// Only a debug build finds options of one name when a command is called.
@@ -98,31 +127,32 @@
 #[test]
 fn a_tenants_quota_covers_its_requests_at_the_fleet() {
     for spread in [Spread::Uniform, Spread::Zipf] {
-        let point = OperatingPoint { spread, fleet_requests: 97_000.0, tenants: 14_000, ..point() };
+        let point = OperatingPoint { spread, fleet_requests: 97_000.0, tenants: 14_000, ..operating_point() };
         let tenants = point.tenants();
-        let all: f64 = tenants.iter().map(|t| t.offered).sum();
-        assert!((all - 97_000.0).abs() < 1.0, "{all}");
-        assert!(tenants.iter().all(|t| quota(t.plan) >= t.offered), "{spread:?}");
+        let offered: f64 = tenants.iter().map(|tenant| tenant.offered).sum();
+        assert!((offered - 97_000.0).abs() < 1.0, "{offered}");
+        assert!(tenants.iter().all(|tenant| quota(tenant.plan) >= tenant.offered), "{spread:?}");
     }
 }
 
-/// How often the counter is asked within four seconds differs by when they begin; how long a call is does not.
+/// How often the counter is called within four seconds depends on when they begin; how long a call is does not.
 #[test]
 fn sockets_and_simulation_agree() {
     let span = Span { warm_up: 6.0, seconds: 4.0 };
-    let sockets = embedded_run::on_sockets("test", &point(), 3, &span).expect("measured");
-    let clock = embedded_run::in_process("test", &point(), 3, &span).expect("measured");
-    assert!(figure(&sockets, "served") > 0.9, "{sockets:?}");
-    let bytes = |rows: &[Row]| figure(rows, "counter: bytes out") / figure(rows, "counter: calls");
-    let ratio = bytes(&sockets) / bytes(&clock);
+    let on_sockets =
+        embedded_run::on_sockets("test", &operating_point(), 3, &span).expect("the run completes");
+    let simulated =
+        embedded_run::in_process("test", &operating_point(), 3, &span).expect("the run completes");
+    assert!(figure(&on_sockets, "served") > 0.9, "{on_sockets:?}");
+    let ratio = bytes_per_call(&on_sockets) / bytes_per_call(&simulated);
     assert!((0.9..1.1).contains(&ratio), "bytes a call {ratio:.2} times");
 }
 
 #[test]
 fn a_burst_of_changes_is_in_force_everywhere_while_some_instances_restart() {
     let burst = Burst { burst: 4, over: 2.0, one_in: 5, warm_up: 1.0 };
-    let point = OperatingPoint { requests: 5.0, ..point() };
-    let rows = propagation::measure("test", &point, 10, &burst).expect("measured");
+    let point = OperatingPoint { requests: 5.0, ..operating_point() };
+    let rows = propagation::measure("test", &point, 10, &burst).expect("the run completes");
     assert_eq!(figure(&rows, "changes written"), 4.0);
     assert_eq!(figure(&rows, "front doors restarted"), 2.0);
     assert_eq!(figure(&rows, "changes not in force at the end"), 0.0, "{rows:?}");
@@ -132,25 +162,31 @@
 #[test]
 fn a_line_fits_its_points_and_reports_the_residual() {
     let line = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("a line");
-    assert!((line.slope - 2.0).abs() < 1e-9 && (line.intercept - 3.0).abs() < 1e-9 && line.residual < 1e-9);
-    let off = Line::through(&[(0.0, 0.0), (1.0, 3.0), (2.0, 0.0)]).expect("a line");
-    assert!((off.at(1.0) - 1.0).abs() < 1e-9 && (off.residual - 2f64.sqrt()).abs() < 1e-9, "{off:?}");
+    assert!((line.slope - 2.0).abs() < ROUNDING, "{line:?}");
+    assert!((line.intercept - 3.0).abs() < ROUNDING, "{line:?}");
+    assert!(line.residual < ROUNDING, "{line:?}");
+    let with_residual = Line::through(&[(0.0, 0.0), (1.0, 3.0), (2.0, 0.0)]).expect("a line");
+    assert!((with_residual.at(1.0) - 1.0).abs() < ROUNDING, "{with_residual:?}");
+    assert!((with_residual.residual - 2f64.sqrt()).abs() < ROUNDING, "{with_residual:?}");
     assert_eq!(Line::through(&[(1.0, 1.0)]), None);
 }
 
 #[test]
 fn rows_are_read_as_they_were_written_and_fitted_by_their_factor() {
-    let mut all = vec![];
+    let mut written = vec![];
     for backends in [60, 120] {
-        let mut rows = in_process(&OperatingPoint { backends, ..point() }, 1.0);
-        rows.iter_mut().for_each(|r| r.run = Factor::Backends.run());
-        all.extend(rows);
+        let mut rows = in_process(&OperatingPoint { backends, ..operating_point() }, 1.0);
+        for row in &mut rows {
+            row.run = Factor::Backends.run();
+        }
+        written.extend(rows);
     }
-    let path = std::env::temp_dir().join(format!("quillramp-scale-rows-{}.csv", std::process::id()));
-    rows::append(&path, &all).expect("kept");
-    assert_eq!(rows::read(&path).expect("read"), all);
-    std::fs::remove_file(&path).expect("ours");
-    let fits = fits(&all);
-    let list = fits.iter().find(|f| f.figure == "list sent until counted").expect("fitted");
-    assert!((100.0..150.0).contains(&list.line.slope), "{:.1} bytes a backend", list.line.slope);
+    let file = std::env::temp_dir().join(format!("quillramp-scale-rows-{}.csv", std::process::id()));
+    rows::append(&file, &written).expect("the rows are written");
+    assert_eq!(rows::read(&file).expect("the rows are read"), written);
+    std::fs::remove_file(&file).expect("the file of this test");
+    let fits = fits(&written);
+    let list_fit = fits.iter().find(|fit| fit.figure == "list sent until counted").expect("a fit");
+    let bytes_per_backend = list_fit.line.slope;
+    assert!(BYTES_PER_BACKEND.contains(&bytes_per_backend), "{bytes_per_backend:.1} bytes a backend");
 }
