--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -1,78 +1,67 @@
-//! Valid files, and invalid files with their diagnostics.
+//! The operator's file: the settings of valid files, the diagnostics of invalid ones, and the limits that its routes declare.
 use expect_test::{expect, expect_file, Expect};
 use proptest::prelude::*;
-use quillramp::types::{Idempotency, KeyScope, RequestLimits};
+use quillramp::types::{Idempotency, RequestLimits};
 use quillramp_operator::log::{Format, Level, LevelRule};
-use quillramp_operator::routes::{Operation, Platform, Table};
-use quillramp_operator::{read, show, Diagnostic, OperatorSettings, MAX_FILE_BYTES};
+use quillramp_operator::routes::{EffectiveLimits, Operation, Platform, Table};
+use quillramp_operator::{read, Diagnostic, OperatorSettings, MAX_FILE_BYTES};
 use std::fmt::Write;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-fn platform() -> Platform {
-    let tokened = |group| Idempotency::Keyed { scope: group, window: 1.5 };
-    let operations = [
-        ("look", Idempotency::Idempotent, 0.4, 1.5),
-        ("find", Idempotency::Idempotent, 0.4, 1.5),
-        ("hold", tokened(KeyScope::Cell), 0.6, 2.0),
-        ("note", tokened(KeyScope::All), 0.6, 2.0),
-        ("order", Idempotency::NonIdempotent, 1.0, 3.0),
-    ];
-    Platform {
-        operations: operations
-            .map(|(name, effect, objective, timeout)| Operation {
-                name: name.into(),
-                idempotency: effect,
-                latency_objective: objective,
-                timeout,
-            })
-            .into(),
-        plans: vec!["small".into(), "large".into()],
-        max_attempts: 5,
-        hedging: true,
-        descriptors: 1024,
-    }
-}
+mod common;
+use common::{platform, read_file, VALID_FILE};
 
-/// The settings of a file, or its diagnostics, a line each.
-fn read_file(text: &str) -> Result<OperatorSettings, String> {
-    let lines = |diagnostics: Vec<Diagnostic>| {
-        diagnostics.iter().map(|diagnostic| format!("{diagnostic}\n")).collect()
-    };
-    read(text, Some(&platform())).map_err(lines)
-}
+/// Indexes of the platform's operations.
+const LOOK: usize = 0;
+const FIND: usize = 1;
+const HOLD: usize = 2;
+const ORDER: usize = 4;
+/// Indexes of the platform's plans.
+const SMALL: usize = 0;
+const LARGE: usize = 1;
+/// The customer that a route of the valid file names.
+const NAMED_CUSTOMER: u64 = 0xb4d65521;
+/// A customer that no route names.
+const OTHER_CUSTOMER: u64 = 1;
 
 fn assert_diagnostics(text: &str, expected: Expect) {
-    expected.assert_eq(&read_file(text).expect_err("it is wrong"));
+    expected.assert_eq(&read_file(text).expect_err("an invalid file"));
 }
 
 #[test]
 fn an_empty_file_has_default_settings() {
     assert_eq!(read_file(""), Ok(OperatorSettings::default()));
     assert_eq!(read_file("# nothing yet\n"), Ok(OperatorSettings::default()));
-    assert_eq!(Table::new(&OperatorSettings::default().routes, &platform()).lookup(0, 0, 7), None);
+    let table = Table::new(&OperatorSettings::default().routes, &platform());
+    assert_eq!(table.lookup(LOOK, SMALL, OTHER_CUSTOMER), None);
 }
 
 #[test]
 fn missing_admission_keys_have_defaults() {
-    let limits = read_file("[admission]\nconnections = 400\nknown = [\"10.2.0.0/16\"]\n");
-    let limits = limits.expect("right").admission.expect("switched on");
-    assert_eq!(
-        (limits.reserve, limits.per_address, limits.strangers, limits.unfinished),
-        (0, 400, 100, 1600)
-    );
-    assert_eq!((limits.rate, limits.burst, limits.first_word, limits.known_for), (50.0, 100.0, 2.0, 600.0));
+    let operator = read_file("[admission]\nconnections = 400\nknown = [\"10.2.0.0/16\"]\n");
+    let limits = operator.expect("a valid file").admission.expect("admission is on");
+    assert_eq!(limits.reserve, 0);
+    assert_eq!(limits.per_address, 400);
+    assert_eq!(limits.strangers, 100);
+    assert_eq!(limits.unfinished, 1600);
+    assert_eq!(limits.rate, 50.0);
+    assert_eq!(limits.burst, 100.0);
+    assert_eq!(limits.first_word, 2.0);
+    assert_eq!(limits.known_for, 600.0);
     assert!(limits.known[0].holds("10.2.3.4".parse().expect("an address")));
 }
 
 #[test]
 fn the_example_under_deploy_is_valid() {
     let text = include_str!("../../deploy/operator.example.toml");
-    let operator = read(text, None).expect("right");
-    assert!(operator.admission.is_some() && operator.log.is_some() && !operator.routes.routes.is_empty());
+    let operator = read(text, None).expect("a valid file");
+    assert!(operator.admission.is_some());
+    assert!(operator.log.is_some());
+    assert!(!operator.routes.routes.is_empty());
 }
 
 #[test]
-fn all_faults_are_reported_at_once() {
+fn all_errors_of_a_file_are_reported_together() {
     assert_diagnostics(
         "[admission]\nconnections = 1000\nreserve = 1000\nper_address = 2000\nstrangers = 0\nnew_per_second = -1.0\n\
          burst = 0.5\nfirst_word = 0.0\nknown_for = 0.0\nknown = [\"10.2.0.1/16\", \"ten\"]\nspeed = 3\n",
@@ -92,294 +81,215 @@
     );
 }
 
-/// Regression test: without a configuration the number of connections has no bound, and four times as many overflowed.
+/// Guards: without a configuration the number of connections has no bound, and the default of four times as many overflowed.
 #[test]
 fn a_missing_connections_key_is_reported() {
-    let diagnostics = read("[admission]\n", None).expect_err("it is wrong");
+    let diagnostics = read("[admission]\n", None).expect_err("an invalid file");
     let texts: Vec<String> = diagnostics.iter().map(Diagnostic::to_string).collect();
     assert_eq!(texts, ["line 1: admission.connections: is missing"]);
 }
 
-/// Each file of the directory has one or more faults, all of which are reported.
+/// The files in `tests/wrong`, in the order of their names.
+fn invalid_files() -> Vec<PathBuf> {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/wrong");
+    let entries = std::fs::read_dir(&directory).expect("the directory of invalid files");
+    let paths = entries.map(|entry| entry.expect("a readable directory").path());
+    let is_toml = |path: &PathBuf| path.extension().is_some_and(|extension| extension == "toml");
+    let mut files: Vec<PathBuf> = paths.filter(is_toml).collect();
+    files.sort();
+    files
+}
+
+/// Each file has one or more errors, all of which are reported.
 #[test]
 fn invalid_files_are_reported_with_reasons() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/wrong");
-    let files = std::fs::read_dir(&folder).expect("there").map(|f| f.expect("readable").path());
-    let mut files: Vec<_> = files.filter(|p| p.extension().is_some_and(|e| e == "toml")).collect();
-    files.sort();
+    let files = invalid_files();
     assert!(files.len() >= 40, "{}", files.len());
-    let mut text = String::new();
-    for path in files {
-        let name = path.file_stem().expect("a name").to_string_lossy().into_owned();
-        let why = read_file(&std::fs::read_to_string(&path).expect("readable")).err();
-        let _ = writeln!(text, "{name}\n{}", why.unwrap_or_else(|| panic!("{name} is taken for right")));
+    let mut report = String::new();
+    for file in files {
+        let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
+        let text = std::fs::read_to_string(&file).expect("a readable file");
+        let Err(diagnostics) = read_file(&text) else { panic!("{name} is accepted") };
+        let _ = writeln!(report, "{name}\n{diagnostics}"); // writing to a string can't fail
     }
-    expect_file!["wrong/expected.txt"].assert_eq(&text);
+    expect_file!["wrong/expected.txt"].assert_eq(&report);
 }
 
-const GOOD: &str = r#"
-[log]
-form = "json"
-level = "warn"
-[[log.of]]
-from = "quillramp_gateway::memory"
-level = "debug"
-
-[[class]]
-name = "look-ups"
-attempts = 3
-per_try = 0.3
-objective = 0.3
-timeout = 1.0
-
-[[class]]
-name = "one try"
-attempts = 1
-
-[[class]]
-name = "held"
-repeat_within = 1.0
-repeat_group = "cell"
-
-[[route]]
-operations = ["look"]
-customers = ["00000000b4d65521"]
-class = "one try"
-
-[[route]]
-operations = ["look", "find"]
-plans = ["small"]
-class = "look-ups"
-
-[[route]]
-operations = ["hold"]
-class = "held"
-
-[[route]]
-operations = ["ord*"]
-class = "one try"
-"#;
-
 #[test]
-fn the_first_matching_route_applies() {
-    let operator = read_file(GOOD).expect("right");
-    let log = operator.log.clone().expect("there");
+fn the_log_section_sets_the_format_and_the_levels_by_prefix() {
+    let operator = read_file(VALID_FILE).expect("a valid file");
+    let log = operator.log.expect("a log section");
     assert_eq!(log.format, Format::Json);
     let memory = LevelRule { prefix: "quillramp_gateway::memory".into(), level: Level::Debug };
     assert_eq!(log.levels[1], memory);
+}
+
+#[test]
+fn the_first_matching_route_applies() {
+    let operator = read_file(VALID_FILE).expect("a valid file");
     let table = Table::new(&operator.routes, &platform());
-    let attempts = |operation, plan, customer| {
+    let max_attempts = |operation, plan, customer| {
         table.lookup(operation, plan, customer).map(|limits| limits.request_limits.max_attempts)
     };
-    assert_eq!(attempts(0, 0, 0xb4d65521), Some(1), "named");
-    assert_eq!(attempts(0, 1, 0xb4d65521), Some(1), "under any plan");
-    assert_eq!(attempts(0, 0, 1), Some(3));
-    assert_eq!(attempts(0, 1, 1), None, "another plan");
-    assert_eq!(attempts(4, 1, 1), Some(1), "by a star");
-    let limits = table.lookup(2, 0, 1).expect("routed");
+    assert_eq!(max_attempts(LOOK, SMALL, NAMED_CUSTOMER), Some(1));
+    assert_eq!(max_attempts(LOOK, LARGE, NAMED_CUSTOMER), Some(1), "under any plan");
+    assert_eq!(max_attempts(LOOK, SMALL, OTHER_CUSTOMER), Some(3));
+    assert_eq!(max_attempts(LOOK, LARGE, OTHER_CUSTOMER), None, "no route has this plan");
+    assert_eq!(max_attempts(ORDER, LARGE, OTHER_CUSTOMER), Some(1), "by the pattern 'ord*'");
+}
+
+#[test]
+fn a_route_applies_the_limits_of_its_class() {
+    let operator = read_file(VALID_FILE).expect("a valid file");
+    let table = Table::new(&operator.routes, &platform());
+    let limits = table.lookup(HOLD, SMALL, OTHER_CUSTOMER).expect("a route");
     assert_eq!(limits.request_limits, RequestLimits { retry_window: 1.0, ..RequestLimits::default() });
     assert_eq!(limits.timeout, f64::INFINITY);
-    assert_eq!(table.lookup(1, 0, 1).expect("routed").timeout, 1.0);
+    assert_eq!(table.lookup(FIND, SMALL, OTHER_CUSTOMER).expect("a route").timeout, 1.0);
 }
 
-/// The part of the shown text that is about an operation.
-fn shown_limits(operation: &str) -> String {
-    let operator = read_file(GOOD).expect("right");
-    let text = show(&operator, Some(&platform()));
-    let parts: Vec<&str> =
-        text.split("\n\n").filter(|part| part.starts_with(&format!("{operation},"))).collect();
-    assert_eq!(parts.len(), 1, "{operation} is shown once in {text}");
-    // The last part ends with the text, and the others where an empty line follows.
-    format!("{}\n", parts[0].strip_suffix('\n').unwrap_or(parts[0]))
+/// Names are not looked up without a platform; contradictions within the file are reported.
+#[test]
+fn without_a_platform_only_the_file_itself_is_checked() {
+    let unknown_operation =
+        "[[class]]\nname = \"c\"\nattempts = 3\n[[route]]\noperations = [\"any\"]\nclass = \"c\"\n";
+    assert!(read(unknown_operation, None).is_ok());
+    let contradiction = "[[class]]\nname = \"c\"\nattempts = 1\nper_try = 1.0\n";
+    let diagnostics = read(contradiction, None).expect_err("an invalid file");
+    assert_eq!(diagnostics.len(), 1);
+    assert_eq!(diagnostics[0].line, 4);
+    assert_eq!(diagnostics[0].key, "class[0].per_try");
 }
 
 #[test]
-fn the_shown_text_has_the_sections_and_then_each_operation() {
-    let operator = read_file(GOOD).expect("right");
-    let text = show(&operator, Some(&platform()));
-    let (sections, operations) = text.split_once("\n\n").expect("operations follow");
-    expect![[r#"
-        admission: off
-        log: Json, levels warn, quillramp_gateway::memory debug
-        membership on the counter: off
-        callers: need not be known
-        broker: off"#]]
-    .assert_eq(sections);
-    assert!(operations.ends_with('\n') && !operations.ends_with("\n\n"), "{operations}");
-    let names: Vec<&str> =
-        operations.split("\n\n").map(|part| part.split(',').next().expect("a name")).collect();
-    assert_eq!(names, ["look", "find", "hold", "note", "order"]);
+fn routes_for_a_thousand_customers_are_accepted() {
+    const CUSTOMERS: u64 = 1000;
+    let operator = read_file(&file_with_customers(CUSTOMERS)).expect("a valid file");
+    let table = Table::new(&operator.routes, &platform());
+    for customer in 0..CUSTOMERS {
+        assert!(table.lookup(LOOK, LARGE, customer).is_some(), "customer {customer}");
+    }
+    assert!(table.lookup(LOOK, LARGE, CUSTOMERS).is_none());
 }
 
-#[test]
-fn limits_by_customer_and_by_plan_are_shown_with_their_sources() {
-    expect![[r#"
-        look, idempotent
-          all plans, customer 00000000b4d65521: class 'one try' (route on line 25)
-            attempts 1 (line 18)
-            second copies yes (configuration)
-            latency objective 0.4 s (configuration)
-            integration timeout 1.5 s (configuration)
-          small, all customers: class 'look-ups' (route on line 30)
-            attempts 3 (line 11)
-            second copies yes (configuration)
-            per try 0.3 s (line 12)
-            latency objective 0.3 s (line 13)
-            integration timeout 1 s (line 14)
-          all else: as configured
-            attempts 5 (configuration)
-            second copies yes (configuration)
-            latency objective 0.4 s (configuration)
-            integration timeout 1.5 s (configuration)
-    "#]]
-    .assert_eq(&shown_limits("look"));
+/// A file with a route for each of this number of customers.
+fn file_with_customers(customers: u64) -> String {
+    let mut text = String::from("[[class]]\nname = \"c\"\nattempts = 1\n");
+    for customer in 0..customers {
+        text += "[[route]]\noperations = [\"look\"]\n";
+        text += &format!("customers = [\"{customer:016x}\"]\nclass = \"c\"\n");
+    }
+    text
 }
 
 #[test]
-fn limits_by_a_pattern_of_operations_are_shown_with_their_sources() {
-    expect![[r#"
-        find, idempotent
-          small, all customers: class 'look-ups' (route on line 30)
-            attempts 3 (line 11)
-            second copies yes (configuration)
-            per try 0.3 s (line 12)
-            latency objective 0.3 s (line 13)
-            integration timeout 1 s (line 14)
-          all else: as configured
-            attempts 5 (configuration)
-            second copies yes (configuration)
-            latency objective 0.4 s (configuration)
-            integration timeout 1.5 s (configuration)
-    "#]]
-    .assert_eq(&shown_limits("find"));
+fn files_up_to_the_size_limit_are_accepted() {
+    let mut text = file_with_customers(1000);
+    text += &"#".repeat(MAX_FILE_BYTES - text.len());
+    assert!(read_file(&text).is_ok());
+    text += "#";
+    let error = format!("line 1: the file has {} bytes, {MAX_FILE_BYTES} at the most\n", MAX_FILE_BYTES + 1);
+    assert_eq!(read_file(&text), Err(error));
 }
 
-#[test]
-fn limits_of_a_keyed_operation_are_shown_with_their_group() {
-    expect![[r#"
-        hold, tokened, in group 'cell' for 1.5 s
-          all plans, all customers: class 'held' (route on line 35)
-            attempts 5 (configuration)
-            second copies no (configuration)
-            latency objective 0.6 s (configuration)
-            integration timeout 2 s (configuration)
-            repeats within 1 s (line 22)
-          all else: as configured
-            attempts 5 (configuration)
-            second copies no (configuration)
-            latency objective 0.6 s (configuration)
-            integration timeout 2 s (configuration)
-    "#]]
-    .assert_eq(&shown_limits("hold"));
+/// The line of a class with this key, if it has one.
+fn optional_line(key: &'static str, value: impl Strategy<Value = String> + 'static) -> BoxedStrategy<String> {
+    let line = move |value: Option<String>| value.map_or(String::new(), |value| format!("{key} = {value}\n"));
+    proptest::option::of(value).prop_map(line).boxed()
 }
 
-#[test]
-fn an_operation_without_a_route_is_shown_as_configured() {
-    expect![[r#"
-        note, tokened, in group 'all' for 1.5 s
-          all else: as configured
-            attempts 5 (configuration)
-            second copies no (configuration)
-            latency objective 0.6 s (configuration)
-            integration timeout 2 s (configuration)
-    "#]]
-    .assert_eq(&shown_limits("note"));
+fn seconds() -> impl Strategy<Value = String> {
+    prop_oneof![0.01f64..0.6, 0.01f64..4.0].prop_map(|seconds| format!("{seconds:.3}"))
 }
 
-#[test]
-fn a_non_idempotent_operation_is_shown_without_second_copies() {
-    expect![[r#"
-        order, non-idempotent
-          all plans, all customers: class 'one try' (route on line 39)
-            attempts 1 (line 18)
-            second copies no (configuration)
-            latency objective 1 s (configuration)
-            integration timeout 3 s (configuration)
-          all else: as configured
-            attempts 5 (configuration)
-            second copies no (configuration)
-            latency objective 1 s (configuration)
-            integration timeout 3 s (configuration)
-    "#]]
-    .assert_eq(&shown_limits("order"));
+fn backend_group() -> impl Strategy<Value = String> {
+    prop_oneof![Just("all"), Just("zone"), Just("cell")].prop_map(|group| format!("\"{group}\""))
 }
 
-#[test]
-fn without_a_platform_only_the_sections_are_shown() {
-    let operator = read_file(GOOD).expect("right");
-    expect![[r#"
-        admission: off
-        log: Json, levels warn, quillramp_gateway::memory debug
-        membership on the counter: off
-        callers: need not be known
-        broker: off
-        limits: 3 classes, 4 routes; name a configuration to see what holds
-    "#]]
-    .assert_eq(&show(&operator, None));
+/// The lines of a class below its name.
+fn class_lines() -> impl Strategy<Value = String> {
+    let lines = vec![
+        optional_line("attempts", (1usize..8).prop_map(|attempts| attempts.to_string())),
+        optional_line("second_copies", any::<bool>().prop_map(|allowed| allowed.to_string())),
+        optional_line("per_try", seconds()),
+        optional_line("objective", seconds()),
+        optional_line("timeout", seconds()),
+        optional_line("repeat_within", seconds()),
+        optional_line("repeat_group", backend_group()),
+    ];
+    lines.prop_map(|lines| lines.concat())
 }
 
-/// Names are not looked up without a platform; contradictions within the file are reported.
-#[test]
-fn without_a_platform_only_the_file_itself_is_checked() {
-    assert!(read(
-        "[[class]]\nname = \"c\"\nattempts = 3\n[[route]]\noperations = [\"any\"]\nclass = \"c\"\n",
-        None
-    )
-    .is_ok());
-    let diagnostics =
-        read("[[class]]\nname = \"c\"\nattempts = 1\nper_try = 1.0\n", None).expect_err("wrong");
-    assert_eq!(
-        (diagnostics.len(), diagnostics[0].line, diagnostics[0].key.as_str()),
-        (1, 4, "class[0].per_try")
-    );
+/// A route of a generated file.
+#[derive(Clone, Debug)]
+struct RouteChoice {
+    /// The index of its operation; `None` if it is for all operations.
+    operation: Option<usize>,
+    /// The index of its class, modulo the number of classes.
+    class: usize,
 }
 
-#[test]
-fn files_up_to_the_size_limit_are_accepted() {
-    let mut text = String::from("[[class]]\nname = \"c\"\nattempts = 1\n");
-    for i in 0..1000 {
-        let _ =
-            write!(text, "[[route]]\noperations = [\"look\"]\ncustomers = [\"{i:016x}\"]\nclass = \"c\"\n");
+fn route_choice() -> impl Strategy<Value = RouteChoice> {
+    let operation = prop_oneof![Just(None), (0usize..5).prop_map(Some)];
+    (operation, 0usize..4).prop_map(|(operation, class)| RouteChoice { operation, class })
+}
+
+/// The file with these classes and routes.
+fn generated_file(classes: &[String], routes: &[RouteChoice], platform: &Platform) -> String {
+    let mut text = String::new();
+    for (index, lines) in classes.iter().enumerate() {
+        text += &format!("[[class]]\nname = \"c{index}\"\n{lines}\n");
     }
-    let operator = read_file(&text).expect("right");
-    let table = Table::new(&operator.routes, &platform());
-    assert!((0..1000).all(|i| table.lookup(0, 1, i).is_some()) && table.lookup(0, 1, 1000).is_none());
-    let filled = text.clone() + &"#".repeat(MAX_FILE_BYTES - text.len());
-    assert!(read_file(&filled).is_ok());
-    assert_eq!(
-        read_file(&(filled + "#")),
-        Err(format!("line 1: the file has {} bytes, {MAX_FILE_BYTES} at the most\n", MAX_FILE_BYTES + 1))
-    );
+    for RouteChoice { operation, class } in routes {
+        text += "[[route]]\n";
+        if let Some(operation) = operation {
+            text += &format!("operations = [\"{}\"]\n", platform.operations[*operation].name);
+        }
+        text += &format!("class = \"c{}\"\n", class % classes.len());
+    }
+    text
+}
+
+/// Whether a declared limit is left open or at most this one.
+fn is_open_or_at_most(declared: f64, limit: f64) -> bool {
+    declared.is_infinite() || declared <= limit
 }
 
-fn class_section() -> impl Strategy<Value = String> {
-    let time = || proptest::option::of(prop_oneof![0.01f64..0.6, 0.01f64..4.0]);
-    let group = proptest::option::of(prop_oneof![Just("all"), Just("zone"), Just("cell")]);
-    (
-        proptest::option::of(1usize..8),
-        proptest::option::of(any::<bool>()),
-        time(),
-        time(),
-        time(),
-        time(),
-        group,
-    )
-        .prop_map(|(attempts, copies, per_try, objective, timeout, within, group)| {
-            let mut text = String::new();
-            let mut line = |name: &str, value: Option<String>| {
-                if let Some(value) = value {
-                    let _ = writeln!(text, "{name} = {value}");
-                }
-            };
-            line("attempts", attempts.map(|a| a.to_string()));
-            line("second_copies", copies.map(|c| c.to_string()));
-            line("per_try", per_try.map(|t| format!("{t:.3}")));
-            line("objective", objective.map(|t| format!("{t:.3}")));
-            line("timeout", timeout.map(|t| format!("{t:.3}")));
-            line("repeat_within", within.map(|t| format!("{t:.3}")));
-            line("repeat_group", group.map(|g| format!("\"{g}\"")));
-            text
-        })
+/// Checks that declared limits are no wider than the configuration's for this operation.
+fn check_limits(
+    limits: &EffectiveLimits,
+    operation: &Operation,
+    platform: &Platform,
+) -> Result<(), TestCaseError> {
+    let declared = limits.request_limits;
+    let has_open_attempts = declared.max_attempts == usize::MAX;
+    let timeout = limits.timeout.min(operation.timeout);
+    prop_assert!(is_open_or_at_most(limits.timeout, operation.timeout));
+    prop_assert!(is_open_or_at_most(declared.latency_objective, operation.latency_objective));
+    prop_assert!(is_open_or_at_most(declared.latency_objective, timeout));
+    prop_assert!(has_open_attempts || declared.max_attempts <= platform.max_attempts);
+    if declared.attempt_timeout.is_finite() {
+        let max_attempts = declared.max_attempts.min(platform.max_attempts);
+        prop_assert_eq!(operation.idempotency, Idempotency::Idempotent);
+        prop_assert!(declared.attempt_timeout < timeout || max_attempts == 1);
+        let longest = declared.attempt_timeout * declared.max_attempts as f64;
+        prop_assert!(has_open_attempts || longest <= timeout);
+    }
+    match operation.idempotency {
+        Idempotency::NonIdempotent => {
+            prop_assert!(
+                has_open_attempts || declared.max_attempts == 1,
+                "{} attempts declared",
+                declared.max_attempts
+            );
+            prop_assert!(declared.retry_window.is_infinite());
+        }
+        Idempotency::Keyed { window, .. } => {
+            prop_assert!(is_open_or_at_most(declared.retry_window, window));
+        }
+        Idempotency::Idempotent => {}
+    }
+    Ok(())
 }
 
 proptest! {
@@ -389,41 +299,16 @@
     /// the client's timeout, and no limit wider than the configuration.
     #[test]
     fn accepted_files_never_widen_a_limit(
-        classes in proptest::collection::vec(class_section(), 1..4),
-        routes in proptest::collection::vec((0usize..5, 0usize..4, any::<bool>()), 0..5),
+        classes in proptest::collection::vec(class_lines(), 1..4),
+        routes in proptest::collection::vec(route_choice(), 0..5),
     ) {
         let platform = platform();
-        let mut text = String::new();
-        for (i, class) in classes.iter().enumerate() {
-            let _ = write!(text, "[[class]]\nname = \"c{i}\"\n{class}\n");
-        }
-        for (operation, class, matches_all) in &routes {
-            let wanted = if *matches_all { String::new() } else { format!("operations = [\"{}\"]\n", platform.operations[*operation].name) };
-            let _ = write!(text, "[[route]]\n{wanted}class = \"c{}\"\n", class % classes.len());
-        }
+        let text = generated_file(&classes, &routes, &platform);
         let Ok(operator) = read(&text, Some(&platform)) else { return Ok(()) };
         let table = Table::new(&operator.routes, &platform);
         for (index, operation) in platform.operations.iter().enumerate() {
-            let Some(limits) = table.lookup(index, 0, 1) else { continue };
-            let declared = limits.request_limits;
-            let timeout = limits.timeout.min(operation.timeout);
-            prop_assert!(limits.timeout.is_infinite() || limits.timeout <= operation.timeout);
-            prop_assert!(declared.latency_objective.is_infinite() || declared.latency_objective <= operation.latency_objective && declared.latency_objective <= timeout);
-            prop_assert!(declared.max_attempts == usize::MAX || declared.max_attempts <= platform.max_attempts);
-            if declared.attempt_timeout.is_finite() {
-                prop_assert_eq!(operation.idempotency, Idempotency::Idempotent);
-                prop_assert!(declared.attempt_timeout < timeout || declared.max_attempts.min(platform.max_attempts) == 1);
-                prop_assert!(declared.max_attempts == usize::MAX || declared.attempt_timeout * declared.max_attempts as f64 <= timeout);
-            }
-            match operation.idempotency {
-                Idempotency::NonIdempotent => {
-                    prop_assert!(declared.max_attempts == 1 || declared.max_attempts == usize::MAX, "{} attempts declared", declared.max_attempts);
-                    prop_assert!(declared.retry_window.is_infinite());
-                }
-                Idempotency::Keyed { window, .. } => {
-                    prop_assert!(declared.retry_window.is_infinite() || declared.retry_window <= window);
-                }
-                Idempotency::Idempotent => {}
+            if let Some(limits) = table.lookup(index, SMALL, OTHER_CUSTOMER) {
+                check_limits(&limits, operation, &platform)?;
             }
         }
     }
