--- a/identity/tests/help/mod.rs
+++ b/identity/tests/help/mod.rs
@@ -1,12 +1,19 @@
-//! An issuer of tokens, for tests.
+//! An issuer of tokens, for the tests of this crate and of the gateway. Each uses a part of it.
 #![allow(dead_code)]
-use base64::engine::general_purpose::URL_SAFE_NO_PAD as B64;
+use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use quillramp_identity::{Key, SignatureAlgorithm};
 use ring::rand::SystemRandom;
 use ring::signature::{EcdsaKeyPair, Ed25519KeyPair, KeyPair as _, ECDSA_P256_SHA256_FIXED_SIGNING};
 use serde_json::{json, Value};
 
+/// Length of each coordinate of a P-256 public key.
+const P256_COORDINATE_BYTES: usize = 32;
+
+fn base64url(bytes: impl AsRef<[u8]>) -> String {
+    URL_SAFE_NO_PAD.encode(bytes)
+}
+
 pub enum KeyPair {
     Ed25519(Ed25519KeyPair),
     P256(EcdsaKeyPair),
@@ -38,32 +45,43 @@
         }
     }
 
+    /// The public key.
     pub fn key(&self) -> Key {
-        let (algorithm, x, y) = match &self.pair {
-            KeyPair::Ed25519(pair) => {
-                (SignatureAlgorithm::EdDsa, B64.encode(pair.public_key()), String::new())
-            }
+        let (x, y) = match &self.pair {
+            KeyPair::Ed25519(pair) => (base64url(pair.public_key()), String::new()),
             KeyPair::P256(pair) => {
-                let point = pair.public_key().as_ref();
-                (SignatureAlgorithm::Es256, B64.encode(&point[1..33]), B64.encode(&point[33..65]))
+                // An uncompressed point: the byte 4, then both coordinates.
+                let (x, y) = pair.public_key().as_ref()[1..].split_at(P256_COORDINATE_BYTES);
+                (base64url(x), base64url(y))
             }
         };
+        let algorithm = match self.pair {
+            KeyPair::Ed25519(_) => SignatureAlgorithm::EdDsa,
+            KeyPair::P256(_) => SignatureAlgorithm::Es256,
+        };
         Key { id: self.id.clone(), algorithm, x, y, valid_from: 0.0, valid_until: f64::INFINITY }
     }
 
+    /// A token with this header, whether or not it fits the key.
     pub fn sign(&self, header: Value, claims: &Value) -> String {
-        let text = format!("{}.{}", B64.encode(header.to_string()), B64.encode(claims.to_string()));
+        let header = base64url(header.to_string());
+        let claims = base64url(claims.to_string());
+        let text = format!("{header}.{claims}");
         let signature = match &self.pair {
             KeyPair::Ed25519(pair) => pair.sign(text.as_bytes()).as_ref().to_vec(),
             KeyPair::P256(pair) => {
                 pair.sign(&SystemRandom::new(), text.as_bytes()).expect("signed").as_ref().to_vec()
             }
         };
-        format!("{text}.{}", B64.encode(signature))
+        format!("{text}.{}", base64url(signature))
     }
 
+    /// A token with the header that fits the key.
     pub fn token(&self, claims: &Value) -> String {
-        let algorithm = if matches!(self.pair, KeyPair::Ed25519(_)) { "EdDSA" } else { "ES256" };
+        let algorithm = match self.pair {
+            KeyPair::Ed25519(_) => "EdDSA",
+            KeyPair::P256(_) => "ES256",
+        };
         self.sign(json!({"alg": algorithm, "typ": "JWT", "kid": self.id}), claims)
     }
 }
