--- a/presence/tests/membership.rs
+++ b/presence/tests/membership.rs
@@ -1,63 +1,128 @@
 //! Memberships on counters that are healthy, partitioned, reset and unreachable.
 use proptest::prelude::*;
-use quillramp_presence::{Count, Membership};
+use quillramp_presence::{Count, CounterCall, Membership};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Unix time at which each fleet starts, seconds.
+const START: f64 = 1000.0;
+/// Seconds between two heartbeats of an instance.
+const INTERVAL: f64 = 1.0;
+/// Seconds between two looks at the calls that are due.
+const STEP: f64 = 0.05;
+
+/// No instances.
+const NONE: [usize; 0] = [];
+
+/// One of the two counters, which have a common history until they are partitioned.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Counter {
+    First,
+    Second,
+}
+
+const COUNTERS: [Counter; 2] = [Counter::First, Counter::Second];
+
 /// Gateway instances, each with the counter that it reaches, if it reaches one.
 struct Fleet {
     memberships: Vec<Membership>,
-    counters: Vec<BTreeMap<Count, f64>>,
-    /// The counter that each instance reaches.
-    reach: Vec<Option<usize>>,
+    /// Totals on each counter.
+    totals: [BTreeMap<Count, f64>; 2],
+    reached: Vec<Option<Counter>>,
     now: f64,
+    /// Calls to the counters so far.
     calls: usize,
 }
 
 impl Fleet {
     fn new(instances: usize) -> Fleet {
-        let mut memberships: Vec<Membership> =
-            (0..instances).map(|instance| Membership::new(instances, instance, 1.0)).collect();
-        memberships.iter_mut().for_each(|membership| membership.watch(1000.0, 0, instances));
+        let membership = |instance| {
+            let mut membership = Membership::new(instances, instance, INTERVAL);
+            membership.watch(START, 0, instances);
+            membership
+        };
         Fleet {
-            memberships,
-            counters: vec![BTreeMap::new(); 2],
-            reach: vec![Some(0); instances],
-            now: 1000.0,
+            memberships: (0..instances).map(membership).collect(),
+            totals: Default::default(),
+            reached: vec![Some(Counter::First); instances],
+            now: START,
             calls: 0,
         }
     }
 
-    fn run_until(&mut self, now: f64) -> &mut Fleet {
-        while self.now < now {
-            for (instance, membership) in self.memberships.iter_mut().enumerate() {
-                membership.watch(self.now, 0, self.reach.len());
-                for call in membership.due_calls(self.now) {
-                    self.calls += 1;
-                    let total = self.reach[instance].map(|counter| {
-                        let total = self.counters[counter].entry(call.count).or_default();
-                        *total += call.amount;
-                        *total
-                    });
-                    membership.call_answered(self.now, call.count, total);
-                }
+    fn instances(&self) -> usize {
+        self.memberships.len()
+    }
+
+    fn run_until(&mut self, end: f64) {
+        while self.now < end {
+            for instance in 0..self.instances() {
+                self.make_due_calls(instance);
             }
-            self.now += 0.05;
+            self.now += STEP;
         }
-        self
     }
 
+    fn make_due_calls(&mut self, instance: usize) {
+        let instances = self.instances();
+        let membership = &mut self.memberships[instance];
+        membership.watch(self.now, 0, instances);
+        for call in membership.due_calls(self.now) {
+            self.calls += 1;
+            let total = self.reached[instance].map(|counter| add(&mut self.totals[counter as usize], &call));
+            membership.call_answered(self.now, call.count, total);
+        }
+    }
+
+    /// The instances that this one takes for absent.
     fn absent(&self, instance: usize) -> Vec<usize> {
         self.memberships[instance].absent(self.now).into_iter().collect()
     }
+
+    /// The instances that any of these takes for absent.
+    fn absent_for_any(&self, viewers: impl IntoIterator<Item = usize>) -> Vec<usize> {
+        viewers.into_iter().flat_map(|instance| self.absent(instance)).collect()
+    }
+
+    /// The fraction of the range's instances that are present as this one sees it.
+    fn present_fraction(&self, instance: usize, range: InstanceRange) -> f64 {
+        self.memberships[instance].present_fraction(self.now, range.first, range.count)
+    }
+
+    /// The instances that reach this counter, or none.
+    fn side(&self, counter: Option<Counter>) -> Vec<usize> {
+        (0..self.instances()).filter(|instance| self.reached[*instance] == counter).collect()
+    }
+
+    /// Whether an instance is in the range.
+    fn is_in_range(&self, instance: usize, range: InstanceRange) -> bool {
+        let instances = self.instances();
+        (instance + instances - range.first) % instances < range.count
+    }
+}
+
+/// Carries out a call on a counter; returns the new total.
+fn add(totals: &mut BTreeMap<Count, f64>, call: &CounterCall) -> f64 {
+    let total = totals.entry(call.count).or_default();
+    *total += call.amount;
+    *total
+}
+
+/// Consecutive instances, which may wrap around.
+#[derive(Clone, Copy, Debug)]
+struct InstanceRange {
+    first: usize,
+    count: usize,
 }
 
 #[test]
 fn all_are_present_while_all_call() {
     let mut fleet = Fleet::new(14);
-    fleet.run_until(1010.0);
-    assert!((0..14).all(|instance| fleet.absent(instance).is_empty()));
-    assert_eq!(fleet.memberships[3].present_fraction(fleet.now, 12, 4), 1.0);
-    assert!(fleet.memberships.iter().all(|membership| membership.lost_heartbeats == 0));
+    fleet.run_until(START + 10.0);
+    assert_eq!(fleet.absent_for_any(0..14), NONE);
+    assert_eq!(fleet.present_fraction(3, InstanceRange { first: 12, count: 4 }), 1.0);
+    for membership in &fleet.memberships {
+        assert_eq!(membership.lost_heartbeats, 0);
+    }
     // One heartbeat and three readings per interval and instance.
     assert_eq!(fleet.calls, 14 * 4 * 10);
 }
@@ -65,74 +130,93 @@
 #[test]
 fn a_partitioned_counter_shows_each_side_its_members() {
     let mut fleet = Fleet::new(14);
-    fleet.run_until(1005.0);
-    fleet.counters[1] = fleet.counters[0].clone();
-    fleet.reach = (0..14).map(|instance| Some(instance % 2)).collect();
-    fleet.run_until(1008.5);
-    assert_eq!(fleet.absent(0), vec![1, 3, 5, 7, 9, 11, 13]);
-    assert_eq!(fleet.absent(13), vec![0, 2, 4, 6, 8, 10, 12]);
+    fleet.run_until(START + 5.0);
+    fleet.totals[1] = fleet.totals[0].clone();
+    fleet.reached = (0..14).map(|instance| Some(COUNTERS[instance % 2])).collect();
+    fleet.run_until(START + 8.5);
+    assert_eq!(fleet.absent(0), [1, 3, 5, 7, 9, 11, 13]);
+    assert_eq!(fleet.absent(13), [0, 2, 4, 6, 8, 10, 12]);
     // The present fractions of both sides add up to one for any range of instances.
-    for (first, number) in [(0, 4), (3, 3), (12, 5)] {
-        let fractions: f64 = [0, 13]
-            .iter()
-            .map(|instance| fleet.memberships[*instance].present_fraction(fleet.now, first, number))
-            .sum();
-        assert!((fractions - 1.0).abs() < 1e-9, "{first} {number}: {fractions}");
+    for (first, count) in [(0, 4), (3, 3), (12, 5)] {
+        let range = InstanceRange { first, count };
+        let sum = fleet.present_fraction(0, range) + fleet.present_fraction(13, range);
+        assert!((sum - 1.0).abs() < 1e-9, "{range:?}: {sum}");
     }
-    fleet.reach = vec![Some(0); 14];
-    fleet.run_until(1012.0);
-    assert!((0..14).all(|instance| fleet.absent(instance).is_empty()));
+    fleet.reached = vec![Some(Counter::First); 14];
+    fleet.run_until(START + 12.0);
+    assert_eq!(fleet.absent_for_any(0..14), NONE);
 }
 
 #[test]
 fn two_lost_calls_make_an_instance_absent_and_one_does_not() {
     let mut fleet = Fleet::new(4);
-    fleet.run_until(1005.0);
-    fleet.reach[2] = None;
-    fleet.run_until(1006.0);
-    fleet.reach[2] = Some(0);
-    fleet.run_until(1007.9);
-    assert!(fleet.absent(0).is_empty());
-    fleet.reach[2] = None;
-    fleet.run_until(1011.0);
-    assert_eq!(fleet.absent(0), vec![2]);
+    fleet.run_until(START + 5.0);
+    fleet.reached[2] = None;
+    fleet.run_until(START + 6.0);
+    fleet.reached[2] = Some(Counter::First);
+    fleet.run_until(START + 7.9);
+    assert_eq!(fleet.absent(0), NONE);
+    fleet.reached[2] = None;
+    fleet.run_until(START + 11.0);
+    assert_eq!(fleet.absent(0), [2]);
     // The unreachable instance has no recent reading, so it takes no other for absent.
-    assert!(fleet.absent(2).is_empty());
+    assert_eq!(fleet.absent(2), NONE);
 }
 
 #[test]
-fn a_reset_counter_is_detected_and_makes_nobody_absent() {
+fn a_reset_counter_is_detected_and_makes_no_instance_absent() {
     let mut fleet = Fleet::new(4);
-    fleet.run_until(1005.8);
-    fleet.counters[0].clear();
-    fleet.run_until(1007.5);
+    fleet.run_until(START + 5.8);
+    fleet.totals[0].clear();
+    fleet.run_until(START + 7.5);
     assert!(fleet.memberships.iter().any(|membership| membership.lost_heartbeats > 0));
-    assert!((0..4).all(|instance| fleet.absent(instance).is_empty()));
+    assert_eq!(fleet.absent_for_any(0..4), NONE);
 }
 
 #[test]
 fn repeated_heartbeats_of_a_restarted_instance_count_once() {
     let mut fleet = Fleet::new(4);
-    fleet.run_until(1005.0);
-    for i in 0..8 {
-        fleet.memberships[0] = Membership::new(4, 0, 1.0);
-        fleet.run_until(1005.0 + 0.1 * f64::from(i));
+    fleet.run_until(START + 5.0);
+    for restart in 0..8 {
+        fleet.memberships[0] = Membership::new(4, 0, INTERVAL);
+        fleet.run_until(START + 5.0 + 0.1 * f64::from(restart));
     }
-    fleet.run_until(1009.0);
-    assert!((1..4).all(|instance| fleet.absent(instance).is_empty()));
+    fleet.run_until(START + 9.0);
+    assert_eq!(fleet.absent_for_any(1..4), NONE);
 }
 
 #[test]
-fn groups_that_nobody_watches_are_dropped() {
-    let mut membership = Membership::new(300, 7, 1.0);
-    membership.watch(1000.0, 290, 20);
-    let groups = |membership: &mut Membership, now: f64| {
-        membership.due_calls(now).into_iter().map(|call| call.count.group).collect::<BTreeSet<_>>()
+fn groups_that_nobody_watches_are_no_longer_read() {
+    let mut membership = Membership::new(300, 7, INTERVAL);
+    membership.watch(START, 290, 20);
+    let called_groups = |membership: &mut Membership, now: f64| -> BTreeSet<_> {
+        membership.due_calls(now).into_iter().map(|call| call.count.group).collect()
     };
-    assert_eq!(groups(&mut membership, 1000.9), BTreeSet::from([0, 1, 48, 49]));
-    assert_eq!(groups(&mut membership, 1040.9), BTreeSet::from([1]));
-    let due = membership.next_call(1040.9);
-    assert!(due > 1040.9 && due <= 1042.0, "{due}");
+    assert_eq!(called_groups(&mut membership, START + 0.9), BTreeSet::from([0, 1, 48, 49]));
+    let now = START + 40.9;
+    assert_eq!(called_groups(&mut membership, now), BTreeSet::from([1]));
+    let due = membership.next_call(now);
+    assert!(due > now, "{due}");
+    assert!(due <= START + 42.0, "{due}");
+}
+
+/// A change of the counters that the instances reach.
+#[derive(Clone, Debug)]
+struct ReachChange {
+    /// Seconds since the change before.
+    after: f64,
+    /// What each instance reaches from then on; a fleet of fewer instances uses the first ones.
+    reached: Vec<Option<Counter>>,
+}
+
+fn reach_change() -> impl Strategy<Value = ReachChange> {
+    let reached = prop_oneof![Just(Some(Counter::First)), Just(Some(Counter::Second)), Just(None)];
+    let fields = (0.0f64..3.0, proptest::collection::vec(reached, 20));
+    fields.prop_map(|(after, reached)| ReachChange { after, reached })
+}
+
+fn instance_range() -> impl Strategy<Value = InstanceRange> {
+    (0usize..20, 1usize..8).prop_map(|(first, count)| InstanceRange { first, count })
 }
 
 proptest! {
@@ -141,35 +225,31 @@
     /// For arbitrary changes of reachability: soon after the last one, each instance that reaches a counter finds exactly those
     /// absent that don't reach it, and the fractions of all sides, the unreachable one included, add up to at most one.
     #[test]
-    fn the_fractions_of_all_sides_add_up_to_one(
+    fn the_fractions_of_all_sides_add_up_to_at_most_one(
         instances in 2usize..20,
-        changes in proptest::collection::vec((0.0f64..3.0, proptest::collection::vec(0u8..3, 20)), 1..6),
-        (first, number) in (0usize..20, 1usize..8),
+        changes in proptest::collection::vec(reach_change(), 1..6),
+        range in instance_range(),
     ) {
         let mut fleet = Fleet::new(instances);
-        for (after, reach) in &changes {
+        for ReachChange { after, reached } in &changes {
             fleet.run_until(fleet.now + after);
-            fleet.reach = (0..instances).map(|instance| [Some(0), Some(1), None][reach[instance] as usize]).collect();
+            fleet.reached = reached[..instances].to_vec();
         }
         fleet.run_until(fleet.now + 4.2);
-        let first = first % instances;
-        let number = number.min(instances);
-        let side_of = |counter: Option<usize>| {
-            (0..instances).filter(|instance| fleet.reach[*instance] == counter).collect::<Vec<_>>()
+        let range = InstanceRange { first: range.first % instances, count: range.count.min(instances) };
+        let side_in_range = |counter: Option<Counter>| -> Vec<usize> {
+            let side = fleet.side(counter).into_iter();
+            side.filter(|instance| fleet.is_in_range(*instance, range)).collect()
         };
-        for side in [Some(0), Some(1)] {
-            for instance in side_of(side) {
-                let others: Vec<usize> = (0..instances).filter(|other| fleet.reach[*other] != side).collect();
-                prop_assert_eq!(fleet.absent(instance), others);
+        let mut sum = side_in_range(None).len() as f64 / range.count as f64;
+        for counter in COUNTERS.map(Some) {
+            for instance in fleet.side(counter) {
+                let others = (0..instances).filter(|other| fleet.reached[*other] != counter);
+                prop_assert_eq!(fleet.absent(instance), others.collect::<Vec<usize>>());
             }
+            let first_member = side_in_range(counter).first().copied();
+            sum += first_member.map_or(0.0, |instance| fleet.present_fraction(instance, range));
         }
-        let is_in_range = |instance: usize| (instance + instances - first) % instances < number;
-        let mut total = side_of(None).into_iter().filter(|instance| is_in_range(*instance)).count() as f64 / number as f64;
-        for side in [Some(0), Some(1)] {
-            let members: Vec<usize> =
-                side_of(side).into_iter().filter(|instance| is_in_range(*instance)).collect();
-            total += members.first().map_or(0.0, |instance| fleet.memberships[*instance].present_fraction(fleet.now, first, number));
-        }
-        prop_assert!(total <= 1.0 + 1e-9, "{}", total);
+        prop_assert!(sum <= 1.0 + 1e-9, "{}", sum);
     }
 }
