--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -4,7 +4,7 @@
 //! else was examined.
 use nix::sys::signal::Signal;
 use std::io::{BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
@@ -64,6 +64,12 @@
     client.write_all(request(operation, timeout_ms).as_bytes()).expect("the gateway reads");
 }
 
+/// Ends a connection at this moment. Dropping it may take until a process that another test is just starting has reached its exec:
+/// until then, that process has a copy of the descriptor.
+fn close_now(connection: &TcpStream) {
+    connection.shutdown(Shutdown::Both).expect("an open connection");
+}
+
 // ======== shutdown
 
 /// Guards: the process exited 0.5 s after the longest timeout of a client, and after 3 s at the least. The kill comes 0.7 s
@@ -201,7 +207,7 @@
     send_request(&mut client, "order", 2900);
     backend.wait_for_connection_attempt();
     gateway.pause();
-    drop(backend.accept_pending());
+    close_now(&backend.accept_pending());
     example_servers::start_backend(backend.listener, "a");
     gateway.resume();
     assert_eq!(read_reply(&client), ORDER_REPLY);
@@ -218,7 +224,7 @@
     backend.wait_for_connection_attempt();
     gateway.pause();
     let mut connection = backend.accept_pending();
-    drop(client);
+    close_now(&client);
     gateway.resume();
     let mut received = vec![];
     connection.read_to_end(&mut received).expect("an end, not a reset");
@@ -238,7 +244,7 @@
     assert!(items.expect("a command").is_some());
     gateway.pause();
     connection.write_all(b"-BUSY\r\n").expect("an open connection");
-    drop(connection);
+    close_now(&connection);
     example_servers::start_backend(backend, "a");
     gateway.resume();
     assert_eq!(read_reply(&client), ORDER_REPLY);
--- a/lease/tests/sockets/main.rs
+++ b/lease/tests/sockets/main.rs
@@ -8,17 +8,26 @@
 use shard_process::{ShardProcess, PROGRAM};
 use socket_client::SocketClient;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::Command;
+use std::sync::atomic::{AtomicU8, Ordering};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 /// Longest time that a test waits for a response.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
+/// The port of each shard, on an address of its own.
+const SHARD_PORT: u16 = 7101;
+
+/// An address that no other test uses, for a shard that is started later. A port that was bound to find it, and released, might be
+/// taken by then, or still be open in a process that another test is just starting.
+fn unique_address() -> SocketAddr {
+    static NEXT: AtomicU8 = AtomicU8::new(1);
+    let [_, _, high, low] = std::process::id().to_be_bytes();
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    SocketAddr::from(([127, high | 128, low, number], SHARD_PORT))
 }
 
 /// A map with one shard and a plan of this rate with a burst of 50 units.
@@ -46,7 +55,7 @@
 #[test]
 fn a_shard_grants_and_its_replacement_starts_empty() {
     const RATE: f64 = 25.0;
-    let address = free_address();
+    let address = unique_address();
     let text = map_text(1, address, RATE);
     let map = write_map("replaced", &text);
     let shard = ShardProcess::start(address, &map);
@@ -65,7 +74,7 @@
 
 #[test]
 fn requests_fail_while_the_shard_is_down_and_later_ones_are_granted() {
-    let address = free_address();
+    let address = unique_address();
     let text = map_text(1, address, 100.0);
     let map = write_map("down", &text);
     let shard = ShardProcess::start(address, &map);
@@ -90,7 +99,7 @@
 
 #[test]
 fn a_batch_retransmitted_on_a_new_connection_gets_the_same_response() {
-    let address = free_address();
+    let address = unique_address();
     let map = write_map("retransmitted", &map_text(1, address, 0.001));
     let _shard = ShardProcess::start(address, &map);
     let entry = BatchEntry { tenant: 9, plan: 0, spent_hundredths: -2000, requested_hundredths: 700 };
@@ -127,7 +136,7 @@
 
 #[test]
 fn an_invalid_frame_closes_only_its_connection() {
-    let address = free_address();
+    let address = unique_address();
     let text = map_text(1, address, 25.0);
     let map = write_map("invalid-frame", &text);
     let _shard = ShardProcess::start(address, &map);
@@ -149,7 +158,7 @@
 
 #[test]
 fn an_invalid_map_at_startup_is_one_log_line_and_a_failure() {
-    let address = free_address();
+    let address = unique_address();
     let valid = map_text(1, address, 25.0);
     let starts = [
         FailingStart {
@@ -185,7 +194,7 @@
 
 #[test]
 fn a_map_is_reloaded_and_an_invalid_one_is_rejected() {
-    let address = free_address();
+    let address = unique_address();
     let file = write_map("reloaded", &map_text(1, address, 25.0));
     let mut shard = ShardProcess::start(address, &file);
     let reload = |shard: &ShardProcess, map: &str| {
