--- a/emulator/src/gateway_process/effects.rs
+++ b/emulator/src/gateway_process/effects.rs
@@ -63,7 +63,7 @@
     }
 
     fn log(&self, ctx: &mut Context, line: &str) {
-        let line = format!("door {} [{}]: {line}", self.instance, self.index);
+        let line = format!("instance {} [{}]: {line}", self.instance, self.index);
         ctx.trace.record_line(ctx.now, &line);
     }
 
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -95,7 +95,7 @@
             sabotage: self.sabotage,
         };
         let process = GatewayProcess::start(&mut self.ctx, options);
-        self.ctx.trace.record_line(self.ctx.now, &format!("door {instance} [{index}] starts"));
+        self.ctx.trace.record_line(self.ctx.now, &format!("instance {instance} [{index}] starts"));
         self.processes.push(process);
         self.instances[instance].processes.push(index);
     }
@@ -174,7 +174,7 @@
         }
         let instance = self.processes[process].instance;
         let how = if killed { "is killed" } else { "exits" };
-        self.ctx.trace.record_line(self.ctx.now, &format!("door {instance} [{process}] {how}"));
+        self.ctx.trace.record_line(self.ctx.now, &format!("instance {instance} [{process}] {how}"));
         self.processes[process].terminate(&mut self.ctx, killed);
         self.instances[instance].processes.retain(|other| *other != process);
         self.notify_shared_state(instance, None);
--- a/load/src/error.rs
+++ b/load/src/error.rs
@@ -27,7 +27,7 @@
         source: io::Error,
     },
     /// An instance ended before it accepted connections.
-    #[error("a front door of {program} ended at its start: {status}: {last_line}")]
+    #[error("an instance of {program} ended at its start: {status}: {last_line}")]
     EndedAtStart {
         /// The program.
         program: String,
@@ -37,7 +37,7 @@
         last_line: String,
     },
     /// An instance did not accept connections in time.
-    #[error("a front door of {program} does not accept at {address}")]
+    #[error("an instance of {program} does not accept at {address}")]
     NotAccepting {
         /// The program.
         program: String,
--- a/load/src/experiment/check.rs
+++ b/load/src/experiment/check.rs
@@ -98,14 +98,12 @@
         violations.require(
             traffic.connections > 0 && traffic.connections * instances <= MAX_THREADS,
             format!(
-                "{prefix}traffic.connections: expected 1 or more, {MAX_THREADS} at all front doors at the most"
+                "{prefix}traffic.connections: expected 1 or more, {MAX_THREADS} at all instances at the most"
             ),
         );
         violations.require(
             connections < descriptors,
-            format!(
-                "{prefix}traffic: {connections} connections to a front door of {descriptors} descriptors"
-            ),
+            format!("{prefix}traffic: {connections} connections to an instance of {descriptors} descriptors"),
         );
     }
 
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -346,10 +346,10 @@
                 [[fault]]\nat = 1.0\nkind = \"upgrade\"\ndoor = 0\n\
                 [[fault]]\nat = 3.0\nkind = \"burst\"\nlasts = 1.0\nby = 2.0\n";
     expect![[r#"
-        traffic: 5090 connections to a front door of 1024 descriptors
+        traffic: 5090 connections to an instance of 1024 descriptors
         variant 2: world.doors: expected 1 to 300, found 301
-        variant 2: traffic.connections: expected 1 or more, 12000 at all front doors at the most
-        variant 2: traffic: 5090 connections to a front door of 1024 descriptors
+        variant 2: traffic.connections: expected 1 or more, 12000 at all instances at the most
+        variant 2: traffic: 5090 connections to an instance of 1024 descriptors
         fault 1 (upgrade): only the emulator has this kind
         fault 1 (upgrade): needs world.passed = true
         fault 2 (burst): a closed loop has no rate that could grow
