--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -6,12 +6,6 @@
 use crate::state::{Attempt, Ejection, TimerKind};
 use crate::types::*;
 
-/// Retry tokens that a first attempt earns: retries of what may have run are held to this fraction of first attempts.
-const RETRY_TOKENS_EARNED: f64 = 0.1;
-/// Retry tokens that are saved up at most.
-const MAX_RETRY_TOKENS: f64 = 20.0;
-/// Retry tokens at the start.
-pub(super) const INITIAL_RETRY_TOKENS: f64 = MAX_RETRY_TOKENS / 2.0;
 /// An attempt in flight for so many times the 95th percentile of answer times is doubted, whatever its backend does.
 const OVERDUE_FACTOR: f64 = 3.0;
 /// An attempt that is not doubted yet is looked at again after this fraction of the 95th percentile,
@@ -113,7 +107,7 @@
 
     /// Whether a request with nothing in flight gets no further attempt.
     fn is_exhausted(&self, context: &AttemptContext) -> bool {
-        let retry_unaffordable = context.may_have_run && self.retry_tokens < 1.0;
+        let retry_unaffordable = context.may_have_run && !self.retry_budget.allows_retry();
         let is_spent = context.attempts >= context.max_attempts
             || context.attempts > 0 && (context.is_late() || retry_unaffordable);
         context.time_left < 2.0 * FINAL_CHECK_LEAD || !context.retry_allowed || is_spent
@@ -146,7 +140,7 @@
         }
         let position = request.attempts.iter().rposition(|attempt| attempt.result.is_none());
         let latest = position.expect("an attempt is in flight");
-        if self.retry_tokens < 1.0 || !self.is_doubted(now, &request.attempts[latest], context) {
+        if !self.retry_budget.allows_retry() || !self.is_doubted(now, &request.attempts[latest], context) {
             let attempt_timeout = context.attributes.limits.attempt_timeout;
             let pause = (context.expected_latency * RECHECK_LATENCY_FRACTION)
                 .min(attempt_timeout * RECHECK_TIMEOUT_FRACTION);
@@ -184,8 +178,7 @@
         let Some(backend) = self.pick_backend(now, &selection) else {
             return self.wait_for_capacity(now, index, context);
         };
-        let spent = f64::from(context.may_have_run);
-        self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_EARNED - spent).min(MAX_RETRY_TOKENS);
+        self.retry_budget.record_attempt(context.may_have_run);
         let check_after = context.expected_latency.min(context.attributes.limits.attempt_timeout);
         self.check_again_in(now, index, check_after);
         self.request(index).attempts.push(Attempt { backend, sent_at: now, result: None });
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -6,6 +6,7 @@
 //! | --- | --- |
 //! | `requests` | the life of a request: first routing, ended attempts, closing |
 //! | `attempts` | whether and when a request gets its next attempt: retries, hedging, giving up |
+//! | `retry_budget` | how many requests that may have run can be sent again |
 //! | `quota` | whether a customer's quota admits a request: leases, even shares, ceilings |
 //! | `leases` | what an answer of the shared counter means for a lease; expiry and refunds |
 //! | `permits` | caps on a customer's requests in flight |
@@ -26,6 +27,7 @@
 mod permits;
 mod quota;
 mod requests;
+mod retry_budget;
 
 use crate::state::{
     BackendSet, CounterHealth, CustomerAccount, Ejection, GossipBudget, LatencyEstimate, PendingRequest,
@@ -35,6 +37,7 @@
 use concurrency::ConcurrencyLimit;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use retry_budget::RetryBudget;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A customer is told about to other instances no more often than this, and so is a backend's recovery; seconds.
@@ -69,8 +72,7 @@
     concurrency: ConcurrencyLimit,
     /// By kind of outcome: the fraction of attempts that failed.
     failure_rates: Vec<f64>,
-    /// Retries of requests that may have run are paid for with these.
-    retry_tokens: f64,
+    retry_budget: RetryBudget,
     counter: CounterHealth,
     last_call_at: f64,
     /// Requests to be decided on again.
@@ -107,7 +109,7 @@
             accounts: BTreeMap::new(),
             backends: BackendSet::default(),
             concurrency: ConcurrencyLimit::default(),
-            retry_tokens: attempts::INITIAL_RETRY_TOKENS,
+            retry_budget: RetryBudget::new(),
             counter: CounterHealth::new(counter, instances),
             last_call_at: f64::INFINITY,
             reconsider: BTreeSet::new(),
