--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -11,8 +11,6 @@
 const SAMPLE_SIZE: usize = 32;
 /// How often the sample's summary looks which backends have warmed up, seconds.
 const WARMING_CHECK_INTERVAL: f64 = 1.0;
-/// A failure rate above this makes a kind of outcome scarce: backends are preferred that are known to serve it.
-const SCARCE_FAILURE_RATE: f64 = 0.1;
 /// So many good outcomes in a row are as good as any.
 const PROVEN_STREAK: u32 = 3;
 /// A backend's attempts in flight may fill this fraction of the latency objective at the pace of its answers.
@@ -114,9 +112,9 @@
         selection: &Selection,
         location: Option<Location>,
     ) -> Option<Sample> {
-        let kinds = self.outcome_kinds(selection.attributes);
-        let nothing_is_scarce = kinds.into_iter().all(|kind| !self.is_scarce(kind));
-        if location.is_some() || !nothing_is_scarce || self.backends.len() <= MAX_SCANNED_BACKENDS {
+        let kinds = self.failure_rates.kinds().of_request(selection.attributes);
+        let something_is_scarce = kinds.into_iter().any(|kind| self.failure_rates.is_scarce(kind));
+        if location.is_some() || something_is_scarce || self.backends.len() <= MAX_SCANNED_BACKENDS {
             return None;
         }
         let settings = SampleSettings {
@@ -128,11 +126,6 @@
         Some(self.backends.sample(now, &mut self.rng, &settings))
     }
 
-    /// Whether backends that give good outcomes of this kind are hard to find.
-    fn is_scarce(&self, kind: usize) -> bool {
-        self.failure_rates[kind] > SCARCE_FAILURE_RATE
-    }
-
     /// The backends at a location that accept new attempts.
     fn accepting(&self, location: Option<Location>) -> impl Iterator<Item = &Backend> {
         self.backends.values().filter(move |backend| is_accepting(backend, location))
@@ -213,8 +206,8 @@
     fn prefer_proven(&self, now: f64, selection: &Selection, candidates: Candidates) -> Vec<BackendIndex> {
         let Candidates { mut preferred, fallback, has_saturated } = candidates;
         let since = now - self.attempt_settings.connection_idle_timeout;
-        let kinds = self.outcome_kinds(selection.attributes);
-        for kind in kinds.into_iter().filter(|kind| self.is_scarce(*kind)) {
+        let kinds = self.failure_rates.kinds().of_request(selection.attributes);
+        for kind in kinds.into_iter().filter(|kind| self.failure_rates.is_scarce(*kind)) {
             let streak = |index: &BackendIndex| self.backends[index].streak(kind, since);
             let longest = preferred.iter().map(streak).max().unwrap_or(0).min(PROVEN_STREAK);
             preferred.retain(|index| streak(index) >= longest);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,6 +13,7 @@
 //! | `counter` | how often the counter is called, and when it counts as unresponsive |
 //! | `load_balancing` | which backend gets an attempt |
 //! | `concurrency` | how much may be in flight at all backends together |
+//! | `failure_rates` | which kinds of outcomes are scarce |
 //! | `outliers` | what an outcome says of a backend: ejection, recovery, latency estimates |
 //!
 //! Quota. A customer's counter holds the units taken since its window began. The token bucket that it stands for refills at the
@@ -21,6 +22,7 @@
 mod attempts;
 mod concurrency;
 mod counter;
+mod failure_rates;
 mod leases;
 mod load_balancing;
 mod outliers;
@@ -30,11 +32,12 @@
 mod retry_budget;
 
 use crate::state::{
-    BackendSet, CounterHealth, CustomerAccount, Ejection, GossipBudget, LatencyEstimate, PendingRequest,
-    TimerKind, Timers,
+    BackendSet, CounterHealth, CustomerAccount, Ejection, GossipBudget, LatencyEstimate, OutcomeKinds,
+    PendingRequest, TimerKind, Timers,
 };
 use crate::types::*;
 use concurrency::ConcurrencyLimit;
+use failure_rates::FailureRates;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use retry_budget::RetryBudget;
@@ -70,8 +73,7 @@
     /// By operation, over all backends.
     latencies: Vec<LatencyEstimate>,
     concurrency: ConcurrencyLimit,
-    /// By kind of outcome: the fraction of attempts that failed.
-    failure_rates: Vec<f64>,
+    failure_rates: FailureRates,
     retry_budget: RetryBudget,
     counter: CounterHealth,
     last_call_at: f64,
@@ -100,7 +102,7 @@
             local_processes: 1.0,
             gossip_budget: GossipBudget::new(settings.gossip_intake_rate),
             latencies: operations.iter().map(initial_latency).collect(),
-            failure_rates: vec![0.0; outliers::kind_count(operations.len(), plans.len())],
+            failure_rates: FailureRates::new(OutcomeKinds::new(operations.len(), plans.len())),
             operations,
             plans,
             slow_start: settings.slow_start,
@@ -127,7 +129,7 @@
             self.counter.last_answer_at = now;
             self.counter.tokens_updated_at = now;
         }
-        self.backends.update_endpoints(now, is_snapshot, endpoints, self.failure_rates.len());
+        self.backends.update_endpoints(now, is_snapshot, endpoints, self.failure_rates.kinds().count());
     }
 
     /// The endpoint list could not be had, or its watch broke off: it is requested again after a pause.
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -2,7 +2,7 @@
 //! estimates of answer times follow.
 use super::requests::EndedAttempt;
 use super::{PolicyEngine, GOSSIP_INTERVAL};
-use crate::state::{update_fraction, update_quantile, Backend, Ejection, LatencyEstimate, ThroughputWindow};
+use crate::state::{update_quantile, Backend, Ejection, LatencyEstimate, ThroughputWindow};
 use crate::types::*;
 
 /// The quantile of answer times that judges a backend.
@@ -13,8 +13,6 @@
 const BACKEND_QUANTILE_STEP: f64 = 0.8;
 /// The fraction by which an answer raises the least median, so that it is forgotten in time.
 const LEAST_MEDIAN_DECAY: f64 = 0.0002;
-/// The weight of one attempt in the failure rates.
-const FAILURE_RATE_STEP: f64 = 0.05;
 /// An answer is slow, and so is a median, that takes so many times the least median.
 pub(super) const SLOW_FACTOR: f64 = 3.0;
 /// Answers of a backend are counted over about 2 s. The first answers of one that has just been listed came in next to no time: taken
@@ -28,16 +26,10 @@
 /// up to this.
 const LONGEST_EJECTION: f64 = 8.0;
 
-/// The kind of outcome that tells whether a backend can be connected to.
-pub(super) const CONNECT_KIND: usize = 0;
-
-/// How many kinds of outcomes are counted apart.
-pub(super) fn kind_count(operations: usize, plans: usize) -> usize {
-    1 + operations + plans
-}
-
-/// What an attempt's result says of each kind of outcome: connecting, serving the operation, serving the plan; `None` where it
-/// says nothing.
+/// What an attempt's result says of each kind of outcome, in the order of [`OutcomeKinds::of_request`]: whether it was good, or
+/// `None` where it says nothing.
+///
+/// [`OutcomeKinds::of_request`]: crate::state::OutcomeKinds::of_request
 fn verdicts(result: AttemptResult) -> [Option<bool>; 3] {
     match result {
         AttemptResult::Succeeded => [Some(true); 3],
@@ -48,11 +40,6 @@
 }
 
 impl PolicyEngine {
-    /// The kinds of outcomes that an attempt of such a request counts for: connecting, its operation, its plan.
-    pub(super) fn outcome_kinds(&self, attributes: &RequestAttributes) -> [usize; 3] {
-        [CONNECT_KIND, 1 + attributes.operation, 1 + self.operations.len() + attributes.plan]
-    }
-
     /// Whether a backend with attempts in flight has made no progress for longer than they can explain; more is allowed while it
     /// warms up. `p95` is that of one unit, seconds.
     pub(super) fn is_unresponsive(&self, now: f64, backend: &Backend, p95: f64) -> bool {
@@ -98,11 +85,11 @@
     }
 
     fn record_kinds(&mut self, now: f64, attributes: &RequestAttributes, outcome: &AttemptOutcome) {
-        let kinds = self.outcome_kinds(attributes);
+        let kinds = self.failure_rates.kinds().of_request(attributes);
         for (kind, verdict) in kinds.into_iter().zip(verdicts(outcome.result)) {
             let Some(is_good) = verdict else { continue };
             self.backend_mut(outcome.backend).record_streak(now, kind, is_good);
-            update_fraction(&mut self.failure_rates[kind], !is_good, FAILURE_RATE_STEP);
+            self.failure_rates.record(kind, !is_good);
         }
     }
 
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -1,4 +1,5 @@
 //! What is remembered of one backend.
+use super::OutcomeKind;
 use crate::types::{Endpoint, EndpointStatus, SlowStart};
 
 /// An outlier that gets no new attempts for a while.
@@ -61,7 +62,7 @@
     pub listed_at: f64,
     /// When its recovery was last told to, or heard from, other instances.
     pub recovery_gossiped_at: f64,
-    /// By kind of outcome.
+    /// By [`OutcomeKind::index`].
     pub streaks: Vec<Streak>,
 }
 
@@ -101,7 +102,7 @@
 
     /// Whether an idle connection to it, last used after `since`, can be expected.
     pub fn has_idle_connection(&self, since: f64) -> bool {
-        self.in_flight == 0 && self.streak(0, since) > 0
+        self.in_flight == 0 && self.streak(OutcomeKind::CONNECTION, since) > 0
     }
 
     /// Whether it is in another zone than `home`; never where crossing zones is free (`None`).
@@ -171,8 +172,8 @@
     }
 
     /// Good outcomes of a kind in a row; 0 if the kind was not observed after `since`.
-    pub fn streak(&self, kind: usize, since: f64) -> u32 {
-        let streak = self.streaks[kind];
+    pub fn streak(&self, kind: OutcomeKind, since: f64) -> u32 {
+        let streak = self.streaks[kind.index()];
         if streak.observed_at > since {
             streak.successes
         } else {
@@ -181,8 +182,8 @@
     }
 
     /// Counts an outcome of a kind.
-    pub fn record_streak(&mut self, now: f64, kind: usize, success: bool) {
-        let streak = &mut self.streaks[kind];
+    pub fn record_streak(&mut self, now: f64, kind: OutcomeKind, success: bool) {
+        let streak = &mut self.streaks[kind.index()];
         streak.successes = if success { streak.successes + 1 } else { 0 };
         streak.observed_at = now;
     }
--- a/src/state/backend_set.rs
+++ b/src/state/backend_set.rs
@@ -1,6 +1,6 @@
 //! The backends that an instance knows, indexed so that it can choose among thousands of them without a look at each: those
 //! that may get attempts, those with attempts in flight, those that are warming up, those that it is connected with.
-use super::Backend;
+use super::{Backend, OutcomeKind};
 use crate::types::{BackendIndex, Endpoint, EndpointStatus, SlowStart};
 use indexmap::IndexSet;
 use rand::seq::index;
@@ -206,7 +206,8 @@
 
     fn is_connected(&self, index: BackendIndex, idle_since: f64) -> bool {
         self.known.get(&index).is_some_and(|backend| {
-            backend.accepts_new() && (backend.in_flight > 0 || backend.streak(0, idle_since) > 0)
+            let was_connected = backend.streak(OutcomeKind::CONNECTION, idle_since) > 0;
+            backend.accepts_new() && (backend.in_flight > 0 || was_connected)
         })
     }
 
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -8,6 +8,7 @@
 mod counter;
 mod estimate;
 mod gossip;
+mod outcome;
 mod request;
 mod timers;
 
@@ -17,5 +18,6 @@
 pub use counter::CounterHealth;
 pub use estimate::{update_fraction, update_quantile, LatencyEstimate};
 pub use gossip::GossipBudget;
+pub use outcome::{OutcomeKind, OutcomeKinds};
 pub use request::{Attempt, PendingRequest};
 pub use timers::{TimerKind, Timers};
