--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -98,7 +98,7 @@
             in_flight: request.in_flight(),
             time_left: attributes.deadline - now,
             elapsed: now - request.arrived_at,
-            expected_latency: self.latencies[attributes.operation].p95 * request.attempt_units(),
+            expected_latency: self.latencies.p95(attributes.operation) * request.attempt_units(),
             may_have_run: first_run.is_some(),
             retry_allowed: first_run.is_none_or(|run| retry_is_allowed(now, idempotency, &limits, run)),
             affinity: first_run.and_then(|run| affinity(idempotency, run)),
@@ -159,7 +159,7 @@
 
     fn is_doubted(&self, now: f64, attempt: &Attempt, context: &AttemptContext) -> bool {
         let backend = &self.backends[&attempt.backend];
-        let p95 = self.latencies[context.attributes.operation].p95;
+        let p95 = self.latencies.p95(context.attributes.operation);
         let warm_latency = OVERDUE_FACTOR * context.expected_latency;
         let overdue_after = (warm_latency / backend.capacity_fraction(now, &self.slow_start))
             .min(context.attributes.limits.attempt_timeout);
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,5 +1,5 @@
 //! Which backend gets an attempt: two are drawn at random among those in good standing, and the one with the lower load wins.
-use super::outliers::{SLOW_FACTOR, THROUGHPUT_WINDOW};
+use super::outliers::THROUGHPUT_WINDOW;
 use super::PolicyEngine;
 use crate::state::{Backend, Sample, SampleSettings};
 use crate::types::*;
@@ -131,18 +131,12 @@
         self.backends.values().filter(move |backend| is_accepting(backend, location))
     }
 
-    /// Whether answers to the operation are slow everywhere.
-    fn is_fleet_slow(&self, operation: usize) -> bool {
-        let latency = &self.latencies[operation];
-        latency.median > SLOW_FACTOR * latency.least_median
-    }
-
     /// Units in flight at backends that are expected to answer. Where answers come as fast as ever, a silent backend hangs and
     /// does not count; where they are slow, it may be slow too.
     fn units_in_flight(&self, now: f64, selection: &Selection, location: Option<Location>) -> f64 {
         let operation = selection.attributes.operation;
-        let p95 = self.latencies[operation].p95;
-        let fleet_is_slow = self.is_fleet_slow(operation);
+        let p95 = self.latencies.p95(operation);
+        let fleet_is_slow = self.latencies.is_fleet_slow(operation);
         let counts = |backend: &&Backend| {
             backend.ejection.is_none() && (fleet_is_slow || !self.is_unresponsive(now, backend, p95))
         };
@@ -154,7 +148,7 @@
     /// most. All of it where nothing is billed.
     fn priority_fraction(&self, operation: usize) -> f64 {
         let priority = |operation: usize| {
-            self.operations[operation].billed_value / self.latencies[operation].least_median
+            self.operations[operation].billed_value / self.latencies.least_median(operation)
         };
         let highest = (0..self.operations.len()).map(priority).fold(0.0, f64::max);
         (priority(operation) / highest).min(1.0)
@@ -174,7 +168,7 @@
     ) -> Candidates {
         let Operation { latency_objective, idempotency, .. } =
             self.operations[selection.attributes.operation];
-        let p95 = self.latencies[selection.attributes.operation].p95;
+        let p95 = self.latencies.p95(selection.attributes.operation);
         let backlog_time = MAX_BACKLOG_FRACTION * latency_objective;
         let mut candidates = Candidates::default();
         for backend in backends {
@@ -241,7 +235,7 @@
         let draw = self.random_fraction();
         let distance = (draw * (preferred.len().max(2) - 1) as f64) as usize + 1;
         let second = (first + distance) % preferred.len();
-        let fleet_is_slow = self.is_fleet_slow(selection.attributes.operation);
+        let fleet_is_slow = self.latencies.is_fleet_slow(selection.attributes.operation);
         let is_idle = |index: &&BackendIndex| self.is_idle(now, &self.backends[*index], fleet_is_slow);
         let idle: Vec<&BackendIndex> = connected.iter().filter(is_idle).collect();
         let position = (draw * idle.len() as f64) as usize;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,8 +13,9 @@
 //! | `counter` | how often the counter is called, and when it counts as unresponsive |
 //! | `load_balancing` | which backend gets an attempt |
 //! | `concurrency` | how much may be in flight at all backends together |
+//! | `latencies` | how long answers take, and when they are slow everywhere |
 //! | `failure_rates` | which kinds of outcomes are scarce |
-//! | `outliers` | what an outcome says of a backend: ejection, recovery, latency estimates |
+//! | `outliers` | what an outcome says of a backend: ejection, recovery, its pace |
 //!
 //! Quota. A customer's counter holds the units taken since its window began. The token bucket that it stands for refills at the
 //! plan's rate, so what may be taken is the burst plus the refill since the window began. A total that lags behind the refill,
@@ -23,6 +24,7 @@
 mod concurrency;
 mod counter;
 mod failure_rates;
+mod latencies;
 mod leases;
 mod load_balancing;
 mod outliers;
@@ -32,12 +34,13 @@
 mod retry_budget;
 
 use crate::state::{
-    BackendSet, CounterHealth, CustomerAccount, Ejection, GossipBudget, LatencyEstimate, OutcomeKinds,
-    PendingRequest, TimerKind, Timers,
+    BackendSet, CounterHealth, CustomerAccount, Ejection, GossipBudget, OutcomeKinds, PendingRequest,
+    TimerKind, Timers,
 };
 use crate::types::*;
 use concurrency::ConcurrencyLimit;
 use failure_rates::FailureRates;
+use latencies::LatencyEstimates;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use retry_budget::RetryBudget;
@@ -52,8 +55,6 @@
 const ENDPOINT_RETRY_PAUSE: f64 = 2.0;
 /// Timers this late, seconds, show that this process itself stood still.
 const STALL_THRESHOLD: f64 = 0.1;
-/// Answer times are at first taken for this fraction of the operation's latency objective.
-const INITIAL_LATENCY_FRACTION: f64 = 0.25;
 
 /// The decisions of one gateway instance, and all that they remember.
 pub struct PolicyEngine {
@@ -70,8 +71,7 @@
     requests: BTreeMap<RequestIndex, PendingRequest>,
     accounts: BTreeMap<CustomerIndex, CustomerAccount>,
     backends: BackendSet,
-    /// By operation, over all backends.
-    latencies: Vec<LatencyEstimate>,
+    latencies: LatencyEstimates,
     concurrency: ConcurrencyLimit,
     failure_rates: FailureRates,
     retry_budget: RetryBudget,
@@ -93,15 +93,12 @@
         if settings.polls_endpoints {
             timers.schedule(0.0, TimerKind::FetchEndpoints);
         }
-        let initial_latency = |operation: &Operation| {
-            LatencyEstimate::initial(operation.latency_objective * INITIAL_LATENCY_FRACTION)
-        };
         PolicyEngine {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
             instances,
             local_processes: 1.0,
             gossip_budget: GossipBudget::new(settings.gossip_intake_rate),
-            latencies: operations.iter().map(initial_latency).collect(),
+            latencies: LatencyEstimates::new(&operations),
             failure_rates: FailureRates::new(OutcomeKinds::new(operations.len(), plans.len())),
             operations,
             plans,
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -1,20 +1,14 @@
 //! What an outcome says of its backend: outliers are ejected and tried again, recoveries are told to other instances, and the
 //! estimates of answer times follow.
+use super::latencies::TAIL_QUANTILE;
 use super::requests::EndedAttempt;
 use super::{PolicyEngine, GOSSIP_INTERVAL};
-use crate::state::{update_quantile, Backend, Ejection, LatencyEstimate, ThroughputWindow};
+use crate::state::{update_quantile, Backend, Ejection, ThroughputWindow};
 use crate::types::*;
 
-/// The quantile of answer times that judges a backend.
-const TAIL_QUANTILE: f64 = 0.95;
-/// The relative step by which an answer moves the quantiles over all backends,
-const FLEET_QUANTILE_STEP: f64 = 0.05;
-/// and one backend's: large, for an instance hears of a backend only once in seconds.
+/// The relative step by which an answer moves the quantile of one backend: large, for an instance hears of a backend only once
+/// in seconds.
 const BACKEND_QUANTILE_STEP: f64 = 0.8;
-/// The fraction by which an answer raises the least median, so that it is forgotten in time.
-const LEAST_MEDIAN_DECAY: f64 = 0.0002;
-/// An answer is slow, and so is a median, that takes so many times the least median.
-pub(super) const SLOW_FACTOR: f64 = 3.0;
 /// Answers of a backend are counted over about 2 s. The first answers of one that has just been listed came in next to no time: taken
 /// as a rate they would allow any backlog, so it counts as observed for 0.1 s, a twentieth of the window, from the start.
 pub(super) const THROUGHPUT_WINDOW: ThroughputWindow =
@@ -63,16 +57,17 @@
         if self.backends.remove_attempt(outcome.backend, units_in_flight).is_none() {
             return;
         }
-        let latency = self.latencies[attributes.operation];
+        let expected_latency = self.latencies.p95(attributes.operation) * units;
         let left_early = ended.was_closed
             && outcome.result == AttemptResult::Cancelled
-            && outcome.duration < latency.p95 * units;
+            && outcome.duration < expected_latency;
         if outcome.result == AttemptResult::NotSent || left_early {
             // It says nothing of the backend.
             return;
         }
         self.record_kinds(now, attributes, outcome);
-        self.record_concurrency(outcome, outcome.duration > SLOW_FACTOR * latency.least_median);
+        let is_slow = self.latencies.is_slow(attributes.operation, outcome.duration);
+        self.record_concurrency(outcome, is_slow);
         match outcome.result {
             AttemptResult::Succeeded => self.record_success(now, attributes.operation, units, outcome),
             AttemptResult::Rejected => self.backend_mut(outcome.backend).last_progress_at = now,
@@ -102,11 +97,8 @@
     }
 
     fn record_success(&mut self, now: f64, operation: usize, units: f64, outcome: &AttemptOutcome) {
-        let LatencyEstimate { p95, median, least_median } = &mut self.latencies[operation];
-        update_quantile(p95, outcome.duration / units, TAIL_QUANTILE, FLEET_QUANTILE_STEP);
-        update_quantile(median, outcome.duration, 0.5, FLEET_QUANTILE_STEP);
-        *least_median = (*least_median * (1.0 + LEAST_MEDIAN_DECAY)).min(*median);
-        let relative = outcome.duration / units / *p95;
+        self.latencies.record(operation, outcome.duration, units);
+        let relative = outcome.duration / units / self.latencies.p95(operation);
         let backend = self.backend_mut(outcome.backend);
         update_quantile(&mut backend.slowness, relative, TAIL_QUANTILE, BACKEND_QUANTILE_STEP);
         backend.record_answer(now, units, &THROUGHPUT_WINDOW);
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -84,7 +84,7 @@
         is_available: bool,
     ) -> Option<Decision> {
         let RequestAttributes { customer, operation, .. } = self.request(index).attributes;
-        let median = self.latencies[operation].median;
+        let median = self.latencies.median(operation);
         if !is_available {
             self.refund_units(now, index);
             return Some(self.throttle(median / cap.permits));
@@ -126,8 +126,7 @@
         let fits = total.is_some_and(|total| total <= cap);
         if total.is_some() && !fits {
             // By then one of the requests in flight will have ended.
-            let medians = self.latencies.iter().map(|latency| latency.median);
-            account.permits_exhausted_until = now + medians.fold(f64::INFINITY, f64::min) / cap;
+            account.permits_exhausted_until = now + self.latencies.shortest_median() / cap;
         }
         if fits && account.free_permits.len() < waiters {
             account.free_permits.push(key.series);
