--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -131,7 +131,7 @@
         let has_calls = !account.calls.is_empty();
         let owed = account.unsettled + account.unreported;
         let key = CounterKey { customer, series: account.series };
-        let may_call = !has_calls && !self.counter.should_skip(false, false, true);
+        let may_call = !has_calls && self.counter.allows_optional_call();
         if has_expired && owed.abs() > MIN_CALL_UNITS && may_call {
             account.unsettled = 0.0;
             account.unreported = 0.0;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -10,7 +10,8 @@
 //! | `quota` | whether a customer's quota admits a request: leases, even shares, ceilings |
 //! | `leases` | what an answer of the shared counter means for a lease; expiry and refunds |
 //! | `permits` | caps on a customer's requests in flight |
-//! | `counter` | how often the counter is called, and when it counts as unresponsive |
+//! | `counter` | what an answer of the counter, or the lack of one, sets going |
+//! | `counter_health` | how often the counter is called, and when it counts as unresponsive |
 //! | `load_balancing` | which backend gets an attempt |
 //! | `concurrency` | how much may be in flight at all backends together |
 //! | `latencies` | how long answers take, and when they are slow everywhere |
@@ -23,6 +24,7 @@
 mod attempts;
 mod concurrency;
 mod counter;
+mod counter_health;
 mod failure_rates;
 mod latencies;
 mod leases;
@@ -34,11 +36,11 @@
 mod retry_budget;
 
 use crate::state::{
-    BackendSet, CounterHealth, CustomerAccount, Ejection, GossipBudget, OutcomeKinds, PendingRequest,
-    TimerKind, Timers,
+    BackendSet, CustomerAccount, Ejection, GossipBudget, OutcomeKinds, PendingRequest, TimerKind, Timers,
 };
 use crate::types::*;
 use concurrency::ConcurrencyLimit;
+use counter_health::CounterHealth;
 use failure_rates::FailureRates;
 use latencies::LatencyEstimates;
 use rand::{Rng, SeedableRng};
@@ -123,8 +125,7 @@
         if self.backends.is_empty() {
             // The first call with a time.
             self.concurrency.reset(endpoints.len(), self.instances);
-            self.counter.last_answer_at = now;
-            self.counter.tokens_updated_at = now;
+            self.counter.start(now);
         }
         self.backends.update_endpoints(now, is_snapshot, endpoints, self.failure_rates.kinds().count());
     }
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -140,7 +140,7 @@
         let Some(series) = permit else { return };
         let Some(account) = self.accounts.get_mut(&customer) else { return };
         account.permits_held = account.permits_held.saturating_sub(1);
-        if series != LOCAL_PERMIT && !self.counter.unresponsive {
+        if series != LOCAL_PERMIT && !self.counter.is_unresponsive() {
             self.call_counter(now, CounterKey { customer, series }, CallRequest::settle(-1.0));
         }
     }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -2,7 +2,7 @@
 //! the customer's even share of the quota stands in.
 use super::counter::{CallRequest, WINDOW};
 use super::{leases, PolicyEngine};
-use crate::state::{update_fraction, CallPurpose, CustomerAccount};
+use crate::state::{CallPurpose, CustomerAccount};
 use crate::types::*;
 
 /// The fraction of the burst that is leased at once while more than half of the token bucket is there.
@@ -15,10 +15,6 @@
 const DEBT_PAUSE: f64 = 1.0;
 /// The part of what other instances are estimated to have admitted without a call that a call adds for them.
 const PEER_ESTIMATE_FRACTION: f64 = 0.5;
-/// The fraction of requests that the counter was asked about counts for this at least.
-const MIN_CONSULTED_FRACTION: f64 = 0.1;
-/// The weight of one request in that fraction.
-const CONSULTED_STEP: f64 = 0.05;
 /// A customer that was not seen for so long is forgotten, seconds.
 pub(super) const IDLE_TIMEOUT: f64 = 12.0;
 
@@ -192,7 +188,7 @@
     /// even share, or a lease is asked for.
     fn take_without_lease(&mut self, now: f64, admission: &Admission) -> Option<Decision> {
         let Admission { units, share, .. } = *admission;
-        let unresponsive = self.counter.unresponsive;
+        let unresponsive = self.counter.is_unresponsive();
         let account = self.accounts.get_mut(&admission.customer).expect("the customer is being admitted");
         let plan = &self.plans[account.plan];
         let owed = account.unsettled + account.unreported;
@@ -237,7 +233,7 @@
         let seconds_short = (units.min(share.burst) - account.even_share) / share.rate;
         let plan = &self.plans[account.plan];
         // A customer that a crowded counter cannot be asked about goes into debt, while the backends keep up.
-        let debt_allowed = !self.counter.unresponsive
+        let debt_allowed = !self.counter.is_unresponsive()
             && quota.is_rich
             && now - self.concurrency.reached_at > DEBT_PAUSE
             && account.even_share > -MAX_DEBT_FRACTION * plan.burst;
@@ -245,8 +241,8 @@
         let is_admitted = (quota.share_suffices || debt_allowed) && !ceiling_reached;
         if is_admitted {
             // An unresponsive counter is not crowded: it counts as asked.
-            let counts_as_asked = self.counter.unresponsive;
-            update_fraction(&mut self.counter.consulted_fraction, counts_as_asked, CONSULTED_STEP);
+            let counts_as_asked = self.counter.is_unresponsive();
+            self.counter.record_admission(counts_as_asked);
             account.even_share -= units;
             account.unreported += units;
             account.ceiling_tokens -= units;
@@ -255,7 +251,7 @@
         if self.counter.is_probe_due(now) && !has_calls {
             self.counter.schedule_next_probe(now);
             self.call_counter(now, CounterKey { customer, series }, CallRequest::probe());
-        } else if admission.waited && !self.counter.unresponsive && has_calls {
+        } else if admission.waited && !self.counter.is_unresponsive() && has_calls {
             self.counter_missed(now);
         }
         (!is_admitted).then(|| self.throttle(seconds_short))
@@ -269,10 +265,10 @@
         let burst = self.plans[account.plan].burst;
         let takes_batch = quota.is_rich && admission.seen_recently;
         let units = need.max(if takes_batch { burst * LEASE_BATCH_FRACTION } else { 0.0 });
-        let consulted = self.counter.consulted_fraction.max(MIN_CONSULTED_FRACTION);
+        let consulted = self.counter.consulted_fraction();
         let admitted_by_peers = PEER_ESTIMATE_FRACTION * need * (1.0 / consulted - 1.0);
         let peer_estimate = if owed < leases::MIN_CALL_UNITS { admitted_by_peers } else { 0.0 };
-        update_fraction(&mut self.counter.consulted_fraction, true, CONSULTED_STEP);
+        self.counter.record_admission(true);
         account.unsettled = 0.0;
         account.unreported = 0.0;
         let key = CounterKey { customer, series: account.series };
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -56,10 +56,10 @@
     /// How long a request may wait for the counter, seconds.
     fn counter_wait(&self, now: f64, attributes: &RequestAttributes) -> f64 {
         let time_left = attributes.deadline - now;
-        let longest = self.counter.timeout.min(time_left * COUNTER_WAIT_CLIENT_FRACTION);
+        let longest = self.counter.timeout().min(time_left * COUNTER_WAIT_CLIENT_FRACTION);
         let objective = self.operations[attributes.operation].latency_objective;
         let shortest = COUNTER_WAIT_OBJECTIVE_FRACTION * objective;
-        longest.min(shortest.max(COUNTER_WAIT_FASTEST_ANSWERS * self.counter.fastest_answer))
+        longest.min(shortest.max(COUNTER_WAIT_FASTEST_ANSWERS * self.counter.fastest_answer()))
     }
 
     /// What to do after an attempt has ended.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -5,7 +5,6 @@
 mod account;
 mod backend;
 mod backend_set;
-mod counter;
 mod estimate;
 mod gossip;
 mod outcome;
@@ -15,7 +14,6 @@
 pub use account::{CallPurpose, CustomerAccount, PendingCall};
 pub use backend::{Backend, Ejection, ThroughputWindow};
 pub use backend_set::{BackendSet, Sample, SampleSettings};
-pub use counter::CounterHealth;
 pub use estimate::{update_fraction, update_quantile, LatencyEstimate};
 pub use gossip::GossipBudget;
 pub use outcome::{OutcomeKind, OutcomeKinds};
