--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -17,6 +17,7 @@
 //! | `latencies` | how long answers take, and when they are slow everywhere |
 //! | `failure_rates` | which kinds of outcomes are scarce |
 //! | `outliers` | what an outcome says of a backend: ejection, recovery, its pace |
+//! | `endpoints` | which backends there are, by the endpoint list and by operators' orders |
 //!
 //! Quota. A customer's counter holds the units taken since its window began. The token bucket that it stands for refills at the
 //! plan's rate, so what may be taken is the burst plus the refill since the window began. A total that lags behind the refill,
@@ -25,6 +26,7 @@
 mod concurrency;
 mod counter;
 mod counter_health;
+mod endpoints;
 mod failure_rates;
 mod latencies;
 mod leases;
@@ -52,9 +54,6 @@
 const GOSSIP_INTERVAL: f64 = 0.5;
 /// The fraction of what an instance takes in of gossip that each may send.
 const GOSSIP_SEND_FRACTION: f64 = 0.5;
-/// Mean pause before the endpoint list is requested again after a failure, seconds. Drawn from half of it to one and a half, so
-/// that instances do not come back together.
-const ENDPOINT_RETRY_PAUSE: f64 = 2.0;
 /// Timers this late, seconds, show that this process itself stood still.
 const STALL_THRESHOLD: f64 = 0.1;
 
@@ -120,37 +119,6 @@
         }
     }
 
-    /// Takes up the endpoint list, or what changed in it. What a snapshot lacks is removed.
-    pub fn update_endpoints(&mut self, now: f64, is_snapshot: bool, endpoints: &[Endpoint]) {
-        if self.backends.is_empty() {
-            // The first call with a time.
-            self.concurrency.reset(endpoints.len(), self.instances);
-            self.counter.start(now);
-        }
-        self.backends.update_endpoints(now, is_snapshot, endpoints, self.failure_rates.kinds().count());
-    }
-
-    /// The endpoint list could not be had, or its watch broke off: it is requested again after a pause.
-    pub fn endpoint_fetch_failed(&mut self, now: f64) {
-        let at = now + ENDPOINT_RETRY_PAUSE * (0.5 + self.random_fraction());
-        self.timers.schedule(at, TimerKind::FetchEndpoints);
-    }
-
-    /// An operator takes a backend out of service from `since` on, or puts it back (`None`): what was known of it is past.
-    pub fn set_manual_ejection(&mut self, now: f64, backend: BackendIndex, since: Option<f64>) {
-        self.backends.set_maintenance(now, backend, since);
-    }
-
-    /// How many listed backends get nothing new now: draining, out of service or ejected.
-    pub fn unavailable_backends(&self) -> usize {
-        self.backends.values().filter(|backend| backend.is_unavailable()).count()
-    }
-
-    /// Forgets a removed backend that nothing in flight has to do with any more. Its index may name another one from now on.
-    pub fn forget_backend(&mut self, backend: BackendIndex) {
-        self.backends.forget(backend);
-    }
-
     /// Another process of this instance is there, or no longer: each has half of the instance's even shares.
     pub fn set_peer_process(&mut self, is_running: bool) {
         self.local_processes = if is_running { 2.0 } else { 1.0 };
