--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -2,7 +2,7 @@
 //! back. Leases expire, and units of requests that were never forwarded are refunded.
 use super::counter::{CallRequest, WINDOW};
 use super::quota::{IDLE_TIMEOUT, MAX_DEBT_FRACTION};
-use super::{PolicyEngine, GOSSIP_INTERVAL};
+use super::{gossip, PolicyEngine};
 use crate::state::{CallPurpose, CustomerAccount, PendingCall, TimerKind};
 use crate::types::*;
 
@@ -80,7 +80,7 @@
     fn gossip_if_nearly_exhausted(&mut self, now: f64, key: CounterKey, total: f64, left: f64) {
         let Some(account) = self.accounts.get_mut(&key.customer) else { return };
         let threshold = NEARLY_EXHAUSTED_FRACTION * self.plans[account.plan].burst;
-        if left >= threshold || now <= account.gossiped_at + GOSSIP_INTERVAL {
+        if left >= threshold || !gossip::may_repeat(now, account.gossiped_at) {
             return;
         }
         account.gossiped_at = now;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,6 +18,7 @@
 //! | `failure_rates` | which kinds of outcomes are scarce |
 //! | `outliers` | what an outcome says of a backend: ejection, recovery, its pace |
 //! | `endpoints` | which backends there are, by the endpoint list and by operators' orders |
+//! | `gossip` | what instances tell each other, and how much of it |
 //!
 //! Quota. A customer's counter holds the units taken since its window began. The token bucket that it stands for refills at the
 //! plan's rate, so what may be taken is the burst plus the refill since the window began. A total that lags behind the refill,
@@ -28,6 +29,7 @@
 mod counter_health;
 mod endpoints;
 mod failure_rates;
+mod gossip;
 mod latencies;
 mod leases;
 mod load_balancing;
@@ -37,23 +39,18 @@
 mod requests;
 mod retry_budget;
 
-use crate::state::{
-    BackendSet, CustomerAccount, Ejection, GossipBudget, OutcomeKinds, PendingRequest, TimerKind, Timers,
-};
+use crate::state::{BackendSet, CustomerAccount, OutcomeKinds, PendingRequest, TimerKind, Timers};
 use crate::types::*;
 use concurrency::ConcurrencyLimit;
 use counter_health::CounterHealth;
 use failure_rates::FailureRates;
+use gossip::GossipBudget;
 use latencies::LatencyEstimates;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use retry_budget::RetryBudget;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A customer is told about to other instances no more often than this, and so is a backend's recovery; seconds.
-const GOSSIP_INTERVAL: f64 = 0.5;
-/// The fraction of what an instance takes in of gossip that each may send.
-const GOSSIP_SEND_FRACTION: f64 = 0.5;
 /// Timers this late, seconds, show that this process itself stood still.
 const STALL_THRESHOLD: f64 = 0.1;
 
@@ -98,7 +95,7 @@
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
             instances,
             local_processes: 1.0,
-            gossip_budget: GossipBudget::new(settings.gossip_intake_rate),
+            gossip_budget: GossipBudget::new(settings.gossip_intake_rate, instances),
             latencies: LatencyEstimates::new(&operations),
             failure_rates: FailureRates::new(OutcomeKinds::new(operations.len(), plans.len())),
             operations,
@@ -124,30 +121,6 @@
         self.local_processes = if is_running { 2.0 } else { 1.0 };
     }
 
-    /// Another instance has had an answer of a backend that it had ejected, or has seen a customer's total.
-    pub fn gossip_received(&mut self, now: f64, message: GossipMessage) {
-        match message {
-            GossipMessage::BackendRecovered { backend } => self.recovery_reported(now, backend),
-            GossipMessage::CounterTotal { key, plan, instances, total } => {
-                let account = self.account(now, key.customer, plan, instances);
-                if key.series == account.series {
-                    account.observed_total = Some(total);
-                    account.gossiped_at = now;
-                    account.observed_at = now;
-                }
-            }
-        }
-    }
-
-    fn recovery_reported(&mut self, now: f64, backend: BackendIndex) {
-        let Some(backend) = self.backends.get_mut(backend) else { return };
-        backend.recovery_gossiped_at = now;
-        // The message may be older than the ejection: half of its duration passes first.
-        if let Some(ejection) = backend.ejection.filter(|e| e.until - now < e.duration / 2.0) {
-            backend.ejection = Some(Ejection { until: now, ..ejection });
-        }
-    }
-
     /// What is due by now, which requests are to be routed again, and when to poll next.
     pub fn poll(&mut self, now: f64) -> PollOutput {
         while let Some(timer) = self.timers.pop_due(now, &self.requests) {
@@ -182,13 +155,6 @@
         self.last_call_at = now;
     }
 
-    /// Sends a message to so many instances, as far as they can take it in.
-    fn send_gossip(&mut self, now: f64, message: GossipMessage, recipients: f64) {
-        if self.gossip_budget.try_spend(now, recipients, GOSSIP_SEND_FRACTION, self.instances) {
-            self.effects.gossip.push(message);
-        }
-    }
-
     /// A random number from 0 to 1.
     fn random_fraction(&mut self) -> f64 {
         self.rng.gen_range(0.0..1.0)
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -2,7 +2,7 @@
 //! estimates of answer times follow.
 use super::latencies::TAIL_QUANTILE;
 use super::requests::EndedAttempt;
-use super::{PolicyEngine, GOSSIP_INTERVAL};
+use super::{gossip, PolicyEngine};
 use crate::state::{update_quantile, Backend, Ejection, ThroughputWindow};
 use crate::types::*;
 
@@ -113,7 +113,7 @@
         let AttemptOutcome { backend, duration, .. } = *outcome;
         self.effects.log.push(PolicyLogMessage::BackendRecovered { backend, duration });
         let backend = self.backend_mut(outcome.backend);
-        if now > backend.recovery_gossiped_at + GOSSIP_INTERVAL {
+        if gossip::may_repeat(now, backend.recovery_gossiped_at) {
             backend.recovery_gossiped_at = now;
             let message = GossipMessage::BackendRecovered { backend: outcome.backend };
             self.send_gossip(now, message, self.instances);
