--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,5 +1,5 @@
 //! Which backend gets an attempt: two are drawn at random among those in good standing, and the one with the lower load wins.
-use super::outliers::{SLOW_FACTOR, THROUGHPUT_WINDOW};
+use super::outliers::THROUGHPUT_WINDOW;
 use super::PolicyEngine;
 use crate::state::{Backend, Sample, SampleSettings};
 use crate::types::*;
@@ -11,8 +11,6 @@
 const SAMPLE_SIZE: usize = 32;
 /// How often the sample's summary looks which backends have warmed up, seconds.
 const WARMING_CHECK_INTERVAL: f64 = 1.0;
-/// A failure rate above this makes a kind of outcome scarce: backends are preferred that are known to serve it.
-const SCARCE_FAILURE_RATE: f64 = 0.1;
 /// So many good outcomes in a row are as good as any.
 const PROVEN_STREAK: u32 = 3;
 /// A backend's attempts in flight may fill this fraction of the latency objective at the pace of its answers.
@@ -114,9 +112,9 @@
         selection: &Selection,
         location: Option<Location>,
     ) -> Option<Sample> {
-        let kinds = self.outcome_kinds(selection.attributes);
-        let nothing_is_scarce = kinds.into_iter().all(|kind| !self.is_scarce(kind));
-        if location.is_some() || !nothing_is_scarce || self.backends.len() <= MAX_SCANNED_BACKENDS {
+        let kinds = self.failure_rates.kinds().of_request(selection.attributes);
+        let something_is_scarce = kinds.into_iter().any(|kind| self.failure_rates.is_scarce(kind));
+        if location.is_some() || something_is_scarce || self.backends.len() <= MAX_SCANNED_BACKENDS {
             return None;
         }
         let settings = SampleSettings {
@@ -128,28 +126,17 @@
         Some(self.backends.sample(now, &mut self.rng, &settings))
     }
 
-    /// Whether backends that give good outcomes of this kind are hard to find.
-    fn is_scarce(&self, kind: usize) -> bool {
-        self.failure_rates[kind] > SCARCE_FAILURE_RATE
-    }
-
     /// The backends at a location that accept new attempts.
     fn accepting(&self, location: Option<Location>) -> impl Iterator<Item = &Backend> {
         self.backends.values().filter(move |backend| is_accepting(backend, location))
     }
 
-    /// Whether answers to the operation are slow everywhere.
-    fn is_fleet_slow(&self, operation: usize) -> bool {
-        let latency = &self.latencies[operation];
-        latency.median > SLOW_FACTOR * latency.least_median
-    }
-
     /// Units in flight at backends that are expected to answer. Where answers come as fast as ever, a silent backend hangs and
     /// does not count; where they are slow, it may be slow too.
     fn units_in_flight(&self, now: f64, selection: &Selection, location: Option<Location>) -> f64 {
         let operation = selection.attributes.operation;
-        let p95 = self.latencies[operation].p95;
-        let fleet_is_slow = self.is_fleet_slow(operation);
+        let p95 = self.latencies.p95(operation);
+        let fleet_is_slow = self.latencies.is_fleet_slow(operation);
         let counts = |backend: &&Backend| {
             backend.ejection.is_none() && (fleet_is_slow || !self.is_unresponsive(now, backend, p95))
         };
@@ -161,7 +148,7 @@
     /// most. All of it where nothing is billed.
     fn priority_fraction(&self, operation: usize) -> f64 {
         let priority = |operation: usize| {
-            self.operations[operation].billed_value / self.latencies[operation].least_median
+            self.operations[operation].billed_value / self.latencies.least_median(operation)
         };
         let highest = (0..self.operations.len()).map(priority).fold(0.0, f64::max);
         (priority(operation) / highest).min(1.0)
@@ -181,7 +168,7 @@
     ) -> Candidates {
         let Operation { latency_objective, idempotency, .. } =
             self.operations[selection.attributes.operation];
-        let p95 = self.latencies[selection.attributes.operation].p95;
+        let p95 = self.latencies.p95(selection.attributes.operation);
         let backlog_time = MAX_BACKLOG_FRACTION * latency_objective;
         let mut candidates = Candidates::default();
         for backend in backends {
@@ -213,8 +200,8 @@
     fn prefer_proven(&self, now: f64, selection: &Selection, candidates: Candidates) -> Vec<BackendIndex> {
         let Candidates { mut preferred, fallback, has_saturated } = candidates;
         let since = now - self.attempt_settings.connection_idle_timeout;
-        let kinds = self.outcome_kinds(selection.attributes);
-        for kind in kinds.into_iter().filter(|kind| self.is_scarce(*kind)) {
+        let kinds = self.failure_rates.kinds().of_request(selection.attributes);
+        for kind in kinds.into_iter().filter(|kind| self.failure_rates.is_scarce(*kind)) {
             let streak = |index: &BackendIndex| self.backends[index].streak(kind, since);
             let longest = preferred.iter().map(streak).max().unwrap_or(0).min(PROVEN_STREAK);
             preferred.retain(|index| streak(index) >= longest);
@@ -248,7 +235,7 @@
         let draw = self.random_fraction();
         let distance = (draw * (preferred.len().max(2) - 1) as f64) as usize + 1;
         let second = (first + distance) % preferred.len();
-        let fleet_is_slow = self.is_fleet_slow(selection.attributes.operation);
+        let fleet_is_slow = self.latencies.is_fleet_slow(selection.attributes.operation);
         let is_idle = |index: &&BackendIndex| self.is_idle(now, &self.backends[*index], fleet_is_slow);
         let idle: Vec<&BackendIndex> = connected.iter().filter(is_idle).collect();
         let position = (draw * idle.len() as f64) as usize;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -6,13 +6,19 @@
 //! | --- | --- |
 //! | `requests` | the life of a request: first routing, ended attempts, closing |
 //! | `attempts` | whether and when a request gets its next attempt: retries, hedging, giving up |
+//! | `retry_budget` | how many requests that may have run can be sent again |
 //! | `quota` | whether a customer's quota admits a request: leases, even shares, ceilings |
 //! | `leases` | what an answer of the shared counter means for a lease; expiry and refunds |
 //! | `permits` | caps on a customer's requests in flight |
-//! | `counter` | how often the counter is called, and when it counts as unresponsive |
+//! | `counter` | what an answer of the counter, or the lack of one, sets going |
+//! | `counter_health` | how often the counter is called, and when it counts as unresponsive |
 //! | `load_balancing` | which backend gets an attempt |
 //! | `concurrency` | how much may be in flight at all backends together |
-//! | `outliers` | what an outcome says of a backend: ejection, recovery, latency estimates |
+//! | `latencies` | how long answers take, and when they are slow everywhere |
+//! | `failure_rates` | which kinds of outcomes are scarce |
+//! | `outliers` | what an outcome says of a backend: ejection, recovery, its pace |
+//! | `endpoints` | which backends there are, by the endpoint list and by operators' orders |
+//! | `gossip` | what instances tell each other, and how much of it |
 //!
 //! Quota. A customer's counter holds the units taken since its window began. The token bucket that it stands for refills at the
 //! plan's rate, so what may be taken is the burst plus the refill since the window began. A total that lags behind the refill,
@@ -20,34 +26,33 @@
 mod attempts;
 mod concurrency;
 mod counter;
+mod counter_health;
+mod endpoints;
+mod failure_rates;
+mod gossip;
+mod latencies;
 mod leases;
 mod load_balancing;
 mod outliers;
 mod permits;
 mod quota;
 mod requests;
+mod retry_budget;
 
-use crate::state::{
-    BackendSet, CounterHealth, CustomerAccount, Ejection, GossipBudget, LatencyEstimate, PendingRequest,
-    TimerKind, Timers,
-};
+use crate::state::{BackendSet, CustomerAccount, OutcomeKinds, PendingRequest, TimerKind, Timers};
 use crate::types::*;
 use concurrency::ConcurrencyLimit;
+use counter_health::CounterHealth;
+use failure_rates::FailureRates;
+use gossip::GossipBudget;
+use latencies::LatencyEstimates;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use retry_budget::RetryBudget;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A customer is told about to other instances no more often than this, and so is a backend's recovery; seconds.
-const GOSSIP_INTERVAL: f64 = 0.5;
-/// The fraction of what an instance takes in of gossip that each may send.
-const GOSSIP_SEND_FRACTION: f64 = 0.5;
-/// Mean pause before the endpoint list is requested again after a failure, seconds. Drawn from half of it to one and a half, so
-/// that instances do not come back together.
-const ENDPOINT_RETRY_PAUSE: f64 = 2.0;
 /// Timers this late, seconds, show that this process itself stood still.
 const STALL_THRESHOLD: f64 = 0.1;
-/// Answer times are at first taken for this fraction of the operation's latency objective.
-const INITIAL_LATENCY_FRACTION: f64 = 0.25;
 
 /// The decisions of one gateway instance, and all that they remember.
 pub struct PolicyEngine {
@@ -64,13 +69,10 @@
     requests: BTreeMap<RequestIndex, PendingRequest>,
     accounts: BTreeMap<CustomerIndex, CustomerAccount>,
     backends: BackendSet,
-    /// By operation, over all backends.
-    latencies: Vec<LatencyEstimate>,
+    latencies: LatencyEstimates,
     concurrency: ConcurrencyLimit,
-    /// By kind of outcome: the fraction of attempts that failed.
-    failure_rates: Vec<f64>,
-    /// Retries of requests that may have run are paid for with these.
-    retry_tokens: f64,
+    failure_rates: FailureRates,
+    retry_budget: RetryBudget,
     counter: CounterHealth,
     last_call_at: f64,
     /// Requests to be decided on again.
@@ -89,16 +91,13 @@
         if settings.polls_endpoints {
             timers.schedule(0.0, TimerKind::FetchEndpoints);
         }
-        let initial_latency = |operation: &Operation| {
-            LatencyEstimate::initial(operation.latency_objective * INITIAL_LATENCY_FRACTION)
-        };
         PolicyEngine {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
             instances,
             local_processes: 1.0,
-            gossip_budget: GossipBudget::new(settings.gossip_intake_rate),
-            latencies: operations.iter().map(initial_latency).collect(),
-            failure_rates: vec![0.0; outliers::kind_count(operations.len(), plans.len())],
+            gossip_budget: GossipBudget::new(settings.gossip_intake_rate, instances),
+            latencies: LatencyEstimates::new(&operations),
+            failure_rates: FailureRates::new(OutcomeKinds::new(operations.len(), plans.len())),
             operations,
             plans,
             slow_start: settings.slow_start,
@@ -107,7 +106,7 @@
             accounts: BTreeMap::new(),
             backends: BackendSet::default(),
             concurrency: ConcurrencyLimit::default(),
-            retry_tokens: attempts::INITIAL_RETRY_TOKENS,
+            retry_budget: RetryBudget::new(),
             counter: CounterHealth::new(counter, instances),
             last_call_at: f64::INFINITY,
             reconsider: BTreeSet::new(),
@@ -117,69 +116,11 @@
         }
     }
 
-    /// Takes up the endpoint list, or what changed in it. What a snapshot lacks is removed.
-    pub fn update_endpoints(&mut self, now: f64, is_snapshot: bool, endpoints: &[Endpoint]) {
-        if self.backends.is_empty() {
-            // The first call with a time.
-            self.concurrency.reset(endpoints.len(), self.instances);
-            self.counter.last_answer_at = now;
-            self.counter.tokens_updated_at = now;
-        }
-        self.backends.update_endpoints(now, is_snapshot, endpoints, self.failure_rates.len());
-    }
-
-    /// The endpoint list could not be had, or its watch broke off: it is requested again after a pause.
-    pub fn endpoint_fetch_failed(&mut self, now: f64) {
-        let at = now + ENDPOINT_RETRY_PAUSE * (0.5 + self.random_fraction());
-        self.timers.schedule(at, TimerKind::FetchEndpoints);
-    }
-
-    /// An operator takes a backend out of service from `since` on, or puts it back (`None`): what was known of it is past.
-    pub fn set_manual_ejection(&mut self, now: f64, backend: BackendIndex, since: Option<f64>) {
-        self.backends.set_maintenance(now, backend, since);
-    }
-
-    /// How many listed backends get nothing new now: draining, out of service or ejected.
-    pub fn unavailable_backends(&self) -> usize {
-        self.backends.values().filter(|backend| backend.is_unavailable()).count()
-    }
-
-    /// Forgets a removed backend that nothing in flight has to do with any more. Its index may name another one from now on.
-    pub fn forget_backend(&mut self, backend: BackendIndex) {
-        self.backends.forget(backend);
-    }
-
     /// Another process of this instance is there, or no longer: each has half of the instance's even shares.
     pub fn set_peer_process(&mut self, is_running: bool) {
         self.local_processes = if is_running { 2.0 } else { 1.0 };
     }
 
-    /// Another instance has had an answer of a backend that it had ejected, or has seen a customer's total.
-    pub fn gossip_received(&mut self, now: f64, message: GossipMessage) {
-        match message {
-            GossipMessage::BackendRecovered { backend } => self.recovery_reported(now, backend),
-            GossipMessage::CounterTotal { key, plan, instances, total } => {
-                let account = self.account(now, key.customer, plan, instances);
-                if key.series == account.series {
-                    account.observed_total = Some(total);
-                    account.gossiped_at = now;
-                    account.observed_at = now;
-                }
-            }
-        }
-    }
-
-    fn recovery_reported(&mut self, now: f64, backend: BackendIndex) {
-        let Some(backend) = self.backends.get_mut(backend) else { return };
-        backend.recovery_gossiped_at = now;
-        // The message may be older than the ejection: half of its duration passes first.
-        if let Some(ejection) =
-            backend.ejection.filter(|ejection| ejection.until - now < ejection.duration / 2.0)
-        {
-            backend.ejection = Some(Ejection { until: now, ..ejection });
-        }
-    }
-
     /// What is due by now, which requests are to be routed again, and when to poll next.
     pub fn poll(&mut self, now: f64) -> PollOutput {
         while let Some(timer) = self.timers.pop_due(now, &self.requests) {
@@ -214,13 +155,6 @@
         self.last_call_at = now;
     }
 
-    /// Sends a message to so many instances, as far as they can take it in.
-    fn send_gossip(&mut self, now: f64, message: GossipMessage, recipients: f64) {
-        if self.gossip_budget.try_spend(now, recipients, GOSSIP_SEND_FRACTION, self.instances) {
-            self.effects.gossip.push(message);
-        }
-    }
-
     /// A random number from 0 to 1.
     fn random_fraction(&mut self) -> f64 {
         self.rng.gen_range(0.0..1.0)
