--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -195,6 +195,7 @@
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).expect("the gateway accepts");
         stream.set_read_timeout(Some(Duration::from_secs(20))).expect("an open socket");
+        stream.set_write_timeout(Some(Duration::from_secs(20))).expect("an open socket");
         stream
     }
 
