--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -1,19 +1,17 @@
 //! Admission on loopback: clients of several addresses open connections until no descriptor is left.
-use nix::sys::resource::{setrlimit, Resource};
 use nix::sys::signal::Signal;
 use std::io::{Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
-use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
+use std::process::Stdio;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 mod common;
 use common::example_servers::{self, request};
 use common::{
-    example_configuration, free_listener, gateway_command, serve_endpoints, unique_address, wait_until_ready,
-    GatewayProcess, ListedBackend, PING,
+    example_configuration, gateway_command, limit_descriptors, start_listed_backend, start_services,
+    unique_address, wait_until_ready, GatewayProcess, ServiceAddresses, PING,
 };
 
 /// The address that `LIMITS` lists as known.
@@ -54,24 +52,11 @@
     operator_file: PathBuf,
 }
 
-fn limit_descriptors(command: &mut Command, limit: u64) {
-    let set_limit = move || setrlimit(Resource::RLIMIT_NOFILE, limit, limit).map_err(std::io::Error::from);
-    // SAFETY: between fork and exec only a resource limit is set.
-    unsafe {
-        command.pre_exec(set_limit);
-    }
-}
-
 impl LimitedGateway {
     fn start(name: &str, limits: DescriptorLimits, operator_settings: Option<&str>) -> LimitedGateway {
-        let (backend, backend_address) = free_listener();
-        let (counter, counter_address) = free_listener();
-        let (list_service, list_service_address) = free_listener();
-        example_servers::start_backend(backend, "a");
-        example_servers::start_counter(counter);
-        serve_endpoints(list_service, &[ListedBackend { name: "a", address: backend_address }]);
+        let ServiceAddresses { list_service, counter } = start_services(&[start_listed_backend("a")]);
         let address = unique_address(7400);
-        let configuration = example_configuration(list_service_address, counter_address)
+        let configuration = example_configuration(list_service, counter)
             .replace("127.0.0.1:7400", &address.to_string())
             .replace("\"sockets\": 1024", &format!("\"sockets\": {}", limits.configured));
         let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -1,9 +1,11 @@
 //! Helpers for the tests that run the `quillramp` program on loopback. Each test uses a part of them.
 #![allow(dead_code)]
+use nix::sys::resource::{setrlimit, Resource};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -144,6 +146,37 @@
         .replace("\"mgmt\": \"127.0.0.1:7404\",", "")
 }
 
+/// Where the services of an instance under test are.
+pub struct ServiceAddresses {
+    pub list_service: SocketAddr,
+    pub counter: SocketAddr,
+}
+
+/// Starts a counter, and a list service with these backends.
+pub fn start_services(backends: &[ListedBackend]) -> ServiceAddresses {
+    let (counter, counter_address) = free_listener();
+    let (list_service, list_service_address) = free_listener();
+    example_servers::start_counter(counter);
+    serve_endpoints(list_service, backends);
+    ServiceAddresses { list_service: list_service_address, counter: counter_address }
+}
+
+/// Starts an example backend of this name.
+pub fn start_listed_backend(name: &'static str) -> ListedBackend {
+    let (listener, address) = free_listener();
+    example_servers::start_backend(listener, name);
+    ListedBackend { name, address }
+}
+
+/// Limits the descriptors of a process that is to be started.
+pub fn limit_descriptors(command: &mut Command, limit: u64) {
+    let set_limit = move || setrlimit(Resource::RLIMIT_NOFILE, limit, limit).map_err(std::io::Error::from);
+    // SAFETY: between fork and exec only a resource limit is set.
+    unsafe {
+        command.pre_exec(set_limit);
+    }
+}
+
 /// The configuration with these backends known from the start.
 pub fn with_known_backends(configuration: &str, backends: &[ListedBackend]) -> String {
     configuration.replace(EMPTY_ENDPOINT_LIST, &endpoint_list(backends))
--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -1,9 +1,7 @@
 //! Idle clients take all descriptors that are left to them while the list service is down. When it returns, there are still
 //! descriptors for the connections to it, to the counter and to backends.
-use nix::sys::resource::{setrlimit, Resource};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::os::unix::process::CommandExt;
 use std::path::Path;
 use std::process::Stdio;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,7 +14,7 @@
 use common::example_servers::{self, number, read_reply, request, serve_connections, target, write_ok};
 use common::{
     connect_when_listening, endpoint_list, example_configuration, free_listener, gateway_command,
-    unique_address, GatewayProcess, ListedBackend, PING,
+    limit_descriptors, unique_address, GatewayProcess, ListedBackend, PING,
 };
 
 /// The resource limit of the gateway process.
@@ -147,12 +145,7 @@
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("descriptors-{name}.json"));
     std::fs::write(&file, configuration).expect("a file");
     let mut command = gateway_command(&file);
-    let set_limit =
-        || setrlimit(Resource::RLIMIT_NOFILE, DESCRIPTORS, DESCRIPTORS).map_err(std::io::Error::from);
-    // SAFETY: between fork and exec only a resource limit is set.
-    unsafe {
-        command.pre_exec(set_limit);
-    }
+    limit_descriptors(&mut command, DESCRIPTORS);
     let process = GatewayProcess::spawn(command.stderr(Stdio::null()));
     connect_when_listening(address);
     (process, address)
--- a/gateway/tests/handover.rs
+++ b/gateway/tests/handover.rs
@@ -34,7 +34,7 @@
 }
 
 fn configuration_file(directory: &Path) -> PathBuf {
-    directory.join("told.json")
+    directory.join("configuration.json")
 }
 
 /// Lets the processes that are started here inherit this descriptor.
--- a/gateway/tests/identity.rs
+++ b/gateway/tests/identity.rs
@@ -1,9 +1,9 @@
 //! Authenticated callers at a gateway on loopback: keys that are rotated under load, tokens that are revoked, and which requests
 //! each caller may send.
-use common::example_servers::{self, read_reply};
+use common::example_servers::read_reply;
 use common::{
-    empty_directory, example_configuration, free_listener, gateway_command, serve_endpoints, unique_address,
-    wait_until_ready, GatewayProcess, ListedBackend,
+    empty_directory, example_configuration, gateway_command, start_listed_backend, start_services,
+    unique_address, wait_until_ready, GatewayProcess, ServiceAddresses,
 };
 use issuer::Signer;
 use nix::sys::signal::Signal;
@@ -98,24 +98,17 @@
 impl Gateway {
     fn start(name: &str, operator_settings: &str) -> Gateway {
         let directory = empty_directory(name);
-        let backends = ["a", "b"].map(|name| {
-            let (listener, address) = free_listener();
-            example_servers::start_backend(listener, name);
-            ListedBackend { name, address }
-        });
-        let (counter, counter_address) = free_listener();
-        let (list_service, list_service_address) = free_listener();
-        example_servers::start_counter(counter);
-        serve_endpoints(list_service, &backends);
+        let ServiceAddresses { list_service, counter } =
+            start_services(&["a", "b"].map(start_listed_backend));
         let (address, admin_address) = (unique_address(7400), unique_address(7404));
-        let configuration = example_configuration(list_service_address, counter_address)
+        let configuration = example_configuration(list_service, counter)
             .replace("127.0.0.1:7400", &address.to_string())
             .replace(
                 "\"tariffs\": [",
                 "\"tariffs\": [{\"name\": \"plenty\", \"per_second\": 50000, \"depth\": 50000, \"parallel\": 0, \
                  \"ceiling_rate\": 0, \"ceiling_slack\": 0, \"hard_burst\": 0}, ",
             );
-        let configuration_file = directory.join("told.json");
+        let configuration_file = directory.join("configuration.json");
         let operator_file = directory.join("operator.toml");
         std::fs::write(&configuration_file, configuration).expect("a file");
         std::fs::write(&operator_file, operator_settings).expect("a file");
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -11,8 +11,8 @@
 mod common;
 use common::example_servers::{self, request, request_of_plan, InFlightByPlan, InstanceRange};
 use common::{
-    example_configuration, exchange, free_listener, serve_endpoints, start_gateway, unique_address,
-    wait_until_ready, GatewayProcess, ListedBackend,
+    example_configuration, exchange, free_listener, start_gateway, start_listed_backend, start_services,
+    unique_address, wait_until_ready, GatewayProcess, ListedBackend, ServiceAddresses,
 };
 
 const PING: &str = "*1\r\n$4\r\nPING\r\n";
@@ -51,21 +51,16 @@
 
 impl SingleInstance {
     fn start(name: &str) -> SingleInstance {
-        let (backend, backend_address) = free_listener();
-        let (counter, counter_address) = free_listener();
-        let (list_service, list_service_address) = free_listener();
-        example_servers::start_backend(backend, "a");
-        example_servers::start_counter(counter);
-        serve_endpoints(list_service, &[ListedBackend { name: "a", address: backend_address }]);
+        let ServiceAddresses { list_service, counter } = start_services(&[start_listed_backend("a")]);
         let address = unique_address(7400);
-        let configuration = example_configuration(list_service_address, counter_address)
+        let configuration = example_configuration(list_service, counter)
             .replace("127.0.0.1:7400", &address.to_string())
             .replace("\"memory_mb\": 192", "\"memory_mb\": 1");
         let configuration_file = temporary_file(&format!("loopback-{name}.json"));
         std::fs::write(&configuration_file, &configuration).expect("a file");
         let process = start_gateway(&configuration_file);
         wait_until_ready(&[address]);
-        SingleInstance { process, address, configuration_file, configuration, counter: counter_address }
+        SingleInstance { process, address, configuration_file, configuration, counter }
     }
 
     /// Sends requests on a connection of their own and reads this number of replies.
@@ -222,11 +217,8 @@
             example_servers::start_backend_with_statistics(listener, name, in_flight.clone());
             ListedBackend { name, address }
         });
-        let (counter, counter_address) = free_listener();
-        let (list_service, list_service_address) = free_listener();
-        example_servers::start_counter(counter);
-        serve_endpoints(list_service, &backends);
-        let old = old_configuration(list_service_address, counter_address);
+        let ServiceAddresses { list_service, counter } = start_services(&backends);
+        let old = old_configuration(list_service, counter);
         let new = new_configuration(&old);
         let mut fleet = MixedFleet { processes: vec![], addresses: vec![], in_flight };
         for slot in 0..INSTANCES {
--- a/gateway/tests/on_call.rs
+++ b/gateway/tests/on_call.rs
@@ -6,8 +6,15 @@
 const PAGE: &str = include_str!("../../docs/on-call.md");
 
 /// Where a template of a log line is found: the macros that write one, and the text of a typed message.
-const LOG_CALLS: [&str; 5] =
-    ["tracing::info!(", "tracing::warn!(", "tracing::error!(", "eprintln!(", "write!("];
+const LOG_CALLS: [&str; 7] = [
+    "tracing::trace!(",
+    "tracing::debug!(",
+    "tracing::info!(",
+    "tracing::warn!(",
+    "tracing::error!(",
+    "eprintln!(",
+    "write!(",
+];
 
 /// Files whose `write!` calls are the text of typed messages for the log.
 const MESSAGE_FILES: [&str; 3] =
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -15,7 +15,7 @@
 pub const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
 /// Three gateway instances, two backends, an idempotent operation `look` and a non-idempotent one `order`.
-pub const CONFIGURATION: &str = include_str!("../told.json");
+pub const CONFIGURATION: &str = include_str!("configuration.json");
 
 /// An instance with so many descriptors that shares its listening socket or not, and that operators may call or not.
 pub fn bench_configured(max_descriptors: usize, inherited_listener: bool, admin: bool) -> Bench {
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 mod common;
-use common::example_servers::{self, command, request, serve_connections};
+use common::example_servers::{command, request, serve_connections};
 use common::{
-    connect_when_listening, empty_directory, free_listener, gateway_command, serve_endpoints, unique_address,
+    connect_when_listening, empty_directory, free_listener, gateway_command, start_services, unique_address,
     GatewayProcess, ListedBackend, PING,
 };
 
@@ -56,23 +56,20 @@
 
 fn start_with_memory(name: &str, memory_mb: usize) -> (GatewayProcess, SocketAddr) {
     let (backend, backend_address) = free_listener();
-    let (counter, counter_address) = free_listener();
-    let (list_service, list_service_address) = free_listener();
     start_backend(backend);
-    example_servers::start_counter(counter);
-    serve_endpoints(list_service, &[ListedBackend { name: "a", address: backend_address }]);
+    let services = start_services(&[ListedBackend { name: "a", address: backend_address }]);
     let address = unique_address(7400);
     let configuration = include_str!("../../examples/configuration.json")
         .replace("127.0.0.1:7400", &address.to_string())
-        .replace("127.0.0.1:7401", &list_service_address.to_string())
-        .replace("127.0.0.1:7402", &counter_address.to_string())
+        .replace("127.0.0.1:7401", &services.list_service.to_string())
+        .replace("127.0.0.1:7402", &services.counter.to_string())
         .replace("127.0.0.1:7403", "127.0.0.1:0")
         .replace("127.0.0.1:7404", "127.0.0.1:0")
         .replace("\"depth\": 12", "\"depth\": 400")
         .replace("\"aim_us\": 400000", "\"aim_us\": 1400000") // on a busy machine a slow value is no overload
         .replace("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}"));
     let directory = empty_directory(name);
-    let file = directory.join("told.json");
+    let file = directory.join("configuration.json");
     std::fs::write(&file, configuration).expect("a file");
     let process = GatewayProcess::spawn(gateway_command(&file).env("TMPDIR", directory));
     connect_when_listening(address);
