--- a/broker/src/budget.rs
+++ b/broker/src/budget.rs
@@ -1,9 +1,9 @@
 //! A team's budget for a period, shared by all gateway instances. Each instance leases parts of it from a count per team and period
-//! on the counter, like the quotas of customers. While the counter is unreachable, an instance spends an even slice of what was
+//! on the counter, like the quotas of customers. While the counter is unreachable, an instance spends an even share of what was
 //! left when the counter last answered. In a new period instances lease on demand, which avoids a thundering herd.
 use crate::contract::Budget;
 
-/// Size of a lease as a fraction of an instance's even slice: small, so that little is leased and unspent at any time.
+/// Size of a lease as a fraction of an instance's even share: small, so that little is leased and unspent at any time.
 const LEASE_FRACTION: f64 = 1.0 / 16.0;
 /// Fraction of a lease below which the next one is requested.
 const LOW_LEASE_FRACTION: f64 = 1.0 / 4.0;
@@ -62,7 +62,7 @@
     total_leased: f64,
     /// Whether the counter has answered in this period.
     has_total: bool,
-    /// Units of the even slice that were spent without a lease and still have to be added to the count.
+    /// Units of the even share that were spent without a lease and still have to be added to the count.
     debt: f64,
     outstanding: Option<OutstandingCall>,
     /// Earliest time of the next call, seconds.
@@ -157,7 +157,7 @@
         Some(excess)
     }
 
-    /// Handles a request beyond the leased units: leases more, or spends from the even slice while the counter is unreachable.
+    /// Handles a request beyond the leased units: leases more, or spends from the even share while the counter is unreachable.
     fn request_unleased(
         &mut self,
         now: f64,
@@ -182,13 +182,13 @@
             let counter_call = self.lease(now, budget, instances, units);
             return BudgetResponse { verdict: pending, counter_call };
         }
-        let slice = (budget.units - self.total_leased).max(0.0) / instances as f64;
-        let has_slice = self.debt + units <= slice;
-        if has_slice {
+        let even_share = (budget.units - self.total_leased).max(0.0) / instances as f64;
+        let is_covered = self.debt + units <= even_share;
+        if is_covered {
             self.debt += units;
             self.spent += units;
         }
-        let verdict = if has_slice { BudgetVerdict::Granted } else { self.exhausted(now, budget) };
+        let verdict = if is_covered { BudgetVerdict::Granted } else { self.exhausted(now, budget) };
         BudgetResponse { verdict, counter_call: None }
     }
 
--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -1,4 +1,4 @@
-//! What the processes of one gateway instance tell each other at a hand-over, through a file that both keep. The file is
+//! What the processes of one gateway instance share at a handover, through a file that both keep. The file is
 //! only touched on a thread of its own.
 use super::process_identity::ProcessIdentity;
 use super::shared_file::{SharedFile, SharedFileError, SharedRecord};
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -63,7 +63,7 @@
     /// Operators can't call.
     #[error("mgmt: {0}")]
     ListenForOperators(ListenError),
-    /// Peers can't be heard.
+    /// Gossip of peers can't be received.
     #[error(transparent)]
     Gossip(#[from] BindError),
     /// The thread of the shared file can't be made.
--- a/gateway/src/sockets/connection/lifecycle.rs
+++ b/gateway/src/sockets/connection/lifecycle.rs
@@ -104,7 +104,7 @@
         self.wake_stream_source(); // it has nobody to wait for now
     }
 
-    /// Discards input from now on: an operator has had its response, or a client is to be heard no more. Only the end
+    /// Discards input from now on: an operator has had its response, or a client is no longer read from. Only the end
     /// matters: bytes left unread would hide it, and turn the close into a reset that can take our replies with it.
     pub fn discard_input(&self) {
         self.input_discarded.store(true, Ordering::Relaxed);
--- a/gateway/src/sockets/connection/streaming.rs
+++ b/gateway/src/sockets/connection/streaming.rs
@@ -8,7 +8,7 @@
 /// How much of a value may wait for its client, in bytes.
 const MAX_WAITING_BYTES: usize = 64 * 1024;
 /// The same once all streamed values together have their fraction of the memory, in bytes.
-const MAX_WAITING_BYTES_CROWDED: usize = 4 * 1024;
+const MAX_WAITING_BYTES_MEMORY_SHORT: usize = 4 * 1024;
 
 /// A backend's side of a stream.
 pub(super) struct StreamSource {
@@ -94,10 +94,10 @@
     /// How much more of a value may wait for this client, in bytes.
     fn receive_window(&self) -> usize {
         let streamed = self.context.streamed_bytes.load(Ordering::Relaxed);
-        let crowded = streamed > self.context.max_streamed_bytes;
+        let memory_is_short = streamed > self.context.max_streamed_bytes;
         match self.out.borrow().len() {
-            0 if crowded => MAX_WAITING_BYTES_CROWDED,
-            waiting if crowded || waiting >= MAX_WAITING_BYTES => 0,
+            0 if memory_is_short => MAX_WAITING_BYTES_MEMORY_SHORT,
+            waiting if memory_is_short || waiting >= MAX_WAITING_BYTES => 0,
             waiting => MAX_WAITING_BYTES - waiting,
         }
     }
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -38,7 +38,7 @@
         admission
     }
 
-    /// Whether a new connection is accepted. A client that is not hears why, and its connection ends.
+    /// Whether a new connection is accepted. A client that is rejected gets the reason, and its connection ends.
     pub(super) fn admit_client(&mut self, now: f64, id: u64, address: IpAddr) -> bool {
         let Some(admission) = &mut self.admission else { return true };
         let verdict = admission.admit_connection(now, id, address);
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -18,7 +18,7 @@
         let id = AttemptId { request, attempt: pending.attempts.len() };
         pending.attempts.push(Attempt { backend, sent_at: now, connection: idle, time_to_first_byte: None });
         if pending.timeout.is_none() {
-            // Attempts in flight at the client's deadline have timed out, and the policy engine hears of it.
+            // Attempts in flight at the client's deadline have timed out, and the policy engine is notified.
             let deadline = pending.attributes.deadline;
             pending.timeout = Some(self.timers.schedule(deadline, TimerKind::RequestTimeout(request)));
         }
@@ -161,7 +161,7 @@
         connection.is_some_and(|connection| connection.queue.iter().any(|queued| is_other(queued.id)))
     }
 
-    /// Takes an attempt out of the buffer of its connection if no byte of it has been written; an event tells whether
+    /// Takes an attempt out of the buffer of its connection if no byte of it has been written; an event reports whether
     /// that was so.
     pub(super) fn withdraw_attempt(&mut self, id: AttemptId) {
         let Some(connection_id) = self.requests.connection_of(id) else { return };
--- a/gateway/src/state/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -15,7 +15,7 @@
 const FIRST_BUDGET_NUMBER: u64 = 1 << 41;
 /// Budget periods whose counters may still be answered.
 const MAX_PERIODS: usize = 64;
-/// The longest time that a client is told to wait, in seconds.
+/// The longest Retry-After that a client gets, in seconds.
 const MAX_RETRY_AFTER: f64 = 3600.0;
 
 /// The broker, its settings, and the counters of budgets.
--- a/gateway/src/state/counter.rs
+++ b/gateway/src/state/counter.rs
@@ -14,7 +14,7 @@
 const MAX_USABLE_CONNECTIONS: usize = 2;
 
 impl Reducer {
-    /// Makes a call; `counter_call_ended` hears of its result.
+    /// Makes a call; `counter_call_ended` takes its result.
     pub(super) fn call_counter(&mut self, now: f64, call: CounterCall) {
         let Some(address) = self.config.counter else {
             return self.engine.counter_answered(now, call.key, CounterResult::NotApplied);
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -100,7 +100,7 @@
         self.schedule_watch_timeout(now, id);
     }
 
-    /// The service has another address: its whole list is read there, then watched.
+    /// The service has another address: its complete list is fetched there, then watched.
     pub(super) fn discovery_address_changed(&mut self, now: f64) {
         self.close_overdue_watch(CloseReason::AddressChanged);
         if let Some(old) = self.discovery.connection.take() {
@@ -121,7 +121,7 @@
 
     fn schedule_watch_timeout(&mut self, now: f64, id: u64) {
         self.timers.cancel(self.discovery.timer);
-        // The whole list is sent without a wait, too.
+        // The complete list is sent without a wait, too.
         let is_immediate = self.discovery.is_unresponsive || self.discovery.version.is_none();
         let wait = if is_immediate { 0.0 } else { WATCH_SECONDS };
         self.discovery.timer = self.timers.schedule(now + wait + RESPONSE_GRACE, TimerKind::WatchTimeout(id));
--- a/gateway/src/state/membership.rs
+++ b/gateway/src/state/membership.rs
@@ -12,7 +12,7 @@
 /// The lowest number that stands for a group of instances, where customers' numbers lie below.
 const FIRST_GROUP_NUMBER: u64 = 1 << 40;
 
-/// Which instances the counter hears of.
+/// Which instances reach the counter.
 pub struct MembershipState {
     heartbeats: Membership,
     /// The time between two calls, in seconds.
@@ -48,7 +48,7 @@
         self.heartbeats.call_answered(now, Count { group, interval: key.series }, total);
     }
 
-    /// The fraction of these instances that the counter does not hear of. They are watched from now on.
+    /// The fraction of these instances that do not reach the counter. They are watched from now on.
     pub fn absent_fraction(&mut self, now: f64, instances: InstanceRange) -> f64 {
         self.heartbeats.watch(now, instances.first, instances.count);
         1.0 - self.heartbeats.present_fraction(now, instances.first, instances.count)
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -74,7 +74,7 @@
     pub(super) identity: Option<Authenticator>,
     /// Contracts between teams, where there are any.
     pub(super) broker: Option<BrokerState>,
-    /// Which instances the counter hears of, where operators want to know.
+    /// Which instances reach the counter, where membership is switched on.
     pub(super) membership: Option<MembershipState>,
     /// The limits that operators have declared for requests.
     pub(super) routes: Table,
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -25,7 +25,7 @@
 
 /// How far a drain or a shutdown has come.
 pub(super) struct ShutdownState {
-    /// The process was told to stop.
+    /// SIGTERM was received.
     pub is_stopping: bool,
     /// By then every request is answered, in seconds; infinite unless stopping.
     pub deadline: f64,
--- a/gateway/src/state/stats.rs
+++ b/gateway/src/state/stats.rs
@@ -9,7 +9,7 @@
 pub struct Stats {
     /// Requests answered with a value.
     pub completed: Vec<u64>,
-    /// Requests that were not accepted, or whose clients were told to retry later.
+    /// Requests that were not accepted, or whose clients were throttled.
     pub rejected: Vec<u64>,
     /// Requests that failed.
     pub failed: Vec<u64>,
--- a/gateway/src/state/streams.rs
+++ b/gateway/src/state/streams.rs
@@ -86,7 +86,7 @@
     }
 
     /// The connection of an attempt ended. What has been streamed of its value can't be taken back, so the client's
-    /// connection ends too, which tells the client.
+    /// connection ends too, which notifies the client.
     pub(super) fn stream_aborted(&mut self, now: f64, id: AttemptId) {
         let Some(pending) = self.requests.get_open_mut(id.request) else { return };
         if pending.streaming_attempt != Some(id.attempt) {
--- a/gateway/src/state/validation.rs
+++ b/gateway/src/state/validation.rs
@@ -4,7 +4,7 @@
 use quillramp::types::Idempotency;
 use thiserror::Error;
 
-/// Why a command is invalid, as its client hears it.
+/// Why a command is invalid, as its client reads it.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum InvalidCommand {
     #[error("unknown operation")]
--- a/load/src/test_bed/loopback.rs
+++ b/load/src/test_bed/loopback.rs
@@ -18,8 +18,8 @@
     let _ = thread.spawn(move || serve(stream)); // it ends with its connection; with no thread left it ends now
 }
 
-/// An address of loopback that no other process of these runs has: a port that was chosen there and released is not taken by
-/// another process, nor by an outgoing connection, for these have 127.0.0.1.
+/// A loopback address that no other process of these runs uses: neither another process nor an outgoing connection, which has
+/// 127.0.0.1, takes a port on it.
 pub fn own_loopback() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high.wrapping_add(1), middle, low)
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -47,7 +47,7 @@
         self.elapsed > self.latency_objective
     }
 
-    /// Whether the client may be told to come back: not where that could run a request twice.
+    /// Whether the client may be throttled, and so retry: not where that could execute a request twice.
     fn may_throttle(&self) -> bool {
         !self.may_have_run || self.idempotency == Idempotency::Idempotent
     }
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -30,7 +30,7 @@
         self.limit = (INITIAL_UNITS_PER_BACKEND * backends as f64 / instances).max(1.0);
     }
 
-    /// Moves the limit by one answer. What a backend reports of its load tells work that waits from work that is long.
+    /// Moves the limit by one answer. The load report of a backend distinguishes requests that wait from requests that are long.
     pub fn record_answer(&mut self, is_slow: bool, report: Option<LoadReport>) {
         let is_saturated = report.is_some_and(|report| is_saturated(&report));
         let change = if is_slow {
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -1,6 +1,6 @@
 //! How often the shared counter is called, and when it counts as unresponsive.
 //!
-//! The instances share a rate of calls. Nothing tells what the counter bears, so that is sought: an answer that comes while calls
+//! The instances share a rate of calls. The capacity of the counter is not known, so it is searched for: an answer that comes while calls
 //! run short raises the rate, a missed call lowers it.
 use crate::state::update_fraction;
 use crate::types::{CounterSettings, PolicyLogMessage};
@@ -29,7 +29,7 @@
 const PROBE_INTERVAL: f64 = 0.25;
 /// The fraction by which an answer raises the memory of the fastest one, so that it is forgotten in time.
 const FASTEST_ANSWER_DECAY: f64 = 0.0002;
-/// The fraction of requests that the counter was asked about counts for this at least.
+/// The fraction of requests that the counter was called for counts for this at least.
 const MIN_CONSULTED_FRACTION: f64 = 0.1;
 /// The weight of one request in that fraction.
 const CONSULTED_STEP: f64 = 0.05;
@@ -41,7 +41,7 @@
     consecutive_misses: u32,
     /// When a miss last lowered the call rate; 0 before the first.
     rate_cut_at: f64,
-    /// The fraction of admitted requests that the counter was asked about, from 0 to 1.
+    /// The fraction of admitted requests that the counter was called for, from 0 to 1.
     consulted_fraction: f64,
     /// When it last answered.
     last_answer_at: f64,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// From now on silence counts: nothing was asked of the counter before.
+    /// From now on silence counts: no call was made to the counter before.
     pub fn start(&mut self, now: f64) {
         self.last_answer_at = now;
         self.tokens_updated_at = now;
@@ -99,7 +99,7 @@
         self.fastest_answer
     }
 
-    /// The fraction of admitted requests that it was asked about, for estimates that divide by it.
+    /// The fraction of admitted requests that it was called for, for estimates that divide by it.
     pub fn consulted_fraction(&self) -> f64 {
         self.consulted_fraction.max(MIN_CONSULTED_FRACTION)
     }
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -1,14 +1,14 @@
-//! What gateway instances tell each other, and how much of it: each takes in so many messages a second, and all send to it.
+//! Gossip between gateway instances, and its budget: each instance accepts so many messages a second, and all others send to it.
 use super::PolicyEngine;
 use crate::state::Ejection;
 use crate::types::*;
 
-/// A customer is told about to other instances no more often than this, and so is a backend's recovery; seconds.
+/// The least interval between two messages about one customer, or about one backend's recovery, seconds.
 const INTERVAL: f64 = 0.5;
 /// The fraction of what an instance takes in of gossip that each may send.
 const SEND_FRACTION: f64 = 0.5;
 
-/// Whether instances may be told again of what they were last told, or heard, of at that time.
+/// Whether a message may be sent again that was last sent, or received, at that time.
 pub(super) fn may_repeat(now: f64, gossiped_at: f64) -> bool {
     now > gossiped_at + INTERVAL
 }
--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -12,7 +12,7 @@
 pub(super) const MIN_CALL_UNITS: f64 = 0.5;
 /// The fraction of the burst by which a total may lag behind before it is corrected.
 const TOLERATED_LAG_FRACTION: f64 = 1.0 / 8.0;
-/// With less than this fraction of the burst left, the total is told to the customer's other instances.
+/// With less than this fraction of the burst left, the total is sent to the customer's other instances.
 const NEARLY_EXHAUSTED_FRACTION: f64 = 0.1;
 
 /// A counter's total as an answer shows it.
@@ -46,7 +46,7 @@
         self.counter.record_answer_time(now - call.sent_at);
         let account = self.accounts.get_mut(&key.customer).expect("a customer with calls has an account");
         let burst = self.plans[account.plan].burst;
-        // What the counter has been told of, the even share has back.
+        // Units that have been reported to the counter are credited to the even share.
         account.even_share += call.debt_repaid.max(0.0);
         self.reconsider.extend(account.lease_waiters.drain(..));
         let is_current = account.series == call.series;
@@ -76,7 +76,7 @@
         self.schedule_customer(key.customer, now + LIFETIME);
     }
 
-    /// The customer's other instances hear of a total with little left.
+    /// Sends a total with little left to the customer's other instances.
     fn gossip_if_nearly_exhausted(&mut self, now: f64, key: CounterKey, total: f64, left: f64) {
         let Some(account) = self.accounts.get_mut(&key.customer) else { return };
         let threshold = NEARLY_EXHAUSTED_FRACTION * self.plans[account.plan].burst;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,7 +18,7 @@
 //! | `failure_rates` | which kinds of outcomes are scarce |
 //! | `outliers` | what an outcome says of a backend: ejection, recovery, its pace |
 //! | `endpoints` | which backends there are, by the endpoint list and by operators' orders |
-//! | `gossip` | what instances tell each other, and how much of it |
+//! | `gossip` | what is sent to other instances, and how often |
 //!
 //! Quota. A customer's counter holds the units taken since its window began. The token bucket that it stands for refills at the
 //! plan's rate, so what may be taken is the burst plus the refill since the window began. A total that lags behind the refill,
@@ -167,7 +167,7 @@
 
     /// Refuses a request with the advice to come back after so many seconds, where advice can be given.
     fn throttle(&self, seconds: f64) -> Decision {
-        /// Earlier than that nobody is asked back, seconds.
+        /// The least Retry-After, seconds.
         const MIN_RETRY_AFTER: f64 = 0.05;
         let longest = self.attempt_settings.max_retry_after;
         Decision::Throttle { retry_after: longest.map(|longest| seconds.max(MIN_RETRY_AFTER).min(longest)) }
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -1,4 +1,4 @@
-//! What an outcome says of its backend: outliers are ejected and tried again, recoveries are told to other instances, and the
+//! What an outcome says of its backend: outliers are ejected and tried again, other instances are notified of recoveries, and the
 //! estimates of answer times follow.
 use super::latencies::TAIL_QUANTILE;
 use super::requests::EndedAttempt;
@@ -6,7 +6,7 @@
 use crate::state::{update_quantile, Backend, Ejection, ThroughputWindow};
 use crate::types::*;
 
-/// The relative step by which an answer moves the quantile of one backend: large, for an instance hears of a backend only once
+/// The relative step by which an answer moves the quantile of one backend: large, for an instance has an answer of a backend only once
 /// in seconds.
 const BACKEND_QUANTILE_STEP: f64 = 0.8;
 /// Answers of a backend are counted over about 2 s. The first answers of one that has just been listed came in next to no time: taken
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -9,7 +9,7 @@
 const LEASE_BATCH_FRACTION: f64 = 1.0 / 16.0;
 /// The fraction of what a ceiling leaves above the quota that may be admitted without a lease.
 const CEILING_FRACTION: f64 = 0.5;
-/// The fraction of the burst that may be spent in debt before the counter is told of it.
+/// The fraction of the burst that may be spent in debt before it is reported to the counter.
 pub(super) const MAX_DEBT_FRACTION: f64 = 0.25;
 /// No debt is allowed for so long, seconds, after the limit on all attempts in flight was reached.
 const DEBT_PAUSE: f64 = 1.0;
@@ -60,7 +60,7 @@
 
 /// What is known of the customer's quota while no lease covers the request.
 struct QuotaState {
-    /// Units that the counter has not been told of.
+    /// Units that have not been reported to the counter.
     owed: f64,
     /// Units that a lease has to bring.
     need: f64,
@@ -152,7 +152,7 @@
         let account = self.accounts.get_mut(&customer).expect("just created");
         let plan = &self.plans[account.plan];
         let share = EvenShare::new(plan, account.instance_count * self.local_processes);
-        // Instances that the counter does not hear of have their even shares of the rate.
+        // Instances that do not reach the counter have their even shares of the rate.
         account.refill_rate = plan.rate * (1.0 - absent_fraction);
         let seen_recently = account.refill(now, &share);
         let refilled = account.refill_rate * (now - f64::from(account.series) * WINDOW);
@@ -197,8 +197,8 @@
         let available = account.available(plan.burst, admission.refilled, owed);
         account.forgive_unreported(is_rich, admission.seen_recently, unresponsive, share.burst);
         // A full even share that is smaller than the request goes into debt for it where units are there: small quotas.
-        let asked_of_share = if is_rich || unresponsive { units.min(share.burst) } else { units };
-        let share_suffices = account.even_share >= asked_of_share;
+        let required_share = if is_rich || unresponsive { units.min(share.burst) } else { units };
+        let share_suffices = account.even_share >= required_share;
         self.counter.refill_tokens(now);
         let need = units - account.unspent(now);
         let is_leasing = account.is_leasing();
@@ -232,7 +232,7 @@
         let series = account.series;
         let seconds_short = (units.min(share.burst) - account.even_share) / share.rate;
         let plan = &self.plans[account.plan];
-        // A customer that a crowded counter cannot be asked about goes into debt, while the backends keep up.
+        // A customer for whom an overloaded counter cannot be called goes into debt, while the backends keep up.
         let debt_allowed = !self.counter.is_unresponsive()
             && quota.is_rich
             && now - self.concurrency.reached_at > DEBT_PAUSE
@@ -240,9 +240,9 @@
         let ceiling_reached = account.reaches_ceiling(plan, units);
         let is_admitted = (quota.share_suffices || debt_allowed) && !ceiling_reached;
         if is_admitted {
-            // An unresponsive counter is not crowded: it counts as asked.
-            let counts_as_asked = self.counter.is_unresponsive();
-            self.counter.record_admission(counts_as_asked);
+            // An unresponsive counter is not overloaded: it counts as consulted.
+            let counts_as_consulted = self.counter.is_unresponsive();
+            self.counter.record_admission(counts_as_consulted);
             account.even_share -= units;
             account.unreported += units;
             account.ceiling_tokens -= units;
@@ -257,7 +257,7 @@
         (!is_admitted).then(|| self.throttle(seconds_short))
     }
 
-    /// Asks the counter for a lease, and tells it what is owed.
+    /// Requests a lease from the counter, and reports the debt.
     fn request_lease(&mut self, now: f64, admission: &Admission, quota: &QuotaState) {
         let QuotaState { need, owed, .. } = *quota;
         let customer = admission.customer;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -62,7 +62,7 @@
     pub counter_timeout: f64,
     /// Longest that a client of any operation waits; 0 where there is no operation.
     pub max_client_timeout: f64,
-    /// Whether clients may be told when to retry.
+    /// Whether clients may get a Retry-After.
     pub sends_retry_after: bool,
     /// Names of the values of a load report beside an answer, in their order; empty where there are no such reports.
     pub load_report_fields: Vec<String>,
--- a/src/state/account.rs
+++ b/src/state/account.rs
@@ -61,7 +61,7 @@
     pub instance_count: f64,
     /// The gateway instances that serve the customer.
     pub instances: InstanceRange,
-    /// When the total was last told to, or heard from, other instances.
+    /// When the total was last sent to, or received from, other instances.
     pub gossiped_at: f64,
     /// Number of the current window, which names the counter.
     pub series: u32,
@@ -77,7 +77,7 @@
     pub unsettled: f64,
     /// The even share of the quota that stands in for a lease; negative while in debt.
     pub even_share: f64,
-    /// Units spent from the even share that the counter has not been told of.
+    /// Units spent from the even share that have not been reported to the counter.
     pub unreported: f64,
     /// Units that may still be admitted without a lease under the plan's ceiling.
     pub ceiling_tokens: f64,
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -60,7 +60,7 @@
     pub answered_at: f64,
     /// Since when the endpoint list has had it as it is.
     pub listed_at: f64,
-    /// When its recovery was last told to, or heard from, other instances.
+    /// When its recovery was last sent to, or received from, other instances.
     pub recovery_gossiped_at: f64,
     /// By [`OutcomeKind::index`].
     pub streaks: Vec<Streak>,
@@ -160,7 +160,7 @@
     }
 
     /// An operator takes it out of service from `since` on, or puts it back (`None`). One that is put back counts as just
-    /// started, unless the endpoint list has told of a start since it was taken out.
+    /// started, unless the endpoint list has reported a start since it was taken out.
     pub fn set_maintenance(&mut self, now: f64, since: Option<f64>) {
         let ended = self.maintenance_since.filter(|_| since.is_none());
         if let Some(out_since) = ended {
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -1,6 +1,6 @@
 //! Backends: the entries of the endpoint list, and the load that a backend reports.
 
-/// Index of a backend that the caller knows. The caller reuses it once the policy engine has been told to forget the backend.
+/// Index of a backend that the caller knows. The caller reuses it once the policy engine has forgotten the backend.
 pub type BackendIndex = usize;
 
 /// What the endpoint list says of a backend.
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! Plain values that cross the border of the policy engine: what it is started with, the facts it is told, and the decisions and
+//! Plain values that cross the border of the policy engine: what it is started with, the events it is notified of, and the decisions and
 //! effects that it returns.
 //!
 //! Unless a field says otherwise, durations are seconds, points in time are seconds on the clock of the caller's `now`, and
--- a/src/types/request.rs
+++ b/src/types/request.rs
@@ -60,7 +60,7 @@
     pub instances: InstanceRange,
     /// When the client stops waiting.
     pub deadline: f64,
-    /// Fraction of the customer's gateway instances that the counter does not hear of, 0 to 1; 0 where that is unknown.
+    /// Fraction of the customer's gateway instances that do not reach the counter, 0 to 1; 0 where that is unknown.
     pub absent_fraction: f64,
     /// Limits from the operator's file.
     pub limits: RequestLimits,
