--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,63 +1,71 @@
-//! Whether and when a request gets its next attempt: quota first, then a first attempt, a retry or a hedge, as far as the
-//! operation allows one; else it waits or is given up.
+//! Decides whether and when a request gets its next attempt. A request first takes units and a permit. It
+//! then gets a first attempt, a retry or a hedged request as far as its operation allows one; otherwise it
+//! waits or gets its final answer.
 use super::load_balancing::{Affinity, Selection};
 use super::requests::FINAL_CHECK_LEAD;
 use super::PolicyEngine;
 use crate::state::{Attempt, Ejection, TimerKind};
 use crate::types::*;
 
-/// An attempt in flight for so many times the 95th percentile of answer times is doubted, whatever its backend does.
+/// Multiple of the expected latency after which an attempt is overdue, even if its backend answers other
+/// attempts.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// An attempt that is not doubted yet is looked at again after this fraction of the 95th percentile,
+/// Interval between checks of an attempt in flight, as a fraction of the expected latency.
 const RECHECK_LATENCY_FRACTION: f64 = 0.5;
-/// or after this fraction of the declared time of one attempt, if that is shorter.
+/// Maximum interval between checks of an attempt in flight, as a fraction of the operator's attempt timeout.
 const RECHECK_TIMEOUT_FRACTION: f64 = 0.25;
-/// A request that no backend can take now is decided on again so many times within its latency objective,
+/// Number of checks for backend capacity per latency objective.
 const CAPACITY_RECHECKS_PER_OBJECTIVE: f64 = 50.0;
-/// and given up after this fraction of it.
+/// Age at which a request stops waiting for backend capacity, as a fraction of its latency objective.
 const CAPACITY_WAIT_FRACTION: f64 = 0.25;
-/// Advice to a client whose request has used up its attempts, seconds.
+/// Retry-After of a request that gets no further attempt, in seconds.
 const EXHAUSTED_RETRY_AFTER: f64 = 1.0;
 
-/// What decides on the next attempt of an admitted request.
+/// Inputs to the decision on the next attempt of an admitted request.
 struct AttemptContext {
     attributes: RequestAttributes,
+    /// Only backends with at least this fraction of their capacity may get the request.
     slow_start_draw: f64,
+    /// The operation's latency objective or the operator's limit, whichever is lower, in seconds.
     latency_objective: f64,
     idempotency: Idempotency,
     max_attempts: usize,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     attempts: usize,
+    /// Number of attempts in flight.
     in_flight: usize,
-    /// Seconds until the client gives up.
+    /// Time until the client's deadline, in seconds.
     time_left: f64,
-    /// Seconds since the request came.
+    /// Time since the request arrived, in seconds.
     elapsed: f64,
-    /// The 95th percentile of answer times for the request's units, seconds.
+    /// 95th percentile of the latency for the request's units, in seconds.
     expected_latency: f64,
-    /// Some attempt may have run.
+    /// Whether a backend may have run an earlier attempt.
     may_have_run: bool,
+    /// Whether the operation's idempotency and the retry window allow another attempt.
     retry_allowed: bool,
-    /// Where a retry has to stay.
+    /// Zone or cell that a retry is restricted to.
     affinity: Option<Affinity>,
 }
 
 impl AttemptContext {
-    fn is_late(&self) -> bool {
+    fn is_past_objective(&self) -> bool {
         self.elapsed > self.latency_objective
     }
 
-    /// Whether the client may be throttled, and so retry: not where that could execute a request twice.
+    /// Whether the client may get a throttled answer. The client then retries, which must not run a request
+    /// twice.
     fn may_throttle(&self) -> bool {
         !self.may_have_run || self.idempotency == Idempotency::Idempotent
     }
 }
 
 impl PolicyEngine {
-    /// Quota first; then the next attempt, as far as the operation allows one.
+    /// Decides what happens to a pending request now: it is admitted first, and then gets an attempt, waits,
+    /// or gets its final answer.
     pub(super) fn decide(&mut self, now: f64, index: RequestIndex) -> Decision {
-        if let Some(refusal) = self.admit(now, index) {
-            return refusal;
+        if let Some(decision_to_wait) = self.admit(now, index) {
+            return decision_to_wait;
         }
         let context = self.attempt_context(now, index);
         if context.in_flight > 0 {
@@ -70,16 +78,17 @@
         self.start_attempt(now, index, &context)
     }
 
-    /// Takes units and a permit for the request; `None` once it has both.
+    /// Takes units and a permit for the request. Returns `None` once it has both, else the decision to wait
+    /// or to throttle.
     fn admit(&mut self, now: f64, index: RequestIndex) -> Option<Decision> {
         if self.request(index).admitted {
             return None;
         }
-        let refusal = self.take_units(now, index).or_else(|| self.acquire_permit(now, index));
-        if refusal.is_none() {
+        let decision_to_wait = self.take_units(now, index).or_else(|| self.acquire_permit(now, index));
+        if decision_to_wait.is_none() {
             self.request(index).admitted = true;
         }
-        refusal
+        decision_to_wait
     }
 
     fn attempt_context(&self, now: f64, index: RequestIndex) -> AttemptContext {
@@ -105,12 +114,12 @@
         }
     }
 
-    /// Whether a request with nothing in flight gets no further attempt.
+    /// Whether a request without an attempt in flight gets no further attempt.
     fn is_exhausted(&self, context: &AttemptContext) -> bool {
-        let retry_unaffordable = context.may_have_run && !self.retry_budget.allows_retry();
-        let is_spent = context.attempts >= context.max_attempts
-            || context.attempts > 0 && (context.is_late() || retry_unaffordable);
-        context.time_left < 2.0 * FINAL_CHECK_LEAD || !context.retry_allowed || is_spent
+        let exceeds_retry_budget = context.may_have_run && !self.retry_budget.allows_retry();
+        let is_out_of_attempts = context.attempts >= context.max_attempts
+            || context.attempts > 0 && (context.is_past_objective() || exceeds_retry_budget);
+        context.time_left < 2.0 * FINAL_CHECK_LEAD || !context.retry_allowed || is_out_of_attempts
     }
 
     fn give_up(&self, context: &AttemptContext, retry_after: f64) -> Decision {
@@ -121,8 +130,8 @@
         }
     }
 
-    /// An attempt is doubted when its backend is unresponsive, or when its answer is long overdue. `None` if the request may be
-    /// hedged now.
+    /// Checks the latest attempt in flight. Returns `None` if the request is to be hedged because the attempt
+    /// is overdue.
     fn review_attempt_in_flight(
         &mut self,
         now: f64,
@@ -132,24 +141,25 @@
         let request = &self.requests[&index];
         let may_hedge = now >= request.next_check_at
             && context.idempotency == Idempotency::Idempotent
-            && !context.is_late()
+            && !context.is_past_objective()
             && context.attempts < context.max_attempts
             && context.retry_allowed;
         if !may_hedge {
             return Some(Decision::Pending);
         }
         let position = request.attempts.iter().rposition(|attempt| attempt.result.is_none());
-        let latest = position.expect("an attempt is in flight");
-        if !self.retry_budget.allows_retry() || !self.is_doubted(now, &request.attempts[latest], context) {
+        let latest = position.expect("the request must have an attempt in flight");
+        if !self.retry_budget.allows_retry() || !self.is_overdue(now, &request.attempts[latest], context) {
             let attempt_timeout = context.attributes.limits.attempt_timeout;
-            let pause = (context.expected_latency * RECHECK_LATENCY_FRACTION)
+            let recheck_after = (context.expected_latency * RECHECK_LATENCY_FRACTION)
                 .min(attempt_timeout * RECHECK_TIMEOUT_FRACTION);
-            return Some(self.check_again_in(now, index, pause));
+            return Some(self.check_again_in(now, index, recheck_after));
         }
         if self.attempt_settings.hedging && context.attributes.limits.hedging {
             return None;
         }
-        // Where hedging is not allowed the attempt is cancelled, and the request is retried once it has ended.
+        // Where hedging is not allowed, the overdue attempt is cancelled, and the request is retried once the
+        // attempt has ended.
         if self.attempt_settings.cancellation {
             self.effects.cancellations.push(Cancellation { request: index, attempt: latest });
         }
@@ -157,7 +167,8 @@
         Some(Decision::Pending)
     }
 
-    fn is_doubted(&self, now: f64, attempt: &Attempt, context: &AttemptContext) -> bool {
+    /// Whether the backend of an attempt is unresponsive, or the attempt has been in flight for too long.
+    fn is_overdue(&self, now: f64, attempt: &Attempt, context: &AttemptContext) -> bool {
         let backend = &self.backends[&attempt.backend];
         let p95 = self.latencies.p95(context.attributes.operation);
         let warm_latency = OVERDUE_FACTOR * context.expected_latency;
@@ -187,19 +198,20 @@
     }
 
     fn record_attempt_start(&mut self, now: f64, index: BackendIndex, units: f64) {
-        let backend = self.backends.get_mut(index).expect("a known backend was picked");
+        let backend = self.backends.get_mut(index).expect("the selected backend must be in the backend set");
         if backend.in_flight == 0 {
             backend.last_progress_at = now;
         }
         backend.unused_since = f64::INFINITY;
-        // One trial of an ejected backend for each duration of its ejection.
+        // An ejected backend gets one trial per duration of its ejection.
         if let Some(ejection) = &mut backend.ejection {
             *ejection = Ejection { until: ejection.until.max(now + ejection.duration), ..*ejection };
         }
         self.backends.add_attempt(index, units);
     }
 
-    /// No backend can take the request now.
+    /// Keeps a request waiting that no backend can take now. If it has waited too long and has no attempt in
+    /// flight, it gets its final answer.
     fn wait_for_capacity(&mut self, now: f64, index: RequestIndex, context: &AttemptContext) -> Decision {
         let objective = context.latency_objective;
         if context.in_flight == 0 && context.elapsed > objective * CAPACITY_WAIT_FRACTION {
@@ -209,7 +221,7 @@
         self.check_again_in(now, index, objective / CAPACITY_RECHECKS_PER_OBJECTIVE)
     }
 
-    /// The request is decided on again after so many seconds.
+    /// Schedules another decision on the request in the given number of seconds.
     fn check_again_in(&mut self, now: f64, index: RequestIndex, seconds: f64) -> Decision {
         self.request(index).next_check_at = now + seconds;
         self.timers.schedule(now + seconds, TimerKind::Request(index));
@@ -217,20 +229,21 @@
     }
 }
 
-/// Whether a request whose first attempt may have run may be sent again.
-fn retry_is_allowed(now: f64, idempotency: Idempotency, limits: &RequestLimits, run: &Attempt) -> bool {
+/// Whether a request may be sent again after `first_run`, its first attempt that may have run.
+fn retry_is_allowed(now: f64, idempotency: Idempotency, limits: &RequestLimits, first_run: &Attempt) -> bool {
     match idempotency {
-        Idempotency::Idempotent => now < run.sent_at + limits.retry_window,
-        Idempotency::Keyed { window, .. } => now < run.sent_at + window.min(limits.retry_window),
+        Idempotency::Idempotent => now < first_run.sent_at + limits.retry_window,
+        Idempotency::Keyed { window, .. } => now < first_run.sent_at + window.min(limits.retry_window),
         Idempotency::NonIdempotent => false,
     }
 }
 
-/// Where a retry must stay for its idempotency key to be known there.
-fn affinity(idempotency: Idempotency, run: &Attempt) -> Option<Affinity> {
+/// Returns the zone or cell that a retry must stay in so that its idempotency key is recognized, if there is
+/// one.
+fn affinity(idempotency: Idempotency, first_run: &Attempt) -> Option<Affinity> {
     match idempotency {
         Idempotency::Keyed { scope, .. } if scope != KeyScope::All => {
-            Some(Affinity { scope, backend: run.backend })
+            Some(Affinity { scope, backend: first_run.backend })
         }
         _ => None,
     }
--- a/src/policy/failure_rates.rs
+++ b/src/policy/failure_rates.rs
@@ -1,36 +1,37 @@
-//! Which outcomes are hard to get anywhere: the fraction of attempts that failed lately, by kind of outcome, over all backends.
+//! Recent failure rates of attempts over all backends, by kind of outcome. A kind that fails often is scarce.
 use crate::state::{update_fraction, OutcomeKind, OutcomeKinds};
 
-/// The weight of one attempt in a failure rate.
-const STEP: f64 = 0.05;
-/// A failure rate above this makes a kind of outcome scarce: backends are preferred that are known to serve it.
-const SCARCE_ABOVE: f64 = 0.1;
+/// Weight of one attempt in a failure rate.
+const ATTEMPT_WEIGHT: f64 = 0.05;
+/// Failure rate above which a kind of outcome is scarce: backends with recent good outcomes of that kind are
+/// preferred.
+const SCARCE_FAILURE_RATE: f64 = 0.1;
 
-/// The fraction of attempts that failed, from 0 to 1, by kind of outcome.
+/// Fraction of attempts that failed, 0 to 1, by kind of outcome.
 pub(super) struct FailureRates {
     kinds: OutcomeKinds,
-    /// By [`OutcomeKind::index`].
+    /// Indexed by [`OutcomeKind::index`].
     rates: Vec<f64>,
 }
 
 impl FailureRates {
-    /// Rates of 0 for each kind.
+    /// Creates failure rates of 0 for all kinds.
     pub fn new(kinds: OutcomeKinds) -> FailureRates {
         FailureRates { kinds, rates: vec![0.0; kinds.count()] }
     }
 
-    /// The kinds that rates are kept for.
+    /// Returns the kinds of outcomes that have a failure rate.
     pub fn kinds(&self) -> OutcomeKinds {
         self.kinds
     }
 
-    /// Whether backends that give good outcomes of this kind are hard to find.
+    /// Whether few backends give good outcomes of this kind.
     pub fn is_scarce(&self, kind: OutcomeKind) -> bool {
-        self.rates[kind.index()] > SCARCE_ABOVE
+        self.rates[kind.index()] > SCARCE_FAILURE_RATE
     }
 
-    /// Learns from one outcome of this kind.
+    /// Records an outcome of this kind.
     pub fn record(&mut self, kind: OutcomeKind, failed: bool) {
-        update_fraction(&mut self.rates[kind.index()], failed, STEP);
+        update_fraction(&mut self.rates[kind.index()], failed, ATTEMPT_WEIGHT);
     }
 }
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -1,35 +1,39 @@
-//! Gossip between gateway instances, and its budget: each instance accepts so many messages a second, and all others send to it.
+//! Gossip between gateway instances and its budget. Each instance accepts a limited rate of messages, which
+//! all others share.
 use super::PolicyEngine;
 use crate::state::Ejection;
 use crate::types::*;
 
-/// The least interval between two messages about one customer, or about one backend's recovery, seconds.
-const INTERVAL: f64 = 0.5;
-/// The fraction of what an instance takes in of gossip that each may send.
+/// Minimum interval between two messages about the same customer, or about the recovery of the same backend,
+/// in seconds.
+const MIN_REPEAT_INTERVAL: f64 = 0.5;
+/// Fraction of an instance's intake rate that each instance may send.
 const SEND_FRACTION: f64 = 0.5;
 
-/// Whether a message may be sent again that was last sent, or received, at that time.
+/// Whether a message that was last sent or received at `gossiped_at` may be sent again.
 pub(super) fn may_repeat(now: f64, gossiped_at: f64) -> bool {
-    now > gossiped_at + INTERVAL
+    now > gossiped_at + MIN_REPEAT_INTERVAL
 }
 
-/// A token bucket that gossip is paid from: a token for each message and each instance that it goes to.
+/// Token bucket for sent gossip. A message costs one token per recipient.
 pub(super) struct GossipBudget {
-    /// Messages a second that one instance takes in; 0 where instances cannot talk.
+    /// Messages per second that one instance accepts; 0 where instances cannot exchange gossip.
     intake_rate: f64,
     tokens: f64,
     max_tokens: f64,
+    /// Time of the last refill, in seconds.
     updated_at: f64,
 }
 
 impl GossipBudget {
-    /// An empty budget where so many instances each take in so many messages a second. A message to all of them, or what one
-    /// takes in within a second, can be saved up.
+    /// Creates an empty budget. It holds at most the tokens for a message to all `instances`, or for what one
+    /// instance accepts within a second, whichever is more.
     pub fn new(intake_rate: f64, instances: f64) -> GossipBudget {
         GossipBudget { intake_rate, tokens: 0.0, max_tokens: instances.max(intake_rate), updated_at: 0.0 }
     }
 
-    /// Whether a message may go to so many instances now; if so it is paid for.
+    /// Spends the tokens for a message to the given number of instances. Returns whether the budget allows
+    /// it.
     fn try_spend(&mut self, now: f64, recipients: f64) -> bool {
         let elapsed = now - std::mem::replace(&mut self.updated_at, now);
         let earned = SEND_FRACTION * self.intake_rate * elapsed;
@@ -43,7 +47,8 @@
 }
 
 impl PolicyEngine {
-    /// Another instance has had an answer of a backend that it had ejected, or has seen a customer's total.
+    /// Handles a message from another instance: an ejected backend has recovered, or a customer's counter
+    /// total was read.
     pub fn gossip_received(&mut self, now: f64, message: GossipMessage) {
         match message {
             GossipMessage::BackendRecovered { backend } => self.recovery_reported(now, backend),
@@ -58,11 +63,11 @@
         }
     }
 
-    /// An ejected backend has answered another instance: it is tried here too.
+    /// Makes an ejected backend that has answered another instance available for a trial by this instance.
     fn recovery_reported(&mut self, now: f64, backend: BackendIndex) {
         let Some(backend) = self.backends.get_mut(backend) else { return };
         backend.recovery_gossiped_at = now;
-        // The message may be older than the ejection: half of its duration passes first.
+        // The message may be older than the ejection, so half of the ejection must have passed.
         if let Some(ejection) =
             backend.ejection.filter(|ejection| ejection.until - now < ejection.duration / 2.0)
         {
@@ -70,7 +75,7 @@
         }
     }
 
-    /// Sends a message to so many instances, as far as they can take it in.
+    /// Sends a message to the given number of instances if the budget allows it.
     pub(super) fn send_gossip(&mut self, now: f64, message: GossipMessage, recipients: f64) {
         if self.gossip_budget.try_spend(now, recipients) {
             self.effects.gossip.push(message);
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -88,7 +88,7 @@
         let available = self.concurrency.limit * capacity.effective_weight
             / capacity.listed_weight.max(capacity.effective_weight);
         let limit = available * self.priority_fraction(selection.attributes.operation);
-        self.concurrency.half_used = in_flight * 2.0 > limit;
+        self.concurrency.over_half_used = in_flight * 2.0 > limit;
         if in_flight >= limit.max(capacity.ready_count as f64 / self.instances).max(1.0) {
             // Answers slow down everywhere: no more in flight than come back in time.
             self.concurrency.reached_at = now;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,28 +1,31 @@
-//! All decisions of one gateway instance: which requests are admitted, where they go, when they are retried or hedged, and when
-//! they are given up. Nothing here does I/O or reads a clock: the caller passes the time, seconds on a clock that never goes
-//! back, and carries out the [`Effects`] that come with each answer.
+//! Policy engine of one gateway instance: admits requests, selects backends, schedules retries and hedged
+//! requests, and decides which requests get an error or a throttled answer instead.
+//!
+//! The engine does no I/O and reads no clock. The caller passes the current time, in seconds on a monotonic
+//! clock, and carries out the [`Effects`] that are returned with each decision.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `requests` | the life of a request: first routing, ended attempts, closing |
-//! | `attempts` | whether and when a request gets its next attempt: retries, hedging, giving up |
-//! | `retry_budget` | how many requests that may have run can be sent again |
+//! | `requests` | request lifecycle: first routing, ended attempts, closing |
+//! | `attempts` | whether and when a request gets its first attempt, a retry, a hedged request or its final answer |
+//! | `retry_budget` | how many attempts may repeat a request that may already have run |
 //! | `quota` | whether a customer's quota admits a request: leases, even shares, ceilings |
-//! | `leases` | what an answer of the shared counter means for a lease; expiry and refunds |
-//! | `permits` | caps on a customer's requests in flight |
-//! | `counter` | what an answer of the counter, or the lack of one, sets going |
+//! | `leases` | how much of a requested lease is kept; corrections of totals, expiry, refunds |
+//! | `permits` | whether a customer's cap on requests in flight admits a request |
+//! | `counter` | calls to the counter service and the handling of their results |
 //! | `counter_health` | how often the counter is called, and when it counts as unresponsive |
 //! | `load_balancing` | which backend gets an attempt |
-//! | `concurrency` | how much may be in flight at all backends together |
-//! | `latencies` | how long answers take, and when they are slow everywhere |
-//! | `failure_rates` | which kinds of outcomes are scarce |
-//! | `outliers` | what an outcome says of a backend: ejection, recovery, its pace |
-//! | `endpoints` | which backends there are, by the endpoint list and by operators' orders |
-//! | `gossip` | what is sent to other instances, and how often |
+//! | `concurrency` | how many units may be in flight at all backends together |
+//! | `latencies` | expected latency of each operation, and whether it is slow at all backends |
+//! | `failure_rates` | which kinds of outcomes fail often at all backends |
+//! | `outliers` | ejection and recovery of backends; latency and throughput of each backend |
+//! | `endpoints` | which backends are listed or out of service, by the endpoint list and by operators |
+//! | `gossip` | which messages are sent to other instances, and how often |
 //!
-//! Quota. A customer's counter holds the units taken since its window began. The token bucket that it stands for refills at the
-//! plan's rate, so what may be taken is the burst plus the refill since the window began. A total that lags behind the refill,
-//! because the bucket was full or the counter lost it, is corrected upwards.
+//! A customer's quota is a token bucket that all instances share. The customer's counter holds the total of
+//! units taken since the current window began. The token bucket refills at the plan's rate, so the total may
+//! reach the burst plus the refill since the window began. A total that lags behind the refill, because the
+//! token bucket was full for a time or the counter lost its value, is corrected upwards.
 mod attempts;
 mod concurrency;
 mod counter;
@@ -51,15 +54,15 @@
 use retry_budget::RetryBudget;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Timers this late, seconds, show that this process itself stood still.
+/// Delay of a due timer, in seconds, above which this process counts as stalled.
 const STALL_THRESHOLD: f64 = 0.1;
 
-/// The decisions of one gateway instance, and all that they remember.
+/// Policy engine of one gateway instance, with its settings and its state.
 pub struct PolicyEngine {
     rng: ChaCha8Rng,
     /// Number of gateway instances.
     instances: f64,
-    /// Number of processes of this instance: two during an upgrade.
+    /// Number of processes of this instance; two during an upgrade.
     local_processes: f64,
     gossip_budget: GossipBudget,
     operations: Vec<Operation>,
@@ -74,17 +77,19 @@
     failure_rates: FailureRates,
     retry_budget: RetryBudget,
     counter: CounterHealth,
+    /// Time of the last `route` or `attempt_ended` call, in seconds; infinite before the first.
     last_call_at: f64,
-    /// Requests to be decided on again.
+    /// Requests that the next poll returns to be routed again.
     reconsider: BTreeSet<RequestIndex>,
+    /// Customers whose state was dropped since the last poll.
     evicted_customers: Vec<CustomerIndex>,
     timers: Timers,
-    /// What has become due since the last answer.
+    /// Effects that have not been returned to the caller yet.
     effects: Effects,
 }
 
 impl PolicyEngine {
-    /// An engine that knows no backends yet.
+    /// Creates an engine without any backends.
     pub fn new(settings: EngineSettings) -> PolicyEngine {
         let EngineSettings { instances, operations, plans, counter, .. } = settings;
         let mut timers = Timers::default();
@@ -116,12 +121,14 @@
         }
     }
 
-    /// Another process of this instance is there, or no longer: each has half of the instance's even shares.
+    /// Sets whether a second process of this instance is running. Each of the two gets half of the instance's
+    /// even shares.
     pub fn set_peer_process(&mut self, is_running: bool) {
         self.local_processes = if is_running { 2.0 } else { 1.0 };
     }
 
-    /// What is due by now, which requests are to be routed again, and when to poll next.
+    /// Handles the timers that are due. Returns the requests to route again and the delay until the next
+    /// poll.
     pub fn poll(&mut self, now: f64) -> PollOutput {
         while let Some(timer) = self.timers.pop_due(now, &self.requests) {
             match timer {
@@ -142,34 +149,37 @@
         }
     }
 
-    /// If this process itself stood still, the silence meanwhile was not its backends'.
-    fn detect_own_stall(&mut self, now: f64) {
-        let late = self.timers.next().map_or(0.0, |at| now - at);
-        if now > self.last_call_at && late > STALL_THRESHOLD {
+    /// Detects a stall of this process by a timer that is overdue. A stall does not count as silence of the
+    /// backends.
+    fn detect_process_stall(&mut self, now: f64) {
+        let timer_delay = self.timers.next().map_or(0.0, |at| now - at);
+        if now > self.last_call_at && timer_delay > STALL_THRESHOLD {
             for backend in self.backends.values_mut() {
                 backend.last_progress_at = now;
                 backend.answered_at = now;
             }
-            self.effects.log.push(PolicyLogMessage::ProcessStalled { duration: late });
+            self.effects.log.push(PolicyLogMessage::ProcessStalled { duration: timer_delay });
         }
         self.last_call_at = now;
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number from 0, inclusive, to 1, exclusive.
     fn random_fraction(&mut self) -> f64 {
         self.rng.gen_range(0.0..1.0)
     }
 
-    /// A request that the engine is deciding on.
+    /// Returns the state of a request that is being decided on.
     fn request(&mut self, index: RequestIndex) -> &mut PendingRequest {
-        self.requests.get_mut(&index).expect("a request under decision is pending")
+        self.requests.get_mut(&index).expect("a request that is decided on must be pending")
     }
 
-    /// Refuses a request with the advice to come back after so many seconds, where advice can be given.
-    fn throttle(&self, seconds: f64) -> Decision {
-        /// The least Retry-After, seconds.
+    /// Throttles a request. The Retry-After is `delay` seconds within its bounds, if the settings allow one.
+    fn throttle(&self, delay: f64) -> Decision {
+        /// Minimum Retry-After, in seconds.
         const MIN_RETRY_AFTER: f64 = 0.05;
-        let longest = self.attempt_settings.max_retry_after;
-        Decision::Throttle { retry_after: longest.map(|longest| seconds.max(MIN_RETRY_AFTER).min(longest)) }
+        let upper_bound = self.attempt_settings.max_retry_after;
+        Decision::Throttle {
+            retry_after: upper_bound.map(|upper_bound| delay.max(MIN_RETRY_AFTER).min(upper_bound)),
+        }
     }
 }
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -43,7 +43,7 @@
     /// Takes a permit for a request whose units are granted. `None` if it has one or its plan has no cap; else the request waits
     /// or is refused.
     pub(super) fn acquire_permit(&mut self, now: f64, index: RequestIndex) -> Option<Decision> {
-        let request = self.requests.get_mut(&index).expect("a request under decision is pending");
+        let request = self.requests.get_mut(&index).expect("a request that is decided on must be pending");
         request.units_granted = true;
         let customer = request.attributes.customer;
         let waited = now >= request.counter_deadline;
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,32 +1,35 @@
-//! The life of a request: it is routed when it comes and as `poll` says, its attempts end, and it is closed.
+//! Request lifecycle: first routing, ended attempts, the start of the response, and closing.
 use super::{leases, PolicyEngine};
 use crate::state::{PendingRequest, TimerKind};
 use crate::types::*;
 
-/// So long before the client gives up a request is checked for the last time, seconds: what is still pending is answered.
+/// Time before the client's deadline, in seconds, of the last decision on a request. A request without an
+/// attempt in flight gets its final answer then.
 pub(super) const FINAL_CHECK_LEAD: f64 = 0.005;
-/// A request waits for the counter for this fraction of its latency objective at least,
+/// Minimum time that a request waits for the counter, as a fraction of its latency objective.
 const COUNTER_WAIT_OBJECTIVE_FRACTION: f64 = 0.04;
-/// for so many times the counter's fastest answer if that is longer,
+/// Minimum time that a request waits for the counter, as a multiple of the counter's fastest answer. The
+/// longer of the two minimums applies.
 const COUNTER_WAIT_FASTEST_ANSWERS: f64 = 3.0;
-/// and for this fraction of the time that its client waits at most.
+/// Maximum time that a request waits for the counter, as a fraction of the time until its client's deadline.
 const COUNTER_WAIT_CLIENT_FRACTION: f64 = 0.25;
 
-/// What an ended attempt's request was like when it ended.
+/// An ended attempt, and the state of its request at that time.
 pub(super) struct EndedAttempt {
-    /// When the attempt was sent, seconds.
+    /// Time when the attempt was sent, in seconds.
     pub sent_at: f64,
-    /// The request was closed before.
+    /// Whether the request was already closed.
     pub was_closed: bool,
-    /// Its response had begun: the attempt was taken off its backend then.
+    /// Whether the response had started. The attempt no longer counted as load of its backend from then on.
     pub was_streaming: bool,
 }
 
 impl PolicyEngine {
-    /// Where to send this request, or not yet, or never. Called first when it comes, then as [`PolicyEngine::poll`] says. Its
-    /// deadline may have been cut short since the last call.
+    /// Decides whether a request is forwarded, stays pending or gets its final answer. To be called when the
+    /// request arrives and whenever [`PolicyEngine::poll`] returns it. The deadline may be earlier than in
+    /// the previous call.
     pub fn route(&mut self, now: f64, index: RequestIndex, attributes: &RequestAttributes) -> PolicyOutput {
-        self.detect_own_stall(now);
+        self.detect_process_stall(now);
         if !self.requests.contains_key(&index) {
             self.add_request(now, index, attributes);
         }
@@ -53,7 +56,7 @@
         self.timers.schedule(final_check_at, TimerKind::Request(index));
     }
 
-    /// How long a request may wait for the counter, seconds.
+    /// Returns the maximum time that a request waits for the counter, in seconds.
     fn counter_wait(&self, now: f64, attributes: &RequestAttributes) -> f64 {
         let time_left = attributes.deadline - now;
         let longest = self.counter.timeout().min(time_left * COUNTER_WAIT_CLIENT_FRACTION);
@@ -62,9 +65,9 @@
         longest.min(shortest.max(COUNTER_WAIT_FASTEST_ANSWERS * self.counter.fastest_answer()))
     }
 
-    /// What to do after an attempt has ended.
+    /// Records the end of an attempt and decides what happens to its request next.
     pub fn attempt_ended(&mut self, now: f64, index: RequestIndex, outcome: &AttemptOutcome) -> PolicyOutput {
-        self.detect_own_stall(now);
+        self.detect_process_stall(now);
         let Some(request) = self.requests.get_mut(&index) else {
             return self.output(now, index, Decision::Pending);
         };
@@ -76,18 +79,20 @@
             was_closed: request.closed,
             was_streaming: request.streaming,
         };
-        let is_in_flight = request.in_flight() > 0;
+        let has_attempt_in_flight = request.in_flight() > 0;
         let is_closed = request.closed || outcome.request_closed;
         self.settle_billed_units(now, &attributes, outcome.billed_units);
         self.record_outcome(now, &attributes, &ended, outcome);
         if is_closed {
             self.request_closed(now, index);
         }
-        let decision = if is_closed || is_in_flight { Decision::Pending } else { self.decide(now, index) };
+        let decision =
+            if is_closed || has_attempt_in_flight { Decision::Pending } else { self.decide(now, index) };
         self.output(now, index, decision)
     }
 
-    /// The billed units differ from those that were taken from the quota: the difference is settled with the counter.
+    /// Queues the difference between the billed units and those taken from the quota, to be settled with the
+    /// counter.
     fn settle_billed_units(&mut self, now: f64, attributes: &RequestAttributes, billed: Option<f64>) {
         let account = self.accounts.get_mut(&attributes.customer);
         if let Some((account, billed)) = account.zip(billed) {
@@ -96,7 +101,8 @@
         }
     }
 
-    /// The response has begun: no deadline holds for the request any more, and its backend has done its work.
+    /// Records the start of the response: the request no longer has a deadline, and its attempt no longer
+    /// counts as load of its backend.
     pub fn response_started(&mut self, now: f64, index: RequestIndex) {
         let Some(request) = self.requests.get_mut(&index) else { return };
         let units = request.attempt_units();
@@ -106,7 +112,8 @@
         }
     }
 
-    /// The request is answered, or its client has left or given up: nothing more is done for it.
+    /// Closes a request that has its final answer or whose client is gone. Its attempts in flight are
+    /// cancelled if the settings allow it.
     pub fn request_closed(&mut self, now: f64, index: RequestIndex) {
         let Some(request) = self.requests.get_mut(&index) else { return };
         if !request.closed && self.attempt_settings.cancellation {
@@ -131,7 +138,7 @@
         self.release_permit(now, customer, request.permit);
     }
 
-    /// The answer to the caller: a final decision closes the request.
+    /// Returns a decision with the pending effects. A final answer closes the request.
     fn output(&mut self, now: f64, index: RequestIndex, decision: Decision) -> PolicyOutput {
         if matches!(decision, Decision::Throttle { .. } | Decision::Error) {
             self.request_closed(now, index);
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,34 +1,36 @@
-//! How many requests that may have run already can be sent again: a fraction of all attempts, so that retries and hedges never
-//! multiply the load of backends that fail.
+//! Retry budget: limits the attempts of requests that may already have run to a fraction of all attempts, so
+//! that retries and hedged requests never multiply the load of failing backends.
 
-/// Tokens that an attempt earns: retries of what may have run are held to this fraction of all attempts.
-const EARNED_BY_ATTEMPT: f64 = 0.1;
-/// Tokens that such a retry costs.
+/// Tokens earned by each attempt, and thus the fraction of all attempts that may repeat a request that may
+/// have run.
+const TOKENS_PER_ATTEMPT: f64 = 0.1;
+/// Tokens spent by an attempt of a request that may already have run.
 const RETRY_COST: f64 = 1.0;
-/// Tokens that are saved up at most.
+/// Maximum number of tokens.
 const MAX_TOKENS: f64 = 20.0;
-/// Tokens at the start.
+/// Initial number of tokens.
 const INITIAL_TOKENS: f64 = MAX_TOKENS / 2.0;
 
-/// A bucket of retry tokens. Every attempt earns a tenth of a token; a retry or hedge of a request that may have run costs one.
+/// Token bucket for retries and hedged requests. Each attempt earns a tenth of a token; an attempt of a
+/// request that may already have run costs one.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A budget that is half full.
+    /// Creates a budget that is half full.
     pub fn new() -> RetryBudget {
         RetryBudget { tokens: INITIAL_TOKENS }
     }
 
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may already have run may be sent again.
     pub fn allows_retry(&self) -> bool {
         self.tokens >= RETRY_COST
     }
 
-    /// An attempt was sent. `may_have_run`: its request may have run before, so that it is paid for.
+    /// Records an attempt. It costs a token if the request may already have run (`may_have_run`).
     pub fn record_attempt(&mut self, may_have_run: bool) {
         let spent = if may_have_run { RETRY_COST } else { 0.0 };
-        self.tokens = (self.tokens + EARNED_BY_ATTEMPT - spent).min(MAX_TOKENS);
+        self.tokens = (self.tokens + TOKENS_PER_ATTEMPT - spent).min(MAX_TOKENS);
     }
 }
