--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -7,10 +7,10 @@
 use crate::state::{Attempt, Ejection, TimerKind};
 use crate::types::*;
 
-/// Multiple of the expected latency after which an attempt is overdue, even if its backend answers other
-/// attempts.
+/// Multiple of the 95th percentile of latency after which an attempt is overdue, even if its backend is
+/// responsive.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// Interval between checks of an attempt in flight, as a fraction of the expected latency.
+/// Interval between checks of an attempt in flight, as a fraction of the 95th percentile of latency.
 const RECHECK_LATENCY_FRACTION: f64 = 0.5;
 /// Maximum interval between checks of an attempt in flight, as a fraction of the operator's attempt timeout.
 const RECHECK_TIMEOUT_FRACTION: f64 = 0.25;
@@ -53,8 +53,8 @@
         self.elapsed > self.latency_objective
     }
 
-    /// Whether the client may get a throttled answer. The client then retries, which must not run a request
-    /// twice.
+    /// Whether the request may be throttled. Its client then retries, so a request that a retry could run
+    /// twice is not throttled.
     fn may_throttle(&self) -> bool {
         !self.may_have_run || self.idempotency == Idempotency::Idempotent
     }
@@ -64,8 +64,8 @@
     /// Decides what happens to a pending request now: it is admitted first, and then gets an attempt, waits,
     /// or gets its final answer.
     pub(super) fn decide(&mut self, now: f64, index: RequestIndex) -> Decision {
-        if let Some(decision_to_wait) = self.admit(now, index) {
-            return decision_to_wait;
+        if let Some(early_decision) = self.admit(now, index) {
+            return early_decision;
         }
         let context = self.attempt_context(now, index);
         if context.in_flight > 0 {
@@ -84,11 +84,11 @@
         if self.request(index).admitted {
             return None;
         }
-        let decision_to_wait = self.take_units(now, index).or_else(|| self.acquire_permit(now, index));
-        if decision_to_wait.is_none() {
+        let early_decision = self.take_units(now, index).or_else(|| self.acquire_permit(now, index));
+        if early_decision.is_none() {
             self.request(index).admitted = true;
         }
-        decision_to_wait
+        early_decision
     }
 
     fn attempt_context(&self, now: f64, index: RequestIndex) -> AttemptContext {
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Checks the latest attempt in flight. Returns `None` if the request is to be hedged because the attempt
-    /// is overdue.
+    /// Checks the latest attempt in flight. Returns `None` if the attempt is overdue and the request is to be
+    /// hedged, else the decision to wait.
     fn review_attempt_in_flight(
         &mut self,
         now: f64,
@@ -210,8 +210,8 @@
         self.backends.add_attempt(index, units);
     }
 
-    /// Keeps a request waiting that no backend can take now. If it has waited too long and has no attempt in
-    /// flight, it gets its final answer.
+    /// Handles a request that no backend can take now. It waits, or gets its final answer if it has waited
+    /// too long and has no attempt in flight.
     fn wait_for_capacity(&mut self, now: f64, index: RequestIndex, context: &AttemptContext) -> Decision {
         let objective = context.latency_objective;
         if context.in_flight == 0 && context.elapsed > objective * CAPACITY_WAIT_FRACTION {
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -8,7 +8,7 @@
 const LIMIT_STEP: f64 = 0.25;
 /// Fraction of the limit that a slow answer of a saturated backend removes.
 const SATURATED_CUT_FRACTION: f64 = 0.5;
-/// Fraction of utilization cores above which a backend is saturated.
+/// Fraction of busy cores above which a backend is saturated.
 const SATURATED_CPU_UTILIZATION: f64 = 0.9;
 /// Ratio of response time to service time above which a backend is saturated.
 const SATURATED_RESPONSE_RATIO: f64 = 2.0;
@@ -30,8 +30,8 @@
         self.limit = (INITIAL_UNITS_PER_BACKEND * backends as f64 / instances).max(1.0);
     }
 
-    /// Adjusts the limit after an answer. The backend's load report distinguishes queueing from requests that
-    /// take long.
+    /// Adjusts the limit after an answer. The backend's load report distinguishes queueing from a long
+    /// service time.
     pub fn record_answer(&mut self, is_slow: bool, report: Option<LoadReport>) {
         let is_saturated = report.is_some_and(|report| is_saturated(&report));
         let change = if is_slow {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -11,7 +11,7 @@
     /// Applies the endpoint list or changes to it. Backends that a snapshot does not list are removed.
     pub fn update_endpoints(&mut self, now: f64, is_snapshot: bool, endpoints: &[Endpoint]) {
         if self.backends.is_empty() {
-            // The first endpoint list is the first call that passes a time.
+            // The first endpoint list is the first call that passes the time.
             self.concurrency.reset(endpoints.len(), self.instances);
             self.counter.start(now);
         }
--- a/src/policy/failure_rates.rs
+++ b/src/policy/failure_rates.rs
@@ -25,7 +25,7 @@
         self.kinds
     }
 
-    /// Whether few backends give good outcomes of this kind.
+    /// Whether good outcomes of this kind are scarce.
     pub fn is_scarce(&self, kind: OutcomeKind) -> bool {
         self.rates[kind.index()] > SCARCE_FAILURE_RATE
     }
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip between gateway instances and its budget. Each instance accepts a limited rate of messages, which
-//! all others share.
+//! Gossip between gateway instances and its budget. Each instance accepts a limited rate of messages from all
+//! others together.
 use super::PolicyEngine;
 use crate::state::Ejection;
 use crate::types::*;
@@ -7,7 +7,7 @@
 /// Minimum interval between two messages about the same customer, or about the recovery of the same backend,
 /// in seconds.
 const MIN_REPEAT_INTERVAL: f64 = 0.5;
-/// Fraction of an instance's intake rate that each instance may send.
+/// Rate at which each instance may send, as a fraction of the rate that one instance accepts.
 const SEND_FRACTION: f64 = 0.5;
 
 /// Whether a message that was last sent or received at `gossiped_at` may be sent again.
--- a/src/policy/latencies.rs
+++ b/src/policy/latencies.rs
@@ -48,17 +48,17 @@
         medians.fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether an answer is slow for the operation if it took `seconds`.
+    /// Whether an answer that took `seconds` is slow for the operation.
     pub fn is_slow(&self, operation: usize, seconds: f64) -> bool {
         seconds > SLOW_FACTOR * self.least_median(operation)
     }
 
-    /// Whether the operation's median latency over all backends is slow.
+    /// Whether the operation is slow at the backends as a whole, by its median latency.
     pub fn is_fleet_slow(&self, operation: usize) -> bool {
         self.is_slow(operation, self.median(operation))
     }
 
-    /// Records an answer to a request of `units` that took `seconds`.
+    /// Records an answer that took `seconds`, to a request of `units`.
     pub fn record(&mut self, operation: usize, seconds: f64, units: f64) {
         let LatencyEstimate { p95, median, least_median } = &mut self.by_operation[operation];
         update_quantile(p95, seconds / units, TAIL_QUANTILE, QUANTILE_STEP);
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,63 +1,72 @@
-//! Which backend gets an attempt: two are drawn at random among those in good standing, and the one with the lower load wins.
+//! Selects the backend for an attempt: of two backends drawn at random, the one with the lower load.
 use super::outliers::THROUGHPUT_WINDOW;
 use super::PolicyEngine;
 use crate::state::{Backend, Sample, SampleSettings};
 use crate::types::*;
 
-/// Up to so many backends are looked at one by one; of more, a sample is drawn.
+/// Maximum number of backends that are examined one by one. With more backends, a random sample is examined
+/// instead.
 const MAX_SCANNED_BACKENDS: usize = 256;
-/// The size of that sample. A look at one backend takes 0.23 us (docs/CAPACITY.md): 7 us of the 104 us of processor time that a
-/// request may take.
+/// Number of backends in a sample. Examining one backend takes 0.23 us (docs/CAPACITY.md), so a sample takes
+/// 7 us of the 104 us of processor time that a request may take.
 const SAMPLE_SIZE: usize = 32;
-/// How often the sample's summary looks which backends have warmed up, seconds.
+/// Interval at which the summary that samples are drawn from is updated for backends that have warmed up, in
+/// seconds.
 const WARMING_CHECK_INTERVAL: f64 = 1.0;
-/// So many good outcomes in a row are as good as any.
+/// Number of consecutive good outcomes from which on a backend is preferred as much as one with a longer
+/// streak.
 const PROVEN_STREAK: u32 = 3;
-/// A backend's attempts in flight may fill this fraction of the latency objective at the pace of its answers.
+/// Maximum backlog of a backend: the time that its units in flight take at its throughput, as a fraction of
+/// the latency objective.
 const MAX_BACKLOG_FRACTION: f64 = 0.15;
-/// The load of a backend counts so many times if its zone is charged for, and again if there is no connection to it.
-const REMOTE_LOAD_FACTOR: f64 = 1.5;
-/// Bounds of the slowness that a backend's load is multiplied by.
+/// Factor on the load of a backend whose zone is charged for, applied again if there is no idle connection to
+/// it.
+const LOAD_PENALTY: f64 = 1.5;
+/// Lower bound of the slowness that a backend's load is multiplied by.
 const MIN_SLOWNESS: f64 = 0.5;
+/// Upper bound of the slowness that a backend's load is multiplied by.
 const MAX_SLOWNESS: f64 = 5.0;
-/// A backend that an operator put back into service is tried within about so long, seconds, not by all instances at once.
-const RESTORED_TRIAL_SPAN: f64 = 2.0;
+/// Time within which a backend that an operator has put back into service gets its first attempt, in seconds.
+/// The instances spread their first attempts over it instead of making them all at once.
+const FIRST_ATTEMPT_SPREAD: f64 = 2.0;
 
-/// Where a retry has to stay for its idempotency key to be known.
+/// Zone or cell that a retry must stay in so that its idempotency key is recognized.
 #[derive(Clone, Copy)]
 pub(super) struct Affinity {
-    /// The zone or the cell.
+    /// Whether the retry must stay in a zone or in a cell.
     pub scope: KeyScope,
-    /// The backend whose zone or cell it is.
+    /// A backend in that zone or cell.
     pub backend: BackendIndex,
 }
 
-/// What an attempt is for.
+/// Inputs to the selection of a backend for an attempt.
 pub(super) struct Selection<'a> {
-    /// The request that it belongs to.
+    /// Attributes of the request.
     pub attributes: &'a RequestAttributes,
-    /// Only backends with more than this fraction of their capacity are open to the request.
+    /// Only backends with at least this fraction of their capacity may get the request.
     pub slow_start_draw: f64,
-    /// Backends of earlier attempts.
+    /// Backends of earlier attempts of the request.
     pub tried: &'a [BackendIndex],
-    /// Set where a retry is bound to a zone or cell.
+    /// Zone or cell that a retry is restricted to.
     pub affinity: Option<Affinity>,
 }
 
-/// Backends sorted by whether they are open to a request.
+/// Backends that may get an attempt.
 #[derive(Default)]
 struct Candidates {
+    /// Responsive backends with a short backlog that the request has not tried.
     preferred: Vec<BackendIndex>,
-    /// Ejected, unresponsive or tried before: for want of others.
+    /// Ejected, unresponsive or already tried backends, for use if there are no others.
     fallback: Vec<BackendIndex>,
-    /// Some are left out since their backlog fills enough of the objective.
+    /// Whether backends were left out because their backlog is too long.
     has_saturated: bool,
 }
 
-/// The zone or cell that a backend has to be in.
+/// Zone or cell that a backend must be in.
 #[derive(Clone, Copy)]
 struct Location {
     scope: KeyScope,
+    /// Index of the zone or cell.
     number: usize,
 }
 
@@ -73,7 +82,7 @@
 }
 
 impl PolicyEngine {
-    /// The backend for an attempt; `None` if none can take it now.
+    /// Returns the backend for an attempt, or `None` if no backend can take it now.
     pub(super) fn pick_backend(&mut self, now: f64, selection: &Selection) -> Option<BackendIndex> {
         let location = selection.affinity.and_then(|affinity| {
             self.backends.get(affinity.backend).map(|backend| Location::of(backend, affinity.scope))
@@ -84,13 +93,13 @@
             None => self.backends.capacity_of(now, &self.slow_start, self.accepting(location)),
         };
         let in_flight = self.units_in_flight(now, selection, location);
-        // What the list says of starts and drains lowers the limit at once: answers say it too late.
-        let available = self.concurrency.limit * capacity.effective_weight
+        // Listed starts and drains lower the limit at once, since latencies show them too late.
+        let available_limit = self.concurrency.limit * capacity.effective_weight
             / capacity.listed_weight.max(capacity.effective_weight);
-        let limit = available * self.priority_fraction(selection.attributes.operation);
+        let limit = available_limit * self.priority_fraction(selection.attributes.operation);
         self.concurrency.over_half_used = in_flight * 2.0 > limit;
         if in_flight >= limit.max(capacity.ready_count as f64 / self.instances).max(1.0) {
-            // Answers slow down everywhere: no more in flight than come back in time.
+            // Answers are slow at all backends: no more units may be in flight than are answered in time.
             self.concurrency.reached_at = now;
             return None;
         }
@@ -105,7 +114,7 @@
         self.pick_of_two(now, selection, &preferred, connected.as_ref().unwrap_or(&preferred))
     }
 
-    /// A sample, where there are too many backends to look at each and any of them will do.
+    /// Draws a sample if there are too many backends to examine each and the request may go to any of them.
     fn sample_if_many(
         &mut self,
         now: f64,
@@ -113,8 +122,8 @@
         location: Option<Location>,
     ) -> Option<Sample> {
         let kinds = self.failure_rates.kinds().of_request(selection.attributes);
-        let something_is_scarce = kinds.into_iter().any(|kind| self.failure_rates.is_scarce(kind));
-        if location.is_some() || something_is_scarce || self.backends.len() <= MAX_SCANNED_BACKENDS {
+        let any_kind_is_scarce = kinds.into_iter().any(|kind| self.failure_rates.is_scarce(kind));
+        if location.is_some() || any_kind_is_scarce || self.backends.len() <= MAX_SCANNED_BACKENDS {
             return None;
         }
         let settings = SampleSettings {
@@ -126,26 +135,28 @@
         Some(self.backends.sample(now, &mut self.rng, &settings))
     }
 
-    /// The backends at a location that accept new attempts.
+    /// Returns the backends at a location that accept new attempts.
     fn accepting(&self, location: Option<Location>) -> impl Iterator<Item = &Backend> {
         self.backends.values().filter(move |backend| is_accepting(backend, location))
     }
 
-    /// Units in flight at backends that are expected to answer. Where answers come as fast as ever, a silent backend hangs and
-    /// does not count; where they are slow, it may be slow too.
+    /// Returns the units in flight at backends that are expected to answer. While latencies are normal, an
+    /// unresponsive backend is assumed to hang, and its units do not count. While answers are slow at all
+    /// backends, it may just be slow, and its units count.
     fn units_in_flight(&self, now: f64, selection: &Selection, location: Option<Location>) -> f64 {
         let operation = selection.attributes.operation;
         let p95 = self.latencies.p95(operation);
         let fleet_is_slow = self.latencies.is_fleet_slow(operation);
-        let counts = |backend: &&Backend| {
+        let is_counted = |backend: &&Backend| {
             backend.ejection.is_none() && (fleet_is_slow || !self.is_unresponsive(now, backend, p95))
         };
         let busy = self.backends.busy().filter(|backend| is_accepting(backend, location));
-        busy.filter(counts).map(|backend| backend.in_flight_units).sum()
+        busy.filter(is_counted).map(|backend| backend.in_flight_units).sum()
     }
 
-    /// The fraction of the limit that an operation may fill: what is billed for its work against the operation that is billed
-    /// most. All of it where nothing is billed.
+    /// Returns the fraction of the limit that an operation may fill: its billed value per second of work,
+    /// relative to the operation with the highest. An operation may fill all of the limit if nothing is
+    /// billed.
     fn priority_fraction(&self, operation: usize) -> f64 {
         let priority = |operation: usize| {
             self.operations[operation].billed_value / self.latencies.least_median(operation)
@@ -159,7 +170,7 @@
         self.candidates(now, selection, backends)
     }
 
-    /// Sorts backends by whether they are open to a request.
+    /// Classifies backends by whether they may get an attempt.
     fn candidates<'a>(
         &self,
         now: f64,
@@ -169,11 +180,11 @@
         let Operation { latency_objective, idempotency, .. } =
             self.operations[selection.attributes.operation];
         let p95 = self.latencies.p95(selection.attributes.operation);
-        let backlog_time = MAX_BACKLOG_FRACTION * latency_objective;
+        let max_backlog_seconds = MAX_BACKLOG_FRACTION * latency_objective;
         let mut candidates = Candidates::default();
         for backend in backends {
-            // A backend that warms up is open to its fraction of the requests: with all instances doing so it gets that fraction
-            // of a warm one's load.
+            // A backend in slow start is eligible for its fraction of the requests. With all instances doing
+            // so, it gets that fraction of a warm backend's load.
             if backend.capacity_fraction(now, &self.slow_start) < selection.slow_start_draw {
                 continue;
             }
@@ -183,10 +194,11 @@
                 .ejection
                 .is_some_and(|ejection| now < ejection.until || idempotency != Idempotency::Idempotent);
             let was_tried = selection.tried.contains(&index);
-            let backlog = || (backend.throughput(now, &THROUGHPUT_WINDOW) * backlog_time).max(1.0);
+            let max_backlog_units =
+                || (backend.throughput(now, &THROUGHPUT_WINDOW) * max_backlog_seconds).max(1.0);
             if is_ejected || was_tried || self.is_unresponsive(now, backend, p95) {
                 candidates.fallback.push(index);
-            } else if backend.in_flight_units >= backlog() {
+            } else if backend.in_flight_units >= max_backlog_units() {
                 candidates.has_saturated = true;
             } else {
                 candidates.preferred.push(index);
@@ -195,8 +207,9 @@
         candidates
     }
 
-    /// Where connections, or good answers to the operation or under the plan, are scarce: those that give them. Where no
-    /// backend is in good standing: those that were not tried yet, then any.
+    /// Returns the backends to draw from. If good outcomes of the connection, the operation or the plan are
+    /// scarce, these are the preferred backends with the longest recent streaks of them. If no backend is
+    /// preferred or saturated, these are the fallback backends that were not tried yet, or else all of them.
     fn prefer_proven(&self, now: f64, selection: &Selection, candidates: Candidates) -> Vec<BackendIndex> {
         let Candidates { mut preferred, fallback, has_saturated } = candidates;
         let since = now - self.attempt_settings.connection_idle_timeout;
@@ -209,17 +222,17 @@
         if !preferred.is_empty() || has_saturated {
             return preferred;
         }
-        let is_new = |index: &BackendIndex| !selection.tried.contains(index);
-        let new: Vec<BackendIndex> = fallback.iter().copied().filter(is_new).collect();
-        if new.is_empty() {
+        let is_untried = |index: &BackendIndex| !selection.tried.contains(index);
+        let untried: Vec<BackendIndex> = fallback.iter().copied().filter(is_untried).collect();
+        if untried.is_empty() {
             fallback
         } else {
-            new
+            untried
         }
     }
 
-    /// Draws two of the preferred backends and takes the one with the lower load. The second is one with an idle connection, if
-    /// there is any: a new one costs both sides a handshake.
+    /// Draws two of the preferred backends and returns the one with the lower load. The second is drawn from
+    /// those with an idle connection, if there are any: a new connection costs both sides a handshake.
     fn pick_of_two(
         &mut self,
         now: f64,
@@ -230,16 +243,16 @@
         if preferred.is_empty() {
             return None;
         }
-        let restored = self.restored_for_trial(now, selection, preferred);
+        let restored = self.restored_backend_due(now, selection, preferred);
         let first = (self.random_fraction() * preferred.len() as f64) as usize;
         let draw = self.random_fraction();
         let distance = (draw * (preferred.len().max(2) - 1) as f64) as usize + 1;
         let second = (first + distance) % preferred.len();
         let fleet_is_slow = self.latencies.is_fleet_slow(selection.attributes.operation);
-        let is_idle = |index: &&BackendIndex| self.is_idle(now, &self.backends[*index], fleet_is_slow);
-        let idle: Vec<&BackendIndex> = connected.iter().filter(is_idle).collect();
-        let position = (draw * idle.len() as f64) as usize;
-        let second = idle.get(position).copied().unwrap_or(&preferred[second]);
+        let can_reuse = |index: &&BackendIndex| self.can_reuse(now, &self.backends[*index], fleet_is_slow);
+        let reusable: Vec<&BackendIndex> = connected.iter().filter(can_reuse).collect();
+        let position = (draw * reusable.len() as f64) as usize;
+        let second = reusable.get(position).copied().unwrap_or(&preferred[second]);
         let first = &self.backends[&preferred[first]];
         let second = &self.backends[second];
         let second_wins = self.load(now, second, fleet_is_slow) < self.load(now, first, fleet_is_slow);
@@ -247,8 +260,9 @@
         restored.or(Some(winner.endpoint.backend))
     }
 
-    /// A backend that was put back into service and whose first trial is due. The draw of the request spreads the trials.
-    fn restored_for_trial(
+    /// Returns a backend that was put back into service and is due for its first attempt. The request's draw
+    /// spreads these attempts over time.
+    fn restored_backend_due(
         &self,
         now: f64,
         selection: &Selection,
@@ -256,23 +270,24 @@
     ) -> Option<BackendIndex> {
         let is_due = |backend: &&Backend| {
             (now - backend.unused_since) * backend.capacity_fraction(now, &self.slow_start)
-                > RESTORED_TRIAL_SPAN * selection.slow_start_draw
+                > FIRST_ATTEMPT_SPREAD * selection.slow_start_draw
         };
         let mut backends = preferred.iter().map(|index| &self.backends[index]);
         backends.find(is_due).map(|backend| backend.endpoint.backend)
     }
 
-    /// Whether an idle connection to a fast backend can be expected.
-    fn is_idle(&self, now: f64, backend: &Backend, fleet_is_slow: bool) -> bool {
+    /// Whether the backend is not slow and is likely to have an idle connection that an attempt can reuse.
+    fn can_reuse(&self, now: f64, backend: &Backend, fleet_is_slow: bool) -> bool {
         let since = now - self.attempt_settings.connection_idle_timeout / 2.0;
         !fleet_is_slow && backend.slowness <= 1.0 && backend.has_idle_connection(since)
     }
 
-    /// The units in flight at a backend against its weight, its slowness beside the others and the capacity it has so far.
+    /// Returns the load of a backend: its units in flight relative to its weight and current capacity,
+    /// multiplied by its relative slowness and by the penalties for crossing zones and for a handshake.
     fn load(&self, now: f64, backend: &Backend, fleet_is_slow: bool) -> f64 {
         let is_remote = backend.crosses_zone(self.attempt_settings.home_zone);
-        let needs_handshake = !self.is_idle(now, backend, fleet_is_slow);
-        let factor = REMOTE_LOAD_FACTOR.powi(i32::from(is_remote) + i32::from(needs_handshake));
+        let needs_handshake = !self.can_reuse(now, backend, fleet_is_slow);
+        let factor = LOAD_PENALTY.powi(i32::from(is_remote) + i32::from(needs_handshake));
         let slowness = backend.slowness.clamp(MIN_SLOWNESS, MAX_SLOWNESS);
         (backend.in_flight_units + 1.0) * slowness * factor
             / backend.endpoint.weight
@@ -280,6 +295,7 @@
     }
 }
 
+/// Whether a backend accepts new attempts and is at the location, if there is one.
 fn is_accepting(backend: &Backend, location: Option<Location>) -> bool {
     backend.accepts_new() && location.is_none_or(|location| location.contains(backend))
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,13 +1,13 @@
 //! Policy engine of one gateway instance: admits requests, selects backends, schedules retries and hedged
-//! requests, and decides which requests get an error or a throttled answer instead.
+//! requests, and decides when a request is throttled or ends with an error.
 //!
 //! The engine does no I/O and reads no clock. The caller passes the current time, in seconds on a monotonic
 //! clock, and carries out the [`Effects`] that are returned with each decision.
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `requests` | request lifecycle: first routing, ended attempts, closing |
-//! | `attempts` | whether and when a request gets its first attempt, a retry, a hedged request or its final answer |
+//! | `attempts` | whether and when a request gets an attempt, a retry, a hedged request or its final answer |
 //! | `retry_budget` | how many attempts may repeat a request that may already have run |
 //! | `quota` | whether a customer's quota admits a request: leases, even shares, ceilings |
 //! | `leases` | how much of a requested lease is kept; corrections of totals, expiry, refunds |
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Sets whether a second process of this instance is running. Each of the two gets half of the instance's
-    /// even shares.
+    /// Sets whether a second process of this instance is running. While it is, each process gets half of the
+    /// instance's even shares.
     pub fn set_peer_process(&mut self, is_running: bool) {
         self.local_processes = if is_running { 2.0 } else { 1.0 };
     }
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Detects a stall of this process by a timer that is overdue. A stall does not count as silence of the
-    /// backends.
+    /// Detects a stall of this process by an overdue timer. The time of the stall does not count as silence
+    /// of the backends.
     fn detect_process_stall(&mut self, now: f64) {
         let timer_delay = self.timers.next().map_or(0.0, |at| now - at);
         if now > self.last_call_at && timer_delay > STALL_THRESHOLD {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -3,8 +3,8 @@
 use crate::state::{PendingRequest, TimerKind};
 use crate::types::*;
 
-/// Time before the client's deadline, in seconds, of the last decision on a request. A request without an
-/// attempt in flight gets its final answer then.
+/// How long before its client's deadline a request is checked for the last time, in seconds. It gets its
+/// final answer then unless an attempt is in flight.
 pub(super) const FINAL_CHECK_LEAD: f64 = 0.005;
 /// Minimum time that a request waits for the counter, as a fraction of its latency objective.
 const COUNTER_WAIT_OBJECTIVE_FRACTION: f64 = 0.04;
@@ -20,14 +20,15 @@
     pub sent_at: f64,
     /// Whether the request was already closed.
     pub was_closed: bool,
-    /// Whether the response had started. The attempt no longer counted as load of its backend from then on.
+    /// Whether the response had started. The attempt was no longer counted as load of its backend from then
+    /// on.
     pub was_streaming: bool,
 }
 
 impl PolicyEngine {
-    /// Decides whether a request is forwarded, stays pending or gets its final answer. To be called when the
-    /// request arrives and whenever [`PolicyEngine::poll`] returns it. The deadline may be earlier than in
-    /// the previous call.
+    /// Decides whether a request is forwarded, stays pending or gets its final answer. The caller calls this
+    /// when the request arrives and whenever [`PolicyEngine::poll`] returns it. The deadline may be earlier
+    /// than in the previous call.
     pub fn route(&mut self, now: f64, index: RequestIndex, attributes: &RequestAttributes) -> PolicyOutput {
         self.detect_process_stall(now);
         if !self.requests.contains_key(&index) {
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,8 +1,8 @@
 //! Retry budget: limits the attempts of requests that may already have run to a fraction of all attempts, so
 //! that retries and hedged requests never multiply the load of failing backends.
 
-/// Tokens earned by each attempt, and thus the fraction of all attempts that may repeat a request that may
-/// have run.
+/// Tokens earned by each attempt. Attempts of requests that may already have run are limited to this fraction
+/// of all attempts.
 const TOKENS_PER_ATTEMPT: f64 = 0.1;
 /// Tokens spent by an attempt of a request that may already have run.
 const RETRY_COST: f64 = 1.0;
