--- a/tests/policy/concurrency_limit.rs
+++ b/tests/policy/concurrency_limit.rs
@@ -1,11 +1,11 @@
-//! The limit on the units in flight at all backends, and what is shed when it is reached.
+//! The limit on the units in flight at all backends, and which requests are throttled when it is reached.
 use crate::fixtures::*;
 use crate::harness::*;
 use expect_test::expect;
 use quillramp::types::*;
 use AttemptResult::*;
 
-/// Guards: requests spilled over from saturated backends to faulty ones, which never answered.
+/// Guards against requests that spill over from saturated backends to faulty ones, which never answer.
 #[test]
 fn saturated_backends_are_waited_for_and_then_the_request_is_throttled() {
     let mut harness = idempotent(1);
@@ -22,7 +22,8 @@
         30.270 1: throttled, 1.00 s"#]]);
 }
 
-/// Guards: where all backends were fully loaded, the limit fell by a quarter for each slow answer: seconds too late.
+/// Guards against a limit that falls too slowly, by a quarter for each slow answer, while all backends are
+/// fully loaded.
 #[test]
 fn slow_answers_of_backends_that_report_full_load_halve_the_limit() {
     let with_idle_processors = forwarded_after_slow_answers(0.5);
@@ -31,7 +32,8 @@
     assert_eq!(with_busy_processors, 4);
 }
 
-/// How many of six requests are forwarded after three slow answers of backends that report this utilization of their processors.
+/// Returns how many of six requests are forwarded after three slow answers of backends that report the given
+/// utilization of their processors.
 fn forwarded_after_slow_answers(cpu_utilization: f64) -> usize {
     let mut harness = idempotent(6); // the initial limit is 30 units
     let load_report = LoadReport { cpu_utilization: Some(cpu_utilization), ..LoadReport::default() };
@@ -48,9 +50,9 @@
     harness.take_forwarded().len()
 }
 
-/// Guards: with many instances the limit for one backend has a floor of one attempt, so all instances together overloaded the
-/// backends; and answer times that vary by themselves, up to three times the median, lowered the limit below what the backends
-/// could do.
+/// Guards against a limit for each backend: with many instances its minimum of one attempt lets all instances
+/// together overload the backends. Also guards against lowering the limit below the capacity of the backends
+/// for latencies that vary by themselves, up to three times the median.
 #[test]
 fn slow_answers_lower_the_limit_over_all_backends() {
     let slow = forwarded_by_round(0.9);
@@ -59,7 +61,8 @@
     expect!["[20, 20, 20, 20, 20, 20, 20, 20]"].assert_eq(&varied);
 }
 
-/// How many of the 20 requests in each of eight rounds are forwarded, where each answer takes this time.
+/// Returns how many of the 20 requests in each of eight rounds are forwarded if each answer takes the given
+/// time.
 fn forwarded_by_round(duration: f64) -> String {
     const REQUESTS: usize = 20;
     const ROUND_INTERVAL: f64 = 2.5;
@@ -81,8 +84,9 @@
     format!("{forwarded_counts:?}")
 }
 
-/// Guards: after a release most backends were warming up. All instances kept the limit of a warm fleet until slow answers, a
-/// few a second at each instance, had lowered it: by then the release was over, and requests were shed that the fleet could serve.
+/// Guards against keeping the limit of a warm fleet after a release, when most backends are warming up. An
+/// instance gets only a few slow answers per second; by the time they had lowered the limit, the release was
+/// over, and requests were throttled that the backends could serve.
 #[test]
 fn listed_starts_and_drains_lower_the_limit() {
     let unchanged = |endpoint: Endpoint| endpoint;
@@ -93,7 +97,7 @@
     assert_eq!(forwarded_after_list_change(draining), 5);
 }
 
-/// How many of 60 requests are forwarded after the endpoint list has changed three in four backends.
+/// Returns how many of 60 requests are forwarded after the endpoint list has changed three in four backends.
 fn forwarded_after_list_change(change: impl Fn(Endpoint) -> Endpoint) -> usize {
     let mut harness = one_of_200_instances(Idempotency::NonIdempotent, plan());
     let changed: Vec<Endpoint> = (0..300).map(ready_endpoint).map(change).collect();
@@ -105,7 +109,8 @@
     harness.take_forwarded().len()
 }
 
-/// Guards: when capacity ran short a cheap operation took as much of it as one billed five times as much.
+/// Guards against a cheap operation that takes as much of a scarce capacity as one that is billed five times
+/// as much.
 #[test]
 fn operations_billed_less_for_their_work_fill_less_of_the_limit() {
     assert_eq!(forwarded_by_operation(1.0), ForwardedByOperation { cheap: 4, expensive: 16 });
@@ -119,7 +124,8 @@
     expensive: usize,
 }
 
-/// The requests that are forwarded of 40 for an operation billed this value and then 40 for one billed 5.
+/// Returns how many requests are forwarded of 40 for an operation billed the given value, followed by 40 for
+/// one billed 5.
 fn forwarded_by_operation(cheap_value: f64) -> ForwardedByOperation {
     const CHEAP: usize = 0;
     const EXPENSIVE: usize = 1;
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -1,4 +1,5 @@
-//! Calls to the counter service: how many, how long they are waited for, and what an outage changes.
+//! Calls to the counter service: how often they are made, how long requests wait for them, and the effects of
+//! an outage.
 use crate::fixtures::*;
 use crate::harness::*;
 use expect_test::expect;
@@ -45,9 +46,10 @@
         31.010 log: counter recovered after 1.01 s; leases resume"#]]);
 }
 
-/// Guards: a counter that is far away, or always slow, was taken for an overloaded one: the call rate fell to its minimum.
+/// Guards against a distant or always slow counter that counts as overloaded, so that the call rate falls to
+/// its minimum.
 #[test]
-fn a_counter_that_always_answers_slowly_is_not_taken_for_an_overloaded_one() {
+fn a_counter_that_always_answers_slowly_does_not_count_as_overloaded() {
     let mut harness = idempotent(4);
     harness.submit(30.0, 0, 1.0);
     harness.answer_counter_calls(30.03);
@@ -61,14 +63,14 @@
         32.045 count 1: +3.09; 1: to 2"#]]);
 }
 
-/// How the counter ends the calls of the first second.
+/// Whether the counter answers the calls of the first second.
 #[derive(Clone, Copy, PartialEq)]
 enum FirstSecond {
     Answered,
     Unanswered,
 }
 
-/// The calls to the counter in each second, by the requests in each second.
+/// Returns the number of counter calls in each second, for the number of requests in each second.
 fn calls_by_second(first_second: FirstSecond, requests_by_second: &[usize]) -> Vec<usize> {
     let plan = Plan { burst: 16.0, ..plan() };
     let operations = vec![operation(Idempotency::Idempotent)];
@@ -89,27 +91,31 @@
     calls_by_second
 }
 
-/// Guards: all instances together never called the counter more than 2,400 times a second, whatever it could take: on calm days
-/// of 300 instances it left no call unanswered, and six in ten requests were admitted without a call.
+/// Guards against a fixed maximum of 2,400 calls per second for all instances together, whatever the
+/// counter's capacity. On calm days of 300 instances no call was missed, and six in ten requests were
+/// admitted without a call.
 #[test]
 fn the_counter_is_called_as_often_as_it_answers() {
     let calls = calls_by_second(FirstSecond::Answered, &[200; 12]);
-    assert!(calls[0] <= 60, "the rate starts low: {calls:?}");
+    assert!(calls[0] <= 60, "at most 60 calls expected in the first second: {calls:?}");
     // A lease and an upward correction for each request.
-    assert!(calls[11] > 400, "{calls:?}");
+    assert!(calls[11] > 400, "more than 400 calls expected in the last second: {calls:?}");
 }
 
 #[test]
 fn after_an_unanswered_call_the_rate_of_calls_rises_by_small_steps() {
     let without_failure = calls_by_second(FirstSecond::Answered, &[200; 12]);
     let after_failure = calls_by_second(FirstSecond::Unanswered, &[200; 12]);
-    assert!(after_failure[11] < without_failure[11], "{after_failure:?}, without it {without_failure:?}");
-    assert!(after_failure[11] > after_failure[1], "{after_failure:?}");
+    assert!(
+        after_failure[11] < without_failure[11],
+        "fewer calls expected in the last second after a failure: {after_failure:?}, {without_failure:?} without one"
+    );
+    assert!(after_failure[11] > after_failure[1], "the rate must rise after a failure: {after_failure:?}");
 }
 
 #[test]
 fn calls_that_were_allowed_but_not_made_do_not_raise_the_rate_of_calls() {
     let mostly_idle = [vec![1; 60], vec![90]].concat();
     let calls = calls_by_second(FirstSecond::Answered, &mostly_idle);
-    assert!(calls[60] <= 20, "{calls:?}");
+    assert!(calls[60] <= 20, "at most 20 calls expected in the last second: {calls:?}");
 }
--- a/tests/policy/gossip.rs
+++ b/tests/policy/gossip.rs
@@ -2,8 +2,8 @@
 use crate::harness::*;
 use expect_test::expect;
 
-/// One instance's call about an exhausted quota spares the others theirs. Guards: a message to all instances twice a second
-/// overloaded them.
+/// One instance's counter call for an exhausted quota spares the other instances theirs. Guards against a
+/// message to all instances twice a second, which overloaded them.
 #[test]
 fn a_nearly_exhausted_quota_is_gossiped_to_the_customers_other_instances_once() {
     let mut harness = idempotent(4);
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -1,42 +1,42 @@
-//! A policy engine whose test stands in for the clients, the counter service and the backends.
+//! A policy engine with a test harness in place of clients, counter service and backends.
 use crate::fixtures::*;
 use crate::trace::Trace;
 use quillramp::policy::PolicyEngine;
 use quillramp::types::*;
 use std::collections::BTreeMap;
 
-/// The engine, the requests that it holds and the trace of its decisions.
+/// The engine, the requests submitted to it and the trace of its decisions.
 pub struct EngineHarness {
     pub engine: PolicyEngine,
-    /// All requests submitted so far, by their index.
+    /// All requests submitted so far, by index.
     requests: Vec<RequestAttributes>,
-    /// Calls to the counter that have no result yet.
+    /// Counter calls without a result.
     counter_calls: Vec<CounterCall>,
-    /// Totals on the counter, by the series plus a hundred times the customer.
+    /// Totals of the counters. The key is the series plus 100 times the customer.
     pub counter_totals: BTreeMap<u32, f64>,
-    /// The backends of each request's attempts.
+    /// Backends of each request's attempts.
     attempts: BTreeMap<RequestIndex, Vec<BackendIndex>>,
-    /// Requests before this one have been taken by `take_forwarded`.
+    /// The first request that `take_forwarded` has not considered yet.
     first_untaken: RequestIndex,
     trace: Trace,
 }
 
-/// One plan and one idempotent operation.
+/// Creates a harness with one plan and one idempotent operation.
 pub fn idempotent(backends: usize) -> EngineHarness {
     with_idempotency(Idempotency::Idempotent, backends)
 }
 
-/// One plan and one operation.
+/// Creates a harness with one plan and one operation.
 pub fn with_idempotency(idempotency: Idempotency, backends: usize) -> EngineHarness {
     EngineHarness::new(vec![operation(idempotency)], vec![plan()], attempt_settings(), backends)
 }
 
-/// One of 200 gateway instances before 400 backends, with one operation.
+/// Creates a harness for one of 200 gateway instances before 400 backends, with one operation.
 pub fn one_of_200_instances(idempotency: Idempotency, plan: Plan) -> EngineHarness {
     EngineHarness::among_instances(200.0, vec![operation(idempotency)], vec![plan], attempt_settings(), 400)
 }
 
-/// How many of 200 requests within 0.2 s are forwarded to the only backend.
+/// Returns how many of 200 requests within 0.2 s are forwarded to the only backend.
 pub fn forwarded_at_once(harness: &mut EngineHarness, from: f64) -> usize {
     let forwarded = (0..200).map(|customer| {
         let now = from + customer as f64 * 0.001;
@@ -52,7 +52,7 @@
 }
 
 impl EngineHarness {
-    /// One of two gateway instances.
+    /// Creates a harness for one of two gateway instances.
     pub fn new(
         operations: Vec<Operation>,
         plans: Vec<Plan>,
@@ -62,7 +62,8 @@
         EngineHarness::among_instances(2.0, operations, plans, attempts, backends)
     }
 
-    /// One of this many gateway instances. Its endpoint list is complete at 30 s.
+    /// Creates a harness for one of the given number of gateway instances. Its endpoint list is complete at
+    /// 30 s.
     pub fn among_instances(
         instances: f64,
         operations: Vec<Operation>,
@@ -99,19 +100,19 @@
         self.submit_request(now, RequestAttributes { operation, units, ..RequestAttributes::default() })
     }
 
-    /// Submits a request of this customer.
+    /// Submits a request of the given customer.
     pub fn submit_from(&mut self, now: f64, customer: CustomerIndex, units: f64) -> RequestIndex {
         self.submit_request(now, RequestAttributes { customer, units, ..RequestAttributes::default() })
     }
 
-    /// Submits a request of one unit for this operation.
+    /// Submits a request of one unit for the given operation.
     pub fn submit_operation(&mut self, now: f64, customer: CustomerIndex, operation: usize) -> RequestIndex {
         let attributes =
             RequestAttributes { customer, operation, units: 1.0, ..RequestAttributes::default() };
         self.submit_request(now, attributes)
     }
 
-    /// Submits a request of one unit under this plan.
+    /// Submits a request of one unit under the given plan.
     pub fn submit_under_plan(&mut self, now: f64, customer: CustomerIndex, plan: usize) -> RequestIndex {
         let attributes = RequestAttributes { customer, plan, units: 1.0, ..RequestAttributes::default() };
         self.submit_request(now, attributes)
@@ -133,7 +134,8 @@
         self.submit_request(now, RequestAttributes { units, instances, ..RequestAttributes::default() })
     }
 
-    /// Where the attributes leave it open, the client waits for 4 s and the customer uses two gateway instances.
+    /// Submits a request. Unless the attributes say otherwise, the client waits for 4 s and the customer uses
+    /// two gateway instances.
     fn submit_request(&mut self, now: f64, mut attributes: RequestAttributes) -> RequestIndex {
         self.poll(now);
         if attributes.deadline <= 0.0 {
@@ -149,7 +151,7 @@
         request
     }
 
-    /// The counter service answers all calls made so far, and those that its answers cause.
+    /// Answers all counter calls made so far, and those that the answers cause.
     pub fn answer_counter_calls(&mut self, now: f64) {
         while !self.counter_calls.is_empty() {
             let call = self.counter_calls.remove(0);
@@ -162,7 +164,7 @@
         }
     }
 
-    /// All calls to the counter made so far end with this result.
+    /// Ends all counter calls made so far with the given result.
     pub fn fail_counter_calls(&mut self, now: f64, result: CounterResult) {
         for call in std::mem::take(&mut self.counter_calls) {
             self.engine.counter_answered(now, call.key, result);
@@ -170,7 +172,7 @@
         self.poll(now);
     }
 
-    /// An attempt ends; the request is closed if it succeeded.
+    /// Ends an attempt. The request is closed if the attempt succeeded.
     pub fn complete_attempt(
         &mut self,
         now: f64,
@@ -193,7 +195,7 @@
         self.record(now, request, &format!(" {result:?}"), output);
     }
 
-    /// The first attempt succeeds; its backend reports its load.
+    /// Ends the first attempt of a request with success and with a load report of its backend.
     pub fn complete_with_load_report(
         &mut self,
         now: f64,
@@ -207,7 +209,7 @@
         self.record(now, request, " Succeeded", output);
     }
 
-    /// Polls the engine's timers, and routes the requests again that it wants to reconsider, until there are none.
+    /// Polls the engine and routes the requests that it returns, until it returns none.
     pub fn poll(&mut self, now: f64) {
         loop {
             let output = self.engine.poll(now);
@@ -218,7 +220,7 @@
             for request in output.reconsider {
                 let output = self.engine.route(now, request, &self.requests[request]);
                 if output.decision == Decision::Pending {
-                    self.record_effects(now, output.effects); // it waits on
+                    self.record_effects(now, output.effects); // still pending
                 } else {
                     self.record(now, request, "", output);
                 }
@@ -239,7 +241,7 @@
         self.trace.add_effects(now, &effects);
     }
 
-    /// Another instance gossips the total of a customer's count.
+    /// Delivers gossip from another instance with the total of a customer's counter.
     pub fn receive_counter_total(&mut self, now: f64, customer: CustomerIndex, series: u32, total: f64) {
         let message = GossipMessage::CounterTotal {
             key: CounterKey { customer, series },
@@ -250,18 +252,18 @@
         self.engine.gossip_received(now, message);
     }
 
-    /// The requests forwarded among those submitted since the last call.
+    /// Returns the forwarded requests among those submitted since the last call.
     pub fn take_forwarded(&mut self) -> Vec<RequestIndex> {
         let first = std::mem::replace(&mut self.first_untaken, self.requests.len());
         self.attempts.keys().copied().filter(|request| *request >= first).collect()
     }
 
-    /// What was decided since the last call, a line for each point in time.
+    /// Returns the trace since the last call.
     pub fn take_trace(&mut self) -> String {
         self.trace.take()
     }
 
-    /// Compares what was decided since the last call.
+    /// Compares the trace since the last call with the expected one.
     pub fn expect_trace(&mut self, expected: expect_test::Expect) {
         expected.assert_eq(&self.take_trace());
     }
--- a/tests/policy/lifecycle.rs
+++ b/tests/policy/lifecycle.rs
@@ -4,7 +4,7 @@
 use quillramp::types::*;
 use AttemptResult::*;
 
-/// Guards: requests that had no attempt in flight got no final answer in time.
+/// Guards against requests without an attempt in flight that get no final answer in time.
 #[test]
 fn a_request_without_an_attempt_in_flight_is_answered_before_its_deadline() {
     let mut harness = with_idempotency(Idempotency::NonIdempotent, 1);
@@ -16,7 +16,8 @@
         33.996 0 NotConnected: throttled, 1.00 s"#]]);
 }
 
-/// Guards: at the last check the remaining time exceeded the bound by a rounding error; the request stayed pending and was lost.
+/// Guards against a rounding error at the last check: the remaining time exceeded the bound, so the request
+/// stayed pending and was never answered.
 #[test]
 fn the_last_check_before_the_deadline_always_answers() {
     let mut harness = idempotent(0);
@@ -27,11 +28,14 @@
         harness.answer_counter_calls(now);
         harness.poll(deadline - 0.005);
         let trace = harness.take_trace();
-        assert!(trace.contains(&format!("{request}: throttled")), "{request} is lost: {trace}");
+        assert!(
+            trace.contains(&format!("{request}: throttled")),
+            "request {request} has no final answer: {trace}"
+        );
     }
 }
 
-/// Guards: a failed fetch of the endpoint list was never repeated.
+/// Guards against a failed fetch of the endpoint list that is never repeated.
 #[test]
 fn a_failed_endpoint_fetch_is_repeated() {
     let mut harness = idempotent(1);
@@ -42,7 +46,8 @@
     harness.expect_trace(expect!["33.200 fetches the endpoint list"]);
 }
 
-/// Guards: a customer with a request that was open for longer than the idle timeout lost its state.
+/// Guards against the loss of a customer's state while one of its requests is open for longer than the idle
+/// timeout.
 #[test]
 fn the_state_of_a_customer_with_an_open_request_is_not_dropped() {
     let mut harness = idempotent(1);
@@ -56,7 +61,8 @@
         61.000 0 Broken: throttled, 1.00 s"#]]);
 }
 
-/// Guards: timers whose requests needed nothing woke the gateway instance, four times per request.
+/// Guards against timers that wake the gateway instance although their requests need nothing, four times per
+/// request.
 #[test]
 fn no_timer_fires_for_a_request_that_is_closed_or_checked_later() {
     let mut harness = idempotent(1);
--- a/tests/policy/load_balancing.rs
+++ b/tests/policy/load_balancing.rs
@@ -1,4 +1,4 @@
-//! The choice of a backend.
+//! The selection of a backend.
 use crate::fixtures::*;
 use crate::harness::*;
 use expect_test::expect;
@@ -7,7 +7,7 @@
 use AttemptResult::*;
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_removed_backend() {
+fn a_draining_or_removed_backend_gets_no_new_attempts() {
     let mut harness = idempotent(2);
     let draining = Endpoint { status: EndpointStatus::Draining, ..ready_endpoint(0) };
     harness.engine.update_endpoints(30.0, false, &[draining]);
@@ -23,17 +23,17 @@
         30.460 1: throttled, 1.00 s"#]]);
 }
 
-/// Guards: hundreds of instances with little traffic each drew among all backends, and half of their attempts began with a
-/// handshake.
+/// Guards against handshakes for half of all attempts: hundreds of instances with little traffic each chose
+/// among all backends.
 #[test]
 fn a_backend_with_an_idle_connection_is_preferred_unless_it_answers_slowly() {
     let with_quick_answers = backends_used(0.05);
-    assert!(with_quick_answers <= 6, "{with_quick_answers} of 40");
+    assert!(with_quick_answers <= 6, "at most 6 of 40 backends expected, found {with_quick_answers}");
     let with_slow_answers = backends_used(0.9);
-    assert!(with_slow_answers >= 12, "{with_slow_answers} of 40");
+    assert!(with_slow_answers >= 12, "at least 12 of 40 backends expected, found {with_slow_answers}");
 }
 
-/// How many of 40 backends get any of 30 requests in a row, where each answer takes this time.
+/// Returns how many of 40 backends are used by 30 consecutive requests if each answer takes the given time.
 fn backends_used(duration: f64) -> usize {
     let mut harness = idempotent(40);
     for customer in 0..30 {
@@ -47,7 +47,7 @@
     forwards.map(|(_, backend)| backend).collect::<BTreeSet<_>>().len()
 }
 
-/// Guards: two attempts in three crossed zones, each at a charge.
+/// Guards against needless zone crossings: two attempts in three crossed zones, each at a charge.
 #[test]
 fn among_equal_backends_one_in_the_home_zone_is_selected_unless_it_is_loaded() {
     let without_home_zone = forwarded_to_zone_1(None);
@@ -56,12 +56,12 @@
     assert_eq!(in_zone_1, ForwardedToZone1 { one_by_one: 6, at_once: 1 });
 }
 
-/// The requests that were forwarded to the backend in zone 1; the other one is in zone 0.
+/// Requests that were forwarded to the backend in zone 1; the other backend is in zone 0.
 #[derive(Debug, PartialEq)]
 struct ForwardedToZone1 {
-    /// Of six requests in a row.
+    /// Of six consecutive requests.
     one_by_one: usize,
-    /// Of two requests at once.
+    /// Of two concurrent requests.
     at_once: usize,
 }
 
@@ -84,7 +84,8 @@
     ForwardedToZone1 { one_by_one, at_once }
 }
 
-/// With hundreds of instances each backend is at its connection limit: only an instance that has a connection gets through.
+/// With hundreds of instances each backend is at its connection limit, so only instances with an open
+/// connection reach it.
 #[test]
 fn a_backend_with_an_open_connection_is_selected_where_new_connections_fail() {
     let mut harness = idempotent(8);
@@ -109,7 +110,8 @@
         37.000 6 submitted: pending; count 1: +1.00; count 1: +14.00; 6: to 4; 6 Succeeded: pending"#]]);
 }
 
-/// Guards: some backends reject one plan although they have capacity, and each retry went to another of them.
+/// Guards against retries at one rejecting backend after another: some backends reject one plan although they
+/// have capacity.
 #[test]
 fn a_plan_that_some_backends_reject_goes_to_one_that_served_it() {
     const ACCEPTED_EVERYWHERE: usize = 0;
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,5 +1,5 @@
-//! The decisions of the policy engine, most of them as traces: what it decides and which effects it requests, one line for each
-//! point in time.
+//! Tests of the policy engine's decisions. Most compare a trace: the decisions and the requested effects, one
+//! line per point in time.
 mod concurrency_limit;
 mod counter;
 mod even_shares;
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -1,13 +1,14 @@
-//! Outlier ejection: which backends are avoided, for how long, and what does not count against one.
+//! Outlier ejection: which backends are avoided, for how long, and which outcomes do not count against a
+//! backend.
 use crate::fixtures::*;
 use crate::harness::*;
 use expect_test::expect;
 use quillramp::types::*;
 use AttemptResult::*;
 
-/// Guards: an endpoint list undid a manual ejection.
+/// Guards against an endpoint list that ends a manual ejection.
 #[test]
-fn a_manual_ejection_holds_against_the_endpoint_list() {
+fn the_endpoint_list_does_not_end_a_manual_ejection() {
     let mut harness = idempotent(3);
     harness.engine.set_manual_ejection(30.0, 0, Some(30.0));
     harness.engine.update_endpoints(30.0, true, &[0, 1, 2].map(ready_endpoint));
@@ -15,8 +16,8 @@
     assert_eq!(requests_forwarded_to_backend_0(&mut harness, 30.0), Vec::<usize>::new());
 }
 
-/// Guards: a backend that was available again stayed unused, since one in slow start is hardly ever selected while others are
-/// idle.
+/// Guards against a restored backend that stays unused: in slow start it is hardly ever selected while others
+/// are idle.
 #[test]
 fn after_a_manual_ejection_a_backend_is_soon_tried_in_slow_start() {
     let mut harness = idempotent(3);
@@ -27,20 +28,30 @@
     harness.engine.set_manual_ejection(34.0, 0, None);
     let forwarded = requests_forwarded_to_backend_0(&mut harness, 34.0);
     assert_eq!(harness.engine.unavailable_backends(), 0);
-    assert!(forwarded.len() < 10, "{forwarded:?}");
-    assert!(forwarded.first().is_some_and(|first| *first < 40), "{forwarded:?}");
+    assert!(forwarded.len() < 10, "fewer than 10 requests expected at backend 0: {forwarded:?}");
+    assert!(
+        forwarded.first().is_some_and(|first| *first < 40),
+        "one of the first 40 requests expected at backend 0: {forwarded:?}"
+    );
 }
 
-/// Alone, it gets the fraction of a backend that has just started, unless the list says that it started long before.
+/// A backend put back into service gets the fraction of requests of one that has just started if it is the
+/// only backend, unless the endpoint list says that it started long before.
 #[test]
 fn after_a_manual_ejection_the_slow_start_counts_from_the_listed_start() {
     let without_listed_start = forwarded_after_manual_ejection(None);
-    assert!((20..60).contains(&without_listed_start), "{without_listed_start} of 200");
+    assert!(
+        (20..60).contains(&without_listed_start),
+        "20 to 59 of 200 requests expected, found {without_listed_start}"
+    );
     let started_long_before = forwarded_after_manual_ejection(Some(40.5));
-    assert!((150..201).contains(&started_long_before), "{started_long_before} of 200");
+    assert!(
+        (150..201).contains(&started_long_before),
+        "150 to 200 of 200 requests expected, found {started_long_before}"
+    );
 }
 
-/// How many of 200 requests are forwarded to the only backend once its manual ejection has ended.
+/// Returns how many of 200 requests are forwarded to the only backend once its manual ejection has ended.
 fn forwarded_after_manual_ejection(started_at: Option<f64>) -> usize {
     let mut harness = idempotent(1);
     harness.engine.set_manual_ejection(40.0, 0, Some(40.0));
@@ -49,7 +60,7 @@
     forwarded_at_once(&mut harness, 60.0)
 }
 
-/// Those of 60 requests in a row that go to backend 0, with the other backends idle.
+/// Returns which of 60 consecutive requests are forwarded to backend 0, with the other backends idle.
 fn requests_forwarded_to_backend_0(harness: &mut EngineHarness, from: f64) -> Vec<usize> {
     let mut is_forwarded = |index: usize| {
         let now = from + index as f64 * 0.05;
@@ -61,7 +72,7 @@
     (0..60).filter(|index| is_forwarded(*index)).collect()
 }
 
-/// Each failed trial counts, and a gossip message shortens the second half of the ejection.
+/// Each failed trial doubles the ejection; gossip about a recovery shortens its second half.
 #[test]
 fn a_failed_trial_doubles_the_ejection_time_and_gossip_shortens_it() {
     let operations = vec![operation(Idempotency::Idempotent)];
@@ -73,7 +84,7 @@
         harness.complete_attempt(now + 0.2, request, 0, Broken, 0.2);
         harness.engine.gossip_received(now + 2.9, GossipMessage::BackendRecovered { backend: 0 });
     }
-    // The first instance that gets an answer notifies the others.
+    // The first instance that gets an answer gossips the recovery.
     let request = harness.submit(47.0, 0, 1.0);
     harness.answer_counter_calls(47.0);
     harness.complete_attempt(47.1, request, 0, Succeeded, 0.1);
@@ -92,7 +103,8 @@
         47.100 5 Succeeded: pending; gossips BackendRecovered { backend: 0 }; log: backend 0 recovered: answered in 0.100 s"#]]);
 }
 
-/// Guards: clients that disconnect very early and try again: two cancelled attempts ejected the backend.
+/// Guards against an ejection caused by clients that disconnect very early and try again: two cancelled
+/// attempts ejected the backend.
 #[test]
 fn an_early_disconnect_of_the_client_does_not_count_against_the_backend() {
     let mut harness = idempotent(1);
@@ -111,7 +123,8 @@
         32.100 cancel 2.0; 2 Cancelled: pending"#]]);
 }
 
-/// Guards: with many instances a backend rarely answers any one of them: a slow one was found only after tens of answers.
+/// Guards against slow detection of a slow backend: with many instances a backend rarely answers any one of
+/// them, and tens of answers were needed.
 #[test]
 fn one_very_slow_answer_is_enough_to_prefer_the_other_backends() {
     let mut harness = idempotent(2);
@@ -128,7 +141,8 @@
     expect!["011111111111"].assert_eq(&backends);
 }
 
-/// Guards: a backend whose response streamed slowly to its client was taken for an unresponsive one, and for a loaded one.
+/// Guards against a backend that counts as unresponsive and as loaded because its response streams slowly to
+/// the client.
 #[test]
 fn a_backend_whose_response_streams_is_neither_unresponsive_nor_loaded() {
     let mut harness = idempotent(1);
@@ -140,7 +154,10 @@
         let request = harness.submit_from(now, customer, 1.0);
         harness.answer_counter_calls(now);
         let trace = harness.take_trace();
-        assert!(trace.contains("to 0"), "customer {customer}: {trace}");
+        assert!(
+            trace.contains("to 0"),
+            "the request of customer {customer} must be forwarded to backend 0: {trace}"
+        );
         harness.complete_attempt(now + 0.05, request, 0, Succeeded, 0.05);
     }
     harness.complete_attempt(36.0, first, 0, Broken, 0.1);
@@ -149,14 +166,15 @@
         36.000 0 Broken: throttled, 1.00 s"#]]);
 }
 
-/// Guards: an instance that had stalled took its backends for unresponsive, and forwarded nothing.
+/// Guards against backends that count as unresponsive after the instance itself has stalled, so that it
+/// forwards nothing.
 #[test]
 fn a_stall_of_the_instance_does_not_count_against_its_backends() {
     let mut harness = idempotent(1);
     let request = harness.submit(30.0, 0, 1.0);
     harness.answer_counter_calls(30.0);
     let outcome = succeeded(2.9);
-    let output = harness.engine.attempt_ended(33.0, request, &outcome); // the timer of 30.25 has not fired yet
+    let output = harness.engine.attempt_ended(33.0, request, &outcome); // the timer of 30.25 s has not fired yet
     let messages: Vec<String> = output.effects.log.iter().map(ToString::to_string).collect();
     expect!["process stalled for 2.75 s"].assert_eq(&messages.join("\n"));
 }
--- a/tests/policy/permits.rs
+++ b/tests/policy/permits.rs
@@ -1,4 +1,4 @@
-//! Permits: the cap on a plan's attempts in flight, leased on a count of its own.
+//! Permits: the cap on a plan's attempts in flight, leased from a separate counter.
 use crate::fixtures::*;
 use crate::harness::*;
 use expect_test::expect;
@@ -6,17 +6,17 @@
 use AttemptResult::*;
 use CounterResult::*;
 
-/// One plan with a cap on its attempts in flight and no quota, before three backends.
+/// Creates a harness with three backends and one plan that has a cap on attempts in flight and no quota.
 fn with_cap(max_in_flight: usize) -> EngineHarness {
     let operations = vec![operation(Idempotency::Idempotent)];
     let capped = Plan { rate: 0.0, max_in_flight, ..plan() };
     EngineHarness::new(operations, vec![capped], attempt_settings(), 3)
 }
 
-/// Guards: many instances that one customer uses each admitted one request, far over a small cap: each held its own fraction of
-/// the cap, rounded up.
+/// Guards against a cap that each instance enforces by its own fraction, rounded up: many instances that one
+/// customer used each admitted one request, far over a small cap.
 #[test]
-fn a_permit_is_leased_on_a_count_of_its_own_denied_at_once_and_returned() {
+fn a_permit_is_leased_from_a_separate_counter_denied_at_once_and_returned() {
     let mut harness = with_cap(2);
     for now in [30.0, 30.01, 30.02] {
         harness.submit(now, 0, 1.0);
@@ -34,10 +34,10 @@
         30.600 3 submitted: pending; count 1073741827: +1.00; 3: to 1"#]]);
 }
 
-/// Without the counter one of N instances waits N times as long for its next permit. Guards: a late answer gave a permit that
-/// nobody returned.
+/// Without the counter, one of N instances waits N times as long for its next permit. Guards against a late
+/// answer with a permit that nobody returns.
 #[test]
-fn without_the_counter_a_permit_is_an_even_fraction_and_a_late_one_is_returned() {
+fn without_the_counter_permits_are_an_even_share_and_a_late_permit_is_returned() {
     let mut harness = with_cap(1);
     harness.submit(30.0, 0, 1.0);
     harness.poll(30.04);
--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -1,11 +1,11 @@
-//! The quota: leases of a customer's token bucket, whose count all instances share.
+//! The quota: leases of a customer's token bucket, whose counter all instances share.
 use crate::fixtures::*;
 use crate::harness::*;
 use expect_test::expect;
 use quillramp::types::*;
 use CounterResult::*;
 
-/// One plan and one idempotent operation before two backends.
+/// Creates a harness with two backends, one plan and one idempotent operation.
 fn idempotent_under_plan(plan: Plan) -> EngineHarness {
     EngineHarness::new(vec![operation(Idempotency::Idempotent)], vec![plan], attempt_settings(), 2)
 }
@@ -27,7 +27,7 @@
 #[test]
 fn an_exhausted_quota_is_throttled_at_once_then_locally_until_the_bucket_refills() {
     let mut harness = idempotent(2);
-    harness.counter_totals.insert(1, 7.0); // the allowance is 8
+    harness.counter_totals.insert(1, 7.0); // the burst is 8
     harness.submit(30.0, 0, 3.0);
     harness.answer_counter_calls(30.0);
     harness.submit(30.5, 0, 3.0);
@@ -39,9 +39,9 @@
         31.600 2 submitted: pending; count 1: +1.00"#]]);
 }
 
-/// Guards: a counter that was flushed, or came back empty, gave every customer a second burst.
+/// Guards against a second burst for every customer after the counter was flushed or came back empty.
 #[test]
-fn a_lost_count_is_corrected_upwards_once() {
+fn a_lost_counter_is_corrected_upwards_once() {
     let mut harness = idempotent(4);
     harness.counter_totals.insert(1, 12.0);
     harness.submit(33.0, 0, 1.0);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_new_window_carries_the_level_over() {
+fn a_new_window_carries_the_total_over() {
     let mut harness = idempotent(4);
     harness.counter_totals.insert(1, 65.0);
     harness.submit(59.9, 0, 1.0);
@@ -70,13 +70,13 @@
         60.000 1 submitted: pending; count 2: +1.00; count 2: +6.00; 1: to 2"#]]);
 }
 
-/// Guards: the most expensive plans were throttled within their quotas: the fraction of the ceiling is only for what no
-/// lease covers.
+/// Guards against throttling of the most expensive plans within their quotas: the even share of the ceiling
+/// applies only to units that no lease covers.
 #[test]
-fn a_lease_passes_the_ceiling_and_spending_without_one_has_an_even_fraction_that_starts_empty() {
+fn the_ceiling_limits_only_spending_without_a_lease_to_an_even_share_that_starts_empty() {
     let with_ceiling = Plan { ceiling_rate: 4.0, ceiling_burst: 16.0, ceiling_slack: 2.0, ..plan() };
     let mut harness = idempotent_under_plan(with_ceiling);
-    // The count's window has just begun.
+    // The counter's window has just begun.
     harness.submit(30.0, 0, 1.0);
     harness.answer_counter_calls(30.0);
     harness.submit(35.0, 0, 1.0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn billed_units_are_settled_with_the_count() {
+fn billed_units_are_settled_with_the_counter() {
     let mut harness = idempotent(2);
     let request = harness.submit(30.0, 0, 1.0);
     harness.answer_counter_calls(30.0);
@@ -107,10 +107,10 @@
         31.200 count 1: +3.00"#]]);
 }
 
-/// Guards: two instances corrected a new count upwards at once; a third read both corrections and throttled the
-/// customer for 18 s.
+/// Guards against a double correction: two instances corrected a new counter upwards at once; a third
+/// instance read both corrections and throttled the customer for 18 s.
 #[test]
-fn an_impossibly_high_count_is_read_again_soon() {
+fn an_impossibly_high_total_is_read_again_soon() {
     let mut harness = idempotent(1);
     harness.counter_totals.insert(1, 60.0);
     harness.submit(30.0, 0, 1.0);
--- a/tests/policy/request_limits.rs
+++ b/tests/policy/request_limits.rs
@@ -1,11 +1,11 @@
-//! Limits from the operator's file: each narrows what the settings allow. Each limit is tested where there would be another attempt
-//! without it.
+//! Limits from the operator's file, each of which narrows what the settings allow. Each limit is tested with
+//! a request that would get another attempt without it.
 use crate::fixtures::*;
 use crate::harness::*;
 use quillramp::types::*;
 use AttemptResult::*;
 
-/// How many attempts a trace has.
+/// Returns the number of attempts in a trace.
 fn attempts_in(trace: &str) -> usize {
     trace.matches("to ").count()
 }
@@ -23,12 +23,12 @@
             harness.complete_attempt(now, request, attempt, Rejected, 0.005);
         }
         let trace = harness.take_trace();
-        assert_eq!(attempts_in(&trace), expected_attempts, "{max_attempts}: {trace}");
-        assert!(trace.ends_with("throttled, 1.00 s"), "{max_attempts}: {trace}");
+        assert_eq!(attempts_in(&trace), expected_attempts, "max_attempts {max_attempts}: {trace}");
+        assert!(trace.ends_with("throttled, 1.00 s"), "max_attempts {max_attempts}: {trace}");
     }
 }
 
-/// The trace of a request whose attempts are not answered for 160 ms.
+/// Returns the trace of a request whose attempts are not answered for 160 ms.
 fn trace_without_answers(limits: RequestLimits, attempts: AttemptSettings) -> String {
     let operations = vec![operation(Idempotency::Idempotent)];
     let mut harness = EngineHarness::new(operations, vec![plan()], attempts, 4);
@@ -40,14 +40,15 @@
     harness.take_trace()
 }
 
-/// Two attempts, each of which is overdue after 50 ms.
+/// Allows two attempts, each of which is overdue after 50 ms.
 fn short_attempts() -> RequestLimits {
     RequestLimits { attempt_timeout: 0.05, max_attempts: 2, ..RequestLimits::default() }
 }
 
 #[test]
 fn an_attempt_past_its_timeout_is_hedged() {
-    // Without the limit a hedge comes much later: the high quantile of answer times starts at a quarter of the objective.
+    // Without the limit the hedged request is sent much later: the 95th percentile of latency starts at a
+    // quarter of the objective.
     let without_limit = trace_without_answers(RequestLimits::default(), attempt_settings());
     assert_eq!(attempts_in(&without_limit), 1, "{without_limit}");
     assert_eq!(without_limit.matches("cancel").count(), 0, "{without_limit}");
@@ -69,9 +70,9 @@
     }
 }
 
-/// Whatever the limits, an attempt of a non-idempotent request that may have run is the last.
+/// Whatever the limits, a non-idempotent request gets no further attempt after one that may have run.
 #[test]
-fn no_limit_allows_a_retry_of_what_may_have_run() {
+fn no_limit_allows_a_retry_of_a_request_that_may_have_run() {
     let mut harness = with_idempotency(Idempotency::NonIdempotent, 4);
     let limits = RequestLimits { max_attempts: 9, attempt_timeout: 0.01, ..RequestLimits::default() };
     let request = harness.submit_with_limits(30.0, limits);
@@ -85,7 +86,7 @@
     assert!(trace.ends_with("error"), "{trace}");
 }
 
-/// How many attempts a request has whose first one breaks after this time.
+/// Returns the number of attempts of a request whose first attempt breaks after the given time.
 fn attempts_with_broken_first(mut harness: EngineHarness, limits: RequestLimits, duration: f64) -> usize {
     let request = harness.submit_with_limits(30.0, limits);
     harness.answer_counter_calls(30.001);
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -4,7 +4,7 @@
 use quillramp::types::*;
 use AttemptResult::*;
 
-/// The trace of a non-idempotent request whose first attempt ends so.
+/// Returns the trace of a non-idempotent request whose first attempt ends with the given result.
 fn trace_of_non_idempotent(result: AttemptResult) -> String {
     let mut harness = with_idempotency(Idempotency::NonIdempotent, 2);
     let request = harness.submit(30.0, 0, 1.0);
@@ -42,8 +42,8 @@
         30.600 0 Errored: error"#]]);
 }
 
-/// Guards: a keyed request that may have run was throttled, which tells the client to retry whenever it likes; by then the
-/// backends may have forgotten the key.
+/// Guards against throttling of a keyed request that may have run: the client then retries whenever it likes,
+/// when the backends may no longer remember the key.
 #[test]
 fn a_keyed_request_that_may_have_run_is_not_throttled() {
     let mut harness = with_idempotency(Idempotency::Keyed { scope: KeyScope::All, window: 9.0 }, 2);
--- a/tests/policy/trace.rs
+++ b/tests/policy/trace.rs
@@ -1,15 +1,16 @@
-//! The trace of a test: what the policy engine decided and called for.
+//! The trace of a test: the decisions of the policy engine and the effects that it requested.
 use quillramp::types::*;
 use std::fmt::Write;
 
-/// Lines of a time and of what happened then.
+/// A trace. Each line is a time and an event.
 #[derive(Default)]
 pub struct Trace {
     lines: String,
 }
 
 impl Trace {
-    /// Adds a decision on a request; `cause` says what it was made on, with a space before it.
+    /// Adds a decision on a request. `cause` names the event that led to it, with a leading space, or is
+    /// empty.
     pub fn add_decision(&mut self, now: f64, request: RequestIndex, cause: &str, decision: Decision) {
         let text = match decision {
             Decision::Forward { backend } => format!("to {backend}"),
@@ -21,7 +22,7 @@
         self.add(now, format_args!("{request}{cause}: {text}"));
     }
 
-    /// Adds the effects that came with a decision or a poll.
+    /// Adds the effects of a decision or a poll.
     pub fn add_effects(&mut self, now: f64, effects: &Effects) {
         for call in &effects.counter_calls {
             self.add(now, format_args!("count {}: {:+.2}", call.key.series, call.delta));
@@ -41,16 +42,16 @@
     }
 
     fn add(&mut self, now: f64, event: std::fmt::Arguments) {
-        writeln!(self.lines, "{now:.3} {event}").expect("writes to a string");
+        writeln!(self.lines, "{now:.3} {event}").expect("writing to a string must succeed");
     }
 
-    /// Empties the trace; returns one line for each run of events at the same time.
+    /// Empties the trace. Returns it with consecutive events of the same time joined into one line.
     pub fn take(&mut self) -> String {
         let lines = std::mem::take(&mut self.lines);
         let mut merged = String::new();
         let mut last_time = "";
         for line in lines.lines() {
-            let (time, event) = line.split_once(' ').expect("a time and an event");
+            let (time, event) = line.split_once(' ').expect("a trace line must have a time and an event");
             if time == last_time {
                 merged += &format!("; {event}");
             } else {
