--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -93,7 +93,8 @@
         self.send_gossip(now, message, recipients);
     }
 
-    /// Adds the units of a request that was never forwarded to the customer's lease, for its next request.
+    /// Returns the units of a request that was never forwarded to the customer's lease, so that the next
+    /// request can use them.
     pub(super) fn refund_units(&mut self, now: f64, index: RequestIndex) {
         let request = self.request(index);
         let was_granted = std::mem::take(&mut request.units_granted);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -60,10 +60,10 @@
     /// Returns the maximum time that a request waits for the counter, in seconds.
     fn counter_wait(&self, now: f64, attributes: &RequestAttributes) -> f64 {
         let time_left = attributes.deadline - now;
-        let longest = self.counter.timeout().min(time_left * COUNTER_WAIT_CLIENT_FRACTION);
+        let max_wait = self.counter.timeout().min(time_left * COUNTER_WAIT_CLIENT_FRACTION);
         let objective = self.operations[attributes.operation].latency_objective;
-        let shortest = COUNTER_WAIT_OBJECTIVE_FRACTION * objective;
-        longest.min(shortest.max(COUNTER_WAIT_FASTEST_ANSWERS * self.counter.fastest_answer()))
+        let min_wait = COUNTER_WAIT_OBJECTIVE_FRACTION * objective;
+        max_wait.min(min_wait.max(COUNTER_WAIT_FASTEST_ANSWERS * self.counter.fastest_answer()))
     }
 
     /// Records the end of an attempt and decides what happens to its request next.
