--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -281,5 +281,5 @@
 }
 
 fn is_accepting(backend: &Backend, location: Option<Location>) -> bool {
-    backend.accepts_new() && location.is_none_or(|location| location.contains(backend))
+    backend.accepts_attempts() && location.is_none_or(|location| location.contains(backend))
 }
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -112,11 +112,12 @@
 
     /// Whether it is listed and yet gets nothing new.
     pub fn is_unavailable(&self) -> bool {
-        self.endpoint.status != EndpointStatus::Removed && (!self.accepts_new() || self.ejection.is_some())
+        self.endpoint.status != EndpointStatus::Removed
+            && (!self.accepts_attempts() || self.ejection.is_some())
     }
 
     /// Whether it may get new attempts, ejections apart.
-    pub fn accepts_new(&self) -> bool {
+    pub fn accepts_attempts(&self) -> bool {
         self.endpoint.status == EndpointStatus::Ready && self.maintenance_since.is_none()
     }
 
--- a/src/state/backend_set.rs
+++ b/src/state/backend_set.rs
@@ -207,14 +207,14 @@
     fn is_connected(&self, index: BackendIndex, idle_since: f64) -> bool {
         self.known.get(&index).is_some_and(|backend| {
             let was_connected = backend.streak(OutcomeKind::CONNECTION, idle_since) > 0;
-            backend.accepts_new() && (backend.in_flight > 0 || was_connected)
+            backend.accepts_attempts() && (backend.in_flight > 0 || was_connected)
         })
     }
 
     fn summarize(&mut self, now: f64, slow_start: &SlowStart) {
         let listed_weight = listed_weight(self.values());
         let mut summary = Summary { computed_at: now, listed_weight, ..Summary::default() };
-        for (index, backend) in self.known.iter().filter(|(_, backend)| backend.accepts_new()) {
+        for (index, backend) in self.known.iter().filter(|(_, backend)| backend.accepts_attempts()) {
             summary.ready.push(*index);
             if backend.capacity_fraction(now, slow_start) < 1.0 {
                 summary.warming.push(*index);
