--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -77,7 +77,7 @@
 impl CallRequest {
     /// Gives units back, or reports units spent: all of it is debt.
     pub fn settle(delta: f64) -> CallRequest {
-        CallRequest { delta, debt_repaid: delta, purpose: CallPurpose::GiveBack }
+        CallRequest { delta, debt_repaid: delta, purpose: CallPurpose::Settle }
     }
 
     /// Reads the total, to see whether the counter answers.
--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -186,6 +186,6 @@
             let needed = (target - observed.before).clamp(0.0, call.delta);
             Settlement { give_back: call.delta - needed, correction: 0.0 }
         }
-        CallPurpose::GiveBack | CallPurpose::AcquirePermit => Settlement { give_back: 0.0, correction: 0.0 },
+        CallPurpose::Settle | CallPurpose::AcquirePermit => Settlement { give_back: 0.0, correction: 0.0 },
     }
 }
--- a/src/state/account.rs
+++ b/src/state/account.rs
@@ -23,7 +23,7 @@
     /// Adds one to the count of requests in flight.
     AcquirePermit,
     /// Gives units or a permit back, reports units spent without a lease, or only reads the total (adding 0).
-    GiveBack,
+    Settle,
 }
 
 /// A counter call without its answer.
