--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -168,10 +168,10 @@
     burst: f64,
 ) -> Settlement {
     match call.purpose {
-        CallPurpose::Lease { units, need, peer_estimate } => {
+        CallPurpose::Lease { units, required_units, peer_estimate } => {
             let excess = (observed.total + observed.lag - burst - observed.refilled).max(0.0);
             let fitting = units - (excess - peer_estimate).max(0.0);
-            let is_enough = fitting >= need;
+            let is_enough = fitting >= required_units;
             account.extend_lease(now, if is_enough { fitting } else { 0.0 }, LIFETIME);
             let give_back = if is_enough {
                 units - fitting + peer_estimate.min(excess)
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -275,7 +275,7 @@
         let call = CallRequest {
             delta: units + owed + peer_estimate,
             debt_repaid: owed,
-            purpose: CallPurpose::Lease { units, need, peer_estimate },
+            purpose: CallPurpose::Lease { units, required_units: need, peer_estimate },
         };
         self.call_counter(now, key, call);
     }
--- a/src/state/account.rs
+++ b/src/state/account.rs
@@ -11,7 +11,7 @@
         /// Units asked for.
         units: f64,
         /// The least of them that admits the waiting request.
-        need: f64,
+        required_units: f64,
         /// Units that other instances are estimated to have spent without reporting them.
         peer_estimate: f64,
     },
