--- a/simulator-adapter/src/events.rs
+++ b/simulator-adapter/src/events.rs
@@ -1,5 +1,5 @@
 //! Decodes event records into typed values. Times are seconds. Indexes are checked where they are used, against the settings.
-use crate::frame::{seconds, Malformed, Record, RecordFault, ADDRESS_BYTES};
+use crate::frame::{seconds, FrameError, Record, RecordError, ADDRESS_BYTES};
 use quillramp::types::{AttemptResult, CounterResult, EndpointStatus};
 
 /// Size of an entry of an endpoint list, bytes.
@@ -11,7 +11,7 @@
 pub(crate) type Address = [u8; ADDRESS_BYTES];
 
 /// A client submitted a request.
-pub(crate) struct Submitted {
+pub(crate) struct RequestSubmitted {
     /// The id of the request on the wire.
     pub id: RequestId,
     /// The first of the instances that share the customer's quota.
@@ -30,10 +30,10 @@
     pub operation: usize,
 }
 
-impl Submitted {
+impl RequestSubmitted {
     /// Decodes a record; any bytes are valid.
-    pub fn decode(record: &Record) -> Submitted {
-        Submitted {
+    pub fn decode(record: &Record) -> RequestSubmitted {
+        RequestSubmitted {
             id: record.u32(1),
             first_instance: record.f32(5) as usize,
             client_timeout: record.seconds(9),
@@ -47,7 +47,7 @@
 }
 
 /// An attempt ended.
-pub(crate) struct Completed {
+pub(crate) struct AttemptEnded {
     /// Index of the attempt within its request, counted from 0.
     pub attempt: usize,
     /// The backend of the attempt.
@@ -62,11 +62,11 @@
     pub load_report_length: usize,
 }
 
-impl Completed {
-    /// Decodes a record, without the [`result`](Completed::result) and the load report.
-    pub fn decode(record: &Record) -> Completed {
+impl AttemptEnded {
+    /// Decodes a record, without the [`result`](AttemptEnded::result) and the load report.
+    pub fn decode(record: &Record) -> AttemptEnded {
         let units = record.u16(22);
-        Completed {
+        AttemptEnded {
             attempt: usize::from(record.u16(5)),
             address: record.address(7),
             duration: record.seconds(15),
@@ -77,7 +77,7 @@
     }
 
     /// The result of the attempt.
-    pub fn result(record: &Record) -> Result<AttemptResult, Malformed> {
+    pub fn result(record: &Record) -> Result<AttemptResult, FrameError> {
         attempt_result(record, 13)
     }
 
@@ -88,11 +88,11 @@
 }
 
 /// Checks that the result of a health check is valid; the policy engine does not use it.
-pub(crate) fn check_probed(record: &Record) -> Result<(), Malformed> {
+pub(crate) fn check_probed(record: &Record) -> Result<(), FrameError> {
     attempt_result(record, 7).map(drop)
 }
 
-fn attempt_result(record: &Record, offset: usize) -> Result<AttemptResult, Malformed> {
+fn attempt_result(record: &Record, offset: usize) -> Result<AttemptResult, FrameError> {
     match record.u16(offset) {
         1 => Ok(AttemptResult::Succeeded),
         2 => Ok(AttemptResult::Errored),
@@ -102,7 +102,7 @@
         6 => Ok(AttemptResult::Broken),
         7 => Ok(AttemptResult::Cancelled),
         8 => Ok(AttemptResult::NotSent),
-        other => Err(record.malformed(RecordFault::UnknownOutcome(other))),
+        other => Err(record.error(RecordError::UnknownOutcome(other))),
     }
 }
 
@@ -117,7 +117,7 @@
 }
 
 /// The body of a peer's message.
-pub(crate) fn message_body<'a>(record: &Record<'a>) -> Result<&'a [u8], Malformed> {
+pub(crate) fn message_body<'a>(record: &Record<'a>) -> Result<&'a [u8], FrameError> {
     record.tail(5, 1)
 }
 
@@ -131,12 +131,12 @@
 
 impl CounterReply {
     /// Decodes a record; fails on an unknown outcome.
-    pub fn decode(record: &Record) -> Result<CounterReply, Malformed> {
+    pub fn decode(record: &Record) -> Result<CounterReply, FrameError> {
         let result = match record.u16(13) {
             1 => CounterResult::Total(record.f32(15)),
             3 | 5 => CounterResult::NotApplied,
             4 => CounterResult::Unanswered,
-            other => return Err(record.malformed(RecordFault::UnknownOutcome(other))),
+            other => return Err(record.error(RecordError::UnknownOutcome(other))),
         };
         Ok(CounterReply { name: record.u64(5), result })
     }
@@ -154,12 +154,12 @@
 
 impl FetchOutcome {
     /// Decodes a record, without its entries; fails on an unknown kind.
-    pub fn decode(record: &Record) -> Result<FetchOutcome, Malformed> {
+    pub fn decode(record: &Record) -> Result<FetchOutcome, FrameError> {
         match record.u8(5) {
             0 => Ok(FetchOutcome::Failed),
             1 => Ok(FetchOutcome::Changes),
             2 | 3 => Ok(FetchOutcome::Snapshot),
-            other => Err(record.malformed(RecordFault::UnknownListKind(other))),
+            other => Err(record.error(RecordError::UnknownListKind(other))),
         }
     }
 }
@@ -184,21 +184,19 @@
     /// All entries of a list, in order; iteration fails at an entry with an unknown status.
     pub fn decode_all<'a>(
         record: &Record<'a>,
-    ) -> Result<impl Iterator<Item = Result<EndpointEntry, Malformed>> + 'a, Malformed> {
+    ) -> Result<impl Iterator<Item = Result<EndpointEntry, FrameError>> + 'a, FrameError> {
         let record = *record;
         let entries = record.tail(6, ENDPOINT_BYTES)?.chunks_exact(ENDPOINT_BYTES);
         Ok(entries.enumerate().map(move |(index, bytes)| EndpointEntry::decode(&record, index, bytes)))
     }
 
-    fn decode(record: &Record, index: usize, bytes: &[u8]) -> Result<EndpointEntry, Malformed> {
+    fn decode(record: &Record, index: usize, bytes: &[u8]) -> Result<EndpointEntry, FrameError> {
         let status = match bytes[9] {
             0 => EndpointStatus::Removed,
             1 => EndpointStatus::Ready,
             2 => EndpointStatus::Draining,
             other => {
-                return Err(
-                    record.malformed(RecordFault::UnknownEndpointStatus { entry: index, status: other })
-                )
+                return Err(record.error(RecordError::UnknownEndpointStatus { entry: index, status: other }))
             }
         };
         let started_at = u64::from_le_bytes(bytes[10..18].try_into().expect("eight bytes"));
--- a/simulator-adapter/src/frame/batch.rs
+++ b/simulator-adapter/src/frame/batch.rs
@@ -1,5 +1,5 @@
 //! Frames of events: decoding.
-use super::{seconds, Malformed, Record, EVENT_BYTES};
+use super::{seconds, FrameError, Record, EVENT_BYTES};
 use std::io::{self, ErrorKind, Read};
 
 /// Size of the header of an event frame, bytes.
@@ -40,10 +40,10 @@
 
 /// Reads one frame; none at the end of the input. The outer error is an I/O error or a truncated frame. The inner one is a frame
 /// that is complete but malformed; reading can continue after it.
-pub fn read(input: &mut impl Read) -> io::Result<Option<Result<Batch, Malformed>>> {
+pub fn read(input: &mut impl Read) -> io::Result<Option<Result<Batch, FrameError>>> {
     let Some(Header { records, length, clock }) = read_header(input)? else { return Ok(None) };
     if length < HEADER_BYTES {
-        return Ok(Some(Err(Malformed::FrameLength { length, header: HEADER_BYTES })));
+        return Ok(Some(Err(FrameError::FrameLength { length, header: HEADER_BYTES })));
     }
     let body_length = length - HEADER_BYTES;
     let mut body = Vec::new();
@@ -54,7 +54,7 @@
     }
     if records.checked_mul(EVENT_BYTES).is_none_or(|bytes| bytes > body.len()) {
         let capacity = body.len() / EVENT_BYTES;
-        return Ok(Some(Err(Malformed::RecordCount { announced: records, capacity })));
+        return Ok(Some(Err(FrameError::RecordCount { announced: records, capacity })));
     }
     Ok(Some(Ok(Batch { records, clock, body })))
 }
--- a/simulator-adapter/src/frame/malformed.rs
+++ b/simulator-adapter/src/frame/error.rs
@@ -3,7 +3,7 @@
 
 /// A frame that is complete but can't be processed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Malformed {
+pub enum FrameError {
     /// The frame is shorter than its own header, bytes.
     #[error("frame length {length} is less than its header's {header}")]
     FrameLength {
@@ -21,20 +21,20 @@
         capacity: usize,
     },
     /// A record is invalid; the records before it were processed.
-    #[error("record {index} (code {code}): {fault}")]
+    #[error("record {index} (code {code}): {error}")]
     Record {
         /// Position of the record in its frame, counted from 0.
         index: usize,
         /// The code of the record.
         code: u8,
         /// What is wrong with it.
-        fault: RecordFault,
+        error: RecordError,
     },
 }
 
 /// Why an event record is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum RecordFault {
+pub enum RecordError {
     /// No record before it selects an instance.
     #[error("no instance was named before it")]
     NoInstance,
--- a/simulator-adapter/src/frame/mod.rs
+++ b/simulator-adapter/src/frame/mod.rs
@@ -1,10 +1,10 @@
 //! Frames of the wire: a header, records of a fixed size, and a tail for data of variable size. Numbers are little endian.
 mod batch;
-mod malformed;
+mod error;
 mod record;
 mod reply;
 pub use batch::{read, Batch};
-pub use malformed::{Malformed, RecordFault};
+pub use error::{FrameError, RecordError};
 pub(crate) use record::Record;
 pub use reply::Reply;
 
--- a/simulator-adapter/src/frame/record.rs
+++ b/simulator-adapter/src/frame/record.rs
@@ -1,5 +1,5 @@
 //! Event records: access to their fields.
-use super::{seconds, Malformed, RecordFault, ADDRESS_BYTES};
+use super::{seconds, FrameError, RecordError, ADDRESS_BYTES};
 
 /// One event record. Offsets are bytes from its beginning; its code is at offset 0. Offsets past the end of a record panic: the
 /// callers use constants.
@@ -58,19 +58,19 @@
     }
 
     /// The part of the tail that a field refers to by the offset and the number of items of `item_bytes` each.
-    pub fn tail(&self, offset: usize, item_bytes: usize) -> Result<&'a [u8], Malformed> {
+    pub fn tail(&self, offset: usize, item_bytes: usize) -> Result<&'a [u8], FrameError> {
         let begin = self.u32(offset) as usize;
         let items = self.u32(offset + 4) as usize;
         let end = items.checked_mul(item_bytes).and_then(|bytes| bytes.checked_add(begin));
         end.and_then(|end| self.tail.get(begin..end)).ok_or_else(|| {
             let tail_bytes = self.tail.len();
-            self.malformed(RecordFault::OutsideTail { offset: begin, items, item_bytes, tail_bytes })
+            self.error(RecordError::OutsideTail { offset: begin, items, item_bytes, tail_bytes })
         })
     }
 
     /// The error for a fault of this record.
-    pub fn malformed(&self, fault: RecordFault) -> Malformed {
-        Malformed::Record { index: self.index, code: self.code(), fault }
+    pub fn error(&self, error: RecordError) -> FrameError {
+        FrameError::Record { index: self.index, code: self.code(), error }
     }
 
     fn field<const N: usize>(&self, offset: usize) -> [u8; N] {
--- a/simulator-adapter/src/frame/reply.rs
+++ b/simulator-adapter/src/frame/reply.rs
@@ -1,5 +1,5 @@
 //! Frames of actions: encoding.
-use super::{microseconds, Malformed, ACTION_BYTES};
+use super::{microseconds, FrameError, ACTION_BYTES};
 use crate::codes::ActionCode;
 
 /// Size of the header of an action frame, bytes.
@@ -39,9 +39,9 @@
 
 impl Reply {
     /// The complete reply to a frame that could not be decoded.
-    pub fn of_malformed(malformed: &Malformed) -> Vec<u8> {
+    pub fn for_frame_error(error: &FrameError) -> Vec<u8> {
         let mut reply = Reply::default();
-        reply.add_malformed(malformed);
+        reply.add_frame_error(error);
         reply.into_frame()
     }
 
@@ -84,8 +84,8 @@
     }
 
     /// Adds a record that reports a fault of the event frame.
-    pub(crate) fn add_malformed(&mut self, malformed: &Malformed) {
-        self.add_text(ActionCode::Malformed, &malformed.to_string());
+    pub(crate) fn add_frame_error(&mut self, error: &FrameError) {
+        self.add_text(ActionCode::Malformed, &error.to_string());
     }
 
     /// The encoded frame.
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,6 +1,6 @@
 //! The host of the instances: dispatches each event to its instance.
 use crate::codes::EventCode;
-use crate::frame::{Batch, Malformed, Record, RecordFault, Reply};
+use crate::frame::{Batch, FrameError, Record, RecordError, Reply};
 use crate::instance::Instance;
 use quillramp::settings;
 use std::collections::BTreeMap;
@@ -16,13 +16,13 @@
     /// reply reports the fault.
     pub fn handle(&mut self, batch: &Batch) -> Vec<u8> {
         let mut reply = Reply::default();
-        if let Err(malformed) = self.handle_batch(batch, &mut reply) {
-            reply.add_malformed(&malformed);
+        if let Err(error) = self.handle_batch(batch, &mut reply) {
+            reply.add_frame_error(&error);
         }
         reply.into_frame()
     }
 
-    fn handle_batch(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), Malformed> {
+    fn handle_batch(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), FrameError> {
         let now = batch.now();
         let mut has_instance = false;
         for record in batch.records() {
@@ -36,7 +36,7 @@
             } else if has_instance {
                 self.handle_event(now, code, &record, reply)?;
             } else {
-                return Err(record.malformed(RecordFault::NoInstance));
+                return Err(record.error(RecordError::NoInstance));
             }
         }
         if has_instance {
@@ -51,7 +51,7 @@
         code: Option<EventCode>,
         record: &Record,
         reply: &mut Reply,
-    ) -> Result<(), Malformed> {
+    ) -> Result<(), FrameError> {
         let number = reply.instance();
         match code {
             Some(EventCode::Started) => self.start(number, record),
@@ -62,18 +62,18 @@
             code => {
                 let instance = self.instances.get_mut(&number);
                 let instance =
-                    instance.ok_or_else(|| record.malformed(RecordFault::InstanceNotStarted(number)))?;
-                let code = code.ok_or_else(|| record.malformed(RecordFault::UnknownCode))?;
+                    instance.ok_or_else(|| record.error(RecordError::InstanceNotStarted(number)))?;
+                let code = code.ok_or_else(|| record.error(RecordError::UnknownCode))?;
                 instance.handle_event(now, code, record, reply)
             }
         }
     }
 
-    fn start(&mut self, number: u32, record: &Record) -> Result<(), Malformed> {
+    fn start(&mut self, number: u32, record: &Record) -> Result<(), FrameError> {
         let seed = record.u64(1);
         let settings = record.tail(9, 1)?;
         let loaded = settings::load(seed, settings)
-            .map_err(|error| record.malformed(RecordFault::Settings(error.to_string())))?;
+            .map_err(|error| record.error(RecordError::Settings(error.to_string())))?;
         self.instances.insert(number, Instance::new(loaded));
         Ok(())
     }
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -3,9 +3,9 @@
 use crate::actions;
 use crate::codes::EventCode;
 use crate::events::{
-    self, Address, Completed, CounterReply, EndpointEntry, FetchOutcome, RequestId, Submitted,
+    self, Address, AttemptEnded, CounterReply, EndpointEntry, FetchOutcome, RequestId, RequestSubmitted,
 };
-use crate::frame::{microseconds, Malformed, Record, RecordFault, Reply};
+use crate::frame::{microseconds, FrameError, Record, RecordError, Reply};
 use quillramp::gossip::{self, WireMessage};
 use quillramp::interner::{Interner, Slab};
 use quillramp::policy::PolicyEngine;
@@ -55,7 +55,7 @@
     /// Names of the values of a backend's load report, in order.
     load_report_fields: Vec<String>,
     requests: Slab<Request>,
-    request_indexes: HashMap<RequestId, RequestIndex>,
+    request_indices: HashMap<RequestId, RequestIndex>,
     backends: Interner<Address>,
     customers: Interner<u64>,
     timer: Timer,
@@ -72,7 +72,7 @@
             plans: loaded.instance.plans.len(),
             load_report_fields: loaded.instance.load_report_fields,
             requests: Slab::default(),
-            request_indexes: HashMap::new(),
+            request_indices: HashMap::new(),
             backends: Interner::default(),
             customers: Interner::default(),
             timer: Timer::default(),
@@ -86,7 +86,7 @@
         code: EventCode,
         record: &Record,
         reply: &mut Reply,
-    ) -> Result<(), Malformed> {
+    ) -> Result<(), FrameError> {
         match code {
             EventCode::Listed => self.endpoints_fetched(now, record),
             EventCode::Submitted => self.request_submitted(now, record, reply),
@@ -125,7 +125,7 @@
         }
     }
 
-    fn endpoints_fetched(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
+    fn endpoints_fetched(&mut self, now: f64, record: &Record) -> Result<(), FrameError> {
         let is_snapshot = match FetchOutcome::decode(record)? {
             FetchOutcome::Failed => {
                 self.engine.endpoint_fetch_failed(now);
@@ -144,18 +144,18 @@
         Ok(())
     }
 
-    fn request_submitted(&mut self, now: f64, record: &Record, reply: &mut Reply) -> Result<(), Malformed> {
-        let event = Submitted::decode(record);
-        let Submitted { id, operation, plan, units, .. } = event;
+    fn request_submitted(&mut self, now: f64, record: &Record, reply: &mut Reply) -> Result<(), FrameError> {
+        let event = RequestSubmitted::decode(record);
+        let RequestSubmitted { id, operation, plan, units, .. } = event;
         if operation >= self.operations {
             let operations = self.operations;
-            return Err(record.malformed(RecordFault::UnknownOperation { operation, operations }));
+            return Err(record.error(RecordError::UnknownOperation { operation, operations }));
         }
         if plan >= self.plans {
-            return Err(record.malformed(RecordFault::UnknownPlan { plan, plans: self.plans }));
+            return Err(record.error(RecordError::UnknownPlan { plan, plans: self.plans }));
         }
         if !units.is_finite() || units < 0.0 {
-            return Err(record.malformed(RecordFault::InvalidUnits(units)));
+            return Err(record.error(RecordError::InvalidUnits(units)));
         }
         let customer = self.customers.intern(&event.customer);
         let attributes = RequestAttributes {
@@ -169,35 +169,35 @@
         };
         let request = Request { id, attributes, in_flight: 0, attempts: 0, is_closed: false };
         let index = self.requests.insert(request);
-        self.request_indexes.insert(id, index);
+        self.request_indices.insert(id, index);
         let output = self.engine.route(now, index, &attributes);
         self.apply(index, output, reply);
         Ok(())
     }
 
-    fn response_started(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
+    fn response_started(&mut self, now: f64, record: &Record) -> Result<(), FrameError> {
         let index = self.request_index(record)?;
         self.engine.response_started(now, index);
         Ok(())
     }
 
-    fn attempt_ended(&mut self, now: f64, record: &Record, reply: &mut Reply) -> Result<(), Malformed> {
-        let event = Completed::decode(record);
+    fn attempt_ended(&mut self, now: f64, record: &Record, reply: &mut Reply) -> Result<(), FrameError> {
+        let event = AttemptEnded::decode(record);
         let index = self.request_index(record)?;
         let Some(backend) = self.backends.get(&event.address) else {
-            return Err(record.malformed(RecordFault::UnknownBackend(event.address)));
+            return Err(record.error(RecordError::UnknownBackend(event.address)));
         };
-        let result = Completed::result(record)?;
+        let result = AttemptEnded::result(record)?;
         let request = self.requests[index].as_mut().expect("an id leads to a held request");
         if event.attempt >= request.attempts {
-            let fault = RecordFault::UnknownAttempt { attempt: event.attempt, attempts: request.attempts };
-            return Err(record.malformed(fault));
+            let error = RecordError::UnknownAttempt { attempt: event.attempt, attempts: request.attempts };
+            return Err(record.error(error));
         }
         request.in_flight = request.in_flight.saturating_sub(1);
         request.is_closed |= event.is_closed;
         let reported = self.load_report_fields.len().min(event.load_report_length);
         let load_report = settings::load_report(&self.load_report_fields[..reported], |index, _| {
-            Some(Completed::load_report_value(record, index))
+            Some(AttemptEnded::load_report_value(record, index))
         });
         let outcome = AttemptOutcome {
             attempt: event.attempt,
@@ -214,7 +214,7 @@
     }
 
     fn request_aborted(&mut self, now: f64, record: &Record) {
-        let Some(&index) = self.request_indexes.get(&events::request_id(record)) else { return };
+        let Some(&index) = self.request_indices.get(&events::request_id(record)) else { return };
         self.engine.request_closed(now, index);
         if let Some(request) = self.requests[index].as_mut() {
             request.is_closed = true;
@@ -228,7 +228,7 @@
         }
     }
 
-    fn counter_answered(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
+    fn counter_answered(&mut self, now: f64, record: &Record) -> Result<(), FrameError> {
         let CounterReply { name, result } = CounterReply::decode(record)?;
         if let Some(customer) = self.customers.get(&(name & CUSTOMER_MASK)) {
             let series = (name >> CUSTOMER_BITS) as u32;
@@ -237,7 +237,7 @@
         Ok(())
     }
 
-    fn gossip_received(&mut self, now: f64, record: &Record) -> Result<(), Malformed> {
+    fn gossip_received(&mut self, now: f64, record: &Record) -> Result<(), FrameError> {
         match gossip::decode(events::message_body(record)?) {
             Some(WireMessage::BackendRecovered(address)) => {
                 if let Some(backend) = self.backends.get(&address[..]) {
@@ -253,7 +253,7 @@
             }
             // A plan that is not in this instance's settings.
             Some(_) => {}
-            None => return Err(record.malformed(RecordFault::InvalidGossip)),
+            None => return Err(record.error(RecordError::InvalidGossip)),
         }
         Ok(())
     }
@@ -350,10 +350,10 @@
     }
 
     /// The index of the request that an event is about.
-    fn request_index(&self, record: &Record) -> Result<RequestIndex, Malformed> {
+    fn request_index(&self, record: &Record) -> Result<RequestIndex, FrameError> {
         let id = events::request_id(record);
-        let index = self.request_indexes.get(&id).copied();
-        index.ok_or_else(|| record.malformed(RecordFault::UnknownRequest(id)))
+        let index = self.request_indices.get(&id).copied();
+        index.ok_or_else(|| record.error(RecordError::UnknownRequest(id)))
     }
 
     /// Forgets a request once it is closed and has no attempt in flight.
@@ -361,7 +361,7 @@
         let is_done = |request: &Request| request.is_closed && request.in_flight == 0;
         if self.requests[index].as_ref().is_some_and(is_done) {
             let request = self.requests.release(index).expect("it is held");
-            self.request_indexes.remove(&request.id);
+            self.request_indices.remove(&request.id);
         }
     }
 
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -13,7 +13,7 @@
     while let Some(batch) = frame::read(&mut input)? {
         let reply = match batch {
             Ok(batch) => host.handle(&batch),
-            Err(malformed) => Reply::of_malformed(&malformed),
+            Err(error) => Reply::for_frame_error(&error),
         };
         output.write_all(&reply)?;
         output.flush()?;
