--- a/src/state/account.rs
+++ b/src/state/account.rs
@@ -1,47 +1,46 @@
-//! What is remembered of one customer while requests of it are seen: its lease, its even share, its permits and the counter
-//! calls that are in flight for it.
+//! The account of an active customer: its lease, its even share, its permits and its counter calls in flight.
 use crate::types::{InstanceRange, RequestIndex};
 use std::collections::VecDeque;
 
-/// What a counter call is for.
+/// Purpose of a counter call.
 #[derive(Clone, Copy)]
 pub enum CallPurpose {
-    /// Adds units that are leased if they fit.
+    /// Requests a lease: adds units to the total, and leases those that fit the quota.
     Lease {
-        /// Units asked for.
+        /// Units requested.
         units: f64,
-        /// The least of them that admits the waiting request.
+        /// The minimum of these units that admits the waiting request.
         required_units: f64,
-        /// Units that other instances are estimated to have spent without reporting them.
+        /// Estimate of the units that other instances have spent without reporting them.
         peer_estimate: f64,
     },
-    /// Corrects a total upwards that lags behind what the token bucket must have refilled.
+    /// Corrects the total upwards because it lags behind the refill of the token bucket.
     Correct {
-        /// What the total is to stand at.
+        /// The total after the correction, in units.
         target: f64,
     },
-    /// Adds one to the count of requests in flight.
+    /// Requests a permit: adds one to the counter of requests in flight.
     AcquirePermit,
-    /// Gives units or a permit back, reports units spent without a lease, or only reads the total (adding 0).
+    /// Returns units or a permit, reports units spent without a lease, or only reads the total (by adding 0).
     Settle,
 }
 
-/// A counter call without its answer.
+/// A counter call in flight.
 pub struct PendingCall {
-    /// The series of the counter that it adds to.
+    /// Series of the counter.
     pub series: u32,
-    /// When it was made, seconds.
+    /// When the call was sent.
     pub sent_at: f64,
-    /// What it adds.
+    /// Amount that the call adds, in units or permits.
     pub delta: f64,
-    /// The part of `delta` that reports units spent earlier.
+    /// The part of `delta` that reports debt: units spent earlier, less units returned.
     pub debt_repaid: f64,
-    /// What it is for.
+    /// Purpose of the call.
     pub purpose: CallPurpose,
 }
 
 impl PendingCall {
-    /// The part of `delta` that other instances are estimated to have spent.
+    /// The part of `delta` that estimates the unreported spending of other instances.
     pub fn peer_estimate(&self) -> f64 {
         match self.purpose {
             CallPurpose::Lease { peer_estimate, .. } => peer_estimate,
@@ -50,59 +49,61 @@
     }
 }
 
-/// A customer's quota as this instance sees it. Amounts are units.
+/// The state of a customer's quota and permits at this instance. Amounts are in units.
 #[derive(Default)]
 pub struct CustomerAccount {
     /// Index of the customer's plan.
     pub plan: usize,
-    /// Units a second that the shared total regains; less than the plan's while some instances do not reach the counter.
+    /// Units per second by which the shared token bucket refills; below the plan's rate while some instances cannot reach the
+    /// counter.
     pub refill_rate: f64,
-    /// Number of gateway instances that serve the customer, 1 at least.
+    /// Number of gateway instances that serve the customer, at least 1.
     pub instance_count: f64,
     /// The gateway instances that serve the customer.
     pub instances: InstanceRange,
-    /// When the total was last sent to, or received from, other instances.
+    /// When the total was last sent to or received from other instances by gossip.
     pub gossiped_at: f64,
-    /// Number of the current window, which names the counter.
+    /// Series of the current counter: the number of the current time window.
     pub series: u32,
-    /// The shared total as last observed.
+    /// The last observed shared total; `None` before the first observation.
     pub observed_total: Option<f64>,
-    /// When it was observed. What was refilled since is as likely spent by another instance.
+    /// When the total was observed. Other instances are as likely to have spent the units refilled since then.
     pub observed_at: f64,
-    /// Units leased and not yet spent.
+    /// Leased units that are not yet spent.
     pub leased: f64,
-    /// When all of the lease expires.
+    /// When the whole lease expires.
     pub lease_expires_at: f64,
-    /// Billed units less estimated ones, and leases that expired: still to be added to the total.
+    /// Units still to be added to the total, negative to return them: differences between billed and estimated units, and expired
+    /// leases.
     pub unsettled: f64,
-    /// The even share of the quota that stands in for a lease; negative while in debt.
+    /// Units left in the even share of the quota, which replaces a lease; negative while in debt.
     pub even_share: f64,
-    /// Units spent from the even share that have not been reported to the counter.
+    /// Units spent from the even share and not yet reported to the counter.
     pub unreported: f64,
-    /// Units that may still be admitted without a lease under the plan's ceiling.
+    /// Units that the plan's ceiling still admits without a lease.
     pub ceiling_tokens: f64,
-    /// Permits for requests in flight, taken or free.
+    /// Permits for requests in flight that this instance holds, in use or free.
     pub permits_held: usize,
-    /// Permits that no request has taken yet, by the series of their counter.
+    /// Permits that no request uses yet, each as the series of its counter.
     pub free_permits: Vec<u32>,
-    /// Requests that wait for a permit, in the order in which they came.
+    /// Requests that wait for a permit, in the order of arrival.
     pub permit_waiters: Vec<RequestIndex>,
-    /// When the even share of permits has one again.
+    /// When the even share of permits has a free permit again.
     pub next_local_permit_at: f64,
-    /// Until then the cap is taken for full.
+    /// Until this time the cap on requests in flight is assumed to be reached.
     pub permits_exhausted_until: f64,
-    /// Calls in flight, in the order in which they were made.
+    /// Counter calls in flight, in the order in which they were sent.
     pub calls: VecDeque<PendingCall>,
-    /// Requests that wait for the lease that is being asked for.
+    /// Requests that wait for the answer to a lease call.
     pub lease_waiters: Vec<RequestIndex>,
-    /// When the even share was last brought up to date: at the customer's last admission.
+    /// When the customer's units were last requested; the even share is refilled up to this time.
     pub last_used_at: f64,
-    /// When the customer's timer fires; infinite if none is set.
+    /// When the customer's timer fires; infinite if no timer is set.
     pub timer_at: f64,
 }
 
 impl CustomerAccount {
-    /// Moves on to the window with this number, each `window` seconds long; the last one's total is carried over.
+    /// Enters the time window with the number `series`, carrying over the total of the last one. A window lasts `window` seconds.
     pub fn enter_window(&mut self, series: u32, window: f64) {
         let windows_passed = f64::from(series.wrapping_sub(self.series));
         let refill = self.refill_rate * window;
@@ -110,13 +111,13 @@
         self.series = series;
     }
 
-    /// Leases so many units more. All of the lease expires after `lifetime` seconds.
+    /// Adds `units` to the lease. The whole lease then expires after `lifetime` seconds.
     pub fn extend_lease(&mut self, now: f64, units: f64, lifetime: f64) {
         self.leased = units + self.unspent(now);
         self.lease_expires_at = now + lifetime;
     }
 
-    /// What is left of the lease; 0 once it has expired.
+    /// Returns the units left in the lease; 0 once it has expired.
     pub fn unspent(&self, now: f64) -> f64 {
         if now < self.lease_expires_at {
             self.leased
@@ -125,12 +126,12 @@
         }
     }
 
-    /// Whether a lease is being asked for.
+    /// Whether a lease call is in flight.
     pub fn is_leasing(&self) -> bool {
         self.calls.iter().any(|call| matches!(call.purpose, CallPurpose::Lease { .. }))
     }
 
-    /// How many permits are being asked for.
+    /// Returns the number of permit calls in flight.
     pub fn permits_requested(&self) -> usize {
         self.calls.iter().filter(|call| matches!(call.purpose, CallPurpose::AcquirePermit)).count()
     }
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -1,73 +1,73 @@
-//! What is remembered of one backend.
+//! The state of one backend.
 use super::OutcomeKind;
 use crate::types::{Endpoint, EndpointStatus, SlowStart};
 
-/// An outlier that gets no new attempts for a while.
+/// The ejection of an outlier, during which it gets no new attempts.
 #[derive(Clone, Copy)]
 pub struct Ejection {
-    /// When it began, seconds.
+    /// When the ejection started.
     pub started_at: f64,
-    /// When trials may begin.
+    /// When the backend may be tried again.
     pub until: f64,
-    /// Seconds; the next ejection in a row is longer.
+    /// Duration of the ejection, in seconds. Each further ejection without a success in between lasts longer.
     pub duration: f64,
 }
 
-/// Good outcomes in a row, of one kind.
+/// Consecutive successes of one kind of outcome.
 #[derive(Clone, Copy)]
 pub struct Streak {
-    /// When the kind was last observed.
+    /// When an outcome of the kind was last observed.
     pub observed_at: f64,
-    /// How many.
+    /// Number of consecutive successes.
     pub successes: u32,
 }
 
 /// How the throughput of a backend is averaged.
 #[derive(Clone, Copy)]
 pub struct ThroughputWindow {
-    /// Answers decay exponentially with this time constant, seconds.
+    /// Time constant of the exponential decay of answers, in seconds.
     pub time_constant: f64,
-    /// A backend counts as observed for so many seconds longer than it is listed.
+    /// Seconds by which a backend counts as observed longer than it is listed.
     pub initial_observation: f64,
 }
 
-/// A backend as the endpoint list has it, and what this instance has seen of it.
+/// A backend: its entry on the endpoint list, and the observations of this instance.
 #[derive(Default)]
 pub struct Backend {
-    /// What the endpoint list says of it.
+    /// Its entry on the endpoint list.
     pub endpoint: Endpoint,
-    /// Attempts in flight there.
+    /// Number of attempts in flight from this instance.
     pub in_flight: usize,
-    /// Their units together.
+    /// Total units of the attempts in flight.
     pub in_flight_units: f64,
-    /// Its 95th percentile of answer times against that of all backends.
+    /// Ratio of its 95th percentile of answer times to that of all backends.
     pub slowness: f64,
-    /// When it last answered, or was sent its first attempt after none was in flight.
+    /// When the backend last answered, or was sent an attempt while it had none in flight.
     pub last_progress_at: f64,
-    /// Failures in a row, since its last success.
+    /// Number of failures since its last success.
     pub consecutive_failures: u32,
-    /// Set while it is an outlier.
+    /// The ejection, while the backend is an outlier.
     pub ejection: Option<Ejection>,
-    /// Since when an operator has taken it out of service.
+    /// When an operator took it out of service; `None` while it is in service.
     pub maintenance_since: Option<f64>,
-    /// When an operator put it back into service: it counts as started then, whatever the endpoint list says.
+    /// When an operator put it back into service. The backend counts as started then, unless the endpoint list has a later start.
     pub restored_at: f64,
-    /// Put back into service then, and not used since; infinite if it was.
+    /// When it was put back into service, if it has had no attempt since; otherwise infinite.
     pub unused_since: f64,
-    /// Units answered, decaying exponentially from `answered_at` on.
+    /// Units answered, with exponential decay, as of `answered_at`.
     pub answered_units: f64,
-    /// When it last answered.
+    /// When the backend last answered.
     pub answered_at: f64,
-    /// Since when the endpoint list has had it as it is.
+    /// When this run of the backend was first listed.
     pub listed_at: f64,
-    /// When its recovery was last sent to, or received from, other instances.
+    /// When its recovery was last sent to or received from other instances by gossip.
     pub recovery_gossiped_at: f64,
-    /// By [`OutcomeKind::index`].
+    /// Streaks, indexed by [`OutcomeKind::index`].
     pub streaks: Vec<Streak>,
 }
 
 impl Backend {
-    /// One that has just been listed, without any outcome of these kinds.
+    /// Creates a newly listed backend without outcomes. `kinds` is the number of outcome kinds.
     pub fn new(now: f64, endpoint: Endpoint, kinds: usize) -> Backend {
         Backend {
             endpoint,
@@ -82,61 +82,61 @@
         }
     }
 
-    /// Units a second that it has answered, averaged over about the time constant of the window.
+    /// Returns the units per second that it has answered, averaged over about the time constant of the window.
     pub fn throughput(&self, now: f64, window: &ThroughputWindow) -> f64 {
         let ThroughputWindow { time_constant, initial_observation } = *window;
         let weight_before = ((self.listed_at - now - initial_observation) / time_constant).exp();
         self.recent_units(now, window) / (time_constant * (1.0 - weight_before))
     }
 
-    /// Units answered, decayed until now.
+    /// Returns the units answered, decayed up to `now`.
     fn recent_units(&self, now: f64, window: &ThroughputWindow) -> f64 {
         self.answered_units * ((self.answered_at - now) / window.time_constant).exp()
     }
 
-    /// Counts an answer of so many units.
+    /// Adds an answer of `units` to the throughput.
     pub fn record_answer(&mut self, now: f64, units: f64, window: &ThroughputWindow) {
         self.answered_units = self.recent_units(now, window) + units;
         self.answered_at = now;
     }
 
-    /// Whether an idle connection to it, last used after `since`, can be expected.
+    /// Whether this instance probably has an idle connection to the backend, last used after `since`.
     pub fn has_idle_connection(&self, since: f64) -> bool {
         self.in_flight == 0 && self.streak(OutcomeKind::CONNECTION, since) > 0
     }
 
-    /// Whether it is in another zone than `home`; never where crossing zones is free (`None`).
+    /// Whether the backend is outside of the zone `home`; false for `None`, which means that crossing zones is free.
     pub fn crosses_zone(&self, home: Option<usize>) -> bool {
         home.is_some_and(|zone| zone != self.endpoint.zone)
     }
 
-    /// Whether it is listed and yet gets nothing new.
+    /// Whether the backend is listed but gets no new attempts.
     pub fn is_unavailable(&self) -> bool {
         self.endpoint.status != EndpointStatus::Removed
             && (!self.accepts_attempts() || self.ejection.is_some())
     }
 
-    /// Whether it may get new attempts, ejections apart.
+    /// Whether the backend may get new attempts, regardless of ejections.
     pub fn accepts_attempts(&self) -> bool {
         self.endpoint.status == EndpointStatus::Ready && self.maintenance_since.is_none()
     }
 
-    /// Seconds since its start, as far as that is known.
+    /// Seconds since its start; infinite if no start is known.
     fn age(&self, now: f64) -> f64 {
         now - self.endpoint.started_at.map_or(self.restored_at, |started| started.max(self.restored_at))
     }
 
-    /// The fraction of its capacity that it has at least, by the time since its start.
+    /// Returns the minimum fraction of its full capacity, by the time since its start.
     pub fn capacity_fraction(&self, now: f64, slow_start: &SlowStart) -> f64 {
         slow_start.capacity_fraction(self.age(now))
     }
 
-    /// Its weight times that fraction.
+    /// Returns its weight multiplied by its capacity fraction.
     pub fn effective_weight(&self, now: f64, slow_start: &SlowStart) -> f64 {
         self.endpoint.weight * self.capacity_fraction(now, slow_start)
     }
 
-    /// The same backend after a restart. Attempts in flight there stay so, and an operator's order stands.
+    /// Returns the backend after a restart: without outcomes, but with its attempts in flight and its maintenance state.
     pub fn restarted(&self, now: f64, endpoint: Endpoint) -> Backend {
         Backend {
             in_flight: self.in_flight,
@@ -148,31 +148,31 @@
         }
     }
 
-    /// Counts an attempt of so many units as in flight.
+    /// Adds an attempt of `units` to those in flight.
     pub fn add_attempt(&mut self, units: f64) {
         self.in_flight += 1;
         self.in_flight_units += units;
     }
 
-    /// An attempt of so many units is no longer its work; 0 units if it was taken off before.
+    /// Removes an attempt of `units` from those in flight; does nothing for an attempt of 0 units, which was removed before.
     pub fn remove_attempt(&mut self, units: f64) {
         self.in_flight = self.in_flight.saturating_sub(usize::from(units > 0.0));
         self.in_flight_units = if self.in_flight > 0 { (self.in_flight_units - units).max(0.0) } else { 0.0 };
     }
 
-    /// An operator takes it out of service from `since` on, or puts it back (`None`). One that is put back counts as just
-    /// started, unless the endpoint list has reported a start since it was taken out.
+    /// Takes the backend out of service as of `since`, or puts it back (`None`), by an operator's order. A backend that is put back
+    /// counts as just started, unless the endpoint list has reported a start since it was taken out.
     pub fn set_maintenance(&mut self, now: f64, since: Option<f64>) {
-        let ended = self.maintenance_since.filter(|_| since.is_none());
-        if let Some(out_since) = ended {
-            let start_is_listed = self.endpoint.started_at.is_some_and(|started| started > out_since);
+        let ended_maintenance = self.maintenance_since.filter(|_| since.is_none());
+        if let Some(maintenance_start) = ended_maintenance {
+            let start_is_listed = self.endpoint.started_at.is_some_and(|started| started > maintenance_start);
             let restored_at = if start_is_listed { self.restored_at } else { now };
             *self = Backend { restored_at, unused_since: now, ..self.restarted(now, self.endpoint) };
         }
         self.maintenance_since = since;
     }
 
-    /// Good outcomes of a kind in a row; 0 if the kind was not observed after `since`.
+    /// Returns the consecutive successes of a kind of outcome; 0 if the kind was not observed after `since`.
     pub fn streak(&self, kind: OutcomeKind, since: f64) -> u32 {
         let streak = self.streaks[kind.index()];
         if streak.observed_at > since {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Counts an outcome of a kind.
+    /// Records an outcome of a kind.
     pub fn record_streak(&mut self, now: f64, kind: OutcomeKind, success: bool) {
         let streak = &mut self.streaks[kind.index()];
         streak.successes = if success { streak.successes + 1 } else { 0 };
--- a/src/state/backend_set.rs
+++ b/src/state/backend_set.rs
@@ -1,5 +1,5 @@
-//! The backends that an instance knows, indexed so that it can choose among thousands of them without a look at each: those
-//! that may get attempts, those with attempts in flight, those that are warming up, those that it is connected with.
+//! All backends of an instance, indexed so that it can choose among thousands of them without a scan: those that may get attempts,
+//! have attempts in flight, are warming up, or are connected.
 use super::{Backend, OutcomeKind};
 use crate::types::{BackendIndex, Endpoint, EndpointStatus, SlowStart};
 use indexmap::IndexSet;
@@ -10,102 +10,104 @@
 /// Backends by their index.
 #[derive(Default)]
 pub struct BackendSet {
-    known: BTreeMap<BackendIndex, Backend>,
-    /// Those with attempts of ours in flight.
+    backends: BTreeMap<BackendIndex, Backend>,
+    /// Backends with attempts of this instance in flight.
     busy: BTreeSet<BackendIndex>,
-    /// Those that attempts were sent to; some of the connections have closed since.
+    /// Backends that attempts were sent to. The connections to some of them may have closed since.
     connected: IndexSet<BackendIndex>,
     summary: Summary,
 }
 
-/// What is computed from all backends when the endpoint list has changed.
+/// Values computed over all backends, cached until the endpoint list or an operator changes a backend.
 #[derive(Default)]
 struct Summary {
-    /// The list has changed since.
+    /// Whether backends have changed since the values were computed.
     outdated: bool,
     computed_at: f64,
-    /// Those that may get new attempts.
+    /// Backends that may get new attempts.
     ready: Vec<BackendIndex>,
-    /// Of them, those that had not warmed up.
+    /// The ready backends that had not warmed up.
     warming: Vec<BackendIndex>,
-    /// The weights of the others together.
+    /// Total weight of the other ready backends.
     warm_weight: f64,
-    /// The weights of all that are listed together.
+    /// Total weight of all listed backends.
     listed_weight: f64,
 }
 
-/// What backends can take together.
+/// Combined capacity of a set of backends.
 pub struct FleetCapacity {
-    /// How many may get new attempts.
+    /// Number of backends that may get new attempts.
     pub ready_count: usize,
-    /// Of these, the weights times the fractions of capacity.
+    /// Total weight of these backends, each multiplied by its capacity fraction.
     pub effective_weight: f64,
-    /// The weights of all that are listed.
+    /// Total weight of all listed backends.
     pub listed_weight: f64,
 }
 
-/// Backends drawn at random.
+/// A random sample of backends.
 pub struct Sample {
-    /// Of all that may get new attempts.
+    /// Backends drawn from all that may get new attempts.
     pub ready: Vec<BackendIndex>,
-    /// Of those that there is a connection to.
+    /// Backends drawn from those with a connection to this instance.
     pub connected: Vec<BackendIndex>,
 }
 
 /// How a sample is drawn.
 pub struct SampleSettings<'a> {
-    /// So many are drawn of each kind, if there are as many.
+    /// Maximum number of backends drawn into each list of the sample.
     pub size: usize,
-    /// Connections that were last used before then have closed.
+    /// Connections last used before this time are assumed to be closed.
     pub idle_since: f64,
-    /// Seconds after which it is looked again which backends have warmed up.
+    /// Seconds after which the summary is recomputed to find backends that have warmed up.
     pub warming_check_interval: f64,
-    /// How capacity grows after a start.
+    /// Slow start of backends.
     pub slow_start: &'a SlowStart,
 }
 
 impl BackendSet {
-    /// The backend with this index, if it is known.
+    /// Returns the backend with this index; `None` if there is none.
     pub fn get(&self, index: BackendIndex) -> Option<&Backend> {
-        self.known.get(&index)
+        self.backends.get(&index)
     }
 
-    /// Whether no backend is known.
+    /// Whether the set contains no backends.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.backends.is_empty()
     }
 
-    /// Number of known backends.
+    /// Number of backends.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.backends.len()
     }
 
-    /// All known backends in the order of their indices.
+    /// Returns all backends in the order of their indices.
     pub fn values(&self) -> impl Iterator<Item = &Backend> {
-        self.known.values()
+        self.backends.values()
     }
 
-    /// For changes that neither the list nor an operator makes, and that leave the attempts in flight as they are.
+    /// Returns a backend for changes that affect neither the indexes nor the summary: its list entry, maintenance state and attempts in
+    /// flight must stay as they are.
     pub fn get_mut(&mut self, index: BackendIndex) -> Option<&mut Backend> {
-        self.known.get_mut(&index)
+        self.backends.get_mut(&index)
     }
 
-    /// All known backends, for the same kinds of changes.
+    /// Returns all backends, for the same kinds of changes as [`get_mut`](Self::get_mut).
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Backend> {
-        self.known.values_mut()
+        self.backends.values_mut()
     }
 
-    /// Takes up what the endpoint list says. What a snapshot lacks is removed. `kinds` is the number of kinds of outcomes.
+    /// Applies the entries of an endpoint list. A snapshot marks backends that it does not contain as removed. `kinds` is the
+    /// number of outcome kinds.
     pub fn update_endpoints(&mut self, now: f64, is_snapshot: bool, endpoints: &[Endpoint], kinds: usize) {
         self.summary.outdated = true;
         if is_snapshot {
-            for backend in self.known.values_mut() {
+            for backend in self.backends.values_mut() {
                 backend.endpoint.status = EndpointStatus::Removed;
             }
         }
         for &endpoint in endpoints {
             let backend =
-                self.known.entry(endpoint.backend).or_insert_with(|| Backend::new(now, endpoint, kinds));
+                self.backends.entry(endpoint.backend).or_insert_with(|| Backend::new(now, endpoint, kinds));
             if backend.endpoint.started_at == endpoint.started_at {
                 backend.endpoint = endpoint;
             } else {
@@ -114,34 +116,34 @@
         }
     }
 
-    /// An operator takes a backend out of service from `since` on, or puts it back.
+    /// Takes a backend out of service as of `since`, or puts it back (`None`), by an operator's order.
     pub fn set_maintenance(&mut self, now: f64, index: BackendIndex, since: Option<f64>) {
         self.summary.outdated = true;
-        if let Some(backend) = self.known.get_mut(&index) {
+        if let Some(backend) = self.backends.get_mut(&index) {
             backend.set_maintenance(now, since);
         }
     }
 
-    /// Forgets a backend; its index may name another one from now on.
+    /// Forgets a backend; its index may be reused.
     pub fn forget(&mut self, index: BackendIndex) {
         self.summary.outdated = true;
-        self.known.remove(&index);
+        self.backends.remove(&index);
         self.busy.remove(&index);
         self.connected.swap_remove(&index);
     }
 
-    /// Counts an attempt of so many units as in flight.
+    /// Adds an attempt of `units` to those in flight at a backend.
     pub fn add_attempt(&mut self, index: BackendIndex, units: f64) {
-        if let Some(backend) = self.known.get_mut(&index) {
+        if let Some(backend) = self.backends.get_mut(&index) {
             backend.add_attempt(units);
         }
         self.busy.insert(index);
         self.connected.insert(index);
     }
 
-    /// An attempt of so many units is no longer the backend's work; 0 units if it was taken off before.
+    /// Removes an attempt of `units` from those in flight at a backend; `units` is 0 if it was removed before. Returns the backend.
     pub fn remove_attempt(&mut self, index: BackendIndex, units: f64) -> Option<&mut Backend> {
-        let backend = self.known.get_mut(&index)?;
+        let backend = self.backends.get_mut(&index)?;
         backend.remove_attempt(units);
         if backend.in_flight == 0 {
             self.busy.remove(&index);
@@ -149,15 +151,15 @@
         Some(backend)
     }
 
-    /// Those with attempts in flight, in the order of their indices.
+    /// Returns the backends with attempts in flight, in the order of their indices.
     pub fn busy(&self) -> impl Iterator<Item = &Backend> {
-        self.busy.iter().filter_map(|index| self.known.get(index))
+        self.busy.iter().filter_map(|index| self.backends.get(index))
     }
 
-    /// The capacity by the summary that the last sample left.
+    /// Returns the capacity of all backends, from the summary that the last call of [`sample`](Self::sample) used.
     pub fn summarized_capacity(&self, now: f64, slow_start: &SlowStart) -> FleetCapacity {
         let Summary { ready, warming, warm_weight, listed_weight, .. } = &self.summary;
-        let warming = warming.iter().filter_map(|index| self.known.get(index));
+        let warming = warming.iter().filter_map(|index| self.backends.get(index));
         let warming_weight = warming.map(|backend| backend.effective_weight(now, slow_start)).sum::<f64>();
         FleetCapacity {
             ready_count: ready.len(),
@@ -166,7 +168,7 @@
         }
     }
 
-    /// The capacity of the given backends, each looked at.
+    /// Returns the capacity of the given backends, by a scan of them.
     pub fn capacity_of<'a>(
         &self,
         now: f64,
@@ -179,11 +181,11 @@
         FleetCapacity { ready_count, effective_weight, listed_weight: listed_weight(self.values()) }
     }
 
-    /// Draws backends that may get attempts, and backends that there is a connection to.
+    /// Draws a sample of the backends that may get attempts, and one of the connected backends.
     pub fn sample(&mut self, now: f64, rng: &mut impl Rng, settings: &SampleSettings) -> Sample {
-        let is_warming_old = now - self.summary.computed_at > settings.warming_check_interval
+        let is_warming_outdated = now - self.summary.computed_at > settings.warming_check_interval
             && !self.summary.warming.is_empty();
-        if self.summary.outdated || is_warming_old {
+        if self.summary.outdated || is_warming_outdated {
             self.summarize(now, settings.slow_start);
         }
         let ready = sample_indices(rng, settings.size, &self.summary.ready);
@@ -191,7 +193,7 @@
         Sample { ready, connected }
     }
 
-    /// Draws among the connected backends, and drops those drawn whose connections have closed.
+    /// Draws a sample of the connected backends. Drawn backends that are no longer connected are removed from `connected`.
     fn sample_connected(&mut self, rng: &mut impl Rng, settings: &SampleSettings) -> Vec<BackendIndex> {
         let count = settings.size.min(self.connected.len());
         let drawn = index::sample(rng, self.connected.len(), count);
@@ -205,7 +207,7 @@
     }
 
     fn is_connected(&self, index: BackendIndex, idle_since: f64) -> bool {
-        self.known.get(&index).is_some_and(|backend| {
+        self.backends.get(&index).is_some_and(|backend| {
             let was_connected = backend.streak(OutcomeKind::CONNECTION, idle_since) > 0;
             backend.accepts_attempts() && (backend.in_flight > 0 || was_connected)
         })
@@ -214,7 +216,7 @@
     fn summarize(&mut self, now: f64, slow_start: &SlowStart) {
         let listed_weight = listed_weight(self.values());
         let mut summary = Summary { computed_at: now, listed_weight, ..Summary::default() };
-        for (index, backend) in self.known.iter().filter(|(_, backend)| backend.accepts_attempts()) {
+        for (index, backend) in self.backends.iter().filter(|(_, backend)| backend.accepts_attempts()) {
             summary.ready.push(*index);
             if backend.capacity_fraction(now, slow_start) < 1.0 {
                 summary.warming.push(*index);
@@ -240,6 +242,6 @@
     type Output = Backend;
 
     fn index(&self, index: &BackendIndex) -> &Backend {
-        &self.known[index]
+        &self.backends[index]
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! What one gateway instance remembers, a module for each kind of record. Records change themselves and answer questions about
-//! themselves; which change is made, and when, is decided in [`crate::policy`].
+//! The state of one gateway instance, with one module per kind of record. Records implement their own changes and queries;
+//! [`crate::policy`] decides which change is made and when.
 //!
-//! All times are seconds on the caller's clock, all indices are those of the caller.
+//! All times are seconds on the caller's clock, and all indices are assigned by the caller.
 mod account;
 mod backend;
 mod backend_set;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,54 +1,55 @@
-//! What is remembered of one request until it is answered and nothing of it is in flight.
+//! The state of one request until it is closed and has no attempts in flight.
 use crate::types::{AttemptResult, BackendIndex, RequestAttributes};
 
-/// One attempt at a backend.
+/// One attempt of a request.
 pub struct Attempt {
-    /// Where it was sent.
+    /// The backend that the attempt was sent to.
     pub backend: BackendIndex,
-    /// When, seconds.
+    /// When the attempt was sent.
     pub sent_at: f64,
-    /// `None` while it is in flight.
+    /// Result of the attempt; `None` while it is in flight.
     pub result: Option<AttemptResult>,
 }
 
 impl Attempt {
-    /// Whether its backend may have run it.
+    /// Whether the backend may have run the request.
     pub fn may_have_run(&self) -> bool {
         !self.result.is_some_and(AttemptResult::never_ran)
     }
 }
 
-/// A request without its final answer, or with attempts in flight.
+/// A request that has no final answer yet, or has attempts in flight.
 #[derive(Default)]
 pub struct PendingRequest {
-    /// What the caller said of it.
+    /// Attributes that the caller passed with the request.
     pub attributes: RequestAttributes,
-    /// When it was first routed, seconds.
+    /// When the request was first routed.
     pub arrived_at: f64,
-    /// Drawn once, from 0 to 1: only backends with more than this fraction of their capacity may get the request.
+    /// Random number from 0 to 1, drawn once. Only backends with more than this fraction of their capacity may get the request.
     pub slow_start_draw: f64,
-    /// The last check before the client gives up, whatever the request waits for.
+    /// When the request is checked for the last time before its client gives up, regardless of what it waits for.
     pub final_check_at: f64,
-    /// Until then the request waits for the counter.
+    /// Time until which the request may wait for the counter.
     pub counter_deadline: f64,
-    /// Its units are taken from the quota.
+    /// Whether its units have been taken from the quota.
     pub units_granted: bool,
-    /// Its permit under a cap on requests in flight: the series of the permit's counter, 0 for a permit of the even share.
+    /// Its permit under a cap on requests in flight, as the series of the permit's counter; 0 for a permit of the even share.
     pub permit: Option<u32>,
-    /// Quota and cap allow it.
+    /// Whether the quota and the cap admit the request.
     pub admitted: bool,
-    /// Before then the attempt in flight is not doubted.
+    /// When to check next whether the attempt in flight is overdue.
     pub next_check_at: f64,
-    /// Its response has begun.
+    /// Whether its response has started.
     pub streaming: bool,
-    /// Its attempts, in the order in which they were made.
+    /// Its attempts, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
-    /// It is answered, or its client is gone.
+    /// Whether the request has its final answer, or its client has left.
     pub closed: bool,
 }
 
 impl PendingRequest {
-    /// Its response has begun: no deadline holds any more. Returns the backend that responds; `None` if it had begun before.
+    /// Records the start of the response, after which the request has no deadline. Returns the responding backend; `None` if the
+    /// response had already started or no attempt is in flight.
     pub fn start_streaming(&mut self) -> Option<BackendIndex> {
         let responding = self.attempts.iter().find(|attempt| attempt.result.is_none())?;
         if self.streaming {
@@ -60,12 +61,12 @@
         Some(responding.backend)
     }
 
-    /// Number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.result.is_none()).count()
     }
 
-    /// Units that an attempt counts for at its backend, 1 at least.
+    /// Returns the units that an attempt adds to its backend's load, at least 1.
     pub fn attempt_units(&self) -> f64 {
         self.attributes.units.max(1.0)
     }
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -1,23 +1,23 @@
-//! When which decision is due again.
+//! Timers of the policy engine.
 use super::PendingRequest;
 use crate::types::{CustomerIndex, RequestIndex};
 use std::collections::BTreeMap;
 
-/// What is due when a timer fires.
+/// The action that is due when a timer fires.
 #[derive(Clone, Copy)]
 pub enum TimerKind {
-    /// The request is decided on again.
+    /// Route the request again.
     Request(RequestIndex),
-    /// A customer's lease expires, or the customer is forgotten.
+    /// Return the customer's expired lease, or evict an idle customer.
     Customer(CustomerIndex),
-    /// The endpoint list is requested.
+    /// Request the endpoint list.
     FetchEndpoints,
 }
 
-/// Orders timers by time, and timers of one time by the order in which they were set.
+/// Sort key of a timer: its time, then the order in which timers were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
-    /// Bits of the time: of non-negative numbers these sort as the numbers do.
+    /// Bit pattern of the time, which sorts like the time itself because times are not negative.
     at_bits: u64,
     sequence: u64,
 }
@@ -28,7 +28,7 @@
     }
 }
 
-/// All timers that are set. Timers are never cancelled: those that have nothing to do any more are skipped.
+/// All timers that are set. Timers are never cancelled; obsolete ones are skipped.
 #[derive(Default)]
 pub struct Timers {
     due: BTreeMap<TimerKey, TimerKind>,
@@ -36,19 +36,19 @@
 }
 
 impl Timers {
-    /// Sets a timer for a time, seconds.
+    /// Sets a timer that fires at the time `at`, in seconds.
     pub fn schedule(&mut self, at: f64, kind: TimerKind) {
         self.sequence += 1;
         let key = TimerKey { at_bits: at.max(0.0).to_bits(), sequence: self.sequence };
         self.due.insert(key, kind);
     }
 
-    /// When the next timer fires.
+    /// Returns the time at which the next timer fires; `None` if no timer is set.
     pub fn next(&self) -> Option<f64> {
         self.due.keys().next().map(|key| key.at())
     }
 
-    /// Takes the first timer if it is due, or if nobody need wake for it.
+    /// Removes and returns the first timer if it is due or obsolete.
     pub fn pop_due(
         &mut self,
         now: f64,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether the timer has nothing to do: its request is over, or waits for an attempt and is checked later.
+/// Whether a timer has nothing to do: its request is closed, or waits for an attempt and has a later check.
 fn is_obsolete(at: f64, kind: TimerKind, requests: &BTreeMap<RequestIndex, PendingRequest>) -> bool {
     let TimerKind::Request(index) = kind else { return false };
     let Some(request) = requests.get(&index) else { return true };
--- a/src/types/attempt.rs
+++ b/src/types/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: how one delivery of a request to a backend ended.
+//! The end of an attempt: its result, duration, billed units and load report.
 use super::{BackendIndex, LoadReport};
 
 /// How an attempt ended.
@@ -10,11 +10,11 @@
     Errored,
     /// The backend rejected the request without running it.
     Rejected,
-    /// No answer came in time.
+    /// The backend did not answer before the timeout.
     TimedOut,
     /// No connection could be established.
     NotConnected,
-    /// The connection broke before the answer.
+    /// The connection broke before the backend answered.
     Broken,
     /// The gateway instance cancelled the attempt.
     Cancelled,
@@ -23,27 +23,27 @@
 }
 
 impl AttemptResult {
-    /// Whether this proves that the backend did not run the request, so that a retry cannot duplicate an effect.
+    /// Whether the result proves that the backend did not run the request, so that a retry cannot duplicate an effect.
     pub fn never_ran(self) -> bool {
         matches!(self, AttemptResult::Rejected | AttemptResult::NotConnected | AttemptResult::NotSent)
     }
 }
 
-/// The end of an attempt, as the caller reports it to the policy engine.
+/// An ended attempt, as the caller reports it to the policy engine.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOutcome {
-    /// Which of the request's attempts, counted from 0.
+    /// Index of the attempt within its request, counted from 0.
     pub attempt: usize,
     /// The backend that the attempt was forwarded to.
     pub backend: BackendIndex,
-    /// How it ended.
+    /// How the attempt ended.
     pub result: AttemptResult,
-    /// Seconds from its start to its end.
+    /// Duration of the attempt, in seconds.
     pub duration: f64,
-    /// The client needs no further answer.
+    /// Whether the request is closed: its client needs no further answer.
     pub request_closed: bool,
-    /// Units that the request really cost; `None` where the backend does not report them.
+    /// Actual cost of the request in units; `None` if the backend does not report it.
     pub billed_units: Option<f64>,
-    /// Load that the backend reported beside the answer.
+    /// Load that the backend reported with its answer.
     pub load_report: Option<LoadReport>,
 }
--- a/src/types/counter.rs
+++ b/src/types/counter.rs
@@ -1,38 +1,38 @@
-//! The counter service that all gateway instances share: calls to it and their results.
+//! Calls to the counter service, which all gateway instances share, and their results.
 
-/// Index of a customer that the caller knows. It is free again once
-/// [`PollOutput::evicted_customers`](super::PollOutput::evicted_customers) names it.
+/// Index that the caller has assigned to a customer. The caller may reuse it once
+/// [`PollOutput::evicted_customers`](super::PollOutput::evicted_customers) contains it.
 pub type CustomerIndex = usize;
 
-/// Names one count on the counter service.
+/// Identifies one counter of the counter service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterKey {
-    /// Whose count it is.
+    /// The customer whose units or permits are counted.
     pub customer: CustomerIndex,
-    /// Number of the time window that the count belongs to. Units and permits are counted in separate ranges of numbers.
+    /// Number of the time window that the counter belongs to. Counters of units and of permits have separate number ranges.
     pub series: u32,
 }
 
-/// A call that adds to a count and reads its new total.
+/// A call that adds to a counter and returns its new total.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterCall {
-    /// The count.
+    /// The counter.
     pub key: CounterKey,
-    /// What is added: units of the quota, or permits; negative to give some back, 0 to read only.
+    /// Quota units or permits to add; negative to return some, 0 to only read the total.
     pub delta: f64,
-    /// Seconds after which the counter service may drop the count.
+    /// Seconds after which the counter service may drop the counter.
     pub lifetime: f64,
 }
 
-/// What came of a [`CounterCall`].
+/// The result of a [`CounterCall`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterResult {
-    /// The delta was added; this is the new total.
+    /// The delta was added, and the total is now this.
     Total(f64),
     /// The delta was not added.
     NotApplied,
-    /// The delta was added, but the new total cannot be read.
+    /// The delta was added, but the answer contains no readable total.
     AppliedTotalUnknown,
-    /// No answer came: the delta may have been added or not.
+    /// The counter did not answer: the delta may have been added or not.
     Unanswered,
 }
--- a/src/types/effects.rs
+++ b/src/types/effects.rs
@@ -1,67 +1,67 @@
-//! What the policy engine returns: decisions, and the effects that the caller carries out.
+//! Output of the policy engine: decisions on requests, and effects that the caller carries out.
 use super::{BackendIndex, CounterCall, CustomerIndex, GossipMessage, PolicyLogMessage, RequestIndex};
 
-/// What becomes of a request now.
+/// The next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
     /// Start an attempt.
     Forward {
-        /// The backend that it goes to.
+        /// The backend to send it to.
         backend: BackendIndex,
     },
-    /// Nothing for now; [`PollOutput::reconsider`] names the request when it is to be routed again.
+    /// Wait until [`PollOutput::reconsider`] contains the request, then route it again.
     Pending,
-    /// Answer that the client was throttled; the request is closed.
+    /// Answer that the request is throttled, and close it.
     Throttle {
-        /// Seconds after which the client may retry; `None` where no such advice can be given.
+        /// Seconds after which the client may retry; `None` to send no such advice.
         retry_after: Option<f64>,
     },
-    /// Answer with an error; the request is closed.
+    /// Answer with an error, and close the request.
     Error,
 }
 
-/// An attempt in flight that is no longer wanted.
+/// An attempt in flight to be cancelled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cancellation {
-    /// The request that it belongs to.
+    /// The request of the attempt.
     pub request: RequestIndex,
-    /// Which of the request's attempts it is, counted from 0.
+    /// Index of the attempt within its request, counted from 0.
     pub attempt: usize,
 }
 
-/// What the caller carries out beside a decision.
+/// I/O that the policy engine asks its caller to perform, in addition to a decision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
-    /// Calls to the counter service, to be made in this order.
+    /// Calls to make to the counter service, in this order.
     pub counter_calls: Vec<CounterCall>,
-    /// Messages to other gateway instances.
+    /// Messages to send to other gateway instances.
     pub gossip: Vec<GossipMessage>,
     /// Attempts to cancel.
     pub cancellations: Vec<Cancellation>,
-    /// Request the endpoint list, and its changes from now on.
+    /// Whether to request the endpoint list, and to watch it for changes from then on.
     pub fetch_endpoints: bool,
-    /// Messages for the log.
+    /// Messages to log.
     pub log: Vec<PolicyLogMessage>,
 }
 
-/// The answer to a request's arrival and to the end of an attempt.
+/// Output of the policy engine when a request is routed or an attempt has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyOutput {
-    /// What becomes of the request.
+    /// The next step of the request.
     pub decision: Decision,
-    /// What else is to be done.
+    /// Effects to carry out.
     pub effects: Effects,
 }
 
-/// The answer to a poll of the policy engine's timers.
+/// Output of a poll of the policy engine's timers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PollOutput {
     /// Requests to route again now.
     pub reconsider: Vec<RequestIndex>,
-    /// Customers whose state was dropped: their indices are free.
+    /// Customers whose state was dropped; their indices may be reused.
     pub evicted_customers: Vec<CustomerIndex>,
-    /// Seconds until the next poll is due; `None` if none is.
+    /// Seconds until the next poll is due; `None` if no timer is set.
     pub next_poll_in: Option<f64>,
-    /// What else is to be done.
+    /// Effects to carry out.
     pub effects: Effects,
 }
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -1,16 +1,17 @@
-//! Backends: the entries of the endpoint list, and the load that a backend reports.
+//! Entries of the endpoint list, and the load that backends report.
 
-/// Index of a backend that the caller knows. The caller reuses it once the policy engine has forgotten the backend.
+/// Index that the caller has assigned to a backend. The caller may reuse it after
+/// [`PolicyEngine::forget_backend`](crate::policy::PolicyEngine::forget_backend).
 pub type BackendIndex = usize;
 
-/// What the endpoint list says of a backend.
+/// Status of a backend on the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum EndpointStatus {
-    /// Takes new attempts.
+    /// The backend accepts new attempts.
     Ready,
-    /// Finishes what it has; takes no new attempts.
+    /// The backend finishes its attempts in flight and accepts no new ones.
     Draining,
-    /// No longer on the list.
+    /// The backend is no longer on the list.
     #[default]
     Removed,
 }
@@ -18,31 +19,31 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The backend that the entry is about.
+    /// The backend that the entry describes.
     pub backend: BackendIndex,
-    /// Whether it takes new attempts.
+    /// Status of the backend.
     pub status: EndpointStatus,
-    /// Index of its zone.
+    /// Index of the backend's zone.
     pub zone: usize,
-    /// Index of its cell.
+    /// Index of the backend's cell.
     pub cell: usize,
-    /// Its capacity relative to the other backends.
+    /// Capacity of the backend relative to other backends.
     pub weight: f64,
-    /// When it last started; `None` if that is long past.
+    /// Time of the backend's last start; `None` if it started too long ago to matter.
     pub started_at: Option<f64>,
 }
 
-/// Load that a backend reports beside an answer, as far as it reports any: slightly outdated and noisy.
+/// Load that a backend reports with an answer. The values are noisy and slightly outdated; those it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Fraction of its cores that is busy, 0 to 1.
+    /// Fraction of the backend's cores that are busy, 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// Requests that it holds, queued ones included.
+    /// Requests in flight at the backend, including queued ones.
     pub in_flight: Option<f64>,
-    /// Requests that wait in its queue.
+    /// Requests in the backend's queue.
     pub queued: Option<f64>,
-    /// Recent service time without queueing, seconds.
+    /// Recent service time without queueing, in seconds.
     pub service_time: Option<f64>,
-    /// Requests that it serves per second.
+    /// Requests that the backend completes per second.
     pub throughput: Option<f64>,
 }
--- a/src/types/gossip.rs
+++ b/src/types/gossip.rs
@@ -1,23 +1,23 @@
-//! Gossip between gateway instances, with the sender's or receiver's own indices. [`crate::gossip`] has its form on the wire.
+//! Gossip between gateway instances, with the indices of this process. [`crate::gossip`] defines the wire format.
 use super::{BackendIndex, CounterKey, InstanceRange};
 
-/// A message between gateway instances. It may be lost and is never answered.
+/// A message between gateway instances. Messages may be lost and are never answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum GossipMessage {
-    /// To all instances: an ejected backend answers again.
+    /// An ejected backend answers again. Sent to all instances.
     BackendRecovered {
         /// The backend.
         backend: BackendIndex,
     },
-    /// To the customer's other instances: the total of one of its counts, read just now.
+    /// The total of a customer's counter, just read. Sent to the other instances that the customer uses.
     CounterTotal {
-        /// The count.
+        /// The counter.
         key: CounterKey,
-        /// The customer's plan, an index into [`EngineSettings::plans`](super::EngineSettings::plans).
+        /// The customer's plan, as an index into [`EngineSettings::plans`](super::EngineSettings::plans).
         plan: usize,
         /// The gateway instances that the customer uses.
         instances: InstanceRange,
-        /// The total, units.
+        /// The total, in units.
         total: f64,
     },
 }
--- a/src/types/log_message.rs
+++ b/src/types/log_message.rs
@@ -1,43 +1,43 @@
-//! Messages of the policy engine for the operators' log. docs/on-call.md has a row for each of them.
+//! Log messages of the policy engine. docs/on-call.md has a row for each of them.
 use super::{AttemptResult, BackendIndex};
 use std::fmt;
 
-/// A message for the log. Its text is stable, so that operators can search for it.
+/// A log message. Its text is stable, so that operators can search for it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PolicyLogMessage {
-    /// Too many calls to the counter were missed in a row.
+    /// The counter left too many consecutive calls unanswered.
     CounterUnresponsive {
-        /// Calls without an answer since the last one that was answered.
+        /// Number of unanswered calls since the last answered one.
         missed_calls: u32,
-        /// Seconds since that answer.
+        /// Seconds since the last answer.
         gap: f64,
     },
     /// The counter answers again.
     CounterRecovered {
-        /// Seconds since its last answer before this one.
+        /// Seconds between the last two answers.
         gap: f64,
     },
-    /// A backend is ejected.
+    /// A backend was ejected.
     BackendEjected {
         /// The backend.
         backend: BackendIndex,
-        /// For how long, in seconds.
+        /// Duration of the ejection, in seconds.
         duration: f64,
-        /// Its failures in a row.
+        /// Number of consecutive failures.
         failures: u32,
-        /// How the last attempt ended.
+        /// Result of the last attempt.
         last_result: AttemptResult,
     },
-    /// A backend that was ejected has answered.
+    /// An ejected backend answered.
     BackendRecovered {
         /// The backend.
         backend: BackendIndex,
-        /// The time that the answer took, in seconds.
+        /// Duration of the answered attempt, in seconds.
         duration: f64,
     },
-    /// This process was not running when its timer was due.
+    /// This process did not run when a timer was due.
     ProcessStalled {
-        /// How late the timer was, in seconds.
+        /// Delay of the timer, in seconds.
         duration: f64,
     },
 }
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -1,8 +1,8 @@
-//! Plain values that cross the border of the policy engine: what it is started with, the events it is notified of, and the decisions and
-//! effects that it returns.
+//! Input and output values of the policy engine: its settings, the events that it handles, and the decisions and effects that it
+//! returns.
 //!
-//! Unless a field says otherwise, durations are seconds, points in time are seconds on the clock of the caller's `now`, and
-//! indices are small numbers that the caller assigns and may reuse after it has released them.
+//! Unless noted otherwise, durations are in seconds, points in time are seconds on the clock of the caller's `now`, and indices
+//! are small numbers that the caller assigns and may reuse once they are released.
 mod attempt;
 mod counter;
 mod effects;
--- a/src/types/request.rs
+++ b/src/types/request.rs
@@ -1,10 +1,11 @@
-//! Requests: what is known of one when it arrives.
+//! Attributes and limits of a request at its arrival.
 use super::CustomerIndex;
 
-/// Index of a request that this gateway instance holds. The caller reuses it once the request has closed.
+/// Index that the caller has assigned to a request. The caller may reuse it once the request is closed and none of its attempts
+/// is in flight.
 pub type RequestIndex = usize;
 
-/// The gateway instances that one customer uses: consecutive ones, counted modulo the number of all instances.
+/// The gateway instances that one customer uses: consecutive indices, modulo the number of all instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct InstanceRange {
     /// Index of the first instance.
@@ -13,22 +14,22 @@
     pub count: usize,
 }
 
-/// Limits that the operator's file sets for a request. Each one narrows what the settings allow; none can widen it.
+/// Limits that the operator's file sets for a request. They can only tighten the limits of the settings, never relax them.
 ///
-/// The default sets no limit.
+/// The default sets no limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Most attempts, the first one included.
+    /// Maximum number of attempts, including the first one.
     pub max_attempts: usize,
-    /// Whether two attempts may be in flight at once.
+    /// Whether the request may have two attempts in flight at once.
     pub hedging: bool,
-    /// Seconds after which an attempt of an idempotent request counts as overdue, whatever its backend does: the request is
-    /// hedged, or the attempt is cancelled.
+    /// Seconds after which an attempt of an idempotent request is overdue, even if its backend is responsive: the request is
+    /// then hedged, or the attempt cancelled.
     pub attempt_timeout: f64,
-    /// Seconds within which an answer is worth most.
+    /// Target latency in seconds; a later answer is worth less.
     pub latency_objective: f64,
-    /// Seconds after the first attempt that may have run within which the request may be retried, where its operation allows a
-    /// retry.
+    /// Time in which the request may be retried, in seconds from the start of the first attempt that may have run. Applies only
+    /// if the operation allows retries.
     pub retry_window: f64,
 }
 
@@ -45,23 +46,23 @@
     }
 }
 
-/// What a request declares of itself, and what the caller knows about it.
+/// Attributes of a request: some declared by the client, others added by the caller.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestAttributes {
     /// Index into [`EngineSettings::operations`](super::EngineSettings::operations).
     pub operation: usize,
     /// Index into [`EngineSettings::plans`](super::EngineSettings::plans).
     pub plan: usize,
-    /// The customer whose quota pays.
+    /// The customer whose quota the request uses.
     pub customer: CustomerIndex,
     /// Cost in units of the quota.
     pub units: f64,
-    /// The gateway instances that this customer uses.
+    /// The gateway instances that the customer uses.
     pub instances: InstanceRange,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: f64,
-    /// Fraction of the customer's gateway instances that do not reach the counter, 0 to 1; 0 where that is unknown.
+    /// Fraction of the customer's gateway instances that cannot reach the counter, 0 to 1; 0 if unknown.
     pub absent_fraction: f64,
-    /// Limits from the operator's file.
+    /// Limits that the operator's file sets.
     pub limits: RequestLimits,
 }
