--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The wire form of gossip between gateway instances: one message per datagram, a tag byte and then the message's body.
+//! The wire format of gossip between gateway instances. A datagram contains one message: a tag byte, then the body.
 //!
 //! Numbers are little-endian.
 //!
@@ -8,27 +8,28 @@
 //! | counter total | tag 2, customer (5 bytes), plan (1), first instance (2), instance count (2), series (4), total (`f32`, 4) |
 use crate::types::InstanceRange;
 
-/// A gossip message with names that hold outside of this process.
+/// A gossip message on the wire. It contains names of backends and ids of customers, because indices are valid in one process
+/// only.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WireMessage {
-    /// An ejected backend answers again; its name on the endpoint list.
+    /// An ejected backend answers again. Contains its name on the endpoint list.
     BackendRecovered(Vec<u8>),
-    /// The total of one of a customer's counts, read just now.
+    /// The total of a customer's counter, just read.
     CounterTotal {
-        /// Id of the customer; its lower 40 bits are sent.
+        /// Id of the customer; only the lower 40 bits are sent.
         customer: u64,
-        /// The customer's plan, its place in the settings; up to 255.
+        /// The customer's plan, as an index into the plans of the settings; at most 255.
         plan: usize,
-        /// The gateway instances that the customer uses; each number up to 65,535.
+        /// The gateway instances that the customer uses; both numbers are at most 65,535.
         instances: InstanceRange,
-        /// Number of the time window that the count belongs to.
+        /// Number of the time window that the counter belongs to.
         series: u32,
-        /// The total, units; sent in single precision.
+        /// The total, in units; sent in single precision.
         total: f64,
     },
 }
 
-/// Most bytes of a datagram.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// Tag of [`WireMessage::BackendRecovered`].
@@ -36,20 +37,20 @@
 /// Tag of [`WireMessage::CounterTotal`].
 const COUNTER_TOTAL_TAG: u8 = 2;
 
-/// Bytes of a customer's id.
+/// Size of a customer's id, in bytes.
 const CUSTOMER_BYTES: usize = 5;
 
-// Offsets in the body of a counter total, that is: after the tag.
+// Byte offsets in the body of a counter total, which starts after the tag.
 const CUSTOMER_OFFSET: usize = 0;
 const PLAN_OFFSET: usize = CUSTOMER_OFFSET + CUSTOMER_BYTES;
 const FIRST_INSTANCE_OFFSET: usize = PLAN_OFFSET + 1;
 const INSTANCE_COUNT_OFFSET: usize = FIRST_INSTANCE_OFFSET + 2;
 const SERIES_OFFSET: usize = INSTANCE_COUNT_OFFSET + 2;
 const TOTAL_OFFSET: usize = SERIES_OFFSET + 4;
-/// Bytes of the body of a counter total.
+/// Size of the body of a counter total, in bytes.
 const COUNTER_TOTAL_BYTES: usize = TOTAL_OFFSET + 4;
 
-/// The datagram of a message.
+/// Encodes a message as a datagram.
 pub fn encode(message: &WireMessage) -> Vec<u8> {
     match message {
         WireMessage::BackendRecovered(name) => encode_backend_recovered(name),
@@ -59,7 +60,7 @@
     }
 }
 
-/// The message of a datagram; `None` where it is no valid message.
+/// Decodes a datagram; returns `None` if it is not a valid message.
 pub fn decode(datagram: &[u8]) -> Option<WireMessage> {
     let (tag, body) = datagram.split_first()?;
     match *tag {
@@ -109,7 +110,7 @@
     })
 }
 
-/// The `N` bytes at an offset of the body of a counter total.
+/// Returns the `N` bytes at an offset in the body of a counter total.
 fn field<const N: usize>(body: &[u8; COUNTER_TOTAL_BYTES], offset: usize) -> [u8; N] {
-    body[offset..offset + N].try_into().expect("fields lie inside the body")
+    body[offset..offset + N].try_into().expect("each field lies inside the body")
 }
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -1,10 +1,10 @@
-//! An interner: small indices for the names that backends and customers have outside of this process.
+//! An interner, which assigns small indices to the external names of backends and customers.
 pub use crate::slab::Slab;
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Names by small index, and indices by name. An index is free again once its name is released.
+/// Maps names to small indices and back. An index may be reused once its name is released.
 pub struct Interner<K> {
     names: Slab<K>,
     indices: HashMap<K, usize>,
@@ -17,7 +17,7 @@
 }
 
 impl<K: Clone + Eq + Hash> Interner<K> {
-    /// The index of this name; assigns one where it has none.
+    /// Returns the index of a name, assigning one if the name has none.
     pub fn intern(&mut self, name: &K) -> usize {
         if let Some(&index) = self.indices.get(name) {
             return index;
@@ -27,7 +27,7 @@
         index
     }
 
-    /// The index of this name; `None` where it has none.
+    /// Returns the index of a name; `None` if the name has none.
     pub fn get<Q: Hash + Eq + ?Sized>(&self, name: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
@@ -35,12 +35,12 @@
         self.indices.get(name).copied()
     }
 
-    /// The name at this index; `None` where the index is free or was never assigned.
+    /// Returns the name with an index; `None` if the index is not in use.
     pub fn resolve(&self, index: usize) -> Option<&K> {
         self.names.get(index)
     }
 
-    /// Forgets the name at this index and frees the index; does nothing where there is no name.
+    /// Removes the name with an index and frees the index; does nothing if the index is not in use.
     pub fn release(&mut self, index: usize) {
         if let Some(name) = self.names.release(index) {
             self.indices.remove(&name);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! The policy engine of a gateway that holds customers to their quotas: it decides, and does no I/O.
+//! The policy engine of a gateway that enforces customer quotas. It makes all decisions on requests and does no I/O.
 pub mod gossip;
 pub mod interner;
 pub mod policy;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,4 @@
-//! The settings that a gateway instance is started with: read from JSON, checked, and turned into plain values for the policy
-//! engine and its caller.
+//! Settings of a gateway instance: parsed from JSON, validated, and converted for the policy engine and its caller.
 mod error;
 mod file;
 mod load_report;
@@ -12,63 +11,63 @@
 use crate::types::Idempotency;
 use file::SettingsFile;
 
-/// The policy engine, ready to be used, and what its caller needs to know.
+/// The result of loading the settings.
 pub struct Loaded {
-    /// The policy engine.
+    /// The policy engine, started with the settings.
     pub engine: PolicyEngine,
-    /// What its caller needs to know.
+    /// Settings for the caller of the policy engine.
     pub instance: InstanceSettings,
 }
 
-/// An operation, as clients name it.
+/// An operation that the instance offers to clients.
 pub struct OfferedOperation {
     /// Name by which clients request it.
     pub name: String,
-    /// What a second run does.
+    /// The effect of a second run.
     pub idempotency: Idempotency,
-    /// Seconds within which an answer is worth most.
+    /// Target latency in seconds; a later answer is worth less.
     pub latency_objective: f64,
-    /// Longest that a client waits, seconds.
+    /// Maximum time that a client waits for the answer, in seconds.
     pub timeout: f64,
 }
 
-/// What the caller of the policy engine needs to know of the settings. Durations are seconds.
+/// Settings for the caller of the policy engine. Durations are in seconds.
 pub struct InstanceSettings {
-    /// Number of gateway instances, 1 or more.
+    /// Number of gateway instances, at least 1.
     pub instances: usize,
-    /// This instance's index among them, from 0.
+    /// Index of this instance, counted from 0.
     pub instance_index: usize,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// Whether two attempts of a request may be in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub hedging: bool,
-    /// The operations; the policy engine names one by its index.
+    /// The operations; the policy engine refers to them by index.
     pub operations: Vec<OfferedOperation>,
-    /// Names of the plans; the policy engine names one by its index.
+    /// Names of the plans; the policy engine refers to them by index.
     pub plans: Vec<String>,
-    /// Most units of one request; infinite where there is no limit.
+    /// Maximum units of one request; infinite if there is no limit.
     pub max_units: f64,
-    /// Names of the zones; endpoints name one by its index.
+    /// Names of the zones; endpoints refer to them by index.
     pub zones: Vec<String>,
-    /// The endpoint list comes only when it is requested.
+    /// Whether the endpoint list must be requested; if not, it is pushed to the instance.
     pub polls_endpoints: bool,
-    /// How long a connection to a backend may take to be established.
+    /// Timeout for establishing a connection to a backend.
     pub connect_timeout: f64,
-    /// How long a connection to a backend stays open without use.
+    /// Time after which an idle connection to a backend closes.
     pub connection_idle_timeout: f64,
-    /// Attempts that one connection carries at once, 1 or more.
+    /// Maximum number of concurrent attempts on one connection, at least 1.
     pub max_streams_per_connection: usize,
-    /// How long a call to the counter may take.
+    /// Timeout of a call to the counter.
     pub counter_timeout: f64,
-    /// Longest that a client of any operation waits; 0 where there is no operation.
+    /// Longest client timeout of all operations; 0 if there are no operations.
     pub max_client_timeout: f64,
-    /// Whether clients may get a Retry-After.
+    /// Whether answers to clients may contain a Retry-After.
     pub sends_retry_after: bool,
-    /// Names of the values of a load report beside an answer, in their order; empty where there are no such reports.
+    /// Names of the values of a load report, in order; empty if answers contain no load reports.
     pub load_report_fields: Vec<String>,
 }
 
-/// Reads the settings and starts the policy engine with them. `seed` seeds its random draws.
+/// Loads the settings and starts the policy engine with them. `seed` seeds the engine's random draws.
 pub fn load(seed: u64, json: &[u8]) -> Result<Loaded, SettingsError> {
     let file: SettingsFile = serde_json::from_slice(json)?;
     let checked = resolve::check(&file)?;
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,30 +1,30 @@
-//! Why settings cannot be used.
+//! Errors in the settings.
 use thiserror::Error;
 
-/// Settings that cannot be used. The text names the key, as the settings spell it.
+/// An error in the settings. Its text names the key as the settings spell it.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// Not valid JSON, or a value that is missing or of the wrong type.
+    /// The text is not valid JSON, or a value is missing or of the wrong type.
     #[error("settings: {0}")]
     Json(#[from] serde_json::Error),
-    /// A text that stands for none of the choices that its key has.
+    /// The value of a key is none of its permitted values.
     #[error("settings: {key}: unknown value '{value}'")]
     UnknownValue {
         /// Path of the key, such as `classes[0].group`.
         key: String,
-        /// Its value.
+        /// The value found.
         value: String,
     },
-    /// The instance's own zone is not among the zones, although attempts that leave it are charged for.
-    #[error("settings: zone {index} of {count}")]
+    /// The zone of this instance does not exist, although attempts that leave the zone have a price.
+    #[error("settings: zone: index {index} is out of range; there are {count} zones")]
     UnknownZone {
-        /// Index of the instance's own zone.
+        /// Index of the instance's zone.
         index: usize,
         /// Number of zones.
         count: usize,
     },
-    /// A plan allows more by its quota than by its hard ceiling.
-    #[error("settings: tariff '{plan}': its ceiling lies under its quota")]
+    /// The hard ceiling of a plan is lower than its quota.
+    #[error("settings: tariff '{plan}': the ceiling is lower than the quota")]
     CeilingBelowQuota {
         /// Name of the plan.
         plan: String,
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,19 +1,18 @@
-//! The settings as they are written: a JSON object whose keys the deployment has chosen.
+//! The settings file: a JSON object whose keys the deployment defines.
 //!
-//! Keys that are not named here are ignored. Each struct's `expecting` is part of the text that a value of the wrong type is
-//! reported by, and stays as it is when the struct is renamed.
+//! Unknown keys are ignored. The `expecting` text of a struct is part of the error message for a value of the wrong type.
 use serde::Deserialize;
 
-/// All settings.
+/// The whole settings file.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Told")]
+#[serde(expecting = "the settings object")]
 pub(super) struct SettingsFile {
-    /// Number of gateway instances; 0 counts as 1.
+    /// Number of gateway instances; 0 is treated as 1.
     #[serde(rename = "balancers")]
     pub instances: usize,
-    /// How the endpoint list is had: `pushed` or `on_request`.
+    /// How the instance gets the endpoint list: `pushed` or `on_request`.
     pub discovery: String,
-    /// What the deployment allows.
+    /// Capabilities of the deployment.
     #[serde(rename = "caps")]
     pub capabilities: Capabilities,
     /// The operations.
@@ -22,16 +21,16 @@
     /// The counter service, and gossip between instances.
     #[serde(rename = "extra")]
     pub shared_services: SharedServices,
-    /// Load reports of the backends; none where the key is absent.
+    /// Load reports of the backends. Without this key there are none.
     #[serde(default, rename = "feedback")]
     pub load_reporting: LoadReporting,
     /// Slow start of backends.
     #[serde(rename = "rules")]
     pub slow_start: SlowStartRules,
-    /// This instance's index among all instances, from 0.
+    /// Index of this instance among all instances, counted from 0.
     #[serde(rename = "slot_no")]
     pub instance_index: usize,
-    /// Prices.
+    /// Prices of what attempts use.
     #[serde(default)]
     pub charges: Charges,
     /// Index of this instance's zone in `zones`.
@@ -45,53 +44,53 @@
     pub zones: Vec<String>,
 }
 
-/// What the deployment allows. Durations are microseconds.
+/// Limits and capabilities of the deployment. Durations are in microseconds.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Caps")]
+#[serde(expecting = "an object for `caps`")]
 pub(super) struct Capabilities {
-    /// Attempts in flight can be cancelled.
+    /// Whether attempts in flight can be cancelled.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
-    /// How long a connection to a backend stays open without use.
+    /// Time after which an idle connection to a backend closes.
     #[serde(rename = "conn_idle_us")]
     pub connection_idle_timeout_us: f64,
-    /// How long a connection to a backend may take to be established.
+    /// Timeout for establishing a connection to a backend.
     #[serde(rename = "dial_timeout_us")]
     pub connect_timeout_us: f64,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// Longest advice on when to retry that clients heed.
+    /// Longest retry delay that clients follow.
     pub max_retry_after_us: f64,
-    /// Gateway instances can exchange gossip.
+    /// Whether gateway instances can exchange gossip.
     #[serde(rename = "peers")]
     pub gossip: bool,
-    /// Clients can be advised when to retry.
+    /// Whether clients can be advised when to retry.
     pub retry_after: bool,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// Attempts that one connection carries at once; 0 counts as 1.
+    /// Maximum number of concurrent attempts on one connection; 0 is treated as 1.
     #[serde(rename = "streams_per_conn")]
     pub max_streams_per_connection: usize,
 }
 
-/// An operation. Durations are microseconds.
+/// An operation. Durations are in microseconds.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Class")]
+#[serde(expecting = "an object in `classes`")]
 pub(super) struct OperationEntry {
-    /// Time within which an answer is worth most.
+    /// Target latency; a later answer is worth less.
     #[serde(rename = "aim_us")]
     pub latency_objective_us: f64,
-    /// What one request is worth relative to those of other operations.
+    /// Value of one request relative to requests of other operations.
     #[serde(default, rename = "gain")]
     pub billed_value: f64,
-    /// How long a client waits in all.
+    /// Maximum time that a client waits for the answer, over all attempts.
     #[serde(rename = "give_up_us")]
     pub client_timeout_us: f64,
-    /// Scope of the idempotency key: `all`, `zone` or `cell`; read for `dedup` only.
+    /// Scope of the idempotency key: `all`, `zone` or `cell`. Used only if `idempotency` is `dedup`.
     #[serde(rename = "group")]
     pub key_scope: String,
-    /// `retryable`, `dedup` or `fragile`.
+    /// The effect of a second run: `retryable`, `dedup` or `fragile`.
     pub idempotency: String,
     /// Name by which clients request it.
     pub name: String,
@@ -102,72 +101,73 @@
 
 /// The counter service, and gossip between instances.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Extra")]
+#[serde(expecting = "an object for `extra`")]
 pub(super) struct SharedServices {
-    /// There is a counter service.
+    /// Whether the deployment has a counter service.
     #[serde(rename = "counter")]
     pub has_counter: bool,
-    /// Microseconds that a call to the counter may take.
+    /// Timeout of a call to the counter, in microseconds.
     pub counter_timeout_us: f64,
-    /// Most units of one request; unlimited where it is absent.
+    /// Maximum units of one request; unlimited if absent.
     #[serde(rename = "max_units")]
     pub max_request_units: Option<f64>,
-    /// Gossip messages per second that one instance takes in.
+    /// Gossip messages per second that one instance accepts.
     #[serde(rename = "peer_intake")]
     pub gossip_intake_rate: f64,
 }
 
 /// Prices of what attempts use.
 #[derive(Deserialize, Default)]
+#[serde(expecting = "an object for `charges`")]
 pub(super) struct Charges {
-    /// Price of an attempt that leaves the instance's zone; 0 for none.
+    /// Price of an attempt that leaves the instance's zone; 0 if it is free.
     #[serde(default)]
     pub cross_zone: f64,
 }
 
 /// Load reports of the backends.
 #[derive(Deserialize, Default)]
-#[serde(expecting = "struct Feedback")]
+#[serde(expecting = "an object for `feedback`")]
 pub(super) struct LoadReporting {
-    /// Names of the values of a report, in their order.
+    /// Names of the values of a report, in order.
     #[serde(default)]
     pub fields: Vec<String>,
-    /// How reports come: `piggyback` (beside answers), `pull` or `silent`.
+    /// How backends report their load: `piggyback` (with their answers), `pull` or `silent`.
     pub source: Option<String>,
 }
 
-/// How a backend that has just started gains its capacity.
+/// Slow start: how a backend's capacity grows after its start.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Rules")]
+#[serde(expecting = "an object for `rules`")]
 pub(super) struct SlowStartRules {
-    /// Fraction of its full capacity that a backend has at its start.
+    /// Fraction of its full capacity that a backend has when it starts.
     #[serde(rename = "cold_from")]
     pub initial_fraction: f64,
-    /// Microseconds from its start until it has its full capacity.
+    /// Microseconds from the start of a backend until it has its full capacity.
     #[serde(rename = "warm_after_us")]
     pub duration_us: f64,
 }
 
 /// A customer's plan.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Tariff")]
+#[serde(expecting = "an object in `tariffs`")]
 pub(super) struct PlanEntry {
-    /// Units per second that the hard ceiling's bucket regains; 0 for no ceiling.
+    /// Refill rate of the hard ceiling's token bucket, in units per second; 0 for no ceiling.
     pub ceiling_rate: f64,
-    /// Units by which the hard ceiling's bucket may fall below 0.
+    /// Units by which the hard ceiling's token bucket may fall below 0.
     pub ceiling_slack: f64,
-    /// Units that the quota's bucket holds at most.
+    /// Capacity of the quota's token bucket, in units.
     #[serde(rename = "depth")]
     pub burst: f64,
-    /// Units that the hard ceiling's bucket holds at most.
+    /// Capacity of the hard ceiling's token bucket, in units.
     #[serde(rename = "hard_burst")]
     pub ceiling_burst: f64,
     /// Name of the plan.
     pub name: String,
-    /// Most attempts in flight at once; 0 for no cap.
+    /// Maximum number of requests in flight; 0 for no cap.
     #[serde(rename = "parallel")]
     pub max_in_flight: usize,
-    /// Units per second that the quota's bucket regains; 0 for no quota.
+    /// Refill rate of the quota's token bucket, in units per second; 0 for no quota.
     #[serde(rename = "per_second")]
     pub rate: f64,
 }
--- a/src/settings/load_report.rs
+++ b/src/settings/load_report.rs
@@ -1,13 +1,13 @@
-//! Load reports, whose values the settings name.
+//! Load reports, with the names of their values from the settings.
 use crate::types::LoadReport;
 
-/// A load report made of its values, which `value` returns by their place in `names` and their name.
+/// Builds a load report. `value` returns a reported value by its index in `names` and its name.
 ///
-/// Names that are unknown, and values that are negative or not finite, are ignored; `None` where nothing remains.
+/// Unknown names are ignored, and so are values that are negative or not finite. Returns `None` if no value remains.
 pub fn load_report(names: &[String], value: impl Fn(usize, &str) -> Option<f64>) -> Option<LoadReport> {
     let mut report = LoadReport::default();
-    for (place, name) in names.iter().enumerate() {
-        let value = value(place, name).filter(|value| value.is_finite() && *value >= 0.0);
+    for (index, name) in names.iter().enumerate() {
+        let value = value(index, name).filter(|value| value.is_finite() && *value >= 0.0);
         match name.as_str() {
             "load_share" => report.cpu_utilization = value,
             "concurrent" => report.in_flight = value,
--- a/src/settings/resolve.rs
+++ b/src/settings/resolve.rs
@@ -1,16 +1,16 @@
-//! The steps from the written settings to the values that the policy engine and its caller are started with.
+//! Validates the settings file and converts it to the settings of the policy engine and its caller.
 use super::file::{LoadReporting, OperationEntry, PlanEntry, SettingsFile};
 use super::{InstanceSettings, OfferedOperation, SettingsError};
 use crate::types::*;
 
-/// The parts of the settings whose form has been checked.
+/// The validated parts of the settings.
 pub(super) struct CheckedSettings {
     operations: Vec<Operation>,
     polls_endpoints: bool,
     load_report_fields: Vec<String>,
 }
 
-/// Checks the settings; reports the first fault only.
+/// Validates the settings; returns the first error only.
 pub(super) fn check(file: &SettingsFile) -> Result<CheckedSettings, SettingsError> {
     let operations = file.operations.iter().enumerate().map(|(index, entry)| operation(index, entry));
     let operations = operations.collect::<Result<_, _>>()?;
@@ -21,13 +21,13 @@
     Ok(CheckedSettings { operations, polls_endpoints, load_report_fields })
 }
 
-/// What the policy engine is started with.
+/// Returns the settings of the policy engine.
 pub(super) fn engine_settings(seed: u64, file: &SettingsFile, checked: &CheckedSettings) -> EngineSettings {
-    let gossips = file.capabilities.gossip;
+    let has_gossip = file.capabilities.gossip;
     EngineSettings {
         seed,
         instances: instances(file) as f64,
-        gossip_intake_rate: if gossips { file.shared_services.gossip_intake_rate } else { 0.0 },
+        gossip_intake_rate: if has_gossip { file.shared_services.gossip_intake_rate } else { 0.0 },
         polls_endpoints: checked.polls_endpoints,
         operations: checked.operations.clone(),
         plans: file.plans.iter().map(plan).collect(),
@@ -43,7 +43,7 @@
     }
 }
 
-/// What the caller of the policy engine needs to know.
+/// Returns the settings for the caller of the policy engine.
 pub(super) fn instance_settings(file: SettingsFile, checked: CheckedSettings) -> InstanceSettings {
     let client_timeouts = file.operations.iter().map(|entry| seconds(entry.client_timeout_us));
     InstanceSettings {
@@ -102,7 +102,7 @@
     }
 }
 
-/// The values of a load report beside an answer; none where reports come otherwise or not at all.
+/// Returns the names of the values that answers report; none if backends report their load otherwise or not at all.
 fn load_report_fields(load_reporting: &LoadReporting) -> Result<Vec<String>, SettingsError> {
     match load_reporting.source.as_deref() {
         Some("piggyback") => Ok(load_reporting.fields.clone()),
@@ -118,7 +118,8 @@
     Ok(())
 }
 
-/// A lease of the quota is spent without a look at the ceiling, so the ceiling must not lie under the quota.
+/// Requires the ceiling of each plan to be no lower than its quota, because units are spent from a lease without a check of the
+/// ceiling.
 fn check_ceilings(plans: &[PlanEntry]) -> Result<(), SettingsError> {
     match plans.iter().find(|plan| ceiling_below_quota(plan)) {
         Some(plan) => Err(SettingsError::CeilingBelowQuota { plan: plan.name.clone() }),
--- a/src/slab.rs
+++ b/src/slab.rs
@@ -1,9 +1,9 @@
-//! A slab: storage that assigns each value a small index and reuses the index once the value is released.
+//! A slab: storage that assigns a small index to each value and reuses the index once the value is released.
 use std::ops::{Index, IndexMut};
 
-/// Values by small index. An index is free again once its value is released; the one released last is reused first.
+/// Stores values by small index. Indices of released values are reused, the most recently released one first.
 ///
-/// `slab[index]` is `None` where the index is free, and panics where the slab has never assigned it.
+/// `slab[index]` is `None` if the index is free, and panics if the slab has never assigned it.
 pub struct Slab<T> {
     entries: Vec<Option<T>>,
     free: Vec<usize>,
@@ -26,22 +26,22 @@
         index
     }
 
-    /// The value at this index; `None` where the index is free or was never assigned.
+    /// Returns the value with an index; `None` if the index is not in use.
     pub fn get(&self, index: usize) -> Option<&T> {
         self.entries.get(index)?.as_ref()
     }
 
-    /// The indices in use, in ascending order.
+    /// Returns the indices in use, in ascending order.
     pub fn keys(&self) -> impl Iterator<Item = usize> + '_ {
         self.entries.iter().enumerate().filter_map(|(index, value)| value.is_some().then_some(index))
     }
 
-    /// The stored values, in ascending order of their index.
+    /// Returns the stored values, in ascending order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = &T> {
         self.entries.iter().flatten()
     }
 
-    /// Removes the value at this index and frees the index; `None` where there is no value.
+    /// Removes and returns the value with an index and frees the index; returns `None` if the index is not in use.
     pub fn release(&mut self, index: usize) -> Option<T> {
         let value = self.entries.get_mut(index)?.take()?;
         self.free.push(index);
