--- a/simulator-adapter/src/actions.rs
+++ b/simulator-adapter/src/actions.rs
@@ -1,11 +1,11 @@
-//! Encodes actions as records. Durations are seconds.
+//! Encodes actions as records. Durations are in seconds.
 use crate::codes::ActionCode;
 use crate::events::{Address, RequestId};
 use crate::frame::Reply;
 
 /// The peer number that addresses all instances.
 const ALL_PEERS: u16 = 0xffff;
-/// Mode of an endpoint fetch: changes from now on.
+/// Mode of an endpoint fetch that also watches for changes.
 const WATCH_CHANGES: u8 = 1;
 
 /// Forwards a request to a backend.
@@ -13,7 +13,7 @@
     reply.add(ActionCode::Deliver).bytes(1, &id.to_le_bytes()).bytes(5, address);
 }
 
-/// Rejects a request; the client may retry after `retry_after`. None is 0 on the wire: no advice.
+/// Answers that a request is throttled and may be retried after `retry_after`. On the wire, `None` is 0: no advice.
 pub(crate) fn throttle(reply: &mut Reply, id: RequestId, retry_after: Option<f64>) {
     let record = reply.add(ActionCode::Throttle).bytes(1, &id.to_le_bytes());
     record.seconds(5, retry_after.unwrap_or(0.0));
@@ -24,7 +24,7 @@
     reply.add(ActionCode::Error).bytes(1, &id.to_le_bytes());
 }
 
-/// Adds `amount` to a count; `lifetime` applies if the count is new.
+/// Adds `amount` to a counter; `lifetime` applies if the counter is new.
 pub(crate) fn counter_call(reply: &mut Reply, name: u64, amount: f64, lifetime: f64) {
     let amount = (amount as f32).to_le_bytes();
     let record = reply.add(ActionCode::CounterCall).bytes(1, &name.to_le_bytes());
--- a/simulator-adapter/src/codes.rs
+++ b/simulator-adapter/src/codes.rs
@@ -1,4 +1,4 @@
-//! Codes of the records on the wire, under the names of the wire.
+//! Codes of the records on the wire, with the names of the wire protocol.
 
 /// Kind of an event record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,20 +17,20 @@
     Started,
     /// A health check ended.
     Probed,
-    /// An attempt (a delivery, on the wire) ended.
+    /// An attempt ended (a delivery, in the wire protocol).
     Completed,
     /// An endpoint list arrived, or could not be fetched.
     Listed,
     /// A counter call ended.
     Counted,
-    /// A backend began to stream its response.
+    /// A backend started to stream its response.
     Streaming,
     /// A client submitted a request.
     Submitted,
 }
 
 impl EventCode {
-    /// The event with a code on the wire; none if it is unknown.
+    /// Decodes an event code; returns `None` if it is unknown.
     pub fn decode(code: u8) -> Option<EventCode> {
         match code {
             10 => Some(EventCode::Instance),
@@ -56,17 +56,17 @@
 pub(crate) enum ActionCode {
     /// Set a timer.
     SetTimer = 10,
-    /// Respond to a client with an error.
+    /// Answer a request with an error.
     Error = 30,
     /// Fetch the endpoint list.
     FetchList = 60,
     /// Call the counter.
     CounterCall = 70,
-    /// Respond to a client that it is throttled.
+    /// Answer that a request is throttled.
     Throttle = 80,
     /// Send a message to a peer.
     PeerMessage = 90,
-    /// Names the instance of the records that follow.
+    /// Select the instance of the records that follow.
     Instance = 100,
     /// Cancel an attempt.
     Cancel = 110,
--- a/simulator-adapter/src/events.rs
+++ b/simulator-adapter/src/events.rs
@@ -1,26 +1,27 @@
-//! Decodes event records into typed values. Times are seconds. Indexes are checked where they are used, against the settings.
+//! Decodes event records into typed values. Times are in seconds. Indices are not checked here, but against the settings where they
+//! are used.
 use crate::frame::{seconds, FrameError, Record, RecordError, ADDRESS_BYTES};
 use quillramp::types::{AttemptResult, CounterResult, EndpointStatus};
 
-/// Size of an entry of an endpoint list, bytes.
+/// Size of an entry of an endpoint list, in bytes.
 const ENDPOINT_BYTES: usize = 23;
 
-/// The number of a request on the wire.
+/// Id of a request on the wire.
 pub(crate) type RequestId = u32;
-/// A backend's address on the wire.
+/// Address of a backend on the wire.
 pub(crate) type Address = [u8; ADDRESS_BYTES];
 
 /// A client submitted a request.
 pub(crate) struct RequestSubmitted {
-    /// The id of the request on the wire.
+    /// Id of the request.
     pub id: RequestId,
-    /// The first of the instances that share the customer's quota.
+    /// Index of the first instance that the customer uses.
     pub first_instance: usize,
-    /// Number of these instances, which follow each other.
+    /// Number of instances that the customer uses; their indices are consecutive.
     pub instances: usize,
-    /// Time that its client waits for the response, seconds.
+    /// Time that the client waits for the response, in seconds.
     pub client_timeout: f64,
-    /// Units that it is expected to cost.
+    /// Expected cost of the request, in units.
     pub units: f64,
     /// Id of the customer.
     pub customer: u64,
@@ -52,18 +53,18 @@
     pub attempt: usize,
     /// The backend of the attempt.
     pub address: Address,
-    /// Duration of the attempt, seconds.
+    /// Duration of the attempt, in seconds.
     pub duration: f64,
-    /// Whether the request has its response.
+    /// Whether the request has its final answer.
     pub is_closed: bool,
-    /// Units that the backend billed, if it reported them.
+    /// Units that the backend billed; `None` if it did not report them.
     pub billed_units: Option<f64>,
     /// Number of values in the backend's load report.
     pub load_report_length: usize,
 }
 
 impl AttemptEnded {
-    /// Decodes a record, without the [`result`](AttemptEnded::result) and the load report.
+    /// Decodes a record except for the [`result`](AttemptEnded::result) and the load report.
     pub fn decode(record: &Record) -> AttemptEnded {
         let units = record.u16(22);
         AttemptEnded {
@@ -76,12 +77,12 @@
         }
     }
 
-    /// The result of the attempt.
+    /// Decodes the result of the attempt; fails if it is unknown.
     pub fn result(record: &Record) -> Result<AttemptResult, FrameError> {
         attempt_result(record, 13)
     }
 
-    /// A value of the backend's load report, by its index.
+    /// Decodes a value of the backend's load report, by its index.
     pub fn load_report_value(record: &Record, index: usize) -> f64 {
         record.f32(25 + 4 * index)
     }
@@ -102,41 +103,41 @@
         6 => Ok(AttemptResult::Broken),
         7 => Ok(AttemptResult::Cancelled),
         8 => Ok(AttemptResult::NotSent),
-        other => Err(record.error(RecordError::UnknownOutcome(other))),
+        other => Err(record.frame_error(RecordError::UnknownOutcome(other))),
     }
 }
 
-/// The id of the request that an event is about.
+/// Decodes the id of the request that an event concerns.
 pub(crate) fn request_id(record: &Record) -> RequestId {
     record.u32(1)
 }
 
-/// The number of the timer that fired.
+/// Decodes the number of the timer that fired.
 pub(crate) fn timer_number(record: &Record) -> u64 {
     record.u64(1)
 }
 
-/// The body of a peer's message.
+/// Returns the body of a peer's message.
 pub(crate) fn message_body<'a>(record: &Record<'a>) -> Result<&'a [u8], FrameError> {
     record.tail(5, 1)
 }
 
 /// A counter call ended.
 pub(crate) struct CounterReply {
-    /// The name of the count.
+    /// Name of the counter.
     pub name: u64,
-    /// The outcome of the call.
+    /// Result of the call.
     pub result: CounterResult,
 }
 
 impl CounterReply {
-    /// Decodes a record; fails on an unknown outcome.
+    /// Decodes a record; fails if the outcome is unknown.
     pub fn decode(record: &Record) -> Result<CounterReply, FrameError> {
         let result = match record.u16(13) {
             1 => CounterResult::Total(record.f32(15)),
             3 | 5 => CounterResult::NotApplied,
             4 => CounterResult::Unanswered,
-            other => return Err(record.error(RecordError::UnknownOutcome(other))),
+            other => return Err(record.frame_error(RecordError::UnknownOutcome(other))),
         };
         Ok(CounterReply { name: record.u64(5), result })
     }
@@ -148,40 +149,40 @@
     Failed,
     /// The entries are changes since the last list.
     Changes,
-    /// The entries are a complete snapshot of all endpoints.
+    /// The entries are a complete list of all endpoints.
     Snapshot,
 }
 
 impl FetchOutcome {
-    /// Decodes a record, without its entries; fails on an unknown kind.
+    /// Decodes a record except for its entries; fails if the kind of list is unknown.
     pub fn decode(record: &Record) -> Result<FetchOutcome, FrameError> {
         match record.u8(5) {
             0 => Ok(FetchOutcome::Failed),
             1 => Ok(FetchOutcome::Changes),
             2 | 3 => Ok(FetchOutcome::Snapshot),
-            other => Err(record.error(RecordError::UnknownListKind(other))),
+            other => Err(record.frame_error(RecordError::UnknownListKind(other))),
         }
     }
 }
 
 /// An entry of an endpoint list.
 pub(crate) struct EndpointEntry {
-    /// Index of its cell.
+    /// Index of the endpoint's cell.
     pub cell: usize,
-    /// Index of its zone.
+    /// Index of the endpoint's zone.
     pub zone: usize,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: Address,
-    /// Its status.
+    /// Status of the endpoint.
     pub status: EndpointStatus,
-    /// Time of its start, seconds of the simulator's clock; none if it is unknown.
+    /// Start of the endpoint, in seconds of the simulator's clock; `None` if unknown.
     pub started_at: Option<f64>,
-    /// Its capacity relative to other endpoints.
+    /// Capacity of the endpoint relative to other endpoints.
     pub weight: f64,
 }
 
 impl EndpointEntry {
-    /// All entries of a list, in order; iteration fails at an entry with an unknown status.
+    /// Returns all entries of a list, in order. An entry with an unknown status is returned as an error.
     pub fn decode_all<'a>(
         record: &Record<'a>,
     ) -> Result<impl Iterator<Item = Result<EndpointEntry, FrameError>> + 'a, FrameError> {
@@ -196,7 +197,9 @@
             1 => EndpointStatus::Ready,
             2 => EndpointStatus::Draining,
             other => {
-                return Err(record.error(RecordError::UnknownEndpointStatus { entry: index, status: other }))
+                return Err(
+                    record.frame_error(RecordError::UnknownEndpointStatus { entry: index, status: other })
+                )
             }
         };
         let started_at = u64::from_le_bytes(bytes[10..18].try_into().expect("eight bytes"));
--- a/simulator-adapter/src/frame/batch.rs
+++ b/simulator-adapter/src/frame/batch.rs
@@ -1,8 +1,8 @@
-//! Frames of events: decoding.
+//! Decoding of event frames.
 use super::{seconds, FrameError, Record, EVENT_BYTES};
 use std::io::{self, ErrorKind, Read};
 
-/// Size of the header of an event frame, bytes.
+/// Size of the header of an event frame, in bytes.
 const HEADER_BYTES: usize = 16;
 
 /// The events of one point in simulated time.
@@ -10,7 +10,7 @@
 pub struct Batch {
     /// Number of records.
     records: usize,
-    /// The simulator's clock, microseconds.
+    /// Time of the simulator's clock, in microseconds.
     clock: u64,
     /// The records, followed by the tail.
     body: Vec<u8>,
@@ -20,9 +20,9 @@
 struct Header {
     /// Number of records.
     records: usize,
-    /// Length of the frame with its header, bytes.
+    /// Length of the frame including its header, in bytes.
     length: usize,
-    /// The simulator's clock, microseconds.
+    /// Time of the simulator's clock, in microseconds.
     clock: u64,
 }
 
@@ -38,8 +38,8 @@
     }
 }
 
-/// Reads one frame; none at the end of the input. The outer error is an I/O error or a truncated frame. The inner one is a frame
-/// that is complete but malformed; reading can continue after it.
+/// Reads one frame; returns `None` at the end of the input. The outer error is an I/O error or a truncated frame. The inner error is
+/// a complete but malformed frame, after which reading can continue.
 pub fn read(input: &mut impl Read) -> io::Result<Option<Result<Batch, FrameError>>> {
     let Some(Header { records, length, clock }) = read_header(input)? else { return Ok(None) };
     if length < HEADER_BYTES {
@@ -50,7 +50,7 @@
     input.take(body_length as u64).read_to_end(&mut body)?;
     if body.len() < body_length {
         let received = body.len() + HEADER_BYTES;
-        return Err(truncated(format!("frame cut short: {received} of {length} bytes")));
+        return Err(truncated(format!("truncated frame: received {received} of {length} bytes")));
     }
     if records.checked_mul(EVENT_BYTES).is_none_or(|bytes| bytes > body.len()) {
         let capacity = body.len() / EVENT_BYTES;
@@ -66,7 +66,9 @@
         match input.read(&mut header[received..])? {
             0 if received == 0 => return Ok(None),
             0 => {
-                return Err(truncated(format!("frame header cut short: {received} of {HEADER_BYTES} bytes")))
+                return Err(truncated(format!(
+                    "truncated frame header: received {received} of {HEADER_BYTES} bytes"
+                )))
             }
             read => received += read,
         }
@@ -74,17 +76,17 @@
     Ok(Some(Header::decode(header)))
 }
 
-fn truncated(text: String) -> io::Error {
-    io::Error::new(ErrorKind::UnexpectedEof, text)
+fn truncated(message: String) -> io::Error {
+    io::Error::new(ErrorKind::UnexpectedEof, message)
 }
 
 impl Batch {
-    /// The simulator's clock, seconds.
+    /// Returns the time of the simulator's clock, in seconds.
     pub(crate) fn now(&self) -> f64 {
         seconds(self.clock)
     }
 
-    /// The event records, in order.
+    /// Returns the event records, in order.
     pub(crate) fn records(&self) -> impl Iterator<Item = Record<'_>> {
         let (records, tail) = self.body.split_at(self.records * EVENT_BYTES);
         records.chunks_exact(EVENT_BYTES).enumerate().map(|(index, bytes)| Record::new(index, bytes, tail))
--- a/simulator-adapter/src/frame/error.rs
+++ b/simulator-adapter/src/frame/error.rs
@@ -1,19 +1,19 @@
-//! Faults of frames and records. The texts go back to the simulator.
+//! Errors in frames and records. Their texts are sent to the simulator.
 use super::ADDRESS_BYTES;
 
-/// A frame that is complete but can't be processed.
+/// Error for a frame that is complete but cannot be processed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
-    /// The frame is shorter than its own header, bytes.
-    #[error("frame length {length} is less than its header's {header}")]
+    /// The frame is shorter than its own header.
+    #[error("frame length of {length} bytes is less than the header length of {header} bytes")]
     FrameLength {
-        /// The length that the header announces.
+        /// Length that the header announces, in bytes.
         length: usize,
-        /// The length of the header.
+        /// Length of the header, in bytes.
         header: usize,
     },
-    /// The records do not fit into the frame.
-    #[error("header tells {announced} records, the frame holds {capacity}")]
+    /// The frame is too short for its records.
+    #[error("header announces {announced} records, but the frame has room for {capacity}")]
     RecordCount {
         /// Number of records that the header announces.
         announced: usize,
@@ -25,9 +25,9 @@
     Record {
         /// Position of the record in its frame, counted from 0.
         index: usize,
-        /// The code of the record.
+        /// Code of the record.
         code: u8,
-        /// What is wrong with it.
+        /// Why the record is invalid.
         error: RecordError,
     },
 }
@@ -35,46 +35,46 @@
 /// Why an event record is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecordError {
-    /// No record before it selects an instance.
-    #[error("no instance was named before it")]
+    /// No earlier record of the frame selects an instance.
+    #[error("no earlier record selects an instance")]
     NoInstance,
-    /// Its instance has not started, or has stopped.
-    #[error("instance {0} has not started")]
+    /// The instance has not started, or has stopped.
+    #[error("instance {0} is not running")]
     InstanceNotStarted(u32),
-    /// Its code is unknown.
-    #[error("unknown code")]
+    /// The code of the record is unknown.
+    #[error("unknown event code")]
     UnknownCode,
-    /// It refers to bytes outside the tail of the frame.
-    #[error("offset {offset} with {items} x {item_bytes} bytes lies outside the tail of {tail_bytes}")]
+    /// The record refers to bytes outside the tail of the frame.
+    #[error("{items} items of {item_bytes} bytes at offset {offset} exceed the tail of {tail_bytes} bytes")]
     OutsideTail {
-        /// Offset of the first item in the tail, bytes.
+        /// Offset of the first item in the tail, in bytes.
         offset: usize,
         /// Number of items.
         items: usize,
-        /// Size of an item, bytes.
+        /// Size of an item, in bytes.
         item_bytes: usize,
-        /// Size of the tail, bytes.
+        /// Size of the tail, in bytes.
         tail_bytes: usize,
     },
-    /// The settings of an instance can't be used.
+    /// The settings of an instance are invalid.
     #[error("{0}")]
     Settings(String),
-    /// The outcome of a delivery, of a health check or of a counter call is unknown.
+    /// The outcome of an attempt, a health check or a counter call is unknown.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
     /// The kind of an endpoint list is unknown.
-    #[error("unknown kind of list {0}")]
+    #[error("unknown kind of endpoint list {0}")]
     UnknownListKind(u8),
     /// The status of an endpoint is unknown.
-    #[error("entry {entry}: unknown state {status}")]
+    #[error("endpoint {entry}: unknown status {status}")]
     UnknownEndpointStatus {
         /// Position of the endpoint in its list, counted from 0.
         entry: usize,
-        /// The status.
+        /// The unknown status.
         status: u8,
     },
     /// The operation is not in the settings.
-    #[error("operation {operation} of {operations}")]
+    #[error("operation {operation} is out of range; the settings have {operations} operations")]
     UnknownOperation {
         /// Index of the operation.
         operation: usize,
@@ -82,7 +82,7 @@
         operations: usize,
     },
     /// The plan is not in the settings.
-    #[error("plan {plan} of {plans}")]
+    #[error("plan {plan} is out of range; the settings have {plans} plans")]
     UnknownPlan {
         /// Index of the plan.
         plan: usize,
@@ -90,23 +90,23 @@
         plans: usize,
     },
     /// The units of a request are negative or not finite.
-    #[error("{0} units")]
+    #[error("invalid number of units {0}; expected a finite number of at least 0")]
     InvalidUnits(f64),
-    /// The request is unknown or over.
-    #[error("invocation {0} is not held")]
+    /// The request is unknown, or has already ended.
+    #[error("unknown request {0}")]
     UnknownRequest(u32),
     /// The request has no such attempt.
-    #[error("delivery {attempt} of {attempts}")]
+    #[error("attempt {attempt} is out of range; the request has had {attempts} attempts")]
     UnknownAttempt {
         /// Index of the attempt.
         attempt: usize,
-        /// Number of attempts until now.
+        /// Number of attempts so far.
         attempts: usize,
     },
     /// The backend was never in an endpoint list.
-    #[error("backend {0:?} was never listed")]
+    #[error("backend {0:?} was never in an endpoint list")]
     UnknownBackend([u8; ADDRESS_BYTES]),
-    /// The body of a peer's message is not gossip.
-    #[error("no word of ours")]
+    /// The body of a peer's message is not valid gossip.
+    #[error("peer message is not valid gossip")]
     InvalidGossip,
 }
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The host of the instances: dispatches each event to its instance.
+//! The host of all instances, which dispatches each event to its instance.
 use crate::codes::EventCode;
 use crate::frame::{Batch, FrameError, Record, RecordError, Reply};
 use crate::instance::Instance;
@@ -12,8 +12,8 @@
 }
 
 impl Host {
-    /// Handles a batch of events and returns the frame of actions that replies to it. At a malformed record the batch ends, and the
-    /// reply reports the fault.
+    /// Handles a batch of events and returns the action frame that replies to it. Handling stops at a malformed record, and the reply
+    /// reports the error.
     pub fn handle(&mut self, batch: &Batch) -> Vec<u8> {
         let mut reply = Reply::default();
         if let Err(error) = self.handle_batch(batch, &mut reply) {
@@ -36,7 +36,7 @@
             } else if has_instance {
                 self.handle_event(now, code, &record, reply)?;
             } else {
-                return Err(record.error(RecordError::NoInstance));
+                return Err(record.frame_error(RecordError::NoInstance));
             }
         }
         if has_instance {
@@ -62,8 +62,8 @@
             code => {
                 let instance = self.instances.get_mut(&number);
                 let instance =
-                    instance.ok_or_else(|| record.error(RecordError::InstanceNotStarted(number)))?;
-                let code = code.ok_or_else(|| record.error(RecordError::UnknownCode))?;
+                    instance.ok_or_else(|| record.frame_error(RecordError::InstanceNotStarted(number)))?;
+                let code = code.ok_or_else(|| record.frame_error(RecordError::UnknownCode))?;
                 instance.handle_event(now, code, record, reply)
             }
         }
@@ -73,12 +73,12 @@
         let seed = record.u64(1);
         let settings = record.tail(9, 1)?;
         let loaded = settings::load(seed, settings)
-            .map_err(|error| record.error(RecordError::Settings(error.to_string())))?;
+            .map_err(|error| record.frame_error(RecordError::Settings(error.to_string())))?;
         self.instances.insert(number, Instance::new(loaded));
         Ok(())
     }
 
-    /// Ends the events of the selected instance: polls its policy engine.
+    /// Polls the policy engine of the selected instance after its events of the batch.
     fn poll_instance(&mut self, now: f64, reply: &mut Reply) {
         if let Some(instance) = self.instances.get_mut(&reply.instance()) {
             instance.poll(now, reply);
--- a/simulator-adapter/src/instance.rs
+++ b/simulator-adapter/src/instance.rs
@@ -1,5 +1,5 @@
-//! One gateway instance: its requests, interned ids and timer. Events become calls of the policy engine, and the engine's decisions
-//! and effects become actions; no decision is made here.
+//! One simulated gateway instance: its requests, interned ids and timer. It turns events into calls of the policy engine, and the
+//! engine's decisions and effects into actions. It makes no decisions itself.
 use crate::actions;
 use crate::codes::EventCode;
 use crate::events::{
@@ -13,35 +13,35 @@
 use quillramp::types::*;
 use std::collections::HashMap;
 
-/// Low bits of the name of a count that hold the customer's id; the high bits hold the series.
+/// Number of low bits of a counter's name that contain the customer's id. The high bits contain the series.
 const CUSTOMER_BITS: u32 = 33;
-/// Selects the customer's id in the name of a count.
+/// Mask of the customer's id in a counter's name.
 const CUSTOMER_MASK: u64 = (1 << CUSTOMER_BITS) - 1;
-/// The longest timer, seconds; when it fires the engine is polled for the next one.
+/// Maximum duration of a timer, in seconds. When it fires, the engine is polled for the next timer.
 const MAX_TIMER_SECONDS: f64 = 3600.0;
 
-/// A request that has no response yet, or still has attempts in flight.
+/// A request that has no final answer yet, or has attempts in flight.
 struct Request {
     id: RequestId,
     attributes: RequestAttributes,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     in_flight: usize,
-    /// Attempts until now.
+    /// Number of attempts so far.
     attempts: usize,
-    /// Whether it has its response, or was aborted by its client.
+    /// Whether the request has its final answer, or was aborted by its client.
     is_closed: bool,
 }
 
-/// The timer that is set.
+/// The current timer.
 #[derive(Default)]
 struct Timer {
-    /// When it fires, microseconds of the simulator's clock; none if no timer is set.
+    /// When the timer fires, in microseconds of the simulator's clock; `None` if no timer is set.
     fires_at: Option<u64>,
-    /// Its number: the count of timers set until now. Earlier timers are ignored when they fire.
+    /// Number of the timer, which is the number of timers set so far. Earlier timers are ignored when they fire.
     number: u64,
 }
 
-/// A gateway instance of the simulator.
+/// A simulated gateway instance.
 pub(crate) struct Instance {
     engine: PolicyEngine,
     /// Number of all instances.
@@ -62,7 +62,7 @@
 }
 
 impl Instance {
-    /// An instance without requests.
+    /// Creates an instance without requests.
     pub fn new(loaded: settings::Loaded) -> Instance {
         Instance {
             engine: loaded.engine,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Handles one event; fails if its record is invalid. `now` is the simulator's clock, seconds.
+    /// Handles one event; fails if its record is invalid. `now` is the time of the simulator's clock, in seconds.
     pub fn handle_event(
         &mut self,
         now: f64,
@@ -103,12 +103,12 @@
                 self.timer_fired(record);
                 Ok(())
             }
-            // The host handles these.
+            // The host handles these events.
             EventCode::Instance | EventCode::Started | EventCode::Stopped => Ok(()),
         }
     }
 
-    /// Polls the engine after a batch of events: applies its effects, routes requests that it reconsiders, and sets the next timer.
+    /// Polls the engine after a batch of events: applies its effects, routes the requests that it returns, and sets the next timer.
     pub fn poll(&mut self, now: f64, reply: &mut Reply) {
         loop {
             let output = self.engine.poll(now);
@@ -149,13 +149,13 @@
         let RequestSubmitted { id, operation, plan, units, .. } = event;
         if operation >= self.operations {
             let operations = self.operations;
-            return Err(record.error(RecordError::UnknownOperation { operation, operations }));
+            return Err(record.frame_error(RecordError::UnknownOperation { operation, operations }));
         }
         if plan >= self.plans {
-            return Err(record.error(RecordError::UnknownPlan { plan, plans: self.plans }));
+            return Err(record.frame_error(RecordError::UnknownPlan { plan, plans: self.plans }));
         }
         if !units.is_finite() || units < 0.0 {
-            return Err(record.error(RecordError::InvalidUnits(units)));
+            return Err(record.frame_error(RecordError::InvalidUnits(units)));
         }
         let customer = self.customers.intern(&event.customer);
         let attributes = RequestAttributes {
@@ -185,13 +185,13 @@
         let event = AttemptEnded::decode(record);
         let index = self.request_index(record)?;
         let Some(backend) = self.backends.get(&event.address) else {
-            return Err(record.error(RecordError::UnknownBackend(event.address)));
+            return Err(record.frame_error(RecordError::UnknownBackend(event.address)));
         };
         let result = AttemptEnded::result(record)?;
-        let request = self.requests[index].as_mut().expect("an id leads to a held request");
+        let request = self.requests[index].as_mut().expect("every id in the map belongs to a stored request");
         if event.attempt >= request.attempts {
             let error = RecordError::UnknownAttempt { attempt: event.attempt, attempts: request.attempts };
-            return Err(record.error(error));
+            return Err(record.frame_error(error));
         }
         request.in_flight = request.in_flight.saturating_sub(1);
         request.is_closed |= event.is_closed;
@@ -251,9 +251,9 @@
                 let message = GossipMessage::CounterTotal { key, plan, instances, total };
                 self.engine.gossip_received(now, message);
             }
-            // A plan that is not in this instance's settings.
+            // The plan is not in the settings of this instance.
             Some(_) => {}
-            None => return Err(record.error(RecordError::InvalidGossip)),
+            None => return Err(record.frame_error(RecordError::InvalidGossip)),
         }
         Ok(())
     }
@@ -266,14 +266,15 @@
         }
     }
 
-    /// Turns the engine's decision on a request, and its effects, into actions.
+    /// Turns the engine's decision on a request and its effects into actions.
     fn apply(&mut self, index: RequestIndex, output: PolicyOutput, reply: &mut Reply) {
-        let request = self.requests[index].as_mut().expect("decided on a held request");
+        let request = self.requests[index].as_mut().expect("the engine decides only on stored requests");
         match output.decision {
             Decision::Forward { backend } => {
                 request.in_flight += 1;
                 request.attempts += 1;
-                let address = self.backends.resolve(backend).expect("the engine names listed backends");
+                let address =
+                    self.backends.resolve(backend).expect("the engine names only interned backends");
                 actions::deliver(reply, request.id, address);
             }
             Decision::Pending => {}
@@ -312,11 +313,12 @@
         }
     }
 
-    /// Sends gossip: a recovered backend to all peers, a customer's total to the instances that share the customer.
+    /// Sends gossip: the recovery of a backend to all peers, a customer's total to the other instances that the customer uses.
     fn send_gossip(&self, message: GossipMessage, reply: &mut Reply) {
         match message {
             GossipMessage::BackendRecovered { backend } => {
-                let address = self.backends.resolve(backend).expect("the engine names listed backends");
+                let address =
+                    self.backends.resolve(backend).expect("the engine names only interned backends");
                 actions::broadcast(reply, &gossip::encode(&WireMessage::BackendRecovered(address.to_vec())));
             }
             GossipMessage::CounterTotal { key, plan, instances, total } => {
@@ -328,44 +330,44 @@
                     series: key.series,
                     total,
                 });
-                let sharing = (instances.first..instances.first + instances.count)
+                let recipients = (instances.first..instances.first + instances.count)
                     .map(|instance| instance % self.instances);
-                for peer in sharing.filter(|peer| *peer != self.instance_index) {
+                for peer in recipients.filter(|peer| *peer != self.instance_index) {
                     actions::send(reply, peer, &body);
                 }
             }
         }
     }
 
-    /// Sets a timer. Timers can't be cancelled, so a new one is set only if it fires before the one that is set.
+    /// Sets a timer. Timers cannot be cancelled, so a new one is set only if it fires before the current one.
     fn set_timer(&mut self, now: f64, seconds: Option<f64>, reply: &mut Reply) {
         let Some(seconds) = seconds else { return };
         let seconds = seconds.clamp(0.0, MAX_TIMER_SECONDS);
         let fires_at = microseconds(now + seconds) as u64;
-        if self.timer.fires_at.is_none_or(|earlier| fires_at < earlier) {
+        if self.timer.fires_at.is_none_or(|current| fires_at < current) {
             self.timer.number += 1;
             self.timer.fires_at = Some(fires_at);
             actions::set_timer(reply, self.timer.number, seconds);
         }
     }
 
-    /// The index of the request that an event is about.
+    /// Returns the index of the request that an event concerns.
     fn request_index(&self, record: &Record) -> Result<RequestIndex, FrameError> {
         let id = events::request_id(record);
         let index = self.request_indices.get(&id).copied();
-        index.ok_or_else(|| record.error(RecordError::UnknownRequest(id)))
+        index.ok_or_else(|| record.frame_error(RecordError::UnknownRequest(id)))
     }
 
     /// Forgets a request once it is closed and has no attempt in flight.
     fn release_if_done(&mut self, index: RequestIndex) {
         let is_done = |request: &Request| request.is_closed && request.in_flight == 0;
         if self.requests[index].as_ref().is_some_and(is_done) {
-            let request = self.requests.release(index).expect("it is held");
+            let request = self.requests.release(index).expect("the request is stored");
             self.request_indices.remove(&request.id);
         }
     }
 
     fn customer_id(&self, customer: CustomerIndex) -> u64 {
-        *self.customers.resolve(customer).expect("the engine names known customers")
+        *self.customers.resolve(customer).expect("the engine names only interned customers")
     }
 }
--- a/simulator-adapter/src/lib.rs
+++ b/simulator-adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! The simulator adapter: runs instances of the policy engine behind the wire protocol of the bench. It translates frames of events
-//! into calls of `quillramp::policy`, and the engine's decisions and effects into frames of actions.
+//! Runs instances of the policy engine for a simulator, behind the simulator's wire protocol. The adapter translates event frames into
+//! calls of `quillramp::policy`, and the engine's decisions and effects into action frames.
 #![warn(missing_docs)]
 mod actions;
 mod codes;
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! quillramp-simulator-adapter: the simulator adapter on standard input and output. It has no options: the simulator starts it and sends
-//! a frame of events at a time, and each is replied to by one frame of actions. Exit codes: 0 at the end of the input, 1 where reading
-//! or writing fails.
+//! quillramp-simulator-adapter: serves a simulator on standard input and output. The simulator starts the program, which has no options,
+//! and sends event frames. Each is answered by one action frame before the next one is read. Exit codes: 0 at the end of the input, 1
+//! if reading or writing fails.
 use quillramp_simulator_adapter::frame::{self, Reply};
 use quillramp_simulator_adapter::Host;
 use std::io::{self, Write};
--- a/simulator-adapter/tests/malformed.rs
+++ b/simulator-adapter/tests/malformed.rs
@@ -1,20 +1,21 @@
-//! Malformed frames of the drill's protocol: each error is reported, and none causes a panic.
+//! Malformed frames of the simulator's wire protocol: each is reported as an error, and none causes a panic.
 use expect_test::expect;
 use quillramp_simulator_adapter::frame::{self, ACTION_BYTES, EVENT_BYTES};
 use quillramp_simulator_adapter::Host;
 
+/// Size of the header of an event frame, in bytes.
 const HEADER_BYTES: usize = 16;
-/// Bytes of a reply before its actions.
+/// Size of the header of an action frame, in bytes.
 const REPLY_HEADER_BYTES: usize = 8;
-/// The clock in each frame's header.
+/// Simulated time in the header of each frame, in microseconds.
 const CLOCK: u64 = 7_000_000;
 
-/// Codes of event records.
+// Codes of event records.
 const INSTANCE: u8 = 10;
 const STARTED: u8 = 60;
 const SUBMITTED: u8 = 120;
 
-/// A frame of these event records and this tail.
+/// Encodes a frame with these event records and this tail.
 fn frame_bytes(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let length = HEADER_BYTES + records.len() * EVENT_BYTES + tail.len();
     let mut bytes = (records.len() as u32).to_le_bytes().to_vec();
@@ -28,22 +29,22 @@
     bytes
 }
 
-/// The error that is reported for a frame of these event records and this tail.
+/// Returns the error that is reported for a frame with these event records and this tail.
 fn reported_error(records: &[Vec<u8>], tail: &[u8]) -> String {
     match frame::read(&mut &frame_bytes(records, tail)[..]) {
-        Err(error) => format!("stop: {error}\n"),
-        Ok(None) => "end\n".into(),
-        Ok(Some(Err(error))) => format!("broken: {error}\n"),
+        Err(error) => format!("fatal: {error}\n"),
+        Ok(None) => "end of input\n".into(),
+        Ok(Some(Err(error))) => format!("malformed: {error}\n"),
         Ok(Some(Ok(batch))) => {
             let reply = Host::default().handle(&batch);
             let actions = u32::from_le_bytes(reply[..4].try_into().expect("four bytes")) as usize;
             let message = &reply[REPLY_HEADER_BYTES + actions * ACTION_BYTES..];
-            format!("broken: {}\n", String::from_utf8_lossy(message))
+            format!("malformed: {}\n", String::from_utf8_lossy(message))
         }
     }
 }
 
-/// The record that starts an instance with settings of this length at the start of the tail.
+/// Encodes a record that starts an instance. Its settings have this length and are at the start of the tail.
 fn start_record(settings_length: u8) -> Vec<u8> {
     let offset_and_length = [0, 0, 0, 0, settings_length, 0, 0, 0];
     [vec![STARTED], vec![0; 8], offset_and_length.to_vec()].concat()
@@ -57,15 +58,16 @@
     errors += &reported_error(&[instance.clone(), start_record(9)], b"short");
     errors += &reported_error(&[instance.clone(), start_record(5)], b"short");
     errors += &reported_error(&[instance, start_record(13)], b"{\"tiers\": []}");
-    let truncated = frame::read(&mut &[1u8, 0, 0][..]).map(|_| ()).expect_err("cut short");
-    errors += &format!("stop: {truncated}\n");
+    let truncated =
+        frame::read(&mut &[1u8, 0, 0][..]).map(|_| ()).expect_err("a truncated header is an error");
+    errors += &format!("fatal: {truncated}\n");
     expect![[r#"
-        broken: record 0 (code 120): no instance was named before it
-        broken: record 1 (code 120): instance 3 has not started
-        broken: record 1 (code 60): offset 0 with 9 x 1 bytes lies outside the tail of 5
-        broken: record 1 (code 60): settings: expected value at line 1 column 1
-        broken: record 1 (code 60): settings: missing field `balancers` at line 1 column 13
-        stop: frame header cut short: 3 of 16 bytes
+        malformed: record 0 (code 120): no earlier record selects an instance
+        malformed: record 1 (code 120): instance 3 is not running
+        malformed: record 1 (code 60): 9 items of 1 bytes at offset 0 exceed the tail of 5 bytes
+        malformed: record 1 (code 60): settings: expected value at line 1 column 1
+        malformed: record 1 (code 60): settings: missing field `balancers` at line 1 column 13
+        fatal: truncated frame header: received 3 of 16 bytes
     "#]]
     .assert_eq(&errors);
 }
