--- a/examples/example_backend.rs
+++ b/examples/example_backend.rs
@@ -1,5 +1,5 @@
-//! Example backends for one gateway instance, on loopback, with a counter and a list service, from their public
-//! descriptions. `example_backend` starts them where `examples/configuration.json` looks for them;
+//! Example backends, counter and list service for one gateway instance, on loopback, implemented from the public descriptions of
+//! their protocols. `example_backend` starts them at the addresses in `examples/configuration.json`.
 //! `example_backend call OPERATION N` sends N requests to the instance, one after another, and prints the replies.
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Result, Write};
@@ -9,10 +9,10 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// How long the operation `slow` takes.
+/// Duration of the operation `slow`.
 const SLOW_OPERATION: Duration = Duration::from_millis(300);
 
-/// Runs `serve` on a thread of its own for each connection.
+/// Accepts connections and runs `serve` for each of them, on a new thread.
 pub fn serve_connections(
     listener: TcpListener,
     serve: impl Fn(TcpStream) -> Result<()> + Clone + Send + 'static,
@@ -20,13 +20,13 @@
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
-            let _ = stream.set_nodelay(true); // with Nagle's algorithm, a reply in several writes is delayed
-            spawn(move || serve(stream)); // an error ends this connection only
+            let _ = stream.set_nodelay(true); // Nagle's algorithm would delay a reply that takes several writes
+            spawn(move || serve(stream)); // an error closes only this connection
         }
     });
 }
 
-/// Reads one RESP2 array of bulk strings; `None` at the end of the connection.
+/// Reads one RESP2 array of bulk strings; returns `None` at the end of the connection.
 pub fn command(reader: &mut impl BufRead) -> Result<Option<Vec<String>>> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
@@ -42,37 +42,37 @@
     Ok(Some(items))
 }
 
-/// The length that the first line of a RESP2 array or bulk string announces; 0 if it is not a number.
+/// Returns the length in the first line of a RESP2 array or bulk string; 0 if it is not a number.
 fn length(line: &str) -> usize {
     line[1..].trim().parse().unwrap_or(0)
 }
 
-/// Reads a bulk string of this length, and the line break after it.
+/// Reads a bulk string of this length and the line break after it.
 fn read_bulk_string(reader: &mut impl BufRead, length: usize) -> Result<String> {
     let mut bytes = vec![0; length + 2];
     reader.read_exact(&mut bytes)?;
     Ok(String::from_utf8_lossy(&bytes[..length]).into_owned())
 }
 
-/// Starts a backend that replies to each request with its own name, the operation and the body. The operation named
-/// `slow` takes 300 ms, the one named `fail` fails.
+/// Starts a backend that replies to each request with the name of the backend, the operation and the body. The operation `slow`
+/// takes 300 ms, and the operation `fail` fails.
 pub fn start_backend(listener: TcpListener, name: &'static str) {
     start_backend_with_statistics(listener, name, Arc::default());
 }
 
-/// Requests of one plan in flight at the backends.
+/// Number of requests of one plan that are in flight at the backends.
 #[derive(Default)]
 pub struct InFlight {
-    /// How many there are.
+    /// Current number.
     pub now: usize,
-    /// The most that there ever were at once.
+    /// Highest number so far.
     pub peak: usize,
 }
 
-/// Requests in flight, by the name of their plan; backends may share it.
+/// Requests in flight by the name of their plan. Several backends may share one map.
 pub type InFlightByPlan = Arc<Mutex<HashMap<String, InFlight>>>;
 
-/// Starts a backend as [`start_backend`] does, which counts its requests in flight. With each reply it reports a low load.
+/// Starts a backend like [`start_backend`] that also counts its requests in flight and reports a low load with each reply.
 pub fn start_backend_with_statistics(listener: TcpListener, name: &'static str, in_flight: InFlightByPlan) {
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -98,12 +98,12 @@
     });
 }
 
-/// Writes a backend's reply: a value, no billed units, and a load report.
+/// Writes the reply of a backend: a value, no billed units, and a load report.
 fn write_value(writer: &mut impl Write, value: &str) -> Result<()> {
     write!(writer, "*3\r\n${}\r\n{value}\r\n$-1\r\n$15\r\nload_share=0.25\r\n", value.len())
 }
 
-/// The value with this prefix in a list of names and values.
+/// Returns the value with this prefix in a comma-separated list of arguments; `?` if there is none.
 fn argument<'a>(list: &'a str, prefix: &str) -> &'a str {
     list.split(',').find_map(|pair| pair.strip_prefix(prefix)).unwrap_or("?")
 }
@@ -120,7 +120,7 @@
     by_plan.entry(plan.into()).and_modify(|requests| requests.now -= 1);
 }
 
-/// Reads the head of an HTTP request without a body and returns its target; `None` at the end of the connection.
+/// Reads an HTTP request without a body and returns its target; `None` at the end of the connection.
 pub fn target(reader: &mut impl BufRead) -> Result<Option<String>> {
     let mut request_line = String::new();
     if reader.read_line(&mut request_line)? == 0 {
@@ -133,14 +133,14 @@
     Ok(request_line.split(' ').nth(1).map(str::to_owned))
 }
 
-/// The number with this name in the query of a target; 0 if there is none.
+/// Returns the number with this name in the query of a request target; 0 if there is none.
 pub fn number(target: &str, name: &str) -> f64 {
     let query = target.split_once('?').map_or("", |(_, query)| query);
     let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     value.and_then(|value| value.parse().ok()).unwrap_or(0.0)
 }
 
-/// Starts the shared counter.
+/// Starts the counter.
 pub fn start_counter(listener: TcpListener) {
     let totals: Arc<Mutex<HashMap<String, f64>>> = Arc::default();
     serve_connections(listener, move |stream| {
@@ -155,7 +155,7 @@
     });
 }
 
-/// Adds to the total of this name; returns the new total.
+/// Adds `delta` to the counter with this name; returns the new total.
 fn add(totals: &Mutex<HashMap<String, f64>>, name: String, delta: f64) -> f64 {
     let mut totals = totals.lock().expect("no thread panics while it holds the lock");
     let total = totals.entry(name).or_default();
@@ -163,12 +163,12 @@
     *total
 }
 
-/// Writes an HTTP response with this body.
+/// Writes an HTTP response with status 200 and this body.
 pub fn write_ok(writer: &mut impl Write, body: &str) -> Result<()> {
     write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Starts the list service. Its endpoint list never changes: a watch ends with its time-out and reports no change.
+/// Starts the list service. Its endpoint list never changes, so a watch waits for its timeout and then reports no change.
 pub fn start_list_service(listener: TcpListener, endpoint_list: String) {
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -185,31 +185,31 @@
     });
 }
 
-/// The gateway instances through which a customer's requests arrive.
+/// The gateway instances that a customer uses.
 #[derive(Clone, Copy)]
 pub struct InstanceRange {
-    /// The slot of the first one.
+    /// Index of the first instance.
     pub first: usize,
-    /// How many there are.
+    /// Number of instances.
     pub count: usize,
 }
 
-/// One request as a client writes it; operations other than `look` and `slow` are not idempotent.
+/// Encodes a request of the plan `small`. Operations other than `look` and `slow` are not idempotent.
 pub fn request(operation: &str, timeout_ms: u64) -> String {
     request_of_plan("small", InstanceRange { first: 0, count: 1 }, operation, timeout_ms)
 }
 
-/// One request under this plan, of a customer whose requests arrive through these gateway instances.
+/// Encodes a request of this plan, by a customer that uses these gateway instances.
 pub fn request_of_plan(plan: &str, instances: InstanceRange, operation: &str, timeout_ms: u64) -> String {
-    static ID: AtomicU64 = AtomicU64::new(1);
+    static NEXT_ID: AtomicU64 = AtomicU64::new(1);
     let (verb, body) =
         if matches!(operation, "look" | "slow") { ("CALL.GET", "") } else { ("CALL.POST", "$4\r\nbody\r\n") };
     let InstanceRange { first, count } = instances;
     let arguments = format!("c={operation},t={plan},d={timeout_ms},units=1,spread={count},first={first}");
     let item_count = if body.is_empty() { 4 } else { 5 };
-    // One customer of each plan, as long as no two names of plans have the same length.
+    // Each plan has its own customer, provided that no two plan names have the same length.
     let customer = format!("{:016x}", plan.len());
-    let id = format!("{:016x}", ID.fetch_add(1, Ordering::Relaxed));
+    let id = format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
     format!(
         "*{item_count}\r\n${}\r\n{verb}\r\n$16\r\n{customer}\r\n$16\r\n{id}\r\n${}\r\n{arguments}\r\n{body}",
         verb.len(),
@@ -217,7 +217,7 @@
     )
 }
 
-/// Reads one reply: the value if it has one, else its line.
+/// Reads one reply; returns its value if it has one, otherwise its line.
 pub fn read_reply(reader: &mut impl BufRead) -> Result<String> {
     let mut line = String::new();
     reader.read_line(&mut line)?;
@@ -236,14 +236,14 @@
         writer.write_all(request(operation, 1000).as_bytes())?;
         let reply = read_reply(&mut reader)?;
         if reply.is_empty() {
-            return Err(std::io::Error::other("the gateway closed the connection without an answer"));
+            return Err(std::io::Error::other("the gateway closed the connection without a reply"));
         }
         println!("{reply}");
     }
     Ok(())
 }
 
-/// The entry of one backend in the endpoint list.
+/// Returns the entry of one backend in the endpoint list.
 #[allow(dead_code)] // see `main`
 fn entry(name: &str, port: u16) -> String {
     format!(
--- a/tests/large_endpoint_list.rs
+++ b/tests/large_endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The choice of a backend from a list of thousands: only backends that may get an attempt are chosen, at a cost that does not
-//! grow with the list.
+//! Selection of a backend from an endpoint list with thousands of entries: only backends that may get an attempt are selected, and
+//! the cost does not grow with the list.
 use quillramp::policy::PolicyEngine;
 use quillramp::types::*;
 use std::collections::BTreeMap;
@@ -7,15 +7,15 @@
 
 mod fixtures;
 
-/// Backends of the largest list.
-const LARGE: usize = 3800;
-/// Backends of the longest list that is scanned completely.
-const SMALL: usize = 256;
+/// Number of backends in a large list.
+const LARGE_LIST_LENGTH: usize = 3800;
+/// Number of backends in the longest list that is scanned completely.
+const SMALL_LIST_LENGTH: usize = 256;
 
-/// Time at which each endpoint list is complete, seconds.
+/// Time of the first endpoint list, in seconds.
 const START: f64 = 30.0;
 
-/// A policy engine and the clock and the requests of its test.
+/// A policy engine with a clock and a sequence of requests.
 struct EndpointSelection {
     engine: PolicyEngine,
     requests: usize,
@@ -39,14 +39,14 @@
         EndpointSelection { engine, requests: 0, now: START }
     }
 
-    /// Forwards one request and completes it; returns its backend, `None` if it was not forwarded.
+    /// Submits one request and completes it; returns its backend, or `None` if it was not forwarded.
     fn select(&mut self) -> Option<BackendIndex> {
         let backend = self.submit()?;
         self.complete(self.requests - 1, backend);
         Some(backend)
     }
 
-    /// Submits one request; returns the backend that it was forwarded to, `None` if there was none.
+    /// Submits one request; returns its backend, or `None` if it was not forwarded.
     fn submit(&mut self) -> Option<BackendIndex> {
         self.now += 0.004;
         self.engine.poll(self.now);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The request succeeds at once.
+    /// Ends the attempt of a request with a success, and closes the request.
     fn complete(&mut self, request: RequestIndex, backend: BackendIndex) {
         let outcome = AttemptOutcome { backend, ..fixtures::succeeded(0.002) };
         self.engine.attempt_ended(self.now, request, &outcome);
@@ -75,7 +75,7 @@
     }
 }
 
-/// A list of ready backends.
+/// Returns a list of ready backends.
 fn ready_endpoints(backends: usize) -> Vec<Endpoint> {
     (0..backends).map(fixtures::ready_endpoint).collect()
 }
@@ -83,7 +83,7 @@
 #[test]
 fn the_only_ready_backend_is_found_among_thousands() {
     const READY: BackendIndex = 1234;
-    let mut endpoints = ready_endpoints(LARGE);
+    let mut endpoints = ready_endpoints(LARGE_LIST_LENGTH);
     for endpoint in &mut endpoints {
         if endpoint.backend != READY {
             endpoint.status = EndpointStatus::Draining;
@@ -95,9 +95,9 @@
     }
 }
 
-/// In each block of 40 backends one stays ready; the others drain or are removed.
+/// Returns a list in which the backends whose index is `ready` modulo 40 are ready; the others are draining or removed.
 fn endpoints_with_one_in_40_ready(ready: usize) -> Vec<Endpoint> {
-    let mut endpoints = ready_endpoints(LARGE);
+    let mut endpoints = ready_endpoints(LARGE_LIST_LENGTH);
     for endpoint in &mut endpoints {
         if endpoint.backend % 40 != ready {
             let is_removed = endpoint.backend % 3 == 0;
@@ -108,17 +108,21 @@
 }
 
 #[test]
-fn a_change_of_a_large_endpoint_list_is_in_force_for_the_next_request() {
-    let mut selection = EndpointSelection::new(&ready_endpoints(LARGE));
+fn a_change_of_a_large_endpoint_list_applies_to_the_next_request() {
+    let mut selection = EndpointSelection::new(&ready_endpoints(LARGE_LIST_LENGTH));
     for round in 0..40 {
         let now = selection.now;
         selection.engine.update_endpoints(now, false, &endpoints_with_one_in_40_ready(round));
-        // The first of the ready backends is ejected manually.
+        // An operator ejects the first ready backend.
         selection.engine.set_manual_ejection(now, round, Some(now));
         for _ in 0..50 {
-            let backend = selection.select().expect("a ready backend");
-            assert_eq!(backend % 40, round, "round {round}: forwarded to {backend}, which is not ready");
-            assert_ne!(backend, round, "round {round}: forwarded to the ejected backend");
+            let backend = selection.select().expect("a backend is ready");
+            assert_eq!(
+                backend % 40,
+                round,
+                "round {round}: forwarded to backend {backend}, which is not ready"
+            );
+            assert_ne!(backend, round, "round {round}: forwarded to backend {backend}, which is ejected");
         }
     }
 }
@@ -126,27 +130,30 @@
 #[test]
 fn thousands_of_warming_backends_get_their_fraction_of_the_requests() {
     let just_started = |endpoint: Endpoint| Endpoint { started_at: Some(START), ..endpoint };
-    let endpoints: Vec<Endpoint> = ready_endpoints(LARGE).into_iter().map(just_started).collect();
+    let endpoints: Vec<Endpoint> = ready_endpoints(LARGE_LIST_LENGTH).into_iter().map(just_started).collect();
     let mut selection = EndpointSelection::new(&endpoints);
-    // Meanwhile they warm up from 0.2 to 0.3 of their capacity, and are open to that fraction of the requests.
+    // During the requests the backends warm up from 0.2 to 0.3 of their capacity, and accept that fraction of the requests.
     let forwarded = (0..300).filter(|_| selection.select().is_some()).count();
-    assert!((45..=110).contains(&forwarded), "{forwarded} of 300");
+    assert!((45..=110).contains(&forwarded), "forwarded {forwarded} of 300 requests, expected 45 to 110");
 }
 
 #[test]
-fn attempts_spread_over_a_large_endpoint_list_and_go_to_the_least_loaded_backends() {
-    let mut selection = EndpointSelection::new(&ready_endpoints(LARGE));
+fn attempts_spread_over_a_large_endpoint_list_and_go_to_lightly_loaded_backends() {
+    let mut selection = EndpointSelection::new(&ready_endpoints(LARGE_LIST_LENGTH));
     let mut in_flight: BTreeMap<BackendIndex, usize> = BTreeMap::new();
     for _ in 0..400 {
-        let backend = selection.submit().expect("a backend with capacity");
+        let backend = selection.submit().expect("a backend has capacity");
         *in_flight.entry(backend).or_default() += 1;
     }
-    assert!(in_flight.len() > 300, "{} backends", in_flight.len());
+    assert!(in_flight.len() > 300, "attempts went to {} backends, expected more than 300", in_flight.len());
     let most = in_flight.values().max();
-    assert!(most.is_some_and(|most| *most <= 3), "{most:?} at one backend");
+    assert!(
+        most.is_some_and(|most| *most <= 3),
+        "{most:?} attempts in flight at one backend, expected at most 3"
+    );
 }
 
-/// Duration of the quickest of five rounds of choices.
+/// Returns the duration of the fastest of five rounds of 400 selections.
 fn fastest_round(selection: &mut EndpointSelection) -> Duration {
     let mut round = || {
         let start = Instant::now();
@@ -159,9 +166,12 @@
 }
 
 #[test]
-fn a_choice_costs_no_more_from_a_large_endpoint_list() {
-    let small = fastest_round(&mut EndpointSelection::new(&ready_endpoints(SMALL)));
-    let large = fastest_round(&mut EndpointSelection::new(&ready_endpoints(LARGE)));
-    // Fifteen times as many backends.
-    assert!(large < 3 * small, "{large:?} from {LARGE} backends, {small:?} from {SMALL}");
+fn a_selection_from_a_large_endpoint_list_costs_no_more_than_from_a_small_one() {
+    let small = fastest_round(&mut EndpointSelection::new(&ready_endpoints(SMALL_LIST_LENGTH)));
+    let large = fastest_round(&mut EndpointSelection::new(&ready_endpoints(LARGE_LIST_LENGTH)));
+    // The large list has fifteen times as many backends.
+    assert!(
+        large < 3 * small,
+        "{large:?} with {LARGE_LIST_LENGTH} backends is not less than 3 x {small:?} with {SMALL_LIST_LENGTH}"
+    );
 }
--- a/tests/shared_quota.rs
+++ b/tests/shared_quota.rs
@@ -1,5 +1,5 @@
-//! Many gateway instances lease one customer's quota from one shared count: what all of them admit together against what the
-//! quota allows.
+//! Many gateway instances lease one customer's quota from a shared counter. Tests compare the units that all of them admit with those
+//! that the quota allows.
 use quillramp::policy::PolicyEngine;
 use quillramp::types::*;
 use rand::{Rng, SeedableRng};
@@ -8,18 +8,19 @@
 
 mod fixtures;
 
-/// Seconds from the start of an attempt to its answer.
+/// Duration of each attempt, in seconds.
 const SERVICE_TIME: f64 = 0.01;
 
 const BACKENDS: usize = 50;
-/// Time of the first request, and the duration of a simulation, seconds.
+/// Start time of a simulation, in seconds.
 const START: f64 = 31.0;
+/// Duration of a simulation, in seconds.
 const DURATION: f64 = 60.0;
 
-/// Gateway instances that share a counter which answers each call at once.
+/// Gateway instances that share a counter, which answers each call immediately.
 struct Fleet {
     instances: Vec<PolicyEngine>,
-    /// Totals on the counter, by series.
+    /// Totals of the counter, by series.
     totals: BTreeMap<u32, f64>,
     requests: usize,
 }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The request's first attempt succeeds.
+    /// Ends the first attempt of a request with a success.
     fn succeed(&mut self, now: f64, instance: usize, request: RequestIndex, backend: BackendIndex) {
         let outcome = AttemptOutcome { backend, ..fixtures::succeeded(SERVICE_TIME) };
         let output = self.instances[instance].attempt_ended(now, request, &outcome);
@@ -79,13 +80,13 @@
         self.instances[instance].request_closed(now, request);
     }
 
-    /// Polls an instance's timers, which may call the counter.
+    /// Polls the timers of an instance, which may call the counter.
     fn poll(&mut self, now: f64, instance: usize) {
         let output = self.instances[instance].poll(now);
         self.answer_counter_calls(now, instance, output.effects.counter_calls);
     }
 
-    /// The counter answers these calls at once, and those that its answers cause.
+    /// Answers these counter calls immediately, and then the calls that the answers cause.
     fn answer_counter_calls(&mut self, now: f64, instance: usize, calls: Vec<CounterCall>) {
         let mut calls = VecDeque::from(calls);
         while let Some(call) = calls.pop_front() {
@@ -99,32 +100,32 @@
     }
 }
 
-/// What a quota allows: a token bucket that holds the burst and refills at the rate.
+/// The token bucket of a quota, which has the capacity of the burst and refills at the rate.
 struct TokenBucket {
     units: f64,
     updated_at: f64,
 }
 
 impl TokenBucket {
-    /// Takes units as far as there are any; returns how many were beyond that.
+    /// Takes units from the bucket; returns the number of units that it did not contain.
     fn take(&mut self, now: f64, plan: &Plan, units: f64) -> f64 {
         self.units = (self.units + plan.rate * (now - self.updated_at)).min(plan.burst);
         self.updated_at = now;
-        let beyond = (units - self.units).max(0.0);
+        let excess = (units - self.units).max(0.0);
         self.units = (self.units - units).max(0.0);
-        beyond
+        excess
     }
 }
 
-/// The units that were admitted.
+/// Admitted units in comparison with the quota.
 struct Usage {
-    /// As a fraction of those that the quota allows.
+    /// Admitted units as a fraction of those that the quota allows.
     fraction_of_quota: f64,
-    /// Fraction of them that was beyond the quota.
-    fraction_beyond: f64,
+    /// Fraction of the admitted units that exceeded the quota.
+    excess_fraction: f64,
 }
 
-/// A customer requests a multiple of its rate, at instances drawn at random.
+/// Simulates a customer that requests `demand_factor` times its rate, at randomly drawn instances.
 fn simulate(instances: usize, demand_factor: f64, seed: u64) -> Usage {
     const MEAN_UNITS: f64 = 1.5;
     let plan = Plan { rate: 6.0, burst: 10.0, ..fixtures::plan() };
@@ -133,7 +134,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut bucket = TokenBucket { units: plan.burst, updated_at: START };
     let mut admitted = 0.0;
-    let mut beyond = 0.0;
+    let mut excess = 0.0;
     let mut now = START;
     while now < START + DURATION {
         now += mean_interval * rng.gen_range(0.0..2.0);
@@ -141,18 +142,21 @@
         let instance = rng.gen_range(0..instances);
         if fleet.admit(now, instance, units) {
             admitted += units;
-            beyond += bucket.take(now, &plan, units);
+            excess += bucket.take(now, &plan, units);
         }
     }
     let quota_units = plan.burst + plan.rate * DURATION;
-    Usage { fraction_of_quota: admitted / quota_units, fraction_beyond: beyond / admitted }
+    Usage { fraction_of_quota: admitted / quota_units, excess_fraction: excess / admitted }
 }
 
 #[test]
 fn a_customer_that_each_instance_sees_once_a_minute_gets_its_quota_and_little_more() {
     for seed in 0..4 {
-        let Usage { fraction_of_quota, fraction_beyond } = simulate(150, 2.0, seed);
-        assert!(fraction_of_quota > 0.9, "seed {seed}: {fraction_of_quota} of the quota was admitted");
-        assert!(fraction_beyond < 0.1, "seed {seed}: {fraction_beyond} of it was beyond the quota");
+        let Usage { fraction_of_quota, excess_fraction } = simulate(150, 2.0, seed);
+        assert!(fraction_of_quota > 0.9, "seed {seed}: only {fraction_of_quota} of the quota was admitted");
+        assert!(
+            excess_fraction < 0.1,
+            "seed {seed}: {excess_fraction} of the admitted units exceeded the quota"
+        );
     }
 }
