--- a/simulator-adapter/src/frame/record.rs
+++ b/simulator-adapter/src/frame/record.rs
@@ -1,8 +1,8 @@
 //! Access to the fields of event records.
 use super::{seconds, FrameError, RecordError, ADDRESS_BYTES};
 
-/// One event record. Offsets are in bytes from its start; the code is at offset 0. An offset past the end of the record panics, as
-/// callers pass constants.
+/// One event record. Offsets are in bytes from its start; the code is at offset 0. Reading past the end of the record panics; callers
+/// pass constant offsets.
 #[derive(Clone, Copy)]
 pub(crate) struct Record<'a> {
     /// Position in its frame, counted from 0.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -23,7 +23,7 @@
 pub struct OfferedOperation {
     /// Name by which clients request it.
     pub name: String,
-    /// The effect of a second run.
+    /// The effect of running a request twice.
     pub idempotency: Idempotency,
     /// Target latency in seconds; a later answer is worth less.
     pub latency_objective: f64,
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,9 +1,9 @@
-//! The settings file: a JSON object whose keys the deployment defines.
+//! The settings as they are written: a JSON object whose keys the deployment defines.
 //!
 //! Unknown keys are ignored. The `expecting` text of a struct is part of the error message for a value of the wrong type.
 use serde::Deserialize;
 
-/// The whole settings file.
+/// All settings.
 #[derive(Deserialize)]
 #[serde(expecting = "the settings object")]
 pub(super) struct SettingsFile {
@@ -90,7 +90,7 @@
     /// Scope of the idempotency key: `all`, `zone` or `cell`. Used only if `idempotency` is `dedup`.
     #[serde(rename = "group")]
     pub key_scope: String,
-    /// The effect of a second run: `retryable`, `dedup` or `fragile`.
+    /// The effect of running a request twice: `retryable`, `dedup` or `fragile`.
     pub idempotency: String,
     /// Name by which clients request it.
     pub name: String,
--- a/src/settings/resolve.rs
+++ b/src/settings/resolve.rs
@@ -1,4 +1,4 @@
-//! Validates the settings file and converts it to the settings of the policy engine and its caller.
+//! Validates the settings and converts them to those of the policy engine and of its caller.
 use super::file::{LoadReporting, OperationEntry, PlanEntry, SettingsFile};
 use super::{InstanceSettings, OfferedOperation, SettingsError};
 use crate::types::*;
--- a/src/state/account.rs
+++ b/src/state/account.rs
@@ -67,7 +67,7 @@
     pub series: u32,
     /// The last observed shared total; `None` before the first observation.
     pub observed_total: Option<f64>,
-    /// When the total was observed. Other instances are as likely to have spent the units refilled since then.
+    /// When the total was observed. Units refilled since then may have been spent by other instances.
     pub observed_at: f64,
     /// Leased units that are not yet spent.
     pub leased: f64,
@@ -76,7 +76,7 @@
     /// Units still to be added to the total, negative to return them: differences between billed and estimated units, and expired
     /// leases.
     pub unsettled: f64,
-    /// Units left in the even share of the quota, which replaces a lease; negative while in debt.
+    /// Units left in the even share of the quota, which is used when the counter is not called; negative while in debt.
     pub even_share: f64,
     /// Units spent from the even share and not yet reported to the counter.
     pub unreported: f64,
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -27,7 +27,7 @@
 pub struct ThroughputWindow {
     /// Time constant of the exponential decay of answers, in seconds.
     pub time_constant: f64,
-    /// Seconds by which a backend counts as observed longer than it is listed.
+    /// Seconds added to the time since a backend was listed, so that its first answers do not yield an excessive rate.
     pub initial_observation: f64,
 }
 
@@ -160,8 +160,8 @@
         self.in_flight_units = if self.in_flight > 0 { (self.in_flight_units - units).max(0.0) } else { 0.0 };
     }
 
-    /// Takes the backend out of service as of `since`, or puts it back (`None`), by an operator's order. A backend that is put back
-    /// counts as just started, unless the endpoint list has reported a start since it was taken out.
+    /// Takes the backend out of service as of `since`, or puts it back (`None`), as ordered by an operator. A backend that is put
+    /// back counts as just started, unless the endpoint list has reported a start since it was taken out.
     pub fn set_maintenance(&mut self, now: f64, since: Option<f64>) {
         let ended_maintenance = self.maintenance_since.filter(|_| since.is_none());
         if let Some(maintenance_start) = ended_maintenance {
--- a/src/state/backend_set.rs
+++ b/src/state/backend_set.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes a backend out of service as of `since`, or puts it back (`None`), by an operator's order.
+    /// Takes a backend out of service as of `since`, or puts it back (`None`), as ordered by an operator.
     pub fn set_maintenance(&mut self, now: f64, index: BackendIndex, since: Option<f64>) {
         self.summary.outdated = true;
         if let Some(backend) = self.backends.get_mut(&index) {
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -32,7 +32,7 @@
 pub struct Operation {
     /// Target latency in seconds; a later answer is worth less.
     pub latency_objective: f64,
-    /// The effect of a second run.
+    /// The effect of running a request twice.
     pub idempotency: Idempotency,
     /// Value of one request relative to requests of other operations; 0 if the settings do not set it.
     pub billed_value: f64,
