--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -80,7 +80,7 @@
 impl CallRequest {
     /// Creates a call that returns units or a permit, or reports spent units. All of `delta` counts as debt.
     pub fn settle(delta: f64) -> CallRequest {
-        CallRequest { delta, debt_repaid: delta, purpose: CallPurpose::GiveBack }
+        CallRequest { delta, debt_repaid: delta, purpose: CallPurpose::Settle }
     }
 
     /// Creates a call that only reads the total, to check whether the counter answers.
--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -176,10 +176,10 @@
     burst: f64,
 ) -> Settlement {
     match call.purpose {
-        CallPurpose::Lease { units, need, peer_estimate } => {
+        CallPurpose::Lease { units, required_units, peer_estimate } => {
             let excess = (observed.total + observed.lag - burst - observed.refilled).max(0.0);
             let covered_units = units - (excess - peer_estimate).max(0.0);
-            let is_sufficient = covered_units >= need;
+            let is_sufficient = covered_units >= required_units;
             account.extend_lease(now, if is_sufficient { covered_units } else { 0.0 }, LIFETIME);
             let returned = if is_sufficient {
                 units - covered_units + peer_estimate.min(excess)
@@ -196,6 +196,6 @@
             let needed = (target - observed.before).clamp(0.0, call.delta);
             Settlement { returned: call.delta - needed, correction: 0.0 }
         }
-        CallPurpose::GiveBack | CallPurpose::AcquirePermit => Settlement { returned: 0.0, correction: 0.0 },
+        CallPurpose::Settle | CallPurpose::AcquirePermit => Settlement { returned: 0.0, correction: 0.0 },
     }
 }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -297,5 +297,5 @@
 
 /// Whether a backend accepts new attempts and is at the location, if there is one.
 fn is_accepting(backend: &Backend, location: Option<Location>) -> bool {
-    backend.accepts_new() && location.is_none_or(|location| location.contains(backend))
+    backend.accepts_attempts() && location.is_none_or(|location| location.contains(backend))
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -294,7 +294,7 @@
         let call = CallRequest {
             delta: units + debt + peer_estimate,
             debt_repaid: debt,
-            purpose: CallPurpose::Lease { units, need: units_needed, peer_estimate },
+            purpose: CallPurpose::Lease { units, required_units: units_needed, peer_estimate },
         };
         self.call_counter(now, key, call);
     }
