--- a/gateway/src/sockets/driver.rs
+++ b/gateway/src/sockets/driver.rs
@@ -108,7 +108,7 @@
     /// Handles a batch of events; when the reducer wants to go on, in seconds since 1970.
     fn step(&self, reducer: &mut Reducer, events: &mut Vec<Event>, batch: &mut Batch) -> Option<f64> {
         let now = self.clock.now();
-        reducer.stats.written += self.context.written_attempts.swap(0, Ordering::Relaxed) as u64;
+        reducer.stats.attempts_written += self.context.written_attempts.swap(0, Ordering::Relaxed) as u64;
         for event in events.iter() {
             if let Event::ConnectionEnded { connection, .. } = event {
                 self.connections.remove(*connection);
--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -93,8 +93,8 @@
             }
             AdminCall::Health => self.respond_to_admin(now, id, 200, "serving\n".into()),
             AdminCall::Stats => {
-                let figures = self.figures() + "\n";
-                self.respond_to_admin(now, id, 200, figures);
+                let stats = self.stats_json() + "\n";
+                self.respond_to_admin(now, id, 200, stats);
             }
             AdminCall::Contracts => {
                 let usage = self.contract_usage() + "\n";
--- a/gateway/src/state/stats.rs
+++ b/gateway/src/state/stats.rs
@@ -14,7 +14,7 @@
     /// Requests that failed.
     pub failed: Vec<u64>,
     /// Attempts that were written to backends.
-    pub written: u64,
+    pub attempts_written: u64,
     /// How often the configuration was read again.
     pub reloads: u64,
     /// How often that failed.
@@ -49,7 +49,7 @@
 
 impl Reducer {
     /// The figures as JSON for operators.
-    pub fn figures(&self) -> String {
+    pub fn stats_json(&self) -> String {
         let by_operation = |counts: &[u64]| {
             let named = self.instance.operations.iter().zip(counts);
             named.map(|(operation, count)| (operation.name.as_str(), *count)).collect()
@@ -59,7 +59,7 @@
             completed: by_operation(&self.stats.completed),
             rejected: by_operation(&self.stats.rejected),
             failed: by_operation(&self.stats.failed),
-            upstream_requests: self.stats.written,
+            upstream_requests: self.stats.attempts_written,
             pending: self.requests.slots.iter().filter(|pending| !pending.is_closed).count(),
             backends: entries.filter(|entry| entry.status != EndpointStatus::Removed).count(),
             unavailable_backends: self.engine.unavailable_backends(),
--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -95,7 +95,7 @@
     for _ in 0..12 {
         bench.request(1, "look", 8);
     }
-    bench.event(Event::ReloadFailed("no file".into())).reducer.stats.written += 2;
+    bench.event(Event::ReloadFailed("no file".into())).reducer.stats.attempts_written += 2;
     bench.trace.clear();
     admin_call(&mut bench, 1, "GET /stats");
     bench.run_until(0.5);
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -165,5 +165,5 @@
         0.516 client 1: -ERR contract: not an operation of its contract
         0.516 client 1: -ERR contract: no contract in force
     "#]]);
-    assert_eq!(bench.reducer.figures().matches("\"look\":").count(), 3);
+    assert_eq!(bench.reducer.stats_json().matches("\"look\":").count(), 3);
 }
