--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -13,9 +13,9 @@
 /// Operators' connections at once: with one more, the oldest is closed. They have descriptors of their own.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
 /// How long an operator may take for a call, in seconds.
-const CALL_TIMEOUT: f64 = 5.0;
+const ADMIN_CALL_TIMEOUT: f64 = 5.0;
 /// How long an operator may take to read the response, in seconds.
-const RESPONSE_TIMEOUT: f64 = 1.0;
+const ADMIN_RESPONSE_TIMEOUT: f64 = 1.0;
 /// Backends that left the list are known by name to operators, so many at least.
 const MAX_KNOWN_BACKENDS: usize = 16 * 1024;
 
@@ -63,7 +63,7 @@
             let oldest = *self.admin.connections.keys().next().expect("there are some");
             self.close_admin_connection(oldest);
         }
-        let timeout = self.timers.schedule(now + CALL_TIMEOUT, TimerKind::AdminTimeout(id));
+        let timeout = self.timers.schedule(now + ADMIN_CALL_TIMEOUT, TimerKind::AdminTimeout(id));
         self.admin.connections.insert(id, timeout);
     }
 
@@ -120,7 +120,7 @@
     fn respond_to_admin(&mut self, now: f64, id: u64, status: u16, body: String) {
         let Some(timeout) = self.admin.connections.get_mut(&id) else { return };
         self.timers.cancel(*timeout);
-        *timeout = self.timers.schedule(now + RESPONSE_TIMEOUT, TimerKind::AdminTimeout(id));
+        *timeout = self.timers.schedule(now + ADMIN_RESPONSE_TIMEOUT, TimerKind::AdminTimeout(id));
         let response = AdminResponse { status, body };
         self.effects.push(Effect::AdminRespond { connection: id, response });
     }
@@ -199,7 +199,7 @@
         self.engine.set_manual_ejection(now, backend, since);
         if since.is_some() {
             self.close_idle_connections_to(backend);
-            self.withdraw_from_unavailable();
+            self.withdraw_from_unavailable_backends();
         }
     }
 
@@ -207,7 +207,7 @@
     /// for both.
     fn peer_process_changed(&mut self, now: f64) {
         let is_running = self.admin.shared.peer_process_running;
-        self.log(if is_running { LogMessage::OtherProcess } else { LogMessage::OnlyProcess });
+        self.log(if is_running { LogMessage::PeerProcessStarted } else { LogMessage::PeerProcessEnded });
         self.engine.set_peer_process(is_running);
         if is_running {
             self.free_descriptors(now);
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -13,7 +13,7 @@
     pub(super) fn set_admission_limits(&mut self, now: f64, limits: Option<Limits>) {
         self.log(match (&self.admission, &limits) {
             (None, None) => return,
-            (_, None) => LogMessage::NoAdmissionLimits,
+            (_, None) => LogMessage::AdmissionLimitsRemoved,
             (_, Some(Limits { connections, reserve, .. })) => {
                 LogMessage::AdmissionLimits { connections: *connections, reserve: *reserve }
             }
@@ -32,7 +32,7 @@
             let Some(from) = client.address else { continue };
             let pending = client.requests().filter_map(|request| self.requests.get(request));
             let unanswered = pending.map(|pending| pending.command.customer).collect();
-            let open = OpenConnection { id: *id, from, has_spoken: client.has_spoken, unanswered };
+            let open = OpenConnection { id: *id, from, has_spoken: client.has_sent_command, unanswered };
             admission.add_open(now, open);
         }
         admission
@@ -43,7 +43,7 @@
         let Some(admission) = &mut self.admission else { return true };
         let verdict = admission.admit_connection(now, id, address);
         // What came with it in this batch was read before it was accepted.
-        let unread = self.clients.unread_commands.get(&id).copied().unwrap_or(0);
+        let unread = self.clients.commands_in_batch.get(&id).copied().unwrap_or(0);
         admission.commands_read(id, unread);
         match verdict {
             ConnectionVerdict::Accept => true,
@@ -74,7 +74,7 @@
     /// Clients that have sent nothing for longer than they may.
     pub(super) fn overdue_clients(&self, now: f64) -> Vec<u64> {
         let Some(admission) = &self.admission else { return vec![] };
-        let is_silent = |client: &Client| client.is_answered() && !client.has_spoken;
+        let is_silent = |client: &Client| client.is_answered() && !client.has_sent_command;
         let overdue = admission.overdue(now).into_iter();
         overdue.filter(|id| self.clients.connections.get(id).is_some_and(is_silent)).collect()
     }
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -12,7 +12,7 @@
 
 impl Reducer {
     /// Starts an attempt: on an idle connection, on a new one, or behind others if descriptors are short.
-    pub(super) fn forward(&mut self, now: f64, request: RequestIndex, backend: BackendIndex) {
+    pub(super) fn start_attempt(&mut self, now: f64, request: RequestIndex, backend: BackendIndex) {
         let idle = self.backends.entries[backend].idle_connections.pop();
         let pending = self.requests.get_mut(request).expect("the policy engine was asked about it");
         let id = AttemptId { request, attempt: pending.attempts.len() };
@@ -52,7 +52,7 @@
     fn share_connection(&mut self, now: f64, id: AttemptId, backend: BackendIndex) {
         let max_attempts = self.instance.max_streams_per_connection;
         let usable = self.backends.connections.iter_mut().filter(|(_, connection)| {
-            let is_usable = connection.is_up && !connection.is_ending;
+            let is_usable = connection.is_established && !connection.ends_in_batch;
             connection.backend == backend && is_usable && connection.queue.len() < max_attempts
         });
         let least_loaded = usable.min_by_key(|(id, connection)| (connection.queue.len(), **id));
@@ -135,7 +135,7 @@
         if connection.is_abandoned() {
             return self.close_backend_connection(connection_id, CloseReason::Abandoned);
         }
-        if let Some(delivery) = number.filter(|_| connection.is_up) {
+        if let Some(delivery) = number.filter(|_| connection.is_established) {
             self.effects.push(Effect::Withdraw { connection: connection_id, attempt: delivery });
         }
     }
@@ -167,16 +167,16 @@
         let Some(connection_id) = self.requests.connection_of(id) else { return };
         let Some(connection) = self.backends.connections.get(&connection_id) else { return };
         let queued = connection.queue.iter().find(|queued| queued.id == Some(id));
-        if let Some(queued) = queued.filter(|_| connection.is_up) {
+        if let Some(queued) = queued.filter(|_| connection.is_established) {
             self.effects.push(Effect::Withdraw { connection: connection_id, attempt: queued.number });
         }
     }
 
     /// Takes all attempts out of buffers that wait there for backends which accept nothing new any more.
-    pub(super) fn withdraw_from_unavailable(&mut self) {
+    pub(super) fn withdraw_from_unavailable_backends(&mut self) {
         let mut withdrawn: Vec<(u64, u64)> = vec![];
         for (id, connection) in &self.backends.connections {
-            if connection.is_up && !self.backends.entries[connection.backend].accepts_requests() {
+            if connection.is_established && !self.backends.entries[connection.backend].accepts_requests() {
                 withdrawn.extend(connection.queue.iter().map(|queued| (*id, queued.number)));
             }
         }
@@ -201,6 +201,6 @@
         if is_abandoned {
             return self.close_backend_connection(connection_id, CloseReason::Abandoned);
         }
-        self.park_if_idle(now, connection_id);
+        self.reuse_or_close_if_idle(now, connection_id);
     }
 }
--- a/gateway/src/state/backend_table.rs
+++ b/gateway/src/state/backend_table.rs
@@ -18,9 +18,9 @@
     /// Where it leads to.
     pub backend: BackendIndex,
     /// It has been established.
-    pub is_up: bool,
+    pub is_established: bool,
     /// Its end stands further back in the batch: nothing new is sent on it.
-    pub is_ending: bool,
+    pub ends_in_batch: bool,
     /// The attempts on it, in the order of their responses.
     pub queue: VecDeque<QueuedAttempt>,
     /// The number of the next attempt on it.
@@ -34,8 +34,8 @@
     pub fn new(backend: BackendIndex, now: f64) -> BackendConnection {
         BackendConnection {
             backend,
-            is_up: false,
-            is_ending: false,
+            is_established: false,
+            ends_in_batch: false,
             queue: VecDeque::new(),
             next_number: 0,
             idle_since: now,
--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -11,10 +11,10 @@
     /// A connection is up: the attempt that it was opened for is sent, if that may still begin.
     pub(super) fn backend_connected(&mut self, now: f64, connection_id: u64) {
         let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
-        connection.is_up = true;
+        connection.is_established = true;
         let backend = connection.backend;
         let Some(&QueuedAttempt { number, id: Some(id) }) = connection.queue.front() else {
-            return self.park_if_idle(now, connection_id);
+            return self.reuse_or_close_if_idle(now, connection_id);
         };
         // It came up late: the request may be over by now, or the backend may be draining.
         let pending = self.requests.get_open(id.request);
@@ -24,17 +24,17 @@
         }
         connection.queue.clear();
         self.attempt_failed(id, AttemptResult::NotSent);
-        self.park_if_idle(now, connection_id);
+        self.reuse_or_close_if_idle(now, connection_id);
     }
 
     /// A connection without attempts is kept for the next one, or closed where none may come.
-    pub(super) fn park_if_idle(&mut self, now: f64, connection_id: u64) {
+    pub(super) fn reuse_or_close_if_idle(&mut self, now: f64, connection_id: u64) {
         let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
         if !connection.queue.is_empty() {
             return;
         }
         connection.idle_since = now;
-        if connection.is_ending {
+        if connection.ends_in_batch {
             return;
         }
         let entry = &mut self.backends.entries[connection.backend];
@@ -85,7 +85,7 @@
         if more_received {
             self.unexpected_backend_data(connection_id);
         }
-        self.park_if_idle(now, connection_id);
+        self.reuse_or_close_if_idle(now, connection_id);
     }
 
     /// Closes a connection on which nobody waits for anything.
@@ -103,11 +103,11 @@
     }
 
     /// These connections end in the batch that is about to be handled: nothing new is sent on them.
-    pub(super) fn mark_ending(&mut self, connections: &HashSet<ConnectionId>) {
+    pub(super) fn mark_connections_ending_in_batch(&mut self, connections: &HashSet<ConnectionId>) {
         for connection in connections {
             let ConnectionId::Backend(id) = connection else { continue };
             let Some(connection) = self.backends.connections.get_mut(id) else { continue };
-            connection.is_ending = true;
+            connection.ends_in_batch = true;
             self.backends.entries[connection.backend].remove_idle(*id);
         }
     }
@@ -115,7 +115,7 @@
     /// A connection did not come up in time.
     pub(super) fn connect_timed_out(&mut self, now: f64, connection_id: u64) {
         let connection = self.backends.connections.get(&connection_id);
-        if connection.is_some_and(|connection| !connection.is_up) {
+        if connection.is_some_and(|connection| !connection.is_established) {
             self.close(ConnectionId::Backend(connection_id), CloseReason::DialTimeout);
             self.backend_connection_ended(now, connection_id, true, CloseReason::DialTimeout);
         }
@@ -139,10 +139,10 @@
         let is_malformed = reason == CloseReason::BadFraming;
         let sent_result = if is_malformed { AttemptResult::Errored } else { AttemptResult::Broken };
         // Only the last one can have left in part, and none has before the connection is up.
-        let mut unsent = unsent || !connection.is_up;
+        let mut unsent = unsent || !connection.is_established;
         while let Some(last) = connection.queue.pop_back() {
             let result = if unsent { AttemptResult::NotConnected } else { sent_result };
-            unsent = !connection.is_up;
+            unsent = !connection.is_established;
             if let Some(id) = last.id {
                 self.attempt_failed(id, result);
             }
--- a/gateway/src/state/backlog.rs
+++ b/gateway/src/state/backlog.rs
@@ -20,7 +20,7 @@
 
 /// Commands that are dropped as they come.
 #[derive(Default)]
-struct Dropping {
+struct DropState {
     /// The length of the complete commands before them, which are still to be decoded.
     decodable_bytes: usize,
     /// Commands that were dropped completely and not rejected yet.
@@ -33,7 +33,7 @@
     has_overflowed: bool,
 }
 
-impl Dropping {
+impl DropState {
     /// Every command before has been decoded, and every dropped one rejected.
     fn is_finished(&self) -> bool {
         self.decodable_bytes == 0
@@ -47,7 +47,7 @@
 #[derive(Default)]
 pub struct Backlog {
     bytes: Vec<u8>,
-    dropping: Option<Dropping>,
+    dropping: Option<DropState>,
 }
 
 impl Backlog {
@@ -110,7 +110,7 @@
         while let Ok(Extent::Complete(length)) = resp::command_extent(&self.bytes[decodable_bytes..]) {
             decodable_bytes += length;
         }
-        self.dropping = Some(Dropping { decodable_bytes, ..Dropping::default() });
+        self.dropping = Some(DropState { decodable_bytes, ..DropState::default() });
         self.drop_received();
     }
 
@@ -152,7 +152,7 @@
 
     /// Stops dropping if every command so far is decoded or rejected; returns whether it did.
     pub fn try_stop_dropping(&mut self) -> bool {
-        let is_finished = self.dropping.as_ref().is_some_and(Dropping::is_finished);
+        let is_finished = self.dropping.as_ref().is_some_and(DropState::is_finished);
         if is_finished {
             self.dropping = None;
         }
--- a/gateway/src/state/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -14,9 +14,9 @@
 /// instances lie below.
 const FIRST_BUDGET_NUMBER: u64 = 1 << 41;
 /// Budget periods whose counters may still be answered.
-const MAX_PERIODS: usize = 64;
+const MAX_PENDING_PERIODS: usize = 64;
 /// The longest Retry-After that a client gets, in seconds.
-const MAX_RETRY_AFTER: f64 = 3600.0;
+const MAX_RETRY_AFTER_SECONDS: f64 = 3600.0;
 
 /// The broker, its settings, and the counters of budgets.
 pub struct BrokerState {
@@ -94,7 +94,7 @@
             return;
         }
         self.log(match &settings {
-            None => LogMessage::NoContracts,
+            None => LogMessage::ContractsRemoved,
             Some(BrokerSettings { contracts, capacity, .. }) => LogMessage::Contracts {
                 contracts: contracts.all().len(),
                 teams: contracts.teams().count(),
@@ -138,7 +138,7 @@
         match response.verdict {
             Verdict::Grant(grant) => Ok(Some(grant)),
             Verdict::RetryAfter { seconds, .. } => {
-                let retry_after_ms = (seconds.min(MAX_RETRY_AFTER) * 1e3).ceil() as u64;
+                let retry_after_ms = (seconds.min(MAX_RETRY_AFTER_SECONDS) * 1e3).ceil() as u64;
                 let retry_after_ms = self.instance.sends_retry_after.then_some(retry_after_ms);
                 Err(ClientReply::Busy { retry_after_ms })
             }
@@ -153,7 +153,7 @@
         state.teams.insert(customer, team);
         let series = call.period as u32;
         state.periods.insert(series, call.period);
-        while state.periods.len() > MAX_PERIODS {
+        while state.periods.len() > MAX_PENDING_PERIODS {
             state.periods.pop_first();
         }
         let key = CounterKey { customer, series };
--- a/gateway/src/state/client_table.rs
+++ b/gateway/src/state/client_table.rs
@@ -21,19 +21,19 @@
     /// Who speaks on it, once it has been authenticated.
     pub caller: Option<Caller>,
     /// The number of the first command without a reply.
-    pub first_pending: u64,
+    pub first_unanswered_number: u64,
     /// One for each command without a reply.
     pub pending_replies: VecDeque<PendingReply>,
     /// When the last command came or was answered, in seconds.
     pub last_active: f64,
     /// A command has come.
-    pub has_spoken: bool,
+    pub has_sent_command: bool,
     /// Since when a command has been incomplete, in seconds.
     pub partial_since: Option<f64>,
     /// When more of a long body came, in seconds; infinite while the body waits for memory here.
     pub body_progress_at: Option<f64>,
     /// Its framing broke: it is closed once all is answered.
-    pub is_broken: bool,
+    pub has_protocol_error: bool,
     /// It is no longer read, and closed once all is answered.
     pub is_reading_stopped: bool,
 }
@@ -41,7 +41,7 @@
 impl Client {
     /// The number that its next command gets.
     pub fn next_command_number(&self) -> u64 {
-        self.first_pending + self.pending_replies.len() as u64
+        self.first_unanswered_number + self.pending_replies.len() as u64
     }
 
     /// Every command has been answered.
@@ -61,7 +61,7 @@
     pub fn take_ready_reply(&mut self) -> Option<ClientReply> {
         match self.pending_replies.pop_front()? {
             PendingReply::Ready(reply) => {
-                self.first_pending += 1;
+                self.first_unanswered_number += 1;
                 Some(reply)
             }
             waiting => {
@@ -73,7 +73,7 @@
 
     /// Gives the reply to a command, if that still has none.
     pub fn set_reply(&mut self, command_number: u64, reply: ClientReply) {
-        let position = command_number.checked_sub(self.first_pending);
+        let position = command_number.checked_sub(self.first_unanswered_number);
         let pending = position.and_then(|position| self.pending_replies.get_mut(position as usize));
         if let Some(pending) = pending {
             *pending = PendingReply::Ready(reply);
@@ -95,7 +95,7 @@
     /// By number.
     pub connections: HashMap<u64, Client>,
     /// How many commands of the current batch are still to be handled, by client.
-    pub unread_commands: BTreeMap<u64, usize>,
+    pub commands_in_batch: BTreeMap<u64, usize>,
     /// A connection was rejected in the current batch, which leaves a descriptor.
     pub rejected_in_batch: bool,
 }
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -23,9 +23,9 @@
 impl Reducer {
     /// A client connected.
     pub(super) fn client_accepted(&mut self, now: f64, id: u64, address: IpAddr) {
-        let has_commands = self.clients.unread_commands.contains_key(&id);
-        let is_ending = self.shutdown.is_draining && self.shutdown.is_stopping;
-        if is_ending && !self.config.inherited_listener && !has_commands {
+        let has_commands = self.clients.commands_in_batch.contains_key(&id);
+        let is_closing_clients = self.shutdown.is_draining && self.shutdown.is_stopping;
+        if is_closing_clients && !self.config.inherited_listener && !has_commands {
             return self.close(ConnectionId::Client(id), CloseReason::Stopping);
         }
         if self.admit_client(now, id, address) {
@@ -43,7 +43,7 @@
         }
         let Some(client) = self.clients.connections.get_mut(&id) else { return };
         client.last_active = now;
-        client.has_spoken = true;
+        client.has_sent_command = true;
         client.partial_since = None;
         client.body_progress_at = None;
         let command_id = CommandId { client: id, number: client.next_command_number() };
@@ -54,7 +54,7 @@
             ClientCommand::Invalid(error) => ClientReply::Error(error),
             ClientCommand::Dropped => ClientReply::Busy { retry_after_ms: None },
             ClientCommand::ProtocolError(error) => {
-                client.is_broken = true;
+                client.has_protocol_error = true;
                 ClientReply::Error(format!("protocol: {error}"))
             }
             ClientCommand::Request(command) => match self.request_command(now, command_id, *command) {
@@ -124,7 +124,7 @@
         // What is declared now holds for this request, whatever is declared later.
         let declared = self.routes.lookup(operation, plan, command.customer);
         let max_timeout = declared.map_or(f64::INFINITY, |class| class.timeout);
-        let deadline = (now + (command.timeout_ms / 1e3).min(max_timeout)).min(self.shutdown.deadline);
+        let deadline = (now + (command.timeout_ms / 1e3).min(max_timeout)).min(self.shutdown.answer_deadline);
         let limits = declared.map(|class| class.request_limits).unwrap_or_default();
         let membership = self.membership.as_mut();
         let absent_fraction = membership.map_or(0.0, |membership| membership.absent_fraction(now, instances));
@@ -195,9 +195,9 @@
         }
         if let Some(request) = client.next_request() {
             self.forward_stream_in_turn(request);
-        } else if client.is_broken {
+        } else if client.has_protocol_error {
             self.disconnect_client(id, CloseReason::BadFraming);
-            self.exit_when_done();
+            self.exit_if_done();
         } else if self.shutdown.is_draining || client.is_reading_stopped {
             self.shutdown.closing_clients.insert(id);
         }
@@ -215,7 +215,7 @@
             self.engine.request_closed(now, request);
             self.release_if_finished(request);
         }
-        self.exit_when_done();
+        self.exit_if_done();
     }
 
     /// Closes a client's connection.
--- a/gateway/src/state/counter.rs
+++ b/gateway/src/state/counter.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 
 /// Connections at the most, unresponsive ones included. The counter would accept twice as many.
-const MAX_CONNECTIONS: usize = 16;
+const MAX_COUNTER_CONNECTIONS: usize = 16;
 /// Connections that are used for new calls at the same time.
-const MAX_USABLE_CONNECTIONS: usize = 2;
+const MAX_ACTIVE_CONNECTIONS: usize = 2;
 
 impl Reducer {
     /// Makes a call; `counter_call_ended` takes its result.
@@ -28,7 +28,7 @@
         let timer = self.timers.schedule(now + self.instance.counter_timeout, timeout);
         let connection = self.counter.connections.get_mut(&connection_id).expect("just selected");
         connection.last_used = now;
-        if !connection.is_up {
+        if !connection.is_established {
             connection.queued.push(QueuedCall { call, number, timer });
             return;
         }
@@ -49,7 +49,7 @@
         let least_loaded = least_loaded.map(|(id, _)| *id);
         let usable =
             self.counter.connections.values().filter(|connection| connection.accepts_calls()).count();
-        if let Some(id) = least_loaded.filter(|_| load == 0 || usable >= MAX_USABLE_CONNECTIONS) {
+        if let Some(id) = least_loaded.filter(|_| load == 0 || usable >= MAX_ACTIVE_CONNECTIONS) {
             return id;
         }
         self.open_counter_connection(now, address)
@@ -63,7 +63,7 @@
     }
 
     fn open_counter_connection(&mut self, now: f64, address: SocketAddr) -> u64 {
-        if self.counter.connections.len() >= MAX_CONNECTIONS {
+        if self.counter.connections.len() >= MAX_COUNTER_CONNECTIONS {
             let oldest = *self.counter.connections.keys().next().expect("there are some");
             self.close(ConnectionId::Counter(oldest), CloseReason::Unresponsive);
             self.counter_connection_ended(now, oldest, false, CloseReason::Unresponsive);
@@ -113,7 +113,7 @@
     /// A connection is up: the calls that waited for it are sent.
     pub(super) fn counter_connected(&mut self, id: u64) {
         let Some(connection) = self.counter.connections.get_mut(&id) else { return };
-        connection.is_up = true;
+        connection.is_established = true;
         let queued = std::mem::take(&mut connection.queued);
         let sent = queued.iter().map(|queued| {
             let waiter = CallWaiter { key: queued.call.key, timer: queued.timer };
@@ -130,7 +130,7 @@
         let Some(connection) = self.counter.connections.get_mut(&id) else { return };
         if let Some(position) = connection.queued.iter().position(|queued| queued.number == number) {
             let call = connection.queued.remove(position).call;
-            if !connection.is_up && connection.queued.is_empty() {
+            if !connection.is_established && connection.queued.is_empty() {
                 self.counter.connections.remove(&id);
                 self.close(ConnectionId::Counter(id), CloseReason::DialTimeout);
             }
--- a/gateway/src/state/counter_table.rs
+++ b/gateway/src/state/counter_table.rs
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub struct CounterConnection {
     /// It has been established.
-    pub is_up: bool,
+    pub is_established: bool,
     /// In the order of their responses.
     pub sent: VecDeque<SentCall>,
     /// To be sent when it is up.
--- a/gateway/src/state/decisions.rs
+++ b/gateway/src/state/decisions.rs
@@ -58,7 +58,7 @@
 
     fn apply_output(&mut self, now: f64, request: RequestIndex, output: PolicyOutput) {
         match output.decision {
-            Decision::Forward { backend } => self.forward(now, request, backend),
+            Decision::Forward { backend } => self.start_attempt(now, request, backend),
             Decision::Pending => {}
             Decision::Throttle { retry_after } => {
                 let retry_after_ms = retry_after.map(|seconds| (seconds * 1e3).ceil() as u64);
--- a/gateway/src/state/descriptors.rs
+++ b/gateway/src/state/descriptors.rs
@@ -3,22 +3,22 @@
 use super::client_table::Client;
 use super::connection::CloseReason;
 use super::effect::Effect;
-use super::idle::CLIENT_IDLE_SHORT;
+use super::idle::SHORT_CLIENT_IDLE_TIMEOUT;
 use super::reducer::Reducer;
 
 /// Descriptors that are kept for listening, the log, the event loop and the like.
-const RESERVE: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// What a process that shuts down keeps beyond what it holds, for attempts of its pending requests.
-const SHUTDOWN_SPARE: usize = 8;
+const SHUTDOWN_SPARE_DESCRIPTORS: usize = 8;
 /// A client that has just connected may need so long to send something, in seconds.
-const FIRST_COMMAND_GRACE: f64 = 0.05;
+const FIRST_COMMAND_TIMEOUT: f64 = 0.05;
 /// Descriptors that clients never get: those for discovery, the counter, some backends, operators and the process itself.
 /// An operator's file may give the rest away too (`admission.connections`).
-const NOT_FOR_CLIENTS: usize = 64;
+const NON_CLIENT_DESCRIPTORS: usize = 64;
 
 /// How many clients' connections may be open at once, of so many descriptors in all; a quarter if there are few.
 pub fn max_clients(descriptors: usize) -> usize {
-    descriptors.saturating_sub(NOT_FOR_CLIENTS).max(descriptors / 4)
+    descriptors.saturating_sub(NON_CLIENT_DESCRIPTORS).max(descriptors / 4)
 }
 
 impl Reducer {
@@ -39,7 +39,7 @@
     /// Descriptors that are in use, or are kept free for what must always be possible.
     fn needed_descriptors(&self) -> usize {
         let operators = if self.config.admin_enabled { MAX_ADMIN_CONNECTIONS } else { 0 };
-        self.used_descriptors() + RESERVE + operators
+        self.used_descriptors() + RESERVED_DESCRIPTORS + operators
     }
 
     /// The machine's limit is for both processes of an instance together: half for each, until the one that shuts down
@@ -60,8 +60,8 @@
     pub(super) fn announce_descriptor_limit(&mut self) {
         let announced = self.shutdown.announced_descriptor_limit;
         let current = announced.unwrap_or(self.config.max_descriptors / 2);
-        let limit = (self.needed_descriptors() + SHUTDOWN_SPARE).min(current);
-        let is_worthwhile = announced.is_none() || limit + SHUTDOWN_SPARE <= current;
+        let limit = (self.needed_descriptors() + SHUTDOWN_SPARE_DESCRIPTORS).min(current);
+        let is_worthwhile = announced.is_none() || limit + SHUTDOWN_SPARE_DESCRIPTORS <= current;
         if self.shutdown.hands_over_listener && is_worthwhile {
             self.shutdown.announced_descriptor_limit = Some(limit);
             self.effects.push(Effect::AnnounceDescriptorLimit(limit));
@@ -83,7 +83,7 @@
     /// Closes an idle connection: of a client that only holds on to it, else the backend's that has been idle longest,
     /// for it costs a handshake to have it again, else any client's. False if there was none.
     fn free_descriptor(&mut self, now: f64) -> bool {
-        self.close_lingering_client(now)
+        self.close_inactive_client(now)
             || self.close_oldest_idle_backend_connection()
             || self.close_any_idle_client(now)
     }
@@ -91,7 +91,7 @@
     /// Closes a client's connection so that another may be accepted. A backend's descriptor would not do for that:
     /// clients' are limited apart (`max_clients`).
     pub(super) fn free_descriptor_for_client(&mut self, now: f64) {
-        let _has_closed_one = self.close_lingering_client(now)
+        let _has_closed_one = self.close_inactive_client(now)
             || self.close_client_without_command()
             || self.close_any_idle_client(now);
     }
@@ -99,7 +99,7 @@
     /// The idle client that has been inactive longest, of those that may be evicted.
     fn least_recently_active_client(&self, may_be_evicted: impl Fn(&Client) -> bool) -> Option<u64> {
         // A client whose command has been read is owed a reply, though the command's turn is yet to come.
-        let unread = &self.clients.unread_commands;
+        let unread = &self.clients.commands_in_batch;
         let idle = self.clients.connections.iter().filter(|(id, client)| {
             client.is_answered() && !unread.contains_key(id) && may_be_evicted(client)
         });
@@ -110,13 +110,14 @@
     }
 
     /// Closes the connection of a client that sends nothing; false if there was none.
-    fn close_lingering_client(&mut self, now: f64) -> bool {
-        let is_lingering = |client: &Client| {
-            let grace = if client.has_spoken { CLIENT_IDLE_SHORT } else { FIRST_COMMAND_GRACE };
+    fn close_inactive_client(&mut self, now: f64) -> bool {
+        let is_inactive = |client: &Client| {
+            let grace =
+                if client.has_sent_command { SHORT_CLIENT_IDLE_TIMEOUT } else { FIRST_COMMAND_TIMEOUT };
             client.partial_since.is_none() && client.last_active < now - grace
         };
         let overdue = self.overdue_clients(now).first().copied();
-        let evicted = overdue.or_else(|| self.least_recently_active_client(is_lingering));
+        let evicted = overdue.or_else(|| self.least_recently_active_client(is_inactive));
         self.evict_client(evicted)
     }
 
@@ -138,7 +139,7 @@
         if self.admission.is_some() {
             return false;
         }
-        let is_silent = |client: &Client| !client.has_spoken && client.partial_since.is_none();
+        let is_silent = |client: &Client| !client.has_sent_command && client.partial_since.is_none();
         let evicted = self.least_recently_active_client(is_silent);
         self.evict_client(evicted)
     }
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -67,7 +67,7 @@
                 self.close_idle_connections_to(backend);
             }
         }
-        self.withdraw_from_unavailable();
+        self.withdraw_from_unavailable_backends();
     }
 
     /// Takes over an entry of the list; returns it as the policy engine has it.
--- a/gateway/src/state/idle.rs
+++ b/gateway/src/state/idle.rs
@@ -7,11 +7,11 @@
 use super::timers::TimerKind;
 
 /// An idle client is closed after so many seconds if it never sent a command, or if descriptors run short.
-pub(super) const CLIENT_IDLE_SHORT: f64 = 2.0;
+pub(super) const SHORT_CLIENT_IDLE_TIMEOUT: f64 = 2.0;
 /// Any other idle client is closed after so many seconds.
-const CLIENT_IDLE_LONG: f64 = 10.0;
+const CLIENT_IDLE_TIMEOUT: f64 = 10.0;
 /// The counter closes idle connections after so many seconds at the latest.
-const COUNTER_IDLE: f64 = 10.0;
+const COUNTER_IDLE_TIMEOUT: f64 = 10.0;
 /// A command may take so many seconds from its first byte to its last: a slow client may need 2 s for it, and one that
 /// never completes it must be closed within 3 s.
 const PARTIAL_COMMAND_TIMEOUT: f64 = 2.5;
@@ -20,7 +20,7 @@
 /// A timer counts as due so many seconds early.
 const TIMER_TOLERANCE: f64 = 1e-3;
 /// The time between two checks for idle connections, in seconds.
-const CHECK_INTERVAL: f64 = 0.5;
+const IDLE_CHECK_INTERVAL: f64 = 0.5;
 
 impl Reducer {
     /// The beginning of a command has come.
@@ -72,7 +72,7 @@
         if let Some(admission) = &mut self.admission {
             admission.refresh_known(now);
         }
-        self.timers.schedule(now + CHECK_INTERVAL, TimerKind::IdleCheck);
+        self.timers.schedule(now + IDLE_CHECK_INTERVAL, TimerKind::IdleCheck);
     }
 
     fn close_idle_clients(&mut self, now: f64) {
@@ -80,9 +80,15 @@
         // A process that shuts down, with another to accept, closes no connection on which nobody has asked anything.
         let keeps_silent = self.shutdown.hands_over_listener;
         let is_idle = |client: &Client| {
-            let limit = if client.has_spoken && !is_crowded { CLIENT_IDLE_LONG } else { CLIENT_IDLE_SHORT };
+            let limit = if client.has_sent_command && !is_crowded {
+                CLIENT_IDLE_TIMEOUT
+            } else {
+                SHORT_CLIENT_IDLE_TIMEOUT
+            };
             let is_between_commands = client.is_answered() && client.partial_since.is_none();
-            is_between_commands && client.last_active < now - limit && (client.has_spoken || !keeps_silent)
+            is_between_commands
+                && client.last_active < now - limit
+                && (client.has_sent_command || !keeps_silent)
         };
         let idle = self.clients.connections.iter().filter(|(_, client)| is_idle(client));
         let mut idle: Vec<u64> = idle.map(|(id, _)| *id).collect();
@@ -108,7 +114,7 @@
     }
 
     fn close_idle_counter_connections(&mut self, now: f64) {
-        let oldest = now - COUNTER_IDLE / 2.0;
+        let oldest = now - COUNTER_IDLE_TIMEOUT / 2.0;
         let is_stale = |connection: &CounterConnection| connection.is_idle() && connection.last_used < oldest;
         let stale = self.counter.connections.iter().filter(|(_, connection)| is_stale(connection));
         for id in stale.map(|(id, _)| *id).collect::<Vec<_>>() {
--- a/gateway/src/state/log_message.rs
+++ b/gateway/src/state/log_message.rs
@@ -20,7 +20,7 @@
         reserve: usize,
     },
     /// There are no limits of admission any more.
-    NoAdmissionLimits,
+    AdmissionLimitsRemoved,
     /// An operator has ejected a backend.
     BackendEjected {
         /// The backend's name.
@@ -64,14 +64,14 @@
         capacity: f64,
     },
     /// There are no contracts between teams.
-    NoContracts,
+    ContractsRemoved,
     /// Datagrams that were malformed or from unknown peers.
     DatagramsDropped {
         /// How many since the start.
         count: u64,
     },
     /// An operator has drained the instance.
-    DrainBegun,
+    DrainStarted,
     /// The instance is no longer drained.
     DrainEnded,
     /// A response of the list service can't be used.
@@ -85,16 +85,16 @@
         instances: BTreeSet<usize>,
     },
     /// Membership on the counter is switched on.
-    Membership {
+    MembershipEnabled {
         /// Seconds from one heartbeat to the next.
         interval: f64,
     },
     /// Membership on the counter is switched off.
-    NoMembership,
+    MembershipDisabled,
     /// Another process of this instance has ended.
-    OnlyProcess,
+    PeerProcessEnded,
     /// Another process of this instance has started.
-    OtherProcess,
+    PeerProcessStarted,
     /// Limits of requests are declared in the operator's file.
     RequestLimits {
         /// The routes that declare them.
@@ -106,7 +106,7 @@
         error: SaveError,
     },
     /// A graceful shutdown has begun.
-    ShutdownBegun,
+    ShutdownStarted,
     /// A graceful shutdown has begun, and the next process accepts clients.
     ShutdownWithHandover,
     /// A client's token is not accepted. The token itself is secret.
@@ -125,7 +125,7 @@
             LogMessage::AdmissionLimits { connections, reserve } => {
                 write!(formatter, "admission: {connections} connections, {reserve} kept for known addresses")
             }
-            LogMessage::NoAdmissionLimits => write!(formatter, "admission: no limits from now on"),
+            LogMessage::AdmissionLimitsRemoved => write!(formatter, "admission: no limits from now on"),
             LogMessage::BackendEjected { name } => write!(formatter, "backend {name} ejected by an operator"),
             LogMessage::BackendRestored { name } => {
                 write!(formatter, "backend {name} restored by an operator")
@@ -144,26 +144,28 @@
             LogMessage::Contracts { contracts, teams, capacity } => {
                 write!(formatter, "{contracts} contracts of {teams} teams, {capacity} units a second in all")
             }
-            LogMessage::NoContracts => write!(formatter, "no contracts between teams"),
+            LogMessage::ContractsRemoved => write!(formatter, "no contracts between teams"),
             LogMessage::DatagramsDropped { count } => write!(formatter, "datagrams dropped so far: {count}"),
-            LogMessage::DrainBegun => write!(formatter, "drained by an operator: closing connections"),
+            LogMessage::DrainStarted => write!(formatter, "drained by an operator: closing connections"),
             LogMessage::DrainEnded => write!(formatter, "the drain has ended"),
             LogMessage::EndpointListRejected { error } => write!(formatter, "list service: {error}"),
             LogMessage::InstancesAbsent { instances } => {
                 let instances = InstanceList(instances);
                 write!(formatter, "instances that do not reach the counter: {instances}")
             }
-            LogMessage::Membership { interval } => {
+            LogMessage::MembershipEnabled { interval } => {
                 write!(formatter, "membership on the counter, every {interval} s")
             }
-            LogMessage::NoMembership => write!(formatter, "no membership on the counter"),
-            LogMessage::OnlyProcess => write!(formatter, "the only process again"),
-            LogMessage::OtherProcess => write!(formatter, "another process of this instance is running"),
+            LogMessage::MembershipDisabled => write!(formatter, "no membership on the counter"),
+            LogMessage::PeerProcessEnded => write!(formatter, "the only process again"),
+            LogMessage::PeerProcessStarted => {
+                write!(formatter, "another process of this instance is running")
+            }
             LogMessage::RequestLimits { routes } => write!(formatter, "limits declared: {routes}"),
             LogMessage::SaveFailed { error } => {
                 write!(formatter, "in force, but not saved for the next process: {error}")
             }
-            LogMessage::ShutdownBegun => {
+            LogMessage::ShutdownStarted => {
                 write!(formatter, "shutting down: serving on, then closing connections")
             }
             LogMessage::ShutdownWithHandover => write!(
--- a/gateway/src/state/membership.rs
+++ b/gateway/src/state/membership.rs
@@ -22,7 +22,7 @@
     /// The instances that were logged as absent.
     absent: BTreeSet<usize>,
     /// When its timer is due, in seconds; an earlier one is left over from other settings.
-    next_call: f64,
+    next_call_at: f64,
 }
 
 impl MembershipState {
@@ -32,7 +32,7 @@
             interval,
             groups: BTreeMap::new(),
             absent: BTreeSet::new(),
-            next_call: now,
+            next_call_at: now,
         }
     }
 
@@ -62,8 +62,8 @@
             return;
         }
         self.log(match interval {
-            None => LogMessage::NoMembership,
-            Some(interval) => LogMessage::Membership { interval },
+            None => LogMessage::MembershipDisabled,
+            Some(interval) => LogMessage::MembershipEnabled { interval },
         });
         let settings = &self.instance;
         self.membership = interval.map(|interval| MembershipState::new(now, interval, settings));
@@ -75,7 +75,7 @@
     /// Makes the calls that are due; the timer is repeated for as long as there is an interval.
     pub(super) fn call_membership_counters(&mut self, now: f64) {
         let Some(membership) = &mut self.membership else { return };
-        if now < membership.next_call {
+        if now < membership.next_call_at {
             return;
         }
         let mut calls = vec![];
@@ -92,11 +92,11 @@
             self.effects.push(Effect::Log(message));
             membership.absent = absent;
         }
-        let next_call = membership.heartbeats.next_call(now);
-        membership.next_call = next_call;
+        let next_call_at = membership.heartbeats.next_call(now);
+        membership.next_call_at = next_call_at;
         for call in calls {
             self.call_counter(now, call);
         }
-        self.timers.schedule(next_call, TimerKind::MembershipCall);
+        self.timers.schedule(next_call_at, TimerKind::MembershipCall);
     }
 }
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -81,7 +81,7 @@
     /// Datagrams from unknown peers, or malformed.
     pub(super) dropped_datagrams: u64,
     /// The number of the last connection that was opened from here.
-    last_connection: u64,
+    last_connection_id: u64,
     /// The figures that are counted.
     pub stats: Stats,
     /// What is to be done after this batch, in this order.
@@ -112,7 +112,7 @@
             membership: None,
             routes: Table::default(),
             dropped_datagrams: 0,
-            last_connection: 0,
+            last_connection_id: 0,
             stats,
             effects: vec![],
         };
@@ -131,22 +131,22 @@
         let ended: HashSet<ConnectionId> = events.iter().filter_map(ended_connection).collect();
         // A connection that came up and ended in the same batch never was: nothing has been written to it.
         events.retain(|event| !matches!(event, Event::Connected(connection) if ended.contains(connection)));
-        self.mark_ending(&ended);
+        self.mark_connections_ending_in_batch(&ended);
         for event in &*events {
             if let Event::ClientCommand { client, .. } = event {
-                self.command_read(*client);
+                self.count_command_in_batch(*client);
             }
         }
         self.clients.rejected_in_batch = false;
         for event in events.drain(..) {
             self.handle(now, event);
         }
-        self.clients.unread_commands.clear();
+        self.clients.commands_in_batch.clear();
     }
 
     /// A command stands further back in the batch.
-    fn command_read(&mut self, client: u64) {
-        *self.clients.unread_commands.entry(client).or_default() += 1;
+    fn count_command_in_batch(&mut self, client: u64) {
+        *self.clients.commands_in_batch.entry(client).or_default() += 1;
         if let Some(admission) = &mut self.admission {
             admission.commands_read(client, 1);
         }
@@ -196,8 +196,8 @@
 
     /// The number of a connection that is about to be opened.
     pub(super) fn next_connection_id(&mut self) -> u64 {
-        self.last_connection += 1;
-        self.last_connection
+        self.last_connection_id += 1;
+        self.last_connection_id
     }
 }
 
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -8,27 +8,27 @@
 use std::collections::BTreeSet;
 
 /// How long clients keep coming after the first `PING` that was answered with an error, in seconds.
-const DRAIN_DELAY: f64 = 0.5;
+const DRAIN_DELAY_SECONDS: f64 = 0.5;
 /// The process is killed so many seconds after SIGTERM and the longest time that clients wait, of which no more than
-/// `KILL_MAX_TIMEOUT` counts (PROTOCOL.md): with short timeouts the kill comes early, with long ones before they are over.
-const KILL_DELAY: f64 = 0.7;
-/// See `KILL_DELAY`, in seconds.
-const KILL_MAX_TIMEOUT: f64 = 3.0;
+/// `MAX_KILL_TIMEOUT_SECONDS` counts (PROTOCOL.md): with short timeouts the kill comes early, with long ones before they are over.
+const KILL_DELAY_SECONDS: f64 = 0.7;
+/// See `KILL_DELAY_SECONDS`, in seconds.
+const MAX_KILL_TIMEOUT_SECONDS: f64 = 3.0;
 /// So many seconds before the kill all pending requests are answered: an answer has to leave, and may be late by the 50 ms
 /// that the rules allow for.
-const ANSWER_BEFORE_KILL: f64 = 0.2;
+const ANSWER_BEFORE_KILL_SECONDS: f64 = 0.2;
 /// So many seconds before the kill the process exits.
-const EXIT_BEFORE_KILL: f64 = 0.1;
+const EXIT_BEFORE_KILL_SECONDS: f64 = 0.1;
 /// So many seconds after the drain was requested, clients that still send commands are read no more, so that their
 /// connections can end: these must have ended, or be without a new command for 2 s, 4 s after the request.
-const STOP_READING_AFTER: f64 = 1.5;
+const STOP_READING_AFTER_SECONDS: f64 = 1.5;
 
 /// How far a drain or a shutdown has come.
 pub(super) struct ShutdownState {
     /// SIGTERM was received.
     pub is_stopping: bool,
     /// By then every request is answered, in seconds; infinite unless stopping.
-    pub deadline: f64,
+    pub answer_deadline: f64,
     /// It is stopping, and another process accepts clients.
     pub hands_over_listener: bool,
     /// How many descriptors it has announced that it will hold at the most, while it hands over.
@@ -45,7 +45,7 @@
     fn default() -> ShutdownState {
         ShutdownState {
             is_stopping: false,
-            deadline: f64::INFINITY,
+            answer_deadline: f64::INFINITY,
             hands_over_listener: false,
             announced_descriptor_limit: None,
             is_draining: false,
@@ -66,10 +66,10 @@
         if std::mem::replace(&mut self.shutdown.is_stopping, true) {
             return;
         }
-        let kill = now + self.instance.max_client_timeout.min(KILL_MAX_TIMEOUT) + KILL_DELAY;
-        self.shutdown.deadline = kill - ANSWER_BEFORE_KILL;
-        self.timers.schedule(self.shutdown.deadline, TimerKind::AnswerBeforeExit);
-        self.timers.schedule(kill - EXIT_BEFORE_KILL, TimerKind::Exit);
+        let kill = now + self.instance.max_client_timeout.min(MAX_KILL_TIMEOUT_SECONDS) + KILL_DELAY_SECONDS;
+        self.shutdown.answer_deadline = kill - ANSWER_BEFORE_KILL_SECONDS;
+        self.timers.schedule(self.shutdown.answer_deadline, TimerKind::AnswerBeforeExit);
+        self.timers.schedule(kill - EXIT_BEFORE_KILL_SECONDS, TimerKind::Exit);
         // With nobody to take over this is a shutdown like any other, and the next start will follow soon.
         let is_handover = self.config.inherited_listener && self.admin.shared.peer_process_newer;
         self.shutdown.hands_over_listener = is_handover;
@@ -78,7 +78,7 @@
             self.begin_drain(now);
             return self.announce_descriptor_limit();
         }
-        self.log(LogMessage::ShutdownBegun);
+        self.log(LogMessage::ShutdownStarted);
         // An instance that an operator has drained goes on, too: for a while clients keep coming.
         self.shutdown.is_draining = false;
         self.schedule_drain(now);
@@ -87,7 +87,7 @@
     /// An operator drains this instance, or ends that.
     pub(super) fn drain_changed(&mut self, now: f64) {
         let is_drained = self.admin.shared.drained;
-        self.log(if is_drained { LogMessage::DrainBegun } else { LogMessage::DrainEnded });
+        self.log(if is_drained { LogMessage::DrainStarted } else { LogMessage::DrainEnded });
         if is_drained {
             self.schedule_drain(now);
         } else if !self.shutdown.is_stopping {
@@ -106,7 +106,7 @@
     fn schedule_drain(&mut self, now: f64) {
         if self.shutdown.drain_timer.is_none() || self.shutdown.is_stopping {
             self.cancel_drain_timer();
-            let timer = self.timers.schedule(now + DRAIN_DELAY, TimerKind::BeginDrain);
+            let timer = self.timers.schedule(now + DRAIN_DELAY_SECONDS, TimerKind::BeginDrain);
             self.shutdown.drain_timer = Some(timer);
         }
     }
@@ -117,11 +117,11 @@
         if self.shutdown.is_stopping {
             self.effects.push(Effect::StopAccepting);
         }
-        let stop_reading = now + STOP_READING_AFTER - DRAIN_DELAY;
+        let stop_reading = now + STOP_READING_AFTER_SECONDS - DRAIN_DELAY_SECONDS;
         self.shutdown.drain_timer = Some(self.timers.schedule(stop_reading, TimerKind::StopReading));
         let hands_over = self.shutdown.hands_over_listener;
         let clients = self.clients.connections.iter();
-        let closing = clients.filter(|(_, client)| match client.has_spoken {
+        let closing = clients.filter(|(_, client)| match client.has_sent_command {
             true => client.is_answered(),
             false => !hands_over && client.partial_since.is_none(),
         });
@@ -132,7 +132,7 @@
                 self.close_idle_connections_to(backend);
             }
         }
-        self.exit_when_done();
+        self.exit_if_done();
     }
 
     /// The kill is near, and nobody waits for longer: attempts in flight have timed out, the policy engine is asked once
@@ -143,7 +143,7 @@
             if pending.streaming_attempt.is_some() {
                 continue;
             }
-            pending.attributes.deadline = pending.attributes.deadline.min(self.shutdown.deadline);
+            pending.attributes.deadline = pending.attributes.deadline.min(self.shutdown.answer_deadline);
             self.route_request(now, request);
             self.time_out_attempts(request);
             self.report_ended_attempts(now);
@@ -175,10 +175,10 @@
                 continue;
             }
             if client.is_reading_stopped {
-                self.disconnect_client(id, self.drain_reason());
-                self.exit_when_done();
+                self.disconnect_client(id, self.drain_close_reason());
+                self.exit_if_done();
             } else if client.partial_since.is_none() {
-                self.effects.push(Effect::CloseIfIdle { client: id, reason: self.drain_reason() });
+                self.effects.push(Effect::CloseIfIdle { client: id, reason: self.drain_close_reason() });
             }
         }
     }
@@ -187,11 +187,11 @@
     pub(super) fn idle_client_closed(&mut self, id: u64, reason: CloseReason) {
         if self.remove_client(id).is_some() {
             self.log_closed(ConnectionId::Client(id), reason);
-            self.exit_when_done();
+            self.exit_if_done();
         }
     }
 
-    fn drain_reason(&self) -> CloseReason {
+    fn drain_close_reason(&self) -> CloseReason {
         if self.shutdown.is_stopping {
             CloseReason::Stopping
         } else {
@@ -205,7 +205,7 @@
     }
 
     /// Exits if no client is left.
-    pub(super) fn exit_when_done(&mut self) {
+    pub(super) fn exit_if_done(&mut self) {
         if self.is_done() {
             self.effects.push(Effect::Exit);
         }
--- a/gateway/src/state/streams.rs
+++ b/gateway/src/state/streams.rs
@@ -9,10 +9,10 @@
 
 /// A stream of which nothing moves for so many seconds is closed. The kernel buffers some megabytes for a slow client,
 /// and reports free space only when much of that has left.
-const STALL_SECONDS: f64 = 30.0;
+const STREAM_STALL_SECONDS: f64 = 30.0;
 /// Once its client's timeout (`d`) is over, a stream is closed as soon as its backend has been silent for so many
 /// seconds. It would count as lost half a second after that time (PROTOCOL.md), and the answers behind it wait for it.
-const UNRESPONSIVE_SECONDS: f64 = 0.2;
+const BACKEND_SILENCE_SECONDS: f64 = 0.2;
 
 impl Reducer {
     /// A stream has begun: all other attempts of its request are cancelled, and none is retried.
@@ -104,7 +104,7 @@
 
     /// The client's timeout is over: nobody waits for a stream that does not move.
     pub(super) fn close_if_stalled(&mut self, now: f64, request: RequestIndex) {
-        let next_check = now + UNRESPONSIVE_SECONDS;
+        let next_check = now + BACKEND_SILENCE_SECONDS;
         let timeout = self.timers.schedule(next_check, TimerKind::StreamStalled(request));
         let Some(pending) = self.requests.get_mut(request) else { return };
         pending.timeout = Some(timeout);
@@ -112,8 +112,8 @@
         let Some(connection) = pending.attempts[attempt].connection else { return };
         self.effects.push(Effect::CloseIfStalled {
             connection,
-            unresponsive_for: UNRESPONSIVE_SECONDS,
-            stalled_for: STALL_SECONDS,
+            unresponsive_for: BACKEND_SILENCE_SECONDS,
+            stalled_for: STREAM_STALL_SECONDS,
         });
     }
 }
--- a/gateway/src/state/write_buffer.rs
+++ b/gateway/src/state/write_buffer.rs
@@ -8,7 +8,7 @@
     start: usize,
     end: usize,
     /// Some of its bytes have been written: the rest has to follow.
-    has_begun: bool,
+    is_partly_written: bool,
 }
 
 /// The output buffer of one connection.
@@ -33,7 +33,7 @@
     pub fn append(&mut self, number: u64, encode: impl FnOnce(&mut Vec<u8>)) {
         let start = self.bytes.len();
         encode(&mut self.bytes);
-        self.messages.push_back(Message { number, start, end: self.bytes.len(), has_begun: false });
+        self.messages.push_back(Message { number, start, end: self.bytes.len(), is_partly_written: false });
     }
 
     /// So many bytes have been written; returns how many messages have left completely with them.
@@ -42,7 +42,7 @@
         let complete = self.messages.iter().take_while(|message| message.end <= bytes).count();
         self.messages.drain(..complete);
         for message in &mut self.messages {
-            message.has_begun |= message.start < bytes;
+            message.is_partly_written |= message.start < bytes;
             message.start = message.start.saturating_sub(bytes);
             message.end -= bytes;
         }
@@ -52,7 +52,7 @@
     /// Takes a message out, if none of its bytes has been written; returns whether it did.
     pub fn withdraw(&mut self, number: u64) -> bool {
         let position =
-            self.messages.iter().position(|message| message.number == number && !message.has_begun);
+            self.messages.iter().position(|message| message.number == number && !message.is_partly_written);
         let Some(message) = position.and_then(|i| self.messages.remove(i)) else { return false };
         self.bytes.drain(message.start..message.end);
         let length = message.end - message.start;
