--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -10,16 +10,17 @@
 use quillramp::types::*;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
-/// Operators' connections at once: with one more, the oldest is closed. They have descriptors of their own.
+/// Maximum number of open operators' connections; a further one closes the oldest. File descriptors are reserved for
+/// them.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
-/// How long an operator may take for a call, in seconds.
+/// Time from an operator's connection to the complete call, in seconds.
 const ADMIN_CALL_TIMEOUT: f64 = 5.0;
-/// How long an operator may take to read the response, in seconds.
+/// Time from the response until the operator's connection is closed, in seconds.
 const ADMIN_RESPONSE_TIMEOUT: f64 = 1.0;
-/// Backends that left the list are known by name to operators, so many at least.
+/// Maximum number of backend names that operators may use, including backends that are no longer listed.
 const MAX_KNOWN_BACKENDS: usize = 16 * 1024;
 
-/// The names of all backends that were ever listed; with too many of them, the oldest are forgotten.
+/// The names of the backends that have ever been listed, without the oldest beyond `MAX_KNOWN_BACKENDS`.
 #[derive(Default)]
 pub(super) struct KnownBackends {
     names: HashSet<String>,
@@ -27,7 +28,7 @@
 }
 
 impl KnownBackends {
-    /// Adds a name; nothing happens if it is known.
+    /// Adds a name unless it is present.
     pub fn add(&mut self, name: &str) {
         if !self.names.insert(name.to_owned()) {
             return;
@@ -45,29 +46,29 @@
     }
 }
 
-/// Operators' connections, and what operators have changed.
+/// Operators' connections, and the state that operators have changed.
 #[derive(Default)]
 pub(super) struct AdminState {
-    /// With the timeout of each.
+    /// Timeouts of the open connections, by connection ID.
     connections: BTreeMap<u64, TimerKey>,
-    /// What the processes of this instance share.
+    /// State that the processes of this instance share.
     pub shared: SharedState,
-    /// The backends that operators may name.
+    /// The backends that operators may eject or restore.
     pub known_backends: KnownBackends,
 }
 
 impl Reducer {
-    /// An operator connected.
+    /// Registers an operator's connection; closes the oldest one if there are too many.
     pub(super) fn admin_connected(&mut self, now: f64, id: u64) {
         if self.admin.connections.len() >= MAX_ADMIN_CONNECTIONS {
-            let oldest = *self.admin.connections.keys().next().expect("there are some");
+            let oldest = *self.admin.connections.keys().next().expect("the limit is not 0");
             self.close_admin_connection(oldest);
         }
         let timeout = self.timers.schedule(now + ADMIN_CALL_TIMEOUT, TimerKind::AdminTimeout(id));
         self.admin.connections.insert(id, timeout);
     }
 
-    /// Closes an operator's connection.
+    /// Closes an operator's connection if it is open.
     pub(super) fn close_admin_connection(&mut self, id: u64) {
         if let Some(timeout) = self.admin.connections.remove(&id) {
             self.timers.cancel(timeout);
@@ -75,14 +76,14 @@
         }
     }
 
-    /// An operator closed a connection.
+    /// Removes an operator's connection that has ended.
     pub(super) fn admin_connection_ended(&mut self, id: u64) {
         if let Some(timeout) = self.admin.connections.remove(&id) {
             self.timers.cancel(timeout);
         }
     }
 
-    /// An operator's call.
+    /// Handles an operator's call.
     pub(super) fn admin_call(&mut self, now: f64, id: u64, call: AdminCall) {
         if !self.admin.connections.contains_key(&id) {
             return;
@@ -125,7 +126,7 @@
         self.effects.push(Effect::AdminRespond { connection: id, response });
     }
 
-    /// Takes effect at once; the response is sent when the change is saved, too.
+    /// Applies an operator's change at once; the response is sent after the change has also been saved.
     fn apply_admin_change(&mut self, now: f64, id: u64, change: AdminChange) {
         let mut shared = self.admin.shared.clone();
         change.clone().apply(&mut shared.ejected_backends, &mut shared.drained);
@@ -136,7 +137,8 @@
         self.respond_to_admin(now, id, 200, "done\n".into());
     }
 
-    /// The shared state was saved, or could not be, for a call from here or by another process.
+    /// Handles the result of saving the shared state. `call`: the operator's connection that waits for the response;
+    /// `None` if another process saved it.
     pub(super) fn shared_state_saved(
         &mut self,
         now: f64,
@@ -149,7 +151,7 @@
                 (200, "done\n".into())
             }
             Err(error) => {
-                let body = format!("in force, but not kept: {error}\n");
+                let body = format!("in force, but not saved for the next process: {error}\n");
                 self.log(LogMessage::SaveFailed { error });
                 (500, body)
             }
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Takes over the shared state, as far as it differs from the last one.
+    /// Replaces the shared state, and acts on each difference from the previous one.
     pub fn update_shared_state(&mut self, now: f64, shared: SharedState) {
         let old = std::mem::replace(&mut self.admin.shared, shared);
         self.update_ejected_backends(now, &old.ejected_backends);
@@ -179,7 +181,7 @@
         let is_changed = |name: &&String| old.contains_key(*name) != new.contains_key(*name);
         let changed: Vec<String> = names.into_iter().filter(is_changed).cloned().collect();
         for name in changed {
-            self.admin.known_backends.add(&name); // it was listed for this process or the one before
+            self.admin.known_backends.add(&name); // this or an earlier process had it on its list
             let ejected_since = self.admin.shared.ejected_backends.get(&name).copied();
             let message = if ejected_since.is_some() {
                 LogMessage::BackendEjected { name: name.clone() }
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Ejects a backend for an operator, or restores it. `since`: when it was ejected, in seconds.
+    /// Ejects a backend for an operator, or restores it. `since`: time of the ejection in seconds, `None` to restore.
     pub(super) fn set_manual_ejection(&mut self, now: f64, backend: BackendIndex, since: Option<f64>) {
         self.backends.entries[backend].is_manually_ejected = since.is_some();
         self.engine.set_manual_ejection(now, backend, since);
@@ -203,8 +205,8 @@
         }
     }
 
-    /// Another process of this instance has started, or has ended: descriptors and the instance's fractions of quotas are
-    /// for both.
+    /// Adapts to the start or the end of another process of this instance: two processes share the file descriptors and
+    /// the instance's fractions of quotas.
     fn peer_process_changed(&mut self, now: f64) {
         let is_running = self.admin.shared.peer_process_running;
         self.log(if is_running { LogMessage::PeerProcessStarted } else { LogMessage::PeerProcessEnded });
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Takes over what an operator's file declares. Requests that were accepted keep what was declared then.
+    /// Applies the declarations of an operator's file. Requests that were accepted before keep the earlier ones.
     pub fn apply_operator_update(&mut self, now: f64, update: OperatorUpdate) {
         let OperatorUpdate { admission, routes, membership_interval, broker, identity } = update;
         self.set_trust(identity);
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: the controller is notified of what happens to clients' connections, and its verdicts are carried out.
+//! Admission: notifies the controller of events on clients' connections, and carries out its verdicts.
 use super::client_table::Client;
 use super::connection::{CloseReason, ConnectionId};
 use super::effect::Effect;
@@ -9,7 +9,7 @@
 use std::net::IpAddr;
 
 impl Reducer {
-    /// Limits from now on, or none. What is open above them stays.
+    /// Replaces the admission limits, or removes them. Connections beyond the new limits stay open.
     pub(super) fn set_admission_limits(&mut self, now: f64, limits: Option<Limits>) {
         self.log(match (&self.admission, &limits) {
             (None, None) => return,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A controller that knows of the connections that are open already.
+    /// Creates a controller with the client connections that are open now.
     fn new_admission_controller(&self, now: f64, limits: Limits) -> AdmissionController {
         let mut admission = AdmissionController::new(limits);
         for (id, client) in &self.clients.connections {
@@ -38,13 +38,13 @@
         admission
     }
 
-    /// Whether a new connection is accepted. A client that is rejected gets the reason, and its connection ends.
+    /// Returns whether a new connection is accepted. A rejected client gets the reason, and its connection is closed.
     pub(super) fn admit_client(&mut self, now: f64, id: u64, address: IpAddr) -> bool {
         let Some(admission) = &mut self.admission else { return true };
         let verdict = admission.admit_connection(now, id, address);
-        // What came with it in this batch was read before it was accepted.
-        let unread = self.clients.commands_in_batch.get(&id).copied().unwrap_or(0);
-        admission.commands_read(id, unread);
+        // Its commands in this batch were counted before the controller had the connection.
+        let command_count = self.clients.commands_in_batch.get(&id).copied().unwrap_or(0);
+        admission.commands_read(id, command_count);
         match verdict {
             ConnectionVerdict::Accept => true,
             ConnectionVerdict::Replace(other) => {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The reply to a command that may not be accepted now.
+    /// Returns the reply that rejects a command, or `None` if the command is admitted.
     pub(super) fn admit_command(&mut self, now: f64, id: u64, customer: u64) -> Option<ClientReply> {
         match self.admission.as_mut()?.admit_command(now, id, customer) {
             CommandVerdict::Accept => None,
@@ -71,11 +71,11 @@
         }
     }
 
-    /// Clients that have sent nothing for longer than they may.
+    /// Returns the clients that sent no command within the time that the admission limits allow for the first one.
     pub(super) fn overdue_clients(&self, now: f64) -> Vec<u64> {
         let Some(admission) = &self.admission else { return vec![] };
-        let is_silent = |client: &Client| client.is_answered() && !client.has_sent_command;
+        let has_sent_nothing = |client: &Client| client.is_answered() && !client.has_sent_command;
         let overdue = admission.overdue(now).into_iter();
-        overdue.filter(|id| self.clients.connections.get(id).is_some_and(is_silent)).collect()
+        overdue.filter(|id| self.clients.connections.get(id).is_some_and(has_sent_nothing)).collect()
     }
 }
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent to backends, cancelled, withdrawn.
+//! Attempts: sending them to backends, cancelling and withdrawing them, and recording how they end.
 use super::backend_table::BackendConnection;
 use super::connection::{CloseReason, ConnectionId};
 use super::effect::Effect;
@@ -11,19 +11,21 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    /// Starts an attempt: on an idle connection, on a new one, or behind others if descriptors are short.
+    /// Starts an attempt on an idle connection, on a new one, or on a shared one if file descriptors are running out.
     pub(super) fn start_attempt(&mut self, now: f64, request: RequestIndex, backend: BackendIndex) {
         let idle = self.backends.entries[backend].idle_connections.pop();
-        let pending = self.requests.get_mut(request).expect("the policy engine was asked about it");
+        let pending =
+            self.requests.get_mut(request).expect("the policy engine decides on open requests only");
         let id = AttemptId { request, attempt: pending.attempts.len() };
         pending.attempts.push(Attempt { backend, sent_at: now, connection: idle, time_to_first_byte: None });
         if pending.timeout.is_none() {
-            // Attempts in flight at the client's deadline have timed out, and the policy engine is notified.
+            // Attempts still in flight at the client's deadline end as timed out.
             let deadline = pending.attributes.deadline;
             pending.timeout = Some(self.timers.schedule(deadline, TimerKind::RequestTimeout(request)));
         }
         if let Some(connection_id) = idle {
-            let connection = self.backends.connections.get_mut(&connection_id).expect("idle ones are kept");
+            let connection =
+                self.backends.connections.get_mut(&connection_id).expect("idle connections are open");
             let number = connection.enqueue(id);
             return self.send_attempt(now, connection_id, number, request);
         }
@@ -48,7 +50,8 @@
         self.timers.schedule(timeout, TimerKind::ConnectTimeout(connection_id));
     }
 
-    /// Descriptors are short: sends an attempt behind others, on the connection with the fewest.
+    /// Sends an attempt behind others on the backend's connection with the fewest, as no file descriptor is free for a
+    /// new connection.
     fn share_connection(&mut self, now: f64, id: AttemptId, backend: BackendIndex) {
         let max_attempts = self.instance.max_streams_per_connection;
         let usable = self.backends.connections.iter_mut().filter(|(_, connection)| {
@@ -65,11 +68,11 @@
     }
 
     fn set_connection(&mut self, id: AttemptId, connection: u64) {
-        let pending = self.requests.get_mut(id.request).expect("its attempt has just begun");
+        let pending = self.requests.get_mut(id.request).expect("the request of a new attempt is pending");
         pending.attempts[id.attempt].connection = Some(connection);
     }
 
-    /// No connection can be had for an attempt that has just begun.
+    /// Ends an attempt that has just started, as no connection is available for it.
     fn attempt_not_connected(&mut self, id: AttemptId) {
         self.requests.ended_attempts.push(EndedAttempt {
             id,
@@ -78,34 +81,34 @@
         });
     }
 
-    /// Writes the attempt with this number to its connection.
+    /// Writes the attempt with this number to the connection.
     pub(super) fn send_attempt(&mut self, now: f64, connection: u64, number: u64, request: RequestIndex) {
-        let pending = self.requests.get(request).expect("an attempt of it is in flight");
+        let pending = self.requests.get(request).expect("a request with an attempt in flight is pending");
         let timeout_ms = ((pending.attributes.deadline - now) * 1e3).max(1.0) as u64;
-        let call = pending.command.clone();
-        self.effects.push(Effect::SendAttempt { connection, attempt: number, request: call, timeout_ms });
+        let command = pending.command.clone();
+        self.effects.push(Effect::SendAttempt { connection, attempt: number, request: command, timeout_ms });
     }
 
-    /// The response to an attempt is complete. `load_report`: as the backend sent it.
+    /// Ends an attempt whose response is complete. `load_report`: the backend's load report, undecoded.
     pub(super) fn attempt_succeeded(
         &mut self,
         id: AttemptId,
         billed_units: Option<f64>,
         load_report: Option<Vec<u8>>,
     ) {
-        // Nothing is read where the settings name no values.
+        // Values that the settings do not name are not decoded.
         let load_report = load_report.and_then(|report| {
             settings::load_report(&self.instance.load_report_fields, |_, name| find_number(&report, name))
         });
         self.end_attempt(id, AttemptResult::Succeeded, ResponseMetadata { billed_units, load_report });
     }
 
-    /// An attempt ended without a response that could be used.
+    /// Ends an attempt that has no usable response.
     pub(super) fn attempt_failed(&mut self, id: AttemptId, result: AttemptResult) {
         self.end_attempt(id, result, ResponseMetadata::default());
     }
 
-    /// Ends an attempt; the policy engine is notified later. Nothing happens if it has ended already.
+    /// Ends an attempt unless it has ended already. The policy engine is notified by `report_ended_attempts`.
     fn end_attempt(&mut self, id: AttemptId, result: AttemptResult, metadata: ResponseMetadata) {
         let Some(pending) = self.requests.get_mut(id.request) else { return };
         if pending.attempts[id.attempt].connection.take().is_some() {
@@ -113,7 +116,7 @@
         }
     }
 
-    /// All attempts of the request that are still in flight have timed out.
+    /// Ends all attempts of the request that are still in flight as timed out.
     pub(super) fn time_out_attempts(&mut self, request: RequestIndex) {
         let attempts = self.requests.get(request).map_or(0, |pending| pending.attempts.len());
         for attempt in 0..attempts {
@@ -121,8 +124,9 @@
         }
     }
 
-    /// Ends an attempt that nobody waits for any more. Its connection is closed, unless others are on it: then its
-    /// request is withdrawn from the buffer if no byte of it has been written, else its response is dropped in its turn.
+    /// Ends an attempt whose response is no longer wanted. Its connection is closed, unless other attempts use it: then
+    /// the attempt is withdrawn from the write buffer if no byte of it has been written, or its response is discarded
+    /// when it arrives.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(connection_id) = self.requests.connection_of(id) else { return };
         self.attempt_failed(id, result);
@@ -135,13 +139,14 @@
         if connection.is_abandoned() {
             return self.close_backend_connection(connection_id, CloseReason::Abandoned);
         }
-        if let Some(delivery) = number.filter(|_| connection.is_established) {
-            self.effects.push(Effect::Withdraw { connection: connection_id, attempt: delivery });
+        if let Some(number) = number.filter(|_| connection.is_established) {
+            self.effects.push(Effect::Withdraw { connection: connection_id, attempt: number });
         }
     }
 
-    /// Cancels an attempt as the policy engine wants it. One on a shared connection is only withdrawn: the connection
-    /// stays open for the others, and an attempt elsewhere might be the second one that runs.
+    /// Cancels an attempt for the policy engine. An attempt on a shared connection is only withdrawn: the connection
+    /// stays open for the others, so an attempt that was already written may still run, and ending it here could lead to
+    /// a second execution elsewhere.
     pub(super) fn cancel_or_withdraw(&mut self, id: AttemptId) {
         if self.shares_connection(id) {
             self.withdraw_attempt(id);
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Whether other requests' attempts are on the connection of this one.
+    /// Returns whether the request is open and the connection of this attempt carries other attempts too.
     fn shares_connection(&self, id: AttemptId) -> bool {
         if self.requests.get_open(id.request).is_none() {
             return false;
@@ -161,8 +166,8 @@
         connection.is_some_and(|connection| connection.queue.iter().any(|queued| is_other(queued.id)))
     }
 
-    /// Takes an attempt out of the buffer of its connection if no byte of it has been written; an event reports whether
-    /// that was so.
+    /// Withdraws an attempt from the write buffer of its connection. `Event::Withdrawn` follows if no byte of it had been
+    /// written.
     pub(super) fn withdraw_attempt(&mut self, id: AttemptId) {
         let Some(connection_id) = self.requests.connection_of(id) else { return };
         let Some(connection) = self.backends.connections.get(&connection_id) else { return };
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Takes all attempts out of buffers that wait there for backends which accept nothing new any more.
+    /// Withdraws the unwritten attempts on connections to backends that no longer accept attempts.
     pub(super) fn withdraw_from_unavailable_backends(&mut self) {
         let mut withdrawn: Vec<(u64, u64)> = vec![];
         for (id, connection) in &self.backends.connections {
@@ -183,17 +188,17 @@
         withdrawn.sort_unstable();
         let effects = withdrawn
             .into_iter()
-            .map(|(connection, delivery)| Effect::Withdraw { connection, attempt: delivery });
+            .map(|(connection, number)| Effect::Withdraw { connection, attempt: number });
         self.effects.extend(effects);
     }
 
-    /// An attempt was taken out of the buffer of its connection: it has not run, and may be sent elsewhere.
+    /// Handles the withdrawal of an attempt from the write buffer: it has not run and may be sent to another backend.
     pub(super) fn attempt_withdrawn(&mut self, now: f64, connection_id: u64, number: u64) {
         let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
         let Some(position) = connection.queue.iter().position(|queued| queued.number == number) else {
             return;
         };
-        let queued = connection.queue.remove(position).expect("just found");
+        let queued = connection.queue.remove(position).expect("the position is within the queue");
         let is_abandoned = connection.is_abandoned();
         if let Some(id) = queued.id {
             self.attempt_failed(id, AttemptResult::NotSent);
--- a/gateway/src/state/connection.rs
+++ b/gateway/src/state/connection.rs
@@ -1,7 +1,7 @@
-//! Connections as the reducer names them, and why they end.
+//! Identifiers of connections, and the reasons why connections end.
 use std::fmt;
 
-/// A connection, by what it is for. Its number is unique among those for the same purpose.
+/// Identifies a connection by its purpose and an ID that is unique among connections of that purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ConnectionId {
     /// A client's connection.
@@ -12,53 +12,53 @@
     Counter(u64),
     /// A connection to the list service.
     Discovery(u64),
-    /// An operator's connection, with one call.
+    /// An operator's connection, which carries one call.
     Admin(u64),
 }
 
-/// Why a connection ended, as its log line reports it.
+/// Why a connection ended; the log line of its end shows the code of the reason.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseReason {
-    /// The other side closed it.
+    /// The remote side closed it.
     Closed,
-    /// The other side reset it.
+    /// The remote side reset it.
     Reset,
-    /// The other side did not accept it.
+    /// The remote side refused it.
     Refused,
-    /// What came on it breaks the protocol.
+    /// The bytes received on it violate the protocol.
     BadFraming,
-    /// It never came up in time.
+    /// It was not established in time.
     DialTimeout,
-    /// It stood idle for too long.
+    /// It was idle for too long.
     Idle,
-    /// An attempt on it was cancelled.
+    /// All attempts on it were cancelled.
     Abandoned,
     /// Its backend is draining or was removed from the endpoint list.
     Delisted,
-    /// Nothing came on it for too long.
+    /// No response arrived on it in time.
     Unresponsive,
-    /// Something came on it that answers no request.
+    /// Data arrived on it that belongs to no request.
     UnexpectedData,
-    /// File descriptors were short.
+    /// File descriptors were running out.
     DescriptorPressure,
-    /// It was not accepted.
+    /// Admission rejected it.
     Rejected,
-    /// The configuration names another address now.
+    /// The configuration names a new address for the service.
     AddressChanged,
     /// The process is stopping.
     Stopping,
     /// The instance is draining.
     Draining,
-    /// An operator's call was answered, or not finished in time.
+    /// The operator's call was answered, or not completed in time.
     AdminCallEnded,
     /// The backend's connection ended before a streamed value was complete.
     StreamAborted,
-    /// A streamed value did not move for too long.
+    /// A streamed value made no progress for too long.
     StreamStalled,
 }
 
 impl CloseReason {
-    /// Its code in the log.
+    /// Returns the code of this reason in the log.
     pub fn code(self) -> &'static str {
         match self {
             CloseReason::Closed => "closed",
@@ -83,14 +83,14 @@
     }
 }
 
-/// The end of a connection, as it is logged.
+/// The log line for the end of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClosedConnection {
-    /// What the connection was for, as the log names it.
+    /// The purpose of the connection, as the log names it.
     pub kind: &'static str,
-    /// Its number.
+    /// The ID of the connection.
     pub id: u64,
-    /// The backend's name, if it was a backend's.
+    /// The name of the backend, for a backend's connection.
     pub name: Option<String>,
     /// Why it ended.
     pub reason: CloseReason,
--- a/gateway/src/state/effect.rs
+++ b/gateway/src/state/effect.rs
@@ -1,4 +1,4 @@
-//! Effects, which the reducer wants to be carried out.
+//! Effects that the reducer requests from its caller.
 use super::connection::{CloseReason, ClosedConnection, ConnectionId};
 use super::log_message::LogMessage;
 use super::shared_state::AdminChange;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What is to be done. Numbers are those of connections, unless stated otherwise.
+/// An action for the caller to carry out. Integers are connection IDs unless stated otherwise.
 #[derive(Debug)]
 pub enum Effect {
     /// Sends a reply to a client.
@@ -18,75 +18,77 @@
         /// The reply.
         reply: ClientReply,
     },
-    /// Tells a client why it is not accepted.
+    /// Sends a client the reason why its connection is rejected.
     Reject {
         /// The client's connection.
         client: u64,
-        /// Why, as the client reads it.
+        /// The reason, as the client reads it.
         reason: &'static str,
     },
-    /// Responds to an operator's call; that side of the connection ends with it.
+    /// Responds to an operator's call and closes the sending side of the connection.
     AdminRespond {
         /// The operator's connection.
         connection: u64,
         /// The response.
         response: admin::AdminResponse,
     },
-    /// Saves a change by an operator for the next process, and notifies the other one of this instance.
+    /// Saves a change by an operator for the next process, and shares it with another running process of this instance.
     SaveChange {
-        /// The operator's connection, on which the result is awaited.
+        /// The operator's connection whose call made the change.
         call: u64,
         /// The change.
         change: AdminChange,
     },
-    /// From now on this process holds no more descriptors than these: the other one may use the rest.
+    /// Announces the maximum number of file descriptors that this process holds from now on; the other process of this
+    /// instance may use the rest.
     AnnounceDescriptorLimit(usize),
-    /// Closes a client's connection unless something unread has come on it.
+    /// Closes a client's connection unless unread bytes have arrived on it.
     CloseIfIdle {
         /// The client's connection.
         client: u64,
         /// Why it is closed.
         reason: CloseReason,
     },
-    /// Reads no more of this client's commands; only the end of its connection is reported.
+    /// Stops reading this client's commands; only the end of its connection is still reported.
     StopReading(u64),
-    /// Writes a request to a backend's connection, with the time in which its response is awaited, in milliseconds.
+    /// Writes an attempt to a backend's connection.
     SendAttempt {
         /// The backend's connection.
         connection: u64,
-        /// Its number, unique on this connection.
+        /// The number of the attempt, unique on this connection.
         attempt: u64,
-        /// What is written.
+        /// The request to write.
         request: Arc<RequestCommand>,
-        /// The time in which its response is awaited, milliseconds.
+        /// Time until the response is due, in milliseconds.
         timeout_ms: u64,
     },
-    /// Takes an attempt out of its connection's buffer, if none of its bytes has been written yet.
+    /// Removes an attempt from the write buffer of its connection if none of its bytes has been written.
     Withdraw {
         /// The backend's connection.
         connection: u64,
-        /// Its number on that connection.
+        /// The number of the attempt on that connection.
         attempt: u64,
     },
-    /// Forwards the value that has begun on a backend's connection to a client, or drops it.
+    /// Forwards the streamed value on a backend's connection to a client, or discards it.
     Stream {
         /// The backend's connection.
         connection: u64,
-        /// The client's connection; `None` where the value is dropped.
+        /// The client's connection; `None` to discard the value.
         client: Option<u64>,
     },
-    /// Closes a backend's connection on which a value is being streamed, if that does not move.
+    /// Closes a backend's connection if the value that is streamed on it makes no progress.
     CloseIfStalled {
         /// The backend's connection.
         connection: u64,
-        /// It is closed if the backend has been silent for so many seconds while its client took all that came.
+        /// Seconds without data from the backend, while the client has taken everything, after which the connection is
+        /// closed.
         unresponsive_for: f64,
-        /// It is closed if nothing has moved for so many seconds, for whatever reason.
+        /// Seconds without any progress, for whatever reason, after which the connection is closed.
         stalled_for: f64,
     },
-    /// Sends a request to the counter or to the discovery service.
+    /// Sends a request to the counter or to the list service.
     HttpRequest {
-        /// The connection to the service.
+        /// The connection to that service.
         connection: ConnectionId,
         /// The request.
         request: Request,
@@ -95,16 +97,16 @@
     Connect {
         /// The new connection.
         connection: ConnectionId,
-        /// The address that it is opened to.
+        /// The address to connect to.
         address: SocketAddr,
     },
-    /// Closes a connection; what was written to it before leaves first.
+    /// Closes a connection; bytes already written to it are sent first.
     Close(ConnectionId),
-    /// Sends a datagram to another instance, or to all.
+    /// Sends a datagram to another instance or to all instances.
     SendDatagram {
-        /// The instance's address, or the one that reaches all.
+        /// The address of the instance, or the broadcast address.
         to: SocketAddr,
-        /// All of it.
+        /// The datagram's payload.
         body: Vec<u8>,
     },
     /// Writes a message to the log.
@@ -113,8 +115,8 @@
     LogClosed(ClosedConnection),
     /// Closes the listening socket.
     StopAccepting,
-    /// Exits once all that was written has left.
+    /// Exits once all write buffers have been sent.
     Exit,
-    /// Exits at once: there is no more time.
+    /// Exits at once, without waiting for write buffers.
     ExitImmediately,
 }
--- a/gateway/src/state/event.rs
+++ b/gateway/src/state/event.rs
@@ -1,4 +1,4 @@
-//! Events, which the reducer takes in.
+//! Events that the reducer handles.
 use super::connection::{CloseReason, ConnectionId};
 use super::shared_state::{SaveError, SharedState};
 use crate::wire::admin;
@@ -10,139 +10,139 @@
 use quillramp_operator::routes::Table;
 use std::net::{IpAddr, SocketAddr};
 
-/// What an operator's file declares for an instance.
+/// The declarations of an operator's file for an instance.
 #[derive(Debug, Default)]
 pub struct OperatorUpdate {
-    /// The limits of admission, where there are any.
+    /// Admission limits; `None` if there are none.
     pub admission: Option<Limits>,
-    /// The limits that are declared for requests.
+    /// Limits of requests.
     pub routes: Table,
-    /// How often instances look which of them reach the counter, in seconds; none where they don't.
+    /// Interval between membership heartbeats on the counter, in seconds; `None` if membership is disabled.
     pub membership_interval: Option<f64>,
-    /// Contracts between teams, where there is a broker.
+    /// Settings of the broker with the contracts between teams; `None` without a broker.
     pub broker: Option<BrokerSettings>,
-    /// What tokens are validated against, where callers have to be known.
+    /// Keys and revocations that tokens are validated against; `None` without authentication.
     pub identity: Option<Trust>,
 }
 
-/// What has happened. Numbers are those of connections, unless stated otherwise.
+/// An input to the reducer. Integers are connection IDs unless stated otherwise.
 #[derive(Debug)]
 pub enum Event {
-    /// A client connected.
+    /// A client's connection was accepted by the socket.
     ClientAccepted {
         /// The client's connection.
         client: u64,
-        /// The address that it connected from.
+        /// The client's address.
         address: IpAddr,
     },
-    /// An operator connected.
+    /// An operator's connection was accepted.
     AdminConnected(u64),
-    /// An operator's call.
+    /// An operator's call arrived.
     AdminCall {
         /// The operator's connection.
         connection: u64,
-        /// What the operator asks for.
+        /// The call.
         call: admin::AdminCall,
     },
-    /// The shared state was saved, or could not be: for an operator's call on this connection, or by another process.
+    /// The shared state was saved by this or another process, or could not be saved.
     SharedStateSaved {
-        /// The operator's connection; `None` where another process saved it.
+        /// The operator's connection whose call made the change; `None` if another process saved it.
         call: Option<u64>,
-        /// The state as it is now, or why it could not be saved.
+        /// The shared state after the change, or why it could not be saved.
         shared: Result<SharedState, SaveError>,
     },
-    /// A client's connection was closed after `Effect::CloseIfIdle`.
+    /// A client's connection was closed for an `Effect::CloseIfIdle`.
     IdleClientClosed {
         /// The client's connection.
         client: u64,
-        /// The reason that the effect gave.
+        /// The reason in that effect.
         reason: CloseReason,
     },
-    /// A client's command.
+    /// A client's command arrived.
     ClientCommand {
         /// The client's connection.
         client: u64,
         /// The command.
         command: ClientCommand,
     },
-    /// A backend's reply.
+    /// A backend's complete reply arrived.
     BackendReply {
         /// The backend's connection.
         connection: u64,
         /// The reply.
         reply: BackendReply,
-        /// More bytes were received right behind it.
+        /// Whether more bytes were received after it.
         more_received: bool,
     },
-    /// The head of a value that is to be streamed has come from a backend.
+    /// The head of a value that is to be streamed arrived on this backend connection.
     StreamStarted(u64),
-    /// All of that value is on its way to the client.
+    /// The whole streamed value on this backend connection was forwarded to the client.
     StreamForwarded(u64),
-    /// What follows that value.
+    /// The trailer after a streamed value arrived.
     StreamTrailer {
         /// The backend's connection.
         connection: u64,
-        /// The units that the backend billed, where it reports them.
+        /// Units that the backend billed, if it reported them.
         billed_units: Option<f64>,
-        /// The backend's load report, as it was written.
+        /// The backend's load report, undecoded.
         load_report: Option<Vec<u8>>,
-        /// More bytes were received right behind it.
+        /// Whether more bytes were received after it.
         more_received: bool,
     },
-    /// A response of the counter or of the discovery service.
+    /// A response of the counter or of the list service arrived.
     HttpResponse {
-        /// The connection to the service.
+        /// The connection to that service.
         connection: ConnectionId,
         /// The response.
         response: Response,
     },
-    /// The beginning of a message has come, and not the rest yet.
+    /// A message on this connection is incomplete so far.
     PartialMessage(ConnectionId),
-    /// More of a long body has come from a client.
+    /// More bytes of a client's long command arrived.
     BodyProgress {
         /// The client's connection.
         client: u64,
-        /// There is memory for the rest.
+        /// Whether there is memory for the rest of it.
         has_capacity: bool,
     },
-    /// A connection that was opened from here is up.
+    /// A connection that this process opened is established.
     Connected(ConnectionId),
-    /// An attempt was taken out of the buffer of a backend's connection before any of its bytes was written.
+    /// An attempt was removed from the write buffer of a backend's connection before any of its bytes was written.
     Withdrawn {
         /// The backend's connection.
         connection: u64,
-        /// Its number on that connection.
+        /// The number of the attempt on that connection.
         attempt: u64,
     },
-    /// A connection ended that was not closed from here.
+    /// A connection ended that this process did not close.
     ConnectionEnded {
-        /// Which one.
+        /// The connection.
         connection: ConnectionId,
-        /// Why.
+        /// Why it ended.
         reason: CloseReason,
-        /// Some of what was written to it has not left.
+        /// Whether its write buffer still held unsent bytes.
         unsent: bool,
     },
-    /// A datagram of another instance, or from an unknown peer.
+    /// A datagram arrived from another instance or from an unknown peer.
     Datagram {
         /// The sender's address.
         from: SocketAddr,
-        /// All of it.
+        /// The datagram's payload.
         body: Vec<u8>,
     },
-    /// No file descriptor was left to accept one more client.
+    /// No file descriptor is left to accept another client.
     DescriptorsExhausted,
-    /// The configuration was read again: where the discovery service and the counter are now.
+    /// The configuration was reloaded.
     ConfigurationReloaded {
         /// Address of the list service.
         discovery: SocketAddr,
         /// Address of the counter, if there is one.
         counter: Option<SocketAddr>,
     },
-    /// The operator's file was read again, and is valid.
+    /// The operator's file was reloaded and is valid.
     OperatorFileReloaded(Box<OperatorUpdate>),
-    /// The configuration was to be read again, and can't be used.
+    /// The configuration could not be reloaded; the text says why.
     ReloadFailed(String),
-    /// SIGTERM.
+    /// The process received SIGTERM.
     Shutdown,
 }
--- a/gateway/src/state/log_message.rs
+++ b/gateway/src/state/log_message.rs
@@ -1,4 +1,4 @@
-//! Messages of the reducer for the operators' log. docs/on-call.md has a row for each of them.
+//! Log messages of the reducer. docs/on-call.md has a row for each of them.
 use super::shared_state::SaveError;
 use crate::wire::endpoints::EndpointListError;
 use quillramp::types::PolicyLogMessage;
@@ -7,19 +7,19 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A message for the log. Its text is stable, so that operators can search for it.
+/// A log message. Its text is stable, so that operators can search for it.
 #[derive(Debug)]
 pub enum LogMessage {
     /// A message of the policy engine.
     Policy(PolicyLogMessage),
-    /// Limits of admission are in force.
+    /// Admission limits are in force.
     AdmissionLimits {
-        /// The most connections of clients.
+        /// Maximum number of client connections.
         connections: usize,
-        /// How many of them are reserved for known addresses.
+        /// Number of these connections that are reserved for known addresses.
         reserve: usize,
     },
-    /// There are no limits of admission any more.
+    /// Admission limits are no longer in force.
     AdmissionLimitsRemoved,
     /// An operator has ejected a backend.
     BackendEjected {
@@ -31,7 +31,7 @@
         /// The backend's name.
         name: String,
     },
-    /// Callers have to be known by tokens of this issuer.
+    /// Callers must authenticate with tokens of this issuer.
     CallersAuthenticated {
         /// The issuer.
         issuer: String,
@@ -40,16 +40,16 @@
         /// Number of revoked tokens and callers.
         revoked: usize,
     },
-    /// Callers need not be known.
+    /// Callers need no authentication.
     CallersNotAuthenticated,
-    /// The configuration was read again.
+    /// The configuration was reloaded.
     ConfigurationReloaded {
         /// Address of the list service.
         discovery: SocketAddr,
         /// Address of the counter, if there is one.
         counter: Option<SocketAddr>,
     },
-    /// The configuration was to be read again, and can't be used.
+    /// The configuration could not be reloaded.
     ConfigurationRejected {
         /// Why.
         error: String,
@@ -58,58 +58,58 @@
     Contracts {
         /// Number of contracts.
         contracts: usize,
-        /// Number of teams that they name.
+        /// Number of teams in these contracts.
         teams: usize,
-        /// Units a second that the backends serve in all.
+        /// Capacity of all backends together, in units per second.
         capacity: f64,
     },
-    /// There are no contracts between teams.
+    /// Contracts between teams are no longer in force.
     ContractsRemoved,
-    /// Datagrams that were malformed or from unknown peers.
+    /// Malformed datagrams or datagrams from unknown peers were dropped.
     DatagramsDropped {
-        /// How many since the start.
+        /// Number of dropped datagrams since the process started.
         count: u64,
     },
-    /// An operator has drained the instance.
+    /// An operator has started to drain the instance.
     DrainStarted,
-    /// The instance is no longer drained.
+    /// An operator has ended the drain of the instance.
     DrainEnded,
-    /// A response of the list service can't be used.
+    /// A response of the list service was rejected.
     EndpointListRejected {
         /// Why.
         error: EndpointListError,
     },
-    /// The instances that do not reach the counter are no longer the same.
+    /// The set of instances that do not reach the counter has changed.
     InstancesAbsent {
-        /// Their indices.
+        /// Indices of these instances.
         instances: BTreeSet<usize>,
     },
-    /// Membership on the counter is switched on.
+    /// Membership on the counter is enabled.
     MembershipEnabled {
-        /// Seconds from one heartbeat to the next.
+        /// Interval between heartbeats, in seconds.
         interval: f64,
     },
-    /// Membership on the counter is switched off.
+    /// Membership on the counter is disabled.
     MembershipDisabled,
-    /// Another process of this instance has ended.
+    /// The other process of this instance has ended.
     PeerProcessEnded,
     /// Another process of this instance has started.
     PeerProcessStarted,
-    /// Limits of requests are declared in the operator's file.
+    /// The operator's file declares other limits of requests.
     RequestLimits {
-        /// The routes that declare them.
+        /// Summary of the routes that declare the limits.
         routes: String,
     },
-    /// An operator's change can't be saved.
+    /// An operator's change could not be saved.
     SaveFailed {
         /// Why.
         error: SaveError,
     },
     /// A graceful shutdown has begun.
     ShutdownStarted,
-    /// A graceful shutdown has begun, and the next process accepts clients.
+    /// A graceful shutdown has begun, and the next process takes over the listening socket.
     ShutdownWithHandover,
-    /// A client's token is not accepted. The token itself is secret.
+    /// A client's token was rejected. The token itself is secret and is not logged.
     TokenRejected {
         /// The client's connection.
         client: u64,
@@ -123,54 +123,75 @@
         match self {
             LogMessage::Policy(message) => write!(formatter, "{message}"),
             LogMessage::AdmissionLimits { connections, reserve } => {
-                write!(formatter, "admission: {connections} connections, {reserve} kept for known addresses")
+                write!(
+                    formatter,
+                    "admission limits in force: {connections} connections, {reserve} reserved for known addresses"
+                )
             }
-            LogMessage::AdmissionLimitsRemoved => write!(formatter, "admission: no limits from now on"),
+            LogMessage::AdmissionLimitsRemoved => write!(formatter, "admission limits removed"),
             LogMessage::BackendEjected { name } => write!(formatter, "backend {name} ejected by an operator"),
             LogMessage::BackendRestored { name } => {
                 write!(formatter, "backend {name} restored by an operator")
             }
             LogMessage::CallersAuthenticated { issuer, keys, revoked } => {
-                write!(formatter, "callers are known by tokens of {issuer}: {keys} keys, {revoked} revoked")
+                write!(
+                    formatter,
+                    "callers must authenticate: issuer {issuer}, {keys} keys, {revoked} revocations"
+                )
             }
-            LogMessage::CallersNotAuthenticated => write!(formatter, "callers need not be known"),
+            LogMessage::CallersNotAuthenticated => write!(formatter, "callers need no authentication"),
             LogMessage::ConfigurationReloaded { discovery, counter } => write!(
                 formatter,
-                "configuration read again: list service at {discovery}, counter at {counter:?}"
+                "configuration reloaded: list service at {discovery}, counter at {counter:?}"
             ),
             LogMessage::ConfigurationRejected { error } => {
-                write!(formatter, "configuration rejected, the old one stays in force: {error}")
+                write!(formatter, "configuration rejected, the previous one stays in force: {error}")
             }
             LogMessage::Contracts { contracts, teams, capacity } => {
-                write!(formatter, "{contracts} contracts of {teams} teams, {capacity} units a second in all")
+                write!(
+                    formatter,
+                    "contracts in force: {contracts} contracts of {teams} teams, capacity {capacity} units/s"
+                )
+            }
+            LogMessage::ContractsRemoved => write!(formatter, "contracts removed"),
+            LogMessage::DatagramsDropped { count } => {
+                write!(
+                    formatter,
+                    "datagrams dropped, malformed or from unknown peers, since the start: {count}"
+                )
+            }
+            LogMessage::DrainStarted => {
+                write!(formatter, "drain started by an operator: closing connections")
+            }
+            LogMessage::DrainEnded => write!(formatter, "drain ended by an operator"),
+            LogMessage::EndpointListRejected { error } => {
+                write!(formatter, "response of the list service rejected: {error}")
             }
-            LogMessage::ContractsRemoved => write!(formatter, "no contracts between teams"),
-            LogMessage::DatagramsDropped { count } => write!(formatter, "datagrams dropped so far: {count}"),
-            LogMessage::DrainStarted => write!(formatter, "drained by an operator: closing connections"),
-            LogMessage::DrainEnded => write!(formatter, "the drain has ended"),
-            LogMessage::EndpointListRejected { error } => write!(formatter, "list service: {error}"),
             LogMessage::InstancesAbsent { instances } => {
                 let instances = InstanceList(instances);
                 write!(formatter, "instances that do not reach the counter: {instances}")
             }
             LogMessage::MembershipEnabled { interval } => {
-                write!(formatter, "membership on the counter, every {interval} s")
+                write!(formatter, "membership on the counter enabled: a heartbeat every {interval} s")
             }
-            LogMessage::MembershipDisabled => write!(formatter, "no membership on the counter"),
-            LogMessage::PeerProcessEnded => write!(formatter, "the only process again"),
+            LogMessage::MembershipDisabled => write!(formatter, "membership on the counter disabled"),
+            LogMessage::PeerProcessEnded => write!(formatter, "the other process of this instance has ended"),
             LogMessage::PeerProcessStarted => {
                 write!(formatter, "another process of this instance is running")
             }
-            LogMessage::RequestLimits { routes } => write!(formatter, "limits declared: {routes}"),
+            LogMessage::RequestLimits { routes } => write!(formatter, "request limits declared: {routes}"),
             LogMessage::SaveFailed { error } => {
-                write!(formatter, "in force, but not saved for the next process: {error}")
+                write!(
+                    formatter,
+                    "change by an operator in force, but not saved for the next process: {error}"
+                )
             }
             LogMessage::ShutdownStarted => {
-                write!(formatter, "shutting down: serving on, then closing connections")
+                write!(formatter, "shutting down: still serving, then closing connections")
             }
             LogMessage::ShutdownWithHandover => write!(
                 formatter,
-                "shutting down: the next process accepts, this one answers its pending requests"
+                "shutting down: the next process accepts clients, this one answers its pending requests"
             ),
             LogMessage::TokenRejected { client, rejection } => {
                 write!(formatter, "client {client}: token rejected: {rejection}")
@@ -179,7 +200,7 @@
     }
 }
 
-/// Indices separated by commas, or `none`.
+/// Displays indices separated by commas, or `none`.
 struct InstanceList<'a>(&'a BTreeSet<usize>);
 
 impl fmt::Display for InstanceList<'_> {
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -1,9 +1,9 @@
-//! What an instance keeps, and the one reducer through which all of it changes. Nothing here touches a socket.
+//! The state of a gateway instance, and the reducer that makes all changes to it. No I/O happens here.
 //!
-//! `reducer` takes each `event` in and returns `effect`s; `dispatch` hands an event to the part that handles it, and `decisions`
-//! asks the policy engine. `connection`, `shared_state` and `log_message` are the values that events and effects carry. The
-//! tables (`requests`, `client_table`, `backend_table`, `counter_table`, `timers`) keep what the parts share. `backlog`,
-//! `framing` and `write_buffer` keep the bytes of one connection.
+//! `reducer` takes batches of `event`s and returns `effect`s. `dispatch` passes each event to the module that handles
+//! it, and `decisions` calls the policy engine. `connection`, `shared_state` and `log_message` define the values that
+//! events and effects carry. The tables (`requests`, `client_table`, `backend_table`, `counter_table`, `timers`) hold
+//! the state that several modules use. `backlog`, `framing` and `write_buffer` handle the bytes of one connection.
 mod admin;
 mod admission;
 mod attempts;
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -1,5 +1,5 @@
-//! The reducer: every change of what an instance keeps goes through here. It turns events into calls of the policy engine
-//! and that one's decisions into effects; it decides nothing and touches no socket.
+//! The reducer makes every change to the state of an instance. It turns events into calls of the policy engine, and the
+//! engine's decisions into effects. It makes no policy decisions itself and does no I/O.
 use super::admin::AdminState;
 use super::backend_table::BackendTable;
 use super::broker::BrokerState;
@@ -25,35 +25,35 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Where the other parties are, and what this process may do.
+/// Addresses of the services and peers that the reducer uses, and the limits of its process.
 pub struct ReducerConfig {
-    /// The addresses of all instances, by index.
+    /// Gossip addresses of all instances, by index.
     pub peers: Vec<SocketAddr>,
-    /// Where a datagram reaches all instances.
+    /// Address at which a datagram reaches all instances, if there is one.
     pub peer_broadcast: Option<SocketAddr>,
-    /// The counter, where there is one.
+    /// Address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The discovery service.
+    /// Address of the list service.
     pub discovery: SocketAddr,
-    /// The file descriptors that the machine allows to all processes of this instance together.
+    /// Maximum number of file descriptors that all processes of this instance may hold together.
     pub max_descriptors: usize,
-    /// The listening socket was inherited: another process listens on it too.
+    /// Whether the listening socket was inherited, so that another process may listen on it too.
     pub inherited_listener: bool,
-    /// Operators may call.
+    /// Whether the interface for operators is open.
     pub admin_enabled: bool,
-    /// What operators change is saved for the next process.
+    /// Whether changes by operators are saved for the next process.
     pub saves_changes: bool,
 }
 
-/// The answer to a batch of events.
+/// The reducer's response to a batch of events.
 pub struct ReducerOutput {
-    /// When to poll next without an event, in seconds; none where only an event can change something.
+    /// Time of the next poll if no event arrives before, in seconds; `None` if no timer is pending.
     pub next_poll_at: Option<f64>,
-    /// What is to be done now, in this order.
+    /// Effects to carry out now, in this order.
     pub effects: Vec<Effect>,
 }
 
-/// All that an instance keeps. Times are in seconds, as the caller's clock has them.
+/// The state of a gateway instance. All times are in seconds on the caller's clock.
 pub struct Reducer {
     pub(super) engine: PolicyEngine,
     pub(super) instance: InstanceSettings,
@@ -66,30 +66,30 @@
     pub(super) discovery: DiscoveryState,
     pub(super) admin: AdminState,
     pub(super) shutdown: ShutdownState,
-    /// Indices of customers, and of budgets and groups of instances that have counters too.
+    /// Indices of customers, and of the budgets and groups of instances that also have counters.
     pub(super) customers: Interner<u64>,
-    /// Which clients may connect and send commands, where that is limited.
+    /// Limits the connections and commands of clients; `None` without admission limits.
     pub(super) admission: Option<AdmissionController>,
-    /// Validates callers' tokens, where callers have to be known.
+    /// Validates the tokens of callers; `None` without authentication.
     pub(super) identity: Option<Authenticator>,
-    /// Contracts between teams, where there are any.
+    /// Enforces contracts between teams; `None` without contracts.
     pub(super) broker: Option<BrokerState>,
-    /// Which instances reach the counter, where membership is switched on.
+    /// Tracks which instances reach the counter; `None` while membership is disabled.
     pub(super) membership: Option<MembershipState>,
-    /// The limits that operators have declared for requests.
+    /// Limits of requests that the operator's file declares.
     pub(super) routes: Table,
-    /// Datagrams from unknown peers, or malformed.
+    /// Number of datagrams dropped because they were malformed or from unknown peers.
     pub(super) dropped_datagrams: u64,
-    /// The number of the last connection that was opened from here.
+    /// ID of the last connection that this process opened.
     last_connection_id: u64,
-    /// The figures that are counted.
+    /// Statistics for operators.
     pub stats: Stats,
-    /// What is to be done after this batch, in this order.
+    /// Effects to return from the next poll, in this order.
     pub(super) effects: Vec<Effect>,
 }
 
 impl Reducer {
-    /// Starts with the endpoint list that the configuration has, and asks for the current one.
+    /// Creates a reducer with the endpoint list of the configuration, and requests the current list.
     pub fn new(now: f64, settings: Loaded, config: ReducerConfig, endpoints: &EndpointList) -> Reducer {
         let Loaded { engine, instance } = settings;
         let stats = Stats::new(instance.operations.len());
@@ -124,12 +124,13 @@
         reducer
     }
 
-    /// Handles events that have come together. Commands last: a new attempt must not be sent on a connection whose end is
-    /// in the same batch.
+    /// Handles a batch of events. Commands are handled last, because a new attempt must not be sent on a connection whose
+    /// end is reported in the same batch.
     pub fn handle_batch(&mut self, now: f64, events: &mut Vec<Event>) {
         events.sort_by_key(|event| matches!(event, Event::ClientCommand { .. }));
         let ended: HashSet<ConnectionId> = events.iter().filter_map(ended_connection).collect();
-        // A connection that came up and ended in the same batch never was: nothing has been written to it.
+        // Nothing has been written to a connection that was established and ended in the same batch, so it counts as
+        // never established.
         events.retain(|event| !matches!(event, Event::Connected(connection) if ended.contains(connection)));
         self.mark_connections_ending_in_batch(&ended);
         for event in &*events {
@@ -144,7 +145,7 @@
         self.clients.commands_in_batch.clear();
     }
 
-    /// A command stands further back in the batch.
+    /// Counts a command of the batch that is about to be handled.
     fn count_command_in_batch(&mut self, client: u64) {
         *self.clients.commands_in_batch.entry(client).or_default() += 1;
         if let Some(admission) = &mut self.admission {
@@ -152,7 +153,8 @@
         }
     }
 
-    /// After a batch of events: fires the timers that are due.
+    /// Fires the timers that are due, polls the policy engine, and returns the effects since the last poll. Called after
+    /// each batch of events.
     pub fn poll(&mut self, now: f64) -> ReducerOutput {
         while let Some(kind) = self.timers.pop_due(now) {
             self.timer_fired(now, kind);
@@ -177,8 +179,8 @@
         let (kind, id) = match connection {
             ConnectionId::Client(id) => ("client", id),
             ConnectionId::Backend(id) => {
-                let known = self.backends.connections.get(&id);
-                name = known.and_then(|known| self.backends.names.resolve(known.backend)).cloned();
+                let backend = self.backends.connections.get(&id).map(|connection| connection.backend);
+                name = backend.and_then(|backend| self.backends.names.resolve(backend)).cloned();
                 ("backend", id)
             }
             ConnectionId::Counter(id) => ("counter", id),
@@ -188,20 +190,20 @@
         self.effects.push(Effect::LogClosed(ClosedConnection { kind, id, name, reason }));
     }
 
-    /// Closes a connection.
+    /// Logs the reason and closes a connection.
     pub(super) fn close(&mut self, connection: ConnectionId, reason: CloseReason) {
         self.log_closed(connection, reason);
         self.effects.push(Effect::Close(connection));
     }
 
-    /// The number of a connection that is about to be opened.
+    /// Returns the ID for a connection that is about to be opened.
     pub(super) fn next_connection_id(&mut self) -> u64 {
         self.last_connection_id += 1;
         self.last_connection_id
     }
 }
 
-/// The connection that an event reports as ended.
+/// Returns the connection whose end the event reports, if any.
 fn ended_connection(event: &Event) -> Option<ConnectionId> {
     match event {
         Event::ConnectionEnded { connection, .. } => Some(*connection),
--- a/gateway/src/state/shared_state.rs
+++ b/gateway/src/state/shared_state.rs
@@ -1,25 +1,25 @@
-//! What the processes of one instance share, and the changes that operators make to it.
+//! State that the processes of one instance share, and the changes that operators make to it.
 use std::collections::BTreeMap;
 use std::error::Error;
 
-/// A change by an operator, which is saved for the next process too.
+/// A change by an operator, which is also saved for the next process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminChange {
-    /// No new attempts are sent to a backend.
+    /// Stops sending new attempts to a backend.
     EjectBackend {
         /// The backend's name.
         name: String,
-        /// Since when it is ejected, in seconds.
+        /// Time of the ejection, in seconds.
         since: f64,
     },
-    /// Attempts are sent to the backend of this name again.
+    /// Resumes sending attempts to the backend of this name.
     RestoreBackend(String),
-    /// Whether the instance is drained.
+    /// Drains the instance, or ends its drain.
     SetDrained(bool),
 }
 
 impl AdminChange {
-    /// Makes the change to these parts of the shared state.
+    /// Applies the change to these parts of the shared state.
     pub fn apply(self, ejected_backends: &mut BTreeMap<String, f64>, drained: &mut bool) {
         match self {
             AdminChange::EjectBackend { name, since } => {
@@ -33,28 +33,29 @@
     }
 }
 
-/// What the processes of one instance share.
+/// State that the processes of one instance share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SharedState {
-    /// Backends that operators have ejected, and since when, in seconds.
+    /// Names of the backends that operators have ejected, with the time of each ejection in seconds.
     pub ejected_backends: BTreeMap<String, f64>,
-    /// An operator has drained the instance.
+    /// Whether an operator has drained the instance.
     pub drained: bool,
-    /// Another process of this instance is running too.
+    /// Whether another process of this instance is running.
     pub peer_process_running: bool,
-    /// That process started after this one.
+    /// Whether that process started after this one.
     pub peer_process_newer: bool,
-    /// That process is stopping, and will hold no more descriptors than these.
+    /// Maximum number of file descriptors that the other process will hold; `None` unless it is stopping and has
+    /// announced one.
     pub peer_descriptor_limit: Option<usize>,
 }
 
-/// The shared state could not be saved. Whoever saves it says why; to the reducer that is a text for operators.
+/// The error of a failed save of the shared state. The reducer only passes its text to operators.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct SaveError(Box<dyn Error + Send + Sync>);
 
 impl SaveError {
-    /// The state could not be saved because of this.
+    /// Wraps the cause of the failed save.
     pub fn new(cause: impl Error + Send + Sync + 'static) -> SaveError {
         SaveError(Box::new(cause))
     }
--- a/gateway/src/state/validation.rs
+++ b/gateway/src/state/validation.rs
@@ -1,52 +1,53 @@
-//! Whether a client's command is valid under the settings.
+//! Validation of clients' commands against the settings.
 use crate::wire::resp::RequestCommand;
 use quillramp::settings::InstanceSettings;
 use quillramp::types::Idempotency;
 use thiserror::Error;
 
-/// Why a command is invalid, as its client reads it.
+/// Why a command is invalid; the client gets the text.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum InvalidCommand {
     #[error("unknown operation")]
     UnknownOperation,
     #[error("unknown plan")]
     UnknownPlan,
-    /// Idempotent operations have another verb than all else.
-    #[error("not by this command: CALL.GET is for what may be repeated, CALL.POST for all else")]
+    /// The verb does not fit the idempotency of the operation.
+    #[error("wrong command: expected CALL.GET for an idempotent operation, CALL.POST for any other")]
     WrongVerb,
-    #[error("first and spread: no such front doors")]
+    /// The range of instances is empty, too long, or starts behind the last instance.
+    #[error("first, spread: expected a range within the gateway instances")]
     UnknownInstances,
-    /// The units are not in the range that the settings allow.
-    #[error("units: expected more than 0, and {max_units} at the most")]
+    /// The units are outside the range that the settings allow.
+    #[error("units: expected more than 0 and at most {max_units}")]
     UnitsOutOfRange { max_units: f64 },
-    /// The timeout is not in the range that the operation allows, in milliseconds.
+    /// The timeout in milliseconds is outside the range that the operation allows.
     #[error("d: expected 1 to {max_timeout_ms} ms")]
     TimeoutOutOfRange { max_timeout_ms: f64 },
-    /// A request with the same id is not over.
-    #[error("id: an invocation under it is open")]
+    /// A request with the same ID has not ended yet.
+    #[error("id: a request with this id is still open")]
     IdInUse,
 }
 
-/// What a valid command names.
+/// The settings that a valid command refers to.
 pub(super) struct ValidCommand {
-    /// The index of its operation.
+    /// Index of the operation.
     pub operation: usize,
-    /// The index of its plan.
+    /// Index of the plan.
     pub plan: usize,
 }
 
-/// Checks a command against the settings.
+/// Validates a command against the settings; returns the indices of its operation and plan.
 pub(super) fn validate(
     settings: &InstanceSettings,
     command: &RequestCommand,
 ) -> Result<ValidCommand, InvalidCommand> {
     let operations = &settings.operations;
-    let operation = operations.iter().position(|known| known.name.as_bytes() == command.operation());
+    let operation = operations.iter().position(|operation| operation.name.as_bytes() == command.operation());
     let operation = operation.ok_or(InvalidCommand::UnknownOperation)?;
-    let plan = settings.plans.iter().position(|known| known.as_bytes() == command.plan());
+    let plan = settings.plans.iter().position(|plan| plan.as_bytes() == command.plan());
     let plan = plan.ok_or(InvalidCommand::UnknownPlan)?;
-    let offered = &operations[operation];
-    if command.idempotent != (offered.idempotency == Idempotency::Idempotent) {
+    let operation_settings = &operations[operation];
+    if command.idempotent != (operation_settings.idempotency == Idempotency::Idempotent) {
         return Err(InvalidCommand::WrongVerb);
     }
     let instances = settings.instances;
@@ -57,7 +58,7 @@
     if command.units <= 0.0 || command.units > max_units {
         return Err(InvalidCommand::UnitsOutOfRange { max_units });
     }
-    let max_timeout_ms = (offered.timeout * 1e3).ceil();
+    let max_timeout_ms = (operation_settings.timeout * 1e3).ceil();
     if command.timeout_ms < 1.0 || command.timeout_ms > max_timeout_ms {
         return Err(InvalidCommand::TimeoutOutOfRange { max_timeout_ms });
     }
--- a/gateway/tests/handover.rs
+++ b/gateway/tests/handover.rs
@@ -160,7 +160,10 @@
     assert_eq!(ping(&mut late), "-ERR draining", "the old process still accepts");
     drop((late, new));
     let log = old.exit_log();
-    assert!(log.contains("shutting down: serving on") && !log.contains("the next process accepts"), "{log}");
+    assert!(
+        log.contains("shutting down: still serving") && !log.contains("the next process accepts"),
+        "{log}"
+    );
 }
 
 /// Guards: a process with the id of one that had exited long ago counted as the next version.
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -171,7 +171,7 @@
     let log = instance.exit_log();
     let reload_results = log.lines().filter(|line| line.contains("configuration"));
     let reload_results: Vec<_> = reload_results.map(|line| line.split(' ').nth(3)).collect();
-    assert_eq!(reload_results, [Some("rejected,"), Some("read")]);
+    assert_eq!(reload_results, [Some("rejected,"), Some("reloaded:")]);
     assert_eq!(logged_client_count(&log), 8);
 }
 
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -115,8 +115,8 @@
     bench.request(3, "look", 3).run_until(2.0);
     bench.retain_lines(|l| l.contains("client") || l.contains("declared"));
     bench.assert_trace(expect![[r#"
-        0.100 log: limits declared: 1 classes, for 1 pairs of operation and plan
-        0.150 log: limits declared: 0 classes, for 0 pairs of operation and plan
+        0.100 log: request limits declared: 1 classes, for 1 pairs of operation and plan
+        0.150 log: request limits declared: 0 classes, for 0 pairs of operation and plan
         0.254 client 3: -BUSY 400
         0.266 client 1: -BUSY 400
         0.300 client 2: -BUSY 500
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -24,9 +24,9 @@
     });
     bench.event(Event::Datagram { from: peer, body: vec![] });
     bench.assert_trace(expect![[r#"
-        0.000 log: datagrams dropped so far: 1
-        0.000 log: datagrams dropped so far: 2
-        0.000 log: datagrams dropped so far: 4
+        0.000 log: datagrams dropped, malformed or from unknown peers, since the start: 1
+        0.000 log: datagrams dropped, malformed or from unknown peers, since the start: 2
+        0.000 log: datagrams dropped, malformed or from unknown peers, since the start: 4
     "#]]);
 }
 
@@ -58,7 +58,7 @@
         0.000 Discovery(1): watch since 41
         0.000 connect Counter(2) to 127.0.0.1:7007
         0.000 Counter(2): add 1
-        0.000 log: configuration read again: list service at 127.0.0.1:8006, counter at Some(127.0.0.1:8007)
+        0.000 log: configuration reloaded: list service at 127.0.0.1:8006, counter at Some(127.0.0.1:8007)
         0.000 log: connection list 1 ended: moved
         0.000 connect Discovery(3) to 127.0.0.1:8006
         0.000 Discovery(3): list
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -24,7 +24,7 @@
         .event(Event::Shutdown)
         .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping });
     bench.assert_trace(expect![[r#"
-        0.000 log: shutting down: serving on, then closing connections
+        0.000 log: shutting down: still serving, then closing connections
         0.300 connect Counter(2) to 127.0.0.1:7007
         0.316 connect Backend(3) to 127.0.0.1:7011
         0.350 backend connection 3: look for 749 ms
@@ -93,7 +93,7 @@
         expect![[r#"
             0.050 save SetDrained(false)
             0.050 operator 1: 200 done
-            0.050 log: drained by an operator: closing connections
+            0.050 log: drain started by an operator: closing connections
             0.050 save SetDrained(true)
             0.050 client 2: -ERR draining
             0.050 operator 2: 200 done
@@ -123,7 +123,7 @@
         expect![[r#"
             1.600 save SetDrained(true)
             1.600 operator 4: 200 done
-            1.600 log: the drain has ended
+            1.600 log: drain ended by an operator
             1.600 save SetDrained(false)
             1.600 operator 5: 200 done
             1.600 client 4: +PONG
@@ -150,10 +150,10 @@
     assert_trace_of_clients(
         &mut bench,
         expect![[r#"
-            2.000 log: drained by an operator: closing connections
+            2.000 log: drain started by an operator: closing connections
             2.000 save SetDrained(true)
             2.000 operator 6: 200 done
-            2.400 log: shutting down: serving on, then closing connections
+            2.400 log: shutting down: still serving, then closing connections
             2.600 log: connection operator 4 ended: called
             2.600 log: connection operator 5 ended: called
             2.900 stop accepting
@@ -161,7 +161,7 @@
             2.900 close client 4 if idle
             3.000 log: connection operator 6 ended: called
             3.000 log: connection client 4 ended: stopping
-            3.000 log: the drain has ended
+            3.000 log: drain ended by an operator
             3.000 save SetDrained(false)
             3.000 operator 7: 200 done
             3.000 operator 8: 503 draining
@@ -214,7 +214,7 @@
     bench.assert_trace(expect![[r#"
         0.050 log: backend s-a ejected by an operator
         0.050 log: another process of this instance is running
-        0.050 log: shutting down: the next process accepts, this one answers its pending requests
+        0.050 log: shutting down: the next process accepts clients, this one answers its pending requests
         0.050 stop accepting
         0.050 announce a limit of 62 descriptors
         0.050 close client 2 if idle
@@ -251,7 +251,7 @@
         .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping });
     bench.assert_trace(expect![[r#"
-        0.000 log: shutting down: serving on, then closing connections
+        0.000 log: shutting down: still serving, then closing connections
         0.000 client 2: -ERR draining
         0.500 stop accepting
         0.500 close client 1 if idle
