--- a/gateway/src/state/backend_table.rs
+++ b/gateway/src/state/backend_table.rs
@@ -1,27 +1,27 @@
-//! The backends as the endpoint list has them, and the connections to them.
+//! The backends of the endpoint list, and the connections to them.
 use super::requests::AttemptId;
 use quillramp::interner::Interner;
 use quillramp::types::*;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// An attempt on a backend's connection.
+/// An attempt on a backend's connection, from its start until its response is complete.
 pub struct QueuedAttempt {
-    /// Its number, unique on the connection.
+    /// The number of the attempt, unique on the connection.
     pub number: u64,
-    /// Which attempt it is; none where its response is no longer wanted.
+    /// The attempt; `None` once its response is no longer wanted.
     pub id: Option<AttemptId>,
 }
 
 /// A connection to a backend.
 pub struct BackendConnection {
-    /// Where it leads to.
+    /// The backend that it leads to.
     pub backend: BackendIndex,
-    /// It has been established.
+    /// Whether it has been established.
     pub is_established: bool,
-    /// Its end stands further back in the batch: nothing new is sent on it.
+    /// Whether the current batch of events reports its end, so that no attempt may be sent on it.
     pub ends_in_batch: bool,
-    /// The attempts on it, in the order of their responses.
+    /// The attempts on it, in the order in which their responses arrive.
     pub queue: VecDeque<QueuedAttempt>,
     /// The number of the next attempt on it.
     pub next_number: u64,
@@ -30,7 +30,7 @@
 }
 
 impl BackendConnection {
-    /// One that is about to be opened.
+    /// Creates the entry for a connection that is about to be opened.
     pub fn new(backend: BackendIndex, now: f64) -> BackendConnection {
         BackendConnection {
             backend,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Puts an attempt behind the others on it; returns its number.
+    /// Appends an attempt to the queue; returns its number.
     pub fn enqueue(&mut self, id: AttemptId) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -50,42 +50,42 @@
         number
     }
 
-    /// The attempt whose response comes next, if that is still wanted.
+    /// Returns the attempt whose response is next, if that is still wanted.
     pub fn front(&self) -> Option<AttemptId> {
         self.queue.front().and_then(|queued| queued.id)
     }
 
-    /// There are attempts on it, and nobody waits for any of them.
+    /// Returns whether there are attempts on it and none of their responses is wanted any more.
     pub fn is_abandoned(&self) -> bool {
         !self.queue.is_empty() && self.queue.iter().all(|queued| queued.id.is_none())
     }
 }
 
-/// A backend. Without an address its index is free.
+/// A backend. An entry without an address belongs to a free index.
 #[derive(Default)]
 pub struct BackendEntry {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: Option<SocketAddr>,
-    /// Its status on the endpoint list.
+    /// Its status in the endpoint list.
     pub status: EndpointStatus,
-    /// An operator has ejected it.
+    /// Whether an operator has ejected it.
     pub is_manually_ejected: bool,
-    /// Its idle connections, the newest last.
+    /// The idle connections to it; the last one became idle most recently.
     pub idle_connections: Vec<u64>,
 }
 
 impl BackendEntry {
-    /// Whether new attempts may be sent to it.
+    /// Returns whether new attempts may be sent to it.
     pub fn accepts_requests(&self) -> bool {
         self.status == EndpointStatus::Ready && !self.is_manually_ejected
     }
 
-    /// It was removed from the list, and its index is not free yet.
+    /// Returns whether it was removed from the list and its index is not free yet.
     pub fn is_removed(&self) -> bool {
         self.status == EndpointStatus::Removed && self.address.is_some()
     }
 
-    /// Keeps a connection from being picked for the next attempt.
+    /// Removes a connection from the idle ones, so that no attempt reuses it.
     pub fn remove_idle(&mut self, connection: u64) {
         self.idle_connections.retain(|idle| *idle != connection);
     }
@@ -94,10 +94,10 @@
 /// All backends and the connections to them.
 #[derive(Default)]
 pub struct BackendTable {
-    /// Names to indices.
+    /// Maps names of backends to indices.
     pub names: Interner<String>,
-    /// By index, like the names.
+    /// The backends, by index.
     pub entries: Vec<BackendEntry>,
-    /// By number.
+    /// The connections to backends, by connection ID.
     pub connections: HashMap<u64, BackendConnection>,
 }
--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -1,4 +1,4 @@
-//! Connections to backends: up, idle, answered on, ended.
+//! The life of connections to backends: establishment, replies, reuse when idle, and end.
 use super::backend_table::QueuedAttempt;
 use super::connection::{CloseReason, ConnectionId};
 use super::effect::Effect;
@@ -8,7 +8,7 @@
 use std::collections::HashSet;
 
 impl Reducer {
-    /// A connection is up: the attempt that it was opened for is sent, if that may still begin.
+    /// Handles an established connection: sends the attempt that it was opened for, if that is still in time.
     pub(super) fn backend_connected(&mut self, now: f64, connection_id: u64) {
         let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
         connection.is_established = true;
@@ -16,7 +16,7 @@
         let Some(&QueuedAttempt { number, id: Some(id) }) = connection.queue.front() else {
             return self.reuse_or_close_if_idle(now, connection_id);
         };
-        // It came up late: the request may be over by now, or the backend may be draining.
+        // The request may have ended meanwhile, or the backend may be draining.
         let pending = self.requests.get_open(id.request);
         let is_in_time = pending.is_some_and(|pending| now < pending.attributes.deadline);
         if is_in_time && self.backends.entries[backend].accepts_requests() {
@@ -27,7 +27,7 @@
         self.reuse_or_close_if_idle(now, connection_id);
     }
 
-    /// A connection without attempts is kept for the next one, or closed where none may come.
+    /// Keeps a connection without attempts for reuse, or closes it if its backend accepts no new attempts.
     pub(super) fn reuse_or_close_if_idle(&mut self, now: f64, connection_id: u64) {
         let Some(connection) = self.backends.connections.get_mut(&connection_id) else { return };
         if !connection.queue.is_empty() {
@@ -45,7 +45,8 @@
         }
     }
 
-    /// What comes on a connection without attempts would be taken for the response to its next one.
+    /// Closes a connection without attempts on which data arrived, as that data would be taken for the response to its
+    /// next attempt.
     pub(super) fn unexpected_backend_data(&mut self, connection_id: u64) {
         let Some(connection) = self.backends.connections.get(&connection_id) else { return };
         if !connection.queue.is_empty() {
@@ -55,7 +56,7 @@
         self.close_backend_connection(connection_id, CloseReason::UnexpectedData);
     }
 
-    /// A reply to the first attempt on a connection. `more_received`: bytes have come right behind it.
+    /// Handles the reply to the first attempt on a connection. `more_received`: whether more bytes were received after it.
     pub(super) fn backend_replied(
         &mut self,
         now: f64,
@@ -80,7 +81,7 @@
         self.response_complete(now, connection_id, more_received);
     }
 
-    /// The first attempt on a connection has been taken off it.
+    /// Handles the end of a response, after its attempt was removed from the connection's queue.
     pub(super) fn response_complete(&mut self, now: f64, connection_id: u64, more_received: bool) {
         if more_received {
             self.unexpected_backend_data(connection_id);
@@ -88,13 +89,13 @@
         self.reuse_or_close_if_idle(now, connection_id);
     }
 
-    /// Closes a connection on which nobody waits for anything.
+    /// Closes and removes a connection on which no response is wanted.
     pub(super) fn close_backend_connection(&mut self, connection_id: u64, reason: CloseReason) {
         self.close(ConnectionId::Backend(connection_id), reason);
         self.backends.connections.remove(&connection_id);
     }
 
-    /// Closes the idle connections to a backend that accepts nothing new any more.
+    /// Closes the idle connections to a backend that accepts no new attempts.
     pub(super) fn close_idle_connections_to(&mut self, backend: BackendIndex) {
         let idle = std::mem::take(&mut self.backends.entries[backend].idle_connections);
         for connection_id in idle {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// These connections end in the batch that is about to be handled: nothing new is sent on them.
+    /// Marks connections whose end the batch reports that is about to be handled, so that no attempt is sent on them.
     pub(super) fn mark_connections_ending_in_batch(&mut self, connections: &HashSet<ConnectionId>) {
         for connection in connections {
             let ConnectionId::Backend(id) = connection else { continue };
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A connection did not come up in time.
+    /// Closes a connection that was not established in time.
     pub(super) fn connect_timed_out(&mut self, now: f64, connection_id: u64) {
         let connection = self.backends.connections.get(&connection_id);
         if connection.is_some_and(|connection| !connection.is_established) {
@@ -121,9 +122,9 @@
         }
     }
 
-    /// A connection broke or never came up: an attempt that had not left completely has not run. `unsent`: some of what
-    /// was written to it has not left. A response that can't be read is one all the same: its backend is no worse than
-    /// one that reports an error.
+    /// Ends the attempts on a connection that has ended or was never established. An attempt that was not sent
+    /// completely has not run. `unsent`: whether the write buffer still held unsent bytes. A malformed response counts
+    /// as an error of the backend, as the attempt did get a response.
     pub(super) fn backend_connection_ended(
         &mut self,
         now: f64,
@@ -138,7 +139,7 @@
         self.backends.entries[connection.backend].remove_idle(connection_id);
         let is_malformed = reason == CloseReason::BadFraming;
         let sent_result = if is_malformed { AttemptResult::Errored } else { AttemptResult::Broken };
-        // Only the last one can have left in part, and none has before the connection is up.
+        // Only the last attempt can be partly unsent, and all are unsent if the connection was never established.
         let mut unsent = unsent || !connection.is_established;
         while let Some(last) = connection.queue.pop_back() {
             let result = if unsent { AttemptResult::NotConnected } else { sent_result };
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Forgets backends that were removed from the list and that nothing refers to any more; their indices are free.
+    /// Frees the indices of backends that were removed from the list and have no attempts or connections left.
     pub(super) fn forget_removed_backends(&mut self) {
         if !self.backends.entries.iter().any(|entry| entry.is_removed()) {
             return;
@@ -167,12 +168,12 @@
         }
     }
 
-    /// How many backends are known, or were at the most.
+    /// Returns the number of backend indices in use or free, the largest number of backends so far.
     pub fn backend_count(&self) -> usize {
         self.backends.entries.len()
     }
 
-    /// Streams a response from this connection to that client, or drops it.
+    /// Streams a response from a backend's connection to a client, or discards it if the client is `None`.
     pub(super) fn stream_to(&mut self, connection_id: u64, client: Option<u64>) {
         self.effects.push(Effect::Stream { connection: connection_id, client });
     }
--- a/gateway/src/state/backlog.rs
+++ b/gateway/src/state/backlog.rs
@@ -1,40 +1,40 @@
-//! The bytes that have been read from one connection and not decoded yet.
+//! The bytes that have been read from one connection and are not decoded yet.
 //!
-//! A client may write commands faster than they may be accepted. Its connection is read all the same, for its end lies
-//! behind what it wrote, and nothing is to be forwarded for a client that has left. So that this takes a bounded amount of
-//! memory, commands beyond the bound are dropped as they come and only counted; each of them is rejected in its turn.
+//! A client may send commands faster than they are accepted. Its connection is read nevertheless: the end of the
+//! connection follows all data, and nothing should be forwarded for a client that has left. To bound the memory for
+//! this, commands beyond a limit are dropped as they arrive and only counted; each of them is rejected in its turn.
 use crate::wire::resp::{self, Extent};
 
-/// How many dropped commands may wait for their rejection, for which the replies take less than half a MiB; with more, the
-/// client's connection is closed.
+/// Maximum number of dropped commands that wait for their rejection; the client's connection is closed beyond it. The
+/// replies to that many commands take less than half a MiB.
 pub const MAX_DROPPED_COMMANDS: usize = 65_536;
 
-/// What is rejected next, once all commands before it are decoded.
+/// The next item to reject, once all commands before it are decoded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rejection {
     /// One dropped command.
     Command,
-    /// All that follows: more commands have been dropped than `MAX_DROPPED_COMMANDS`.
+    /// All further input: more commands than `MAX_DROPPED_COMMANDS` have been dropped.
     Overflow,
 }
 
-/// Commands that are dropped as they come.
+/// Progress of dropping commands as they arrive.
 #[derive(Default)]
 struct DropState {
-    /// The length of the complete commands before them, which are still to be decoded.
+    /// Length in bytes of the complete commands before the dropped ones, which are still to be decoded.
     decodable_bytes: usize,
-    /// Commands that were dropped completely and not rejected yet.
+    /// Number of commands that were dropped completely and are not rejected yet.
     pending_rejections: usize,
-    /// How many bytes of the one that is being dropped are still to come.
+    /// Number of bytes still missing of the command that is being dropped.
     missing_bytes: usize,
-    /// What follows can't be decoded; the attempt to do so will report that.
+    /// Whether the next bytes are malformed; decoding them will report the error.
     is_malformed: bool,
-    /// More have come than `MAX_DROPPED_COMMANDS`.
+    /// Whether more commands than `MAX_DROPPED_COMMANDS` wait for their rejection.
     has_overflowed: bool,
 }
 
 impl DropState {
-    /// Every command before has been decoded, and every dropped one rejected.
+    /// Returns whether every earlier command has been decoded and every dropped one rejected.
     fn is_finished(&self) -> bool {
         self.decodable_bytes == 0
             && self.pending_rejections == 0
@@ -51,22 +51,22 @@
 }
 
 impl Backlog {
-    /// How many bytes it holds.
+    /// Returns the number of buffered bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Nothing is left to decode or to reject.
+    /// Returns whether nothing is left to decode or to reject.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty() && self.dropping.is_none()
     }
 
-    /// Whether new commands are dropped.
+    /// Returns whether new commands are dropped.
     pub fn is_dropping(&self) -> bool {
         self.dropping.is_some()
     }
 
-    /// What may be decoded next.
+    /// Returns the bytes that may be decoded next.
     pub fn decodable(&self) -> &[u8] {
         let end = self.dropping.as_ref().map_or(self.bytes.len(), |dropping| dropping.decodable_bytes);
         &self.bytes[..end]
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Adds what has been read. `growth_step`: the bytes by which the capacity grows for a message over
-    /// `resp::MAX_MESSAGE_BYTES`.
+    /// Appends bytes that have been read, or drops them. `growth_step`: number of bytes by which the capacity grows for a
+    /// message longer than `resp::MAX_MESSAGE_BYTES`.
     pub fn extend(&mut self, bytes: &[u8], growth_step: usize) {
         let Some(dropping) = &mut self.dropping else {
             if self.bytes.len() > resp::MAX_MESSAGE_BYTES
                 && self.bytes.capacity() < self.bytes.len() + bytes.len()
             {
-                self.bytes.reserve_exact(growth_step); // not by doubling
+                self.bytes.reserve_exact(growth_step); // avoids doubling a large buffer
             }
             return self.bytes.extend_from_slice(bytes);
         };
@@ -103,8 +103,8 @@
         self.drop_received();
     }
 
-    /// Drops commands from now on, except for the complete ones that are buffered, until all of these are decoded and all
-    /// dropped ones are rejected.
+    /// Starts to drop commands, except for the complete ones that are already buffered. This lasts until these are
+    /// decoded and all dropped ones are rejected.
     pub fn start_dropping(&mut self) {
         let mut decodable_bytes = 0;
         while let Ok(Extent::Complete(length)) = resp::command_extent(&self.bytes[decodable_bytes..]) {
@@ -114,7 +114,7 @@
         self.drop_received();
     }
 
-    /// Drops the commands behind the decodable bytes, as far as they have come.
+    /// Drops the received bytes of commands after the decodable ones.
     fn drop_received(&mut self) {
         let Some(dropping) = &mut self.dropping else { return };
         let mut position = dropping.decodable_bytes;
@@ -140,7 +140,7 @@
         dropping.has_overflowed = dropping.pending_rejections > MAX_DROPPED_COMMANDS;
     }
 
-    /// What is to be rejected next, if its turn has come; each dropped command is returned once.
+    /// Returns the next item to reject, if all commands before it are decoded. Returns each dropped command once.
     pub fn next_rejection(&mut self) -> Option<Rejection> {
         let dropping = self.dropping.as_mut().filter(|dropping| dropping.decodable_bytes == 0)?;
         if dropping.pending_rejections > 0 {
@@ -150,7 +150,7 @@
         dropping.has_overflowed.then_some(Rejection::Overflow)
     }
 
-    /// Stops dropping if every command so far is decoded or rejected; returns whether it did.
+    /// Stops dropping if every command so far has been decoded or rejected; returns whether it stopped.
     pub fn try_stop_dropping(&mut self) -> bool {
         let is_finished = self.dropping.as_ref().is_some_and(DropState::is_finished);
         if is_finished {
@@ -159,14 +159,14 @@
         is_finished
     }
 
-    /// Drops everything, and frees memory beyond this capacity, in bytes.
+    /// Discards everything, and frees the buffer if its capacity exceeds `capacity` bytes.
     pub fn clear(&mut self, capacity: usize) {
         self.bytes.clear();
         self.dropping = None;
         self.shrink(capacity);
     }
 
-    /// Frees memory beyond this capacity, in bytes, if nothing is buffered.
+    /// Frees the buffer if it is empty and its capacity exceeds `capacity` bytes.
     pub fn shrink(&mut self, capacity: usize) {
         if self.bytes.is_empty() && self.bytes.capacity() > capacity {
             self.bytes = Vec::new();
--- a/gateway/src/state/broker.rs
+++ b/gateway/src/state/broker.rs
@@ -1,5 +1,5 @@
-//! Contracts between teams: the broker is asked about a request before the policy engine is, and gets back the grants of
-//! requests that were never forwarded.
+//! Contracts between teams: the broker grants a request before the policy engine routes it, and is refunded for requests
+//! that were never forwarded.
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use crate::wire::resp::{ClientReply, RequestCommand};
@@ -10,25 +10,24 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The lowest number that stands for a team's budget on the counter, where customers' numbers and those of groups of
-/// instances lie below.
+/// Lowest number of a team's budget in counter keys; the numbers of customers and of groups of instances are lower.
 const FIRST_BUDGET_NUMBER: u64 = 1 << 41;
-/// Budget periods whose counters may still be answered.
+/// Maximum number of budget periods for which results of counter calls are still accepted.
 const MAX_PENDING_PERIODS: usize = 64;
-/// The longest Retry-After that a client gets, in seconds.
+/// Maximum Retry-After in replies to clients, in seconds.
 const MAX_RETRY_AFTER_SECONDS: f64 = 3600.0;
 
 /// The broker, its settings, and the counters of budgets.
 pub struct BrokerState {
     broker: Broker,
     settings: BrokerSettings,
-    /// The teams, by the customer index that stands for their budget.
+    /// Teams, by the customer index of their budget's counter.
     teams: BTreeMap<CustomerIndex, TeamId>,
-    /// Budget periods, by the series that stands for them.
+    /// Budget periods, by the series of their counter.
     periods: BTreeMap<u32, u64>,
 }
 
-/// A team's figures as operators read them.
+/// The usage of a team's contract, as operators read it.
 #[derive(Serialize)]
 struct TeamUsageReport {
     version: Option<u32>,
@@ -43,7 +42,7 @@
     denied: u64,
 }
 
-/// The number that stands for a team's budget, the same at every instance (an FNV-1a hash).
+/// Returns the number of a team's budget in counter keys, the same at every instance (from an FNV-1a hash).
 fn budget_number(team: &str) -> u64 {
     let hash = team
         .bytes()
@@ -51,7 +50,7 @@
     FIRST_BUDGET_NUMBER | (hash & (FIRST_BUDGET_NUMBER - 1))
 }
 
-/// The reply to a client whose team may not have what it requests.
+/// Returns the reply to a request that the contract denies.
 fn denied_by_contract(reason: Reason) -> ClientReply {
     ClientReply::Error(format!("contract: {}", reason.message()))
 }
@@ -67,12 +66,12 @@
         self.settings = settings;
     }
 
-    /// Whether this counter is a budget's.
+    /// Returns whether this counter is that of a budget.
     pub fn owns_counter(&self, key: CounterKey) -> bool {
         self.teams.contains_key(&key.customer)
     }
 
-    /// Takes the result of a call; another call may be due.
+    /// Handles the result of a call to the counter; returns the next call if one is due.
     pub fn counter_answered(
         &mut self,
         now: f64,
@@ -88,7 +87,7 @@
 }
 
 impl Reducer {
-    /// Contracts hold from now on, or none do. Requests that were accepted keep their grants.
+    /// Replaces the contracts, or removes them. Requests that were accepted before keep their grants.
     pub(super) fn set_contracts(&mut self, now: f64, settings: Option<BrokerSettings>) {
         if self.broker.as_ref().map(|state| &state.settings) == settings.as_ref() {
             return;
@@ -110,8 +109,8 @@
         }
     }
 
-    /// What the team's contract grants for a request, nothing where there is no broker; or the reply that says why the
-    /// request is rejected. `caller_team`: the team of the client's token, where it had to show one.
+    /// Returns the grant of the team's contract for a request, `None` without a broker, or the reply that rejects the
+    /// request. `caller_team`: the team of the client's token, if clients must authenticate.
     pub(super) fn request_grant(
         &mut self,
         now: f64,
@@ -160,7 +159,7 @@
         self.call_counter(now, CounterCall { key, delta: call.amount, lifetime: call.lifetime });
     }
 
-    /// A backend reported what a request really took, in units.
+    /// Corrects the grant of a request to the units that a backend billed for it.
     pub(super) fn settle_grant(&mut self, now: f64, request: RequestIndex, units: f64) {
         let Some(state) = &mut self.broker else { return };
         let pending = self.requests.get_mut(request);
@@ -170,7 +169,7 @@
         }
     }
 
-    /// A request is over: its grant is given back if it was never forwarded.
+    /// Refunds the grant of a request that has ended without being forwarded.
     pub(super) fn refund_if_not_forwarded(&mut self, request: RequestIndex) {
         let Some(pending) = self.requests.get_mut(request) else { return };
         if !pending.attempts.is_empty() {
@@ -181,7 +180,7 @@
         }
     }
 
-    /// What teams have used of their contracts, as JSON for operators.
+    /// Returns each team's usage of its contract, as JSON for operators.
     pub(super) fn contract_usage(&self) -> String {
         let Some(state) = &self.broker else { return "{}".into() };
         let report = |TeamUsage { team, version, usage }| {
@@ -196,6 +195,6 @@
             (team, report)
         };
         let reports: BTreeMap<&str, TeamUsageReport> = state.broker.usage().map(report).collect();
-        serde_json::to_string(&reports).expect("plain figures")
+        serde_json::to_string(&reports).expect("strings and numbers serialize to JSON")
     }
 }
--- a/gateway/src/state/client_table.rs
+++ b/gateway/src/state/client_table.rs
@@ -1,55 +1,56 @@
-//! Clients' connections and the replies that they wait for.
+//! Clients' connections, and the replies that are pending on them.
 use crate::wire::resp::ClientReply;
 use quillramp::types::RequestIndex;
 use quillramp_identity::Caller;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::IpAddr;
 
-/// The reply to a command: replies leave in the order of the commands.
+/// The reply to a command. Replies are sent in the order of the commands.
 pub enum PendingReply {
-    /// This request is to be answered first.
+    /// It depends on the answer to this request.
     Request(RequestIndex),
-    /// It waits only for the replies to the commands before.
+    /// It is known, and is sent after the replies to the commands before.
     Ready(ClientReply),
 }
 
 /// A client's connection.
 #[derive(Default)]
 pub struct Client {
-    /// Where it comes from.
+    /// The client's address.
     pub address: Option<IpAddr>,
-    /// Who speaks on it, once it has been authenticated.
+    /// The authenticated caller; `None` before a valid token.
     pub caller: Option<Caller>,
     /// The number of the first command without a reply.
     pub first_unanswered_number: u64,
-    /// One for each command without a reply.
+    /// One entry for each command without a sent reply.
     pub pending_replies: VecDeque<PendingReply>,
-    /// When the last command came or was answered, in seconds.
+    /// Time when the last command arrived or was answered, in seconds.
     pub last_active: f64,
-    /// A command has come.
+    /// Whether a complete command has arrived.
     pub has_sent_command: bool,
-    /// Since when a command has been incomplete, in seconds.
+    /// Time since which a command has been incomplete, in seconds.
     pub partial_since: Option<f64>,
-    /// When more of a long body came, in seconds; infinite while the body waits for memory here.
+    /// Time when more of a long command last arrived, in seconds; infinite while the command waits for memory of this
+    /// process.
     pub body_progress_at: Option<f64>,
-    /// Its framing broke: it is closed once all is answered.
+    /// Whether the client broke the protocol, so that the connection is closed once all commands are answered.
     pub has_protocol_error: bool,
-    /// It is no longer read, and closed once all is answered.
+    /// Whether it is no longer read, and is closed once all commands are answered.
     pub is_reading_stopped: bool,
 }
 
 impl Client {
-    /// The number that its next command gets.
+    /// Returns the number of its next command.
     pub fn next_command_number(&self) -> u64 {
         self.first_unanswered_number + self.pending_replies.len() as u64
     }
 
-    /// Every command has been answered.
+    /// Returns whether every command has been answered.
     pub fn is_answered(&self) -> bool {
         self.pending_replies.is_empty()
     }
 
-    /// The request whose answer is to be sent next.
+    /// Returns the request whose answer is to be sent next, unless the next reply is ready or there is none.
     pub fn next_request(&self) -> Option<RequestIndex> {
         match self.pending_replies.front() {
             Some(PendingReply::Request(request)) => Some(*request),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes the next reply, if it is ready.
+    /// Removes and returns the next reply, if it is ready.
     pub fn take_ready_reply(&mut self) -> Option<ClientReply> {
         match self.pending_replies.pop_front()? {
             PendingReply::Ready(reply) => {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Gives the reply to a command, if that still has none.
+    /// Sets the reply to a command, if that is still pending.
     pub fn set_reply(&mut self, command_number: u64, reply: ClientReply) {
         let position = command_number.checked_sub(self.first_unanswered_number);
         let pending = position.and_then(|position| self.pending_replies.get_mut(position as usize));
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The requests that it waits for.
+    /// Returns the requests whose answers are pending.
     pub fn requests(&self) -> impl Iterator<Item = RequestIndex> + '_ {
         self.pending_replies.iter().filter_map(|pending| match pending {
             PendingReply::Request(request) => Some(*request),
@@ -92,10 +93,10 @@
 /// All clients' connections.
 #[derive(Default)]
 pub struct ClientTable {
-    /// By number.
+    /// The connections, by connection ID.
     pub connections: HashMap<u64, Client>,
-    /// How many commands of the current batch are still to be handled, by client.
+    /// Number of commands in the current batch of events, by client.
     pub commands_in_batch: BTreeMap<u64, usize>,
-    /// A connection was rejected in the current batch, which leaves a descriptor.
+    /// Whether a connection was rejected in the current batch, which frees a file descriptor.
     pub rejected_in_batch: bool,
 }
--- a/gateway/src/state/clients.rs
+++ b/gateway/src/state/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their commands in, their replies out in the same order.
+//! Clients' commands, and the replies to them in the same order.
 use super::client_table::{Client, PendingReply};
 use super::connection::{CloseReason, ConnectionId};
 use super::effect::Effect;
@@ -11,17 +11,17 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Which command it is, and whose.
+/// Identifies a command of a client.
 #[derive(Clone, Copy)]
 pub(super) struct CommandId {
     /// The client's connection.
     pub client: u64,
-    /// Its number on that connection, from 0.
+    /// The number of the command on that connection, from 0.
     pub number: u64,
 }
 
 impl Reducer {
-    /// A client connected.
+    /// Handles a new client connection: registers it, or closes it if the instance is stopping or admission rejects it.
     pub(super) fn client_accepted(&mut self, now: f64, id: u64, address: IpAddr) {
         let has_commands = self.clients.commands_in_batch.contains_key(&id);
         let is_closing_clients = self.shutdown.is_draining && self.shutdown.is_stopping;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A command came: it is accepted as a request, or its reply is known at once.
+    /// Handles a command: accepts it as a request, or replies at once.
     pub(super) fn client_command(&mut self, now: f64, id: u64, command: ClientCommand) {
         let accepts_clients = self.accepts_clients();
         if let Some(admission) = &mut self.admission {
@@ -62,12 +62,13 @@
                 Err(reply) => reply,
             },
         };
-        let client = self.clients.connections.get_mut(&id).expect("it was here before its command");
+        let client =
+            self.clients.connections.get_mut(&id).expect("the connection is open during its command");
         client.pending_replies.push_back(PendingReply::Ready(reply));
         self.send_ready_replies(id);
     }
 
-    /// Accepts a request, or returns the reply that says why not.
+    /// Accepts a request, or returns the reply that rejects it.
     fn request_command(
         &mut self,
         now: f64,
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Asks admission, identity and the contracts between teams, in this order, whether a request may be accepted.
+    /// Checks a request against admission limits, the caller's token and the contracts between teams, in this order.
+    /// Returns the grant of the contract, or the reply that rejects the request.
     fn authorize(
         &mut self,
         now: f64,
@@ -109,7 +111,7 @@
         granted
     }
 
-    /// What the policy engine has to know of a request; or why the command is invalid.
+    /// Returns the attributes of a request for the policy engine, or why the command is invalid.
     fn request_attributes(
         &mut self,
         now: f64,
@@ -121,11 +123,11 @@
         }
         let customer = self.customers.intern(&command.customer);
         let instances = InstanceRange { first: command.first_instance, count: command.instance_count };
-        // What is declared now holds for this request, whatever is declared later.
-        let declared = self.routes.lookup(operation, plan, command.customer);
-        let max_timeout = declared.map_or(f64::INFINITY, |class| class.timeout);
+        // The limits declared now apply to this request, even if others are declared later.
+        let class = self.routes.lookup(operation, plan, command.customer);
+        let max_timeout = class.map_or(f64::INFINITY, |class| class.timeout);
         let deadline = (now + (command.timeout_ms / 1e3).min(max_timeout)).min(self.shutdown.answer_deadline);
-        let limits = declared.map(|class| class.request_limits).unwrap_or_default();
+        let limits = class.map(|class| class.request_limits).unwrap_or_default();
         let membership = self.membership.as_mut();
         let absent_fraction = membership.map_or(0.0, |membership| membership.absent_fraction(now, instances));
         Ok(RequestAttributes {
@@ -161,12 +163,16 @@
             is_forwarding: false,
             grant,
         });
-        let client = self.clients.connections.get_mut(&command_id.client).expect("it sent the command");
+        let client = self
+            .clients
+            .connections
+            .get_mut(&command_id.client)
+            .expect("the connection is open during its command");
         client.pending_replies.push_back(PendingReply::Request(request));
         self.route_request(now, request);
     }
 
-    /// The final reply to a request; it leaves once all before it on the connection have.
+    /// Sets the final answer to a request. It is sent once all earlier replies on the connection have been sent.
     pub(super) fn answer_request(&mut self, now: f64, request: RequestIndex, reply: ClientReply) {
         let Some(pending) = self.requests.get_open_mut(request) else { return };
         pending.is_closed = true;
@@ -187,7 +193,7 @@
         self.send_ready_replies(client_id);
     }
 
-    /// Sends the replies whose turn has come; closes the connection if it was to be closed after the last one.
+    /// Sends the replies that are next in order and ready; closes the connection after the last one if that is due.
     fn send_ready_replies(&mut self, id: u64) {
         let Some(client) = self.clients.connections.get_mut(&id) else { return };
         while let Some(reply) = client.take_ready_reply() {
@@ -203,7 +209,8 @@
         }
     }
 
-    /// A client's connection ended: its attempts are withdrawn where they have not left.
+    /// Handles the end of a client's connection: closes its requests, and withdraws their attempts that are not written
+    /// yet.
     pub(super) fn client_disconnected(&mut self, now: f64, id: u64) {
         let Some(client) = self.remove_client(id) else { return };
         for request in client.requests() {
@@ -218,13 +225,13 @@
         self.exit_if_done();
     }
 
-    /// Closes a client's connection.
+    /// Removes and closes a client's connection.
     pub(super) fn disconnect_client(&mut self, id: u64, reason: CloseReason) {
         self.remove_client(id);
         self.close(ConnectionId::Client(id), reason);
     }
 
-    /// Forgets a client's connection.
+    /// Removes a client's connection from the table; returns it if it was there.
     pub(super) fn remove_client(&mut self, id: u64) -> Option<Client> {
         if let Some(admission) = &mut self.admission {
             admission.connection_closed(id);
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -179,8 +179,8 @@
         let (kind, id) = match connection {
             ConnectionId::Client(id) => ("client", id),
             ConnectionId::Backend(id) => {
-                let backend = self.backends.connections.get(&id).map(|connection| connection.backend);
-                name = backend.and_then(|backend| self.backends.names.resolve(backend)).cloned();
+                let entry = self.backends.connections.get(&id);
+                name = entry.and_then(|entry| self.backends.names.resolve(entry.backend)).cloned();
                 ("backend", id)
             }
             ConnectionId::Counter(id) => ("counter", id),
