--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Returns the number of backend indices in use or free, the largest number of backends so far.
+    /// Returns the number of backend indices, in use or free.
     pub fn backend_count(&self) -> usize {
         self.backends.entries.len()
     }
--- a/gateway/src/state/backlog.rs
+++ b/gateway/src/state/backlog.rs
@@ -14,7 +14,7 @@
 pub enum Rejection {
     /// One dropped command.
     Command,
-    /// All further input: more commands than `MAX_DROPPED_COMMANDS` have been dropped.
+    /// All further input, as more than `MAX_DROPPED_COMMANDS` dropped commands wait for their rejection.
     Overflow,
 }
 
@@ -29,7 +29,7 @@
     missing_bytes: usize,
     /// Whether the next bytes are malformed; decoding them will report the error.
     is_malformed: bool,
-    /// Whether more commands than `MAX_DROPPED_COMMANDS` wait for their rejection.
+    /// Whether more than `MAX_DROPPED_COMMANDS` dropped commands wait for their rejection.
     has_overflowed: bool,
 }
 
--- a/gateway/src/state/counter.rs
+++ b/gateway/src/state/counter.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter, over a few pipelined connections.
+//! Calls to the counter over a few pipelined connections.
 use super::connection::{CloseReason, ConnectionId};
 use super::counter_table::*;
 use super::effect::Effect;
@@ -8,13 +8,13 @@
 use quillramp::types::*;
 use std::net::SocketAddr;
 
-/// Connections at the most, unresponsive ones included. The counter would accept twice as many.
+/// Maximum number of connections to the counter, including unresponsive ones. The counter accepts twice as many.
 const MAX_COUNTER_CONNECTIONS: usize = 16;
-/// Connections that are used for new calls at the same time.
+/// Maximum number of connections that are used for new calls at the same time.
 const MAX_ACTIVE_CONNECTIONS: usize = 2;
 
 impl Reducer {
-    /// Makes a call; `counter_call_ended` takes its result.
+    /// Starts a call to the counter; `counter_call_ended` handles its result.
     pub(super) fn call_counter(&mut self, now: f64, call: CounterCall) {
         let Some(address) = self.config.counter else {
             return self.engine.counter_answered(now, call.key, CounterResult::NotApplied);
@@ -26,7 +26,8 @@
         self.counter.queues.entry(call.key.into()).or_default().push_back(pending);
         let timeout = TimerKind::CounterTimeout { connection: connection_id, call: number };
         let timer = self.timers.schedule(now + self.instance.counter_timeout, timeout);
-        let connection = self.counter.connections.get_mut(&connection_id).expect("just selected");
+        let connection =
+            self.counter.connections.get_mut(&connection_id).expect("the selected connection is open");
         connection.last_used = now;
         if !connection.is_established {
             connection.queued.push(QueuedCall { call, number, timer });
@@ -37,8 +38,9 @@
         self.send_counter_request(connection_id, &call);
     }
 
-    /// The connection for a call: that of the last call on the same counter, while that is pending, so that the calls
-    /// are applied in order; else the one with the fewest calls; else a new one.
+    /// Selects the connection for a call: that of the last pending call on the same counter, so that the calls are applied
+    /// in order; without one, the connection with the fewest calls, or a new connection if all are busy and more are
+    /// allowed.
     fn select_counter_connection(&mut self, now: f64, key: CounterKey, address: SocketAddr) -> u64 {
         if let Some(id) = self.connection_of_last_call(key) {
             return id;
@@ -55,7 +57,7 @@
         self.open_counter_connection(now, address)
     }
 
-    /// The connection of the last pending call on the same counter, if it may still be used.
+    /// Returns the connection of the last pending call on the same counter, if it still accepts calls.
     fn connection_of_last_call(&self, key: CounterKey) -> Option<u64> {
         let id = self.counter.queues.get(&key.into())?.back()?.connection;
         let connection = self.counter.connections.get(&id)?;
@@ -64,7 +66,7 @@
 
     fn open_counter_connection(&mut self, now: f64, address: SocketAddr) -> u64 {
         if self.counter.connections.len() >= MAX_COUNTER_CONNECTIONS {
-            let oldest = *self.counter.connections.keys().next().expect("there are some");
+            let oldest = *self.counter.connections.keys().next().expect("the limit is not 0");
             self.close(ConnectionId::Counter(oldest), CloseReason::Unresponsive);
             self.counter_connection_ended(now, oldest, false, CloseReason::Unresponsive);
         }
@@ -75,7 +77,7 @@
         id
     }
 
-    /// Takes the result of a call. Whoever made calls on one counter is notified in the order of these calls.
+    /// Handles the result of a call. The results of calls on one counter are delivered in the order of the calls.
     fn counter_call_ended(&mut self, now: f64, key: CounterKey, number: u64, result: CounterResult) {
         let Some(queue) = self.counter.queues.get_mut(&key.into()) else { return };
         if let Some(pending) = queue.iter_mut().find(|pending| pending.number == number) {
@@ -110,7 +112,7 @@
         self.effects.push(Effect::HttpRequest { connection: ConnectionId::Counter(connection), request });
     }
 
-    /// A connection is up: the calls that waited for it are sent.
+    /// Handles an established connection: sends the calls that are queued on it.
     pub(super) fn counter_connected(&mut self, id: u64) {
         let Some(connection) = self.counter.connections.get_mut(&id) else { return };
         connection.is_established = true;
@@ -125,7 +127,7 @@
         }
     }
 
-    /// A call has timed out: it is unanswered if it was sent, else nothing was added.
+    /// Ends a call that has timed out: as unanswered if it was sent, otherwise as not applied.
     pub(super) fn counter_call_timed_out(&mut self, now: f64, id: u64, number: u64) {
         let Some(connection) = self.counter.connections.get_mut(&id) else { return };
         if let Some(position) = connection.queued.iter().position(|queued| queued.number == number) {
@@ -142,7 +144,7 @@
         self.counter_call_ended(now, waiter.key, number, CounterResult::Unanswered);
     }
 
-    /// The response to the first call on a connection.
+    /// Handles the response to the first call on a connection.
     pub(super) fn counter_responded(&mut self, now: f64, id: u64, response: Response) {
         let Some(connection) = self.counter.connections.get_mut(&id) else { return };
         connection.is_unresponsive = false;
@@ -161,20 +163,22 @@
         self.close_if_replaced(id);
     }
 
-    /// What comes on a connection without a call would be taken for the response to its next one.
+    /// Closes a connection without calls on which data arrived, as that data would be taken for the response to its next
+    /// call.
     pub(super) fn unexpected_counter_data(&mut self, id: u64) {
         if self.counter.connections.get(&id).is_some_and(CounterConnection::is_idle) {
             self.close_counter_connection(id, CloseReason::UnexpectedData);
         }
     }
 
-    /// Closes a connection without calls.
+    /// Closes and removes a connection without calls.
     pub(super) fn close_counter_connection(&mut self, id: u64, reason: CloseReason) {
         self.close(ConnectionId::Counter(id), reason);
         self.counter.connections.remove(&id);
     }
 
-    /// The counter has another address now: calls that were made may still be answered, the next ones go there.
+    /// Handles a new address of the counter: pending calls may still be answered on the old connections, and later calls
+    /// use new ones.
     pub(super) fn counter_address_changed(&mut self) {
         for connection in self.counter.connections.values_mut() {
             connection.is_replaced = true;
@@ -191,7 +195,7 @@
         }
     }
 
-    /// A connection ended. `unsent`: some of what was written to it has not left.
+    /// Ends the calls on a connection that has ended. `unsent`: whether the write buffer still held unsent bytes.
     pub(super) fn counter_connection_ended(&mut self, now: f64, id: u64, unsent: bool, reason: CloseReason) {
         let Some(connection) = self.counter.connections.remove(&id) else { return };
         for QueuedCall { call, number, timer } in connection.queued {
@@ -203,7 +207,7 @@
             let result = if unsent && position == last {
                 CounterResult::NotApplied
             } else if position == 0 && reason == CloseReason::BadFraming {
-                CounterResult::AppliedTotalUnknown // a response that can't be read is one all the same
+                CounterResult::AppliedTotalUnknown // the counter sent a response, though a malformed one
             } else {
                 CounterResult::Unanswered
             };
@@ -215,7 +219,7 @@
     }
 }
 
-/// What a response says of its call.
+/// Returns the result of a call from its response.
 fn call_result(response: &Response) -> CounterResult {
     let body = std::str::from_utf8(&response.body).ok();
     let total = body.and_then(|body| body.trim().parse::<f64>().ok()).filter(|total| total.is_finite());
--- a/gateway/src/state/counter_table.rs
+++ b/gateway/src/state/counter_table.rs
@@ -1,9 +1,9 @@
-//! Connections to the counter and the calls on them.
+//! Connections to the counter, and the calls on them.
 use super::timers::TimerKey;
 use quillramp::types::*;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// The counters whose calls are answered in order: those of one customer and series.
+/// Identifies the counters whose results are delivered in the order of the calls: those of one customer and series.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct CounterQueueKey {
     customer: CustomerIndex,
@@ -16,82 +16,83 @@
     }
 }
 
-/// A call that waits until its connection is up.
+/// A call that waits until its connection is established.
 pub struct QueuedCall {
-    /// What is to be sent.
+    /// The call to send.
     pub call: CounterCall,
-    /// Its number, unique in this process.
+    /// The number of the call, unique in this process.
     pub number: u64,
-    /// Its timeout.
+    /// The timeout of the call.
     pub timer: TimerKey,
 }
 
-/// Who waits for the response to a call.
+/// Where the result of a sent call is delivered.
 pub struct CallWaiter {
     /// The counter that was called.
     pub key: CounterKey,
-    /// The call's timeout.
+    /// The timeout of the call.
     pub timer: TimerKey,
 }
 
 /// A call that has been written to its connection.
 pub struct SentCall {
-    /// Its number, unique in this process.
+    /// The number of the call, unique in this process.
     pub number: u64,
-    /// None once the call has timed out.
+    /// Where its result is delivered; `None` once the call has timed out.
     pub waiter: Option<CallWaiter>,
 }
 
 /// A connection to the counter.
 #[derive(Default)]
 pub struct CounterConnection {
-    /// It has been established.
+    /// Whether it has been established.
     pub is_established: bool,
-    /// In the order of their responses.
+    /// Sent calls without a response, in the order of their responses.
     pub sent: VecDeque<SentCall>,
-    /// To be sent when it is up.
+    /// Calls to send once it is established.
     pub queued: Vec<QueuedCall>,
-    /// A call on it has timed out, and nothing has come since.
+    /// Whether a call on it has timed out and no response has arrived since.
     pub is_unresponsive: bool,
-    /// The counter's address has changed: nothing new is sent on it.
+    /// Whether the counter's address has changed, so that it accepts no new calls.
     pub is_replaced: bool,
-    /// When the last call was made on it, in seconds.
+    /// Time of the last call on it, in seconds.
     pub last_used: f64,
 }
 
 impl CounterConnection {
-    /// Whether new calls may be made on it.
+    /// Returns whether new calls may be made on it.
     pub fn accepts_calls(&self) -> bool {
         !self.is_unresponsive && !self.is_replaced
     }
 
-    /// No call is on it.
+    /// Returns whether no call is queued or sent on it.
     pub fn is_idle(&self) -> bool {
         self.sent.is_empty() && self.queued.is_empty()
     }
 
-    /// How many calls are on it.
+    /// Returns the number of calls that are queued or sent on it.
     pub fn load(&self) -> usize {
         self.sent.len() + self.queued.len()
     }
 }
 
-/// A call among those on the same counter; it keeps its result until the earlier ones have theirs.
+/// A call whose result is not delivered yet. The result is kept until the earlier calls on the same counter have
+/// theirs.
 pub struct PendingCall {
-    /// Its number, unique in this process.
+    /// The number of the call, unique in this process.
     pub number: u64,
-    /// The connection that it was made on.
+    /// The connection on which the call was made.
     pub connection: u64,
-    /// What came of it, once that is known.
+    /// Its result, once known.
     pub result: Option<CounterResult>,
 }
 
-/// The connections to the counter, and all calls without a result.
+/// The connections to the counter, and all calls whose results are not delivered yet.
 #[derive(Default)]
 pub struct CounterTable {
-    /// By number.
+    /// The connections, by connection ID.
     pub connections: BTreeMap<u64, CounterConnection>,
-    /// In the order in which the calls were made.
+    /// The calls of each customer and series, in the order in which they were made.
     pub queues: HashMap<CounterQueueKey, VecDeque<PendingCall>>,
     /// The number of the last call.
     pub last_call: u64,
--- a/gateway/src/state/decisions.rs
+++ b/gateway/src/state/decisions.rs
@@ -1,4 +1,4 @@
-//! The policy engine: asked about requests, notified of attempts, and its decisions carried out.
+//! Calls of the policy engine about requests and attempts, and the execution of its decisions.
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use super::requests::{AttemptId, EndedAttempt};
@@ -6,7 +6,7 @@
 use quillramp::types::*;
 
 impl Reducer {
-    /// Asks what is to be done with a request.
+    /// Asks the policy engine for a decision on a request, and carries it out.
     pub(super) fn route_request(&mut self, now: f64, request: RequestIndex) {
         let Some(pending) = self.requests.get_open(request) else { return };
         let attributes = pending.attributes;
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Polls the policy engine for requests to be considered again; returns in how many seconds it wants to be polled
-    /// next.
+    /// Polls the policy engine, and routes the requests that it wants to reconsider. Returns the seconds until its next
+    /// poll, if it needs one.
     pub(super) fn poll_engine(&mut self, now: f64) -> Option<f64> {
         loop {
             self.report_ended_attempts(now);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Frees a request that is over.
+    /// Frees a request that is closed and whose attempts have all ended and been reported.
     pub(super) fn release_if_finished(&mut self, request: RequestIndex) {
         let Some(pending) = self.requests.get(request) else { return };
         if !pending.is_closed || pending.is_in_flight() {
--- a/gateway/src/state/descriptors.rs
+++ b/gateway/src/state/descriptors.rs
@@ -1,4 +1,4 @@
-//! File descriptors: how many this process may hold, and what is closed when they are short.
+//! File descriptors: how many this process may hold, and which connections are closed when they run out.
 use super::admin::MAX_ADMIN_CONNECTIONS;
 use super::client_table::Client;
 use super::connection::CloseReason;
@@ -6,23 +6,26 @@
 use super::idle::SHORT_CLIENT_IDLE_TIMEOUT;
 use super::reducer::Reducer;
 
-/// Descriptors that are kept for listening, the log, the event loop and the like.
+/// Number of file descriptors reserved for listening sockets, the log, the event loop and similar.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// What a process that shuts down keeps beyond what it holds, for attempts of its pending requests.
+/// Number of file descriptors that a process that is shutting down keeps beyond those it holds, for attempts of its
+/// pending requests.
 const SHUTDOWN_SPARE_DESCRIPTORS: usize = 8;
-/// A client that has just connected may need so long to send something, in seconds.
+/// Time that a new client gets to send its first command before its connection may be closed to free a file
+/// descriptor, in seconds.
 const FIRST_COMMAND_TIMEOUT: f64 = 0.05;
-/// Descriptors that clients never get: those for discovery, the counter, some backends, operators and the process itself.
-/// An operator's file may give the rest away too (`admission.connections`).
+/// Number of file descriptors that clients never get: those for the list service, the counter, some backends,
+/// operators and the process itself. An operator's file may assign all others to clients (`admission.connections`).
 const NON_CLIENT_DESCRIPTORS: usize = 64;
 
-/// How many clients' connections may be open at once, of so many descriptors in all; a quarter if there are few.
+/// Returns the maximum number of open client connections for this number of file descriptors; at least a quarter of
+/// them.
 pub fn max_clients(descriptors: usize) -> usize {
     descriptors.saturating_sub(NON_CLIENT_DESCRIPTORS).max(descriptors / 4)
 }
 
 impl Reducer {
-    /// The descriptors that connections hold now; one is for discovery.
+    /// Returns the number of file descriptors that connections hold now, with one for the list service.
     pub(super) fn used_descriptors(&self) -> usize {
         self.clients.connections.len()
             + self.backends.connections.len()
@@ -31,19 +34,20 @@
             + usize::from(self.discovery.overdue_watch.is_some())
     }
 
-    /// No descriptor is left for one more connection.
+    /// Returns whether file descriptors are running out: more are needed than this process may hold.
     pub(super) fn is_short_of_descriptors(&self) -> bool {
         self.needed_descriptors() > self.allowed_descriptors()
     }
 
-    /// Descriptors that are in use, or are kept free for what must always be possible.
+    /// Returns the number of file descriptors that are in use or reserved.
     fn needed_descriptors(&self) -> usize {
         let operators = if self.config.admin_enabled { MAX_ADMIN_CONNECTIONS } else { 0 };
         self.used_descriptors() + RESERVED_DESCRIPTORS + operators
     }
 
-    /// The machine's limit is for both processes of an instance together: half for each, until the one that shuts down
-    /// announces a limit. It does so before the other one takes the rest, so that together they never exceed it.
+    /// Returns the number of file descriptors that this process may hold. The limit of the machine applies to both
+    /// processes of an instance together: each may hold half, until the one that is shutting down announces a lower limit.
+    /// The other may use the rest only after the announcement, so that together they never exceed the limit.
     fn allowed_descriptors(&self) -> usize {
         let max = self.config.max_descriptors;
         let half = max / 2;
@@ -56,7 +60,7 @@
         self.admin.shared.peer_descriptor_limit.map_or(half, |peer| max - peer.min(half))
     }
 
-    /// A process that shuts down needs fewer and fewer descriptors, and announces it.
+    /// Announces a lower limit of file descriptors, as a process that is shutting down needs fewer over time.
     pub(super) fn announce_descriptor_limit(&mut self) {
         let announced = self.shutdown.announced_descriptor_limit;
         let current = announced.unwrap_or(self.config.max_descriptors / 2);
@@ -68,40 +72,41 @@
         }
     }
 
-    /// Closes an idle connection if descriptors are short.
+    /// Closes an idle connection if file descriptors are running out.
     pub(super) fn ensure_free_descriptor(&mut self, now: f64) {
         if self.is_short_of_descriptors() {
             self.free_descriptor(now);
         }
     }
 
-    /// Closes idle connections until descriptors are not short, or none is left.
+    /// Closes idle connections until enough file descriptors are free or no idle connection is left.
     pub(super) fn free_descriptors(&mut self, now: f64) {
         while self.is_short_of_descriptors() && self.free_descriptor(now) {}
     }
 
-    /// Closes an idle connection: of a client that only holds on to it, else the backend's that has been idle longest,
-    /// for it costs a handshake to have it again, else any client's. False if there was none.
+    /// Closes an idle connection: an inactive client's, else the backend connection that has been idle longest, else any
+    /// idle client's. Backend connections come second because reopening one costs a handshake. Returns false if there was
+    /// none.
     fn free_descriptor(&mut self, now: f64) -> bool {
         self.close_inactive_client(now)
             || self.close_oldest_idle_backend_connection()
             || self.close_any_idle_client(now)
     }
 
-    /// Closes a client's connection so that another may be accepted. A backend's descriptor would not do for that:
-    /// clients' are limited apart (`max_clients`).
+    /// Closes a client's connection so that another client can be accepted. Closing a backend's connection would not
+    /// help, because client connections have their own limit (`max_clients`).
     pub(super) fn free_descriptor_for_client(&mut self, now: f64) {
-        let _has_closed_one = self.close_inactive_client(now)
+        let _closed_one = self.close_inactive_client(now)
             || self.close_client_without_command()
             || self.close_any_idle_client(now);
     }
 
-    /// The idle client that has been inactive longest, of those that may be evicted.
+    /// Returns the idle client that has been inactive longest among those that may be evicted.
     fn least_recently_active_client(&self, may_be_evicted: impl Fn(&Client) -> bool) -> Option<u64> {
-        // A client whose command has been read is owed a reply, though the command's turn is yet to come.
-        let unread = &self.clients.commands_in_batch;
+        // A client with a command later in this batch still gets a reply.
+        let commands_in_batch = &self.clients.commands_in_batch;
         let idle = self.clients.connections.iter().filter(|(id, client)| {
-            client.is_answered() && !unread.contains_key(id) && may_be_evicted(client)
+            client.is_answered() && !commands_in_batch.contains_key(id) && may_be_evicted(client)
         });
         let oldest = idle.min_by(|(id, client), (other_id, other)| {
             client.last_active.total_cmp(&other.last_active).then(id.cmp(other_id))
@@ -109,7 +114,7 @@
         oldest.map(|(id, _)| *id)
     }
 
-    /// Closes the connection of a client that sends nothing; false if there was none.
+    /// Closes the connection of a client that has sent nothing for a while; returns false if there was none.
     fn close_inactive_client(&mut self, now: f64) -> bool {
         let is_inactive = |client: &Client| {
             let grace =
@@ -121,7 +126,7 @@
         self.evict_client(evicted)
     }
 
-    /// Closes the backend connection that has been idle longest; false if there was none.
+    /// Closes the backend connection that has been idle longest; returns false if there was none.
     fn close_oldest_idle_backend_connection(&mut self) -> bool {
         let connections = &self.backends.connections;
         let idle = self.backends.entries.iter().filter_map(|entry| entry.idle_connections.first()).copied();
@@ -133,18 +138,18 @@
         true
     }
 
-    /// Closes the connection of a client that has sent nothing yet, for however short a time; false if there was none.
-    /// Where there are limits of admission, these name who is closed.
+    /// Closes the connection of a client that has sent nothing yet, however recently it connected; returns false if there
+    /// was none. With admission limits, the admission controller selects the client to evict instead.
     fn close_client_without_command(&mut self) -> bool {
         if self.admission.is_some() {
             return false;
         }
-        let is_silent = |client: &Client| !client.has_sent_command && client.partial_since.is_none();
-        let evicted = self.least_recently_active_client(is_silent);
+        let has_sent_nothing = |client: &Client| !client.has_sent_command && client.partial_since.is_none();
+        let evicted = self.least_recently_active_client(has_sent_nothing);
         self.evict_client(evicted)
     }
 
-    /// Closes any client's connection that waits for no reply; false if there was none.
+    /// Closes the connection of any client that waits for no reply; returns false if there was none.
     fn close_any_idle_client(&mut self, now: f64) -> bool {
         let evicted = match &mut self.admission {
             Some(admission) => admission.evict(now),
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint list is watched, and the policy engine notified of it.
+//! Discovery: watches the endpoint list at the list service, and notifies the policy engine of changes.
 use super::connection::{CloseReason, ConnectionId};
 use super::effect::Effect;
 use super::log_message::LogMessage;
@@ -8,41 +8,42 @@
 use crate::wire::http::{Request, Response};
 use quillramp::types::*;
 
-/// How long a watch waits for a change, in seconds: for no longer is nothing learnt over a connection that has become
-/// unresponsive, for its response, with or without changes, is due by then. A change missed there counts as known 6 s
-/// after the connection fell silent.
+/// Maximum time that a watch waits for a change, in seconds. The response is due then even without changes, which
+/// limits how long changes are missed on an unresponsive connection: a missed change counts as known 6 s after the
+/// connection became unresponsive.
 const WATCH_SECONDS: f64 = 5.0;
-/// How much longer the response may take, in seconds. Then the service is polled without a wait, on a new connection:
-/// what a service that was silent learns at its return counts as known at once, so a request is always pending.
+/// Time beyond the wait after which a response is overdue, in seconds. The list service is then polled without a wait
+/// on a new connection. A request is always pending, because changes count as known as soon as an unresponsive list
+/// service is back.
 const RESPONSE_GRACE: f64 = 0.4;
-/// When such a poll is refused or ends without a response, it is repeated after so many seconds.
+/// Delay before another poll after one that was refused or ended without a response, in seconds.
 const RETRY_SECONDS: f64 = 0.2;
 
-/// An unresponsive connection whose response would still count.
+/// An unresponsive connection whose response is still accepted.
 #[derive(Clone, Copy)]
 pub(super) struct OverdueWatch {
     connection: u64,
-    /// Until when it is kept, in seconds.
+    /// Time until which it is kept, in seconds.
     until: f64,
 }
 
-/// What is known of the discovery service.
+/// State of the connections to the list service.
 #[derive(Default)]
 pub(super) struct DiscoveryState {
-    /// The connection on which the list is watched.
+    /// The connection with the pending request, if there is one.
     pub connection: Option<u64>,
-    /// The timeout of the pending watch.
+    /// The timeout of the pending request.
     timer: TimerKey,
-    /// No response has come since one was due.
+    /// Whether a response was due and none has arrived since.
     is_unresponsive: bool,
     /// The unresponsive connection that is kept, if there is one.
     pub overdue_watch: Option<OverdueWatch>,
-    /// The version of the list that is known here; none where it is another service's.
+    /// The version of the last list; `None` after a change of the list service's address.
     version: Option<u64>,
 }
 
 impl Reducer {
-    /// Takes over a list, or changes to it.
+    /// Applies a complete endpoint list, or changes to it.
     pub(super) fn apply_endpoint_list(&mut self, now: f64, list: &EndpointList) {
         self.discovery.version = Some(list.index);
         if list.snapshot {
@@ -55,7 +56,7 @@
         self.engine.update_endpoints(now, list.snapshot, &entries);
         for endpoint in &list.endpoints {
             self.admin.known_backends.add(&endpoint.name);
-            // What an operator has ejected stays so, whatever the list reports.
+            // An operator's ejection stays in force whatever the list reports.
             let backend = self.backends.names.get(&endpoint.name);
             let ejected_since = self.admin.shared.ejected_backends.get(&endpoint.name);
             if let (Some(backend), Some(&since)) = (backend, ejected_since) {
@@ -70,7 +71,7 @@
         self.withdraw_from_unavailable_backends();
     }
 
-    /// Takes over an entry of the list; returns it as the policy engine has it.
+    /// Applies an entry of the endpoint list; returns it in the form of the policy engine.
     fn apply_endpoint(&mut self, listed: &endpoints::ListedEndpoint) -> Endpoint {
         let backend = self.backends.names.intern(&listed.name);
         if backend == self.backends.entries.len() {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Opens a connection for the next request.
+    /// Opens a connection to the list service for the next request.
     pub(super) fn open_watch(&mut self, now: f64) {
         let id = self.next_connection_id();
         self.discovery.connection = Some(id);
@@ -100,7 +101,7 @@
         self.schedule_watch_timeout(now, id);
     }
 
-    /// The service has another address: its complete list is fetched there, then watched.
+    /// Handles a new address of the list service: the complete list is fetched from there, then watched.
     pub(super) fn discovery_address_changed(&mut self, now: f64) {
         self.close_overdue_watch(CloseReason::AddressChanged);
         if let Some(old) = self.discovery.connection.take() {
@@ -111,7 +112,7 @@
         self.open_watch(now);
     }
 
-    /// Sends the next request on a connection that is up.
+    /// Sends the next request on an established connection.
     pub(super) fn send_watch(&mut self, connection: ConnectionId) {
         let wait_ms = if self.discovery.is_unresponsive { 1 } else { (WATCH_SECONDS * 1e3) as u64 };
         let request =
@@ -121,14 +122,14 @@
 
     fn schedule_watch_timeout(&mut self, now: f64, id: u64) {
         self.timers.cancel(self.discovery.timer);
-        // The complete list is sent without a wait, too.
+        // The list service also sends the complete list without a wait.
         let is_immediate = self.discovery.is_unresponsive || self.discovery.version.is_none();
         let wait = if is_immediate { 0.0 } else { WATCH_SECONDS };
         self.discovery.timer = self.timers.schedule(now + wait + RESPONSE_GRACE, TimerKind::WatchTimeout(id));
     }
 
-    /// No response when one was due, not even that nothing has changed: the connection may be dead and the service well,
-    /// or slow. So the service is polled at once, and one such connection is kept for a while: its response still counts.
+    /// Handles an overdue response. Either the connection is dead or the list service is slow, so the service is polled on
+    /// a new connection at once, and one overdue connection is kept for a while, as its response is still accepted.
     pub(super) fn watch_timed_out(&mut self, now: f64, id: u64) {
         if self.discovery.connection != Some(id) {
             return;
@@ -145,14 +146,14 @@
         self.open_watch(now);
     }
 
-    /// Closes the unresponsive connection whose response would still have counted.
+    /// Closes the unresponsive connection that was kept.
     fn close_overdue_watch(&mut self, reason: CloseReason) {
         if let Some(overdue) = self.discovery.overdue_watch.take() {
             self.close(ConnectionId::Discovery(overdue.connection), reason);
         }
     }
 
-    /// A connection ended.
+    /// Handles the end of a connection to the list service.
     pub(super) fn discovery_connection_ended(&mut self, now: f64, id: u64) {
         if self.is_overdue(id) {
             self.discovery.overdue_watch = None;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Polls again, unless a request is pending by now.
+    /// Polls the list service, unless a request is pending.
     pub(super) fn watch_if_not_pending(&mut self, now: f64) {
         if self.discovery.connection.is_none() {
             self.open_watch(now);
@@ -179,8 +180,8 @@
         self.discovery.overdue_watch.is_some_and(|overdue| overdue.connection == id)
     }
 
-    /// A response. The first one is taken, whichever connection it comes on; the other connection is closed, for what
-    /// comes there later is older.
+    /// Handles a response. The first response is applied, whichever connection it arrives on; the other connection is
+    /// closed, because a later response there would be older.
     pub(super) fn discovery_responded(&mut self, now: f64, id: u64, response: Response) {
         if self.is_overdue(id) {
             self.discovery.overdue_watch = None;
--- a/gateway/src/state/dispatch.rs
+++ b/gateway/src/state/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which part of the reducer handles an event or a timer.
+//! Passes each event and each timer to the method that handles it.
 use super::connection::{CloseReason, ConnectionId};
 use super::effect::Effect;
 use super::event::Event;
@@ -32,7 +32,7 @@
                 self.connection_ended(now, connection, reason, unsent);
             }
             Event::Datagram { from, body } => self.datagram_received(now, from, &body),
-            // A client that was rejected in this batch leaves a descriptor.
+            // A client that was rejected in this batch frees a file descriptor.
             Event::DescriptorsExhausted if self.clients.rejected_in_batch => {}
             Event::DescriptorsExhausted => self.free_descriptor_for_client(now),
             Event::AdminConnected(id) => self.admin_connected(now, id),
@@ -104,7 +104,7 @@
     pub(super) fn timer_fired(&mut self, now: f64, kind: TimerKind) {
         match kind {
             TimerKind::ConnectTimeout(id) => self.connect_timed_out(now, id),
-            // The timer is cancelled with its request, so the index is still that request's.
+            // The timer is cancelled with its request, so the index still refers to that request.
             TimerKind::RequestTimeout(request) => self.time_out_attempts(request),
             TimerKind::StreamStalled(request) => self.close_if_stalled(now, request),
             TimerKind::PartialCommand(id) => self.partial_command_timed_out(now, id),
--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -1,113 +1,118 @@
-//! Messages on one connection: bytes in, events out. No socket, so that whoever moves the bytes (the sockets, the emulator)
-//! reads them alike.
+//! Decoding of the messages on one connection into events. It does no I/O, so that the sockets and the emulator share
+//! it.
 use super::connection::{CloseReason, ConnectionId};
 use super::event::Event;
 use crate::wire::{admin, http, resp, DecodedMessage, ProtocolError};
 
-/// Where a backend's connection is in a reply.
+/// Position of a backend's connection within a reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ReplyStage {
-    /// At its beginning.
+    /// At the beginning of a reply.
     Head,
-    /// A long value has begun, and is not forwarded before `start_streaming`.
+    /// At the beginning of a long value, which is not forwarded before `start_streaming`.
     StreamPending { bytes_left: usize },
-    /// So much of the value is still to be forwarded.
+    /// Within a value that is being forwarded, with this number of bytes left.
     Streaming { bytes_left: usize },
-    /// Behind the value.
+    /// After the value.
     Trailer,
 }
 
-/// Who is notified of what came.
+/// Receiver of the events and streamed values that a [`MessageReader`] decodes.
 pub trait MessageSink {
-    /// An event. `long`: the bytes of a long command, which it holds until it is answered; else 0.
-    fn event(&mut self, event: Event, long: usize);
-    /// A piece of a value that is being forwarded. `end`: the last one, with the end of its line.
-    fn body_chunk(&mut self, bytes: &[u8], end: bool);
-    /// No more events are wanted now; the bytes that are left are for later.
+    /// Takes an event. `long_command_bytes`: the length of a long command, which counts against the memory for long
+    /// commands until its reply; 0 for other events.
+    fn event(&mut self, event: Event, long_command_bytes: usize);
+    /// Takes a chunk of a value that is being forwarded. `is_last`: whether the line end follows the chunk.
+    fn body_chunk(&mut self, bytes: &[u8], is_last: bool);
+    /// Returns whether to stop decoding for now and leave the remaining bytes for later.
     fn is_full(&self) -> bool {
         false
     }
 }
 
-/// What was found at the beginning of some bytes.
+/// The result of decoding the beginning of the received bytes.
 enum DecodeStep {
-    /// A message.
+    /// A complete message.
     Message {
-        /// What it says.
+        /// The event for the message.
         event: Event,
-        /// How many bytes it took.
+        /// The length of the message in bytes.
         length: usize,
     },
-    /// So many bytes of a value, which have been forwarded.
-    Forwarded(usize),
-    /// The beginning of a message.
+    /// This number of bytes was consumed, and the sink has been called for them.
+    Consumed(usize),
+    /// An incomplete message.
     Partial,
-    /// Nothing can be done with the bytes yet.
+    /// The bytes can't be processed yet.
     Blocked,
 }
 
-/// Reads the messages on one connection.
+/// Decodes the messages on one connection.
 pub struct MessageReader {
     connection: ConnectionId,
     stage: ReplyStage,
-    /// Nothing more of what comes is looked at.
+    /// Whether all further input is to be discarded.
     pub discard: bool,
 }
 
 impl MessageReader {
-    /// For a connection on which nothing has come.
+    /// Creates a reader for a connection on which nothing has been received.
     pub fn new(connection: ConnectionId) -> MessageReader {
         MessageReader { connection, stage: ReplyStage::Head, discard: false }
     }
 
-    /// Lets a value that has begun be forwarded; returns its length in bytes, or none if no value is pending.
+    /// Starts forwarding a pending value; returns its length in bytes, or `None` if no value is pending.
     pub fn start_streaming(&mut self) -> Option<usize> {
         let ReplyStage::StreamPending { bytes_left } = self.stage else { return None };
         self.stage = ReplyStage::Streaming { bytes_left };
         Some(bytes_left)
     }
 
-    /// Whether a value has begun and waits for `start_streaming`.
+    /// Returns whether a value is pending, to be forwarded after `start_streaming`.
     pub fn is_stream_pending(&self) -> bool {
         matches!(self.stage, ReplyStage::StreamPending { .. })
     }
 
-    /// Whether a value is being forwarded.
+    /// Returns whether a value is being forwarded.
     pub fn is_streaming(&self) -> bool {
         matches!(self.stage, ReplyStage::Streaming { .. })
     }
 
-    /// Reports each complete message; returns how many bytes they took.
-    pub fn decode(&mut self, bytes: &[u8], to: &mut dyn MessageSink) -> Result<usize, CloseReason> {
-        let mut done = 0;
+    /// Decodes messages and passes their events to the sink; returns the number of bytes consumed.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason to close the connection if the bytes are malformed.
+    pub fn decode(&mut self, bytes: &[u8], sink: &mut dyn MessageSink) -> Result<usize, CloseReason> {
+        let mut consumed = 0;
         loop {
-            let rest = &bytes[done..];
-            if rest.is_empty() || to.is_full() {
-                return Ok(done);
+            let rest = &bytes[consumed..];
+            if rest.is_empty() || sink.is_full() {
+                return Ok(consumed);
             }
-            match self.decode_one(rest, to)? {
+            match self.decode_one(rest, sink)? {
                 DecodeStep::Message { event, length } => {
                     let is_long = length > resp::MAX_MESSAGE_BYTES;
-                    to.event(event, if is_long { length } else { 0 });
-                    done += length;
+                    sink.event(event, if is_long { length } else { 0 });
+                    consumed += length;
                 }
-                DecodeStep::Forwarded(length) => done += length,
+                DecodeStep::Consumed(length) => consumed += length,
                 DecodeStep::Partial => {
-                    to.event(self.partial_message(rest.len()), 0);
-                    return Ok(done);
+                    sink.event(self.partial_message(rest.len()), 0);
+                    return Ok(consumed);
                 }
-                DecodeStep::Blocked => return Ok(done),
+                DecodeStep::Blocked => return Ok(consumed),
             }
         }
     }
 
-    fn decode_one(&mut self, bytes: &[u8], to: &mut dyn MessageSink) -> Result<DecodeStep, CloseReason> {
+    fn decode_one(&mut self, bytes: &[u8], sink: &mut dyn MessageSink) -> Result<DecodeStep, CloseReason> {
         match self.connection {
-            ConnectionId::Client(client) => Ok(self.decode_command(client, bytes, to)),
-            ConnectionId::Backend(id) => self.decode_reply(id, bytes, to),
+            ConnectionId::Client(client) => Ok(self.decode_command(client, bytes, sink)),
+            ConnectionId::Backend(id) => self.decode_reply(id, bytes, sink),
             ConnectionId::Admin(connection) => {
                 let Some(call) = admin::decode_call(bytes) else { return Ok(DecodeStep::Partial) };
-                self.discard = true; // one call to a connection
+                self.discard = true; // an operator's connection carries one call
                 let event = Event::AdminCall { connection, call };
                 Ok(DecodeStep::Message { event, length: bytes.len() })
             }
@@ -115,8 +120,8 @@
         }
     }
 
-    /// The command at the beginning of these bytes of a client.
-    fn decode_command(&mut self, client: u64, bytes: &[u8], to: &mut dyn MessageSink) -> DecodeStep {
+    /// Decodes a client's command at the beginning of these bytes.
+    fn decode_command(&mut self, client: u64, bytes: &[u8], sink: &mut dyn MessageSink) -> DecodeStep {
         match resp::decode_command(bytes) {
             Ok(Some(DecodedMessage { value: command, length })) => {
                 let event = Event::ClientCommand { client, command };
@@ -124,13 +129,13 @@
             }
             Ok(None) => DecodeStep::Partial,
             Err(ProtocolError(error)) => {
-                self.protocol_error(error, to);
-                DecodeStep::Forwarded(bytes.len())
+                self.protocol_error(error, sink);
+                DecodeStep::Consumed(bytes.len())
             }
         }
     }
 
-    /// The response at the beginning of these bytes of the counter or of the discovery service.
+    /// Decodes a response of the counter or of the list service at the beginning of these bytes.
     fn decode_response(&self, bytes: &[u8]) -> Result<DecodeStep, CloseReason> {
         let decoded = http::decode_response(bytes).map_err(|_| CloseReason::BadFraming)?;
         let Some(DecodedMessage { value: response, length }) = decoded else {
@@ -140,24 +145,24 @@
         Ok(DecodeStep::Message { event, length })
     }
 
-    /// The reply on a backend's connection, as far as it has come.
+    /// Decodes the next part of a reply on a backend's connection.
     fn decode_reply(
         &mut self,
         id: u64,
         bytes: &[u8],
-        to: &mut dyn MessageSink,
+        sink: &mut dyn MessageSink,
     ) -> Result<DecodeStep, CloseReason> {
         match self.stage {
             ReplyStage::Head => self.decode_reply_head(id, bytes),
             ReplyStage::StreamPending { .. } => Ok(DecodeStep::Blocked),
             ReplyStage::Streaming { bytes_left } => {
-                let length = self.forward_value(bytes_left, bytes, to)?;
+                let length = self.forward_value(bytes_left, bytes, sink)?;
                 if length > bytes_left {
-                    to.event(Event::StreamForwarded(id), 0);
+                    sink.event(Event::StreamForwarded(id), 0);
                 } else if length == 0 {
-                    return Ok(DecodeStep::Blocked); // the end of the value's line is in two pieces
+                    return Ok(DecodeStep::Blocked); // the second byte of the line end is missing
                 }
-                Ok(DecodeStep::Forwarded(length))
+                Ok(DecodeStep::Consumed(length))
             }
             ReplyStage::Trailer => {
                 let trailer = resp::decode_trailer(bytes).map_err(|_| CloseReason::BadFraming)?;
@@ -184,7 +189,7 @@
         Ok(DecodeStep::Message { event, length })
     }
 
-    /// The event for a message of which so many bytes have come, and not the rest.
+    /// Returns the event for an incomplete message of which this number of bytes has been received.
     fn partial_message(&self, bytes: usize) -> Event {
         match self.connection {
             ConnectionId::Client(client) if bytes > resp::MAX_MESSAGE_BYTES => {
@@ -194,13 +199,13 @@
         }
     }
 
-    /// Forwards the beginning of these bytes, as far as they belong to the value; returns how many that were, with the end
-    /// of its line.
+    /// Forwards the bytes at the beginning that belong to the value; returns their number, including the line end after
+    /// the value.
     fn forward_value(
         &mut self,
         bytes_left: usize,
         bytes: &[u8],
-        to: &mut dyn MessageSink,
+        sink: &mut dyn MessageSink,
     ) -> Result<usize, CloseReason> {
         let length = bytes.len().min(bytes_left);
         self.stage = ReplyStage::Streaming { bytes_left: bytes_left - length };
@@ -208,18 +213,18 @@
         if line_end.is_some_and(|line_end| line_end != b"\r\n") {
             return Err(CloseReason::BadFraming);
         }
-        to.body_chunk(&bytes[..length], line_end.is_some());
+        sink.body_chunk(&bytes[..length], line_end.is_some());
         let Some(line_end) = line_end else { return Ok(length) };
         self.stage = ReplyStage::Trailer;
         Ok(length + line_end.len())
     }
 
-    /// Nothing more of what this client sends can be understood.
-    pub fn protocol_error(&mut self, error: &'static str, to: &mut dyn MessageSink) {
+    /// Reports a client's protocol error once, and discards all further input of the client.
+    pub fn protocol_error(&mut self, error: &'static str, sink: &mut dyn MessageSink) {
         let ConnectionId::Client(client) = self.connection else { return };
         if !std::mem::replace(&mut self.discard, true) {
             let command = resp::ClientCommand::ProtocolError(error);
-            to.event(Event::ClientCommand { client, command }, 0);
+            sink.event(Event::ClientCommand { client, command }, 0);
         }
     }
 }
--- a/gateway/src/state/gossip.rs
+++ b/gateway/src/state/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: messages to and from other instances.
+//! Gossip messages to and from other instances.
 use super::effect::Effect;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    /// Sends a message of the policy engine to the instances that it is for.
+    /// Sends a message of the policy engine to the instances that it concerns.
     pub(super) fn send_gossip(&mut self, message: GossipMessage) {
         match message {
             GossipMessage::BackendRecovered { backend } => {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A datagram came; one from an unknown peer, or malformed, is dropped.
+    /// Handles a datagram; drops one that is malformed or from an unknown peer.
     pub(super) fn datagram_received(&mut self, now: f64, from: SocketAddr, body: &[u8]) {
         let is_acceptable = self.config.peers.contains(&from) && body.len() <= gossip::MAX_DATAGRAM_BYTES;
         match gossip::decode(body).filter(|_| is_acceptable) {
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -1,12 +1,12 @@
-//! Callers, where they have to be known: each sends a token once, by AUTH, which is validated again for each command.
+//! Authentication of callers: a client sends a token once, by AUTH, and the token is validated again for each command.
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
 use crate::wire::resp::{ClientReply, RequestCommand};
 use quillramp_identity::{Authenticator, Trust};
 
 impl Reducer {
-    /// Other keys and revocations from now on, or no authentication. Known callers are validated again with their next
-    /// command.
+    /// Replaces the keys and revocations, or disables authentication. Authenticated callers are validated again with their
+    /// next command.
     pub(super) fn set_trust(&mut self, trust: Option<Trust>) {
         if self.identity.as_ref().map(Authenticator::trust) == trust.as_ref() {
             return;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A client sent a token. What that contains is secret and stands in no log line.
+    /// Authenticates a client by its token; returns the reply. The token is secret and is not logged.
     pub(super) fn authenticate_client(&mut self, now: f64, id: u64, token: &[u8]) -> ClientReply {
         let Some(authenticator) = &mut self.identity else {
             return ClientReply::Error("unknown command".into());
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The team of the caller, where callers have to be known; or the reply that says why the command is denied.
+    /// Returns the team of the caller, `None` without authentication, or the reply that denies the command.
     pub(super) fn authorize_caller(
         &mut self,
         now: f64,
@@ -57,15 +57,19 @@
         let Some(authenticator) = &self.identity else { return Ok(None) };
         let client = self.clients.connections.get(&id);
         let Some(caller) = client.and_then(|client| client.caller.as_ref()) else {
-            return Err(ClientReply::Denied("NOAUTH a token first, by AUTH".into()));
+            return Err(ClientReply::Denied(
+                "NOAUTH authentication required: send a token by AUTH first".into(),
+            ));
         };
         if let Err(rejection) = authenticator.revalidate(now, caller) {
             return Err(ClientReply::Denied(format!("NOAUTH {rejection}")));
         }
-        // Either the token or a contract has to say for which customers the caller may act.
-        let has_customers = caller.customers.is_some() || self.broker.is_some();
-        if !has_customers || !caller.may(&self.instance.operations[operation].name, command.customer) {
-            return Err(ClientReply::Denied("NOPERM not this operation, or not for this customer".into()));
+        // Either the token or a contract must limit the customers that the caller may act for.
+        let limits_customers = caller.customers.is_some() || self.broker.is_some();
+        if !limits_customers || !caller.may(&self.instance.operations[operation].name, command.customer) {
+            return Err(ClientReply::Denied(
+                "NOPERM the token does not permit this operation for this customer".into(),
+            ));
         }
         Ok(Some(caller.team.clone()))
     }
--- a/gateway/src/state/idle.rs
+++ b/gateway/src/state/idle.rs
@@ -1,4 +1,4 @@
-//! Idle connections, and commands that do not become complete.
+//! Closing of idle connections, and of clients whose commands stay incomplete.
 use super::client_table::Client;
 use super::connection::CloseReason;
 use super::counter_table::CounterConnection;
@@ -6,24 +6,25 @@
 use super::reducer::Reducer;
 use super::timers::TimerKind;
 
-/// An idle client is closed after so many seconds if it never sent a command, or if descriptors run short.
+/// Time after which an idle client is closed if it never sent a command or file descriptors are running out, in
+/// seconds.
 pub(super) const SHORT_CLIENT_IDLE_TIMEOUT: f64 = 2.0;
-/// Any other idle client is closed after so many seconds.
+/// Time after which any other idle client is closed, in seconds.
 const CLIENT_IDLE_TIMEOUT: f64 = 10.0;
-/// The counter closes idle connections after so many seconds at the latest.
+/// Maximum time after which the counter closes an idle connection, in seconds.
 const COUNTER_IDLE_TIMEOUT: f64 = 10.0;
-/// A command may take so many seconds from its first byte to its last: a slow client may need 2 s for it, and one that
-/// never completes it must be closed within 3 s.
+/// Maximum time from the first byte of a command to its last, in seconds. A slow client may need 2 s, and a client
+/// that never completes its command must be closed within 3 s.
 const PARTIAL_COMMAND_TIMEOUT: f64 = 2.5;
-/// A long body may pause for `PARTIAL_COMMAND_TIMEOUT`, and take so many seconds in all.
+/// Maximum time for a long command in all, in seconds; it may pause for `PARTIAL_COMMAND_TIMEOUT`.
 const BODY_TIMEOUT: f64 = 30.0;
-/// A timer counts as due so many seconds early.
+/// Time by which a timer may fire early, in seconds.
 const TIMER_TOLERANCE: f64 = 1e-3;
-/// The time between two checks for idle connections, in seconds.
+/// Interval between checks for idle connections, in seconds.
 const IDLE_CHECK_INTERVAL: f64 = 0.5;
 
 impl Reducer {
-    /// The beginning of a command has come.
+    /// Starts the timeout of a command whose first bytes have arrived.
     pub(super) fn partial_command_received(&mut self, now: f64, id: u64) {
         let Some(client) = self.clients.connections.get_mut(&id) else { return };
         if client.partial_since.is_some() {
@@ -36,7 +37,7 @@
         self.timers.schedule(now + PARTIAL_COMMAND_TIMEOUT, TimerKind::PartialCommand(id));
     }
 
-    /// More of a command's long body has come. `has_capacity`: its next part can be read.
+    /// Records the arrival of more bytes of a long command. `has_capacity`: whether there is memory for the rest of it.
     pub(super) fn body_progressed(&mut self, now: f64, id: u64, has_capacity: bool) {
         self.partial_command_received(now, id);
         if let Some(client) = self.clients.connections.get_mut(&id) {
@@ -44,22 +45,23 @@
         }
     }
 
-    /// Closes a client whose command should be complete by now.
+    /// Closes a client whose command is overdue, or checks again later.
     pub(super) fn partial_command_timed_out(&mut self, now: f64, id: u64) {
         let Some(client) = self.clients.connections.get(&id) else { return };
         let Some(since) = client.partial_since else { return };
-        let without_progress = now - client.body_progress_at.unwrap_or(since);
-        let in_all = now - since;
-        let is_late = without_progress > PARTIAL_COMMAND_TIMEOUT - TIMER_TOLERANCE || in_all > BODY_TIMEOUT;
+        let seconds_without_progress = now - client.body_progress_at.unwrap_or(since);
+        let total_seconds = now - since;
+        let is_late = seconds_without_progress > PARTIAL_COMMAND_TIMEOUT - TIMER_TOLERANCE
+            || total_seconds > BODY_TIMEOUT;
         if client.is_answered() && is_late {
             self.disconnect_client(id, CloseReason::Idle);
-        } else if in_all > PARTIAL_COMMAND_TIMEOUT - TIMER_TOLERANCE {
-            // One that began later has a timer of its own.
+        } else if total_seconds > PARTIAL_COMMAND_TIMEOUT - TIMER_TOLERANCE {
+            // A command that began later has another timer.
             self.timers.schedule(now + PARTIAL_COMMAND_TIMEOUT, TimerKind::PartialCommand(id));
         }
     }
 
-    /// Closes what has been idle for too long. Repeated for as long as the process runs.
+    /// Closes connections that have been idle for too long, and does other periodic maintenance. Schedules itself again.
     pub(super) fn close_idle_connections(&mut self, now: f64) {
         for id in self.overdue_clients(now) {
             self.disconnect_client(id, CloseReason::Idle);
@@ -77,8 +79,8 @@
 
     fn close_idle_clients(&mut self, now: f64) {
         let is_crowded = 2 * self.used_descriptors() > self.config.max_descriptors;
-        // A process that shuts down, with another to accept, closes no connection on which nobody has asked anything.
-        let keeps_silent = self.shutdown.hands_over_listener;
+        // A process that hands over its listener keeps connections on which no command has arrived.
+        let keeps_unused = self.shutdown.hands_over_listener;
         let is_idle = |client: &Client| {
             let limit = if client.has_sent_command && !is_crowded {
                 CLIENT_IDLE_TIMEOUT
@@ -88,17 +90,18 @@
             let is_between_commands = client.is_answered() && client.partial_since.is_none();
             is_between_commands
                 && client.last_active < now - limit
-                && (client.has_sent_command || !keeps_silent)
+                && (client.has_sent_command || !keeps_unused)
         };
         let idle = self.clients.connections.iter().filter(|(_, client)| is_idle(client));
         let mut idle: Vec<u64> = idle.map(|(id, _)| *id).collect();
         idle.sort_unstable();
-        // A command may have come just now: it is looked for before the connection is closed.
+        // A command may have arrived just now, so the connection is closed only if nothing unread is on it.
         let close_if_idle = |client| Effect::CloseIfIdle { client, reason: CloseReason::Idle };
         self.effects.extend(idle.into_iter().map(close_if_idle));
     }
 
-    /// Connections that have been idle for half of what the other side allows are closed here, not there.
+    /// Closes backend connections after half of the idle timeout of the backends, so that the backends do not close them
+    /// first.
     fn close_idle_backend_connections(&mut self, now: f64) {
         let oldest = now - self.instance.connection_idle_timeout / 2.0;
         for backend in 0..self.backends.entries.len() {
--- a/gateway/src/state/membership.rs
+++ b/gateway/src/state/membership.rs
@@ -1,5 +1,5 @@
-//! Membership: counters by which instances learn which of them reach the counter. Calls on these go where all calls to the
-//! counter go, under numbers that no customer has.
+//! Membership: heartbeats on counters, by which instances find out which instances reach the counter. The calls use the
+//! same connections as all calls to the counter, with numbers that no customer has.
 use super::effect::Effect;
 use super::log_message::LogMessage;
 use super::reducer::Reducer;
@@ -9,19 +9,19 @@
 use quillramp_membership::{Count, Membership};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The lowest number that stands for a group of instances, where customers' numbers lie below.
+/// Lowest number of a group of instances in counter keys; the numbers of customers are lower.
 const FIRST_GROUP_NUMBER: u64 = 1 << 40;
 
-/// Which instances reach the counter.
+/// State of membership: which instances reach the counter.
 pub struct MembershipState {
     heartbeats: Membership,
-    /// The time between two calls, in seconds.
+    /// Interval between heartbeats, in seconds.
     interval: f64,
-    /// Groups of instances, by the customer index that stands for them.
+    /// Groups of instances, by the customer index of their counter.
     groups: BTreeMap<CustomerIndex, usize>,
-    /// The instances that were logged as absent.
+    /// The instances that were last logged as not reaching the counter.
     absent: BTreeSet<usize>,
-    /// When its timer is due, in seconds; an earlier one is left over from other settings.
+    /// Time of the next heartbeat, in seconds; a timer that fires earlier belongs to earlier settings.
     next_call_at: f64,
 }
 
@@ -36,19 +36,19 @@
         }
     }
 
-    /// Whether this counter is a group's.
+    /// Returns whether this counter is that of a group of instances.
     pub fn owns_counter(&self, key: CounterKey) -> bool {
         self.groups.contains_key(&key.customer)
     }
 
-    /// Takes the result of a call.
+    /// Handles the result of a call to the counter.
     pub fn counter_answered(&mut self, now: f64, key: CounterKey, result: CounterResult) {
         let Some(&group) = self.groups.get(&key.customer) else { return };
         let total = if let CounterResult::Total(total) = result { Some(total) } else { None };
         self.heartbeats.call_answered(now, Count { group, interval: key.series }, total);
     }
 
-    /// The fraction of these instances that do not reach the counter. They are watched from now on.
+    /// Returns the fraction of these instances that do not reach the counter, and watches these instances from now on.
     pub fn absent_fraction(&mut self, now: f64, instances: InstanceRange) -> f64 {
         self.heartbeats.watch(now, instances.first, instances.count);
         1.0 - self.heartbeats.present_fraction(now, instances.first, instances.count)
@@ -56,7 +56,7 @@
 }
 
 impl Reducer {
-    /// Instances look which of them reach the counter, once in so many seconds, or do no longer.
+    /// Enables membership with this interval between heartbeats, in seconds, or disables it.
     pub(super) fn set_membership_interval(&mut self, now: f64, interval: Option<f64>) {
         if self.membership.as_ref().map(|membership| membership.interval) == interval {
             return;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Makes the calls that are due; the timer is repeated for as long as there is an interval.
+    /// Makes the heartbeat calls that are due, and schedules the next ones while membership is enabled.
     pub(super) fn call_membership_counters(&mut self, now: f64) {
         let Some(membership) = &mut self.membership else { return };
         if now < membership.next_call_at {
--- a/gateway/src/state/requests.rs
+++ b/gateway/src/state/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that have been accepted, and their attempts.
+//! Accepted requests, and their attempts.
 use super::timers::TimerKey;
 use crate::wire::resp::RequestCommand;
 use quillramp::interner::Slab;
@@ -12,105 +12,105 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestIndex,
-    /// Which of the request's attempts it is, from 0.
+    /// Index of the attempt within the request, from 0.
     pub attempt: usize,
 }
 
-/// One attempt to have a request answered by a backend.
+/// An attempt to get the answer to a request from a backend.
 pub struct Attempt {
-    /// Where it was sent.
+    /// The backend that it was sent to.
     pub backend: BackendIndex,
-    /// When it was sent, in seconds.
+    /// Time of its start, in seconds.
     pub sent_at: f64,
-    /// The connection on which it is in flight; none once it has ended.
+    /// The connection on which it is in flight; `None` once it has ended.
     pub connection: Option<u64>,
-    /// How long its streamed response took to begin, in seconds.
+    /// Time from its start to the first byte of a streamed response, in seconds.
     pub time_to_first_byte: Option<f64>,
 }
 
-/// What came with a response besides its value.
+/// Data in a response besides its value.
 #[derive(Clone, Copy, Default)]
 pub struct ResponseMetadata {
-    /// The units that the request really took.
+    /// Units that the backend billed for the request, if it reported them.
     pub billed_units: Option<f64>,
-    /// The backend's report of its own load.
+    /// The backend's load report, if there was one.
     pub load_report: Option<LoadReport>,
 }
 
-/// An attempt that has ended, of which the policy engine has not been notified yet.
+/// An attempt that has ended, but not been reported to the policy engine yet.
 pub struct EndedAttempt {
-    /// Which one.
+    /// The attempt.
     pub id: AttemptId,
     /// How it ended.
     pub result: AttemptResult,
-    /// What came with its response.
+    /// Data of its response besides the value.
     pub metadata: ResponseMetadata,
 }
 
 /// A request, from its command to the end of its last attempt.
 pub struct PendingRequest {
-    /// What the policy engine knows of it.
+    /// The attributes that the policy engine uses.
     pub attributes: RequestAttributes,
     /// The client's command, which is sent to backends.
     pub command: Arc<RequestCommand>,
     /// The client's connection.
     pub client: u64,
-    /// The number of its command on that connection, from 0.
+    /// Number of its command on that connection, from 0.
     pub command_number: u64,
-    /// In the order in which they began.
+    /// Its attempts, in the order of their start.
     pub attempts: Vec<Attempt>,
-    /// It has been answered, or its client has left.
+    /// Whether it has been answered or its client has disconnected.
     pub is_closed: bool,
-    /// Set from the first attempt on: the request's timeout, then the stream's.
+    /// The timer for the timeout of the request, later for checks of its stream; set from the first attempt on.
     pub timeout: Option<TimerKey>,
-    /// The attempt whose response is to be streamed.
+    /// Index of the attempt whose response is streamed.
     pub streaming_attempt: Option<usize>,
-    /// That response is on its way to the client.
+    /// Whether that response is being forwarded to the client.
     pub is_forwarding: bool,
-    /// What the contract of its team granted for it.
+    /// The grant of its team's contract, if there is one.
     pub grant: Option<Grant>,
 }
 
 impl PendingRequest {
-    /// Some attempt has not ended yet.
+    /// Returns whether any attempt has not ended yet.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.connection.is_some())
     }
 }
 
-/// All requests that are not over.
+/// All requests that have not ended.
 #[derive(Default)]
 pub struct RequestTable {
-    /// By index.
+    /// The requests, by index.
     pub slots: Slab<PendingRequest>,
-    /// The clients' ids of these requests.
+    /// The IDs that clients gave these requests.
     pub open_ids: HashSet<u64>,
-    /// Those of which the policy engine is to be notified, the last one first.
+    /// Attempts to report to the policy engine, the last one first.
     pub ended_attempts: Vec<EndedAttempt>,
 }
 
 impl RequestTable {
-    /// The request with this index, if there is one.
+    /// Returns the request with this index, if there is one.
     pub fn get(&self, index: RequestIndex) -> Option<&PendingRequest> {
         self.slots[index].as_ref()
     }
 
-    /// The request with this index, if there is one.
+    /// Returns the request with this index, if there is one.
     pub fn get_mut(&mut self, index: RequestIndex) -> Option<&mut PendingRequest> {
         self.slots[index].as_mut()
     }
 
-    /// The request with this index, if there is one that still waits for its answer.
+    /// Returns the request with this index, if there is one that is not closed.
     pub fn get_open(&self, index: RequestIndex) -> Option<&PendingRequest> {
         self.get(index).filter(|pending| !pending.is_closed)
     }
 
-    /// The request with this index, if there is one that still waits for its answer.
+    /// Returns the request with this index, if there is one that is not closed.
     pub fn get_open_mut(&mut self, index: RequestIndex) -> Option<&mut PendingRequest> {
         self.get_mut(index).filter(|pending| !pending.is_closed)
     }
 
-    /// The connection that carries an attempt, while it is in flight.
+    /// Returns the connection of an attempt while it is in flight.
     pub fn connection_of(&self, id: AttemptId) -> Option<u64> {
         self.get(id.request)?.attempts[id.attempt].connection
     }
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -1,4 +1,5 @@
-//! Draining: clients' connections are closed between requests. A graceful shutdown is a drain that ends in the exit.
+//! Draining and graceful shutdown. A drain closes clients' connections between requests; a shutdown is a drain after
+//! which the process exits.
 use super::connection::{CloseReason, ConnectionId};
 use super::effect::Effect;
 use super::log_message::LogMessage;
@@ -7,37 +8,38 @@
 use quillramp::types::*;
 use std::collections::BTreeSet;
 
-/// How long clients keep coming after the first `PING` that was answered with an error, in seconds.
+/// Time for which clients may still connect after the first `PING` that was answered with an error, in seconds.
 const DRAIN_DELAY_SECONDS: f64 = 0.5;
-/// The process is killed so many seconds after SIGTERM and the longest time that clients wait, of which no more than
-/// `MAX_KILL_TIMEOUT_SECONDS` counts (PROTOCOL.md): with short timeouts the kill comes early, with long ones before they are over.
+/// Time from SIGTERM to the kill of the process, in seconds, in addition to the longest timeout of clients, of which at
+/// most `MAX_KILL_TIMEOUT_SECONDS` counts (PROTOCOL.md). With short timeouts the kill comes early, with long ones before
+/// they expire.
 const KILL_DELAY_SECONDS: f64 = 0.7;
-/// See `KILL_DELAY_SECONDS`, in seconds.
+/// Maximum part of the longest client timeout that delays the kill, in seconds; see `KILL_DELAY_SECONDS`.
 const MAX_KILL_TIMEOUT_SECONDS: f64 = 3.0;
-/// So many seconds before the kill all pending requests are answered: an answer has to leave, and may be late by the 50 ms
-/// that the rules allow for.
+/// Time before the kill at which all pending requests are answered, in seconds. It covers sending the answers, and the
+/// 50 ms by which the rules allow an answer to be late.
 const ANSWER_BEFORE_KILL_SECONDS: f64 = 0.2;
-/// So many seconds before the kill the process exits.
+/// Time before the kill at which the process exits, in seconds.
 const EXIT_BEFORE_KILL_SECONDS: f64 = 0.1;
-/// So many seconds after the drain was requested, clients that still send commands are read no more, so that their
-/// connections can end: these must have ended, or be without a new command for 2 s, 4 s after the request.
+/// Time after the request to drain at which clients that still send commands are no longer read, in seconds. Their
+/// connections must have ended, or have had no new command for 2 s, by 4 s after the request.
 const STOP_READING_AFTER_SECONDS: f64 = 1.5;
 
-/// How far a drain or a shutdown has come.
+/// Progress of a drain or a shutdown.
 pub(super) struct ShutdownState {
-    /// SIGTERM was received.
+    /// Whether SIGTERM was received.
     pub is_stopping: bool,
-    /// By then every request is answered, in seconds; infinite unless stopping.
+    /// Time by which every request must be answered, in seconds; infinite unless stopping.
     pub answer_deadline: f64,
-    /// It is stopping, and another process accepts clients.
+    /// Whether the process is stopping while another process accepts clients.
     pub hands_over_listener: bool,
-    /// How many descriptors it has announced that it will hold at the most, while it hands over.
+    /// Maximum number of file descriptors that this process has announced to hold during a handover.
     pub announced_descriptor_limit: Option<usize>,
-    /// Clients' connections are closed between requests.
+    /// Whether clients' connections are closed between requests.
     pub is_draining: bool,
-    /// For the next step of the drain.
+    /// The timer for the next step of the drain.
     drain_timer: Option<TimerKey>,
-    /// Clients whose connections may be closed after this batch.
+    /// Clients whose connections may be closed after this batch of events.
     pub closing_clients: BTreeSet<u64>,
 }
 
@@ -56,12 +58,12 @@
 }
 
 impl Reducer {
-    /// Whether `PING` is answered with `PONG`. Where another process takes over, the instance goes on accepting clients.
+    /// Returns whether `PING` is answered with `PONG`. If another process takes over, the instance still accepts clients.
     pub(super) fn accepts_clients(&self) -> bool {
         !self.admin.shared.drained && (!self.shutdown.is_stopping || self.shutdown.hands_over_listener)
     }
 
-    /// SIGTERM: a graceful shutdown begins.
+    /// Begins a graceful shutdown after SIGTERM.
     pub(super) fn begin_shutdown(&mut self, now: f64) {
         if std::mem::replace(&mut self.shutdown.is_stopping, true) {
             return;
@@ -70,7 +72,7 @@
         self.shutdown.answer_deadline = kill - ANSWER_BEFORE_KILL_SECONDS;
         self.timers.schedule(self.shutdown.answer_deadline, TimerKind::AnswerBeforeExit);
         self.timers.schedule(kill - EXIT_BEFORE_KILL_SECONDS, TimerKind::Exit);
-        // With nobody to take over this is a shutdown like any other, and the next start will follow soon.
+        // Without a newer process, the listener is not handed over and the instance stops accepting clients.
         let is_handover = self.config.inherited_listener && self.admin.shared.peer_process_newer;
         self.shutdown.hands_over_listener = is_handover;
         if is_handover {
@@ -79,12 +81,12 @@
             return self.announce_descriptor_limit();
         }
         self.log(LogMessage::ShutdownStarted);
-        // An instance that an operator has drained goes on, too: for a while clients keep coming.
+        // Clients may still connect for a while, even if an operator has already drained the instance.
         self.shutdown.is_draining = false;
         self.schedule_drain(now);
     }
 
-    /// An operator drains this instance, or ends that.
+    /// Handles an operator's request to drain this instance or to end the drain.
     pub(super) fn drain_changed(&mut self, now: f64) {
         let is_drained = self.admin.shared.drained;
         self.log(if is_drained { LogMessage::DrainStarted } else { LogMessage::DrainEnded });
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Connections without a request are closed; the others once they have their replies.
+    /// Closes clients' connections without a pending request now, and the others after their replies.
     pub(super) fn begin_drain(&mut self, now: f64) {
         self.shutdown.is_draining = true;
         if self.shutdown.is_stopping {
@@ -135,8 +137,8 @@
         self.exit_if_done();
     }
 
-    /// The kill is near, and nobody waits for longer: attempts in flight have timed out, the policy engine is asked once
-    /// more about requests that wait, and commands that come now are answered at once. Streams go on until the exit.
+    /// Answers all pending requests before the process is killed: attempts in flight time out, the policy engine decides
+    /// once more on waiting requests, and later commands are answered at once. Streams continue until the exit.
     pub(super) fn answer_before_exit(&mut self, now: f64) {
         for request in self.requests.slots.keys().collect::<Vec<RequestIndex>>() {
             let Some(pending) = self.requests.get_open_mut(request) else { continue };
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Clients that keep sending commands to a draining instance are read no more.
+    /// Stops reading clients that keep sending commands to a draining instance.
     pub(super) fn stop_reading_busy_clients(&mut self) {
         if !self.shutdown.is_draining {
             return;
@@ -166,8 +168,8 @@
         self.effects.extend(stopped.into_iter().map(Effect::StopReading));
     }
 
-    /// Closes connections that may end now: between two commands, and with nothing on them that nobody has read. Called
-    /// after all replies of a batch.
+    /// Closes clients' connections that are between two commands and have no unread bytes. Called after all replies of a
+    /// batch.
     pub(super) fn close_drained_clients(&mut self) {
         for id in std::mem::take(&mut self.shutdown.closing_clients) {
             let Some(client) = self.clients.connections.get(&id) else { continue };
@@ -183,7 +185,7 @@
         }
     }
 
-    /// A client's connection was closed, as nothing unread was on it.
+    /// Removes a client whose connection was closed after `Effect::CloseIfIdle`.
     pub(super) fn idle_client_closed(&mut self, id: u64, reason: CloseReason) {
         if self.remove_client(id).is_some() {
             self.log_closed(ConnectionId::Client(id), reason);
@@ -199,12 +201,12 @@
         }
     }
 
-    /// Whether the process is stopping and no client is left.
+    /// Returns whether the process is stopping and no client is left.
     pub fn is_done(&self) -> bool {
         self.shutdown.is_draining && self.shutdown.is_stopping && self.clients.connections.is_empty()
     }
 
-    /// Exits if no client is left.
+    /// Requests the exit if the process is stopping and no client is left.
     pub(super) fn exit_if_done(&mut self) {
         if self.is_done() {
             self.effects.push(Effect::Exit);
--- a/gateway/src/state/stats.rs
+++ b/gateway/src/state/stats.rs
@@ -1,35 +1,35 @@
-//! The figures of this process, counted from its start.
+//! Statistics of this process since its start.
 use super::reducer::Reducer;
 use quillramp::types::EndpointStatus;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What is counted, each where it happens. Counts of requests are by operation.
+/// Counters since the start of the process. Counts of requests are by operation.
 #[derive(Default)]
 pub struct Stats {
     /// Requests answered with a value.
     pub completed: Vec<u64>,
-    /// Requests that were not accepted, or whose clients were throttled.
+    /// Requests that were rejected or throttled.
     pub rejected: Vec<u64>,
     /// Requests that failed.
     pub failed: Vec<u64>,
-    /// Attempts that were written to backends.
+    /// Number of attempts written to backends.
     pub attempts_written: u64,
-    /// How often the configuration was read again.
+    /// Number of successful reloads of the configuration.
     pub reloads: u64,
-    /// How often that failed.
+    /// Number of failed reloads of the configuration.
     pub reload_errors: u64,
 }
 
 impl Stats {
-    /// Nothing has been counted yet, for so many operations.
+    /// Creates counters of 0 for this number of operations.
     pub fn new(operations: usize) -> Stats {
-        let none = vec![0; operations];
-        Stats { completed: none.clone(), rejected: none.clone(), failed: none, ..Stats::default() }
+        let zeros = vec![0; operations];
+        Stats { completed: zeros.clone(), rejected: zeros.clone(), failed: zeros, ..Stats::default() }
     }
 }
 
-/// The figures as operators read them.
+/// The statistics as operators read them.
 #[derive(Serialize)]
 struct StatsReport<'a> {
     completed: BTreeMap<&'a str, u64>,
@@ -48,7 +48,7 @@
 }
 
 impl Reducer {
-    /// The figures as JSON for operators.
+    /// Returns the statistics as JSON for operators.
     pub fn stats_json(&self) -> String {
         let by_operation = |counts: &[u64]| {
             let named = self.instance.operations.iter().zip(counts);
@@ -66,6 +66,6 @@
             reloads: self.stats.reloads,
             reload_errors: self.stats.reload_errors,
         };
-        serde_json::to_string(&report).expect("plain figures")
+        serde_json::to_string(&report).expect("strings and numbers serialize to JSON")
     }
 }
--- a/gateway/src/state/streams.rs
+++ b/gateway/src/state/streams.rs
@@ -1,4 +1,5 @@
-//! Long values: not stored here, but forwarded from a backend's connection to the client's, when their turn has come there.
+//! Streaming of long values: they are not buffered here, but forwarded from a backend's connection to the client's once
+//! all earlier replies there have been sent.
 use super::connection::{CloseReason, ConnectionId};
 use super::effect::Effect;
 use super::reducer::Reducer;
@@ -7,15 +8,16 @@
 use crate::wire::resp::ClientReply;
 use quillramp::types::*;
 
-/// A stream of which nothing moves for so many seconds is closed. The kernel buffers some megabytes for a slow client,
-/// and reports free space only when much of that has left.
+/// Time without any progress after which a stream is closed, in seconds. The kernel buffers some megabytes for a slow
+/// client, and reports free space only after much of that has been sent.
 const STREAM_STALL_SECONDS: f64 = 30.0;
-/// Once its client's timeout (`d`) is over, a stream is closed as soon as its backend has been silent for so many
-/// seconds. It would count as lost half a second after that time (PROTOCOL.md), and the answers behind it wait for it.
+/// Time without data from the backend after which a stream is closed once its client's timeout (`d`) has expired, in
+/// seconds. The request would count as lost half a second after that timeout (PROTOCOL.md), and later replies on the
+/// connection wait for it.
 const BACKEND_SILENCE_SECONDS: f64 = 0.2;
 
 impl Reducer {
-    /// A stream has begun: all other attempts of its request are cancelled, and none is retried.
+    /// Handles the beginning of a streamed response: cancels all other attempts of the request, without retries.
     pub(super) fn stream_started(&mut self, now: f64, connection_id: u64) {
         let Some(connection) = self.backends.connections.get(&connection_id) else { return };
         if connection.queue.is_empty() {
@@ -40,11 +42,12 @@
         self.report_ended_attempts(now);
         self.engine.response_started(now, id.request);
         let timeout = self.timers.schedule(deadline.max(now), TimerKind::StreamStalled(id.request));
-        self.requests.get_mut(id.request).expect("its attempt is in flight").timeout = Some(timeout);
+        self.requests.get_mut(id.request).expect("a request with an attempt in flight is pending").timeout =
+            Some(timeout);
         self.forward_stream_in_turn(id.request);
     }
 
-    /// Lets a stream flow if it has begun and its turn on the client's connection has come.
+    /// Starts forwarding a request's streamed response if it is the next reply on the client's connection.
     pub(super) fn forward_stream_in_turn(&mut self, request: RequestIndex) {
         let Some(pending) = self.requests.get_open_mut(request) else { return };
         if pending.is_forwarding {
@@ -60,7 +63,7 @@
         }
     }
 
-    /// All of the value is on its way to the client.
+    /// Completes the answer to a request whose streamed value has been forwarded.
     pub(super) fn stream_forwarded(&mut self, now: f64, connection_id: u64) {
         let connection = self.backends.connections.get(&connection_id);
         if let Some(id) = connection.and_then(|connection| connection.front()) {
@@ -68,7 +71,8 @@
         }
     }
 
-    /// What stood behind the value: its attempt has ended. `more_received`: bytes have come right behind that.
+    /// Ends the attempt of a streamed response after its trailer. `more_received`: whether more bytes were received after
+    /// the trailer.
     pub(super) fn stream_trailer_received(
         &mut self,
         now: f64,
@@ -85,8 +89,8 @@
         self.response_complete(now, connection_id, more_received);
     }
 
-    /// The connection of an attempt ended. What has been streamed of its value can't be taken back, so the client's
-    /// connection ends too, which notifies the client.
+    /// Handles the end of a backend's connection during a stream. What has been forwarded can't be taken back, so the
+    /// client's connection is closed too, which shows the client that the value is incomplete.
     pub(super) fn stream_aborted(&mut self, now: f64, id: AttemptId) {
         let Some(pending) = self.requests.get_open_mut(id.request) else { return };
         if pending.streaming_attempt != Some(id.attempt) {
@@ -102,7 +106,8 @@
         self.client_disconnected(now, client);
     }
 
-    /// The client's timeout is over: nobody waits for a stream that does not move.
+    /// Requests that a stream be closed if it makes no progress, and schedules the next check. Called once the client's
+    /// timeout has expired.
     pub(super) fn close_if_stalled(&mut self, now: f64, request: RequestIndex) {
         let next_check = now + BACKEND_SILENCE_SECONDS;
         let timeout = self.timers.schedule(next_check, TimerKind::StreamStalled(request));
--- a/gateway/src/state/timers.rs
+++ b/gateway/src/state/timers.rs
@@ -1,56 +1,56 @@
-//! The reducer's timers, in the order in which they are due.
+//! Timers of the reducer, ordered by due time.
 use quillramp::types::RequestIndex;
 use std::collections::BTreeMap;
 
-/// What a timer is for.
+/// The action that is due when a timer fires. Integers are connection IDs unless stated otherwise.
 #[derive(Clone, Copy, Debug)]
 pub enum TimerKind {
-    /// This connection to a backend must be up.
+    /// This connection to a backend must be established.
     ConnectTimeout(u64),
-    /// The attempts of this request that are still in flight have timed out.
+    /// The attempts of this request that are still in flight time out.
     RequestTimeout(RequestIndex),
-    /// The client's timeout of this streamed request has passed: the stream ends if it does not move.
+    /// The client's timeout of this streamed request has expired: the stream is closed if it makes no progress.
     StreamStalled(RequestIndex),
-    /// The command that this client has begun must be complete.
+    /// The incomplete command of this client must be complete.
     PartialCommand(u64),
     /// This call on a connection to the counter must be answered.
     CounterTimeout { connection: u64, call: u64 },
-    /// The watch on this connection to the discovery service must be answered.
+    /// The request on this connection to the list service must be answered.
     WatchTimeout(u64),
-    /// The discovery service is polled again.
+    /// The list service is polled again.
     RetryWatch,
-    /// Idle connections are looked for.
+    /// Idle connections are closed.
     IdleCheck,
-    /// The call on this connection of an operator must be over.
+    /// The call on this operator's connection must have ended.
     AdminTimeout(u64),
-    /// Clients' connections start to be closed.
+    /// The drain starts to close clients' connections.
     BeginDrain,
-    /// Clients that keep sending commands to a draining instance are read no more.
+    /// Clients that keep sending commands to a draining instance are no longer read.
     StopReading,
-    /// The membership counters that are due are called.
+    /// The membership heartbeats that are due are sent.
     MembershipCall,
-    /// Everything is answered, as the process is killed soon.
+    /// All pending requests are answered, as the process will be killed soon.
     AnswerBeforeExit,
-    /// The process exits, whatever is left.
+    /// The process exits, even with pending work.
     Exit,
 }
 
-/// Identifies a timer. Keys are ordered by time, those of the same time by when they were scheduled.
+/// Identifies a timer. Keys are ordered by due time, then by the order of scheduling.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
-    /// The bits of its time in seconds. Times are positive, so the bits have their order.
+    /// The bits of the due time in seconds. For positive times they have the same order as the times.
     time_bits: u64,
     number: u64,
 }
 
 impl TimerKey {
-    /// When it is due, in seconds.
+    /// Returns the due time in seconds.
     fn time(self) -> f64 {
         f64::from_bits(self.time_bits)
     }
 }
 
-/// All timers that have not fired and are not cancelled.
+/// The pending timers: those that have neither fired nor been cancelled.
 #[derive(Default)]
 pub struct Timers {
     pending: BTreeMap<TimerKey, TimerKind>,
@@ -58,7 +58,7 @@
 }
 
 impl Timers {
-    /// Sets a timer for a time in seconds.
+    /// Schedules a timer for `time`, in seconds; returns its key.
     pub fn schedule(&mut self, time: f64, kind: TimerKind) -> TimerKey {
         self.last_number += 1;
         let key = TimerKey { time_bits: time.to_bits(), number: self.last_number };
@@ -66,18 +66,18 @@
         key
     }
 
-    /// Drops a timer; nothing happens if it has fired already.
+    /// Cancels a timer; does nothing if it has already fired.
     pub fn cancel(&mut self, key: TimerKey) {
         self.pending.remove(&key);
     }
 
-    /// Removes the first timer, if it is due.
+    /// Removes the first timer if it is due, and returns its kind.
     pub fn pop_due(&mut self, now: f64) -> Option<TimerKind> {
         let first = self.pending.first_entry().filter(|entry| entry.key().time() <= now)?;
         Some(first.remove())
     }
 
-    /// When the first timer is due, in seconds.
+    /// Returns the due time of the first timer, in seconds.
     pub fn next_time(&self) -> Option<f64> {
         self.pending.keys().next().map(|key| key.time())
     }
--- a/gateway/src/state/write_buffer.rs
+++ b/gateway/src/state/write_buffer.rs
@@ -1,17 +1,17 @@
-//! The bytes that wait to be written to one connection, and where the messages in them lie that may still be
-//! withdrawn. No socket: whoever writes the bytes (the sockets, the emulator) reports how many left.
+//! The bytes to be written to one connection, with the positions of the messages that may still be withdrawn. It does no
+//! I/O: the caller (the sockets, the emulator) writes the bytes and reports how many.
 use std::collections::VecDeque;
 
-/// A message in the buffer, by the offsets of its first byte and of the one behind its last.
+/// A message in the buffer. `start` and `end` are the offsets of its first byte and of the byte after its last.
 struct Message {
     number: u64,
     start: usize,
     end: usize,
-    /// Some of its bytes have been written: the rest has to follow.
+    /// Whether some of its bytes have been written, so that the rest must follow.
     is_partly_written: bool,
 }
 
-/// The output buffer of one connection.
+/// The write buffer of one connection.
 #[derive(Default)]
 pub struct WriteBuffer {
     bytes: Vec<u8>,
@@ -19,24 +19,24 @@
 }
 
 impl WriteBuffer {
-    /// What is to be written next.
+    /// Returns the bytes to write next.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// The buffer itself, for messages that are never withdrawn.
+    /// Returns the buffer, to append messages that are never withdrawn.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Appends a message that may be withdrawn by its number, unique on this connection.
+    /// Appends a message that may be withdrawn by its number. The number must be unique on this connection.
     pub fn append(&mut self, number: u64, encode: impl FnOnce(&mut Vec<u8>)) {
         let start = self.bytes.len();
         encode(&mut self.bytes);
         self.messages.push_back(Message { number, start, end: self.bytes.len(), is_partly_written: false });
     }
 
-    /// So many bytes have been written; returns how many messages have left completely with them.
+    /// Removes this number of bytes, which have been written; returns how many messages are thereby written completely.
     pub fn consume(&mut self, bytes: usize) -> usize {
         self.bytes.drain(..bytes);
         let complete = self.messages.iter().take_while(|message| message.end <= bytes).count();
@@ -49,7 +49,7 @@
         complete
     }
 
-    /// Takes a message out, if none of its bytes has been written; returns whether it did.
+    /// Removes a message if none of its bytes has been written; returns whether it was removed.
     pub fn withdraw(&mut self, number: u64) -> bool {
         let position =
             self.messages.iter().position(|message| message.number == number && !message.is_partly_written);
@@ -63,25 +63,25 @@
         true
     }
 
-    /// Drops everything that has not been written.
+    /// Discards everything that has not been written.
     pub fn clear(&mut self) {
         self.bytes.clear();
         self.messages.clear();
     }
 
-    /// Frees memory beyond this capacity, in bytes, if nothing waits.
+    /// Frees the buffer if it is empty and its capacity exceeds `capacity` bytes.
     pub fn shrink(&mut self, capacity: usize) {
         if self.bytes.is_empty() && self.bytes.capacity() > capacity {
             self.bytes = Vec::new();
         }
     }
 
-    /// How many bytes wait to be written.
+    /// Returns the number of bytes to write.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether all has been written.
+    /// Returns whether everything has been written.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
