--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -181,7 +181,7 @@
         let is_changed = |name: &&String| old.contains_key(*name) != new.contains_key(*name);
         let changed: Vec<String> = names.into_iter().filter(is_changed).cloned().collect();
         for name in changed {
-            self.admin.known_backends.add(&name); // this or an earlier process had it on its list
+            self.admin.known_backends.add(&name); // it was listed for this process or an earlier one
             let ejected_since = self.admin.shared.ejected_backends.get(&name).copied();
             let message = if ejected_since.is_some() {
                 LogMessage::BackendEjected { name: name.clone() }
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -42,13 +42,13 @@
     pub(super) fn admit_client(&mut self, now: f64, id: u64, address: IpAddr) -> bool {
         let Some(admission) = &mut self.admission else { return true };
         let verdict = admission.admit_connection(now, id, address);
-        // Its commands in this batch were counted before the controller had the connection.
+        // The commands of this batch were counted when the controller did not have the connection yet.
         let command_count = self.clients.commands_in_batch.get(&id).copied().unwrap_or(0);
         admission.commands_read(id, command_count);
         match verdict {
             ConnectionVerdict::Accept => true,
-            ConnectionVerdict::Replace(other) => {
-                self.disconnect_client(other, CloseReason::DescriptorPressure);
+            ConnectionVerdict::Replace(evicted) => {
+                self.disconnect_client(evicted, CloseReason::DescriptorPressure);
                 true
             }
             ConnectionVerdict::Reject(reason) => {
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -15,7 +15,7 @@
     pub(super) fn start_attempt(&mut self, now: f64, request: RequestIndex, backend: BackendIndex) {
         let idle = self.backends.entries[backend].idle_connections.pop();
         let pending =
-            self.requests.get_mut(request).expect("the policy engine decides on open requests only");
+            self.requests.get_mut(request).expect("the policy engine decides on pending requests only");
         let id = AttemptId { request, attempt: pending.attempts.len() };
         pending.attempts.push(Attempt { backend, sent_at: now, connection: idle, time_to_first_byte: None });
         if pending.timeout.is_none() {
@@ -147,7 +147,7 @@
     /// Cancels an attempt for the policy engine. An attempt on a shared connection is only withdrawn: the connection
     /// stays open for the others, so an attempt that was already written may still run, and ending it here could lead to
     /// a second execution elsewhere.
-    pub(super) fn cancel_or_withdraw(&mut self, id: AttemptId) {
+    pub(super) fn cancel_or_withdraw_attempt(&mut self, id: AttemptId) {
         if self.shares_connection(id) {
             self.withdraw_attempt(id);
         } else {
@@ -181,7 +181,7 @@
     pub(super) fn withdraw_from_unavailable_backends(&mut self) {
         let mut withdrawn: Vec<(u64, u64)> = vec![];
         for (id, connection) in &self.backends.connections {
-            if connection.is_established && !self.backends.entries[connection.backend].accepts_requests() {
+            if connection.is_established && !self.backends.entries[connection.backend].accepts_attempts() {
                 withdrawn.extend(connection.queue.iter().map(|queued| (*id, queued.number)));
             }
         }
--- a/gateway/src/state/backend_table.rs
+++ b/gateway/src/state/backend_table.rs
@@ -25,7 +25,7 @@
     pub queue: VecDeque<QueuedAttempt>,
     /// The number of the next attempt on it.
     pub next_number: u64,
-    /// When it was opened or last became idle, in seconds.
+    /// Time when it was opened or last became idle, in seconds.
     pub idle_since: f64,
 }
 
@@ -76,7 +76,7 @@
 
 impl BackendEntry {
     /// Returns whether new attempts may be sent to it.
-    pub fn accepts_requests(&self) -> bool {
+    pub fn accepts_attempts(&self) -> bool {
         self.status == EndpointStatus::Ready && !self.is_manually_ejected
     }
 
--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -19,7 +19,7 @@
         // The request may have ended meanwhile, or the backend may be draining.
         let pending = self.requests.get_open(id.request);
         let is_in_time = pending.is_some_and(|pending| now < pending.attributes.deadline);
-        if is_in_time && self.backends.entries[backend].accepts_requests() {
+        if is_in_time && self.backends.entries[backend].accepts_attempts() {
             return self.send_attempt(now, connection_id, number, id.request);
         }
         connection.queue.clear();
@@ -38,7 +38,7 @@
             return;
         }
         let entry = &mut self.backends.entries[connection.backend];
-        if entry.accepts_requests() {
+        if entry.accepts_attempts() {
             entry.idle_connections.push(connection_id);
         } else {
             self.close_backend_connection(connection_id, CloseReason::Delisted);
--- a/gateway/src/state/decisions.rs
+++ b/gateway/src/state/decisions.rs
@@ -78,7 +78,7 @@
             self.send_gossip(message);
         }
         for Cancellation { request, attempt } in effects.cancellations {
-            self.cancel_or_withdraw(AttemptId { request, attempt });
+            self.cancel_or_withdraw_attempt(AttemptId { request, attempt });
         }
         if effects.fetch_endpoints {
             self.watch_if_not_pending(now);
--- a/gateway/src/state/descriptors.rs
+++ b/gateway/src/state/descriptors.rs
@@ -103,7 +103,7 @@
 
     /// Returns the idle client that has been inactive longest among those that may be evicted.
     fn least_recently_active_client(&self, may_be_evicted: impl Fn(&Client) -> bool) -> Option<u64> {
-        // A client with a command later in this batch still gets a reply.
+        // A client with a command in this batch still gets a reply, even if the command is handled later.
         let commands_in_batch = &self.clients.commands_in_batch;
         let idle = self.clients.connections.iter().filter(|(id, client)| {
             client.is_answered() && !commands_in_batch.contains_key(id) && may_be_evicted(client)
@@ -117,9 +117,9 @@
     /// Closes the connection of a client that has sent nothing for a while; returns false if there was none.
     fn close_inactive_client(&mut self, now: f64) -> bool {
         let is_inactive = |client: &Client| {
-            let grace =
+            let limit =
                 if client.has_sent_command { SHORT_CLIENT_IDLE_TIMEOUT } else { FIRST_COMMAND_TIMEOUT };
-            client.partial_since.is_none() && client.last_active < now - grace
+            client.partial_since.is_none() && client.last_active < now - limit
         };
         let overdue = self.overdue_clients(now).first().copied();
         let evicted = overdue.or_else(|| self.least_recently_active_client(is_inactive));
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -11,13 +11,13 @@
 /// Maximum time that a watch waits for a change, in seconds. The response is due then even without changes, which
 /// limits how long changes are missed on an unresponsive connection: a missed change counts as known 6 s after the
 /// connection became unresponsive.
-const WATCH_SECONDS: f64 = 5.0;
+const MAX_WATCH_SECONDS: f64 = 5.0;
 /// Time beyond the wait after which a response is overdue, in seconds. The list service is then polled without a wait
 /// on a new connection. A request is always pending, because changes count as known as soon as an unresponsive list
 /// service is back.
-const RESPONSE_GRACE: f64 = 0.4;
+const RESPONSE_GRACE_SECONDS: f64 = 0.4;
 /// Delay before another poll after one that was refused or ended without a response, in seconds.
-const RETRY_SECONDS: f64 = 0.2;
+const POLL_RETRY_SECONDS: f64 = 0.2;
 
 /// An unresponsive connection whose response is still accepted.
 #[derive(Clone, Copy)]
@@ -64,7 +64,7 @@
             }
         }
         for backend in 0..self.backends.entries.len() {
-            if !self.backends.entries[backend].accepts_requests() {
+            if !self.backends.entries[backend].accepts_attempts() {
                 self.close_idle_connections_to(backend);
             }
         }
@@ -114,7 +114,7 @@
 
     /// Sends the next request on an established connection.
     pub(super) fn send_watch(&mut self, connection: ConnectionId) {
-        let wait_ms = if self.discovery.is_unresponsive { 1 } else { (WATCH_SECONDS * 1e3) as u64 };
+        let wait_ms = if self.discovery.is_unresponsive { 1 } else { (MAX_WATCH_SECONDS * 1e3) as u64 };
         let request =
             self.discovery.version.map_or(Request::List, |since| Request::WatchEndpoints { since, wait_ms });
         self.effects.push(Effect::HttpRequest { connection, request });
@@ -124,8 +124,9 @@
         self.timers.cancel(self.discovery.timer);
         // The list service also sends the complete list without a wait.
         let is_immediate = self.discovery.is_unresponsive || self.discovery.version.is_none();
-        let wait = if is_immediate { 0.0 } else { WATCH_SECONDS };
-        self.discovery.timer = self.timers.schedule(now + wait + RESPONSE_GRACE, TimerKind::WatchTimeout(id));
+        let wait = if is_immediate { 0.0 } else { MAX_WATCH_SECONDS };
+        self.discovery.timer =
+            self.timers.schedule(now + wait + RESPONSE_GRACE_SECONDS, TimerKind::WatchTimeout(id));
     }
 
     /// Handles an overdue response. Either the connection is dead or the list service is slow, so the service is polled on
@@ -138,7 +139,8 @@
             self.close_overdue_watch(CloseReason::Unresponsive);
         }
         if self.discovery.overdue_watch.is_none() {
-            self.discovery.overdue_watch = Some(OverdueWatch { connection: id, until: now + WATCH_SECONDS });
+            self.discovery.overdue_watch =
+                Some(OverdueWatch { connection: id, until: now + MAX_WATCH_SECONDS });
         } else {
             self.close(ConnectionId::Discovery(id), CloseReason::Unresponsive);
         }
@@ -163,7 +165,7 @@
         }
         self.discovery.connection = None;
         if std::mem::replace(&mut self.discovery.is_unresponsive, true) {
-            self.timers.schedule(now + RETRY_SECONDS, TimerKind::RetryWatch);
+            self.timers.schedule(now + POLL_RETRY_SECONDS, TimerKind::RetryWatch);
         } else {
             self.open_watch(now);
         }
--- a/gateway/src/state/idle.rs
+++ b/gateway/src/state/idle.rs
@@ -11,13 +11,14 @@
 pub(super) const SHORT_CLIENT_IDLE_TIMEOUT: f64 = 2.0;
 /// Time after which any other idle client is closed, in seconds.
 const CLIENT_IDLE_TIMEOUT: f64 = 10.0;
-/// Maximum time after which the counter closes an idle connection, in seconds.
+/// Time after which the counter closes an idle connection at the latest, in seconds.
 const COUNTER_IDLE_TIMEOUT: f64 = 10.0;
 /// Maximum time from the first byte of a command to its last, in seconds. A slow client may need 2 s, and a client
 /// that never completes its command must be closed within 3 s.
 const PARTIAL_COMMAND_TIMEOUT: f64 = 2.5;
-/// Maximum time for a long command in all, in seconds; it may pause for `PARTIAL_COMMAND_TIMEOUT`.
-const BODY_TIMEOUT: f64 = 30.0;
+/// Maximum time from the first byte of a long command to its last, in seconds. It may pause for
+/// `PARTIAL_COMMAND_TIMEOUT` at a time.
+const LONG_COMMAND_TIMEOUT: f64 = 30.0;
 /// Time by which a timer may fire early, in seconds.
 const TIMER_TOLERANCE: f64 = 1e-3;
 /// Interval between checks for idle connections, in seconds.
@@ -52,7 +53,7 @@
         let seconds_without_progress = now - client.body_progress_at.unwrap_or(since);
         let total_seconds = now - since;
         let is_late = seconds_without_progress > PARTIAL_COMMAND_TIMEOUT - TIMER_TOLERANCE
-            || total_seconds > BODY_TIMEOUT;
+            || total_seconds > LONG_COMMAND_TIMEOUT;
         if client.is_answered() && is_late {
             self.disconnect_client(id, CloseReason::Idle);
         } else if total_seconds > PARTIAL_COMMAND_TIMEOUT - TIMER_TOLERANCE {
--- a/gateway/src/state/log_message.rs
+++ b/gateway/src/state/log_message.rs
@@ -51,7 +51,7 @@
     },
     /// The configuration could not be reloaded.
     ConfigurationRejected {
-        /// Why.
+        /// Why the new configuration is invalid.
         error: String,
     },
     /// Contracts between teams are in force.
@@ -76,7 +76,7 @@
     DrainEnded,
     /// A response of the list service was rejected.
     EndpointListRejected {
-        /// Why.
+        /// Why the response is invalid.
         error: EndpointListError,
     },
     /// The set of instances that do not reach the counter has changed.
@@ -102,7 +102,7 @@
     },
     /// An operator's change could not be saved.
     SaveFailed {
-        /// Why.
+        /// Why the change could not be saved.
         error: SaveError,
     },
     /// A graceful shutdown has begun.
@@ -113,7 +113,7 @@
     TokenRejected {
         /// The client's connection.
         client: u64,
-        /// Why.
+        /// Why the token was rejected.
         rejection: Rejection,
     },
 }
--- a/gateway/src/state/requests.rs
+++ b/gateway/src/state/requests.rs
@@ -41,7 +41,7 @@
 pub struct EndedAttempt {
     /// The attempt.
     pub id: AttemptId,
-    /// How it ended.
+    /// The result of the attempt.
     pub result: AttemptResult,
     /// Data of its response besides the value.
     pub metadata: ResponseMetadata,
--- a/gateway/src/state/shutdown.rs
+++ b/gateway/src/state/shutdown.rs
@@ -72,7 +72,7 @@
         self.shutdown.answer_deadline = kill - ANSWER_BEFORE_KILL_SECONDS;
         self.timers.schedule(self.shutdown.answer_deadline, TimerKind::AnswerBeforeExit);
         self.timers.schedule(kill - EXIT_BEFORE_KILL_SECONDS, TimerKind::Exit);
-        // Without a newer process, the listener is not handed over and the instance stops accepting clients.
+        // Without a newer process this is an ordinary shutdown, and the next process is expected to start soon.
         let is_handover = self.config.inherited_listener && self.admin.shared.peer_process_newer;
         self.shutdown.hands_over_listener = is_handover;
         if is_handover {
