--- a/gateway/src/process/configuration.rs
+++ b/gateway/src/process/configuration.rs
@@ -29,13 +29,16 @@
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
     /// One address that reaches all peers.
-    pub peers_all: Option<SocketAddr>,
+    #[serde(rename = "peers_all")]
+    pub peer_broadcast: Option<SocketAddr>,
     /// Where the shared counter is.
     pub counter: Option<SocketAddr>,
     /// Where operators call; the environment may name it too.
-    pub mgmt: Option<SocketAddr>,
+    #[serde(rename = "mgmt")]
+    pub admin_listen: Option<SocketAddr>,
     /// The backends that are known at the start.
-    pub known: EndpointList,
+    #[serde(rename = "known")]
+    pub initial_endpoints: EndpointList,
     /// The settings of the decisions, which have a decoder of their own.
     pub settings: Box<RawValue>,
 }
@@ -103,7 +106,7 @@
 pub fn admin_address(configuration: &Configuration) -> Result<Option<SocketAddr>, ConfigurationError> {
     match std::env::var(ADMIN_VARIABLE) {
         Ok(text) => text.parse().map(Some).map_err(|_| ConfigurationError::AdminAddress(text)),
-        Err(_) => Ok(configuration.mgmt),
+        Err(_) => Ok(configuration.admin_listen),
     }
 }
 
--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -55,7 +55,7 @@
 /// The thread that keeps the file could not be made.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
-pub struct KeeperError(#[from] std::io::Error);
+pub struct StoreThreadError(#[from] std::io::Error);
 
 /// What a start finds.
 #[derive(Default)]
@@ -63,20 +63,20 @@
     /// What the processes share so far.
     pub shared: SharedState,
     /// The thread that keeps the file; none without a folder for it.
-    pub keeper: Option<SharedStateKeeper>,
+    pub store: Option<SharedStateStore>,
 }
 
 /// The thread that keeps the file.
-pub struct SharedStateKeeper {
+pub struct SharedStateStore {
     requests: Sender<WriteRequest>,
     /// The file.
     pub file: SharedStateFile,
 }
 
-impl SharedStateKeeper {
+impl SharedStateStore {
     /// Takes this process up in the file as the newest one, and starts the thread.
     /// The file is in the folder that `TMPDIR` names, under the instance's own name.
-    pub fn start(instance: &str, events: Arc<EventQueue>) -> Result<Handover, KeeperError> {
+    pub fn start(instance: &str, events: Arc<EventQueue>) -> Result<Handover, StoreThreadError> {
         let folder = std::env::var_os(FOLDER_VARIABLE).map(PathBuf::from).filter(|folder| folder.is_dir());
         let Some(folder) = folder else { return Ok(Handover::default()) };
         let plain = |letter: char| if letter.is_ascii_alphanumeric() { letter } else { '-' };
@@ -97,9 +97,9 @@
         let file = SharedStateFile { file, predecessor };
         let shared = file.interpret(&record);
         let (requests, requested) = channel();
-        let thread = KeeperThread { file: file.clone(), requests: requested, events, known: shared.clone() };
+        let thread = StoreThread { file: file.clone(), requests: requested, events, known: shared.clone() };
         std::thread::Builder::new().name("keep".into()).spawn(move || thread.run())?;
-        Ok(Handover { shared, keeper: Some(SharedStateKeeper { requests, file }) })
+        Ok(Handover { shared, store: Some(SharedStateStore { requests, file }) })
     }
 
     /// Writes a change; its result follows as an event, with the call that asked for it.
@@ -117,7 +117,7 @@
     }
 }
 
-struct KeeperThread {
+struct StoreThread {
     file: SharedStateFile,
     requests: Receiver<WriteRequest>,
     events: Arc<EventQueue>,
@@ -125,7 +125,7 @@
     known: SharedState,
 }
 
-impl KeeperThread {
+impl StoreThread {
     fn run(mut self) {
         loop {
             match self.requests.recv_timeout(POLL_INTERVAL) {
--- a/gateway/src/process/operator.rs
+++ b/gateway/src/process/operator.rs
@@ -33,7 +33,7 @@
         path: String,
     },
     /// Its contents are wrong; all of that on one line.
-    #[error("{}", faults(path, diagnostics).join("; "))]
+    #[error("{}", diagnostic_lines(path, diagnostics).join("; "))]
     Invalid {
         /// The file.
         path: String,
@@ -46,7 +46,7 @@
     /// All that is wrong, a line each.
     pub fn lines(&self) -> Vec<String> {
         match self {
-            OperatorFileError::Invalid { path, diagnostics } => faults(path, diagnostics),
+            OperatorFileError::Invalid { path, diagnostics } => diagnostic_lines(path, diagnostics),
             other => vec![other.to_string()],
         }
     }
@@ -107,8 +107,8 @@
 }
 
 /// All that is wrong, a line each, with the file's name in front.
-pub fn faults(path: &str, faults: &[Diagnostic]) -> Vec<String> {
-    faults.iter().map(|fault| format!("{path}: {fault}")).collect()
+pub fn diagnostic_lines(path: &str, diagnostics: &[Diagnostic]) -> Vec<String> {
+    diagnostics.iter().map(|diagnostic| format!("{path}: {diagnostic}")).collect()
 }
 
 /// Reads the file that the environment names; nothing is switched on where none is named.
--- a/gateway/src/process/shared_file.rs
+++ b/gateway/src/process/shared_file.rs
@@ -36,7 +36,7 @@
     },
     /// It is no file that a gateway wrote.
     #[error("{}: no file of ours", path.display())]
-    Foreign {
+    NotASharedFile {
         /// The file.
         path: PathBuf,
     },
@@ -133,7 +133,7 @@
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(SharedRecord::default()),
             Err(error) => return Err(self.io_error(error)),
             Ok(file) if !file.is_file() || file.len() > MAX_FILE_BYTES => {
-                return Err(SharedFileError::Foreign { path: self.path.clone() })
+                return Err(SharedFileError::NotASharedFile { path: self.path.clone() })
             }
             Ok(_) => {}
         }
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -3,7 +3,7 @@
 use quillramp::settings::SettingsError;
 use quillramp_gateway::process::configuration::{self, Configuration, ConfigurationError};
 use quillramp_gateway::process::descriptors;
-use quillramp_gateway::process::handover::{Handover, KeeperError, SharedStateKeeper};
+use quillramp_gateway::process::handover::{Handover, SharedStateStore, StoreThreadError};
 use quillramp_gateway::process::inherited_listener::{self, InheritedListenerError};
 use quillramp_gateway::process::logger::{self, LoggerError};
 use quillramp_gateway::process::operator::{self, OperatorFileError};
@@ -68,7 +68,7 @@
     Gossip(#[from] BindError),
     /// The thread of the shared file can't be made.
     #[error(transparent)]
-    Keeper(#[from] KeeperError),
+    SharedStateStore(#[from] StoreThreadError),
     /// The coroutine that decides can't be made.
     #[error("{0}")]
     Driver(std::io::Error),
@@ -134,7 +134,7 @@
     configure_runtime();
     let events = Arc::new(EventQueue::new()?);
     let startup = Startup::prepare(inherited, &files, events.clone())?;
-    let shared = startup.handover.keeper.as_ref().map(|keeper| keeper.file.clone());
+    let shared = startup.handover.store.as_ref().map(|store| store.file.clone());
     let signal_loop =
         SignalLoop { signals, events: events.clone(), shared, platform: files.platform.clone() };
     let name = files.configuration.name.clone();
@@ -186,7 +186,7 @@
         let listeners = Listeners::open(inherited, files)?;
         // Where neither is there, nothing can be changed by hand and no other process takes over.
         let handover = if inherits || files.admin.is_some() {
-            SharedStateKeeper::start(&configuration.name, events)?
+            SharedStateStore::start(&configuration.name, events)?
         } else {
             Handover::default()
         };
@@ -205,7 +205,7 @@
             connections: self.shared.connections,
             gossip: listeners.gossip,
             stop_accepting: self.shared.stop_accepting,
-            keeper: self.handover.keeper,
+            store: self.handover.store,
         };
         start_driver(driver, acceptors, reducer, events)
     }
@@ -214,15 +214,15 @@
         let configuration = files.configuration;
         let config = ReducerConfig {
             peers: configuration.peers,
-            peer_broadcast: configuration.peers_all,
+            peer_broadcast: configuration.peer_broadcast,
             counter: configuration.counter,
             discovery: configuration.discovery,
             max_descriptors: self.max_descriptors,
             inherited_listener: self.inherits,
             admin_enabled: files.admin.is_some(),
-            saves_changes: self.handover.keeper.is_some(),
+            saves_changes: self.handover.store.is_some(),
         };
-        let mut reducer = Reducer::new(clock.now(), files.loaded, config, &configuration.known);
+        let mut reducer = Reducer::new(clock.now(), files.loaded, config, &configuration.initial_endpoints);
         reducer.update_shared_state(clock.now(), self.handover.shared.clone());
         reducer
             .apply_operator_update(clock.now(), operator::operator_update(files.operator, &files.platform));
--- a/gateway/src/sockets/driver.rs
+++ b/gateway/src/sockets/driver.rs
@@ -2,7 +2,7 @@
 use super::clock::Clock;
 use super::connection::{Connection, ConnectionContext};
 use super::gossip_socket::GossipSocket;
-use crate::process::{handover::SharedStateKeeper, logger};
+use crate::process::{handover::SharedStateStore, logger};
 use crate::state::connection::ConnectionId;
 use crate::state::event::Event;
 use crate::state::reducer::{Reducer, ReducerOutput};
@@ -61,7 +61,7 @@
     /// Set once no more clients are to be accepted.
     pub stop_accepting: Arc<AtomicBool>,
     /// Keeps what the processes of this instance share.
-    pub keeper: Option<SharedStateKeeper>,
+    pub store: Option<SharedStateStore>,
 }
 
 impl Driver {
--- a/gateway/src/sockets/effects.rs
+++ b/gateway/src/sockets/effects.rs
@@ -23,12 +23,12 @@
             Effect::Withdraw { connection, attempt } => self.withdraw(connection, attempt),
             Effect::AdminRespond { connection, response } => self.respond(connection, &response, batch),
             Effect::SaveChange { call, change } => {
-                if let Some(keeper) = &self.keeper {
-                    keeper.write(call, change);
+                if let Some(store) = &self.store {
+                    store.write(call, change);
                 }
             }
             Effect::AnnounceDescriptorLimit(limit) => {
-                self.keeper.iter().for_each(|keeper| keeper.announce_descriptor_limit(limit))
+                self.store.iter().for_each(|store| store.announce_descriptor_limit(limit))
             }
             Effect::Stream { connection, client } => self.stream(connection, client, batch),
             Effect::CloseIfStalled { connection, unresponsive_for, stalled_for } => {
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -114,8 +114,10 @@
     /// Sends the next request on a connection that is up.
     pub(super) fn send_watch(&mut self, connection: ConnectionId) {
         let wait_ms = if self.discovery.is_unresponsive { 1 } else { (WATCH_SECONDS * 1e3) as u64 };
-        let request =
-            self.discovery.version.map_or(Request::List, |since| Request::WatchEndpoints { since, wait_ms });
+        let request = self
+            .discovery
+            .version
+            .map_or(Request::FetchEndpoints, |since| Request::WatchEndpoints { since, wait_ms });
         self.effects.push(Effect::HttpRequest { connection, request });
     }
 
--- a/gateway/src/wire/http.rs
+++ b/gateway/src/wire/http.rs
@@ -40,7 +40,7 @@
         wait_ms: u64,
     },
     /// The complete endpoint list, at once.
-    List,
+    FetchEndpoints,
 }
 
 impl Request {
@@ -58,7 +58,7 @@
                     "GET /v1/endpoints?since={since}&timeout_ms={wait_ms} HTTP/1.1\r\nHost: {host}\r\n\r\n"
                 )
             }
-            Request::List => format!("GET /v1/endpoints HTTP/1.1\r\nHost: {host}\r\n\r\n"),
+            Request::FetchEndpoints => format!("GET /v1/endpoints HTTP/1.1\r\nHost: {host}\r\n\r\n"),
         };
         out.extend_from_slice(text.as_bytes());
     }
--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -63,7 +63,7 @@
 fn an_operator_is_notified_of_a_change_that_can_not_be_saved() {
     let mut bench = bench_configured(1024, false, true);
     admin_call(&mut bench, 1, "POST /healthcheck/fail");
-    let error = SaveError::new(SharedFileError::Foreign { path: "shared.json".into() });
+    let error = SaveError::new(SharedFileError::NotASharedFile { path: "shared.json".into() });
     bench.event(Event::SharedStateSaved { call: Some(1), shared: Err(error) });
     admin_call(&mut bench, 2, "GET /healthcheck");
     bench.assert_trace(expect![[r#"
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -24,7 +24,7 @@
         quillramp::settings::load(loaded.seed, loaded.settings.get().as_bytes()).expect("good settings");
     let config = ReducerConfig {
         peers: loaded.peers,
-        peer_broadcast: loaded.peers_all,
+        peer_broadcast: loaded.peer_broadcast,
         counter: loaded.counter,
         discovery: loaded.discovery,
         max_descriptors,
@@ -32,7 +32,7 @@
         admin_enabled: admin,
         saves_changes: admin,
     };
-    let reducer = Reducer::new(1000.0, settings, config, &loaded.known);
+    let reducer = Reducer::new(1000.0, settings, config, &loaded.initial_endpoints);
     let mut bench = Bench { reducer, now: 1000.0, id: 1, trace: String::new() };
     bench.poll();
     bench.trace.clear();
@@ -106,7 +106,7 @@
         Request::AddToCounter { add, .. } => format!("add {add}"),
         Request::WatchEndpoints { since, wait_ms: 1 } => format!("since {since}, at once"),
         Request::WatchEndpoints { since, .. } => format!("watch since {since}"),
-        Request::List => "list".into(),
+        Request::FetchEndpoints => "list".into(),
     }
 }
 
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -289,7 +289,7 @@
     let host = "127.0.0.1:80".parse().expect("an address");
     Request::AddToCounter { key: "5.1".into(), add: -2.5, expire_ms: 45000 }.encode(host, &mut out);
     Request::WatchEndpoints { since: 41, wait_ms: 20000 }.encode(host, &mut out);
-    Request::List.encode(host, &mut out);
+    Request::FetchEndpoints.encode(host, &mut out);
     let all = String::from_utf8_lossy(&out).replace("\r\n", "|");
     expect![[r#"
         POST /counters/5.1?by=-2.5&expire_ms=45000 HTTP/1.1|Host: 127.0.0.1:80|Content-Length: 0||GET /v1/endpoints?since=41&timeout_ms=20000 HTTP/1.1|Host: 127.0.0.1:80||GET /v1/endpoints HTTP/1.1|Host: 127.0.0.1:80||"#]].assert_eq(&all);
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -60,7 +60,7 @@
     let platform = operator::platform(instance, DESCRIPTORS);
     let read = quillramp_operator::read(&text, Some(&platform));
     let read = read.map_err(|diagnostics| {
-        ScaleError::OperatorFile(operator::faults("operator's file", &diagnostics).join("; "))
+        ScaleError::OperatorFile(operator::diagnostic_lines("operator's file", &diagnostics).join("; "))
     })?;
     Ok(Some(operator::operator_update(read, &platform)))
 }
