--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -69,9 +69,9 @@
         };
         if let Some(id) = front.id {
             match reply {
-                BackendReply::Value { value, billed, report } => {
+                BackendReply::Value { value, billed_units, load_report } => {
                     self.answer_request(now, id.request, ClientReply::Value(value));
-                    self.attempt_succeeded(id, billed, report);
+                    self.attempt_succeeded(id, billed_units, load_report);
                 }
                 BackendReply::Rejected => self.attempt_failed(id, AttemptResult::Rejected),
                 BackendReply::Failed => self.attempt_failed(id, AttemptResult::Errored),
--- a/gateway/src/wire/admin.rs
+++ b/gateway/src/wire/admin.rs
@@ -1,45 +1,45 @@
-//! HTTP/1.1, as far as operators use it: one call a connection, and its response.
+//! The server side of HTTP/1.1 for operators' calls: decodes the one call of a connection and encodes the response.
 use std::borrow::Cow;
 
-/// The longest head of a call, in bytes.
+/// Maximum length of a call's head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest body of a call, in bytes; its contents are ignored.
+/// Maximum length of a call's body, in bytes; the body's contents are ignored.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The most header fields that a call may have.
+/// Maximum number of header fields in a call.
 const MAX_HEADERS: usize = 64;
 
-/// A call of an operator.
+/// An operator's call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminCall {
-    /// Whether this instance is healthy.
+    /// Reports whether this instance is healthy.
     Health,
-    /// The counters of this instance.
+    /// Reports the statistics of this instance.
     Stats,
-    /// What teams use of their contracts.
+    /// Reports each team's use of its contract.
     Contracts,
-    /// Leave this backend out.
+    /// Ejects the backend of this name.
     EjectBackend(String),
-    /// Use this backend again.
+    /// Restores the ejected backend of this name.
     RestoreBackend(String),
-    /// Drain this instance.
+    /// Drains this instance.
     Drain,
-    /// End draining by hand.
+    /// Ends the draining of this instance that an operator started.
     Undrain,
-    /// No such call: the status that says so.
+    /// The call can't be served; the number is the status code of its response.
     Invalid(u16),
 }
 
-/// The response to a call.
+/// The response to an operator's call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdminResponse {
     /// The status code.
     pub status: u16,
-    /// JSON if it begins with a brace, else plain text.
+    /// The body: JSON if it starts with a brace, otherwise plain text.
     pub body: String,
 }
 
-/// The call, once all of it has arrived.
-#[inline(never)] // its frame is not to be part of every connection's stack
+/// Decodes the call; returns `None` while it is incomplete.
+#[inline(never)] // keeps the array of header fields out of the stack frame of every connection's coroutine
 pub fn decode_call(bytes: &[u8]) -> Option<AdminCall> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -66,7 +66,7 @@
     head.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
 }
 
-/// The length of the body in bytes; none if the head has no valid one.
+/// Returns the length of the body in bytes, 0 without `Content-Length`, or `None` if that is not a number.
 fn body_length(head: &httparse::Request) -> Option<usize> {
     let Some(value) = header(head, "content-length") else { return Some(0) };
     let text = std::str::from_utf8(value).unwrap_or("").trim();
@@ -74,6 +74,7 @@
     valid.then(|| text.parse().unwrap_or(usize::MAX))
 }
 
+/// Returns the call that this method and request target stand for.
 fn route(method: &str, target: &str) -> AdminCall {
     let path = target.split('?').next().unwrap_or("");
     let segments: Vec<&str> = path.strip_prefix('/').unwrap_or("?").split('/').collect();
@@ -98,22 +99,23 @@
     }
 }
 
-/// A segment of a path with its %XX decoded; unchanged where that is not UTF-8.
+/// Decodes the percent-encoded bytes of a path segment; returns the segment unchanged if the result is not UTF-8.
 fn percent_decode(segment: &str) -> Cow<'_, str> {
     let mut bytes = Vec::with_capacity(segment.len());
     let mut rest = segment.as_bytes();
     while let Some((&first, after)) = rest.split_first() {
         let digits =
             after.get(..2).filter(|digits| first == b'%' && digits.iter().all(u8::is_ascii_hexdigit));
-        let code = digits.and_then(|digits| u8::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok());
-        bytes.push(code.unwrap_or(first));
-        rest = if code.is_some() { &after[2..] } else { after };
+        let decoded =
+            digits.and_then(|digits| u8::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok());
+        bytes.push(decoded.unwrap_or(first));
+        rest = if decoded.is_some() { &after[2..] } else { after };
     }
     String::from_utf8(bytes).map_or(Cow::Borrowed(segment), Cow::Owned)
 }
 
 impl AdminResponse {
-    /// Appends the response as it goes to the operator.
+    /// Appends the encoded response to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
         let reason = match self.status {
             200 => "OK",
--- a/gateway/src/wire/endpoints.rs
+++ b/gateway/src/wire/endpoints.rs
@@ -1,36 +1,36 @@
-//! The endpoint list: the backends, in the list service's JSON.
+//! Codec of the endpoint list, which the list service sends as JSON.
 use quillramp::types::EndpointStatus;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The endpoint list, or a change to it.
+/// The complete endpoint list, or the endpoints that changed.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct EndpointList {
-    /// The list's version.
+    /// Version of the list.
     pub index: u64,
-    /// Whether this is the complete list; else it is what changed.
+    /// Whether `endpoints` is the complete list; otherwise it has only the endpoints that changed.
     pub snapshot: bool,
-    /// The backends.
+    /// The endpoints.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// One backend on the list.
+/// A backend in the endpoint list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct ListedEndpoint {
-    /// The backend's id.
+    /// Name of the backend.
     pub name: String,
-    /// Where it listens.
+    /// Address that the backend listens on.
     pub address: SocketAddr,
-    /// The zone that it runs in.
+    /// Zone that the backend runs in.
     pub zone: String,
-    /// The group that it belongs to, by index.
+    /// Index of the group that the backend belongs to.
     pub group: usize,
-    /// Whether it serves, drains or is gone.
+    /// Whether the backend is serving, draining or removed.
     #[serde(with = "status")]
     pub status: EndpointStatus,
-    /// Its weight in load balancing, relative to the others'.
+    /// Relative weight in load balancing.
     pub weight: f64,
-    /// Since when it has had this status, in milliseconds since 1970.
+    /// Time of the last status change, in milliseconds since 1970.
     pub since_ms: f64,
 }
 
@@ -49,18 +49,18 @@
     }
 }
 
-/// A response of the list service that can't be used.
+/// Error of a response of the list service that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// Its status is not 200.
-    #[error("status {0}")]
+    /// The response's status code is not 200.
+    #[error("unexpected HTTP status {0}")]
     Status(u16),
-    /// Its body can't be decoded.
-    #[error("list: {0}")]
+    /// The response's body is not a valid endpoint list.
+    #[error("invalid endpoint list: {0}")]
     Body(#[from] serde_json::Error),
 }
 
-/// Decodes the body of the list service's response.
+/// Decodes the body of a response of the list service.
 pub fn decode(body: &[u8]) -> Result<EndpointList, EndpointListError> {
     Ok(serde_json::from_slice(body)?)
 }
--- a/gateway/src/wire/http.rs
+++ b/gateway/src/wire/http.rs
@@ -1,50 +1,50 @@
-//! HTTP/1.1, as far as the counter and the list service use it: requests out, complete responses in.
+//! The client side of HTTP/1.1 for the counter and the list service: encodes requests and decodes complete responses.
 use super::{Decoded, DecodedMessage, ProtocolError};
 use std::net::SocketAddr;
 
-/// The longest head of a response, in bytes.
+/// Maximum length of a response's head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest body of a response, in bytes.
+/// Maximum length of a response's body, in bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// The most header fields that a response may have.
+/// Maximum number of header fields in a response.
 const MAX_HEADERS: usize = 32;
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// The body, its chunks joined.
+    /// The body, without chunked encoding.
     pub body: Vec<u8>,
-    /// The connection ends after it.
+    /// Whether the server closes the connection after this response.
     pub closes_connection: bool,
 }
 
 /// A request to the counter or to the list service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
-    /// Adds to a count of the shared counter.
+    /// Adds units to a total of the shared counter.
     AddToCounter {
-        /// The count's name.
+        /// Key of the total.
         key: String,
-        /// How much is added, in units.
+        /// Units to add.
         add: f64,
-        /// How long the count lasts, in milliseconds.
+        /// Time until the total expires, in milliseconds.
         expire_ms: u64,
     },
-    /// Waits for changes to the endpoint list.
+    /// Returns the changes to the endpoint list as soon as there are any (long polling).
     WatchEndpoints {
-        /// The version that is known.
+        /// Version of the list that this instance has.
         since: u64,
-        /// How long to wait, in milliseconds.
+        /// Maximum time that the service waits for a change, in milliseconds.
         wait_ms: u64,
     },
-    /// The complete endpoint list, at once.
+    /// Returns the complete endpoint list at once.
     FetchEndpoints,
 }
 
 impl Request {
-    /// Appends the request as it goes to this host.
+    /// Appends the encoded request to `out`.
     pub fn encode(&self, host: SocketAddr, out: &mut Vec<u8>) {
         let text = match self {
             Request::AddToCounter { key, add, expire_ms } => {
@@ -64,8 +64,8 @@
     }
 }
 
-/// One complete response; interim ones (1xx) are skipped.
-#[inline(never)] // the header fields are not to be part of every connection's stack
+/// Decodes the first final response; interim responses (1xx) are skipped.
+#[inline(never)] // keeps the array of header fields out of the stack frame of every connection's coroutine
 pub fn decode_response(bytes: &[u8]) -> Decoded<Response> {
     let mut start = 0;
     loop {
@@ -79,7 +79,7 @@
     }
 }
 
-/// How the head of a response frames the body.
+/// The header fields of a response that determine where its body ends.
 #[derive(Default)]
 struct Framing {
     content_length: Option<usize>,
@@ -88,12 +88,13 @@
 }
 
 impl Framing {
-    fn read(head: &httparse::Response) -> Result<Framing, ProtocolError> {
+    fn from_head(head: &httparse::Response) -> Result<Framing, ProtocolError> {
         let mut framing = Framing { closes_connection: head.version == Some(0), ..Framing::default() };
         for header in head.headers.iter() {
             let value = std::str::from_utf8(header.value).unwrap_or("").trim();
             if header.name.eq_ignore_ascii_case("content-length") {
-                let length = value.parse::<usize>().map_err(|_| ProtocolError("length is no number"))?;
+                let length =
+                    value.parse::<usize>().map_err(|_| ProtocolError("Content-Length is not a number"))?;
                 framing.content_length = Some(length);
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 framing.chunked = value.eq_ignore_ascii_case("chunked");
@@ -104,30 +105,31 @@
         Ok(framing)
     }
 
-    /// The length of a body that is not chunked, in bytes.
+    /// Returns the length of a body without chunked encoding, in bytes.
     fn body_length(&self, status: u16) -> Result<usize, ProtocolError> {
         match self.content_length {
-            Some(length) if length > MAX_BODY_BYTES => Err(ProtocolError("body too long")),
+            Some(length) if length > MAX_BODY_BYTES => Err(ProtocolError("response body over 4 MiB")),
             Some(length) => Ok(length),
             None if status == 204 || status == 304 || status < 200 => Ok(0),
-            None => Err(ProtocolError("response without a length")),
+            None => Err(ProtocolError("response without Content-Length or chunked encoding")),
         }
     }
 }
 
+/// Decodes the first response, interim or final.
 fn decode_one(bytes: &[u8]) -> Decoded<Response> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let body_start = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => {
-            return Err(ProtocolError("head too long"))
+            return Err(ProtocolError("response head over 8 KiB"))
         }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(ProtocolError("no HTTP")),
+        Err(_) => return Err(ProtocolError("not an HTTP response")),
     };
     let status = head.code.unwrap_or(0);
-    let framing = Framing::read(&head)?;
+    let framing = Framing::from_head(&head)?;
     let closes_connection = framing.closes_connection;
     if framing.chunked {
         let Some(chunked) = decode_chunks(bytes, body_start)? else { return Ok(None) };
@@ -140,30 +142,30 @@
     Ok(Some(DecodedMessage { value: response, length: end }))
 }
 
-/// A body that came in chunks.
+/// A body with chunked encoding.
 struct ChunkedBody {
-    /// The chunks, joined.
+    /// The concatenated chunks.
     body: Vec<u8>,
-    /// Where the message ends.
+    /// Offset behind the last chunk, from the start of the buffer.
     end: usize,
 }
 
-/// The body of which the first chunk begins at `position`; none until all of it has arrived.
+/// Decodes a body whose first chunk starts at `position`; returns `None` while the body is incomplete.
 fn decode_chunks(bytes: &[u8], mut position: usize) -> Result<Option<ChunkedBody>, ProtocolError> {
     let mut body = Vec::new();
     loop {
         let (start, size) = match httparse::parse_chunk_size(&bytes[position..]) {
             Ok(httparse::Status::Complete((start, size))) => (position + start, size),
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(ProtocolError("chunk without a size")),
+            Err(_) => return Err(ProtocolError("invalid chunk size")),
         };
         if size > (MAX_BODY_BYTES - body.len()) as u64 {
-            return Err(ProtocolError("body too long"));
+            return Err(ProtocolError("response body over 4 MiB"));
         }
         let size = size as usize;
         let Some(chunk) = bytes.get(start..start + size + 2) else { return Ok(None) };
         if &chunk[size..] != b"\r\n" {
-            return Err(ProtocolError("chunk without its end"));
+            return Err(ProtocolError("chunk without CRLF at its end"));
         }
         body.extend_from_slice(&chunk[..size]);
         position = start + size + 2;
--- a/gateway/src/wire/mod.rs
+++ b/gateway/src/wire/mod.rs
@@ -1,22 +1,23 @@
-//! The wire formats: pure codecs, from bytes to small typed values and back. Datagrams are `quillramp::gossip`.
+//! Codecs of the wire formats: pure functions between bytes and typed values. The codec of gossip datagrams is
+//! `quillramp::gossip`.
 pub mod admin;
 pub mod endpoints;
 pub mod http;
 pub mod resp;
 
-/// Framing that can't be followed any further, and why.
+/// A violation of the framing, after which nothing more can be decoded; the text is the reason.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{0}")]
 pub struct ProtocolError(pub &'static str);
 
-/// A complete message at the beginning of some bytes.
+/// A complete message that was decoded from the beginning of a buffer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedMessage<T> {
     /// The message.
     pub value: T,
-    /// How many bytes it took.
+    /// Length of the encoded message, in bytes.
     pub length: usize,
 }
 
-/// A complete message; none until more bytes have arrived.
+/// The result of decoding a buffer: its first message, or `None` while that is incomplete.
 pub type Decoded<T> = Result<Option<DecodedMessage<T>>, ProtocolError>;
--- a/gateway/src/wire/resp/arguments.rs
+++ b/gateway/src/wire/resp/arguments.rs
@@ -1,15 +1,15 @@
-//! The arguments of a request: names and values in one comma-separated list.
+//! Decoding of a request's arguments, which are `name=value` pairs in one comma-separated item.
 use super::command::RequestCommand;
 use std::ops::Range;
 
-/// Customers' numbers lie below this.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// Counts of gateway instances lie below this.
+/// Exclusive upper bound of the counts and positions of gateway instances.
 const INSTANCE_LIMIT: f64 = 65_536.0;
-/// The hexadecimal digits of an id.
+/// Number of hexadecimal digits in a customer's number or a request's id.
 const ID_DIGITS: usize = 16;
 
-/// What is wrong with a request's items. The texts go to the client, after `-ERR `.
+/// Error of a request with invalid items. Its text is sent to the client, after `-ERR `.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(super) enum ArgumentError {
     #[error("customer: expected 16 hex digits, below 2^33")]
@@ -28,29 +28,29 @@
     Missing(&'static str),
 }
 
-/// The items of a request, as they stand in its message.
+/// The undecoded items of a request.
 pub(super) struct RequestItems<'a> {
     /// The whole message.
     pub raw: &'a [u8],
-    /// Whether the command is the one for idempotent requests.
+    /// Whether the request's command is the one for idempotent requests.
     pub idempotent: bool,
-    /// The customer's number, in hexadecimal.
+    /// The customer's number, hexadecimal.
     pub customer: &'a [u8],
-    /// The request's id, in hexadecimal.
+    /// The request's id, hexadecimal.
     pub id: &'a [u8],
-    /// Where the length line of the argument list begins.
-    pub arguments_line: usize,
-    /// The argument list.
+    /// Offset of the argument list's length line in `raw`.
+    pub arguments_header: usize,
+    /// Range of the argument list in `raw`.
     pub arguments: Range<usize>,
 }
 
-/// A number in the argument list, and where it stands.
+/// A number in the argument list, and its range in the message.
 struct Number {
     value: f64,
     range: Range<usize>,
 }
 
-/// The arguments that have a meaning here, as far as they have been found.
+/// The arguments that the gateway uses; `None` where an argument has not been found.
 #[derive(Default)]
 pub(super) struct RequestArguments {
     operation: Option<Range<usize>>,
@@ -62,7 +62,7 @@
 }
 
 impl RequestArguments {
-    /// The request that these items make.
+    /// Decodes and validates a request's items.
     pub fn decode(items: &RequestItems) -> Result<RequestCommand, ArgumentError> {
         let customer = parse_id(items.customer).filter(|customer| *customer < CUSTOMER_LIMIT);
         let customer = customer.ok_or(ArgumentError::Customer)?;
@@ -79,13 +79,14 @@
             timeout_ms: timeout.value,
             operation: found.operation.ok_or(ArgumentError::Missing("c"))?,
             plan: found.plan.ok_or(ArgumentError::Missing("t"))?,
-            argument_item: items.arguments_line..items.arguments.end + 2,
+            argument_item: items.arguments_header..items.arguments.end + 2,
             arguments_start: items.arguments.start,
             timeout: timeout.range,
             raw: items.raw.to_vec(),
         })
     }
 
+    /// Finds the arguments in the list at this range of the message.
     fn parse(raw: &[u8], list: &Range<usize>) -> Result<RequestArguments, ArgumentError> {
         let mut found = RequestArguments::default();
         let mut start = list.start;
@@ -98,7 +99,7 @@
         Ok(found)
     }
 
-    /// Takes up one argument; unknown ones are ignored.
+    /// Stores the value of one argument; unknown names are ignored.
     fn set(&mut self, raw: &[u8], name: &[u8], range: Range<usize>) -> Result<(), ArgumentError> {
         match name {
             b"c" => set_once(&mut self.operation, name, range),
@@ -126,7 +127,7 @@
     raw: &[u8],
     range: Range<usize>,
 ) -> Result<(), ArgumentError> {
-    // A duplicate is reported before a value that is no number.
+    // A duplicate name takes precedence over an invalid number.
     match parse_decimal(&raw[range.clone()]) {
         None if slot.is_none() => Err(ArgumentError::NotANumber(String::from_utf8_lossy(name).into_owned())),
         value => set_once(slot, name, Number { value: value.unwrap_or_default(), range }),
@@ -135,20 +136,20 @@
 
 fn whole_number(number: Option<Number>, name: &'static str) -> Result<usize, ArgumentError> {
     let value = number.map(|number| number.value);
-    let whole = value.filter(|value| value.fract() == 0.0 && *value < INSTANCE_LIMIT);
-    whole.map(|value| value as usize).ok_or(ArgumentError::NotAWholeNumber(name))
+    let in_range = value.filter(|value| value.fract() == 0.0 && *value < INSTANCE_LIMIT);
+    in_range.map(|value| value as usize).ok_or(ArgumentError::NotAWholeNumber(name))
 }
 
-/// Sixteen hexadecimal digits.
+/// Parses an item of exactly `ID_DIGITS` hexadecimal digits.
 fn parse_id(item: &[u8]) -> Option<u64> {
-    let digits = item.len() == ID_DIGITS && item.iter().all(u8::is_ascii_hexdigit);
-    let text = std::str::from_utf8(item).ok().filter(|_| digits)?;
+    let is_valid = item.len() == ID_DIGITS && item.iter().all(u8::is_ascii_hexdigit);
+    let text = std::str::from_utf8(item).ok().filter(|_| is_valid)?;
     u64::from_str_radix(text, 16).ok()
 }
 
-/// A plain decimal number: no sign, no exponent, no name of a number.
+/// Parses a decimal number of digits and a point: no sign, exponent, `inf` or `nan`.
 fn parse_decimal(item: &[u8]) -> Option<f64> {
-    let plain = item.iter().all(|byte| byte.is_ascii_digit() || *byte == b'.');
-    let text = std::str::from_utf8(item).ok().filter(|_| plain)?;
+    let is_valid = item.iter().all(|byte| byte.is_ascii_digit() || *byte == b'.');
+    let text = std::str::from_utf8(item).ok().filter(|_| is_valid)?;
     text.parse().ok()
 }
--- a/gateway/src/wire/resp/command.rs
+++ b/gateway/src/wire/resp/command.rs
@@ -1,63 +1,67 @@
-//! Commands of clients: decoding, and a request's encoding for a backend.
+//! Decoding of clients' commands, and encoding of requests for backends.
 use super::arguments::{RequestArguments, RequestItems};
 use super::framing::{array_header, bulk_string, is_body, max_item_bytes, MAX_ARRAY_ITEMS};
 use super::MAX_MESSAGE_BYTES;
 use crate::wire::{Decoded, DecodedMessage, ProtocolError};
 use std::ops::Range;
 
-/// The items of a request without a body, and of one with a body.
-const ITEMS_OF_GET: usize = 4;
-const ITEMS_OF_POST: usize = 5;
-/// Where the items of a request stand.
-const CUSTOMER: usize = 1;
-const REQUEST_ID: usize = 2;
-const ARGUMENT_LIST: usize = 3;
+/// Number of items in a request without a body.
+const GET_ITEM_COUNT: usize = 4;
+/// Number of items in a request with a body.
+const POST_ITEM_COUNT: usize = 5;
+/// Index of the item with the customer's number.
+const CUSTOMER_INDEX: usize = 1;
+/// Index of the item with the request's id.
+const REQUEST_ID_INDEX: usize = 2;
+/// Index of the item with the argument list.
+const ARGUMENT_LIST_INDEX: usize = 3;
 
-/// A request as its client wrote it. The message is forwarded as it arrived, except for the timeout.
+/// A client's request. Its message is forwarded to backends byte for byte, except for the timeout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestCommand {
-    /// Whether it may be repeated freely: the command says so.
+    /// Whether the request may be executed more than once, which its command states.
     pub idempotent: bool,
     /// The customer's number.
     pub customer: u64,
-    /// The request's id, as its client chose it.
+    /// The request's id, chosen by the client.
     pub id: u64,
-    /// How many units it uses.
+    /// Units that the request uses.
     pub units: f64,
-    /// The first of the gateway instances that serve its customer, by position.
+    /// Position of the first gateway instance that serves the customer.
     pub first_instance: usize,
-    /// How many gateway instances serve its customer.
+    /// Number of gateway instances that serve the customer.
     pub instance_count: usize,
-    /// How long the client waits, in milliseconds.
+    /// Time that the client waits for the reply, in milliseconds.
     pub timeout_ms: f64,
+    /// The complete message; the ranges and offsets below refer to it.
     pub(super) raw: Vec<u8>,
     pub(super) operation: Range<usize>,
     pub(super) plan: Range<usize>,
-    /// The argument list from its length line to its terminator.
+    /// The argument list, including its length line and its terminator.
     pub(super) argument_item: Range<usize>,
-    /// Where the contents of the argument list begin.
+    /// Offset of the argument list's contents.
     pub(super) arguments_start: usize,
-    /// The value of `d`, the timeout, in the argument list.
+    /// The value of the argument `d`, the timeout.
     pub(super) timeout: Range<usize>,
 }
 
 impl RequestCommand {
-    /// The operation's name.
+    /// Returns the operation's name.
     pub fn operation(&self) -> &[u8] {
         &self.raw[self.operation.clone()]
     }
 
-    /// The plan's name.
+    /// Returns the plan's name.
     pub fn plan(&self) -> &[u8] {
         &self.raw[self.plan.clone()]
     }
 
-    /// Appends the command for a backend, with the time that this instance waits, in milliseconds.
+    /// Appends the request as it is sent to a backend, with the time in milliseconds that this instance waits for the reply.
     pub fn encode(&self, timeout_ms: u64, out: &mut Vec<u8>) {
         let timeout = timeout_ms.to_string();
-        let terminator = 2;
-        let list_length =
-            self.argument_item.end - self.arguments_start - self.timeout.len() + timeout.len() - terminator;
+        let terminator_bytes = 2;
+        let list_length = self.argument_item.end - self.arguments_start - self.timeout.len() + timeout.len()
+            - terminator_bytes;
         out.extend_from_slice(&self.raw[..self.argument_item.start]);
         out.extend_from_slice(format!("${list_length}\r\n").as_bytes());
         out.extend_from_slice(&self.raw[self.arguments_start..self.timeout.start]);
@@ -69,25 +73,25 @@
 /// A command of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand {
-    /// Asks for a sign of life.
+    /// Checks that the connection is alive.
     Ping,
-    /// Who the client is, by a token.
+    /// Authenticates the client with this token.
     Auth(Vec<u8>),
     /// A request for a backend.
     Request(Box<RequestCommand>),
-    /// A complete command that can't be served, and why.
+    /// A complete command that is invalid; the text is the reason.
     Invalid(String),
-    /// A complete command that was not stored because too many of its client's commands are pending: it is rejected.
+    /// A complete command that was not stored because too many commands of its client are pending; it is rejected.
     Dropped,
-    /// Nothing after it can be decoded.
+    /// Bytes that break the protocol, after which nothing can be decoded; the text is the reason.
     ProtocolError(&'static str),
 }
 
 /// One item of a command.
 struct Item {
-    /// Where its length line begins.
+    /// Offset of the item's length line.
     start: usize,
-    /// Its contents.
+    /// Range of the item's contents.
     value: Range<usize>,
 }
 
@@ -96,7 +100,7 @@
     bytes: &'a [u8],
     items: [Item; MAX_ARRAY_ITEMS],
     count: usize,
-    /// Where the command ends.
+    /// Offset behind the command.
     end: usize,
 }
 
@@ -106,8 +110,8 @@
         Items { bytes, items, count: 0, end: 0 }
     }
 
-    /// Finds the items, within the limits on the command's length; false until all of it has arrived. In place: a copy
-    /// would be part of every connection's stack.
+    /// Finds the items and checks the limits on the command's length; returns false while the command is incomplete. The
+    /// items are filled in place, because a copy would enlarge the stack of every connection's coroutine.
     fn decode(&mut self) -> Result<bool, ProtocolError> {
         let Some(header) = array_header(self.bytes)? else { return Ok(false) };
         let count = header.value.unwrap_or(0);
@@ -122,10 +126,10 @@
             item.value = element.value.ok_or(ProtocolError("null in a command"))?;
             position = element.next;
         }
-        let last_bounded = count.saturating_sub(1).min(ITEMS_OF_POST - 1);
-        let unbounded_end = count == ITEMS_OF_POST;
-        if self.items[last_bounded].start > MAX_MESSAGE_BYTES
-            || !unbounded_end && position > MAX_MESSAGE_BYTES
+        let last_limited_item = count.saturating_sub(1).min(POST_ITEM_COUNT - 1);
+        let has_body = count == POST_ITEM_COUNT;
+        if self.items[last_limited_item].start > MAX_MESSAGE_BYTES
+            || !has_body && position > MAX_MESSAGE_BYTES
         {
             return Err(ProtocolError("message over 64 KiB"));
         }
@@ -138,13 +142,13 @@
         &self.bytes[self.items[index].value.clone()]
     }
 
-    /// Whether the command has this name, in whatever case.
+    /// Whether the command has this name, ignoring case.
     fn is_named(&self, name: &str) -> bool {
         self.count > 0 && self.value(0).eq_ignore_ascii_case(name.as_bytes())
     }
 }
 
-/// One command of a client.
+/// Decodes the first command of a client.
 pub fn decode_command(bytes: &[u8]) -> Decoded<ClientCommand> {
     if bytes.is_empty() {
         return Ok(None);
@@ -158,14 +162,14 @@
     }
     let command = if items.is_named("PING") {
         ClientCommand::Ping
-    } else if items.is_named("CALL.GET") && items.count == ITEMS_OF_GET
-        || items.is_named("CALL.POST") && items.count == ITEMS_OF_POST
+    } else if items.is_named("CALL.GET") && items.count == GET_ITEM_COUNT
+        || items.is_named("CALL.POST") && items.count == POST_ITEM_COUNT
     {
         decode_request(&items)
     } else if items.is_named("CALL.GET") || items.is_named("CALL.POST") {
         ClientCommand::Invalid("wrong number of arguments".into())
     } else if items.is_named("AUTH") && (items.count == 2 || items.count == 3) {
-        // With a name before it, as RESP has it; the token says the name itself.
+        // RESP allows a user name before the token; it is ignored, because the token names the caller.
         ClientCommand::Auth(items.value(items.count - 1).to_vec())
     } else {
         ClientCommand::Invalid("unknown command".into())
@@ -176,11 +180,11 @@
 fn decode_request(items: &Items) -> ClientCommand {
     let request = RequestItems {
         raw: &items.bytes[..items.end],
-        idempotent: items.count == ITEMS_OF_GET,
-        customer: items.value(CUSTOMER),
-        id: items.value(REQUEST_ID),
-        arguments_line: items.items[ARGUMENT_LIST].start,
-        arguments: items.items[ARGUMENT_LIST].value.clone(),
+        idempotent: items.count == GET_ITEM_COUNT,
+        customer: items.value(CUSTOMER_INDEX),
+        id: items.value(REQUEST_ID_INDEX),
+        arguments_header: items.items[ARGUMENT_LIST_INDEX].start,
+        arguments: items.items[ARGUMENT_LIST_INDEX].value.clone(),
     };
     match RequestArguments::decode(&request) {
         Ok(request) => ClientCommand::Request(Box::new(request)),
--- a/gateway/src/wire/resp/extent.rs
+++ b/gateway/src/wire/resp/extent.rs
@@ -1,20 +1,20 @@
-//! How far a command reaches, from its length lines alone.
+//! The length of a command, computed from its length lines alone.
 use super::framing::{array_header, bulk_length, is_body, max_item_bytes, Element};
 use super::MAX_MESSAGE_BYTES;
 use crate::wire::ProtocolError;
 
-/// How far a command reaches.
+/// The known part of a command's length.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Extent {
-    /// All of it has arrived: its length in bytes.
+    /// The command is complete and has this length, in bytes.
     Complete(usize),
-    /// This many bytes are still to arrive.
+    /// The command is incomplete by this many bytes.
     Missing(usize),
-    /// Too little of it has arrived to say.
+    /// The command is incomplete, and its length is not known yet.
     Unknown,
 }
 
-/// How far the first command of these bytes reaches; its contents are not examined.
+/// Returns the extent of the first command in a buffer, without decoding the contents of its items.
 pub fn command_extent(bytes: &[u8]) -> Result<Extent, ProtocolError> {
     match bytes.first() {
         None => return Ok(Extent::Unknown),
@@ -34,8 +34,8 @@
         };
         let end = start + length.ok_or(ProtocolError("null in a command"))? + 2;
         if bytes.len() < end {
-            let last = index + 1 == item_count;
-            return Ok(if last { Extent::Missing(end - bytes.len()) } else { Extent::Unknown });
+            let is_last = index + 1 == item_count;
+            return Ok(if is_last { Extent::Missing(end - bytes.len()) } else { Extent::Unknown });
         }
         position = end;
     }
--- a/gateway/src/wire/resp/reply.rs
+++ b/gateway/src/wire/resp/reply.rs
@@ -1,54 +1,54 @@
-//! Replies of backends: decoding; and replies to clients: encoding.
+//! Decoding of backends' replies, and encoding of replies to clients.
 use super::framing::{array_header, bulk_string, line, parse_length, DecodedElement, Element};
 use super::{MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 use crate::wire::{Decoded, DecodedMessage, ProtocolError};
 use std::ops::Range;
 
-/// A value, usage figures and a load report.
-const ITEMS_OF_REPLY: usize = 3;
+/// Number of items in a backend's reply with a value: the value, usage figures and a load report.
+const REPLY_ITEM_COUNT: usize = 3;
 
 /// A backend's reply to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendReply {
-    /// A result.
+    /// The result of the request.
     Value {
-        /// Its bytes.
+        /// The result's bytes.
         value: Vec<u8>,
-        /// The units that the backend billed, where it reports them.
-        billed: Option<f64>,
-        /// The backend's load report, as it was written.
-        report: Option<Vec<u8>>,
+        /// Units that the backend billed; `None` if it reported none.
+        billed_units: Option<f64>,
+        /// The backend's load report, undecoded; `None` if there is none.
+        load_report: Option<Vec<u8>>,
     },
-    /// The backend was too busy; nothing was executed.
+    /// The backend rejected the attempt because it is overloaded, and executed nothing.
     Rejected,
-    /// The backend reports an error.
+    /// The backend replied with an error.
     Failed,
 }
 
 /// A reply to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientReply {
-    /// To a ping.
+    /// The reply to a ping.
     Pong,
-    /// The token was accepted.
+    /// The client's token was accepted.
     Okay,
-    /// A result.
+    /// The result of a request.
     Value(Vec<u8>),
-    /// A result that has been streamed already.
+    /// A result that was already streamed to the client; nothing more is encoded.
     Streamed,
     /// The request was throttled.
     Busy {
-        /// When to retry, in milliseconds from now.
+        /// Time after which the client may retry, in milliseconds; `None` if it is not known.
         retry_after_ms: Option<u64>,
     },
-    /// An error, by its text.
+    /// An error; the text follows the code `ERR`.
     Error(String),
-    /// The client is not known, or may not do this: the text begins with its code.
+    /// The client is not authenticated, or lacks permission; the text starts with the error's code.
     Denied(String),
 }
 
 impl ClientReply {
-    /// Appends the reply as it goes to the client.
+    /// Appends the encoded reply to `out`.
     pub fn encode(&self, out: &mut Vec<u8>) {
         match self {
             ClientReply::Streamed => {}
@@ -69,31 +69,34 @@
     }
 }
 
-/// The head of a reply whose value is too long to be buffered: the value's length in bytes.
+/// Decodes the head of a reply whose value is to be streamed because it is too long to be buffered; returns the value's
+/// length in bytes, or `None` for any other reply and while the head is incomplete.
 pub fn decode_stream_head(bytes: &[u8]) -> Decoded<usize> {
     if bytes.first() != Some(&b'*') {
         return Ok(None);
     }
-    let Some(Element { value: Some(ITEMS_OF_REPLY), next }) = array_header(bytes)? else { return Ok(None) };
+    let Some(Element { value: Some(REPLY_ITEM_COUNT), next }) = array_header(bytes)? else { return Ok(None) };
     let Some(header) = line(bytes, next)? else { return Ok(None) };
     let length = match header.value.split_first() {
         Some((b'$', length)) => parse_length(length)?,
         _ => return Ok(None),
     };
-    let streamed = MAX_BUFFERED_VALUE_BYTES as i64 + 1..=MAX_VALUE_BYTES as i64;
-    Ok(streamed.contains(&length).then_some(DecodedMessage { value: length as usize, length: header.next }))
+    let streamed_lengths = MAX_BUFFERED_VALUE_BYTES as i64 + 1..=MAX_VALUE_BYTES as i64;
+    Ok(streamed_lengths
+        .contains(&length)
+        .then_some(DecodedMessage { value: length as usize, length: header.next }))
 }
 
-/// What follows the value of a reply.
+/// The items that follow the value in a backend's reply.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplyTrailer {
-    /// The units that the backend billed, where it reports them.
+    /// Units that the backend billed; `None` if it reported none.
     pub billed_units: Option<f64>,
-    /// The backend's load report, as it was written.
+    /// The backend's load report, undecoded; `None` if there is none.
     pub load_report: Option<Vec<u8>>,
 }
 
-/// What follows a value, from the line behind it.
+/// Decodes the items that follow a value; the buffer starts behind the value's terminator.
 pub fn decode_trailer(bytes: &[u8]) -> Decoded<ReplyTrailer> {
     if bytes.is_empty() {
         return Ok(None);
@@ -106,29 +109,29 @@
     Ok(Some(DecodedMessage { value: trailer, length: report.next }))
 }
 
-/// One reply of a backend.
+/// Decodes the first reply of a backend whose value is short enough to be buffered.
 pub fn decode_reply(bytes: &[u8]) -> Decoded<BackendReply> {
     match bytes.first() {
         None => Ok(None),
         Some(b'*') => decode_value(bytes),
         Some(b'-') => decode_error(bytes),
-        Some(_) => Err(ProtocolError("unknown type of reply")),
+        Some(_) => Err(ProtocolError("unknown reply type")),
     }
 }
 
 fn decode_value(bytes: &[u8]) -> Decoded<BackendReply> {
     let Some(header) = array_header(bytes)? else { return Ok(None) };
-    if header.value != Some(ITEMS_OF_REPLY) {
-        return Err(ProtocolError("expected a value, figures on use and a report"));
+    if header.value != Some(REPLY_ITEM_COUNT) {
+        return Err(ProtocolError("expected a value, usage figures and a load report"));
     }
     let Some(element) = bulk_string(bytes, header.next, MAX_BUFFERED_VALUE_BYTES)? else { return Ok(None) };
-    let value = element.value.ok_or(ProtocolError("no value"))?;
+    let value = element.value.ok_or(ProtocolError("null value in a reply"))?;
     let Some(trailer) = decode_trailer(&bytes[element.next..])? else { return Ok(None) };
     let length = element.next + trailer.length;
     let reply = BackendReply::Value {
         value: bytes[value].to_vec(),
-        billed: trailer.value.billed_units,
-        report: trailer.value.load_report,
+        billed_units: trailer.value.billed_units,
+        load_report: trailer.value.load_report,
     };
     Ok(Some(DecodedMessage { value: reply, length }))
 }
@@ -140,12 +143,13 @@
         [b'-', code @ ..] if !code.is_empty() && code.iter().all(u8::is_ascii_uppercase) => {
             BackendReply::Failed
         }
-        _ => return Err(ProtocolError("unknown error")),
+        _ => return Err(ProtocolError("malformed error reply")),
     };
     Ok(Some(DecodedMessage { value: reply, length: next }))
 }
 
-/// An optional item after a value: one of another type counts as absent and spoils nothing.
+/// Decodes an optional item behind a value. An item of another type than a bulk string counts as absent, so that the value
+/// stays usable.
 fn optional_item(bytes: &[u8], start: usize) -> DecodedElement<Option<Range<usize>>> {
     match bytes.get(start) {
         Some(b'+' | b'-' | b':') => {
@@ -155,7 +159,7 @@
     }
 }
 
-/// The number of this name in a comma-separated list of names and values.
+/// Returns the number of this name in a comma-separated list of `name=value` pairs.
 pub fn find_number(list: &[u8], name: &str) -> Option<f64> {
     let list = std::str::from_utf8(list).ok()?;
     let mut pairs = list.split(',').filter_map(|pair| pair.split_once('='));
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -225,7 +225,7 @@
 
     /// A backend replies with a value; `more_received`: more bytes follow it at once.
     pub fn backend_replies_with(&mut self, connection: u64, value: &str, more_received: bool) -> &mut Self {
-        let reply = BackendReply::Value { value: value.into(), billed: None, report: None };
+        let reply = BackendReply::Value { value: value.into(), billed_units: None, load_report: None };
         self.event(Event::BackendReply { connection, reply, more_received })
     }
 
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -178,17 +178,17 @@
         all += &backend_reply(message);
     }
     expect![[r#"
-        Value { value: [118], billed: None, report: None } in 21 of 21 bytes
-        Value { value: [118], billed: Some(2.5), report: None } in 39 of 39 bytes
-        Value { value: [], billed: Some(2.5), report: Some([105, 110, 102, 108, 105, 103, 104, 116, 61, 55]) } in 41 of 41 bytes
-        Value { value: [118], billed: None, report: None } in 24 of 24 bytes
-        Value { value: [118], billed: None, report: None } in 19 of 19 bytes
+        Value { value: [118], billed_units: None, load_report: None } in 21 of 21 bytes
+        Value { value: [118], billed_units: Some(2.5), load_report: None } in 39 of 39 bytes
+        Value { value: [], billed_units: Some(2.5), load_report: Some([105, 110, 102, 108, 105, 103, 104, 116, 61, 55]) } in 41 of 41 bytes
+        Value { value: [118], billed_units: None, load_report: None } in 24 of 24 bytes
+        Value { value: [118], billed_units: None, load_report: None } in 19 of 19 bytes
         after 15 bytes: ProtocolError("expected a bulk string")
         after 14 bytes: ProtocolError("value without its end")
         after 19 bytes: ProtocolError("value without its end")
-        after 4 bytes: ProtocolError("expected a value, figures on use and a report")
-        after 9 bytes: ProtocolError("no value")
-        ProtocolError("expected a value, figures on use and a report")
+        after 4 bytes: ProtocolError("expected a value, usage figures and a load report")
+        after 9 bytes: ProtocolError("null value in a reply")
+        ProtocolError("expected a value, usage figures and a load report")
     "#]]
     .assert_eq(&all);
 }
@@ -214,11 +214,11 @@
         Rejected in 7 of 7 bytes
         Rejected in 18 of 18 bytes
         Failed in 9 of 9 bytes
-        ProtocolError("unknown error")
-        after 1 bytes: ProtocolError("unknown type of reply")
-        after 1 bytes: ProtocolError("unknown type of reply")
-        after 1 bytes: ProtocolError("unknown type of reply")
-        after 1 bytes: ProtocolError("unknown type of reply")
+        ProtocolError("malformed error reply")
+        after 1 bytes: ProtocolError("unknown reply type")
+        after 1 bytes: ProtocolError("unknown reply type")
+        after 1 bytes: ProtocolError("unknown reply type")
+        after 1 bytes: ProtocolError("unknown reply type")
     "#]]
     .assert_eq(&all);
 }
@@ -276,9 +276,9 @@
         503 "", the last in 59 of 59 bytes
         200 "abcd" in 66 of 66 bytes
         200 "7" in 91 of 91 bytes
-        after 19 bytes: ProtocolError("response without a length")
-        ProtocolError("body too long")
-        after 1 bytes: ProtocolError("no HTTP")
+        after 19 bytes: ProtocolError("response without Content-Length or chunked encoding")
+        ProtocolError("response body over 4 MiB")
+        after 1 bytes: ProtocolError("not an HTTP response")
     "#]]
     .assert_eq(&all);
 }
@@ -308,7 +308,7 @@
     all += &format!("{:?}\n", decode_list(&list.replace("DRAINING", "GONE")));
     expect![[r#"
         Ok(EndpointList { index: 4, snapshot: false, endpoints: [ListedEndpoint { name: "s", address: 127.0.0.1:1, zone: "a", group: 3, status: Draining, weight: 1.0, since_ms: 5.0 }] })
-        Err("list: unknown status 'GONE' at line 1 column 113")
+        Err("invalid endpoint list: unknown status 'GONE' at line 1 column 113")
     "#]].assert_eq(&all);
 }
 
