--- a/gateway/src/sockets/acceptor.rs
+++ b/gateway/src/sockets/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients and operators. Without a free descriptor it waits until there is one again.
+//! Accepts connections of clients and operators; pauses while file descriptors are exhausted.
 use super::connection::{Connection, ConnectionContext};
 use super::driver::Connections;
 use crate::state::connection::ConnectionId;
@@ -9,10 +9,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// How many connections the kernel keeps for us to accept.
+/// Maximum number of connections that the kernel queues for a listening socket.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A listening socket, still in blocking mode.
+/// Opens a listening socket, in blocking mode.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     bind(address).map_err(|source| ListenError::Bind { address, source })
 }
@@ -26,56 +26,56 @@
     Ok(socket.into())
 }
 
-/// Nothing can be accepted.
+/// Error of opening a listening socket.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
-    /// The address is taken, or not ours.
-    #[error("{address}: {source}")]
+    /// The kernel can't listen on the address.
+    #[error("can't listen on {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
         /// The kernel's error.
         source: std::io::Error,
     },
-    /// The runtime can't wait for the socket.
-    #[error("listen: {0:?}")]
+    /// The coroutine runtime can't register the socket.
+    #[error("can't register a listening socket with the coroutine runtime: {0:?}")]
     Register(std::io::Error),
 }
 
-/// Who connects to a listening socket.
+/// The peers that connect to a listening socket.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ListenerKind {
     /// Clients.
     Clients {
-        /// Another process listens on the same socket.
+        /// Whether the socket was inherited, so that another process may listen on it too.
         inherited: bool,
     },
     /// Operators.
     Operators,
 }
 
-/// What acceptors share with the driver.
+/// State that the acceptors share with the driver.
 #[derive(Clone)]
 pub struct AcceptorContext {
     /// The open connections.
     pub connections: Arc<Connections>,
-    /// What all connections share.
+    /// State that all connections share.
     pub context: Arc<ConnectionContext>,
-    /// Set once no more clients are to be accepted.
+    /// Set when clients are no longer accepted.
     pub stop_accepting: Arc<AtomicBool>,
 }
 
-/// A listening socket whose coroutine is still to be started.
+/// A listening socket and the state of the coroutine that accepts its connections.
 pub struct Acceptor {
     listener: CoIo<TcpListener>,
     kind: ListenerKind,
     shared: AcceptorContext,
-    /// The number of the last accepted connection.
+    /// Number of the last accepted connection.
     last_number: u64,
 }
 
 impl Acceptor {
-    /// Takes up a listening socket.
+    /// Registers a listening socket with the coroutine runtime.
     pub fn new(
         listener: TcpListener,
         kind: ListenerKind,
@@ -86,14 +86,15 @@
         Ok(Acceptor { listener, kind, shared, last_number: 0 })
     }
 
-    /// Accepts from now on.
+    /// Starts the coroutine that accepts connections.
     pub fn start(self) {
         may::go!(move || self.serve());
     }
 
     fn serve(mut self) {
         loop {
-            // One more round after the stop: what the kernel has accepted is ours, unless another process listens too.
+            // After the stop, the connections that are already in the kernel's queue are accepted once more,
+            // unless another process listens on the same socket and accepts them.
             let stopping =
                 self.kind != ListenerKind::Operators && self.shared.stop_accepting.load(Ordering::Relaxed);
             if stopping && self.kind == (ListenerKind::Clients { inherited: true }) {
@@ -107,13 +108,14 @@
         }
     }
 
-    /// Accepts all that the kernel has, as far as there is capacity.
+    /// Accepts all queued connections, of clients up to their limit unless `stopping`.
     fn accept_all(&mut self, stopping: bool) {
         loop {
-            // A flood of clients is accepted before the reducer has seen the first of them: descriptors that the list
-            // service, the counter and backends need are reserved here. At the stop all that the kernel has are accepted.
-            let bounded = self.kind != ListenerKind::Operators && !stopping;
-            if bounded && self.shared.context.clients_full() {
+            // A burst of clients is accepted before the reducer handles the first of them, so the descriptors
+            // that the list service, the counter and backends need are reserved here. While stopping, all
+            // queued clients are accepted.
+            let is_limited = self.kind != ListenerKind::Operators && !stopping;
+            if is_limited && self.shared.context.client_limit_reached() {
                 return self.descriptors_exhausted();
             }
             match self.listener.inner().accept() {
@@ -121,13 +123,14 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if is_transient(error.kind()) => {}
                 Err(error) => {
-                    tracing::warn!("accept: {error}");
+                    tracing::warn!("accepting a connection failed: {error}");
                     return self.descriptors_exhausted();
                 }
             }
         }
     }
 
+    /// Starts an accepted connection and reports it as an event.
     fn open(&mut self, stream: TcpStream, peer: SocketAddr) {
         self.last_number += 1;
         let number = self.last_number;
@@ -142,11 +145,12 @@
                 self.shared.connections.insert(id, connection);
                 self.shared.context.events.push(event);
             }
-            Err(error) => tracing::warn!("connection {id:?} ended: {error}"),
+            Err(error) => tracing::warn!("connection {id:?} could not be set up: {error}"),
         }
     }
 
-    /// Somebody may have to go; accepting goes on once a descriptor is free.
+    /// Reports that no descriptor is left, so that the reducer may close idle connections. Accepting resumes
+    /// when a connection has released its descriptor.
     fn descriptors_exhausted(&self) {
         self.shared.context.descriptors_exhausted.store(true, Ordering::Relaxed);
         self.shared.context.events.push(Event::DescriptorsExhausted);
--- a/gateway/src/sockets/connection/capacity.rs
+++ b/gateway/src/sockets/connection/capacity.rs
@@ -1,23 +1,24 @@
-//! What a client's commands hold, against the limits that all clients share.
-use super::{Connection, SCRATCH_BYTES};
+//! Accounting of clients' pending, incomplete and long commands against the limits that all clients share. A
+//! command is long if it exceeds `resp::MAX_MESSAGE_BYTES`.
+use super::{Connection, READ_BUFFER_BYTES};
 use crate::wire::resp;
 use atomic_refcell::AtomicRefCell;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// How many of a client's commands may be pending before reading stops.
+/// Number of pending commands of one client at which no more of its commands are decoded.
 const MAX_PENDING_COMMANDS: usize = 512;
 
-/// A client's commands that have no reply yet.
+/// Commands of a client that have no reply yet.
 #[derive(Default)]
 pub(super) struct PendingCommands {
-    /// How many they are.
+    /// Number of these commands.
     count: AtomicUsize,
-    /// The lengths of the long ones in bytes, 0 for others, in their order.
+    /// Length of each of these commands in bytes if it is long, otherwise 0; oldest first.
     long_lengths: AtomicRefCell<VecDeque<usize>>,
-    /// More commands have been read and are postponed until some of these are answered.
+    /// Set while further commands have been read but are not decoded until some of these are answered.
     pub postponed: AtomicBool,
-    /// The connection waits for the capacity for a long command.
+    /// Set while the connection waits for memory for a long command.
     pub waits_for_capacity: AtomicBool,
 }
 
@@ -27,38 +28,39 @@
         self.count.load(Ordering::Relaxed) == 0
     }
 
-    /// Whether as many commands as may be are pending.
+    /// Whether the maximum number of commands is pending.
     pub fn is_full(&self) -> bool {
         self.count.load(Ordering::Relaxed) >= MAX_PENDING_COMMANDS
     }
 }
 
 impl Connection {
-    /// A command has been decoded; `long_bytes`: its length if it is a long one, else 0.
+    /// Counts a decoded command. `long_bytes` is its length if it is long, otherwise 0.
     pub(super) fn count_command(&self, long_bytes: usize) {
-        self.commands.count.fetch_add(1, Ordering::Relaxed);
-        self.commands.long_lengths.borrow_mut().push_back(long_bytes);
+        self.pending_commands.count.fetch_add(1, Ordering::Relaxed);
+        self.pending_commands.long_lengths.borrow_mut().push_back(long_bytes);
         self.context.long_command_bytes.fetch_add(long_bytes, Ordering::Relaxed);
     }
 
-    /// A client's command has its reply: reading goes on if that was what it waited for.
-    pub fn replied(&self) {
-        if self.commands.count.fetch_sub(1, Ordering::Relaxed) == MAX_PENDING_COMMANDS {
+    /// Records the reply to the oldest pending command, and wakes the connection if it was at the maximum.
+    pub fn command_answered(&self) {
+        if self.pending_commands.count.fetch_sub(1, Ordering::Relaxed) == MAX_PENDING_COMMANDS {
             self.waker.wakeup();
         }
-        let length = self.commands.long_lengths.borrow_mut().pop_front();
+        let length = self.pending_commands.long_lengths.borrow_mut().pop_front();
         if let Some(length) = length.filter(|length| *length > 0) {
             self.release_long_bytes(length);
         }
     }
 
-    /// The connection has ended: its commands hold nothing any more.
+    /// Releases the memory of all pending commands when the connection has ended.
     pub(super) fn release_commands(&self) {
-        let held: usize = self.commands.long_lengths.borrow_mut().drain(..).sum();
-        self.release_long_bytes(held);
+        let released_bytes: usize = self.pending_commands.long_lengths.borrow_mut().drain(..).sum();
+        self.release_long_bytes(released_bytes);
     }
 
-    /// A long command releases this many bytes.
+    /// Releases this many bytes of long commands, ends the client's exemption, and wakes the connections that
+    /// wait for memory.
     pub(super) fn release_long_bytes(&self, length: usize) {
         self.context.long_command_bytes.fetch_sub(length, Ordering::Relaxed);
         let number = self.client_number();
@@ -67,33 +69,35 @@
         self.wake_waiting_for_capacity();
     }
 
-    /// Has those that wait for capacity look again.
+    /// Wakes all connections that wait for memory.
     pub(super) fn wake_waiting_for_capacity(&self) {
         for connection in self.context.waiting_for_capacity.borrow_mut().drain(..) {
-            connection.commands.waits_for_capacity.store(false, Ordering::Relaxed);
+            connection.pending_commands.waits_for_capacity.store(false, Ordering::Relaxed);
             connection.waker.wakeup();
         }
     }
 
-    /// Whether there is capacity for more of a long command now.
+    /// Whether there is memory for one more read of a long command, or this client is exempt from the limit.
     pub(super) fn has_capacity(&self) -> bool {
-        let held = self.context.long_command_bytes.load(Ordering::Relaxed);
-        held + SCRATCH_BYTES <= self.context.max_long_command_bytes
+        let used_bytes = self.context.long_command_bytes.load(Ordering::Relaxed);
+        used_bytes + READ_BUFFER_BYTES <= self.context.max_long_command_bytes
             || self.context.exempt_client.load(Ordering::Relaxed) == self.client_number()
     }
 
-    /// Whether a long command may grow: one client may always go on, until it is answered.
+    /// Whether a long command may grow. While memory is short, one client at a time is exempt from the limit
+    /// until its command is answered.
     pub(super) fn reserve_capacity(&self) -> bool {
         if self.has_capacity() {
             return true;
         }
         let number = self.client_number();
         let exempt = &self.context.exempt_client;
-        let before = exempt.compare_exchange(0, number, Ordering::Relaxed, Ordering::Relaxed);
-        before.is_ok() || before == Err(number)
+        let previous = exempt.compare_exchange(0, number, Ordering::Relaxed, Ordering::Relaxed);
+        previous.is_ok() || previous == Err(number)
     }
 
-    /// Counts the bytes of an incomplete command, before and now; false if that is too much for all clients together.
+    /// Updates the counts for an incomplete command whose length has changed from `before` to `now` bytes;
+    /// returns false if it has grown and all clients together exceed the limit for incomplete commands.
     pub(super) fn count_partial(&self, before: usize, now: usize) -> bool {
         if !self.is_client() {
             return true;
@@ -107,7 +111,7 @@
     }
 }
 
-/// The length of a long message; 0 for others.
+/// Returns the length if the message is long, otherwise 0.
 fn long_bytes(length: usize) -> usize {
     if length > resp::MAX_MESSAGE_BYTES {
         length
@@ -116,7 +120,7 @@
     }
 }
 
-/// The length of a message that is not long; 0 for others.
+/// Returns the length if the message is not long, otherwise 0.
 fn short_bytes(length: usize) -> usize {
     length - long_bytes(length)
 }
--- a/gateway/src/sockets/connection/context.rs
+++ b/gateway/src/sockets/connection/context.rs
@@ -1,61 +1,67 @@
-//! What all connections share: buffers, limits and the counts that are held against them.
-use super::{Connection, SCRATCH_BYTES};
+//! State that all connections share: the read buffer, and counts of what they use with the limits on it.
+use super::{Connection, READ_BUFFER_BYTES};
 use crate::sockets::event_queue::EventQueue;
 use atomic_refcell::AtomicRefCell;
 use may::io::WaitIoWaker;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// The largest amount that may wait to be written to one connection before it is not read from any more, in bytes.
+/// Maximum amount of unwritten output of one connection, in bytes; with more, the connection is not read.
 const MAX_UNWRITTEN_BYTES: usize = 1024 * 1024;
-/// The fraction of the memory that clients' incomplete commands may take, and their long ones: one in so many bytes.
+/// Divisor of the memory for clients' incomplete commands, and of the memory for their long commands.
 const COMMAND_MEMORY_DIVISOR: usize = 8;
-/// The fraction of the memory that streamed values may take: one in so many bytes.
+/// Divisor of the memory for streamed values that wait for clients.
 const STREAM_MEMORY_DIVISOR: usize = 8;
-/// How many connections must have reached their limit of unwritten bytes to use up the clients' memory.
+/// Divisor of the command memory for the unwritten output of one connection: this many connections at their
+/// limit have as much unwritten output as commands may take.
 const UNWRITTEN_DIVISOR: usize = 16;
 
-/// What all connections share.
+/// State that all connections share.
 pub struct ConnectionContext {
-    /// Where events go.
+    /// The queue of events for the reducer.
     pub events: Arc<EventQueue>,
     /// The buffer that every connection reads into.
-    pub(super) scratch: AtomicRefCell<Vec<u8>>,
-    /// The bytes of clients' incomplete commands, and how many there may be.
+    pub(super) read_buffer: AtomicRefCell<Vec<u8>>,
+    /// Length of all clients' incomplete commands that are not long, in bytes.
     pub(super) partial_bytes: AtomicUsize,
+    /// Maximum of `partial_bytes`.
     pub(super) max_partial_bytes: usize,
-    /// The bytes that may wait to be written to one connection before it is not read from any more.
+    /// `MAX_UNWRITTEN_BYTES`, or less if the instance has little memory.
     pub(super) max_unwritten_bytes: usize,
-    /// The bytes of clients' long commands, until they are answered, and how many there may be.
+    /// Length of all clients' long commands, complete or not, that have no reply yet, in bytes.
     pub(super) long_command_bytes: AtomicUsize,
+    /// Limit of `long_command_bytes`, which only `exempt_client` may exceed.
     pub(super) max_long_command_bytes: usize,
-    /// The client that may exceed the limit, by number; 0 for none.
+    /// Number of the client that may exceed `max_long_command_bytes`; 0 for none.
     pub(super) exempt_client: AtomicUsize,
-    /// The clients that wait for the capacity for a long command.
+    /// Clients' connections that wait for memory for a long command.
     pub(super) waiting_for_capacity: AtomicRefCell<Vec<Arc<Connection>>>,
-    /// Clients that have been read from for long enough, until others have had their turn.
-    pub(super) paused: AtomicRefCell<Vec<Arc<Connection>>>,
-    /// The bytes of streamed values that wait for clients, and how many there should be.
-    pub(super) streamed_bytes: AtomicUsize,
-    pub(super) max_streamed_bytes: usize,
-    /// Accepting waits for a descriptor.
+    /// Clients' connections that are not read again until the driver's timer expires, so that other
+    /// connections are served first.
+    pub(super) paused_clients: AtomicRefCell<Vec<Arc<Connection>>>,
+    /// Length of the parts of streamed values that wait for clients, in bytes.
+    pub(super) buffered_stream_bytes: AtomicUsize,
+    /// Threshold of `buffered_stream_bytes` above which the limit for each value is lowered.
+    pub(super) max_buffered_stream_bytes: usize,
+    /// Set while accepting is suspended because no descriptor is left.
     pub descriptors_exhausted: AtomicBool,
-    /// Clients' connections that hold a descriptor, and how many of them may.
-    pub(super) clients: AtomicUsize,
+    /// Number of clients' connections that hold a descriptor.
+    pub(super) open_clients: AtomicUsize,
+    /// Limit of `open_clients`, at which no clients are accepted unless the process is stopping.
     max_clients: usize,
-    /// Wakes the coroutines that accept.
+    /// Wakers of the acceptors' coroutines.
     pub acceptors: AtomicRefCell<Vec<WaitIoWaker>>,
-    /// Attempts that have been written completely and are not yet counted.
+    /// Number of attempts that were written completely since the driver last added them to the statistics.
     pub written_attempts: AtomicUsize,
 }
 
 impl ConnectionContext {
-    /// With this much memory, in bytes, for this many clients at the most.
+    /// Returns the state for an instance with this much memory and this maximum number of clients.
     pub fn new(events: Arc<EventQueue>, memory_bytes: usize, max_clients: usize) -> Arc<ConnectionContext> {
         let command_memory = memory_bytes / COMMAND_MEMORY_DIVISOR;
         Arc::new(ConnectionContext {
             events,
-            scratch: AtomicRefCell::new(vec![0; SCRATCH_BYTES]),
+            read_buffer: AtomicRefCell::new(vec![0; READ_BUFFER_BYTES]),
             partial_bytes: AtomicUsize::new(0),
             max_partial_bytes: command_memory,
             max_unwritten_bytes: MAX_UNWRITTEN_BYTES.min(command_memory / UNWRITTEN_DIVISOR),
@@ -63,36 +69,36 @@
             max_long_command_bytes: command_memory,
             exempt_client: AtomicUsize::new(0),
             waiting_for_capacity: AtomicRefCell::default(),
-            paused: AtomicRefCell::default(),
-            streamed_bytes: AtomicUsize::new(0),
-            max_streamed_bytes: memory_bytes / STREAM_MEMORY_DIVISOR,
+            paused_clients: AtomicRefCell::default(),
+            buffered_stream_bytes: AtomicUsize::new(0),
+            max_buffered_stream_bytes: memory_bytes / STREAM_MEMORY_DIVISOR,
             descriptors_exhausted: AtomicBool::new(false),
-            clients: AtomicUsize::new(0),
+            open_clients: AtomicUsize::new(0),
             max_clients,
             acceptors: AtomicRefCell::default(),
             written_attempts: AtomicUsize::new(0),
         })
     }
 
-    /// Has all acceptors look again.
+    /// Wakes all acceptors.
     pub fn wake_acceptors(&self) {
         self.acceptors.borrow().iter().for_each(WaitIoWaker::wakeup);
     }
 
-    /// Whether a client waits to be read from again.
+    /// Whether any client's connection is paused.
     pub fn has_paused(&self) -> bool {
-        !self.paused.borrow().is_empty()
+        !self.paused_clients.borrow().is_empty()
     }
 
-    /// Reads from paused clients again: others have had their turn.
+    /// Resumes reading from all paused clients.
     pub fn resume_paused(&self) {
-        for connection in self.paused.borrow_mut().drain(..) {
+        for connection in self.paused_clients.borrow_mut().drain(..) {
             connection.waker.wakeup();
         }
     }
 
-    /// No more clients are accepted until one of them has released its descriptor.
-    pub fn clients_full(&self) -> bool {
-        self.clients.load(Ordering::Relaxed) >= self.max_clients
+    /// Whether the maximum number of clients is connected.
+    pub fn client_limit_reached(&self) -> bool {
+        self.open_clients.load(Ordering::Relaxed) >= self.max_clients
     }
 }
--- a/gateway/src/sockets/connection/decoding.rs
+++ b/gateway/src/sockets/connection/decoding.rs
@@ -1,22 +1,22 @@
-//! Decoding of what a connection has read, and the storage of what can't be decoded yet.
+//! Decodes a connection's input, and stores what can't be decoded yet in its backlog.
 use super::read_loop::ReadLoop;
 use super::sink::EventSink;
-use super::MAX_KEPT_BUFFER_BYTES;
+use super::MAX_RETAINED_BUFFER_BYTES;
 use crate::state::backlog::Rejection;
 use crate::state::connection::CloseReason;
 use crate::state::event::Event;
 use crate::wire::resp::ClientCommand;
 use std::sync::atomic::Ordering;
 
-/// By how much the buffer of a long command grows, in bytes.
+/// Growth of the buffer of a long command, in bytes.
 const LONG_COMMAND_STEP: usize = 512 * 1024;
 
 impl ReadLoop<'_> {
-    /// Decodes what has been read before, if it may go on now.
+    /// Decodes the backlog, if commands were postponed or a stream was pending and decoding may continue now.
     pub(super) fn decode_postponed(&mut self) -> Result<(), CloseReason> {
         let connection = self.connection;
-        let postponed =
-            connection.commands.postponed.load(Ordering::Relaxed) && !connection.commands.is_full();
+        let postponed = connection.pending_commands.postponed.load(Ordering::Relaxed)
+            && !connection.pending_commands.is_full();
         let resumed = connection.stream_source.resumed.swap(false, Ordering::Relaxed);
         if (resumed || postponed) && !self.backlog.is_empty() {
             let before = self.backlog.len();
@@ -26,8 +26,8 @@
         Ok(())
     }
 
-    /// Decodes what has been read, and stores what is incomplete.
-    pub(super) fn take_in(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
+    /// Decodes input that has just been read, and stores the rest in the backlog.
+    pub(super) fn process_input(&mut self, bytes: &[u8]) -> Result<(), CloseReason> {
         let connection = self.connection;
         let before = self.backlog.len();
         if self.backlog.is_empty() {
@@ -38,31 +38,32 @@
             self.decode_backlog()?;
         }
         if self.backlog.is_dropping() {
-            // It is sending a command, stored or not.
+            // Dropped commands count as progress too: the client is still sending.
             self.push(Event::BodyProgress { client: connection.client_number() as u64, has_capacity: true });
         }
         if !connection.count_partial(before, self.backlog.len()) {
             self.protocol_error("too much unfinished");
         }
-        if self.discards() {
+        if self.discards_input() {
             connection.count_partial(self.backlog.len(), 0);
             connection.release_long_bytes(0);
-            self.backlog.clear(MAX_KEPT_BUFFER_BYTES);
+            self.backlog.clear(MAX_RETAINED_BUFFER_BYTES);
         }
-        self.backlog.shrink(MAX_KEPT_BUFFER_BYTES);
+        self.backlog.shrink(MAX_RETAINED_BUFFER_BYTES);
         Ok(())
     }
 
-    /// Reports each complete message; how many bytes they took.
+    /// Reports each complete message in `bytes`; returns the length of the decoded part.
     fn decode(&self, bytes: &[u8]) -> Result<usize, CloseReason> {
         let connection = self.connection;
         let decoded = connection.reader.borrow_mut().decode(bytes, &mut EventSink(connection))?;
-        let postponed = connection.commands.is_full() && decoded < bytes.len();
-        connection.commands.postponed.store(postponed, Ordering::Relaxed);
+        let postponed = connection.pending_commands.is_full() && decoded < bytes.len();
+        connection.pending_commands.postponed.store(postponed, Ordering::Relaxed);
         Ok(decoded)
     }
 
-    /// The same of what is stored; what was dropped behind it is rejected in its turn.
+    /// Reports each complete message in the backlog, and then rejects the dropped commands that followed
+    /// them.
     fn decode_backlog(&mut self) -> Result<(), CloseReason> {
         let connection = self.connection;
         loop {
@@ -74,15 +75,15 @@
                 break;
             }
         }
-        let postponed = connection.commands.is_full() && !self.backlog.is_empty();
-        connection.commands.postponed.store(postponed, Ordering::Relaxed);
+        let postponed = connection.pending_commands.is_full() && !self.backlog.is_empty();
+        connection.pending_commands.postponed.store(postponed, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Rejects the dropped commands whose turn it is.
+    /// Rejects dropped commands whose predecessors are all decoded, up to the maximum of pending commands.
     fn reject_dropped(&mut self) {
         let connection = self.connection;
-        while !connection.commands.is_full() {
+        while !connection.pending_commands.is_full() {
             match self.backlog.next_rejection() {
                 Some(Rejection::Command) => {
                     let client = connection.client_number() as u64;
@@ -90,7 +91,7 @@
                     self.push(Event::ClientCommand { client, command: ClientCommand::Dropped });
                 }
                 Some(Rejection::Overflow) => {
-                    self.backlog.clear(MAX_KEPT_BUFFER_BYTES);
+                    self.backlog.clear(MAX_RETAINED_BUFFER_BYTES);
                     self.protocol_error("too many commands at once");
                 }
                 None => break,
@@ -98,13 +99,14 @@
         }
     }
 
+    /// Reports a protocol error of the client, after which its input is discarded.
     fn protocol_error(&self, text: &'static str) {
         let connection = self.connection;
         connection.reader.borrow_mut().protocol_error(text, &mut EventSink(connection));
     }
 
-    /// Whether input is read and discarded.
-    pub(super) fn discards(&self) -> bool {
+    /// Whether input is read but discarded.
+    pub(super) fn discards_input(&self) -> bool {
         self.connection.reader.borrow().discard
     }
 }
--- a/gateway/src/sockets/connection/lifecycle.rs
+++ b/gateway/src/sockets/connection/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a connection: accepted or connecting, open, closed by either side.
+//! The life cycle of a connection: it is accepted or opened, and closed by this process or by the peer.
 use super::capacity::PendingCommands;
 use super::read_loop::ReadLoop;
 use super::streaming::{StreamSource, StreamTarget};
@@ -12,11 +12,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A connection attempt has begun.
+/// Error code of a non-blocking connect that has not completed yet.
 const IN_PROGRESS: i32 = nix::errno::Errno::EINPROGRESS as i32;
 
 impl Connection {
-    /// Takes up an accepted connection.
+    /// Sets up an accepted connection and starts its coroutine.
     pub fn accepted(
         id: ConnectionId,
         peer: SocketAddr,
@@ -28,7 +28,7 @@
         Ok(connection)
     }
 
-    /// Starts connecting; whether that succeeds follows as an event.
+    /// Opens a connection and starts its coroutine, which reports the result as an event.
     pub fn connect(
         id: ConnectionId,
         peer: SocketAddr,
@@ -60,22 +60,22 @@
             peer,
             stream,
             waker,
-            out: AtomicRefCell::default(),
+            write_buffer: AtomicRefCell::default(),
             reader: AtomicRefCell::new(MessageReader::new(id)),
             closed: AtomicBool::new(false),
             input_discarded: AtomicBool::new(false),
-            commands: PendingCommands::default(),
+            pending_commands: PendingCommands::default(),
             stream_source: StreamSource::new(),
             stream_target: StreamTarget::default(),
             context: context.clone(),
         });
         if connection.is_client() {
-            connection.context.clients.fetch_add(1, Ordering::Relaxed);
+            connection.context.open_clients.fetch_add(1, Ordering::Relaxed);
         }
         Ok(connection)
     }
 
-    /// Starts its coroutine. `established`: it need not be waited for.
+    /// Starts the connection's coroutine. `established` is false if the connect has not completed yet.
     fn start(self: &Arc<Connection>, established: bool) {
         let connection = self.clone();
         may::go!(move || connection.serve(established));
@@ -85,27 +85,29 @@
         let mut read_loop = ReadLoop::new(self, established);
         read_loop.run();
         self.count_partial(read_loop.backlog.len(), 0);
-        // Nothing is streamed here any more, in either direction.
+        // `closed` also ends streaming from and to this connection.
         self.closed.store(true, Ordering::Relaxed);
-        self.count_streamed(0);
+        self.count_buffered_stream(0);
         self.release_commands();
         self.detach_streams();
     }
 
-    /// Closes it from our side; what was written before leaves first.
+    /// Closes the connection from this side, after its buffered output is written.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
-        // But nothing of an attempt that was given up in the same batch: the backend would execute it.
+        // A backend's buffer may have an attempt that was cancelled in the same batch. It is dropped, because
+        // the backend would execute it.
         if self.is_backend() && !self.is_flushed() {
-            self.out.borrow_mut().clear();
+            self.write_buffer.borrow_mut().clear();
         }
         self.flush();
         self.waker.wakeup();
-        self.wake_stream_source(); // it has nobody to wait for now
+        self.wake_stream_source(); // the source no longer has to wait for this client
     }
 
-    /// Discards input from now on: an operator has had its response, or a client is no longer read from. Only the end
-    /// matters: bytes left unread would hide it, and turn the close into a reset that can take our replies with it.
+    /// Discards further input, of an operator that has its response or of a client whose commands are no
+    /// longer accepted. Input is still read: unread bytes would hide the end of the connection, and would
+    /// turn a close into a reset that may discard replies which the peer has not read yet.
     pub fn discard_input(&self) {
         self.input_discarded.store(true, Ordering::Relaxed);
         if self.is_client() {
@@ -114,18 +116,19 @@
         }
     }
 
-    /// Whether something has arrived that nobody has read or decoded, its end included.
+    /// Whether input, or its end, has arrived that is not read or not decoded yet.
     pub fn has_unread_input(&self) -> bool {
         let mut byte = [0];
-        let nothing = |result: Result<usize, Error>| matches!(result, Err(error) if error.kind() == ErrorKind::WouldBlock);
-        self.commands.postponed.load(Ordering::Relaxed) || !nothing(self.stream.inner().peek(&mut byte))
+        let is_empty = |result: Result<usize, Error>| matches!(result, Err(error) if error.kind() == ErrorKind::WouldBlock);
+        self.pending_commands.postponed.load(Ordering::Relaxed)
+            || !is_empty(self.stream.inner().peek(&mut byte))
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
         if self.is_client() {
-            self.context.clients.fetch_sub(1, Ordering::Relaxed);
+            self.context.open_clients.fetch_sub(1, Ordering::Relaxed);
         }
         if self.context.descriptors_exhausted.swap(false, Ordering::Relaxed) {
             self.context.wake_acceptors();
--- a/gateway/src/sockets/connection/mod.rs
+++ b/gateway/src/sockets/connection/mod.rs
@@ -1,4 +1,5 @@
-//! One TCP connection of any kind: a coroutine reads and decodes; what is written leaves with the batch.
+//! One TCP connection of any kind: its coroutine reads and decodes input; output is flushed at the end of a
+//! batch.
 mod capacity;
 mod context;
 mod decoding;
@@ -21,46 +22,50 @@
 use std::sync::Arc;
 use streaming::{StreamSource, StreamTarget};
 
-/// The flags of epoll, as the runtime reports them.
+/// Flags of epoll, as the runtime reports them.
 mod readiness {
-    /// The socket takes more.
+    /// The socket accepts more output (`EPOLLOUT`).
     pub const WRITABLE: usize = 0x4;
-    /// The connection broke.
+    /// The connection has failed (`EPOLLERR`).
     pub const ERROR: usize = 0x8;
+    /// Input can be read (`EPOLLIN`).
     const IN: usize = 0x1;
+    /// Both directions are closed (`EPOLLHUP`).
     const HANG_UP: usize = 0x10;
+    /// The peer has closed its sending direction (`EPOLLRDHUP`).
     const PEER_CLOSED: usize = 0x2000;
-    /// The peer has ended the connection, or its direction of it.
+    /// The peer has closed the connection or its sending direction, or the connection has failed.
     pub const ENDED: usize = ERROR | HANG_UP | PEER_CLOSED;
-    /// There is something to read, an end or an error included.
+    /// A read returns at once: with input, the end of the input, or an error.
     pub const READABLE: usize = IN | ENDED;
 }
 
-/// Buffers larger than this are not kept, in bytes.
-const MAX_KEPT_BUFFER_BYTES: usize = 16 * 1024;
-/// How much is read at once, in bytes.
-const SCRATCH_BYTES: usize = 64 * 1024;
+/// Maximum capacity of a buffer that is kept while it is empty, in bytes; a larger one is freed.
+const MAX_RETAINED_BUFFER_BYTES: usize = 16 * 1024;
+/// Size of the buffer that connections read into, in bytes: the maximum length of one read.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// One connection.
+/// A connection and the state of its coroutine.
 pub struct Connection {
     id: ConnectionId,
-    /// The address of the other side.
+    /// The peer's address.
     pub peer: SocketAddr,
     stream: CoIo<TcpStream>,
     waker: WaitIoWaker,
-    /// What waits to be written.
-    pub out: AtomicRefCell<WriteBuffer>,
-    /// Where the connection is in its messages.
+    /// Output that has not been written to the socket yet.
+    pub write_buffer: AtomicRefCell<WriteBuffer>,
+    /// Decodes the messages of the connection.
     reader: AtomicRefCell<MessageReader>,
-    /// We have closed it, or its coroutine has ended.
+    /// Set when this process has closed the connection, or its coroutine has ended.
     closed: AtomicBool,
-    /// Input is discarded until its end; for an operator: the response is the last that leaves.
+    /// Set when further input is discarded. An operator's connection is shut down for writing after its
+    /// response.
     input_discarded: AtomicBool,
-    /// A client's commands that have no reply yet.
-    commands: PendingCommands,
-    /// A backend's: the value that is streamed from here.
+    /// Commands of a client that have no reply yet.
+    pending_commands: PendingCommands,
+    /// For a backend's connection: the value that is streamed from it.
     stream_source: StreamSource,
-    /// A client's: the value that is streamed to here.
+    /// For a client's connection: the value that is streamed to it.
     stream_target: StreamTarget,
     context: Arc<ConnectionContext>,
 }
@@ -74,7 +79,7 @@
         matches!(self.id, ConnectionId::Backend(_))
     }
 
-    /// A client's number; 0 for others.
+    /// Returns the client's number, or 0 if this is not a client's connection.
     fn client_number(&self) -> usize {
         if let ConnectionId::Client(number) = self.id {
             number as usize
--- a/gateway/src/sockets/connection/read_loop.rs
+++ b/gateway/src/sockets/connection/read_loop.rs
@@ -1,6 +1,6 @@
-//! The coroutine of a connection: waits, reads and decodes until the connection ends.
+//! The coroutine of a connection: waits for readiness, reads and decodes until the connection ends.
 use super::readiness::{ENDED, ERROR, READABLE, WRITABLE};
-use super::{Connection, SCRATCH_BYTES};
+use super::{Connection, READ_BUFFER_BYTES};
 use crate::state::backlog::Backlog;
 use crate::state::connection::{CloseReason, ConnectionId};
 use crate::state::event::Event;
@@ -11,49 +11,51 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// How much is read at once from a client whose commands are dropped, before others have their turn, in bytes.
+/// Maximum amount that is read in one turn from a client whose input is dropped or discarded, in bytes; other
+/// connections are served before the next turn.
 const MAX_READ_TURN_BYTES: usize = 1024 * 1024;
 
-/// How a connection ends.
-enum End {
-    /// We closed it, and all has left.
+/// The end of a connection.
+enum ConnectionEnd {
+    /// This process has closed the connection, and no more output can or must be written.
     Closed,
-    /// The other side ended it, or it can't be used any more.
+    /// The peer has closed the connection, or the connection has failed.
     Lost(CloseReason),
 }
 
-impl From<CloseReason> for End {
-    fn from(reason: CloseReason) -> End {
-        End::Lost(reason)
+impl From<CloseReason> for ConnectionEnd {
+    fn from(reason: CloseReason) -> ConnectionEnd {
+        ConnectionEnd::Lost(reason)
     }
 }
 
-/// What a read leaves on the socket.
+/// The state of the socket's input after a read.
 #[derive(Clone, Copy, PartialEq)]
 enum ReadOutcome {
-    /// Nothing.
+    /// All input has been read.
     Drained,
-    /// There may be more.
+    /// There may be more input.
     MoreToRead,
 }
 
-/// The state of the coroutine.
+/// The state of a connection's coroutine.
 pub(super) struct ReadLoop<'a> {
     pub(super) connection: &'a Arc<Connection>,
-    /// What has been read and not been decoded yet.
+    /// Input that has been read and is not decoded yet.
     pub backlog: Backlog,
-    /// The connection has been made.
+    /// Whether the connection is established.
     established: bool,
-    /// Readiness that has been reported and not been handled.
-    unread: usize,
-    /// The socket has been left unread for a while.
+    /// Readiness flags reported since the socket's input was last drained.
+    unread_flags: usize,
+    /// Whether reading stopped before the input was drained, so that the peer may have closed the connection
+    /// unnoticed.
     was_paused: bool,
 }
 
 impl<'a> ReadLoop<'a> {
-    /// The coroutine's state at its start. `established`: the connection need not be waited for.
+    /// Returns the initial state. `established` is false if the connect has not completed yet.
     pub fn new(connection: &'a Arc<Connection>, established: bool) -> ReadLoop<'a> {
-        ReadLoop { connection, backlog: Backlog::default(), established, unread: 0, was_paused: false }
+        ReadLoop { connection, backlog: Backlog::default(), established, unread_flags: 0, was_paused: false }
     }
 
     /// Runs until the connection ends.
@@ -66,20 +68,22 @@
         }
     }
 
-    /// Reports the end. Nothing more leaves.
-    fn finish(&self, end: End) {
+    /// Reports the end of the connection, unless this process closed it, and drops its unwritten output.
+    fn finish(&self, end: ConnectionEnd) {
         let connection = self.connection;
         match end {
-            End::Lost(reason) if !connection.closed.load(Ordering::Relaxed) => {
+            ConnectionEnd::Lost(reason) if !connection.closed.load(Ordering::Relaxed) => {
                 let unsent = !connection.is_flushed();
                 self.push(Event::ConnectionEnded { connection: connection.id, reason, unsent });
             }
             _ => {}
         }
-        connection.out.borrow_mut().clear();
+        connection.write_buffer.borrow_mut().clear();
     }
 
-    fn handle_readiness(&mut self, flags: usize) -> Result<(), End> {
+    /// Handles readiness of the socket: completes the connect, writes, reads and decodes. An error ends the
+    /// connection.
+    fn handle_readiness(&mut self, flags: usize) -> Result<(), ConnectionEnd> {
         let connection = self.connection;
         if !self.established && !connection.closed.load(Ordering::Relaxed) {
             if flags & (WRITABLE | ENDED) == 0 {
@@ -93,19 +97,19 @@
         if connection.closed.load(Ordering::Relaxed) {
             self.finish_closing(flags)?;
         }
-        self.unread |= flags & READABLE;
-        let ended = self.unread & ENDED != 0;
-        // A client that has left: nobody waits for what it wrote before that and nobody has read.
+        self.unread_flags |= flags & READABLE;
+        let ended = self.unread_flags & ENDED != 0;
+        // Nobody waits for the replies to a client that has left, so its unread input is not processed.
         if ended && connection.is_client() && !connection.closed.load(Ordering::Relaxed) {
-            let reset = self.unread & ERROR != 0;
-            return Err(End::Lost(if reset { CloseReason::Reset } else { CloseReason::Closed }));
+            let reset = self.unread_flags & ERROR != 0;
+            return Err(ConnectionEnd::Lost(if reset { CloseReason::Reset } else { CloseReason::Closed }));
         }
         self.decode_postponed()?;
         self.read_unread(ended)?;
         Ok(())
     }
 
-    /// The connection has been made, or can't be.
+    /// Completes the connect, successfully or with an error.
     fn establish(&mut self, flags: usize) -> Result<(), CloseReason> {
         let connection = self.connection;
         if !matches!(connection.stream.inner().take_error(), Ok(None)) || flags & WRITABLE == 0 {
@@ -116,55 +120,60 @@
         Ok(())
     }
 
-    /// We have closed it: it ends once all has left, and until then its input is discarded.
-    fn finish_closing(&mut self, flags: usize) -> Result<(), End> {
+    /// Ends a connection that this process has closed, once its output is written; until then, its input is
+    /// discarded.
+    fn finish_closing(&mut self, flags: usize) -> Result<(), ConnectionEnd> {
         let connection = self.connection;
         let flushes = matches!(connection.id, ConnectionId::Client(_) | ConnectionId::Admin(_));
         if connection.is_flushed() || !flushes || flags & ENDED != 0 {
             let _ = connection.stream.inner().shutdown(Shutdown::Both);
-            return Err(End::Closed);
+            return Err(ConnectionEnd::Closed);
         }
         connection.reader.borrow_mut().discard = true;
         Ok(())
     }
 
-    /// Reads what waits on the socket, unless its reader is held back.
+    /// Reads the input that is ready, unless reading is paused.
     fn read_unread(&mut self, ended: bool) -> Result<(), CloseReason> {
-        if self.unread == 0 {
+        if self.unread_flags == 0 {
             return Ok(());
         }
-        let backend = self.connection.is_backend();
-        // What a backend wrote before its end is streamed only as fast as the client takes it.
-        if self.is_held_back() && (!ended || backend) {
+        let from_backend = self.connection.is_backend();
+        // A backend may close its connection right after a value; the value is still read only as fast as the
+        // client reads it.
+        if self.must_pause_reading() && (!ended || from_backend) {
             self.connection.stream_source.waits_for_client.store(true, Ordering::Relaxed);
-            self.was_paused = !backend;
+            self.was_paused = !from_backend;
             return Ok(());
         }
         let outcome = self.read(ended)?;
         if outcome == ReadOutcome::Drained {
-            self.unread = 0;
+            self.unread_flags = 0;
         }
-        self.was_paused = outcome == ReadOutcome::MoreToRead && !backend;
+        self.was_paused = outcome == ReadOutcome::MoreToRead && !from_backend;
         Ok(())
     }
 
-    /// Reads all there is, or until it is held back. A short read is the last one, unless the other side has ended, or may
-    /// have while nothing was read here (`was_paused`): its end is to be met together with the commands before it.
+    /// Reads until the input is drained or reading is paused.
+    ///
+    /// A read that does not fill the window drains the input. Reading continues all the same if the peer has
+    /// closed the connection, or may have while reading was paused: then the end of the connection is found
+    /// in the same turn as the commands before it.
     fn read(&mut self, ended: bool) -> Result<ReadOutcome, CloseReason> {
         let connection = self.connection;
-        let mut scratch = connection.context.scratch.borrow_mut();
-        let mut total = 0;
+        let mut read_buffer = connection.context.read_buffer.borrow_mut();
+        let mut read_bytes = 0;
         loop {
-            let Some(window) = self.read_window(total) else { return Ok(ReadOutcome::MoreToRead) };
-            match connection.stream.inner().read(&mut scratch[..window]) {
+            let Some(window) = self.read_window(read_bytes) else { return Ok(ReadOutcome::MoreToRead) };
+            match connection.stream.inner().read(&mut read_buffer[..window]) {
                 Ok(0) => return Err(CloseReason::Closed),
                 Ok(length) => {
-                    total += length;
-                    if self.discards() {
+                    read_bytes += length;
+                    if self.discards_input() {
                         continue;
                     }
-                    self.take_in(&scratch[..length])?;
-                    if let Some(outcome) = self.outcome_after(length < window, ended) {
+                    self.process_input(&read_buffer[..length])?;
+                    if let Some(outcome) = self.outcome_after_read(length < window, ended) {
                         return Ok(outcome);
                     }
                 }
@@ -175,26 +184,28 @@
         }
     }
 
-    /// How much may be read next, in bytes, after `total` bytes in this turn; none if reading stops here.
-    fn read_window(&mut self, total: usize) -> Option<usize> {
+    /// Returns the maximum length of the next read, in bytes, or `None` if reading stops. `read_bytes` is the
+    /// amount that was read in this turn.
+    fn read_window(&mut self, read_bytes: usize) -> Option<usize> {
         let connection = self.connection;
-        if self.must_drop() {
+        if self.must_start_dropping() {
             let before = self.backlog.len();
             self.backlog.start_dropping();
             connection.count_partial(before, self.backlog.len());
             connection.wake_waiting_for_capacity();
         }
-        if (self.backlog.is_dropping() || self.discards()) && total >= MAX_READ_TURN_BYTES {
-            connection.context.paused.borrow_mut().push(connection.clone());
+        if (self.backlog.is_dropping() || self.discards_input()) && read_bytes >= MAX_READ_TURN_BYTES {
+            connection.context.paused_clients.borrow_mut().push(connection.clone());
             connection.context.events.wake();
             return None;
         }
-        let long = self.backlog.len() > resp::MAX_MESSAGE_BYTES;
-        if long && !self.backlog.is_dropping() && !self.discards() && !connection.reserve_capacity() {
+        let is_long = self.backlog.len() > resp::MAX_MESSAGE_BYTES;
+        if is_long && !self.backlog.is_dropping() && !self.discards_input() && !connection.reserve_capacity()
+        {
             self.wait_for_capacity();
             return None;
         }
-        let window = if connection.is_backend() { connection.stream_window() } else { SCRATCH_BYTES };
+        let window = if connection.is_backend() { connection.stream_window() } else { READ_BUFFER_BYTES };
         if window == 0 {
             connection.stream_source.waits_for_client.store(true, Ordering::Relaxed);
             return None;
@@ -202,51 +213,57 @@
         Some(window)
     }
 
+    /// Registers the connection to be woken when memory for long commands is released.
     fn wait_for_capacity(&self) {
         let connection = self.connection;
-        if !connection.commands.waits_for_capacity.swap(true, Ordering::Relaxed) {
+        if !connection.pending_commands.waits_for_capacity.swap(true, Ordering::Relaxed) {
             connection.context.waiting_for_capacity.borrow_mut().push(connection.clone());
             self.push(Event::BodyProgress { client: connection.client_number() as u64, has_capacity: false });
         }
     }
 
-    /// Whether reading stops after a read, and what that leaves; none to go on. `short`: the read gave less than it might.
-    fn outcome_after(&self, short: bool, ended: bool) -> Option<ReadOutcome> {
+    /// Returns the outcome if reading stops after a read, or `None` if it continues. `is_short`: the read did
+    /// not fill its window.
+    fn outcome_after_read(&self, is_short: bool, ended: bool) -> Option<ReadOutcome> {
         let waits_for_client = &self.connection.stream_source.waits_for_client;
-        let last = short && !self.was_paused;
-        if !ended && self.is_held_back() {
+        let is_drained = is_short && !self.was_paused;
+        if !ended && self.must_pause_reading() {
             waits_for_client.store(true, Ordering::Relaxed);
-            return Some(if last { ReadOutcome::Drained } else { ReadOutcome::MoreToRead });
+            return Some(if is_drained { ReadOutcome::Drained } else { ReadOutcome::MoreToRead });
         }
-        if !ended && last {
+        if !ended && is_drained {
             waits_for_client.store(false, Ordering::Relaxed);
             return Some(ReadOutcome::Drained);
         }
         None
     }
 
-    /// A client that reads no replies is not read from either. If it leaves, it leaves replies unread, and the machine
-    /// reports that at once, by a reset.
-    fn is_held_back(&self) -> bool {
+    /// Whether backpressure stops reading: from a backend until the client has room for more of the streamed
+    /// value, from any other peer until it has read more of this connection's output. A client that leaves
+    /// without reading its replies is noticed all the same, because its kernel sends a reset at once.
+    fn must_pause_reading(&self) -> bool {
         let connection = self.connection;
         match connection.id {
             ConnectionId::Backend(_) => connection.stream_window() == 0,
-            _ => connection.out.borrow().len() > connection.context.max_unwritten_bytes,
+            _ => connection.write_buffer.borrow().len() > connection.context.max_unwritten_bytes,
         }
     }
 
-    /// Any other client with pending commands is read from, for its end may lie behind what it wrote: where there is no
-    /// capacity for that, it is dropped.
-    fn must_drop(&self) -> bool {
+    /// Whether to start dropping this client's commands. Unless backpressure stops reading, a client with
+    /// pending commands is always read, because the end of its connection may follow what it has sent;
+    /// commands for which there is no memory are dropped.
+    fn must_start_dropping(&self) -> bool {
         let connection = self.connection;
-        if !connection.is_client() || connection.commands.is_empty() || self.backlog.is_dropping() {
+        if !connection.is_client() || connection.pending_commands.is_empty() || self.backlog.is_dropping() {
             return false;
         }
-        let stored = self.backlog.len();
-        let too_much = connection.commands.is_full() && stored > connection.context.max_unwritten_bytes;
-        too_much || stored > resp::MAX_MESSAGE_BYTES && !connection.has_capacity()
+        let stored_bytes = self.backlog.len();
+        let exceeds_limits =
+            connection.pending_commands.is_full() && stored_bytes > connection.context.max_unwritten_bytes;
+        exceeds_limits || stored_bytes > resp::MAX_MESSAGE_BYTES && !connection.has_capacity()
     }
 
+    /// Adds an event to the reducer's queue.
     pub(super) fn push(&self, event: Event) {
         self.connection.context.events.push(event);
     }
--- a/gateway/src/sockets/connection/streaming.rs
+++ b/gateway/src/sockets/connection/streaming.rs
@@ -1,29 +1,30 @@
-//! Streaming of large values: from a backend's connection to a client's, as fast as the client takes them.
-use super::{Connection, SCRATCH_BYTES};
+//! Streams large values from a backend's connection to a client's, as fast as the client reads them.
+use super::{Connection, READ_BUFFER_BYTES};
 use atomic_refcell::AtomicRefCell;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Instant;
 
-/// How much of a value may wait for its client, in bytes.
-const MAX_WAITING_BYTES: usize = 64 * 1024;
-/// The same once all streamed values together have their fraction of the memory, in bytes.
-const MAX_WAITING_BYTES_MEMORY_SHORT: usize = 4 * 1024;
+/// Maximum amount of a value that is buffered for its client, in bytes.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Maximum amount of a value that is buffered for its client while the memory for all streamed values is used
+/// up, in bytes.
+const MAX_BUFFERED_BYTES_LOW_MEMORY: usize = 4 * 1024;
 
-/// A backend's side of a stream.
+/// The backend's side of a stream.
 pub(super) struct StreamSource {
-    /// The client that the value goes to.
+    /// The client's connection that receives the value; `None` if the value is discarded.
     target: AtomicRefCell<Option<Arc<Connection>>>,
-    /// The backend's connection may read on.
+    /// Set when input that was held back until the stream had a target may be decoded.
     pub resumed: AtomicBool,
-    /// When something was last forwarded.
+    /// Time at which a part of the value was last forwarded.
     last_progress: AtomicRefCell<Instant>,
-    /// It waits for its client.
+    /// Set while reading is paused because the client has to read first.
     pub waits_for_client: AtomicBool,
 }
 
 impl StreamSource {
-    /// Nothing is streamed yet.
+    /// Returns the state of a connection from which nothing is streamed.
     pub fn new() -> StreamSource {
         StreamSource {
             target: AtomicRefCell::default(),
@@ -33,43 +34,45 @@
         }
     }
 
-    /// Something was forwarded.
-    pub fn progressed(&self) {
+    /// Records that a part of the value was forwarded now.
+    pub fn record_progress(&self) {
         *self.last_progress.borrow_mut() = Instant::now();
     }
 }
 
-/// A client's side of a stream.
+/// The client's side of a stream.
 #[derive(Default)]
 pub(super) struct StreamTarget {
-    /// The backend's connection that the value comes from.
+    /// The backend's connection that sends the value.
     source: AtomicRefCell<Option<Arc<Connection>>>,
-    /// How many bytes of it are counted as waiting.
+    /// Part of `ConnectionContext::buffered_stream_bytes` that is this client's.
     counted_bytes: AtomicUsize,
 }
 
 impl Connection {
-    /// Streams the value that has begun here to this client from now on, or to nobody.
+    /// Starts to stream the pending value of this connection to a client, or to discard it if there is no
+    /// target.
     pub fn stream_to(self: &Arc<Connection>, target: Option<Arc<Connection>>) {
         let Some(length) = self.reader.borrow_mut().start_streaming() else { return };
         if let Some(target) = &target {
             let header = format!("${length}\r\n");
-            target.out.borrow_mut().buffer().extend_from_slice(header.as_bytes());
+            target.write_buffer.borrow_mut().buffer().extend_from_slice(header.as_bytes());
             *target.stream_target.source.borrow_mut() = Some(self.clone());
         }
         *self.stream_source.target.borrow_mut() = target;
-        self.stream_source.progressed();
+        self.stream_source.record_progress();
         self.stream_source.resumed.store(true, Ordering::Relaxed);
         self.waker.wakeup();
     }
 
-    /// For how many seconds nothing has been forwarded.
+    /// Returns the seconds since a part of the value was last forwarded.
     pub fn stream_idle_seconds(&self) -> f64 {
         self.stream_source.last_progress.borrow().elapsed().as_secs_f64()
     }
 
-    /// A value is being streamed, all that has arrived of it has left for its client, and more would be read. Bytes that have arrived
-    /// while the process was paused may not have been read yet.
+    /// Whether the stream waits for its backend: all received parts of the value are written to the client,
+    /// and reading is not paused. Unread input rules this out, as bytes that arrived while the process was
+    /// suspended may not have been read yet.
     pub fn is_waiting_for_backend(&self) -> bool {
         let target = self.stream_source.target.borrow();
         let flushed = target.as_ref().is_some_and(|target| target.is_flushed());
@@ -77,7 +80,8 @@
         flushed && self.reader.borrow().is_streaming() && !waits_for_client && !self.has_unread_input()
     }
 
-    /// How much of a value may be read now, in bytes; all of it where nobody waits for it.
+    /// Returns how many bytes may be read now: what the client has room for while a value is streamed to it,
+    /// none while a value waits for its target, otherwise a full read buffer.
     pub(super) fn stream_window(&self) -> usize {
         let reader = self.reader.borrow();
         if reader.is_stream_pending() {
@@ -87,31 +91,32 @@
             Some(target) if reader.is_streaming() && !target.closed.load(Ordering::Relaxed) => {
                 target.receive_window()
             }
-            _ => SCRATCH_BYTES,
+            _ => READ_BUFFER_BYTES,
         }
     }
 
-    /// How much more of a value may wait for this client, in bytes.
+    /// Returns how many more bytes of a value may be buffered for this client.
     fn receive_window(&self) -> usize {
-        let streamed = self.context.streamed_bytes.load(Ordering::Relaxed);
-        let memory_is_short = streamed > self.context.max_streamed_bytes;
-        match self.out.borrow().len() {
-            0 if memory_is_short => MAX_WAITING_BYTES_MEMORY_SHORT,
-            waiting if memory_is_short || waiting >= MAX_WAITING_BYTES => 0,
-            waiting => MAX_WAITING_BYTES - waiting,
+        let buffered_by_all = self.context.buffered_stream_bytes.load(Ordering::Relaxed);
+        let memory_is_short = buffered_by_all > self.context.max_buffered_stream_bytes;
+        match self.write_buffer.borrow().len() {
+            0 if memory_is_short => MAX_BUFFERED_BYTES_LOW_MEMORY,
+            buffered if memory_is_short || buffered >= MAX_BUFFERED_BYTES => 0,
+            buffered => MAX_BUFFERED_BYTES - buffered,
         }
     }
 
-    /// Forwards a part of the value. `end`: the last one, with the line's end behind it.
+    /// Forwards a part of the value, or discards it if its client has gone. After the last part, `end`, the
+    /// line terminator is written and the stream ends.
     pub(super) fn forward_chunk(&self, bytes: &[u8], end: bool) {
-        self.stream_source.progressed();
+        self.stream_source.record_progress();
         let target = self.stream_source.target.borrow().clone();
-        let open = target.as_ref().filter(|target| !target.closed.load(Ordering::Relaxed));
-        if let Some(target) = open {
-            let mut out = target.out.borrow_mut();
-            out.buffer().extend_from_slice(bytes);
-            out.buffer().extend_from_slice(if end { b"\r\n" } else { b"" });
-            drop(out);
+        let open_target = target.as_ref().filter(|target| !target.closed.load(Ordering::Relaxed));
+        if let Some(target) = open_target {
+            let mut write_buffer = target.write_buffer.borrow_mut();
+            write_buffer.buffer().extend_from_slice(bytes);
+            write_buffer.buffer().extend_from_slice(if end { b"\r\n" } else { b"" });
+            drop(write_buffer);
             target.flush();
         }
         if let Some(target) = target.filter(|_| end) {
@@ -120,35 +125,38 @@
         }
     }
 
+    /// Ends the client's side of the stream.
     fn detach_stream_source(&self) {
-        self.count_streamed(0);
+        self.count_buffered_stream(0);
         *self.stream_target.source.borrow_mut() = None;
     }
 
-    /// What was written to this client has left, but for so many bytes.
+    /// Records that all but `unwritten` bytes of this client's output are written, and wakes the stream's
+    /// source if it waits for that.
     pub(super) fn stream_flushed(&self, unwritten: usize) {
         if let Some(source) = &*self.stream_target.source.borrow() {
-            self.count_streamed(unwritten);
+            self.count_buffered_stream(unwritten);
             if unwritten == 0 && source.stream_source.waits_for_client.swap(false, Ordering::Relaxed) {
                 source.waker.wakeup();
             }
         }
     }
 
-    /// Counts how much of a value waits for this client now, in bytes.
-    pub(super) fn count_streamed(&self, waiting: usize) {
-        let before = self.stream_target.counted_bytes.swap(waiting, Ordering::Relaxed);
-        let all = self.context.streamed_bytes.load(Ordering::Relaxed) + waiting - before;
-        self.context.streamed_bytes.store(all, Ordering::Relaxed);
+    /// Updates the count of buffered bytes for this client, whose output has this many unwritten bytes.
+    pub(super) fn count_buffered_stream(&self, unwritten: usize) {
+        let previous = self.stream_target.counted_bytes.swap(unwritten, Ordering::Relaxed);
+        let total = self.context.buffered_stream_bytes.load(Ordering::Relaxed) + unwritten - previous;
+        self.context.buffered_stream_bytes.store(total, Ordering::Relaxed);
     }
 
+    /// Wakes the backend's connection that streams a value to this client, if there is one.
     pub(super) fn wake_stream_source(&self) {
         if let Some(source) = &*self.stream_target.source.borrow() {
             source.waker.wakeup();
         }
     }
 
-    /// The connection has ended: nothing is streamed from it or to it any more.
+    /// Ends the streams from and to this connection when the connection has ended.
     pub(super) fn detach_streams(&self) {
         if let Some(source) = self.stream_target.source.borrow_mut().take() {
             source.waker.wakeup();
--- a/gateway/src/sockets/connection/writing.rs
+++ b/gateway/src/sockets/connection/writing.rs
@@ -1,39 +1,41 @@
-//! Writing: what waits in a connection's buffer leaves as far as the socket takes it.
-use super::{Connection, MAX_KEPT_BUFFER_BYTES};
+//! Writes a connection's buffered output to its socket.
+use super::{Connection, MAX_RETAINED_BUFFER_BYTES};
 use crate::state::connection::ConnectionId;
 use std::io::{ErrorKind, Write};
 use std::net::Shutdown;
 use std::sync::atomic::Ordering;
 
 impl Connection {
-    /// Writes what is waiting, as far as the socket takes it; the rest once it takes more.
+    /// Writes as much buffered output as the socket accepts; the rest is written when the socket becomes
+    /// writable.
     pub fn flush(&self) {
-        let mut out = self.out.borrow_mut();
+        let mut write_buffer = self.write_buffer.borrow_mut();
         let mut written = 0;
-        while written < out.len() {
-            match self.stream.inner().write(&out.bytes()[written..]) {
+        while written < write_buffer.len() {
+            match self.stream.inner().write(&write_buffer.bytes()[written..]) {
                 Ok(length) if length > 0 => written += length,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                _ => break, // the socket is full; or the reader finds out that it broke
+                _ => break, // the socket is full, or has failed, which the read loop reports
             }
         }
-        let attempts = out.consume(written);
+        let attempts = write_buffer.consume(written);
         self.context.written_attempts.fetch_add(attempts, Ordering::Relaxed);
-        if self.is_answered_operator() && out.is_empty() {
-            let _ = self.stream.inner().shutdown(Shutdown::Write); // it may be gone
+        if self.is_answered_operator() && write_buffer.is_empty() {
+            let _ = self.stream.inner().shutdown(Shutdown::Write); // fails if the operator has closed the connection
         }
-        out.shrink(MAX_KEPT_BUFFER_BYTES);
-        let unwritten = out.len();
-        drop(out);
+        write_buffer.shrink(MAX_RETAINED_BUFFER_BYTES);
+        let unwritten = write_buffer.len();
+        drop(write_buffer);
         self.stream_flushed(unwritten);
     }
 
+    /// Whether this is an operator's connection whose response is in the buffer or written.
     fn is_answered_operator(&self) -> bool {
         matches!(self.id, ConnectionId::Admin(_)) && self.input_discarded.load(Ordering::Relaxed)
     }
 
-    /// Whether all that was written has left.
+    /// Whether all output has been written to the socket.
     pub fn is_flushed(&self) -> bool {
-        self.out.borrow().is_empty()
+        self.write_buffer.borrow().is_empty()
     }
 }
--- a/gateway/src/sockets/driver.rs
+++ b/gateway/src/sockets/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the reducer: hands it a batch of events, carries out the effects, and writes once a batch.
+//! Runs the reducer on batches of events, carries out its effects, and flushes each connection once per batch.
 use super::clock::Clock;
 use super::connection::{Connection, ConnectionContext};
 use super::gossip_socket::GossipSocket;
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The open connections.
+/// The open connections, by id.
 #[derive(Default)]
 pub struct Connections(AtomicRefCell<HashMap<ConnectionId, Arc<Connection>>>);
 
@@ -21,46 +21,48 @@
         self.0.borrow_mut().insert(id, connection);
     }
 
+    /// Removes a connection, if it is open.
     pub(super) fn remove(&self, id: ConnectionId) -> Option<Arc<Connection>> {
         self.0.borrow_mut().remove(&id)
     }
 
-    /// Gives the connection to `use_it`, if it is open.
-    pub(super) fn with<T>(&self, id: ConnectionId, use_it: impl FnOnce(&Arc<Connection>) -> T) -> Option<T> {
-        self.0.borrow().get(&id).map(use_it)
+    /// Calls `action` with the connection; returns `None` if it is not open.
+    pub(super) fn with<T>(&self, id: ConnectionId, action: impl FnOnce(&Arc<Connection>) -> T) -> Option<T> {
+        self.0.borrow().get(&id).map(action)
     }
 }
 
-/// While shutting down: how often it is checked whether all has been written, in seconds.
+/// Interval at which a process that is shutting down checks whether all output has been written, in seconds.
 const EXIT_CHECK_INTERVAL: f64 = 0.005;
-/// How long a client whose commands are dropped is not read from, in seconds. It may have left behind what its machine
-/// and ours hold for it, some 10 MiB (the largest `tcp_wmem` and `tcp_rmem`): all of it is to be read well within 0.1 s.
+/// Pause between two reads from a client whose commands are dropped, in seconds. A client that has left may
+/// leave about 10 MiB in the socket buffers of both machines (the maxima of `tcp_wmem` and `tcp_rmem`), all
+/// of which must be read well within 0.1 s.
 const READ_PAUSE: f64 = 0.002;
 
-/// What a batch leaves to do.
+/// The work that is left after the effects of a batch.
 #[derive(Default)]
 pub(super) struct Batch {
-    /// Connections that were written to.
+    /// Connections with new output to flush.
     pub written: Vec<ConnectionId>,
-    /// Clients' connections that we closed and that still have something to send.
+    /// Clients' connections that were closed by this process and still have output to send.
     pub closing: Vec<Arc<Connection>>,
-    /// When the process is to exit, in seconds since 1970, once all is written.
+    /// Earliest time of the process's exit, in seconds since 1970; the exit also waits for `closing`.
     pub exit_at: Option<f64>,
 }
 
-/// The coroutine that decides.
+/// The coroutine that runs the reducer and carries out its effects.
 pub struct Driver {
-    /// The time.
+    /// The clock of the process.
     pub clock: Clock,
-    /// What all connections share.
+    /// State that all connections share.
     pub context: Arc<ConnectionContext>,
     /// The open connections.
     pub connections: Arc<Connections>,
-    /// The socket for gossip, if there are peers.
+    /// The socket for gossip; `None` if no address for it is configured.
     pub gossip: Option<Arc<GossipSocket>>,
-    /// Set once no more clients are to be accepted.
+    /// Set when clients are no longer accepted.
     pub stop_accepting: Arc<AtomicBool>,
-    /// Keeps what the processes of this instance share.
+    /// Saves the state that the processes of this instance share; `None` if that is not saved.
     pub store: Option<SharedStateStore>,
 }
 
@@ -86,7 +88,7 @@
         }
     }
 
-    /// When to go on without an event, in seconds since 1970. Exits once that is due.
+    /// Returns when to continue without an event, in seconds since 1970. Exits if the exit is due.
     fn next_wake(
         &self,
         now: f64,
@@ -94,7 +96,8 @@
         reducer: &Reducer,
         batch: &mut Batch,
     ) -> Option<f64> {
-        // Who was accepted just before is an event of the next batch, and then it is not the end yet.
+        // A client that was accepted just now is an event of the next batch: the exit is cancelled until it
+        // is served.
         batch.exit_at = batch.exit_at.filter(|_| reducer.is_done());
         let wake_at = match batch.exit_at {
             Some(exit_at) if now >= exit_at && batch.closing.is_empty() => exit(),
@@ -105,7 +108,7 @@
         wake_at.into_iter().chain(resume_at).reduce(f64::min)
     }
 
-    /// Handles a batch of events; when the reducer wants to go on, in seconds since 1970.
+    /// Handles a batch of events; returns when the reducer is to be polled next, in seconds since 1970.
     fn step(&self, reducer: &mut Reducer, events: &mut Vec<Event>, batch: &mut Batch) -> Option<f64> {
         let now = self.clock.now();
         reducer.stats.written += self.context.written_attempts.swap(0, Ordering::Relaxed) as u64;
@@ -127,12 +130,13 @@
         next_poll_at
     }
 
+    /// Schedules the exit of the process, for after all output is written.
     pub(super) fn exit_after_flush(&self, batch: &mut Batch) {
         batch.exit_at = Some(self.clock.now() + 2.0 * EXIT_CHECK_INTERVAL);
     }
 }
 
-/// Ends the process once its log is written.
+/// Flushes the log and exits the process.
 pub(super) fn exit() -> ! {
     tracing::info!("stopped");
     logger::flush();
--- a/gateway/src/sockets/effects.rs
+++ b/gateway/src/sockets/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the effects that the reducer asks for.
+//! Carries out the effects that the reducer returns.
 use super::connection::Connection;
 use super::driver::{exit, Batch, Driver};
 use crate::state::connection::{CloseReason, ClosedConnection, ConnectionId};
@@ -10,6 +10,7 @@
 use std::sync::atomic::Ordering;
 
 impl Driver {
+    /// Carries out an effect; output that it writes is flushed at the end of the batch.
     pub(super) fn carry_out(&self, effect: Effect, batch: &mut Batch) {
         match effect {
             Effect::Reply { client, reply } => self.reply(client, &reply, batch),
@@ -17,7 +18,7 @@
             Effect::SendAttempt { connection, attempt, request, timeout_ms } => {
                 self.write(ConnectionId::Backend(connection), batch, |connection| {
                     let encode = |buffer: &mut Vec<u8>| request.encode(timeout_ms, buffer);
-                    connection.out.borrow_mut().append(attempt, encode);
+                    connection.write_buffer.borrow_mut().append(attempt, encode);
                 })
             }
             Effect::Withdraw { connection, attempt } => self.withdraw(connection, attempt),
@@ -37,7 +38,7 @@
             Effect::StopReading(client) => self.stop_reading(client),
             Effect::CloseIfIdle { client, reason } => self.close_if_idle(client, reason, batch),
             Effect::HttpRequest { connection, request } => self.write(connection, batch, |connection| {
-                request.encode(connection.peer, connection.out.borrow_mut().buffer())
+                request.encode(connection.peer, connection.write_buffer.borrow_mut().buffer())
             }),
             Effect::Connect { connection, address } => self.connect(connection, address),
             Effect::Close(id) => self.close(id, batch),
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Has `encode` write to the connection's buffer, if it is open; the bytes leave with the batch.
+    /// Calls `encode` to write to the connection's buffer, if the connection is open; the buffer is flushed
+    /// at the end of the batch.
     fn write(&self, id: ConnectionId, batch: &mut Batch, encode: impl FnOnce(&Connection)) {
         if self.connections.with(id, |connection| encode(connection)).is_some() {
             batch.written.push(id);
@@ -59,21 +61,21 @@
 
     fn reply(&self, client: u64, reply: &ClientReply, batch: &mut Batch) {
         self.write(ConnectionId::Client(client), batch, |connection| {
-            reply.encode(connection.out.borrow_mut().buffer());
-            connection.replied();
+            reply.encode(connection.write_buffer.borrow_mut().buffer());
+            connection.command_answered();
         });
     }
 
     fn reject(&self, client: u64, reason: &str, batch: &mut Batch) {
         let reply = ClientReply::Error(reason.into());
         self.write(ConnectionId::Client(client), batch, |connection| {
-            reply.encode(connection.out.borrow_mut().buffer());
+            reply.encode(connection.write_buffer.borrow_mut().buffer());
         });
     }
 
     fn respond(&self, operator: u64, response: &AdminResponse, batch: &mut Batch) {
         self.write(ConnectionId::Admin(operator), batch, |connection| {
-            response.encode(connection.out.borrow_mut().buffer());
+            response.encode(connection.write_buffer.borrow_mut().buffer());
             connection.discard_input();
         });
     }
@@ -88,15 +90,15 @@
     }
 
     fn withdraw(&self, backend: u64, attempt: u64) {
-        let withdrawn = self
-            .connections
-            .with(ConnectionId::Backend(backend), |connection| connection.out.borrow_mut().withdraw(attempt));
+        let withdrawn = self.connections.with(ConnectionId::Backend(backend), |connection| {
+            connection.write_buffer.borrow_mut().withdraw(attempt)
+        });
         if withdrawn == Some(true) {
             self.context.events.push(Event::Withdrawn { connection: backend, attempt });
         }
     }
 
-    /// Streams the value that has begun on a backend's connection to a client, or to nobody.
+    /// Streams the pending value of a backend's connection to a client, or discards it if `client` is `None`.
     fn stream(&self, backend: u64, client: Option<u64>, batch: &mut Batch) {
         let client = client.map(ConnectionId::Client);
         let streamed = self.connections.with(ConnectionId::Backend(backend), |source| {
@@ -108,7 +110,8 @@
         }
     }
 
-    /// `unresponsive_for`, `stalled_for`: after how many seconds a stream counts as broken.
+    /// Closes a backend's connection if its stream has made no progress for `stalled_for` seconds, or has
+    /// waited for the backend for `unresponsive_for` seconds.
     fn close_if_stalled(&self, backend: u64, unresponsive_for: f64, stalled_for: f64, batch: &mut Batch) {
         let id = ConnectionId::Backend(backend);
         let stalled = self.connections.with(id, |connection| {
@@ -123,7 +126,8 @@
         self.context.events.push(Event::ConnectionEnded { connection: id, reason, unsent: false });
     }
 
-    /// What has arrived meanwhile is read first, answered, and then it is checked again.
+    /// Closes a client's connection unless it has unread input. Such input is read and answered first, after
+    /// which the reducer checks the connection again.
     fn close_if_idle(&self, client: u64, reason: CloseReason, batch: &mut Batch) {
         let id = ConnectionId::Client(client);
         let idle = self.connections.with(id, |connection| !connection.has_unread_input());
@@ -137,7 +141,7 @@
         match Connection::connect(id, address, &self.context) {
             Ok(connection) => self.connections.insert(id, connection),
             Err(error) => {
-                tracing::warn!("connect to {address}: {error}");
+                tracing::warn!("connecting to {address} failed: {error}");
                 let reason = CloseReason::Refused;
                 self.context.events.push(Event::ConnectionEnded { connection: id, reason, unsent: true });
             }
--- a/gateway/src/sockets/event_queue.rs
+++ b/gateway/src/sockets/event_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of events for the reducer, and its timer: both wake the one coroutine that drives it.
+//! The queue of events for the reducer, and its timer; both wake the coroutine that runs the reducer.
 use crate::state::event::Event;
 use atomic_refcell::AtomicRefCell;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
@@ -7,11 +7,11 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// The shortest time that the timer is set to, in seconds: zero would stop it.
+/// Minimum delay of the timer, in seconds; a delay of zero would disarm it.
 const MIN_TIMER_SECONDS: f64 = 1e-6;
-/// The longest time that the timer is set to, in seconds.
+/// Maximum delay of the timer, in seconds.
 const MAX_TIMER_SECONDS: f64 = 3600.0;
-/// The flag of a readable descriptor, as the runtime reports it.
+/// The epoll flag of a readable descriptor (`EPOLLIN`), as the runtime reports it.
 const READABLE: usize = 1;
 
 struct Timer(TimerFd);
@@ -22,28 +22,29 @@
     }
 }
 
-/// The timer could not be made.
+/// Error of creating the timer.
 #[derive(Debug, thiserror::Error)]
 pub enum TimerError {
-    /// The kernel has none.
-    #[error("timer: {0}")]
+    /// The kernel can't create a timer.
+    #[error("can't create the timer: {0}")]
     Create(nix::errno::Errno),
-    /// The runtime can't wait for it.
-    #[error("timer: {0:?}")]
+    /// The coroutine runtime can't register the timer.
+    #[error("can't register the timer with the coroutine runtime: {0:?}")]
     Register(std::io::Error),
 }
 
-/// Events from all sockets and from other threads.
+/// The events that the reducer has not handled yet, from the sockets and from other threads.
 pub struct EventQueue {
     events: AtomicRefCell<Vec<Event>>,
-    /// From other threads. The worker takes them where it need not wait; it is woken once they are free.
+    /// Events from other threads. The worker thread never waits for this lock: if a thread holds it, that
+    /// thread wakes the worker after the push.
     from_threads: Mutex<Vec<Event>>,
     timer: CoIo<Timer>,
     waker: WaitIoWaker,
 }
 
 impl EventQueue {
-    /// An empty queue, its timer not set.
+    /// Returns an empty queue whose timer is not set.
     pub fn new() -> Result<EventQueue, TimerError> {
         let flags = TimerFlags::TFD_NONBLOCK | TimerFlags::TFD_CLOEXEC;
         let timer = TimerFd::new(ClockId::CLOCK_MONOTONIC, flags).map_err(TimerError::Create)?;
@@ -52,7 +53,8 @@
         Ok(EventQueue { events: AtomicRefCell::default(), from_threads: Mutex::default(), timer, waker })
     }
 
-    /// From the worker's own coroutines only. The first event wakes the reducer, after all that are ready.
+    /// Adds an event from a coroutine of the worker thread. The first event in the queue wakes the reducer's
+    /// coroutine, which runs after all coroutines that are already ready.
     pub fn push(&self, event: Event) {
         let mut events = self.events.borrow_mut();
         events.push(event);
@@ -61,20 +63,21 @@
         }
     }
 
-    /// Wakes the reducer's coroutine without an event.
+    /// Wakes the reducer's coroutine without adding an event.
     pub fn wake(&self) {
         self.waker.wakeup();
     }
 
-    /// From any thread.
+    /// Adds an event from any thread.
     pub fn push_from_thread(&self, event: Event) {
         self.from_threads.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(event);
         self.waker.wakeup();
     }
 
-    /// Waits for events or the timer; true if the timer has expired.
+    /// Waits for events or the timer, and swaps the queued events into `events`; returns whether the timer
+    /// has expired.
     pub fn wait(&self, events: &mut Vec<Event>) -> bool {
-        // Setting it anew clears what it would have us read.
+        // The expiration count is not read from the timer: setting the timer again clears it.
         let expired = self.timer.wait_io() & READABLE != 0;
         std::mem::swap(&mut *self.events.borrow_mut(), events);
         if let Ok(mut from_threads) = self.from_threads.try_lock() {
@@ -83,12 +86,12 @@
         expired
     }
 
-    /// Sets the timer to expire after this many seconds; an earlier setting is void.
+    /// Sets the timer to expire after this many seconds, in place of an earlier setting.
     pub fn set_timer(&self, seconds: f64) {
         let delay = Duration::from_secs_f64(seconds.clamp(MIN_TIMER_SECONDS, MAX_TIMER_SECONDS));
         let expiration = Expiration::OneShot(delay.into());
         if let Err(error) = self.timer.inner().0.set(expiration, TimerSetTimeFlags::empty()) {
-            tracing::error!("timer: {error}");
+            tracing::error!("the timer can't be set: {error}");
         }
     }
 }
--- a/gateway/src/sockets/gossip_socket.rs
+++ b/gateway/src/sockets/gossip_socket.rs
@@ -1,4 +1,4 @@
-//! The datagram socket for gossip between gateway instances.
+//! The UDP socket for gossip between gateway instances.
 use super::event_queue::EventQueue;
 use crate::state::event::Event;
 use may::io::{CoIo, WaitIo};
@@ -6,22 +6,23 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 
-/// One byte more than a datagram may have, so that longer ones are recognized.
+/// Size of the receive buffer: one byte more than the longest valid datagram, so that longer ones are
+/// recognized.
 const BUFFER_BYTES: usize = gossip::MAX_DATAGRAM_BYTES + 1;
 
-/// The socket could not be bound.
+/// Error of binding the gossip socket.
 #[derive(Debug, thiserror::Error)]
 pub enum BindError {
-    /// The address is taken, or not ours.
-    #[error("{address}: {source}")]
+    /// The kernel can't bind the socket to the address.
+    #[error("can't bind the gossip socket to {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
         /// The kernel's error.
         source: std::io::Error,
     },
-    /// The runtime can't wait for it.
-    #[error("{address}: {source:?}")]
+    /// The coroutine runtime can't register the socket.
+    #[error("can't register the gossip socket on {address} with the coroutine runtime: {source:?}")]
     Register {
         /// The address.
         address: SocketAddr,
@@ -30,12 +31,12 @@
     },
 }
 
-/// The socket.
+/// The socket that gossip is sent and received on.
 pub struct GossipSocket(CoIo<UdpSocket>);
 
 impl GossipSocket {
-    /// Binds the socket. `shared`: another process of this instance may have the address too. Both may send from it; what
-    /// arrives is the newest one's.
+    /// Binds the socket. If `shared`, another process of this instance may be bound to the same address; both
+    /// may send from it, and the newest process receives the datagrams.
     pub fn bind(address: SocketAddr, shared: bool) -> Result<Arc<GossipSocket>, BindError> {
         let socket = bind(address, shared).map_err(|source| BindError::Bind { address, source })?;
         let socket =
@@ -43,7 +44,7 @@
         Ok(Arc::new(GossipSocket(socket)))
     }
 
-    /// Reads datagrams from now on.
+    /// Starts the coroutine that receives datagrams.
     pub fn start(self: &Arc<GossipSocket>, events: Arc<EventQueue>) {
         let socket = self.clone();
         may::go!(move || loop {
@@ -55,7 +56,7 @@
         });
     }
 
-    /// Late or not at all: a datagram that can't be sent now is lost.
+    /// Sends a datagram; one that the kernel does not accept at once is dropped.
     pub fn send(&self, to: SocketAddr, body: &[u8]) {
         let _ = self.0.inner().send_to(body, to);
     }
--- a/gateway/src/sockets/mod.rs
+++ b/gateway/src/sockets/mod.rs
@@ -1,5 +1,7 @@
-//! The sockets. All of this runs on the one worker thread of the coroutine runtime: what is shared is borrowed between
-//! two waits and never across one, and nothing here may block the thread.
+//! Socket I/O: accepts and opens connections, reads and writes them, and runs the reducer.
+//!
+//! All of it runs in coroutines on one worker thread. A coroutine must not hold a borrow of shared state
+//! while it waits, and must not block the thread.
 pub mod acceptor;
 pub mod clock;
 pub mod connection;
--- a/gateway/src/wire/admin.rs
+++ b/gateway/src/wire/admin.rs
@@ -1,4 +1,5 @@
-//! The server side of HTTP/1.1 for operators' calls: decodes the one call of a connection and encodes the response.
+//! The server side of HTTP/1.1 for operators' calls: decodes the one call of a connection and encodes the
+//! response.
 use std::borrow::Cow;
 
 /// Maximum length of a call's head, in bytes.
@@ -99,7 +100,8 @@
     }
 }
 
-/// Decodes the percent-encoded bytes of a path segment; returns the segment unchanged if the result is not UTF-8.
+/// Decodes the percent-encoded bytes of a path segment; returns the segment unchanged if the result is not
+/// UTF-8.
 fn percent_decode(segment: &str) -> Cow<'_, str> {
     let mut bytes = Vec::with_capacity(segment.len());
     let mut rest = segment.as_bytes();
--- a/gateway/src/wire/http.rs
+++ b/gateway/src/wire/http.rs
@@ -1,4 +1,5 @@
-//! The client side of HTTP/1.1 for the counter and the list service: encodes requests and decodes complete responses.
+//! The client side of HTTP/1.1 for the counter and the list service: encodes requests and decodes complete
+//! responses.
 use super::{Decoded, DecodedMessage, ProtocolError};
 use std::net::SocketAddr;
 
--- a/gateway/src/wire/resp/command.rs
+++ b/gateway/src/wire/resp/command.rs
@@ -56,7 +56,8 @@
         &self.raw[self.plan.clone()]
     }
 
-    /// Appends the request as it is sent to a backend, with the time in milliseconds that this instance waits for the reply.
+    /// Appends the request as it is sent to a backend, with the time in milliseconds that this instance waits
+    /// for the reply.
     pub fn encode(&self, timeout_ms: u64, out: &mut Vec<u8>) {
         let timeout = timeout_ms.to_string();
         let terminator_bytes = 2;
@@ -81,7 +82,8 @@
     Request(Box<RequestCommand>),
     /// A complete command that is invalid; the text is the reason.
     Invalid(String),
-    /// A complete command that was not stored because too many commands of its client are pending; it is rejected.
+    /// A complete command that was not stored because too many commands of its client are pending; it is
+    /// rejected.
     Dropped,
     /// Bytes that break the protocol, after which nothing can be decoded; the text is the reason.
     ProtocolError(&'static str),
@@ -110,8 +112,9 @@
         Items { bytes, items, count: 0, end: 0 }
     }
 
-    /// Finds the items and checks the limits on the command's length; returns false while the command is incomplete. The
-    /// items are filled in place, because a copy would enlarge the stack of every connection's coroutine.
+    /// Finds the items and checks the limits on the command's length; returns false while the command is
+    /// incomplete. The items are filled in place, because a copy would enlarge the stack of every
+    /// connection's coroutine.
     fn decode(&mut self) -> Result<bool, ProtocolError> {
         let Some(header) = array_header(self.bytes)? else { return Ok(false) };
         let count = header.value.unwrap_or(0);
--- a/gateway/src/wire/resp/framing.rs
+++ b/gateway/src/wire/resp/framing.rs
@@ -73,7 +73,8 @@
     ProtocolError(if max_bytes > MAX_BUFFERED_VALUE_BYTES { "value over 4 MiB" } else { "value over 64 KiB" })
 }
 
-/// Decodes the bulk string whose length line is at `start`: the range of its contents, or `None` for a null string.
+/// Decodes the bulk string whose length line is at `start`: the range of its contents, or `None` for a null
+/// string.
 pub(super) fn bulk_string(
     bytes: &[u8],
     start: usize,
--- a/gateway/src/wire/resp/mod.rs
+++ b/gateway/src/wire/resp/mod.rs
@@ -13,8 +13,8 @@
 
 /// Maximum length of a value that is buffered in full, in bytes.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
-/// Maximum length of a value, in bytes. Above `MAX_BUFFERED_VALUE_BYTES`, a reply's value is streamed and a request's body
-/// waits for memory.
+/// Maximum length of a value, in bytes. Above `MAX_BUFFERED_VALUE_BYTES`, a reply's value is streamed and a
+/// request's body waits for memory.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
 /// Maximum length of a line, including its line feed, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
--- a/gateway/src/wire/resp/reply.rs
+++ b/gateway/src/wire/resp/reply.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Decodes the head of a reply whose value is to be streamed because it is too long to be buffered; returns the value's
-/// length in bytes, or `None` for any other reply and while the head is incomplete.
+/// Decodes the head of a reply whose value is to be streamed because it is too long to be buffered; returns
+/// the value's length in bytes, or `None` for any other reply and while the head is incomplete.
 pub fn decode_stream_head(bytes: &[u8]) -> Decoded<usize> {
     if bytes.first() != Some(&b'*') {
         return Ok(None);
@@ -148,8 +148,8 @@
     Ok(Some(DecodedMessage { value: reply, length: next }))
 }
 
-/// Decodes an optional item behind a value. An item of another type than a bulk string counts as absent, so that the value
-/// stays usable.
+/// Decodes an optional item behind a value. An item of another type than a bulk string counts as absent, so
+/// that the value stays usable.
 fn optional_item(bytes: &[u8], start: usize) -> DecodedElement<Option<Range<usize>>> {
     match bytes.get(start) {
         Some(b'+' | b'-' | b':') => {
