--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The gateway on sockets around the decisions of `quillramp::policy`.
+//! The gateway process around the policy engine, `quillramp::policy`.
 //!
-//! Bytes become typed values in [`wire`], and events in [`sockets`]; [`state`] decides by them and asks for effects, which
-//! [`sockets`] carries out. [`process`] is the life cycle around that.
+//! [`sockets`] reads bytes, which [`wire`] decodes, and reports them as events to the reducer in [`state`].
+//! The reducer returns effects, which [`sockets`] carries out. [`process`] has the life cycle of the process.
 pub mod process;
 pub mod sockets;
 pub mod state;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -9,8 +9,8 @@
 
 /// A gateway that holds customers to their quotas before a shared back end.
 ///
-/// Without a command it serves. Exit codes: 0 done, 1 a file or the start has something wrong, which is said, 2 a call that can't be
-/// understood.
+/// Without a command, the gateway serves. Exit codes: 0 success, 1 an invalid file or a failed start, whose
+/// errors are printed, 2 an invalid command line.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -20,19 +20,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve, as EDGE_CONFIG and EDGE_OPERATOR say.
+    /// Serve, with the files that EDGE_CONFIG and EDGE_OPERATOR name.
     Serve,
-    /// Check an operator's file, and say all that is wrong with it.
+    /// Check an operator's file, and print all its errors.
     Check {
         file: String,
-        /// The configuration to check it against; else what EDGE_CONFIG names.
+        /// The configuration to check it against; by default the file that EDGE_CONFIG names.
         #[arg(long)]
         configuration: Option<String>,
     },
-    /// Show what holds under an operator's file, and where each value comes from.
+    /// Show the effective values under an operator's file, and the source of each.
     Show {
         file: String,
-        /// The configuration that it narrows; else what EDGE_CONFIG names.
+        /// The configuration that it restricts; by default the file that EDGE_CONFIG names.
         #[arg(long)]
         configuration: Option<String>,
     },
@@ -40,7 +40,7 @@
     Completions { shell: clap_complete::Shell },
 }
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -50,7 +50,7 @@
 }
 
 impl CommandError {
-    /// All that is wrong, a line each.
+    /// Returns the error's lines, one for each diagnostic.
     fn lines(&self) -> Vec<String> {
         match self {
             CommandError::Start(error) => vec![error.to_string()],
@@ -59,12 +59,14 @@
     }
 }
 
-/// Runs a command; its output.
+/// Runs a command and returns its output.
 fn run(command: Command) -> Result<String, CommandError> {
     match command {
         Command::Serve => match serve::serve()? {},
         Command::Check { file, configuration } => Ok(check::check(&file, configuration.as_deref())?),
-        Command::Show { file, configuration } => Ok(check::shown(&file, configuration.as_deref())?),
+        Command::Show { file, configuration } => {
+            Ok(check::effective_values(&file, configuration.as_deref())?)
+        }
         Command::Completions { shell } => Ok(completions(shell)),
     }
 }
@@ -75,13 +77,13 @@
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// Prints the output; a reader who has gone stops nothing.
+/// Prints the output; errors, such as a closed pipe, are ignored.
 fn print(text: &str) {
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
 }
 
 fn main() -> ExitCode {
-    // Without arguments there is nothing to parse, and no memory to spend on it.
+    // Without arguments, the parser and its memory are not needed.
     let command = if std::env::args_os().len() > 1 { Cli::parse().command } else { None };
     match run(command.unwrap_or(Command::Serve)) {
         Ok(text) => {
--- a/gateway/src/process/check.rs
+++ b/gateway/src/process/check.rs
@@ -1,22 +1,22 @@
-//! What the command line does besides serving: an operator's file is checked, or shown with its effective values.
+//! The commands that check an operator's file, or show its effective values.
 use super::configuration::{self, ConfigurationError};
 use super::operator::{self, OperatorFileError};
 use quillramp::settings::SettingsError;
 use quillramp_operator::routes::Platform;
 use quillramp_operator::{show, OperatorSettings};
 
-/// Why a file can't be checked, or what is wrong with it.
+/// Error of checking an operator's file: the file is invalid, or there is nothing valid to check it against.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// The configuration can't be read.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The configuration's settings can't be used.
+    /// The configuration's settings are invalid.
     #[error("{path}: {source}")]
     Settings {
-        /// The configuration's file.
+        /// The configuration file.
         path: String,
-        /// What is wrong with the settings.
+        /// The error of the settings.
         source: SettingsError,
     },
     /// The operator's file can't be used.
@@ -25,7 +25,7 @@
 }
 
 impl CheckError {
-    /// All that is wrong, a line each.
+    /// Returns the error's lines, one for each diagnostic.
     pub fn lines(&self) -> Vec<String> {
         match self {
             CheckError::File(error) => error.lines(),
@@ -34,9 +34,10 @@
     }
 }
 
-/// What a configuration allows, where one is named, else where the environment names one.
-fn platform(named: Option<&str>) -> Result<Option<Platform>, CheckError> {
-    let path = named.map(str::to_owned).or(std::env::var(configuration::PATH_VARIABLE).ok());
+/// Reads the platform of the configuration file at this path, or else of the one that the environment
+/// variable names, if any.
+fn platform(configuration_path: Option<&str>) -> Result<Option<Platform>, CheckError> {
+    let path = configuration_path.map(str::to_owned).or(std::env::var(configuration::PATH_VARIABLE).ok());
     let Some(path) = path else { return Ok(None) };
     let configuration = configuration::read_file(&path)?;
     let settings = configuration.settings.get().as_bytes();
@@ -45,32 +46,32 @@
     Ok(Some(operator::platform(&loaded.instance, configuration.limits.sockets)))
 }
 
-/// A file that is well, and the configuration that it was checked against.
-struct Checked {
+/// A valid operator's file, and the platform that it was checked against.
+struct CheckedFile {
     settings: OperatorSettings,
     platform: Option<Platform>,
 }
 
-fn read(file: &str, configuration: Option<&str>) -> Result<Checked, CheckError> {
+fn read(file: &str, configuration: Option<&str>) -> Result<CheckedFile, CheckError> {
     let platform = platform(configuration)?;
     let settings = operator::read_file(file, platform.as_ref())?;
-    Ok(Checked { settings, platform })
+    Ok(CheckedFile { settings, platform })
 }
 
-/// A summary of a file that is well; else all that is wrong.
+/// Checks an operator's file; returns a summary of a valid one.
 pub fn check(file: &str, configuration: Option<&str>) -> Result<String, CheckError> {
-    let Checked { settings, platform } = read(file, configuration)?;
+    let CheckedFile { settings, platform } = read(file, configuration)?;
     let classes = settings.routes.classes.len();
     let routes = settings.routes.routes.len();
     let limitation = match platform {
         Some(_) => "",
-        None => "; without a configuration, operations and plans were not looked up",
+        None => "; operations and plans were not checked, because no configuration is given",
     };
-    Ok(format!("{file}: well; {classes} classes, {routes} routes{limitation}"))
+    Ok(format!("{file}: valid; {classes} classes, {routes} routes{limitation}"))
 }
 
-/// The effective values under a file, and where each comes from.
-pub fn shown(file: &str, configuration: Option<&str>) -> Result<String, CheckError> {
-    let Checked { settings, platform } = read(file, configuration)?;
+/// Returns the effective values under an operator's file, each with its source.
+pub fn effective_values(file: &str, configuration: Option<&str>) -> Result<String, CheckError> {
+    let CheckedFile { settings, platform } = read(file, configuration)?;
     Ok(show(&settings, platform.as_ref()))
 }
--- a/gateway/src/process/configuration.rs
+++ b/gateway/src/process/configuration.rs
@@ -1,54 +1,54 @@
-//! The configuration of a gateway instance: the JSON file that the environment names.
+//! The configuration of a gateway instance: a JSON file that an environment variable names.
 use crate::wire::endpoints::EndpointList;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// The environment variable that names the file.
+/// Environment variable with the path of the configuration file.
 pub const PATH_VARIABLE: &str = "EDGE_CONFIG";
-/// The environment variable that names the admin address.
+/// Environment variable with the address for operators' calls.
 const ADMIN_VARIABLE: &str = "EDGE_MGMT";
 
-/// The configuration.
+/// The contents of the configuration file.
 #[derive(Deserialize)]
 pub struct Configuration {
-    /// The instance's name.
+    /// Name of the instance.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where the list service is.
+    /// Address of the list service.
     pub discovery: SocketAddr,
-    /// The seed of all random draws, in hexadecimal in the file.
+    /// Seed of the random number generator; hexadecimal in the file.
     #[serde(with = "hex")]
     pub seed: u64,
-    /// What the instance may use of the machine.
+    /// Limits on the resources that the instance uses.
     pub limits: Limits,
-    /// Where datagrams of peers arrive.
+    /// Address that gossip of peers is received on; `None` to receive none.
     pub peer_listen: Option<SocketAddr>,
-    /// The peers, one by one.
+    /// Addresses of the peers.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// One address that reaches all peers.
+    /// Address that reaches all peers.
     #[serde(rename = "peers_all")]
     pub peer_broadcast: Option<SocketAddr>,
-    /// Where the shared counter is.
+    /// Address of the shared counter; `None` if there is none.
     pub counter: Option<SocketAddr>,
-    /// Where operators call; the environment may name it too.
+    /// Address for operators' calls; see [`admin_address`].
     #[serde(rename = "mgmt")]
     pub admin_listen: Option<SocketAddr>,
-    /// The backends that are known at the start.
+    /// Endpoint list at the start, used until the list service responds.
     #[serde(rename = "known")]
     pub initial_endpoints: EndpointList,
-    /// The settings of the decisions, which have a decoder of their own.
+    /// Settings of the policy engine, which decodes them itself.
     pub settings: Box<RawValue>,
 }
 
-/// What the instance may use of the machine.
+/// Limits on the resources that the instance uses.
 #[derive(Deserialize)]
 pub struct Limits {
-    /// Memory, in MiB.
+    /// Maximum memory, in MiB.
     pub memory_mb: usize,
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
 }
 
@@ -62,10 +62,10 @@
     }
 }
 
-/// Why there is no configuration.
+/// Error of reading the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The environment names none.
+    /// The environment variable is not set.
     #[error("{PATH_VARIABLE} names no configuration file")]
     NoPath,
     /// The file can't be read.
@@ -81,28 +81,29 @@
     Decode {
         /// The file.
         path: String,
-        /// What is wrong with the JSON.
+        /// The decoder's error.
         source: serde_json::Error,
     },
-    /// The environment's admin address can't be parsed.
-    #[error("{ADMIN_VARIABLE}: '{0}' is no address")]
+    /// The environment variable for operators' calls has no valid address.
+    #[error("{ADMIN_VARIABLE}: expected an IP address and a port, found '{0}'")]
     AdminAddress(String),
 }
 
-/// Reads the file that the environment names.
+/// Reads the file that the environment variable names.
 pub fn read() -> Result<Configuration, ConfigurationError> {
     let path = std::env::var(PATH_VARIABLE).map_err(|_| ConfigurationError::NoPath)?;
     read_file(&path)
 }
 
-/// Reads this file.
+/// Reads the file at a path.
 pub fn read_file(path: &str) -> Result<Configuration, ConfigurationError> {
     let text =
         std::fs::read(path).map_err(|source| ConfigurationError::Read { path: path.into(), source })?;
     decode(&text).map_err(|source| ConfigurationError::Decode { path: path.into(), source })
 }
 
-/// Where operators call, if they may: as the environment has it, else as the file does.
+/// Returns the address for operators' calls: that of the environment variable if it is set, otherwise that of
+/// the file, if any.
 pub fn admin_address(configuration: &Configuration) -> Result<Option<SocketAddr>, ConfigurationError> {
     match std::env::var(ADMIN_VARIABLE) {
         Ok(text) => text.parse().map(Some).map_err(|_| ConfigurationError::AdminAddress(text)),
@@ -110,7 +111,7 @@
     }
 }
 
-/// Decodes the text of a file.
+/// Decodes the text of a configuration file.
 pub fn decode(text: &[u8]) -> Result<Configuration, serde_json::Error> {
     serde_json::from_slice(text)
 }
--- a/gateway/src/process/descriptors.rs
+++ b/gateway/src/process/descriptors.rs
@@ -1,12 +1,14 @@
-//! How many file descriptors this process may hold.
+//! The limit on this process's file descriptors.
 use nix::sys::resource::{getrlimit, Resource};
 
-/// What the configuration allows, or the machine (`RLIMIT_NOFILE`, its soft limit) where that is less.
-pub fn allowed(configured: usize) -> usize {
+/// Returns the configured limit, or the soft limit of `RLIMIT_NOFILE` if that is lower, which is logged.
+pub fn effective_limit(configured: usize) -> usize {
     let Ok((soft_limit, _)) = getrlimit(Resource::RLIMIT_NOFILE) else { return configured };
-    let machine = usize::try_from(soft_limit).unwrap_or(usize::MAX);
-    if machine < configured {
-        tracing::warn!("the machine allows {machine} descriptors, the configuration {configured}");
+    let resource_limit = usize::try_from(soft_limit).unwrap_or(usize::MAX);
+    if resource_limit < configured {
+        tracing::warn!(
+            "RLIMIT_NOFILE allows {resource_limit} file descriptors, fewer than the configured {configured}"
+        );
     }
-    configured.min(machine)
+    configured.min(resource_limit)
 }
--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -1,5 +1,5 @@
-//! What the processes of one gateway instance share at a handover, through a file that both keep. The file is
-//! only touched on a thread of its own.
+//! The state that the processes of one gateway instance share through a file, for the handover from one to
+//! the next. A separate thread reads and writes the file, so that the worker thread never blocks on it.
 use super::process_identity::ProcessIdentity;
 use super::shared_file::{SharedFile, SharedFileError, SharedRecord};
 use crate::sockets::event_queue::EventQueue;
@@ -10,119 +10,122 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the file is read for what the other process wrote.
+/// Interval at which the file is read for changes by the other process.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The environment variable that names the folder of the file.
-const FOLDER_VARIABLE: &str = "TMPDIR";
+/// Environment variable that names the directory of the file.
+const DIRECTORY_VARIABLE: &str = "TMPDIR";
 
-/// What the thread is asked to write.
+/// A request to the thread to write the file.
 enum WriteRequest {
     Change { call: u64, change: AdminChange },
     DescriptorLimit(usize),
 }
 
-/// The shared file as this process sees it.
+/// The shared file, interpreted from the point of view of this process.
 #[derive(Clone)]
 pub struct SharedStateFile {
     file: SharedFile,
-    /// The newest process when this one started.
+    /// The newest process at the time when this one started.
     predecessor: ProcessIdentity,
 }
 
 impl SharedStateFile {
-    /// What the processes share, as the file has it now.
+    /// Reads the shared state from the file.
     pub fn read(&self) -> Result<SharedState, SharedFileError> {
         self.file.read().map(|record| self.interpret(&record))
     }
 
-    /// What a record means to this process.
+    /// Converts the file's contents into the shared state as it applies to this process.
     fn interpret(&self, record: &SharedRecord) -> SharedState {
         let newest = record.newest();
-        let other = if newest.pid == std::process::id() { self.predecessor } else { newest };
-        // One that has died is not there, nor is one that only has its number.
-        let running = other.is_running();
-        let limited = running && record.leaving_pid == other.pid;
+        let peer = if newest.pid == std::process::id() { self.predecessor } else { newest };
+        // False for a process that has exited, even if its id now belongs to another process.
+        let running = peer.is_running();
+        let has_limit = running && record.leaving_pid == peer.pid;
         SharedState {
             ejected_backends: record.ejected_backends.clone(),
             drained: record.drained,
             peer_process_running: running,
-            peer_process_newer: running && other != self.predecessor,
-            peer_descriptor_limit: limited.then_some(record.descriptor_limit),
+            peer_process_newer: running && peer != self.predecessor,
+            peer_descriptor_limit: has_limit.then_some(record.descriptor_limit),
         }
     }
 }
 
-/// The thread that keeps the file could not be made.
+/// Error of starting the thread that reads and writes the shared file.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct StoreThreadError(#[from] std::io::Error);
 
-/// What a start finds.
+/// The shared state at the start of a process.
 #[derive(Default)]
 pub struct Handover {
-    /// What the processes share so far.
+    /// The shared state that was saved before.
     pub shared: SharedState,
-    /// The thread that keeps the file; none without a folder for it.
+    /// The store of later changes; `None` if there is no directory for the file.
     pub store: Option<SharedStateStore>,
 }
 
-/// The thread that keeps the file.
+/// Saves changes to the shared state, and reports those of the other process as events, on a separate thread.
 pub struct SharedStateStore {
     requests: Sender<WriteRequest>,
-    /// The file.
+    /// The shared file.
     pub file: SharedStateFile,
 }
 
 impl SharedStateStore {
-    /// Takes this process up in the file as the newest one, and starts the thread.
-    /// The file is in the folder that `TMPDIR` names, under the instance's own name.
+    /// Records this process in the file as the newest one, and starts the thread. The file is in the
+    /// directory that `TMPDIR` names, and its name contains that of the instance.
     pub fn start(instance: &str, events: Arc<EventQueue>) -> Result<Handover, StoreThreadError> {
-        let folder = std::env::var_os(FOLDER_VARIABLE).map(PathBuf::from).filter(|folder| folder.is_dir());
-        let Some(folder) = folder else { return Ok(Handover::default()) };
-        let plain = |letter: char| if letter.is_ascii_alphanumeric() { letter } else { '-' };
-        let name = instance.chars().map(plain).collect::<String>();
-        let file = SharedFile::new(folder.join(format!("quillramp-{name}.json")));
+        let directory =
+            std::env::var_os(DIRECTORY_VARIABLE).map(PathBuf::from).filter(|directory| directory.is_dir());
+        let Some(directory) = directory else { return Ok(Handover::default()) };
+        let sanitize = |letter: char| if letter.is_ascii_alphanumeric() { letter } else { '-' };
+        let name = instance.chars().map(sanitize).collect::<String>();
+        let file = SharedFile::new(directory.join(format!("quillramp-{name}.json")));
         let current = ProcessIdentity::current();
-        // The other process learns of this one from the file.
+        // The other process reads from the file that this one is the newest.
         let update = file.update(|record| record.set_newest(current));
         let predecessor = update.before.newest();
         let record = update.after.unwrap_or_else(|error| {
             tracing::warn!(
-                "the shared file can't be written, so the next process will not know this one: {error}"
+                "the shared file can't be written, so the next process will not detect this one: {error}"
             );
             let newest_pid = current.pid;
-            let newest_started = current.started;
-            SharedRecord { drained: false, newest_pid, newest_started, ..update.before }
+            let newest_start_ticks = current.start_ticks;
+            SharedRecord { drained: false, newest_pid, newest_start_ticks, ..update.before }
         });
         let file = SharedStateFile { file, predecessor };
         let shared = file.interpret(&record);
-        let (requests, requested) = channel();
-        let thread = StoreThread { file: file.clone(), requests: requested, events, known: shared.clone() };
+        let (requests, receiver) = channel();
+        let thread =
+            StoreThread { file: file.clone(), requests: receiver, events, last_notified: shared.clone() };
         std::thread::Builder::new().name("keep".into()).spawn(move || thread.run())?;
         Ok(Handover { shared, store: Some(SharedStateStore { requests, file }) })
     }
 
-    /// Writes a change; its result follows as an event, with the call that asked for it.
+    /// Saves a change by an operator's call; an event reports the result for that call.
     pub fn write(&self, call: u64, change: AdminChange) {
         self.request(WriteRequest::Change { call, change });
     }
 
-    /// Tells the other process that this one will hold no more descriptors than these.
+    /// Announces to the other process the maximum number of descriptors that this one will hold.
     pub fn announce_descriptor_limit(&self, limit: usize) {
         self.request(WriteRequest::DescriptorLimit(limit));
     }
 
     fn request(&self, request: WriteRequest) {
-        let _ = self.requests.send(request); // the thread lasts as long as the process
+        let _ = self.requests.send(request); // can't fail: the thread runs until the process exits
     }
 }
 
+/// The thread that reads and writes the shared file.
 struct StoreThread {
     file: SharedStateFile,
     requests: Receiver<WriteRequest>,
     events: Arc<EventQueue>,
-    /// What the reducer was last notified of.
-    known: SharedState,
+    /// The shared state that the reducer was last notified of.
+    last_notified: SharedState,
 }
 
 impl StoreThread {
@@ -147,14 +150,14 @@
             record.descriptor_limit = limit;
         };
         if let Err(error) = self.file.file.update(announce).after {
-            tracing::warn!("the limit on descriptors can't be announced to the other process: {error}");
+            tracing::warn!("the descriptor limit can't be announced to the other process: {error}");
         }
     }
 
-    /// Looks for what the other process wrote; a file that can't be read changes nothing.
+    /// Notifies the reducer of changes by the other process; a file that can't be read is ignored.
     fn poll(&mut self) {
         if let Ok(shared) = self.file.read() {
-            if shared != self.known {
+            if shared != self.last_notified {
                 self.notify(None, Ok(shared));
             }
         }
@@ -162,7 +165,7 @@
 
     fn notify(&mut self, call: Option<u64>, shared: Result<SharedState, SharedFileError>) {
         if let Ok(shared) = &shared {
-            self.known.clone_from(shared);
+            self.last_notified.clone_from(shared);
         }
         let shared = shared.map_err(SaveError::new);
         self.events.push_from_thread(Event::SharedStateSaved { call, shared });
--- a/gateway/src/process/logger/line.rs
+++ b/gateway/src/process/logger/line.rs
@@ -1,4 +1,4 @@
-//! One line of the log, in each of the formats.
+//! Formats of a log line.
 use quillramp_operator::log::Format;
 use serde_json::{Map, Value};
 use std::fmt::{self, Write};
@@ -7,22 +7,22 @@
 /// All formats.
 pub const FORMATS: [Format; 3] = [Format::Plain, Format::KeyValue, Format::Json];
 
-/// A line.
+/// A log line.
 pub struct LogLine<'a> {
-    /// Seconds since 1970.
-    pub at: f64,
-    /// The level, in capitals.
+    /// Time of the line, in seconds since 1970.
+    pub unix_seconds: f64,
+    /// The level, in upper case.
     pub level: &'a str,
-    /// How many lines before it were dropped.
-    pub lost: usize,
+    /// Number of lines that were dropped directly before this one.
+    pub dropped_lines: usize,
     /// The text.
     pub text: String,
-    /// What is said besides the text, by name.
+    /// Names and values of the fields, which plain lines don't have.
     pub fields: Vec<(&'static str, Value)>,
 }
 
 impl LogLine<'_> {
-    /// Writes the line, with its end, in this format.
+    /// Writes the line, including its line feed, in a format.
     pub fn write(&self, out: &mut dyn Write, format: Format) -> fmt::Result {
         match format {
             Format::Plain => self.write_plain(out),
@@ -32,50 +32,50 @@
     }
 
     fn write_plain(&self, out: &mut dyn Write) -> fmt::Result {
-        let LogLine { at, level, lost, text, .. } = self;
-        let gap = if *lost > 0 { format!("({lost} lines lost) ") } else { String::new() };
-        writeln!(out, "{at:.3} {level} {gap}{text}")
+        let LogLine { unix_seconds, level, dropped_lines, text, .. } = self;
+        let gap = if *dropped_lines > 0 { format!("({dropped_lines} lines lost) ") } else { String::new() };
+        writeln!(out, "{unix_seconds:.3} {level} {gap}{text}")
     }
 
     fn write_key_values(&self, out: &mut dyn Write) -> fmt::Result {
         let text = Value::from(self.text.as_str());
-        write!(out, "at={:.3} level={} text={text}", self.at, self.level.to_lowercase())?;
+        write!(out, "at={:.3} level={} text={text}", self.unix_seconds, self.level.to_lowercase())?;
         for (name, value) in &self.fields {
             write!(out, " {name}={value}")?;
         }
-        if self.lost > 0 {
-            write!(out, " lost={}", self.lost)?;
+        if self.dropped_lines > 0 {
+            write!(out, " lost={}", self.dropped_lines)?;
         }
         writeln!(out)
     }
 
     fn write_json(&self, out: &mut dyn Write) -> fmt::Result {
-        let milliseconds = (self.at * 1e3).round();
+        let milliseconds = (self.unix_seconds * 1e3).round();
         let mut object = Map::new();
         object.insert("at".into(), (milliseconds / 1e3).into());
         object.insert("level".into(), self.level.to_lowercase().into());
         object.insert("text".into(), self.text.as_str().into());
         object.extend(self.fields.iter().map(|(name, value)| ((*name).to_owned(), value.clone())));
-        if self.lost > 0 {
-            object.insert("lost".into(), self.lost.into());
+        if self.dropped_lines > 0 {
+            object.insert("lost".into(), self.dropped_lines.into());
         }
         writeln!(out, "{}", Value::Object(object))
     }
 }
 
-/// The contents of an event: its text, and its fields where the format has them.
+/// The text of a `tracing` event, and its fields if the format has them.
 #[derive(Default)]
 pub(super) struct RecordedEvent {
-    /// Plain lines have their text and nothing else: fields cost nothing there.
+    /// Whether fields are not recorded, because the format is plain and has none.
     skip_fields: bool,
     /// The text.
     pub text: String,
-    /// The fields, by name.
+    /// Names and values of the fields.
     pub fields: Vec<(&'static str, Value)>,
 }
 
 impl RecordedEvent {
-    /// Nothing recorded yet, for this format.
+    /// Returns an empty record for a format.
     pub fn new(format: Format) -> RecordedEvent {
         RecordedEvent { skip_fields: format == Format::Plain, ..RecordedEvent::default() }
     }
@@ -90,7 +90,7 @@
 impl Visit for RecordedEvent {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
-            let _ = write!(self.text, "{value:?}"); // a string takes everything
+            let _ = write!(self.text, "{value:?}"); // can't fail for a string
         } else {
             self.push(field, || format!("{value:?}").into());
         }
--- a/gateway/src/process/logger/mod.rs
+++ b/gateway/src/process/logger/mod.rs
@@ -1,5 +1,5 @@
-//! The log: lines go through a bounded queue to a thread of their own, so that a slow reader of standard error blocks
-//! nothing. There are three formats; the text of a line is the same in each.
+//! The log, on standard error. A separate thread writes the lines from a bounded queue, so that a slow reader
+//! of standard error blocks nothing else. The text of a line is the same in all three formats.
 mod line;
 
 use line::RecordedEvent;
@@ -20,29 +20,32 @@
 use tracing_subscriber::reload;
 use tracing_subscriber::Layer;
 
-/// How many lines may wait to be written; more are dropped and counted.
-const QUEUE_LINES: usize = 4096;
-/// The prefix of our own targets.
+/// Maximum number of lines that wait to be written; more are dropped and counted.
+const MAX_QUEUED_LINES: usize = 4096;
+/// Prefix of the log targets of this project's crates.
 const OWN_TARGET: &str = "quillramp";
-/// Without an operator's file: lines of our own, and warnings of others'.
+/// Levels without an operator's file: `INFO` for this project's crates, `WARN` for dependencies.
 const DEFAULT_LEVELS: [(&str, Level); 2] = [(OWN_TARGET, Level::INFO), ("", Level::WARN)];
 
 type LevelsHandle = reload::Handle<Targets, tracing_subscriber::Registry>;
 
-/// The format in use, as an index of `FORMATS`.
+/// Index of the current format in `FORMATS`.
 static FORMAT: AtomicUsize = AtomicUsize::new(0);
+/// Handle that replaces the levels of the running log.
 static LEVELS: OnceLock<LevelsHandle> = OnceLock::new();
-/// Ends the thread once all waiting lines are written.
+/// Guard of the writer thread; dropping it writes the queued lines and ends the thread.
 static WRITER_THREAD: Mutex<Option<WorkerGuard>> = Mutex::new(None);
 
-/// The log was started twice.
+/// Error of a log that is started twice.
 #[derive(Debug, thiserror::Error)]
-#[error("log: {0}")]
+#[error("can't start the log: {0}")]
 pub struct LoggerError(#[from] tracing::subscriber::SetGlobalDefaultError);
 
+/// Formats log lines, and reports dropped lines in the line after them.
 struct LineFormatter {
+    /// Counts the dropped lines.
     dropped: ErrorCounter,
-    /// How many of the dropped lines have been reported.
+    /// Number of dropped lines that have been reported.
     reported: AtomicUsize,
 }
 
@@ -60,13 +63,13 @@
         let format = FORMATS[FORMAT.load(Ordering::Relaxed) % FORMATS.len()];
         let mut recorded = RecordedEvent::new(format);
         event.record(&mut recorded);
-        let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+        let unix_seconds = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
         let dropped = self.dropped.dropped_lines();
-        let lost = dropped.saturating_sub(self.reported.swap(dropped, Ordering::Relaxed));
+        let unreported = dropped.saturating_sub(self.reported.swap(dropped, Ordering::Relaxed));
         let line = LogLine {
-            at,
+            unix_seconds,
             level: event.metadata().level().as_str(),
-            lost,
+            dropped_lines: unreported,
             text: recorded.text,
             fields: recorded.fields,
         };
@@ -74,13 +77,15 @@
     }
 }
 
+/// Returns the levels for each target: the defaults, overridden by the operator's settings.
 fn levels(settings: Option<&LogSettings>) -> Targets {
     let mut targets = Targets::new();
     for (target, level) in DEFAULT_LEVELS {
         targets = targets.with_target(target, level);
     }
     for rule in settings.map_or(&[][..], |settings| &settings.levels) {
-        // Checked when the file was read. A level without a prefix is for our own lines.
+        // The level was checked when the file was read. A rule without a prefix applies to this project's
+        // crates.
         let Ok(level) = rule.level.name().parse::<LevelFilter>() else { continue };
         let target = if rule.prefix.is_empty() { OWN_TARGET } else { &rule.prefix };
         targets = targets.with_target(target, level);
@@ -88,11 +93,11 @@
     targets
 }
 
-/// Starts the log. To be called once.
+/// Starts the log. Must be called only once.
 pub fn start() -> Result<(), LoggerError> {
     let (writer, thread) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(QUEUE_LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .thread_name("log")
         .finish(std::io::stderr());
     let formatter = LineFormatter { dropped: writer.error_counter(), reported: AtomicUsize::new(0) };
@@ -100,22 +105,22 @@
     let layer = tracing_subscriber::fmt::layer().event_format(formatter).with_writer(writer).with_ansi(false);
     let subscriber = tracing_subscriber::registry().with(layer.with_filter(filter));
     tracing::subscriber::set_global_default(subscriber)?;
-    let _ = LEVELS.set(handle); // once, as said
+    let _ = LEVELS.set(handle); // can't fail: a second call has already returned an error
     *WRITER_THREAD.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(thread);
     Ok(())
 }
 
-/// Applies the operator's settings of the log; without them, the defaults.
+/// Applies the operator's settings of the log, or the defaults if there are none.
 pub fn configure(settings: Option<&LogSettings>) {
     let format = settings.map_or(Format::Plain, |settings| settings.format);
     let index = FORMATS.iter().position(|other| *other == format).unwrap_or(0);
     FORMAT.store(index, Ordering::Relaxed);
     if let Some(handle) = LEVELS.get() {
-        let _ = handle.reload(levels(settings)); // it fails only once there is no log any more
+        let _ = handle.reload(levels(settings)); // fails only after the log has ended
     }
 }
 
-/// Writes all waiting lines, for a tenth of a second at the most, and ends the log.
+/// Writes all queued lines, for at most a tenth of a second, and ends the log.
 pub fn flush() {
     drop(WRITER_THREAD.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).take());
 }
--- a/gateway/src/process/mod.rs
+++ b/gateway/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The life cycle of the process: configuration, log, signals, and the hand-over to its successor.
+//! The life cycle of the process: configuration, log, signals, and the handover to the next process.
 pub mod check;
 pub mod configuration;
 pub mod descriptors;
--- a/gateway/src/process/operator.rs
+++ b/gateway/src/process/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's file, where the environment names one: read complete, checked against the configuration, and handed to
-//! the state.
+//! Reads the operator's file, which an environment variable may name, and checks it against the
+//! configuration.
 use crate::state::event::OperatorUpdate;
 use quillramp::settings::{InstanceSettings, OfferedOperation};
 use quillramp_operator::routes::{Operation, Platform, Table};
@@ -8,17 +8,18 @@
 use std::io::{Error, Read};
 use std::time::SystemTime;
 
-/// The environment variable that names the file.
+/// Environment variable with the path of the operator's file.
 pub const PATH_VARIABLE: &str = "EDGE_OPERATOR";
-/// How often a file that changes while it is read is read again.
-const MAX_READS: usize = 3;
-/// How much of a file is read: one byte more than it may have shows that it is too long.
+/// Number of attempts to read a file that changes while it is read.
+const MAX_READ_ATTEMPTS: usize = 3;
+/// Maximum length that is read, in bytes: one byte over the maximum of the file, so that a longer file is
+/// recognized.
 const READ_LIMIT: u64 = MAX_FILE_BYTES as u64 + 1;
 
-/// Why the file can't be used.
+/// Error of an operator's file that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{path}: {source}")]
     Read {
         /// The file.
@@ -26,24 +27,24 @@
         /// The file system's error.
         source: Error,
     },
-    /// It did not stand still.
-    #[error("{path}: it changes while it is read")]
+    /// The file changed during every attempt to read it.
+    #[error("{path}: the file changed during each of {MAX_READ_ATTEMPTS} attempts to read it")]
     Unstable {
         /// The file.
         path: String,
     },
-    /// Its contents are wrong; all of that on one line.
+    /// The file's contents are invalid; the message has all diagnostics on one line.
     #[error("{}", diagnostic_lines(path, diagnostics).join("; "))]
     Invalid {
         /// The file.
         path: String,
-        /// All that is wrong.
+        /// The diagnostics.
         diagnostics: Vec<Diagnostic>,
     },
 }
 
 impl OperatorFileError {
-    /// All that is wrong, a line each.
+    /// Returns the error's lines, one for each diagnostic.
     pub fn lines(&self) -> Vec<String> {
         match self {
             OperatorFileError::Invalid { path, diagnostics } => diagnostic_lines(path, diagnostics),
@@ -52,7 +53,8 @@
     }
 }
 
-/// What the configuration allows, for a file to be checked against. `sockets`: the configured file descriptors.
+/// Returns the configured platform, which operator files are checked against. `sockets` is the configured
+/// number of file descriptors.
 pub fn platform(settings: &InstanceSettings, sockets: usize) -> Platform {
     let operation = |offered: &OfferedOperation| Operation {
         name: offered.name.clone(),
@@ -69,25 +71,26 @@
     }
 }
 
-/// What shows that a file has changed.
+/// The metadata that shows whether a file has changed.
 #[derive(PartialEq)]
-struct Version {
+struct FileVersion {
     length: u64,
     modified: Option<SystemTime>,
 }
 
-impl Version {
-    fn of(file: &File) -> Result<Version, Error> {
+impl FileVersion {
+    fn of(file: &File) -> Result<FileVersion, Error> {
         let metadata = file.metadata()?;
-        Ok(Version { length: metadata.len(), modified: metadata.modified().ok() })
+        Ok(FileVersion { length: metadata.len(), modified: metadata.modified().ok() })
     }
 }
 
-/// The text of a file that did not change meanwhile. One that is too long is read as far as that shows.
-pub fn text(path: &str) -> Result<String, OperatorFileError> {
-    for _ in 0..MAX_READS {
+/// Reads the text of a file, and reads it again if it changes meanwhile. Of a file that is too long,
+/// `READ_LIMIT` bytes are read.
+pub fn read_text(path: &str) -> Result<String, OperatorFileError> {
+    for _ in 0..MAX_READ_ATTEMPTS {
         let text =
-            stable_text(path).map_err(|source| OperatorFileError::Read { path: path.into(), source })?;
+            read_stable_text(path).map_err(|source| OperatorFileError::Read { path: path.into(), source })?;
         if let Some(text) = text {
             return Ok(text);
         }
@@ -95,23 +98,24 @@
     Err(OperatorFileError::Unstable { path: path.into() })
 }
 
-/// The text of a file; none if it changed meanwhile.
-fn stable_text(path: &str) -> Result<Option<String>, Error> {
+/// Reads the text of a file; returns `None` if the file changed meanwhile.
+fn read_stable_text(path: &str) -> Result<Option<String>, Error> {
     let mut file = File::open(path)?;
-    let before = Version::of(&file)?;
+    let before = FileVersion::of(&file)?;
     let mut text = String::new();
     (&mut file).take(READ_LIMIT).read_to_string(&mut text)?;
-    // The same name may be another file by now; what was read is complete all the same if this one stood still.
-    let stable = Version::of(&file)? == before && text.len() as u64 == before.length.min(READ_LIMIT);
-    Ok(stable.then_some(text))
+    // The path may name another file by now; the text is complete nevertheless if the opened file has not
+    // changed.
+    let is_stable = FileVersion::of(&file)? == before && text.len() as u64 == before.length.min(READ_LIMIT);
+    Ok(is_stable.then_some(text))
 }
 
-/// All that is wrong, a line each, with the file's name in front.
+/// Formats each diagnostic as a line that starts with the file's path.
 pub fn diagnostic_lines(path: &str, diagnostics: &[Diagnostic]) -> Vec<String> {
     diagnostics.iter().map(|diagnostic| format!("{path}: {diagnostic}")).collect()
 }
 
-/// Reads the file that the environment names; nothing is switched on where none is named.
+/// Reads the file that the environment variable names; returns the defaults if it is not set.
 pub fn read(platform: &Platform) -> Result<OperatorSettings, OperatorFileError> {
     match std::env::var(PATH_VARIABLE) {
         Ok(path) => read_file(&path, Some(platform)),
@@ -119,14 +123,14 @@
     }
 }
 
-/// Reads this file, and checks it against the configuration where there is one.
+/// Reads the file at a path, and checks it against the platform if there is one.
 pub fn read_file(path: &str, platform: Option<&Platform>) -> Result<OperatorSettings, OperatorFileError> {
-    let text = text(path)?;
+    let text = read_text(path)?;
     quillramp_operator::read(&text, platform)
         .map_err(|diagnostics| OperatorFileError::Invalid { path: path.into(), diagnostics })
 }
 
-/// What the state is given of the file.
+/// Converts a file's settings into the update of the gateway's state.
 pub fn operator_update(settings: OperatorSettings, platform: &Platform) -> OperatorUpdate {
     let OperatorSettings { admission, membership_interval, broker, identity, .. } = settings;
     OperatorUpdate {
--- a/gateway/src/process/shared_file.rs
+++ b/gateway/src/process/shared_file.rs
@@ -1,4 +1,5 @@
-//! The file that the processes of one gateway instance share: written complete, renamed, and changed under a lock.
+//! The file that the processes of one gateway instance share. It is replaced atomically, by a rename, and
+//! updated under a lock.
 use super::process_identity::ProcessIdentity;
 use crate::state::shared_state::AdminChange;
 use serde::{Deserialize, Serialize};
@@ -7,18 +8,18 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// How long the lock on the file is waited for. A start waits for it: one process that hangs with the lock must not keep
-/// the next from serving.
+/// Maximum time to wait for the lock. A starting process waits for it, so a process that hangs while it holds
+/// the lock must not keep the next one from serving.
 const LOCK_WAIT: Duration = Duration::from_secs(1);
-/// How often the lock is attempted.
+/// Interval between attempts to take the lock.
 const LOCK_RETRY: Duration = Duration::from_millis(10);
-/// The longest file that is read, in bytes: a longer one is not ours.
+/// Maximum length of the file, in bytes; a longer one was not written by a gateway.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// Why the file can't be read or written.
+/// Error of reading or writing the shared file.
 #[derive(Debug, thiserror::Error)]
 pub enum SharedFileError {
-    /// The file system refuses.
+    /// The file can't be accessed.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file.
@@ -26,29 +27,29 @@
         /// The file system's error.
         source: std::io::Error,
     },
-    /// Another process does not release the lock in time, or there is no locking.
-    #[error("{}: {source}", path.display())]
+    /// Another process did not release the lock in time, or the file system has no locks.
+    #[error("{}: can't take the lock: {source}", path.display())]
     Lock {
-        /// The lock's file.
+        /// The lock file.
         path: PathBuf,
-        /// Why the lock was not taken.
+        /// The reason why the lock was not taken.
         source: TryLockError,
     },
-    /// It is no file that a gateway wrote.
-    #[error("{}: no file of ours", path.display())]
+    /// The path is not a regular file, or the file is too long.
+    #[error("{}: not a file written by a gateway", path.display())]
     NotASharedFile {
         /// The file.
         path: PathBuf,
     },
-    /// Its contents can't be decoded.
+    /// The file's contents can't be decoded.
     #[error("{}: {source}", path.display())]
     Decode {
         /// The file.
         path: PathBuf,
-        /// What is wrong with the JSON.
+        /// The decoder's error.
         source: serde_json::Error,
     },
-    /// Its contents can't be encoded.
+    /// The new contents can't be encoded.
     #[error("{0}")]
     Encode(serde_json::Error),
 }
@@ -57,67 +58,68 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SharedRecord {
-    /// Backends ejected by hand, and since when, in seconds since 1970.
+    /// Names of the backends that operators have ejected, each with the time of its ejection in seconds since
+    /// 1970.
     #[serde(rename = "out")]
     pub ejected_backends: BTreeMap<String, f64>,
-    /// The instance is drained by hand.
+    /// Whether an operator has drained the instance.
     pub drained: bool,
-    /// The newest process.
+    /// Id of the newest process.
     #[serde(rename = "serves")]
     pub newest_pid: u32,
-    /// When the newest process started, in clock ticks: see [`ProcessIdentity`].
+    /// Start time of the newest process, in clock ticks since the machine's boot; see [`ProcessIdentity`].
     #[serde(rename = "since")]
-    pub newest_started: u64,
-    /// The process that is shutting down; 0 for none.
+    pub newest_start_ticks: u64,
+    /// Id of the process that is shutting down; 0 for none.
     #[serde(rename = "leaves")]
     pub leaving_pid: u32,
-    /// How many descriptors the process that is shutting down holds at the most.
+    /// Maximum number of descriptors of the process that is shutting down.
     #[serde(rename = "holds")]
     pub descriptor_limit: usize,
 }
 
 impl SharedRecord {
-    /// The newest process.
+    /// Returns the newest process.
     pub fn newest(&self) -> ProcessIdentity {
-        ProcessIdentity { pid: self.newest_pid, started: self.newest_started }
+        ProcessIdentity { pid: self.newest_pid, start_ticks: self.newest_start_ticks }
     }
 
-    /// Takes this process up as the newest one; a drain by hand ends with that.
+    /// Records a process as the newest one, which ends a drain by an operator.
     pub fn set_newest(&mut self, process: ProcessIdentity) {
         self.drained = false;
         self.newest_pid = process.pid;
-        self.newest_started = process.started;
+        self.newest_start_ticks = process.start_ticks;
         self.leaving_pid = 0;
     }
 }
 
-/// What an update found and what came of it.
+/// The result of an update.
 pub struct Update {
-    /// The contents before.
+    /// The contents before the update.
     pub before: SharedRecord,
-    /// The contents now; an error where they could not be written.
+    /// The contents after the update, or the error of writing them.
     pub after: Result<SharedRecord, SharedFileError>,
 }
 
-/// The shared file, by its path.
+/// The shared file at a path.
 #[derive(Clone)]
 pub struct SharedFile {
     path: PathBuf,
 }
 
 impl SharedFile {
-    /// The file at this path, whether it is there yet or not.
+    /// Returns the file at this path, which need not exist yet.
     pub fn new(path: PathBuf) -> SharedFile {
         SharedFile { path }
     }
 
-    /// Makes an operator's change.
+    /// Saves an operator's change and returns the new contents.
     pub fn apply(&self, change: AdminChange) -> Result<SharedRecord, SharedFileError> {
         self.update(|record| change.apply(&mut record.ejected_backends, &mut record.drained)).after
     }
 
-    /// Reads, changes and writes under a lock: the other process may do so too, and what it wrote meanwhile, an ejection or
-    /// that it takes over, must not be overwritten.
+    /// Reads, changes and writes the contents under a lock, so that a concurrent update by the other process,
+    /// such as an ejection or its own registration as the newest process, is not overwritten.
     pub fn update(&self, change: impl FnOnce(&mut SharedRecord)) -> Update {
         let lock = take_lock(&self.path.with_extension("lock"));
         let before = self.read().unwrap_or_else(ignore_unreadable);
@@ -127,12 +129,12 @@
         Update { before, after }
     }
 
-    /// The contents of the file; the default where there is none.
+    /// Returns the contents of the file, or the default if the file does not exist.
     pub fn read(&self) -> Result<SharedRecord, SharedFileError> {
         match std::fs::metadata(&self.path) {
             Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(SharedRecord::default()),
             Err(error) => return Err(self.io_error(error)),
-            Ok(file) if !file.is_file() || file.len() > MAX_FILE_BYTES => {
+            Ok(attributes) if !attributes.is_file() || attributes.len() > MAX_FILE_BYTES => {
                 return Err(SharedFileError::NotASharedFile { path: self.path.clone() })
             }
             Ok(_) => {}
@@ -142,6 +144,7 @@
         decoded.map_err(|source| SharedFileError::Decode { path: self.path.clone(), source })
     }
 
+    /// Writes a temporary file and renames it to the shared file.
     fn write(&self, record: &SharedRecord) -> Result<(), SharedFileError> {
         let temporary = self.path.with_extension(std::process::id().to_string());
         let text = serde_json::to_vec(record).map_err(SharedFileError::Encode)?;
@@ -155,7 +158,8 @@
     }
 }
 
-/// Takes the lock, which ends with the file that is returned; an error where another process does not release it in time.
+/// Takes the lock, which is released when the returned file is dropped; fails if another process holds it for
+/// too long.
 fn take_lock(path: &Path) -> Result<File, SharedFileError> {
     let file = File::create(path).map_err(|source| SharedFileError::Io { path: path.into(), source })?;
     let deadline = Instant::now() + LOCK_WAIT;
@@ -168,8 +172,8 @@
     }
 }
 
-/// A file that can't be read stops nothing.
+/// Returns the default contents for a file that can't be read, which must not prevent a start or a change.
 fn ignore_unreadable(error: SharedFileError) -> SharedRecord {
-    tracing::warn!("the shared file can't be read and is ignored: {error}");
+    tracing::warn!("the shared file can't be read and is treated as empty: {error}");
     SharedRecord::default()
 }
--- a/gateway/src/process/signals.rs
+++ b/gateway/src/process/signals.rs
@@ -1,5 +1,5 @@
-//! Signals, turned into events on the main thread: SIGTERM (or SIGINT, from a terminal) to shut down, SIGHUP to read the
-//! configuration and the operator's file again.
+//! Handles signals on the main thread and reports them as events: SIGTERM (or SIGINT, from a terminal) shuts
+//! the process down, SIGHUP reloads the configuration and the operator's file.
 use super::configuration::{self, Configuration, ConfigurationError};
 use super::handover::SharedStateFile;
 use super::logger;
@@ -11,17 +11,17 @@
 use signal_hook::iterator::Signals;
 use std::sync::Arc;
 
-/// The handlers could not be installed.
+/// Error of installing the signal handlers.
 #[derive(Debug, thiserror::Error)]
-#[error("signals: {0}")]
+#[error("can't install the signal handlers: {0}")]
 pub struct SignalError(#[from] std::io::Error);
 
-/// Installs the handlers.
+/// Installs the signal handlers.
 pub fn install() -> Result<Signals, SignalError> {
     Ok(Signals::new([SIGTERM, SIGINT, SIGHUP])?)
 }
 
-/// Why nothing was reloaded.
+/// Error of a reload, which leaves the old settings in force.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error(transparent)]
@@ -30,20 +30,21 @@
     Operator(#[from] OperatorFileError),
 }
 
-/// Turns signals into events.
+/// The loop that reports signals as events.
 pub struct SignalLoop {
-    /// The installed handlers.
+    /// The installed signal handlers.
     pub signals: Signals,
-    /// Where the events go.
+    /// The queue of events for the reducer.
     pub events: Arc<EventQueue>,
-    /// What the processes of this instance share.
+    /// The state that the processes of this instance share; `None` if it is not saved.
     pub shared: Option<SharedStateFile>,
-    /// What operators' files are checked against.
+    /// The configured platform that operator files are checked against.
     pub platform: Platform,
 }
 
 impl SignalLoop {
-    /// Waits on the main thread, which may read files; the worker thread ends the process.
+    /// Waits for signals until the worker thread ends the process. Runs on the main thread, which may block
+    /// on files.
     pub fn run(mut self) -> ! {
         for signal in self.signals.forever() {
             if signal == SIGHUP {
@@ -52,12 +53,12 @@
                 shut_down(self.shared.as_ref(), &self.events);
             }
         }
-        unreachable!("signals never end");
+        unreachable!("the iterator over signals never ends");
     }
 }
 
 fn shut_down(shared: Option<&SharedStateFile>, events: &EventQueue) {
-    // The other process may have taken over in this very moment.
+    // A new process may have started since the shared file was last read, and then takes over the listener.
     if let Some(Ok(shared)) = shared.map(SharedStateFile::read) {
         events.push_from_thread(Event::SharedStateSaved { call: None, shared: Ok(shared) });
     }
@@ -65,14 +66,14 @@
 }
 
 fn reload(platform: &Platform, events: &EventQueue) {
-    match read_again(platform) {
+    match read_files(platform) {
         Ok(reloaded) => reloaded.into_iter().for_each(|event| events.push_from_thread(event)),
         Err(error) => events.push_from_thread(Event::ReloadFailed(error.to_string())),
     }
 }
 
-/// Both files, each complete: where one can't be used neither is.
-fn read_again(platform: &Platform) -> Result<[Event; 2], ReloadError> {
+/// Reads the configuration and the operator's file; if either is invalid, neither takes effect.
+fn read_files(platform: &Platform) -> Result<[Event; 2], ReloadError> {
     let Configuration { discovery, counter, .. } = configuration::read()?;
     let operator = operator::read(platform)?;
     logger::configure(operator.log.as_ref());
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the gateway; the main thread then waits for signals.
+//! Starts the gateway. The main thread then waits for signals.
 use quillramp::settings::Loaded;
 use quillramp::settings::SettingsError;
 use quillramp_gateway::process::configuration::{self, Configuration, ConfigurationError};
@@ -23,29 +23,29 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-/// The stack of a connection's coroutine, in words of 8 bytes.
+/// Stack size of a connection's coroutine, in words of 8 bytes.
 const CONNECTION_STACK_WORDS: usize = 0x2000;
-/// The stack of the coroutine that decides, in words of 8 bytes.
+/// Stack size of the driver's coroutine, which runs the reducer, in words of 8 bytes.
 const DRIVER_STACK_WORDS: usize = 0x20000;
-/// Stacks of coroutines that are made at the start and kept for connections to come. Each is mapped, protected and touched
-/// before anything is served, so a start waits for them; the runtime's own figure is 1,000.
-const STACK_POOL: usize = 64;
-/// Bytes of a MiB, as a shift.
+/// Number of coroutine stacks that are allocated at the start and kept for later connections. Each is mapped,
+/// protected and touched before the gateway serves, which delays the start; the runtime's default is 1,000.
+const STACK_POOL_CAPACITY: usize = 64;
+/// Number of bits that converts MiB to bytes by a left shift.
 const MEBIBYTE_SHIFT: usize = 20;
 
-/// Why the gateway does not start.
+/// Error of starting the gateway.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The inherited listening socket can't be used.
     #[error(transparent)]
     InheritedListener(#[from] InheritedListenerError),
-    /// There is no log.
+    /// The log can't be started.
     #[error(transparent)]
     Logger(#[from] LoggerError),
-    /// There is no configuration.
+    /// The configuration can't be read.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The configuration's settings can't be used.
+    /// The configuration's settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The operator's file can't be used.
@@ -54,49 +54,49 @@
     /// Signals can't be handled.
     #[error(transparent)]
     Signals(#[from] SignalError),
-    /// There is no timer.
+    /// The timer can't be created.
     #[error(transparent)]
     Timer(#[from] TimerError),
-    /// Clients can't connect.
+    /// The socket for clients can't be opened.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// Operators can't call.
+    /// The socket for operators' calls can't be opened.
     #[error("mgmt: {0}")]
     ListenForOperators(ListenError),
-    /// Gossip of peers can't be received.
+    /// The socket for gossip can't be opened.
     #[error(transparent)]
     Gossip(#[from] BindError),
-    /// The thread of the shared file can't be made.
+    /// The thread for the shared file can't be started.
     #[error(transparent)]
     SharedStateStore(#[from] StoreThreadError),
-    /// The coroutine that decides can't be made.
+    /// The driver's coroutine can't be started.
     #[error("{0}")]
     Driver(std::io::Error),
 }
 
-/// The contents of the files.
-struct Files {
+/// The contents of the configuration file and the operator's file.
+struct StartupFiles {
     configuration: Configuration,
-    /// Where operators call.
+    /// Address for operators' calls; `None` if they are not served.
     admin: Option<SocketAddr>,
     loaded: Loaded,
     platform: Platform,
     operator: OperatorSettings,
 }
 
-impl Files {
-    fn read() -> Result<Files, StartError> {
+impl StartupFiles {
+    fn read() -> Result<StartupFiles, StartError> {
         let configuration = configuration::read()?;
         let admin = configuration::admin_address(&configuration)?;
         let settings = configuration.settings.get().as_bytes();
         let loaded = quillramp::settings::load(configuration.seed, settings)?;
         let platform = operator::platform(&loaded.instance, configuration.limits.sockets);
         let operator = operator::read(&platform)?;
-        Ok(Files { configuration, admin, loaded, platform, operator })
+        Ok(StartupFiles { configuration, admin, loaded, platform, operator })
     }
 }
 
-/// The sockets that wait for others.
+/// The sockets that wait for clients, operators and peers.
 struct Listeners {
     clients: TcpListener,
     operators: Option<TcpListener>,
@@ -104,7 +104,7 @@
 }
 
 impl Listeners {
-    fn open(inherited: Option<TcpListener>, files: &Files) -> Result<Listeners, StartError> {
+    fn open(inherited: Option<TcpListener>, files: &StartupFiles) -> Result<Listeners, StartError> {
         let shared = inherited.is_some();
         let clients = match inherited {
             Some(listener) => listener,
@@ -117,18 +117,18 @@
     }
 }
 
-/// The coroutines that accept, still to be started.
+/// The acceptors, whose coroutines are not started yet.
 struct Acceptors {
     clients: Acceptor,
     operators: Option<Acceptor>,
 }
 
-/// Starts the gateway, and waits for signals until the process exits.
+/// Starts the gateway and handles signals until the process exits.
 pub fn serve() -> Result<Infallible, StartError> {
-    let inherited = inherited_listener::take()?; // first: its descriptor is not to be taken for something of ours
+    let inherited = inherited_listener::take()?; // before another descriptor can get the same number
     logger::start()?;
     abort_on_panic();
-    let files = Files::read()?;
+    let files = StartupFiles::read()?;
     logger::configure(files.operator.log.as_ref());
     let signals = signals::install()?;
     configure_runtime();
@@ -141,9 +141,9 @@
     let listen = files.configuration.listen;
     let admin = files.admin;
     startup.run(files, events)?;
-    tracing::info!("{name} serves at {listen}");
+    tracing::info!("{name} is listening for clients on {listen}");
     if let Some(admin) = admin {
-        tracing::info!("operators' calls are served at {admin}");
+        tracing::info!("listening for operators' calls on {admin}");
     }
     signal_loop.run()
 }
@@ -152,16 +152,16 @@
     may::config()
         .set_workers(1)
         .set_stack_size(CONNECTION_STACK_WORDS)
-        .set_pool_capacity(STACK_POOL)
+        .set_pool_capacity(STACK_POOL_CAPACITY)
         .set_worker_pin(false);
 }
 
-/// What is ready before anything is served.
+/// The parts of the gateway that are prepared before it serves.
 struct Startup {
-    /// How many descriptors the process may hold.
+    /// Maximum number of file descriptors of the process.
     max_descriptors: usize,
-    /// Another process listens on the same socket.
-    inherits: bool,
+    /// Whether the socket for clients was inherited, so that another process may listen on it too.
+    inherited_listener: bool,
     listeners: Listeners,
     handover: Handover,
     shared: AcceptorContext,
@@ -170,11 +170,11 @@
 impl Startup {
     fn prepare(
         inherited: Option<TcpListener>,
-        files: &Files,
+        files: &StartupFiles,
         events: Arc<EventQueue>,
     ) -> Result<Startup, StartError> {
         let configuration = &files.configuration;
-        let max_descriptors = descriptors::allowed(configuration.limits.sockets);
+        let max_descriptors = descriptors::effective_limit(configuration.limits.sockets);
         let memory_bytes = configuration.limits.memory_mb << MEBIBYTE_SHIFT;
         let max_clients = max_clients(max_descriptors);
         let shared = AcceptorContext {
@@ -182,23 +182,25 @@
             connections: Arc::new(Connections::default()),
             stop_accepting: Arc::new(AtomicBool::new(false)),
         };
-        let inherits = inherited.is_some();
+        let inherited_listener = inherited.is_some();
         let listeners = Listeners::open(inherited, files)?;
-        // Where neither is there, nothing can be changed by hand and no other process takes over.
-        let handover = if inherits || files.admin.is_some() {
+        // Without an inherited listener and operators' calls there is no state to share: operators can't
+        // change anything, and no other process takes over.
+        let handover = if inherited_listener || files.admin.is_some() {
             SharedStateStore::start(&configuration.name, events)?
         } else {
             Handover::default()
         };
-        Ok(Startup { max_descriptors, inherits, listeners, handover, shared })
+        Ok(Startup { max_descriptors, inherited_listener, listeners, handover, shared })
     }
 
-    /// Serves from now on.
-    fn run(self, files: Files, events: Arc<EventQueue>) -> Result<(), StartError> {
+    /// Starts to serve.
+    fn run(self, files: StartupFiles, events: Arc<EventQueue>) -> Result<(), StartError> {
         let clock = Clock::start();
         let reducer = self.new_reducer(files, &clock);
         let listeners = self.listeners;
-        let acceptors = Acceptors::new(listeners.clients, listeners.operators, self.inherits, &self.shared)?;
+        let acceptors =
+            Acceptors::new(listeners.clients, listeners.operators, self.inherited_listener, &self.shared)?;
         let driver = Driver {
             clock,
             context: self.shared.context,
@@ -210,7 +212,7 @@
         start_driver(driver, acceptors, reducer, events)
     }
 
-    fn new_reducer(&self, files: Files, clock: &Clock) -> Reducer {
+    fn new_reducer(&self, files: StartupFiles, clock: &Clock) -> Reducer {
         let configuration = files.configuration;
         let config = ReducerConfig {
             peers: configuration.peers,
@@ -218,7 +220,7 @@
             counter: configuration.counter,
             discovery: configuration.discovery,
             max_descriptors: self.max_descriptors,
-            inherited_listener: self.inherits,
+            inherited_listener: self.inherited_listener,
             admin_enabled: files.admin.is_some(),
             saves_changes: self.handover.store.is_some(),
         };
@@ -230,7 +232,8 @@
     }
 }
 
-/// The runtime would end one coroutine and leave a gateway that does nothing.
+/// Makes a panic abort the process. The runtime would only end the coroutine that panicked, and leave a
+/// gateway that does nothing.
 fn abort_on_panic() {
     std::panic::set_hook(Box::new(|panic| {
         eprintln!("quillramp: {panic}");
@@ -252,8 +255,11 @@
     }
 }
 
-/// Starts the one coroutine that another thread than the worker makes; it makes the others. The worker waits for a second
-/// one that is half in its queue by a spin (`may_queue::mpsc`, `BlockNode::get`), not by a wait.
+/// Starts the driver's coroutine, which starts all others.
+///
+/// It is the only coroutine that a thread other than the worker starts. If another thread were suspended
+/// while it adds a coroutine to the worker's queue, the worker would spin until the coroutine is added
+/// instead of blocking (`may_queue::mpsc`, `BlockNode::get`).
 fn start_driver(
     driver: Driver,
     acceptors: Acceptors,
--- a/gateway/src/sockets/connection/mod.rs
+++ b/gateway/src/sockets/connection/mod.rs
@@ -1,5 +1,4 @@
-//! One TCP connection of any kind: its coroutine reads and decodes input; output is flushed at the end of a
-//! batch.
+//! One TCP connection of any kind. Its coroutine reads and decodes input; output is flushed once per batch.
 mod capacity;
 mod context;
 mod decoding;
--- a/gateway/src/sockets/driver.rs
+++ b/gateway/src/sockets/driver.rs
@@ -1,4 +1,5 @@
-//! Runs the reducer on batches of events, carries out its effects, and flushes each connection once per batch.
+//! Runs the reducer on batches of events, carries out its effects, and flushes each connection once per
+//! batch.
 use super::clock::Clock;
 use super::connection::{Connection, ConnectionContext};
 use super::gossip_socket::GossipSocket;
--- a/gateway/src/wire/mod.rs
+++ b/gateway/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Codecs of the wire formats: pure functions between bytes and typed values. The codec of gossip datagrams is
-//! `quillramp::gossip`.
+//! Codecs of the wire formats: pure functions between bytes and typed values. The codec of gossip datagrams
+//! is `quillramp::gossip`.
 pub mod admin;
 pub mod endpoints;
 pub mod http;
--- a/gateway/tests/handover.rs
+++ b/gateway/tests/handover.rs
@@ -1,4 +1,5 @@
-//! A gateway process and its next version on loopback: both listen on one inherited socket and share a file.
+//! The handover from a gateway process to the next one, on loopback: both inherit one listening socket and
+//! share a file.
 use nix::sys::signal::Signal;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,11 +15,11 @@
     wait_until, GatewayProcess, PING,
 };
 
-/// The file that the processes of one gateway instance share, in their temporary directory.
+/// Name of the file that the processes of one gateway instance share, in the directory that `TMPDIR` names.
 const SHARED_FILE: &str = "quillramp-n0.json";
 
-/// The command that starts a process with this admin address. It knows the backend `s-a`; the configuration and the shared file
-/// are in this directory.
+/// Returns the command that starts a process with this address for operators' calls. The initial endpoint
+/// list has the backend `s-a`; the configuration and the shared file are in this directory.
 fn command(directory: &Path, admin_address: &str) -> Command {
     let configuration =
         include_str!("../../examples/configuration.json").replace("127.0.0.1:7403", "127.0.0.1:0").replace(
@@ -37,13 +38,13 @@
     directory.join("configuration.json")
 }
 
-/// Lets the processes that are started here inherit this descriptor.
+/// Makes child processes inherit this descriptor.
 fn make_inheritable(descriptor: impl AsFd) {
     let no_flags = nix::fcntl::FcntlArg::F_SETFD(nix::fcntl::FdFlag::empty());
     nix::fcntl::fcntl(descriptor, no_flags).expect("an open descriptor");
 }
 
-/// Processes that listen on one socket.
+/// An upgrade: processes of one instance that listen on one socket and share a directory.
 struct Upgrade {
     directory: PathBuf,
     listener: TcpListener,
@@ -57,7 +58,7 @@
         Upgrade { directory: empty_directory(name), listener, address }
     }
 
-    /// Starts a process that accepts connections on the shared socket, and waits until it serves.
+    /// Starts a process that listens on the shared socket, and waits until it serves.
     fn start_process(&self) -> UpgradeProcess {
         let admin_address = unique_address(7404);
         let mut command = command(&self.directory, &admin_address.to_string());
@@ -83,14 +84,14 @@
         admin_call(self.admin_address, request_line)
     }
 
-    /// The log of a process that exits with code 0.
+    /// Waits for the process to exit with code 0, and returns its log.
     fn exit_log(&mut self) -> String {
         assert_eq!(self.process.exit_code(), Some(0));
         self.process.read_log()
     }
 }
 
-/// The status and the body of the response to an admin call.
+/// Returns the status code and the body of the response to an operator's call.
 fn admin_call(address: SocketAddr, request_line: &str) -> String {
     let mut stream = connect_when_listening(address);
     write!(stream, "{request_line} HTTP/1.1\r\nHost: x\r\n\r\n").expect("the gateway reads");
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn the_next_version_takes_over_the_listener_and_the_manual_ejections() {
+fn the_next_process_takes_over_the_listener_and_the_ejections_by_operators() {
     let upgrade = Upgrade::new("takes-over");
     let mut old = upgrade.start_process();
     let (mut active, mut idle) = (upgrade.connect(), upgrade.connect());
@@ -122,9 +123,9 @@
     let new = upgrade.start_process();
     assert!(
         new.admin_call("GET /stats").contains(r#""members":1,"members_unavailable":1"#),
-        "the manual ejection is taken over"
+        "the new process has the operator's ejection"
     );
-    // An admin call at the new process takes effect in the old one too.
+    // An operator's call to the new process takes effect in the old one too.
     assert_eq!(new.admin_call("POST /backends/s-a/ready"), "200 done");
     sleep(Duration::from_millis(300));
     assert!(old.admin_call("GET /stats").contains(r#""members_unavailable":0"#));
@@ -133,7 +134,8 @@
     sleep(Duration::from_millis(100));
     assert!(old.admin_call("GET /healthcheck").starts_with("503"));
     assert_closed(&mut active);
-    // A connection without a command yet is still served, and each new one is accepted by a process that listens.
+    // The old process still serves a connection without a command so far, and new connections are accepted by
+    // the new process.
     for _ in 0..20 {
         assert_eq!(ping(&mut upgrade.connect()), "+PONG");
     }
@@ -144,8 +146,8 @@
     drop(new);
 }
 
-/// Guards: a next version that had exited, and that its parent had not waited for yet, counted as running: on SIGTERM the old
-/// process left the listener to it at once, and nobody accepted.
+/// Guards against a handover to a new process that has exited but is still a zombie. It counted as running,
+/// so the old process stopped accepting on SIGTERM, and no process accepted clients.
 #[test]
 fn the_listener_is_not_handed_over_to_a_process_that_has_exited() {
     let upgrade = Upgrade::new("died");
@@ -155,19 +157,20 @@
     wait_until("the new process has exited", || process_state(new.process.id()) == Some('Z'));
     old.process.signal(Signal::SIGTERM);
     wait_until("the old process drains", || old.admin_call("GET /healthcheck").starts_with("503"));
-    let mut late = upgrade.connect();
-    late.set_read_timeout(Some(Duration::from_secs(5))).expect("an open socket");
-    assert_eq!(ping(&mut late), "-ERR draining", "the old process still accepts");
-    drop((late, new));
+    let mut late_client = upgrade.connect();
+    late_client.set_read_timeout(Some(Duration::from_secs(5))).expect("an open socket");
+    assert_eq!(ping(&mut late_client), "-ERR draining", "the old process still accepts");
+    drop((late_client, new));
     let log = old.exit_log();
     assert!(log.contains("shutting down: serving on") && !log.contains("the next process accepts"), "{log}");
 }
 
-/// Guards: a process with the id of one that had exited long ago counted as the next version.
+/// Guards against a reused process id: an unrelated process with the id of a gateway process that had exited
+/// counted as the next gateway process.
 #[test]
 fn the_listener_is_not_handed_over_to_a_process_with_a_reused_id() {
     let upgrade = Upgrade::new("reused-id");
-    // The id of this test's process, with another start time.
+    // The id of the process that runs this test, with another start time.
     let stale = format!(r#"{{"serves": {}, "since": 1}}"#, std::process::id());
     std::fs::write(upgrade.directory.join(SHARED_FILE), stale).expect("a file");
     let mut only = upgrade.start_process();
@@ -176,7 +179,7 @@
     assert!(!log.contains("another process"), "{log}");
 }
 
-/// The output of a program that fails at startup; it must be a single line.
+/// Runs a program that fails at startup, and returns its output, which must be a single line.
 fn startup_failure(command: &mut Command) -> String {
     let output = command.output().expect("the program starts");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -185,13 +188,13 @@
 }
 
 #[test]
-fn an_invalid_passed_socket_or_admin_address_is_reported_in_one_line() {
+fn an_invalid_inherited_socket_or_admin_address_is_reported_in_one_line() {
     let directory = empty_directory("invalid-passed-socket");
     let file = std::fs::File::create(directory.join("plain")).expect("a file");
     make_inheritable(&file);
     for (descriptor, reason) in [
-        ("x", "is no descriptor"),
-        ("0", "is no descriptor"),
+        ("x", "expected a descriptor number above 2"),
+        ("0", "expected a descriptor number above 2"),
         ("977", "EBADF"),
         (&file.as_raw_fd().to_string(), "non-socket"),
     ] {
--- a/gateway/tests/logger.rs
+++ b/gateway/tests/logger.rs
@@ -1,14 +1,14 @@
-//! The formats of a log line.
+//! Formats of a log line.
 use quillramp_gateway::process::logger::{LogLine, FORMATS};
 
-/// Guards: each format has the same text of the line, and escapes what would end a field.
+/// Guards against a format that changes the text of a line, or does not escape a character that ends a field.
 #[test]
 fn a_line_is_written_in_each_format() {
     let fields = vec![("connection", "backend".into()), ("id", 3u64.into()), ("why", "closed".into())];
     let line = LogLine {
-        at: 1764.12345,
+        unix_seconds: 1764.12345,
         level: "INFO",
-        lost: 2,
+        dropped_lines: 2,
         text: "connection backend 3 s-\"a ended: closed".into(),
         fields,
     };
--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -78,14 +78,14 @@
         &["check", &files.valid],
         expect![[r#"
         0
-        good.toml: well; 1 classes, 1 routes; without a configuration, operations and plans were not looked up
+        good.toml: valid; 1 classes, 1 routes; operations and plans were not checked, because no configuration is given
     "#]],
     );
     assert_output(
         &["check", &files.valid, "--configuration", &files.configuration],
         expect![[r#"
         0
-        good.toml: well; 1 classes, 1 routes
+        good.toml: valid; 1 classes, 1 routes
     "#]],
     );
     assert_output(
