--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Idle clients take all descriptors that are left to them while the list service is down. When it returns, there are still
-//! descriptors for the connections to it, to the counter and to backends.
+//! During an outage of the list service, idle clients take all descriptors that clients may have. After the
+//! outage, descriptors are still left for the connections to the list service, the counter and backends.
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -17,9 +17,10 @@
     limit_descriptors, unique_address, GatewayProcess, ListedBackend, PING,
 };
 
-/// The resource limit of the gateway process.
+/// Limit on the descriptors of the gateway process (`RLIMIT_NOFILE`).
 const DESCRIPTORS: u64 = 160;
-/// More than the gateway admits, so that some client always waits for the next descriptor that is free.
+/// Number of idle clients: more than the gateway admits, so that some client always waits for a free
+/// descriptor.
 const IDLE_CLIENTS: usize = 500;
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -32,7 +33,7 @@
 /// A list service that can be stopped and restarted.
 struct ListService {
     state: Arc<ListServiceState>,
-    /// When each endpoint list was sent after the restart.
+    /// Receives the time of each endpoint list that is sent after the restart.
     lists_sent: Receiver<Instant>,
 }
 
@@ -51,7 +52,7 @@
             let mut reader = BufReader::new(stream.try_clone()?);
             while let Some(target) = target(&mut reader)? {
                 if shared_state.is_down.load(Ordering::SeqCst) {
-                    return Ok(()); // the call is not answered, and its connection ends
+                    return Ok(()); // closes the connection without a response
                 }
                 write_ok(&mut stream, &response_body(&target, &shared_state, &lists, &sender))?;
             }
@@ -71,7 +72,8 @@
     }
 }
 
-/// The endpoint list where the caller does not have it, else a watch event without changes when the watch times out.
+/// Returns the endpoint list if the caller does not have the current one; otherwise an empty change, when the
+/// watch times out.
 fn response_body(
     target: &str,
     state: &ListServiceState,
@@ -82,7 +84,7 @@
     match (state.has_restarted.load(Ordering::SeqCst), known_index) {
         (false, 0) => lists.before_outage.clone(),
         (true, 0 | 1) => {
-            let _ = lists_sent.send(Instant::now()); // the test may be over
+            let _ = lists_sent.send(Instant::now()); // fails if the test is over
             lists.after_outage.clone()
         }
         _ => {
@@ -92,7 +94,8 @@
     }
 }
 
-/// Clients that send nothing and connect again when the gateway closes their connections; they stop at the end of the test.
+/// Clients that send nothing and reconnect when the gateway closes their connections, until the end of the
+/// test.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     connected: Arc<AtomicUsize>,
@@ -129,8 +132,7 @@
     matches!(stream.read(&mut [0]), Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Starts an instance that may have this number of descriptors by its configuration, and `DESCRIPTORS` by the resource limit of
-/// its process.
+/// Starts an instance with this configured number of descriptors and the resource limit `DESCRIPTORS`.
 fn start_with_descriptors(
     name: &str,
     configured: usize,
@@ -151,7 +153,7 @@
     (process, address)
 }
 
-/// A client that sends requests all the time, on one connection.
+/// A client that sends commands continually, on one connection.
 struct ActiveClient {
     stream: BufReader<TcpStream>,
 }
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Sends requests until the list service has sent an endpoint list; returns when that was.
+    /// Sends pings until the list service has sent an endpoint list; returns the time when it was sent.
     fn ping_until_listed(&mut self, list_service: &ListService, restarted_at: Instant) -> Instant {
         while restarted_at.elapsed() < 8 * SECOND {
             self.ping_for(Duration::from_millis(50));
@@ -184,12 +186,12 @@
                 return sent_at;
             }
         }
-        panic!("the list service was not called in 8 s");
+        panic!("the list service has not sent an endpoint list within 8 s of its restart");
     }
 }
 
-/// Idle clients fill the descriptors during an outage of the list service. After it, the backend `b`, which is new, is listed
-/// in time and serves a request.
+/// Fills the descriptors with idle clients during an outage of the list service. Asserts that afterwards the
+/// gateway fetches the endpoint list in time, and that the new backend `b` serves a request.
 fn assert_outage_is_survived_with_idle_clients(name: &str, configured_descriptors: usize) {
     let (list_service, list_service_address) = free_listener();
     let (backend_before, before_address) = free_listener();
@@ -206,27 +208,31 @@
     let mut client = ActiveClient::connect(address);
     client.ping_for(Duration::from_millis(300));
     list_service.stop();
-    // The watch in flight is answered within 2 s. From then on no connection to the service is open.
+    // The watch in flight gets its response within 2 s, after which no connection to the service is open.
     client.ping_for(3 * SECOND);
     let idle_clients = IdleClients::start(address);
     client.ping_for(SECOND);
 
     let restarted_at = list_service.restart();
     let listed_after = client.ping_until_listed(&list_service, restarted_at) - restarted_at;
-    assert!(listed_after < 2 * SECOND, "listed after {listed_after:?}");
+    assert!(
+        listed_after < 2 * SECOND,
+        "the endpoint list was sent {listed_after:?} after the restart, expected less than 2 s"
+    );
     let reply = client.exchange(request("look", 1000).as_bytes());
-    assert_eq!(reply, "b look", "the counter and a new backend have connections");
+    assert_eq!(reply, "b look", "the gateway has connections to the counter and the new backend");
     assert!(idle_clients.connected.load(Ordering::Relaxed) > DESCRIPTORS as usize);
 }
 
-/// Guards: clients were accepted up to the resource limit before the reducer had seen the first of them, and a client that sent
-/// requests all the time was closed to make room.
+/// Guards against clients that use up all descriptors: they were accepted up to the resource limit before the
+/// reducer had handled the first of them, and an active client was closed to free a descriptor.
 #[test]
 fn idle_clients_leave_descriptors_for_the_list_service_the_counter_and_backends() {
     assert_outage_is_survived_with_idle_clients("configured", DESCRIPTORS as usize);
 }
 
-/// Guards: with a resource limit below the configured number, no descriptors were reserved at all.
+/// Guards against a reservation that ignores the resource limit: with a limit below the configured number, no
+/// descriptors were reserved.
 #[test]
 fn descriptors_are_reserved_within_a_resource_limit_below_the_configured_number() {
     assert_outage_is_survived_with_idle_clients("machine", 4 * DESCRIPTORS as usize);
--- a/gateway/tests/shared_file.rs
+++ b/gateway/tests/shared_file.rs
@@ -2,8 +2,9 @@
 use quillramp_gateway::process::shared_file::SharedFile;
 use quillramp_gateway::state::shared_state::AdminChange;
 
-/// Guards: an admin call at the old process that ran at the same time as the start of the new one overwrote the new one's
-/// entry, so that SIGTERM did not hand the listener over; or the start overwrote a manual ejection.
+/// Guards against lost updates between two processes: an operator's call to the old process overwrote the
+/// entry that the new process wrote at its start, so that SIGTERM did not hand over the listener; or the
+/// start overwrote an operator's ejection.
 #[test]
 fn no_change_is_lost_when_several_are_applied_at_the_same_time() {
     const WRITERS: usize = 8;
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The codecs, each message cut at every byte: no prefix decodes to anything, and the complete message always to the same.
+//! The codecs of the wire formats. Each message is decoded at every truncation: no proper prefix is a
+//! complete message, and bytes behind the message don't change the result.
 use expect_test::expect;
 use quillramp::gossip::{self, WireMessage};
 use quillramp::types::InstanceRange;
@@ -7,7 +8,8 @@
 use quillramp_gateway::wire::{endpoints, Decoded, DecodedMessage};
 use std::fmt::Debug;
 
-/// What the message decodes to, and its length; or its error, and after how many bytes that is known.
+/// Formats what the message decodes to with its length, or the error with the number of bytes after which it
+/// is reported.
 fn decoded<T: Debug + PartialEq>(
     decode: fn(&[u8]) -> Decoded<T>,
     message: &str,
@@ -23,9 +25,9 @@
             }
         }
     }
-    let once = decode(bytes);
-    assert_eq!(once, decode(&[bytes, b"*1\r\n"].concat()), "what follows changes nothing");
-    match once {
+    let complete = decode(bytes);
+    assert_eq!(complete, decode(&[bytes, b"*1\r\n"].concat()), "bytes behind the message change nothing");
+    match complete {
         Ok(Some(DecodedMessage { value, length })) => {
             format!("{} in {length} of {} bytes\n", show(&value), bytes.len())
         }
@@ -45,7 +47,7 @@
     })
 }
 
-/// A request without a body, of these items.
+/// Returns a request without a body, with these items.
 fn get_request(customer: &str, id: &str, arguments: &str) -> String {
     let items = [customer, id, arguments].map(|item| format!("${}\r\n{item}\r\n", item.len()));
     format!("*4\r\n$8\r\nCALL.GET\r\n{}", items.concat())
@@ -56,25 +58,25 @@
 
 #[test]
 fn commands_are_decoded_and_requests_encoded_for_backends() {
-    let mut all = command("*1\r\n$4\r\nping\r\n");
+    let mut output = command("*1\r\n$4\r\nping\r\n");
     let arguments = "c=look,d=480,k=z,t=big,units=2.5,spread=3,first=1";
-    all += &command(&get_request(CUSTOMER, REQUEST_ID, arguments));
-    all += &command(
+    output += &command(&get_request(CUSTOMER, REQUEST_ID, arguments));
+    output += &command(
         "*5\r\n$9\r\nCALL.POST\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n\
          $37\r\nc=o,t=b,d=10,units=1,spread=1,first=0\r\n$3\r\n\r\nx\r\n",
     );
-    all += &command("*2\r\n$3\r\nGET\r\n$0\r\n\r\n");
+    output += &command("*2\r\n$3\r\nGET\r\n$0\r\n\r\n");
     expect![[r#"
         Ping in 14 of 14 bytes
         31; forwarded as "*4\r\n$8\r\nCALL.GET\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n$48\r\nc=look,d=77,k=z,t=big,units=2.5,spread=3,first=1\r\n" in 120 of 120 bytes
         31; forwarded as "*5\r\n$9\r\nCALL.POST\r\n$16\r\n000000000000001f\r\n$16\r\n9b1f03aa5c7e2d41\r\n$37\r\nc=o,t=b,d=77,units=1,spread=1,first=0\r\n$3\r\n\r\nx\r\n" in 118 of 118 bytes
         Invalid("unknown command") in 19 of 19 bytes
-    "#]].assert_eq(&all);
+    "#]].assert_eq(&output);
 }
 
 #[test]
-fn requests_with_invalid_arguments_are_complete_and_say_what_is_wrong() {
-    let mut all = String::new();
+fn requests_with_invalid_arguments_are_decoded_as_invalid_with_the_reason() {
+    let mut output = String::new();
     for arguments in [
         "c=o,t=b,units=1,spread=1,first=0",
         "c=o,d=1,units=1,spread=1,first=0",
@@ -89,7 +91,7 @@
         "c=o,t=b,d=1,units=1,spread=1.5,first=0",
         "c=o,t=b,d=1,units=1,spread=1,first=99999999999999999999",
     ] {
-        all += &command(&get_request(CUSTOMER, REQUEST_ID, arguments));
+        output += &command(&get_request(CUSTOMER, REQUEST_ID, arguments));
     }
     expect![[r#"
         Invalid("d is missing") in 103 of 103 bytes
@@ -105,12 +107,12 @@
         Invalid("spread: expected a whole number") in 109 of 109 bytes
         Invalid("first: expected a whole number") in 126 of 126 bytes
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
 #[test]
-fn requests_with_an_invalid_customer_or_id_are_complete_and_say_what_is_wrong() {
-    let mut all = String::new();
+fn requests_with_an_invalid_customer_or_id_are_decoded_as_invalid_with_the_reason() {
+    let mut output = String::new();
     for (customer, id) in [
         ("1f", REQUEST_ID),
         ("0000000200000000", REQUEST_ID),
@@ -118,7 +120,7 @@
         (CUSTOMER, ""),
         (CUSTOMER, "9b1f03aa5c7e2d4 "),
     ] {
-        all += &command(&get_request(customer, id, "c=o,t=b,d=1,units=1,spread=1,first=0"));
+        output += &command(&get_request(customer, id, "c=o,t=b,d=1,units=1,spread=1,first=0"));
     }
     expect![[r#"
         Invalid("customer: expected 16 hex digits, below 2^33") in 92 of 92 bytes
@@ -127,20 +129,20 @@
         Invalid("id: expected 16 hex digits") in 90 of 90 bytes
         Invalid("id: expected 16 hex digits") in 107 of 107 bytes
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
 #[test]
 fn commands_with_broken_framing_are_protocol_errors() {
-    let mut all = String::new();
+    let mut output = String::new();
     for malformed in
         ["PING\r\n", "*1\r\n:1\r\n", "*1\r\n$x\r\n", "*1\r\n$-2\r\n", "*1\r\n$1\r\nab\r\n", "*99\r\n"]
     {
-        all += &command(malformed);
+        output += &command(malformed);
     }
-    all += &command("*1\r\n$65537\r\n");
-    all += &command("*1\n");
-    all += &command(&format!("*5\r\n{0}{0}", format!("$40000\r\n{}\r\n", "x".repeat(40000))));
+    output += &command("*1\r\n$65537\r\n");
+    output += &command("*1\n");
+    output += &command(&format!("*5\r\n{0}{0}", format!("$40000\r\n{}\r\n", "x".repeat(40000))));
     expect![[r#"
         after 1 bytes: ProtocolError("expected an array of bulk strings")
         ProtocolError("expected a bulk string")
@@ -152,7 +154,7 @@
         ProtocolError("line without CR")
         after 69633 bytes: ProtocolError("message over 64 KiB")
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
 fn backend_reply(message: &str) -> String {
@@ -161,7 +163,7 @@
 
 #[test]
 fn replies_with_a_value_are_decoded_with_their_usage_and_load_report() {
-    let mut all = String::new();
+    let mut output = String::new();
     for message in [
         "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n",
         "*3\r\n$1\r\nv\r\n$16\r\nused=40,cost=2.5\r\n$-1\r\n",
@@ -175,7 +177,7 @@
         "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
         "*-1\r\n",
     ] {
-        all += &backend_reply(message);
+        output += &backend_reply(message);
     }
     expect![[r#"
         Value { value: [118], billed_units: None, load_report: None } in 21 of 21 bytes
@@ -190,12 +192,12 @@
         after 9 bytes: ProtocolError("null value in a reply")
         ProtocolError("expected a value, usage figures and a load report")
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
 #[test]
 fn error_replies_are_decoded_and_replies_of_other_types_are_protocol_errors() {
-    let mut all = String::new();
+    let mut output = String::new();
     for message in [
         "-ERR failed inflight=7\r\n",
         "-BUSY\r\n",
@@ -207,7 +209,7 @@
         "$1\r\nx\r\n",
         "?\r\n",
     ] {
-        all += &backend_reply(message);
+        output += &backend_reply(message);
     }
     expect![[r#"
         Failed in 24 of 24 bytes
@@ -220,12 +222,12 @@
         after 1 bytes: ProtocolError("unknown reply type")
         after 1 bytes: ProtocolError("unknown reply type")
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
 #[test]
 fn client_replies_are_encoded() {
-    let mut all = String::new();
+    let mut output = String::new();
     let value = ClientReply::Value(b"a\r\nb".to_vec());
     for reply in [
         ClientReply::Pong,
@@ -235,7 +237,7 @@
     ] {
         let mut out = vec![];
         reply.encode(&mut out);
-        all += &format!("{:?}\n", String::from_utf8_lossy(&out));
+        output += &format!("{:?}\n", String::from_utf8_lossy(&out));
     }
     expect![[r#"
         "+PONG\r\n"
@@ -243,7 +245,7 @@
         "-BUSY\r\n"
         "-ERR no\r\n"
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
 fn http_response(message: &str) -> String {
@@ -259,7 +261,7 @@
 
 #[test]
 fn http_responses_are_decoded() {
-    let mut all = String::new();
+    let mut output = String::new();
     for message in [
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n12.5",
         "HTTP/1.1 503 Full\r\ncontent-length: 0\r\nConnection: close\r\n\r\n",
@@ -269,7 +271,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
         "SMTP\r\n\r\n",
     ] {
-        all += &http_response(message);
+        output += &http_response(message);
     }
     expect![[r#"
         200 "12.5" in 42 of 42 bytes
@@ -280,7 +282,7 @@
         ProtocolError("response body over 4 MiB")
         after 1 bytes: ProtocolError("not an HTTP response")
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
 #[test]
@@ -290,12 +292,12 @@
     Request::AddToCounter { key: "5.1".into(), add: -2.5, expire_ms: 45000 }.encode(host, &mut out);
     Request::WatchEndpoints { since: 41, wait_ms: 20000 }.encode(host, &mut out);
     Request::FetchEndpoints.encode(host, &mut out);
-    let all = String::from_utf8_lossy(&out).replace("\r\n", "|");
+    let output = String::from_utf8_lossy(&out).replace("\r\n", "|");
     expect![[r#"
-        POST /counters/5.1?by=-2.5&expire_ms=45000 HTTP/1.1|Host: 127.0.0.1:80|Content-Length: 0||GET /v1/endpoints?since=41&timeout_ms=20000 HTTP/1.1|Host: 127.0.0.1:80||GET /v1/endpoints HTTP/1.1|Host: 127.0.0.1:80||"#]].assert_eq(&all);
+        POST /counters/5.1?by=-2.5&expire_ms=45000 HTTP/1.1|Host: 127.0.0.1:80|Content-Length: 0||GET /v1/endpoints?since=41&timeout_ms=20000 HTTP/1.1|Host: 127.0.0.1:80||GET /v1/endpoints HTTP/1.1|Host: 127.0.0.1:80||"#]].assert_eq(&output);
 }
 
-/// An endpoint list, or the text of its error.
+/// Decodes an endpoint list; the error is its text.
 fn decode_list(text: &str) -> Result<endpoints::EndpointList, String> {
     endpoints::decode(text.as_bytes()).map_err(|error| error.to_string())
 }
@@ -304,33 +306,33 @@
 fn endpoint_lists_are_decoded() {
     let entry = r#"{"name":"s","address":"127.0.0.1:1","zone":"a","group":3,"status":"DRAINING","weight":1,"since_ms":5}"#;
     let list = format!(r#"{{"index":4,"snapshot":false,"endpoints":[{entry}]}}"#);
-    let mut all = format!("{:?}\n", decode_list(&list));
-    all += &format!("{:?}\n", decode_list(&list.replace("DRAINING", "GONE")));
+    let mut output = format!("{:?}\n", decode_list(&list));
+    output += &format!("{:?}\n", decode_list(&list.replace("DRAINING", "GONE")));
     expect![[r#"
         Ok(EndpointList { index: 4, snapshot: false, endpoints: [ListedEndpoint { name: "s", address: 127.0.0.1:1, zone: "a", group: 3, status: Draining, weight: 1.0, since_ms: 5.0 }] })
         Err("invalid endpoint list: unknown status 'GONE' at line 1 column 113")
-    "#]].assert_eq(&all);
+    "#]].assert_eq(&output);
 }
 
 #[test]
 fn datagrams_are_decoded_as_they_were_encoded() {
-    let mut all = String::new();
+    let mut output = String::new();
     let instances = InstanceRange { first: 2, count: 3 };
     let total =
         WireMessage::CounterTotal { customer: 1 << 32 | 9, plan: 1, instances, series: 7, total: 2.5 };
     for message in [WireMessage::BackendRecovered(b"s-5be2a07c".to_vec()), total] {
         let body = gossip::encode(&message);
         assert_eq!(gossip::decode(&body), Some(message));
-        all += &format!("{} bytes; cut short: {:?}\n", body.len(), gossip::decode(&body[..1]));
+        output += &format!("{} bytes; cut short: {:?}\n", body.len(), gossip::decode(&body[..1]));
     }
     expect![[r#"
         11 bytes; cut short: None
         19 bytes; cut short: None
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
-/// The settings name the values of a load report; others, and what is no number, are ignored.
+/// The settings name the fields of a load report. Other fields, and values that are not numbers, are ignored.
 #[test]
 fn load_report_fields_are_named_by_the_settings() {
     let example = include_str!("../../examples/configuration.json");
@@ -341,20 +343,20 @@
             .map(|loaded| loaded.instance.load_report_fields)
             .map_err(|error| error.to_string())
     };
-    let names =
+    let fields =
         load_report_fields(r#"{"source": "piggyback", "fields": ["load_share", "mean_ms", "colour"]}"#);
-    let names = names.expect("valid settings");
-    let mut all = String::new();
+    let fields = fields.expect("valid settings");
+    let mut output = String::new();
     for text in ["mean_ms=40,load_share=0.5,colour=3", "load_share=x,mean_ms=-1", "depth=2"] {
         let report =
-            quillramp::settings::load_report(&names, |_, name| resp::find_number(text.as_bytes(), name));
-        all += &format!(
+            quillramp::settings::load_report(&fields, |_, name| resp::find_number(text.as_bytes(), name));
+        output += &format!(
             "{:?}\n",
             report.map(|report| (report.cpu_utilization, report.service_time, report.queued))
         );
     }
-    all += &format!("{:?}\n", load_report_fields(r#"{"source": "silent", "fields": ["depth"]}"#));
-    all += &format!("{:?}\n", load_report_fields(r#"{"source": "loud"}"#));
+    output += &format!("{:?}\n", load_report_fields(r#"{"source": "silent", "fields": ["depth"]}"#));
+    output += &format!("{:?}\n", load_report_fields(r#"{"source": "loud"}"#));
     expect![[r#"
         Some((Some(0.5), Some(0.04), None))
         None
@@ -362,10 +364,10 @@
         Ok([])
         Err("settings: feedback.source: unknown value 'loud'")
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&output);
 }
 
-/// Guards: operators' calls arrive in pieces, are too long or are malformed.
+/// Guards against wrong decoding of operators' calls that arrive in parts, are too long or are malformed.
 #[test]
 fn admin_calls_are_decoded_once_complete_and_invalid_ones_have_a_status() {
     use quillramp_gateway::wire::admin::{decode_call, AdminCall};
--- a/gateway/tests/write_buffer.rs
+++ b/gateway/tests/write_buffer.rs
@@ -1,7 +1,8 @@
-//! The output buffer of a connection: which messages can be withdrawn, and that the others stay complete.
+//! The write buffer of a connection: a message can be withdrawn until a byte of it is written, and the others
+//! stay complete.
 use quillramp_gateway::state::write_buffer::WriteBuffer;
 
-/// Three messages of four bytes each.
+/// Returns a buffer with three messages of four bytes each, numbered 7, 8 and 9.
 fn buffer_with_three_messages() -> WriteBuffer {
     let mut buffer = WriteBuffer::default();
     for (number, text) in [(7, b"aaaa"), (8, b"bbbb"), (9, b"cccc")] {
