--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -30,7 +30,7 @@
 /// Number of coroutine stacks that are allocated at the start and kept for later connections. Each is mapped,
 /// protected and touched before the gateway serves, which delays the start; the runtime's default is 1,000.
 const STACK_POOL_CAPACITY: usize = 64;
-/// Number of bits that converts MiB to bytes by a left shift.
+/// Left shift that converts MiB to bytes, in bits.
 const MEBIBYTE_SHIFT: usize = 20;
 
 /// Error of starting the gateway.
@@ -194,7 +194,7 @@
         Ok(Startup { max_descriptors, inherited_listener, listeners, handover, shared })
     }
 
-    /// Starts to serve.
+    /// Starts to serve clients, operators and peers.
     fn run(self, files: StartupFiles, events: Arc<EventQueue>) -> Result<(), StartError> {
         let clock = Clock::start();
         let reducer = self.new_reducer(files, &clock);
