--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -145,7 +145,7 @@
         .replace("127.0.0.1:7400", &address.to_string())
         .replace("\"sockets\": 1024", &format!("\"sockets\": {configured}"));
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("descriptors-{name}.json"));
-    std::fs::write(&file, configuration).expect("a file");
+    std::fs::write(&file, configuration).expect("the configuration file is written");
     let mut command = gateway_command(&file);
     limit_descriptors(&mut command, DESCRIPTORS);
     let process = GatewayProcess::spawn(command.stderr(Stdio::null()));
@@ -166,8 +166,8 @@
     }
 
     fn exchange(&mut self, request: &[u8]) -> String {
-        self.stream.get_mut().write_all(request).expect("the gateway reads");
-        read_reply(&mut self.stream).expect("a reply")
+        self.stream.get_mut().write_all(request).expect("the gateway accepts input");
+        read_reply(&mut self.stream).expect("the gateway replies")
     }
 
     fn ping_for(&mut self, duration: Duration) {
--- a/gateway/tests/handover.rs
+++ b/gateway/tests/handover.rs
@@ -28,7 +28,7 @@
             "status": "SERVING", "weight": 1.0, "since_ms": 0}]"#,
         );
     let file = configuration_file(directory);
-    std::fs::write(&file, configuration).expect("a file");
+    std::fs::write(&file, configuration).expect("the configuration file is written");
     let mut command = gateway_command(&file);
     command.env("TMPDIR", directory).env("EDGE_MGMT", admin_address).stderr(Stdio::piped());
     command
@@ -94,22 +94,22 @@
 /// Returns the status code and the body of the response to an operator's call.
 fn admin_call(address: SocketAddr, request_line: &str) -> String {
     let mut stream = connect_when_listening(address);
-    write!(stream, "{request_line} HTTP/1.1\r\nHost: x\r\n\r\n").expect("the gateway reads");
+    write!(stream, "{request_line} HTTP/1.1\r\nHost: x\r\n\r\n").expect("the gateway accepts input");
     let mut response = String::new();
-    stream.read_to_string(&mut response).expect("the response ends");
+    stream.read_to_string(&mut response).expect("the response is complete");
     let status = response.split(' ').nth(1).unwrap_or("none").to_owned();
     status + " " + response.split("\r\n\r\n").nth(1).unwrap_or("").trim()
 }
 
 fn ping(stream: &mut TcpStream) -> String {
-    stream.write_all(PING).expect("the gateway reads");
+    stream.write_all(PING).expect("the gateway accepts input");
     let mut reply = [0; 64];
-    let length = stream.read(&mut reply).expect("a reply");
+    let length = stream.read(&mut reply).expect("the gateway replies");
     String::from_utf8_lossy(&reply[..length]).trim().to_owned()
 }
 
 fn assert_closed(stream: &mut TcpStream) {
-    assert_eq!(stream.read(&mut [0]).expect("an end, not a reset"), 0);
+    assert_eq!(stream.read(&mut [0]).expect("the connection is closed without a reset"), 0);
 }
 
 #[test]
@@ -172,7 +172,7 @@
     let upgrade = Upgrade::new("reused-id");
     // The id of the process that runs this test, with another start time.
     let stale = format!(r#"{{"serves": {}, "since": 1}}"#, std::process::id());
-    std::fs::write(upgrade.directory.join(SHARED_FILE), stale).expect("a file");
+    std::fs::write(upgrade.directory.join(SHARED_FILE), stale).expect("the shared file is written");
     let mut only = upgrade.start_process();
     only.process.signal(Signal::SIGTERM);
     let log = only.exit_log();
@@ -190,7 +190,7 @@
 #[test]
 fn an_invalid_inherited_socket_or_admin_address_is_reported_in_one_line() {
     let directory = empty_directory("invalid-passed-socket");
-    let file = std::fs::File::create(directory.join("plain")).expect("a file");
+    let file = std::fs::File::create(directory.join("plain")).expect("a regular file is created");
     make_inheritable(&file);
     for (descriptor, reason) in [
         ("x", "expected a descriptor number above 2"),
@@ -211,12 +211,13 @@
 #[test]
 fn an_unreadable_shared_file_does_not_prevent_a_start_and_admin_calls_are_answered() {
     let directory = empty_directory("unreadable-shared-file");
-    std::fs::write(directory.join(SHARED_FILE), "{\"out\": 3").expect("a file");
+    std::fs::write(directory.join(SHARED_FILE), "{\"out\": 3").expect("the shared file is written");
     let (admin_address, address) = (unique_address(7404), unique_address(7400));
     let mut command = command(&directory, &admin_address.to_string());
     let file = configuration_file(&directory);
-    let configuration = std::fs::read_to_string(&file).expect("the configuration");
-    std::fs::write(&file, configuration.replace("127.0.0.1:7400", &address.to_string())).expect("a file");
+    let configuration = std::fs::read_to_string(&file).expect("the configuration file is read");
+    std::fs::write(&file, configuration.replace("127.0.0.1:7400", &address.to_string()))
+        .expect("the configuration file is written");
     let _process = GatewayProcess::spawn(&mut command);
     assert_eq!(admin_call(admin_address, "GET /healthcheck"), "200 serving");
     assert!(admin_call(admin_address, "POST /backends/s-b/maint").starts_with("404"));
--- a/gateway/tests/shared_file.rs
+++ b/gateway/tests/shared_file.rs
@@ -17,13 +17,14 @@
             scope.spawn(move || {
                 for change in 0..CHANGES {
                     let name = format!("{writer}-{change}");
-                    file.apply(AdminChange::EjectBackend { name, since: 0.0 }).expect("the file is written");
+                    file.apply(AdminChange::EjectBackend { name, since: 0.0 })
+                        .expect("the shared file is written");
                 }
             });
         }
     });
-    let ejected = file.read().expect("a valid file").ejected_backends.len();
+    let ejected = file.read().expect("the shared file is valid").ejected_backends.len();
     let _ = std::fs::remove_file(path.with_extension("lock"));
-    std::fs::remove_file(path).expect("a file");
+    std::fs::remove_file(path).expect("the shared file exists");
     assert_eq!(ejected, WRITERS * CHANGES);
 }
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -288,7 +288,7 @@
 #[test]
 fn http_requests_are_encoded() {
     let mut out = vec![];
-    let host = "127.0.0.1:80".parse().expect("an address");
+    let host = "127.0.0.1:80".parse().expect("a valid address");
     Request::AddToCounter { key: "5.1".into(), add: -2.5, expire_ms: 45000 }.encode(host, &mut out);
     Request::WatchEndpoints { since: 41, wait_ms: 20000 }.encode(host, &mut out);
     Request::FetchEndpoints.encode(host, &mut out);
@@ -336,7 +336,8 @@
 #[test]
 fn load_report_fields_are_named_by_the_settings() {
     let example = include_str!("../../examples/configuration.json");
-    let configuration = quillramp_gateway::process::configuration::decode(example.as_bytes()).expect("valid");
+    let configuration = quillramp_gateway::process::configuration::decode(example.as_bytes())
+        .expect("a valid example configuration");
     let load_report_fields = |feedback: &str| {
         let settings = configuration.settings.get().replacen('{', &format!("{{\"feedback\": {feedback},"), 1);
         quillramp::settings::load(1, settings.as_bytes())
