--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -115,8 +115,10 @@
     /// Sends the next request on an established connection.
     pub(super) fn send_watch(&mut self, connection: ConnectionId) {
         let wait_ms = if self.discovery.is_unresponsive { 1 } else { (MAX_WATCH_SECONDS * 1e3) as u64 };
-        let request =
-            self.discovery.version.map_or(Request::List, |since| Request::WatchEndpoints { since, wait_ms });
+        let request = self
+            .discovery
+            .version
+            .map_or(Request::FetchEndpoints, |since| Request::WatchEndpoints { since, wait_ms });
         self.effects.push(Effect::HttpRequest { connection, request });
     }
 
--- a/gateway/tests/shared_file.rs
+++ b/gateway/tests/shared_file.rs
@@ -2,8 +2,9 @@
 use quillramp_gateway::process::shared_file::SharedFile;
 use quillramp_gateway::state::shared_state::AdminChange;
 
-/// Guards: an admin call at the old process that ran at the same time as the start of the new one overwrote the new one's
-/// entry, so that SIGTERM did not hand the listener over; or the start overwrote a manual ejection.
+/// Guards against lost updates between two processes: an operator's call to the old process overwrote the
+/// entry that the new process wrote at its start, so that SIGTERM did not hand over the listener; or the
+/// start overwrote an operator's ejection.
 #[test]
 fn no_change_is_lost_when_several_are_applied_at_the_same_time() {
     const WRITERS: usize = 8;
@@ -16,13 +17,14 @@
             scope.spawn(move || {
                 for change in 0..CHANGES {
                     let name = format!("{writer}-{change}");
-                    file.apply(AdminChange::EjectBackend { name, since: 0.0 }).expect("the file is written");
+                    file.apply(AdminChange::EjectBackend { name, since: 0.0 })
+                        .expect("the shared file is written");
                 }
             });
         }
     });
-    let ejected = file.read().expect("a valid file").ejected_backends.len();
+    let ejected = file.read().expect("the shared file is valid").ejected_backends.len();
     let _ = std::fs::remove_file(path.with_extension("lock"));
-    std::fs::remove_file(path).expect("a file");
+    std::fs::remove_file(path).expect("the shared file exists");
     assert_eq!(ejected, WRITERS * CHANGES);
 }
