--- a/emulator/src/arguments.rs
+++ b/emulator/src/arguments.rs
@@ -1,7 +1,7 @@
 //! The command line.
 use clap::{Args, Parser, Subcommand};
 use quillramp_emulator::fleet_study::FleetScenario;
-use quillramp_emulator::gateway_process::Sabotage;
+use quillramp_emulator::gateway_process::InjectedDefect;
 use quillramp_emulator::quota_study::CounterFault;
 use std::path::PathBuf;
 
@@ -72,7 +72,7 @@
     pub trace: usize,
     /// Break the gateway in this way, to see that the check finds it [default: not broken]
     #[arg(long = "break", value_name = "BREAK", value_enum)]
-    pub sabotage: Option<Sabotage>,
+    pub defect: Option<InjectedDefect>,
 }
 
 /// The arguments of `sweep`.
@@ -95,7 +95,7 @@
     pub out: Option<PathBuf>,
     /// Break the gateway in this way, to see that the check finds it [default: not broken]
     #[arg(long = "break", value_name = "BREAK", value_enum)]
-    pub sabotage: Option<Sabotage>,
+    pub defect: Option<InjectedDefect>,
 }
 
 /// The arguments of `shrink`.
@@ -115,7 +115,7 @@
     pub out: Option<PathBuf>,
     /// Break the gateway in this way, to see that the check finds it [default: not broken]
     #[arg(long = "break", value_name = "BREAK", value_enum)]
-    pub sabotage: Option<Sabotage>,
+    pub defect: Option<InjectedDefect>,
 }
 
 /// The arguments of `grow`.
--- a/emulator/src/commands.rs
+++ b/emulator/src/commands.rs
@@ -67,10 +67,10 @@
         Command::Run { scenario, seed, options } => {
             let scenario = read_scenario(&scenario)?;
             let scenario = Scenario { seed: seed.unwrap_or(scenario.seed), ..scenario };
-            Ok(print_report(&simulate(&scenario, options.sabotage), options.trace))
+            Ok(print_report(&simulate(&scenario, options.defect), options.trace))
         }
         Command::Replay { seed, options } => {
-            let report = simulate(&Scenario::generate(seed), options.sabotage);
+            let report = simulate(&Scenario::generate(seed), options.defect);
             Ok(print_report(&report, options.trace))
         }
         Command::Draw { seed } => {
@@ -101,7 +101,7 @@
 }
 
 fn run_sweep(arguments: SweepArguments) -> CommandResult {
-    let SweepArguments { from, runs, threads, max_violations, out, sabotage } = arguments;
+    let SweepArguments { from, runs, threads, max_violations, out, defect } = arguments;
     let start = Instant::now();
     let interval = (runs / PROGRESS_LINES).max(1);
     let progress = |done: u64| {
@@ -113,7 +113,7 @@
         seeds: from..from.saturating_add(runs),
         threads,
         max_violations: max_violations.max(1),
-        sabotage,
+        defect,
     };
     let reports = sweep::sweep(&options, &progress);
     let seconds = start.elapsed().as_secs_f64();
@@ -131,7 +131,7 @@
         Some(path) => read_scenario(path)?,
         None => Scenario::generate(arguments.seed.unwrap_or(0)),
     };
-    let Some(smaller) = shrinker::shrink(&scenario, arguments.sabotage, arguments.max_runs) else {
+    let Some(smaller) = shrinker::shrink(&scenario, arguments.defect, arguments.max_runs) else {
         print("no invariant is violated: nothing to shrink");
         return Ok(ExitCode::SUCCESS);
     };
--- a/emulator/src/deployment.rs
+++ b/emulator/src/deployment.rs
@@ -2,7 +2,7 @@
 //! that a run of it is checked against.
 use crate::checker::{Ceiling, CheckedLimits, OperationSpec, QuotaLimit, SlowStartLimit};
 use crate::clients::KNOWN_NETWORK;
-use crate::gateway_process::Sabotage;
+use crate::gateway_process::InjectedDefect;
 use crate::scenario::World;
 use quillramp::types::{Idempotency, KeyScope};
 use quillramp_admission::Limits;
@@ -88,8 +88,8 @@
 ];
 
 /// The configuration of a gateway instance of this world, as the gateway reads it. `slot_no` is left at 0.
-pub fn gateway_settings(world: &World, sabotage: Option<Sabotage>) -> Value {
-    let excess = if sabotage == Some(Sabotage::ExceedsCeilings) { EXCESS_FACTOR } else { 1.0 };
+pub fn gateway_settings(world: &World, defect: Option<InjectedDefect>) -> Value {
+    let excess = if defect == Some(InjectedDefect::ExceedsCeilings) { EXCESS_FACTOR } else { 1.0 };
     let classes: Vec<Value> = operations().iter().map(operation_settings).collect();
     let tariffs: Vec<Value> = PLANS.iter().map(|plan| plan_settings(plan, excess)).collect();
     let zones: Vec<String> = (0..world.zones).map(|zone| format!("z{zone}")).collect();
--- a/emulator/src/gateway_process/effects.rs
+++ b/emulator/src/gateway_process/effects.rs
@@ -70,7 +70,7 @@
     fn respond(&mut self, ctx: &mut Context, client: u64, response: ClientReply) {
         let dropped = self.drops_response(ctx);
         let duplicated = self.duplicates_response(ctx);
-        let response = self.tampered_response(response);
+        let response = self.altered_response(response);
         let connection = self.connections.get_mut(&ConnectionId::Client(client));
         let Some(connection) = connection.filter(|_| !dropped) else { return };
         response.encode(connection.write_buffer.buffer());
--- a/emulator/src/gateway_process/inbound.rs
+++ b/emulator/src/gateway_process/inbound.rs
@@ -128,7 +128,7 @@
         }
         self.forward_stream(ctx, stream_to, &mut input.streamed);
         for event in input.events {
-            let event = self.tampered_event(event);
+            let event = self.altered_event(event);
             self.deliver_event(ctx, event);
         }
         if let Err(reason) = decoded {
--- a/emulator/src/gateway_process/sabotage.rs
+++ b/emulator/src/gateway_process/injected_defect.rs
@@ -8,7 +8,7 @@
 
 /// How a gateway process is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Sabotage {
+pub enum InjectedDefect {
     /// One answer in fifty is never written.
     #[value(name = "swallows-answers")]
     DropsResponses,
@@ -38,30 +38,30 @@
 const ATTEMPT_FAULT: f64 = 0.05;
 
 impl GatewayProcess {
-    fn is_broken(&self, sabotage: Sabotage) -> bool {
-        self.sabotage == Some(sabotage)
+    fn has_defect(&self, defect: InjectedDefect) -> bool {
+        self.defect == Some(defect)
     }
 
     /// Draws whether the next response is dropped.
     pub(super) fn drops_response(&self, ctx: &mut Context) -> bool {
-        self.is_broken(Sabotage::DropsResponses) && ctx.draw_bool(RESPONSE_FAULT)
+        self.has_defect(InjectedDefect::DropsResponses) && ctx.draw_bool(RESPONSE_FAULT)
     }
 
     /// Draws whether the next response is written twice.
     pub(super) fn duplicates_response(&self, ctx: &mut Context) -> bool {
-        self.is_broken(Sabotage::DuplicatesResponses) && ctx.draw_bool(RESPONSE_FAULT)
+        self.has_defect(InjectedDefect::DuplicatesResponses) && ctx.draw_bool(RESPONSE_FAULT)
     }
 
     /// Draws whether the next attempt is written twice.
     pub(super) fn duplicates_attempt(&self, ctx: &mut Context) -> bool {
-        self.is_broken(Sabotage::RepeatsNonIdempotent) && ctx.draw_bool(ATTEMPT_FAULT)
+        self.has_defect(InjectedDefect::RepeatsNonIdempotent) && ctx.draw_bool(ATTEMPT_FAULT)
     }
 
     /// The response that is written in place of this one.
-    pub(super) fn tampered_response(&self, response: ClientReply) -> ClientReply {
+    pub(super) fn altered_response(&self, response: ClientReply) -> ClientReply {
         match response {
             ClientReply::Error(reason)
-                if reason == "failed" && self.is_broken(Sabotage::ThrottlesExecuted) =>
+                if reason == "failed" && self.has_defect(InjectedDefect::ThrottlesExecuted) =>
             {
                 ClientReply::Busy { retry_after_ms: None }
             }
@@ -70,20 +70,20 @@
     }
 
     /// The event that the reducer gets in place of this one.
-    pub(super) fn tampered_event(&self, event: Event) -> Event {
+    pub(super) fn altered_event(&self, event: Event) -> Event {
         let Event::HttpResponse { connection: connection @ ConnectionId::Discovery(_), mut response } = event
         else {
             return event;
         };
         let body = String::from_utf8_lossy(&response.body);
-        let tampered = match self.sabotage {
-            Some(Sabotage::IgnoresDrains) => {
+        let altered = match self.defect {
+            Some(InjectedDefect::IgnoresDrains) => {
                 body.replace("DRAINING", "SERVING").replace("DELETED", "SERVING")
             }
-            Some(Sabotage::SkipsSlowStart) => without_start_times(&body),
+            Some(InjectedDefect::SkipsSlowStart) => without_start_times(&body),
             _ => return Event::HttpResponse { connection, response },
         };
-        response.body = tampered.into_bytes();
+        response.body = altered.into_bytes();
         Event::HttpResponse { connection, response }
     }
 }
@@ -91,18 +91,18 @@
 /// A discovery response in which every backend was started long ago.
 fn without_start_times(body: &str) -> String {
     let mut parts = body.split("\"since_ms\":");
-    let mut tampered = parts.next().unwrap_or_default().to_owned();
+    let mut altered = parts.next().unwrap_or_default().to_owned();
     for part in parts {
-        tampered += "\"since_ms\":0";
-        tampered += part.trim_start_matches(|c: char| c.is_ascii_digit() || c == '.');
+        altered += "\"since_ms\":0";
+        altered += part.trim_start_matches(|c: char| c.is_ascii_digit() || c == '.');
     }
-    tampered
+    altered
 }
 
 /// The endpoint list that a process starts with in place of this one.
-pub(super) fn tampered_endpoints(endpoints: &EndpointList, sabotage: Option<Sabotage>) -> EndpointList {
+pub(super) fn altered_endpoints(endpoints: &EndpointList, defect: Option<InjectedDefect>) -> EndpointList {
     let mut endpoints = endpoints.clone();
-    if sabotage == Some(Sabotage::SkipsSlowStart) {
+    if defect == Some(InjectedDefect::SkipsSlowStart) {
         endpoints.endpoints.iter_mut().for_each(|endpoint| endpoint.since_ms = 0.0);
     }
     endpoints
--- a/emulator/src/gateway_process/mod.rs
+++ b/emulator/src/gateway_process/mod.rs
@@ -8,19 +8,20 @@
 //! | `effects` | what the reducer asks for |
 //! | `outbound` | writes, closes |
 //! | `connection` | the state of one connection |
-//! | `sabotage` | processes broken on purpose |
+//! | `injected_defect` | processes broken on purpose |
 mod connection;
 mod effects;
 mod inbound;
+mod injected_defect;
 mod outbound;
-mod sabotage;
 
-pub use sabotage::Sabotage;
+pub use injected_defect::InjectedDefect;
 
 use crate::context::Context;
 use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
 use connection::Connection;
+use injected_defect::altered_endpoints;
 use quillramp::settings;
 use quillramp::types::Idempotency;
 use quillramp_gateway::state::connection::ConnectionId;
@@ -28,7 +29,6 @@
 use quillramp_gateway::state::reducer::{Reducer, ReducerConfig, ReducerOutput};
 use quillramp_gateway::state::shared_state::{AdminChange, SharedState};
 use quillramp_gateway::wire::endpoints::EndpointList;
-use sabotage::tampered_endpoints;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -84,7 +84,7 @@
     /// What the operator's file declares.
     pub operator_update: OperatorUpdate,
     /// How it is broken on purpose.
-    pub sabotage: Option<Sabotage>,
+    pub defect: Option<InjectedDefect>,
 }
 
 /// A process of a gateway instance.
@@ -113,7 +113,7 @@
     next_run: f64,
     stalled_until: f64,
     exiting: bool,
-    sabotage: Option<Sabotage>,
+    defect: Option<InjectedDefect>,
     /// By the operation's name.
     idempotency: HashMap<Vec<u8>, Idempotency>,
 }
@@ -121,8 +121,8 @@
 impl GatewayProcess {
     /// Starts a process.
     pub fn start(ctx: &mut Context, options: StartOptions) -> GatewayProcess {
-        let StartOptions { index, sabotage, .. } = options;
-        let endpoints = tampered_endpoints(&options.endpoints, sabotage);
+        let StartOptions { index, defect, .. } = options;
+        let endpoints = altered_endpoints(&options.endpoints, defect);
         let max_descriptors = options.reducer.max_descriptors;
         let mut reducer = Reducer::new(ctx.now, options.configuration, options.reducer, &endpoints);
         reducer.update_shared_state(ctx.now, options.shared_state);
@@ -146,7 +146,7 @@
             next_run: ctx.now,
             stalled_until: 0.0,
             exiting: false,
-            sabotage,
+            defect,
             idempotency: options.idempotency,
         }
     }
--- a/emulator/src/shrinker.rs
+++ b/emulator/src/shrinker.rs
@@ -1,6 +1,6 @@
 //! Makes a scenario that violates an invariant smaller, as long as it violates the same one.
 use crate::checker::Invariant;
-use crate::gateway_process::Sabotage;
+use crate::gateway_process::InjectedDefect;
 use crate::scenario::{Fault, Scenario};
 use crate::simulation::{simulate, Report};
 
@@ -27,16 +27,16 @@
 struct Shrinker {
     best: ShrinkResult,
     invariant: Invariant,
-    sabotage: Option<Sabotage>,
+    defect: Option<InjectedDefect>,
     max_runs: usize,
 }
 
 /// A smaller scenario, found in about `max_runs` runs; none where the scenario violates nothing.
-pub fn shrink(scenario: &Scenario, sabotage: Option<Sabotage>, max_runs: usize) -> Option<ShrinkResult> {
-    let report = simulate(scenario, sabotage);
+pub fn shrink(scenario: &Scenario, defect: Option<InjectedDefect>, max_runs: usize) -> Option<ShrinkResult> {
+    let report = simulate(scenario, defect);
     let invariant = report.violation.as_ref()?.invariant;
     let best = ShrinkResult { scenario: scenario.clone(), report, runs: 1 };
-    let mut shrinker = Shrinker { best, invariant, sabotage, max_runs };
+    let mut shrinker = Shrinker { best, invariant, defect, max_runs };
     shrinker.shorten_run();
     shrinker.remove_faults();
     shrinker.weaken_faults();
@@ -96,7 +96,7 @@
     /// Keeps a scenario if it violates the same invariant.
     fn try_candidate(&mut self, scenario: Scenario) -> bool {
         self.best.runs += 1;
-        let report = simulate(&scenario, self.sabotage);
+        let report = simulate(&scenario, self.defect);
         let same = report.violation.as_ref().is_some_and(|violation| violation.invariant == self.invariant);
         if same {
             self.best.scenario = scenario;
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -92,7 +92,7 @@
             endpoints: self.discovery.snapshot_of(instance),
             shared_state,
             operator_update: self.operator_update(self.scenario.world.operator_files),
-            sabotage: self.sabotage,
+            defect: self.defect,
         };
         let process = GatewayProcess::start(&mut self.ctx, options);
         self.ctx.trace.record_line(self.ctx.now, &format!("instance {instance} [{index}] starts"));
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -23,7 +23,7 @@
 use crate::counter::Counter;
 use crate::deployment::{checked_limits, gateway_settings, operations, PLANS};
 use crate::discovery::Discovery;
-use crate::gateway_process::{Addresses, GatewayProcess, Sabotage};
+use crate::gateway_process::{Addresses, GatewayProcess, InjectedDefect};
 use crate::network::Remote;
 use crate::scenario::{FaultKind, Scenario, World};
 use crate::scheduled_event::ScheduledEvent;
@@ -64,7 +64,7 @@
     reset_rate: f64,
     /// The descriptors that a process which shuts down will not go beyond, by the process's index.
     descriptor_limits: BTreeMap<usize, usize>,
-    sabotage: Option<Sabotage>,
+    defect: Option<InjectedDefect>,
     settings: Value,
     platform: Platform,
     idempotency: HashMap<Vec<u8>, Idempotency>,
@@ -72,17 +72,17 @@
 }
 
 /// Runs a scenario to its end, or to the first violation.
-pub fn simulate(scenario: &Scenario, sabotage: Option<Sabotage>) -> Report {
-    let mut simulation = Simulation::new(scenario, sabotage);
+pub fn simulate(scenario: &Scenario, defect: Option<InjectedDefect>) -> Report {
+    let mut simulation = Simulation::new(scenario, defect);
     simulation.run();
     simulation.into_report()
 }
 
 impl<'a> Simulation<'a> {
-    fn new(scenario: &'a Scenario, sabotage: Option<Sabotage>) -> Simulation<'a> {
+    fn new(scenario: &'a Scenario, defect: Option<InjectedDefect>) -> Simulation<'a> {
         let world = scenario.world.clone();
         let rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ RUN_SEED_MASK);
-        let settings = gateway_settings(&world, sabotage);
+        let settings = gateway_settings(&world, defect);
         let loaded = settings::load(0, settings.to_string().as_bytes()).expect("settings of our own");
         let idempotency = operations().map(|op| (op.name.as_bytes().to_vec(), op.idempotency));
         let mut simulation = Simulation {
@@ -98,7 +98,7 @@
             clients: new_clients(),
             reset_rate: 0.0,
             descriptor_limits: BTreeMap::new(),
-            sabotage,
+            defect,
             settings,
             platform: operator::platform(&loaded.instance, world.max_descriptors),
             idempotency: idempotency.into(),
--- a/emulator/src/sweep.rs
+++ b/emulator/src/sweep.rs
@@ -1,6 +1,6 @@
 //! Runs of many seeds on several threads; results come in the order of the seeds.
 use crate::checker::Coverage;
-use crate::gateway_process::Sabotage;
+use crate::gateway_process::InjectedDefect;
 use crate::scenario::{FaultKind, Scenario};
 use crate::simulation::{simulate, Report};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
     /// So many violations are enough.
     pub max_violations: usize,
     /// How the gateway processes are broken on purpose.
-    pub sabotage: Option<Sabotage>,
+    pub defect: Option<InjectedDefect>,
 }
 
 /// Locks a mutex. One that a thread poisoned is used on: the panic ends the scope of the threads in any case.
@@ -94,7 +94,7 @@
             if seed >= options.seeds.end {
                 return;
             }
-            let report = simulate(&Scenario::generate(seed), options.sabotage);
+            let report = simulate(&Scenario::generate(seed), options.defect);
             let mut reports = lock(&reports);
             reports.push(report);
             progress(reports.len() as u64);
--- a/emulator/tests/emulator.rs
+++ b/emulator/tests/emulator.rs
@@ -1,7 +1,7 @@
 //! The emulator detects what is broken, accepts what is not, and gives equal runs for equal seeds.
 use expect_test::expect;
 use quillramp_emulator::checker::Invariant;
-use quillramp_emulator::gateway_process::Sabotage;
+use quillramp_emulator::gateway_process::InjectedDefect;
 use quillramp_emulator::quota_study::{measure, CounterFault};
 use quillramp_emulator::scenario::{FaultKind, Scenario};
 use quillramp_emulator::simulation::{simulate, Report};
@@ -33,14 +33,14 @@
 }
 
 /// Runs of all these seeds, however many violations there are.
-fn run_seeds(seeds: Range<u64>, threads: usize, sabotage: Option<Sabotage>) -> Vec<Report> {
-    let options = sweep::SweepOptions { seeds, threads, max_violations: usize::MAX, sabotage };
+fn run_seeds(seeds: Range<u64>, threads: usize, defect: Option<InjectedDefect>) -> Vec<Report> {
+    let options = sweep::SweepOptions { seeds, threads, max_violations: usize::MAX, defect };
     sweep::sweep(&options, &|_| {})
 }
 
 /// The invariants that were violated among a few seeds of gateway processes broken in one way.
-fn detected(sabotage: Sabotage, runs: u64) -> Vec<Invariant> {
-    let reports = run_seeds(0..runs, THREADS, Some(sabotage));
+fn detected(defect: InjectedDefect, runs: u64) -> Vec<Invariant> {
+    let reports = run_seeds(0..runs, THREADS, Some(defect));
     reports.into_iter().filter_map(|r| r.violation.map(|b| b.invariant)).collect()
 }
 
@@ -71,19 +71,19 @@
 
 #[test]
 fn dropped_and_duplicated_responses_are_detected() {
-    for sabotage in [Sabotage::DropsResponses, Sabotage::DuplicatesResponses] {
+    for defect in [InjectedDefect::DropsResponses, InjectedDefect::DuplicatesResponses] {
         // An answer too few shifts those behind it: what they break may be another rule.
-        let found = detected(sabotage, 6);
+        let found = detected(defect, 6);
         let here = found.iter().filter(|r| **r == Invariant::SingleResponse).count();
-        assert!(found.len() >= 5 && here >= 4, "{sabotage:?}: {found:?}");
+        assert!(found.len() >= 5 && here >= 4, "{defect:?}: {found:?}");
     }
 }
 
 #[test]
 fn repeated_execution_and_throttling_after_execution_are_detected() {
-    let found = detected(Sabotage::RepeatsNonIdempotent, 6);
+    let found = detected(InjectedDefect::RepeatsNonIdempotent, 6);
     assert!(found.len() >= 5 && found.iter().all(|r| *r == Invariant::AtMostOnce), "{found:?}");
-    let found = detected(Sabotage::ThrottlesExecuted, 24);
+    let found = detected(InjectedDefect::ThrottlesExecuted, 24);
     assert!(!found.is_empty() && found.iter().all(|r| *r == Invariant::AtMostOnce), "{found:?}");
 }
 
@@ -91,7 +91,7 @@
 fn ignored_drains_are_detected() {
     let scenario =
         &read_scenarios("scripts").into_iter().find(|s| s.0.starts_with("drain-during")).expect("there").1;
-    let found = simulate(scenario, Some(Sabotage::IgnoresDrains)).violation.expect("found");
+    let found = simulate(scenario, Some(InjectedDefect::IgnoresDrains)).violation.expect("found");
     assert_eq!(found.invariant, Invariant::DrainGrace, "{}", found.message);
     assert_holds("the same, whole", &simulate(scenario, None));
 }
@@ -99,14 +99,14 @@
 #[test]
 fn overload_during_slow_start_is_detected() {
     let scenario = &read_scenarios("tests/broken")[0].1;
-    let found = simulate(scenario, Some(Sabotage::SkipsSlowStart)).violation.expect("found");
+    let found = simulate(scenario, Some(InjectedDefect::SkipsSlowStart)).violation.expect("found");
     assert_eq!(found.invariant, Invariant::SlowStart, "{}", found.message);
     assert_holds("the same, whole", &simulate(scenario, None));
 }
 
 #[test]
 fn exceeded_ceilings_are_detected() {
-    let found = detected(Sabotage::ExceedsCeilings, 48);
+    let found = detected(InjectedDefect::ExceedsCeilings, 48);
     assert!(found.len() >= 20 && found.iter().all(|r| *r == Invariant::RateCeiling), "{found:?}");
 }
 
@@ -166,7 +166,7 @@
     };
     assert_eq!(once(42), once(42));
     assert_ne!(once(42).0, once(43).0);
-    let broken = |_| simulate(&Scenario::generate(3), Some(Sabotage::DuplicatesResponses)).violation;
+    let broken = |_| simulate(&Scenario::generate(3), Some(InjectedDefect::DuplicatesResponses)).violation;
     assert_eq!(broken(1), broken(2));
 }
 
@@ -174,11 +174,11 @@
 fn shrinking_keeps_the_violation_with_fewer_faults() {
     let seed = (0..40).find(|s| Scenario::generate(*s).faults.len() > 3).expect("one of them");
     let scenario = Scenario::generate(seed);
-    let sabotage = Some(Sabotage::RepeatsNonIdempotent);
-    let small = shrinker::shrink(&scenario, sabotage, 60).expect("it breaks");
+    let defect = Some(InjectedDefect::RepeatsNonIdempotent);
+    let small = shrinker::shrink(&scenario, defect, 60).expect("it breaks");
     assert!(small.scenario.faults.len() < scenario.faults.len(), "{:?}", small.scenario.faults);
     let again =
-        simulate(&Scenario::parse(&small.scenario.to_toml()).expect("what is written can be read"), sabotage);
+        simulate(&Scenario::parse(&small.scenario.to_toml()).expect("what is written can be read"), defect);
     assert_eq!(again.violation, small.report.violation);
     assert!(shrinker::shrink(&scenario, None, 5).is_none());
 }
