--- a/emulator/src/gateway_process/outbound.rs
+++ b/emulator/src/gateway_process/outbound.rs
@@ -19,14 +19,14 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let link_id = connection.link;
         let Some(link) = ctx.links.get(&link_id) else { return };
-        let choked_until = link.choked_until;
-        let choked = choked_until > ctx.now && matches!(id, ConnectionId::Backend(_));
+        let backpressure_until = link.backpressure_until;
+        let limited = backpressure_until > ctx.now && matches!(id, ConnectionId::Backend(_));
         let waiting = connection.write_buffer.len();
-        let length = if choked { waiting / 2 } else { waiting };
+        let length = if limited { waiting / 2 } else { waiting };
         let bytes = connection.write_buffer.bytes()[..length].to_vec();
         connection.write_buffer.consume(length);
-        if choked {
-            self.wake(ctx, choked_until);
+        if limited {
+            self.wake(ctx, backpressure_until);
         }
         if bytes.is_empty() {
             return;
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -60,7 +60,7 @@
     /// When the last byte on its way to the process arrives.
     last_arrival_at_gateway: f64,
     /// Until then the network takes little of what the process writes.
-    pub choked_until: f64,
+    pub backpressure_until: f64,
     /// The client sends what can't be parsed.
     pub malformed: bool,
     /// The gateway's admission knows the client's address.
@@ -91,8 +91,8 @@
 impl Context {
     /// Draws how long something takes to another machine, in seconds.
     pub fn draw_delay(&mut self) -> f64 {
-        let [least, most] = self.world.network_delay;
-        self.delay_factor * if most > least { self.rng.gen_range(least..most) } else { least }
+        let [min, max] = self.world.network_delay;
+        self.delay_factor * if max > min { self.rng.gen_range(min..max) } else { min }
     }
 
     /// When what is sent to or by this remote now can arrive at the earliest.
@@ -115,7 +115,7 @@
             remote_open: false,
             last_arrival_at_remote: 0.0,
             last_arrival_at_gateway: 0.0,
-            choked_until: 0.0,
+            backpressure_until: 0.0,
             malformed: false,
             known_address: false,
             client_address: IpAddr::V4(Ipv4Addr::LOCALHOST),
--- a/emulator/src/output.rs
+++ b/emulator/src/output.rs
@@ -50,7 +50,7 @@
         };
         let duration = if kind.is_instant() { "" } else { ", lasts" };
         let severity =
-            kind.severity_range().map_or(String::new(), |range| format!("{} to {}", range.least, range.most));
+            kind.severity_range().map_or(String::new(), |range| format!("{} to {}", range.min, range.max));
         print(&format!("| {} | {target}at{duration} | {severity} |", kind.name()));
     }
 }
--- a/emulator/src/scenario/fault_kind.rs
+++ b/emulator/src/scenario/fault_kind.rs
@@ -99,7 +99,7 @@
     /// The network takes little of what it writes to backends.
     #[serde(rename = "choke")]
     #[value(name = "choke")]
-    Choke,
+    WriteBackpressure,
     // ---- the counter
     /// Connections are refused.
     #[serde(rename = "counter-down")]
@@ -222,14 +222,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SeverityRange {
     /// At least.
-    pub least: f64,
+    pub min: f64,
     /// At most.
-    pub most: f64,
+    pub max: f64,
 }
 
 impl SeverityRange {
-    const fn new(least: f64, most: f64) -> Option<SeverityRange> {
-        Some(SeverityRange { least, most })
+    const fn new(min: f64, max: f64) -> Option<SeverityRange> {
+        Some(SeverityRange { min, max })
     }
 }
 
@@ -252,7 +252,7 @@
             | Rejections | CloseAfterResponse | TruncatedValues | Drain | Replace => FaultTarget::Backend,
             ZoneLoss | ZonePartition => FaultTarget::Zone,
             Kill | Terminate | Upgrade | Stall | DrainInstance | ReloadConfiguration | ReloadOperatorFile
-            | Choke => FaultTarget::Instance,
+            | WriteBackpressure => FaultTarget::Instance,
             EjectBackend => FaultTarget::InstanceAndBackend,
             _ => FaultTarget::Global,
         }
--- a/emulator/src/scenario/generate.rs
+++ b/emulator/src/scenario/generate.rs
@@ -7,7 +7,7 @@
 
 /// Units of a request, more or less.
 const MEAN_UNITS: f64 = 2.2;
-/// Requests a second, at the most.
+/// Maximum number of requests per second.
 const MAX_REQUEST_RATE: f64 = 220.0;
 
 impl Scenario {
@@ -78,14 +78,14 @@
 }
 
 fn generate_severity(rng: &mut ChaCha8Rng, kind: FaultKind, range: SeverityRange) -> f64 {
-    let SeverityRange { least, most } = range;
+    let SeverityRange { min, max } = range;
     round_to_thousandth(match kind {
         FaultKind::MalformedClients | FaultKind::IdleConnections | FaultKind::RandomResets => {
-            rng.gen_range(least..most / 4.0)
+            rng.gen_range(min..max / 4.0)
         }
         FaultKind::NetworkDelay => rng.gen_range(1.0..20.0),
         FaultKind::TrafficBurst => rng.gen_range(1.0..3.0),
-        _ if least > 0.0 => rng.gen_range(least..most / 2.0),
+        _ if min > 0.0 => rng.gen_range(min..max / 2.0),
         _ => rng.gen_range(0.1..1.0),
     })
 }
--- a/emulator/src/scenario/validate.rs
+++ b/emulator/src/scenario/validate.rs
@@ -53,9 +53,9 @@
             ("connections", self.max_connections, 10_000),
             ("per_connection", self.max_pipelined, 64),
         ];
-        for (name, count, most) in counts {
-            let problem = format!("world.{name}: expected 1 to {most}, found {count}");
-            problems.require((1..=most).contains(&count), problem);
+        for (name, count, max) in counts {
+            let problem = format!("world.{name}: expected 1 to {max}, found {count}");
+            problems.require((1..=max).contains(&count), problem);
         }
         problems.require(
             self.max_descriptors >= MIN_DESCRIPTORS,
@@ -87,9 +87,9 @@
             let problem = format!("world.{name}: expected a share, 0 to 1");
             problems.require((0.0..=1.0).contains(&value), problem);
         }
-        let [least, most] = self.network_delay;
+        let [min, max] = self.network_delay;
         problems.require(
-            least >= 0.0 && least <= most && most < MAX_NETWORK_DELAY,
+            min >= 0.0 && min <= max && max < MAX_NETWORK_DELAY,
             "world.delay: expected two times under a second, the smaller first".into(),
         );
     }
@@ -131,9 +131,9 @@
     fn severity_problem(&self) -> Option<String> {
         match (self.severity, self.kind.severity_range()) {
             (Some(_), None) => Some("by: this kind has no use for it".into()),
-            (None, Some(SeverityRange { least, most })) => Some(format!("by is missing: {least} to {most}")),
-            (Some(severity), Some(SeverityRange { least, most })) if !(least..=most).contains(&severity) => {
-                Some(format!("by: expected {least} to {most}, found {severity}"))
+            (None, Some(SeverityRange { min, max })) => Some(format!("by is missing: {min} to {max}")),
+            (Some(severity), Some(SeverityRange { min, max })) if !(min..=max).contains(&severity) => {
+                Some(format!("by: expected {min} to {max}, found {severity}"))
             }
             _ => None,
         }
--- a/emulator/src/shrinker.rs
+++ b/emulator/src/shrinker.rs
@@ -114,7 +114,7 @@
 
 /// False where the severity is as low as it may be.
 fn halve_severity(fault: &mut Fault) -> bool {
-    let least = fault.kind.severity_range().map_or(0.0, |range| range.least);
+    let least = fault.kind.severity_range().map_or(0.0, |range| range.min);
     fault.severity = fault.severity.map(halve);
     fault.severity.is_some_and(|severity| severity > least.max(MIN_SEVERITY))
 }
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -162,7 +162,9 @@
                 self.discovery.disconnect_instance(&mut self.ctx, instance);
                 self.process_fault(boundary);
             }
-            FaultKind::Stall | FaultKind::ReloadOperatorFile | FaultKind::Choke if boundary.started() => {
+            FaultKind::Stall | FaultKind::ReloadOperatorFile | FaultKind::WriteBackpressure
+                if boundary.started() =>
+            {
                 self.process_fault(boundary)
             }
             _ => {}
@@ -186,11 +188,11 @@
                 let event = Event::OperatorFileReloaded(Box::new(update));
                 self.processes[process].deliver_event(&mut self.ctx, event);
             }
-            FaultKind::Choke => {
+            FaultKind::WriteBackpressure => {
                 let until = self.ctx.now + boundary.duration();
                 for link in self.ctx.links.values_mut() {
                     if link.process == process && matches!(link.remote, Remote::Backend(_)) {
-                        link.choked_until = until;
+                        link.backpressure_until = until;
                     }
                 }
             }
