--- a/emulator/src/scenario/fault_kind.rs
+++ b/emulator/src/scenario/fault_kind.rs
@@ -1,192 +1,195 @@
-//! The kinds of faults, and what a fault of each kind needs.
+//! The kinds of faults, and the fields that a fault of each kind requires.
 use clap::ValueEnum;
 use serde::{Deserialize, Serialize};
 
-/// What a fault does. The order is that of summaries and of random draws.
+/// What a fault does. Fractions, factors, rates and numbers in the descriptions are the fault's severity.
+///
+/// Summaries and random draws depend on the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, ValueEnum)]
 pub enum FaultKind {
     // ---- backends
-    /// Its process crashes, and a new one starts, which has to warm up.
+    /// The backend's process crashes. A new process starts after the duration and has to warm up.
     #[serde(rename = "crash")]
     #[value(name = "crash")]
     Crash,
-    /// Its machine does not react; a new process starts then, and what was open is reset.
+    /// The backend's machine stops responding. After the duration a new process starts, and connections that were open are reset.
     #[serde(rename = "vanish")]
     #[value(name = "vanish")]
     Unresponsive,
-    /// It is so many times slower.
+    /// The backend takes longer to execute requests, by this factor.
     #[serde(rename = "slow")]
     #[value(name = "slow")]
     Slow,
-    /// That fraction of requests is executed and never replied to.
+    /// The backend executes this fraction of requests without replying to them.
     #[serde(rename = "swallow")]
     #[value(name = "swallow")]
     LostResponses,
-    /// That fraction of replies can't be parsed.
+    /// This fraction of the backend's replies cannot be parsed.
     #[serde(rename = "spoil")]
     #[value(name = "spoil")]
     MalformedResponses,
-    /// That fraction of replies is followed by one that belongs to nothing.
+    /// The backend sends an extra reply, which belongs to no request, after this fraction of replies.
     #[serde(rename = "surplus")]
     #[value(name = "surplus")]
     SurplusResponses,
-    /// That fraction of requests fails.
+    /// The backend replies with an error to this fraction of requests.
     #[serde(rename = "err")]
     #[value(name = "err")]
     Errors,
-    /// That fraction of requests is rejected.
+    /// The backend rejects this fraction of requests.
     #[serde(rename = "turn-away")]
     #[value(name = "turn-away")]
     Rejections,
-    /// That fraction of replies is followed by the end of the connection.
+    /// The backend closes the connection after this fraction of replies.
     #[serde(rename = "close-behind")]
     #[value(name = "close-behind")]
     CloseAfterResponse,
-    /// That fraction of long values is truncated.
+    /// The backend truncates this fraction of long values.
     #[serde(rename = "break-off")]
     #[value(name = "break-off")]
     TruncatedValues,
-    /// It drains, then it is replaced.
+    /// The backend drains for the duration and is then replaced.
     #[serde(rename = "drain")]
     #[value(name = "drain")]
     Drain,
-    /// It is removed from the endpoint list at once and ends; a new one under a new name takes its address.
+    /// The backend is removed from the endpoint list and stops at once. A new backend with a new name takes over its address.
     #[serde(rename = "replace")]
     #[value(name = "replace")]
     Replace,
     // ---- zones
-    /// All backends of a zone crash.
+    /// All backends of the zone crash.
     #[serde(rename = "zone-loss")]
     #[value(name = "zone-loss")]
     ZoneLoss,
-    /// That zone's backends can't be reached: what is sent to them arrives afterwards.
+    /// The zone's backends are unreachable. Bytes sent to or by them arrive after the partition ends.
     #[serde(rename = "zone-cut")]
     #[value(name = "zone-cut")]
     ZonePartition,
     // ---- gateway instances
-    /// Its processes are killed, and one starts after the duration.
+    /// The instance's processes are killed. A new process starts after the duration.
     #[serde(rename = "kill")]
     #[value(name = "kill")]
     Kill,
-    /// It is asked to shut down, killed when its time is over, and starts again.
+    /// The instance is asked to shut down, killed when the shutdown timeout expires, and restarted after the duration.
     #[serde(rename = "term")]
     #[value(name = "term")]
     Terminate,
-    /// The next version takes over its listening socket.
+    /// A process of the next version takes over the instance's listening socket.
     #[serde(rename = "upgrade")]
     #[value(name = "upgrade")]
     Upgrade,
-    /// Its process stands still.
+    /// The instance's newest process is suspended.
     #[serde(rename = "stall")]
     #[value(name = "stall")]
     Stall,
-    /// An operator ejects a backend, and readmits it when the time is over.
+    /// An operator ejects the backend at the instance, and readmits it after the duration.
     #[serde(rename = "ban")]
     #[value(name = "ban")]
     EjectBackend,
-    /// An operator drains it, and ends that.
+    /// An operator drains the instance, and puts it back into service after the duration.
     #[serde(rename = "drain-door")]
     #[value(name = "drain-door")]
     DrainInstance,
-    /// Its configuration names other addresses of the discovery service and the counter.
+    /// The instance reloads its configuration, with other addresses of the list service and the counter.
     #[serde(rename = "reload")]
     #[value(name = "reload")]
     ReloadConfiguration,
-    /// Its operator's file is read again, and declares other limits.
+    /// The instance reloads its operator's file, which declares other limits.
     #[serde(rename = "redeclare")]
     #[value(name = "redeclare")]
     ReloadOperatorFile,
-    /// The network takes little of what it writes to backends.
+    /// The instance's writes to backends are only partly accepted by the network.
     #[serde(rename = "choke")]
     #[value(name = "choke")]
     WriteBackpressure,
     // ---- the counter
-    /// Connections are refused.
+    /// The counter refuses connections.
     #[serde(rename = "counter-down")]
     #[value(name = "counter-down")]
     CounterDown,
-    /// It does not react.
+    /// The counter does not respond.
     #[serde(rename = "counter-silent")]
     #[value(name = "counter-silent")]
     CounterUnresponsive,
-    /// It is so many times slower.
+    /// The counter takes longer to handle calls, by this factor.
     #[serde(rename = "counter-slow")]
     #[value(name = "counter-slow")]
     CounterSlow,
-    /// All totals are lost.
+    /// The counter loses all totals.
     #[serde(rename = "counter-lost")]
     #[value(name = "counter-lost")]
     CounterReset,
-    /// Every other gateway instance meets another counter, which starts as a copy; afterwards the first one's totals hold.
+    /// Every other gateway instance reaches a second counter, which starts as a copy of the first. The first counter's totals are
+    /// kept at the end, those of the second are lost.
     #[serde(rename = "counter-split")]
     #[value(name = "counter-split")]
     CounterSplit,
-    /// That fraction of responses can't be parsed.
+    /// This fraction of the counter's responses cannot be parsed.
     #[serde(rename = "counter-spoilt")]
     #[value(name = "counter-spoilt")]
     CounterMalformedResponses,
-    /// That fraction of calls is added, and the connection ends before the response.
+    /// The counter adds the units of this fraction of calls, but closes the connection instead of responding.
     #[serde(rename = "counter-deaf")]
     #[value(name = "counter-deaf")]
     CounterLostResponses,
-    /// That fraction of calls is rejected.
+    /// The counter rejects this fraction of calls.
     #[serde(rename = "counter-turns-away")]
     #[value(name = "counter-turns-away")]
     CounterRejections,
-    // ---- the discovery service
-    /// Changes are late by the fault's duration.
+    // ---- the list service
+    /// Changes to the endpoint list arrive later, by the fault's duration.
     #[serde(rename = "list-late")]
     #[value(name = "list-late")]
     DiscoveryDelayed,
-    /// It does not respond.
+    /// The list service does not respond.
     #[serde(rename = "list-down")]
     #[value(name = "list-down")]
     DiscoveryDown,
-    /// Its responses can't be parsed.
+    /// The list service's responses cannot be parsed.
     #[serde(rename = "list-garbled")]
     #[value(name = "list-garbled")]
     DiscoveryMalformed,
-    /// It presents what it knew when this began as if it were new.
+    /// Snapshots have the entries of the time at which the fault started, with the current version number.
     #[serde(rename = "list-stale")]
     #[value(name = "list-stale")]
     DiscoveryStale,
-    /// It leaves out that fraction of the backends, as if they had been removed.
+    /// The list service omits this fraction of the backends, as if they had been removed.
     #[serde(rename = "list-shrunk")]
     #[value(name = "list-shrunk")]
     DiscoveryTruncated,
     // ---- the network
-    /// So many connections a second are reset, whatever is on them.
+    /// Connections are reset at random, at this rate per second.
     #[serde(rename = "resets")]
     #[value(name = "resets")]
     RandomResets,
-    /// That fraction of the datagrams between gateway instances is lost.
+    /// This fraction of the datagrams between gateway instances is lost.
     #[serde(rename = "peers-lost")]
     #[value(name = "peers-lost")]
     DatagramLoss,
-    /// Everything takes so many times longer.
+    /// Network delays are longer, by this factor.
     #[serde(rename = "delay")]
     #[value(name = "delay")]
     NetworkDelay,
     // ---- clients
-    /// Requests come at so many times the usual rate.
+    /// Clients send requests at a higher rate, by this factor.
     #[serde(rename = "burst")]
     #[value(name = "burst")]
     TrafficBurst,
-    /// That fraction of clients disconnects before the response.
+    /// Clients disconnect shortly after sending this fraction of requests, often before the response.
     #[serde(rename = "leave")]
     #[value(name = "leave")]
     EarlyDisconnects,
-    /// So many clients a second send what can't be parsed.
+    /// Clients that send malformed commands connect at this rate per second.
     #[serde(rename = "rude")]
     #[value(name = "rude")]
     MalformedClients,
-    /// So many new connections at once, on which nothing is sent.
+    /// Clients open this number of connections at once and send nothing on them.
     #[serde(rename = "herd")]
     #[value(name = "herd")]
     IdleConnections,
 }
 
-/// Whom a fault strikes.
+/// What a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultTarget {
     /// A backend.
@@ -195,35 +198,35 @@
     Instance,
     /// A zone.
     Zone,
-    /// A gateway instance, in its dealings with a backend.
+    /// A gateway instance's use of a backend.
     InstanceAndBackend,
-    /// No one in particular.
+    /// The whole deployment; the fault names no target.
     Global,
 }
 
 impl FaultTarget {
-    /// Whether a fault names a backend.
+    /// Returns whether a fault with this target names a backend.
     pub fn has_backend(self) -> bool {
         matches!(self, FaultTarget::Backend | FaultTarget::InstanceAndBackend)
     }
 
-    /// Whether a fault names a gateway instance.
+    /// Returns whether a fault with this target names a gateway instance.
     pub fn has_instance(self) -> bool {
         matches!(self, FaultTarget::Instance | FaultTarget::InstanceAndBackend)
     }
 
-    /// Whether a fault names a zone.
+    /// Returns whether a fault with this target names a zone.
     pub fn has_zone(self) -> bool {
         self == FaultTarget::Zone
     }
 }
 
-/// What a fault's severity may be.
+/// The range of values that a fault's severity may have, both bounds included.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SeverityRange {
-    /// At least.
+    /// Minimum severity.
     pub min: f64,
-    /// At most.
+    /// Maximum severity.
     pub max: f64,
 }
 
@@ -234,17 +237,17 @@
 }
 
 impl FaultKind {
-    /// All kinds, in their order.
+    /// Returns all kinds, in the order of their declaration.
     pub fn all() -> impl Iterator<Item = FaultKind> {
         FaultKind::value_variants().iter().copied()
     }
 
-    /// The name in scenario files.
+    /// Returns the name of the kind in scenario files.
     pub fn name(self) -> String {
         self.to_possible_value().map_or(String::new(), |value| value.get_name().to_owned())
     }
 
-    /// Whom a fault of this kind strikes.
+    /// Returns what a fault of this kind affects.
     pub fn target(self) -> FaultTarget {
         use FaultKind::*;
         match self {
@@ -258,7 +261,7 @@
         }
     }
 
-    /// What the severity may be; none where the kind has no use for one.
+    /// Returns the range of the severity, or `None` if faults of this kind have no severity.
     pub fn severity_range(self) -> Option<SeverityRange> {
         use FaultKind::*;
         match self {
@@ -283,7 +286,7 @@
         }
     }
 
-    /// Whether it is over at once.
+    /// Returns whether a fault of this kind takes effect instantly and has no duration.
     pub fn is_instant(self) -> bool {
         use FaultKind::*;
         matches!(
--- a/emulator/src/scenario/generate.rs
+++ b/emulator/src/scenario/generate.rs
@@ -1,17 +1,17 @@
-//! Generates scenarios from a seed. The order of the draws is part of what a seed means.
+//! Generates scenarios from a seed. The order of the random draws must not change, or a seed no longer gives the same scenario.
 use super::fault_kind::SeverityRange;
 use super::{Fault, FaultKind, Scenario, World};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Units of a request, more or less.
+/// Approximate mean number of units per request.
 const MEAN_UNITS: f64 = 2.2;
 /// Maximum number of requests per second.
 const MAX_REQUEST_RATE: f64 = 220.0;
 
 impl Scenario {
-    /// The scenario of a seed: a world within what the invariants leave room for, and faults that may strike together.
+    /// Generates the scenario of a seed: a world in which the invariants must hold, and faults that may overlap.
     pub fn generate(seed: u64) -> Scenario {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let world = generate_world(&mut rng);
@@ -28,10 +28,10 @@
     let instances = rng.gen_range(2..=4);
     let slots = rng.gen_range(2..=4);
     let service_time = rng.gen_range(0.02..0.06);
-    // From a fifth of what the backends can do to more than all of it.
-    let load = rng.gen_range(0.2..1.1);
+    // Requested load as a fraction of the capacity of all backends; up to 1.1, so that some scenarios are overloaded.
+    let load_fraction = rng.gen_range(0.2..1.1);
     let request_rate =
-        (backends as f64 * slots as f64 / service_time / MEAN_UNITS * load).min(MAX_REQUEST_RATE);
+        (backends as f64 * slots as f64 / service_time / MEAN_UNITS * load_fraction).min(MAX_REQUEST_RATE);
     World {
         instances,
         backends,
@@ -64,9 +64,9 @@
 }
 
 fn generate_fault(rng: &mut ChaCha8Rng, world: &World, seconds: f64) -> Fault {
-    let possible = |kind: &FaultKind| *kind != FaultKind::Upgrade || world.inherits_listener;
-    let kinds: Vec<FaultKind> = FaultKind::all().filter(possible).collect();
-    let kind = *kinds.choose(rng).expect("there are kinds");
+    let is_applicable = |kind: &FaultKind| *kind != FaultKind::Upgrade || world.inherits_listener;
+    let kinds: Vec<FaultKind> = FaultKind::all().filter(is_applicable).collect();
+    let kind = *kinds.choose(rng).expect("the list of fault kinds is empty");
     let target = kind.target();
     let backend = target.has_backend().then(|| rng.gen_range(0..world.backends));
     let instance = target.has_instance().then(|| rng.gen_range(0..world.instances));
@@ -90,7 +90,7 @@
     })
 }
 
-/// Scenarios are read by people.
+/// Rounds to three decimals, to keep scenario files readable.
 fn round_to_thousandth(number: f64) -> f64 {
     (number * 1e3).round() / 1e3
 }
--- a/emulator/src/scenario/mod.rs
+++ b/emulator/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! Scenarios: what a run is made of, a world and the faults that strike it. Read from TOML and checked, or generated from a seed.
+//! Scenarios: a deployment and the faults injected into it. A scenario is read from TOML and validated, or generated from a seed.
 //!
-//! The names in files are older than the names here, and stay: each field and kind says its own by `serde(rename)`.
+//! Names in scenario files stay stable: a field or fault kind with another name in the code keeps the file's name by `serde(rename)`.
 mod fault;
 mod fault_kind;
 mod generate;
@@ -13,42 +13,42 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The longest that a run, or a fault, may last, in seconds.
+/// Maximum duration of a run and of a fault, in seconds.
 pub(crate) const MAX_DURATION: f64 = 600.0;
 
-/// The description of one run. Times are seconds from its start.
+/// The description of one run. Times are in seconds from the start of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The seed of all random draws of the run.
+    /// Seed of all random draws of the run.
     pub seed: u64,
-    /// For how long clients send requests; after that, what is in flight has time to end.
+    /// Seconds for which clients send requests. The run then continues until the requests in flight can have finished.
     pub seconds: f64,
     /// The deployment.
     #[serde(default)]
     pub world: World,
-    /// What strikes it.
+    /// The faults to inject.
     #[serde(default, rename = "fault", skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
 }
 
-/// Why a text is no scenario.
+/// Error of [`Scenario::parse`].
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is not TOML, or has other fields than a scenario.
+    /// The text is not valid TOML, or its fields are not those of a scenario.
     #[error("{0}")]
     Syntax(String),
-    /// Values that can't be run, each with where it stands.
+    /// Invalid values, one line each, which starts with the value's location.
     #[error("{}", .0.join("\n"))]
     Invalid(Vec<String>),
 }
 
 impl Scenario {
-    /// Reads a scenario from TOML, and checks it.
+    /// Parses a scenario from TOML and validates it.
     ///
     /// # Errors
     ///
-    /// [`ScenarioError::Syntax`] for the first thing that can't be read, [`ScenarioError::Invalid`] with all values that can't be run.
+    /// [`ScenarioError::Syntax`] for the first syntax error, [`ScenarioError::Invalid`] with all invalid values.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)
             .map_err(|error| ScenarioError::Syntax(error.to_string().trim_end().to_owned()))?;
@@ -60,8 +60,8 @@
         }
     }
 
-    /// The scenario as TOML.
+    /// Serializes the scenario as TOML.
     pub fn to_toml(&self) -> String {
-        toml::to_string(self).expect("a scenario is plain values")
+        toml::to_string(self).expect("a scenario serializes to TOML")
     }
 }
--- a/emulator/src/scenario/validate.rs
+++ b/emulator/src/scenario/validate.rs
@@ -1,41 +1,41 @@
-//! Checks that a scenario can be run. Each problem is a line that says where it stands.
+//! Validates scenarios. Each problem is one line, which starts with the location of the invalid value.
 use super::fault_kind::SeverityRange;
 use super::{Fault, FaultKind, Scenario, World, MAX_DURATION};
 
-/// Descriptors of a gateway instance, at least.
+/// Minimum number of descriptors of a gateway instance.
 const MIN_DESCRIPTORS: usize = 64;
-/// Seconds between two heartbeats.
+/// Allowed heartbeat intervals, in seconds.
 const MEMBERSHIP_INTERVALS: std::ops::RangeInclusive<f64> = 0.5..=10.0;
-/// The longest time from one machine to another, in seconds.
+/// Network delays must be below this number of seconds.
 const MAX_NETWORK_DELAY: f64 = 1.0;
 
-/// Collects what does not hold.
+/// The problems found so far, one line each.
 #[derive(Default)]
 struct Problems {
     lines: Vec<String>,
 }
 
 impl Problems {
-    fn require(&mut self, holds: bool, problem: String) {
-        if !holds {
+    fn require(&mut self, valid: bool, problem: String) {
+        if !valid {
             self.lines.push(problem);
         }
     }
 }
 
 impl Scenario {
-    /// What can't be run, each with where it stands.
+    /// Returns one line for each invalid value, which starts with the value's location.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Problems::default();
         problems.require(
             self.seconds > 0.0 && self.seconds <= MAX_DURATION,
-            format!("seconds: expected more than 0, {MAX_DURATION} at the most"),
+            format!("seconds: expected more than 0 and at most {MAX_DURATION}, found {}", self.seconds),
         );
         self.world.check_counts(&mut problems);
         self.world.check_values(&mut problems);
         for (index, fault) in self.faults.iter().enumerate() {
-            let place = format!("fault {} ({})", index + 1, fault.kind.name());
-            problems.lines.extend(fault.problems(&place, self.seconds, &self.world));
+            let location = format!("fault {} ({})", index + 1, fault.kind.name());
+            problems.lines.extend(fault.problems(&location, self.seconds, &self.world));
         }
         problems.lines
     }
@@ -59,7 +59,7 @@
         }
         problems.require(
             self.max_descriptors >= MIN_DESCRIPTORS,
-            format!("world.sockets: expected {MIN_DESCRIPTORS} or more, found {}", self.max_descriptors),
+            format!("world.sockets: expected at least {MIN_DESCRIPTORS}, found {}", self.max_descriptors),
         );
     }
 
@@ -71,12 +71,12 @@
             ("cold_for", self.overload_window),
         ];
         for (name, value) in positive {
-            let problem = format!("world.{name}: expected more than 0");
+            let problem = format!("world.{name}: expected a finite number above 0, found {value}");
             problems.require(value > 0.0 && value.is_finite(), problem);
         }
         problems.require(
             self.membership_interval == 0.0 || MEMBERSHIP_INTERVALS.contains(&self.membership_interval),
-            "world.presence: expected 0, or 0.5 to 10 seconds".into(),
+            format!("world.presence: expected 0, or 0.5 to 10 seconds, found {}", self.membership_interval),
         );
         let fractions = [
             ("pieces", self.split_writes),
@@ -84,54 +84,61 @@
             ("cold_from", self.slow_start_fraction),
         ];
         for (name, value) in fractions {
-            let problem = format!("world.{name}: expected a share, 0 to 1");
+            let problem = format!("world.{name}: expected a fraction from 0 to 1, found {value}");
             problems.require((0.0..=1.0).contains(&value), problem);
         }
         let [min, max] = self.network_delay;
         problems.require(
             min >= 0.0 && min <= max && max < MAX_NETWORK_DELAY,
-            "world.delay: expected two times under a second, the smaller first".into(),
+            format!("world.delay: expected a minimum and a maximum below 1 second, found [{min}, {max}]"),
         );
     }
 }
 
 impl Fault {
-    /// What can't be run, each behind the place where the fault stands; `seconds` is the length of the run.
-    pub fn problems(&self, place: &str, seconds: f64, world: &World) -> Vec<String> {
+    /// Returns one line for each invalid value, which starts with `location`. `seconds` is the duration of the run.
+    pub fn problems(&self, location: &str, seconds: f64, world: &World) -> Vec<String> {
         let mut problems = Problems::default();
         problems.require(
             self.at >= 0.0 && self.at < seconds,
-            format!("{place}: at: expected a time within the run"),
+            format!("{location}: at: expected at least 0 and less than {seconds}, found {}", self.at),
         );
         let target = self.kind.target();
-        let indexes = [
+        let targets = [
             index_problem("backend", self.backend, target.has_backend(), world.backends),
             index_problem("door", self.instance, target.has_instance(), world.instances),
             index_problem("zone", self.zone, target.has_zone(), world.zones),
         ];
-        problems.lines.extend(indexes.into_iter().flatten().map(|problem| format!("{place}: {problem}")));
-        let others = [self.duration_problem(), self.severity_problem()];
-        problems.lines.extend(others.into_iter().flatten().map(|problem| format!("{place}: {problem}")));
+        problems.lines.extend(targets.into_iter().flatten().map(|problem| format!("{location}: {problem}")));
+        let values = [self.duration_problem(), self.severity_problem()];
+        problems.lines.extend(values.into_iter().flatten().map(|problem| format!("{location}: {problem}")));
         if self.kind == FaultKind::Upgrade {
-            problems.require(world.inherits_listener, format!("{place}: needs world.passed = true"));
+            problems.require(
+                world.inherits_listener,
+                format!("{location}: this kind requires world.passed = true"),
+            );
         }
         problems.lines
     }
 
     fn duration_problem(&self) -> Option<String> {
         match (self.duration, self.kind.is_instant()) {
-            (Some(_), true) => Some("lasts: this kind is over at once".into()),
+            (Some(_), true) => Some("lasts: not allowed, faults of this kind are instantaneous".into()),
             (None, false) => Some("lasts is missing".into()),
             (Some(seconds), false) if seconds > 0.0 && seconds <= MAX_DURATION => None,
-            (Some(_), false) => Some("lasts: expected more than 0".into()),
+            (Some(seconds), false) => {
+                Some(format!("lasts: expected more than 0 and at most {MAX_DURATION}, found {seconds}"))
+            }
             (None, true) => None,
         }
     }
 
     fn severity_problem(&self) -> Option<String> {
         match (self.severity, self.kind.severity_range()) {
-            (Some(_), None) => Some("by: this kind has no use for it".into()),
-            (None, Some(SeverityRange { min, max })) => Some(format!("by is missing: {min} to {max}")),
+            (Some(_), None) => Some("by: not allowed, faults of this kind have no severity".into()),
+            (None, Some(SeverityRange { min, max })) => {
+                Some(format!("by is missing: expected {min} to {max}"))
+            }
             (Some(severity), Some(SeverityRange { min, max })) if !(min..=max).contains(&severity) => {
                 Some(format!("by: expected {min} to {max}, found {severity}"))
             }
@@ -140,11 +147,13 @@
     }
 }
 
-/// What is wrong with an index that a fault names or should name.
+/// Returns the problem with a fault's target index: not allowed, missing, or not below `count`.
 fn index_problem(field: &str, index: Option<usize>, needed: bool, count: usize) -> Option<String> {
     match index {
-        Some(index) if !needed => Some(format!("{field} = {index}: this kind has no use for it")),
-        Some(index) if index >= count => Some(format!("{field} {index} of {count}: they are counted from 0")),
+        Some(index) if !needed => Some(format!("{field} = {index}: not allowed for faults of this kind")),
+        Some(index) if index >= count => {
+            Some(format!("{field}: expected an index below {count}, found {index}"))
+        }
         None if needed => Some(format!("{field} is missing")),
         _ => None,
     }
--- a/emulator/src/scenario/world.rs
+++ b/emulator/src/scenario/world.rs
@@ -1,82 +1,83 @@
-//! The deployment of a run, deliberately plain.
+//! The simulated deployment of a run. It is deliberately simple.
 use serde::{Deserialize, Serialize};
 
-/// A deployment: gateway instances, backends, customers, the network between them.
+/// A deployment: gateway instances, backends, customers and the network between them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct World {
-    /// Gateway instances.
+    /// Number of gateway instances.
     #[serde(rename = "doors")]
     pub instances: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// Zones of the backends.
+    /// Number of zones over which the backends are distributed.
     pub zones: usize,
-    /// Backends that recognise each other's idempotency keys share a cell.
+    /// Number of cells. Backends of one cell recognise each other's idempotency keys.
     pub cells: usize,
-    /// Customers.
+    /// Number of customers.
     pub customers: usize,
-    /// Requests a second, from all clients.
+    /// Requests per second of all clients together.
     #[serde(rename = "rate")]
     pub request_rate: f64,
-    /// Seconds of a backend's work for one unit.
+    /// Mean time that a backend takes to execute one unit, in seconds.
     #[serde(rename = "service")]
     pub service_time: f64,
-    /// Requests that a backend executes at once.
+    /// Number of requests that a backend executes concurrently.
     pub slots: usize,
-    /// Connections that a backend holds at the most.
+    /// Maximum number of connections that a backend accepts.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// Attempts in flight on one connection to a backend.
+    /// Maximum number of attempts in flight on one connection to a backend.
     #[serde(rename = "per_connection")]
     pub max_pipelined: usize,
-    /// Seconds from one machine to another, at least and at most.
+    /// Minimum and maximum one-way network delay, in seconds.
     #[serde(rename = "delay")]
     pub network_delay: [f64; 2],
-    /// The fraction of writes that arrive in pieces.
+    /// Fraction of writes that are split and arrive in pieces.
     #[serde(rename = "pieces")]
     pub split_writes: f64,
-    /// The fraction of values and of request bodies that are too long to be held complete.
+    /// Fraction of values and of request bodies that are too long to be buffered whole.
     #[serde(rename = "long")]
     pub long_values: f64,
-    /// Hedged requests are allowed.
+    /// Whether hedged requests are allowed.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     #[serde(rename = "cancels")]
     pub cancellation: bool,
-    /// Gateway instances exchange gossip.
+    /// Whether gateway instances exchange gossip.
     #[serde(rename = "peers")]
     pub gossip: bool,
-    /// The endpoint list comes only when it is requested.
+    /// Whether gateway instances poll the list service instead of watching it for changes.
     #[serde(rename = "asks")]
     pub polls_discovery: bool,
-    /// Each gateway instance passes its listening socket to the next version.
+    /// Whether a gateway process passes its listening socket to the process of the next version.
     #[serde(rename = "passed")]
     pub inherits_listener: bool,
-    /// Admission is limited, and the usual clients' addresses are known.
+    /// Whether admission limits apply. The frontend's network is then listed as known.
     pub admission: bool,
-    /// Each gateway instance has an operator's file that declares limits.
+    /// Whether each gateway instance starts with an operator's file that declares limits.
     #[serde(rename = "declared")]
     pub operator_files: bool,
-    /// Seconds between the rounds in which gateway instances find out who of them reaches the counter; 0: there are none.
+    /// Heartbeat interval, in seconds, of the membership by which gateway instances find out which of them reach the counter.
+    /// 0 disables membership.
     #[serde(rename = "presence")]
     pub membership_interval: f64,
-    /// Descriptors of one gateway instance.
+    /// Maximum number of descriptors of one gateway instance.
     #[serde(rename = "sockets")]
     pub max_descriptors: usize,
-    /// Seconds in which a backend may still get attempts after the notification that it drains.
+    /// Seconds for which a backend may still receive attempts after a gateway process was notified that it is draining.
     pub drain_grace: f64,
-    /// The fraction of its capacity that a backend starts with.
+    /// Fraction of its capacity that a backend has when it starts.
     #[serde(rename = "cold_from")]
     pub slow_start_fraction: f64,
-    /// Seconds until a backend has warmed up.
+    /// Seconds that a backend takes to warm up.
     #[serde(rename = "warm_after")]
     pub slow_start_duration: f64,
-    /// How many times its capacity overloads a backend that is warming up.
+    /// Load, as a multiple of the backend's current capacity, above which a backend that is warming up counts as overloaded.
     #[serde(rename = "cold_times")]
     pub overload_factor: f64,
-    /// For how long, in seconds.
+    /// Seconds over which the load of a backend that is warming up is measured.
     #[serde(rename = "cold_for")]
     pub overload_window: f64,
 }
--- a/emulator/tests/emulator.rs
+++ b/emulator/tests/emulator.rs
@@ -212,16 +212,16 @@
     "#;
     expect![[r#"
         world.doors: expected 1 to 4096, found 0
-        world.pieces: expected a share, 0 to 1
-        fault 1 (drain): at: expected a time within the run
+        world.pieces: expected a fraction from 0 to 1, found 1.5
+        fault 1 (drain): at: expected at least 0 and less than 4, found 9
         fault 1 (drain): backend is missing
-        fault 2 (slow): backend 3 of 3: they are counted from 0
-        fault 2 (slow): door = 0: this kind has no use for it
+        fault 2 (slow): backend: expected an index below 3, found 3
+        fault 2 (slow): door = 0: not allowed for faults of this kind
         fault 2 (slow): by: expected 1 to 100, found 0.5
-        fault 3 (upgrade): door 0 of 0: they are counted from 0
-        fault 3 (upgrade): lasts: this kind is over at once
-        fault 3 (upgrade): needs world.passed = true
-        fault 4 (counter-lost): by: this kind has no use for it"#]]
+        fault 3 (upgrade): door: expected an index below 0, found 0
+        fault 3 (upgrade): lasts: not allowed, faults of this kind are instantaneous
+        fault 3 (upgrade): this kind requires world.passed = true
+        fault 4 (counter-lost): by: not allowed, faults of this kind have no severity"#]]
     .assert_eq(&Scenario::parse(wrong).expect_err("wrong").to_string());
 }
 
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -351,8 +351,8 @@
         variant 2: traffic.connections: expected 1 or more, 12000 at all instances at the most
         variant 2: traffic: 5090 connections to an instance of 1024 descriptors
         fault 1 (upgrade): only the emulator has this kind
-        fault 1 (upgrade): needs world.passed = true
+        fault 1 (upgrade): this kind requires world.passed = true
         fault 2 (burst): a closed loop has no rate that could grow
-        fault 2 (burst): at: expected a time within the run"#]]
+        fault 2 (burst): at: expected at least 0 and less than 2, found 3"#]]
     .assert_eq(&Experiment::read(text).expect_err("an invalid experiment").to_string());
 }
