--- a/emulator/src/backend/fault_rates.rs
+++ b/emulator/src/backend/fault_rates.rs
@@ -1,23 +1,23 @@
-//! How a backend is faulty.
+//! The faults of a backend that are drawn per request.
 
-/// What is wrong with a backend: a factor of its speed, and fractions of its replies.
+/// The current faults of a backend: a slowdown factor, and fractions of its requests and replies.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultRates {
-    /// How many times slower it is.
+    /// Factor on the execution time of each request; 1 without a fault.
     pub slowdown: f64,
-    /// Executed, and never replied to.
+    /// Fraction of requests that are executed without a reply.
     pub lost_responses: f64,
-    /// Can't be parsed.
+    /// Fraction of replies that cannot be parsed.
     pub malformed_responses: f64,
-    /// Followed by a reply that belongs to nothing.
+    /// Fraction of replies that are followed by an extra reply, which belongs to no request.
     pub surplus_responses: f64,
-    /// Fail.
+    /// Fraction of requests that are executed and fail with an error.
     pub errors: f64,
-    /// Rejected in place of being queued.
+    /// Fraction of requests that are rejected instead of queued.
     pub rejections: f64,
-    /// Followed by the end of the connection.
+    /// Fraction of writes after which the backend closes the connection.
     pub closes_after_response: f64,
-    /// Of long values: truncated.
+    /// Fraction of long values that are truncated.
     pub truncated_values: f64,
 }
 
--- a/emulator/src/backend/mod.rs
+++ b/emulator/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! A backend: a queue, a slow start, unresponsiveness, malformed replies, a limit on connections. Deliberately plain.
+//! Model of a backend: a request queue, slow start, crashes, faulty replies and a connection limit. It is deliberately simple.
 mod fault_rates;
 mod replies;
 
@@ -13,46 +13,51 @@
 use replies::{BUSY_REPLY, SURPLUS_REPLY};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Requests that wait at the most: more are rejected.
+/// Maximum number of queued requests; further requests are rejected.
 const MAX_QUEUED: usize = 120;
-/// The probability with which a job is executed whose connection has ended.
-const ORPHAN_EXECUTION: f64 = 0.5;
-/// By how much the time of an execution varies.
-const EXECUTION_JITTER: std::ops::Range<f64> = 0.6..1.6;
-/// A reply that is at least so long holds a long value.
+/// Probability that a queued job is dropped instead of executed if its connection has closed.
+const ORPHAN_DROP_PROBABILITY: f64 = 0.5;
+/// Range of the random factor on the execution time of a job.
+const EXECUTION_TIME_JITTER: std::ops::Range<f64> = 0.6..1.6;
+/// Bytes to send of more than this length that lack the end of a reply contain a truncated long value.
 const LONG_REPLY_BYTES: usize = 64_000;
-/// Whether a backend runs.
+
+/// Whether a backend runs, and how it failed if it does not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lifecycle {
-    /// Its process runs.
+    /// The backend's process runs.
     Up,
-    /// Its process has crashed: connections are refused.
+    /// The backend's process has crashed; connections are refused.
     Crashed,
-    /// Its machine does not react at all.
+    /// The backend's machine does not respond.
     Unresponsive,
 }
 
+/// A request that is queued or being executed.
 struct Job {
     link: LinkId,
     id: u64,
     customer: u64,
     units: f64,
-    /// It is not started after that.
+    /// Time after which the job is rejected instead of started.
     deadline: f64,
+    /// Whether the reply contains a long value.
     long_value: bool,
 }
 
+/// A connection from a gateway process.
 #[derive(Default)]
 struct Connection {
+    /// Bytes received and not parsed yet.
     received: Vec<u8>,
-    /// The numbers of its jobs, in the order in which they came.
+    /// Numbers of the jobs whose replies have not been sent, in the order of arrival.
     pipeline: VecDeque<u64>,
-    /// Replies that wait for earlier ones, by the job's number.
+    /// Replies that wait for the replies to earlier jobs, by job number.
     replies: HashMap<u64, Vec<u8>>,
 }
 
 impl Connection {
-    /// The replies that may be sent: those with none missing before them.
+    /// Removes and returns the replies that can be sent in order: those before which no reply is missing.
     fn take_sendable(&mut self) -> Vec<u8> {
         let mut sendable = vec![];
         while let Some(reply) = self.pipeline.front().and_then(|job| self.replies.remove(job)) {
@@ -63,36 +68,39 @@
     }
 }
 
-/// A backend of the deployment.
+/// A backend of the deployment, in all its incarnations.
 pub struct Backend {
-    /// The backend's index.
+    /// Index of the backend.
     pub index: usize,
-    /// Counts its processes.
+    /// Number of process starts during the run.
     pub incarnation: u64,
-    /// Whether it runs.
+    /// Whether the backend runs.
     pub lifecycle: Lifecycle,
-    /// It finishes what it has, and rejects what is new.
+    /// Whether the backend rejects new requests while it finishes those that it has.
     pub draining: bool,
-    /// When its process was started; none where that was long before the run.
-    pub started: Option<f64>,
-    /// What is wrong with it.
+    /// Start time of the current process, or `None` if it started long before the run.
+    pub started_at: Option<f64>,
+    /// The faults injected into the backend.
     pub faults: FaultRates,
     connections: BTreeMap<LinkId, Connection>,
+    /// Queued and running jobs, by number.
     jobs: BTreeMap<u64, Job>,
+    /// Numbers of the jobs that have not started.
     queue: VecDeque<u64>,
+    /// Number of jobs being executed.
     running: usize,
     last_job: u64,
 }
 
 impl Backend {
-    /// A backend that has run for long.
+    /// Creates a backend that started long before the run and is fully warmed up.
     pub fn new(index: usize) -> Backend {
         Backend {
             index,
             incarnation: 0,
             lifecycle: Lifecycle::Up,
             draining: false,
-            started: None,
+            started_at: None,
             faults: FaultRates::default(),
             connections: BTreeMap::new(),
             jobs: BTreeMap::new(),
@@ -102,7 +110,7 @@
         }
     }
 
-    /// A gateway process asks for a connection.
+    /// Accepts or refuses a connection from a gateway process, or does not respond.
     pub fn connect_requested(&mut self, ctx: &mut Context, id: LinkId) {
         let accepted = match self.lifecycle {
             Lifecycle::Unresponsive => return,
@@ -118,7 +126,7 @@
         ctx.schedule_in(delay, ScheduledEvent::ConnectCompleted { link: id, accepted });
     }
 
-    /// These bytes of a gateway process have arrived.
+    /// Handles bytes received from a gateway process. The connection is closed if they are not a request command.
     pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
         if self.lifecycle != Lifecycle::Up {
             return;
@@ -138,15 +146,15 @@
         }
     }
 
-    /// Queues a request, or rejects it.
+    /// Queues a request, or replies that the backend is busy.
     fn admit(&mut self, ctx: &mut Context, link: LinkId, request: &resp::RequestCommand) {
         ctx.checker.attempt_arrived(ctx.now, self.index, request.units);
         self.last_job += 1;
         let number = self.last_job;
         let Some(connection) = self.connections.get_mut(&link) else { return };
         connection.pipeline.push_back(number);
-        let full = self.queue.len() >= MAX_QUEUED;
-        if self.draining || full || ctx.draw_bool(self.faults.rejections) {
+        let queue_full = self.queue.len() >= MAX_QUEUED;
+        if self.draining || queue_full || ctx.draw_bool(self.faults.rejections) {
             return self.queue_reply(ctx, link, number, BUSY_REPLY.to_vec());
         }
         let long_value = request.idempotent && ctx.draw_bool(ctx.world.long_values);
@@ -163,15 +171,15 @@
         self.start_jobs(ctx);
     }
 
-    /// What it can do now, as a fraction of what it can do when warm.
+    /// Returns the current capacity as a fraction of the capacity after the slow start.
     fn capacity_fraction(&self, ctx: &Context) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started_at) = self.started_at else { return 1.0 };
         let initial = ctx.world.slow_start_fraction;
-        let progress = (ctx.now - started) / ctx.world.slow_start_duration;
+        let progress = (ctx.now - started_at) / ctx.world.slow_start_duration;
         (initial + (1.0 - initial) * progress).min(1.0)
     }
 
-    /// Starts jobs from the queue as long as it has slots for them.
+    /// Starts queued jobs while slots are free.
     fn start_jobs(&mut self, ctx: &mut Context) {
         while self.running < ctx.world.slots {
             let Some(number) = self.queue.pop_front() else { return };
@@ -182,20 +190,20 @@
                 self.queue_reply(ctx, link, number, BUSY_REPLY.to_vec());
                 continue;
             }
-            if !self.connections.contains_key(&link) && ctx.draw_bool(ORPHAN_EXECUTION) {
+            if !self.connections.contains_key(&link) && ctx.draw_bool(ORPHAN_DROP_PROBABILITY) {
                 self.jobs.remove(&number);
                 continue;
             }
             ctx.checker.execution_started(ctx.now, self.index, id);
             self.running += 1;
-            let jitter = ctx.rng.gen_range(EXECUTION_JITTER);
+            let jitter = ctx.rng.gen_range(EXECUTION_TIME_JITTER);
             let seconds =
                 units * ctx.world.service_time * self.faults.slowdown * jitter / self.capacity_fraction(ctx);
             ctx.schedule_in(seconds, ScheduledEvent::JobCompleted { backend: self.index, job: number });
         }
     }
 
-    /// A job, by its number, has been executed.
+    /// Completes the execution of a job and replies to it.
     pub fn job_completed(&mut self, ctx: &mut Context, number: u64) {
         let Some(job) = self.jobs.remove(&number) else { return };
         self.running -= 1;
@@ -209,7 +217,7 @@
         self.start_jobs(ctx);
     }
 
-    /// Sends a reply once all before it on its connection have been sent.
+    /// Adds the reply to a job, and sends all replies of the connection that are next in order.
     fn queue_reply(&mut self, ctx: &mut Context, link: LinkId, job: u64, reply: Vec<u8>) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         connection.replies.insert(job, reply);
@@ -218,34 +226,37 @@
             return;
         }
         if bytes.ends_with(SURPLUS_REPLY) && !connection.pipeline.is_empty() {
-            // A surplus reply is sent only where no other reply is due.
+            // A surplus reply is sent only if no other job of the connection is pending.
             bytes.truncate(bytes.len() - SURPLUS_REPLY.len());
         }
         let truncated = bytes.len() > LONG_REPLY_BYTES && !bytes.ends_with(b"\r\n");
-        // A surplus reply comes right behind the other: later, nobody could tell it from the next reply.
+        // A surplus reply has to arrive together with the reply before it: the gateway could not distinguish a later one from the
+        // reply to the next request.
         if bytes.ends_with(SURPLUS_REPLY) {
             ctx.send_unsplit(link, Side::Gateway, &bytes);
         } else {
             ctx.send(link, Side::Gateway, &bytes);
         }
-        // A truncated value ends the connection.
+        // The connection is closed after a truncated long value of more than `LONG_REPLY_BYTES`.
         if truncated || ctx.draw_bool(self.faults.closes_after_response) {
             self.disconnect(ctx, link);
         }
     }
 
+    /// Closes a connection.
     fn disconnect(&mut self, ctx: &mut Context, link: LinkId) {
         self.connections.remove(&link);
         ctx.close(link, Side::Remote);
     }
 
-    /// The gateway process has closed a connection.
+    /// Handles the close of a connection by the gateway process.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
         self.connections.remove(&link);
         ctx.confirm_close(link);
     }
 
-    /// Its process crashes, and its connections are reset; or its machine becomes unresponsive, and they are reset when it starts again.
+    /// Stops the backend, and drops its jobs. Connections are reset at once if the process crashed, and at the next start if the
+    /// machine became unresponsive.
     pub fn stop(&mut self, ctx: &mut Context, failure: Lifecycle) {
         self.lifecycle = failure;
         self.jobs.clear();
@@ -256,6 +267,7 @@
         }
     }
 
+    /// Resets all links to the backend.
     fn reset_links(&mut self, ctx: &mut Context) {
         self.connections.clear();
         let index = self.index;
@@ -264,7 +276,7 @@
         }
     }
 
-    /// A new process starts, and has to warm up.
+    /// Starts a new process, which has to warm up.
     pub fn start(&mut self, ctx: &mut Context) {
         if self.lifecycle == Lifecycle::Unresponsive {
             self.reset_links(ctx);
@@ -272,7 +284,7 @@
         self.incarnation += 1;
         self.lifecycle = Lifecycle::Up;
         self.draining = false;
-        self.started = Some(ctx.now);
+        self.started_at = Some(ctx.now);
         ctx.checker.backend_started(ctx.now, self.index);
     }
 }
--- a/emulator/src/backend/replies.rs
+++ b/emulator/src/backend/replies.rs
@@ -1,22 +1,24 @@
-//! What a backend replies.
+//! The replies of a backend.
 use super::{Backend, Job};
 use crate::context::Context;
 use rand::Rng;
 
-/// A reply that belongs to nothing.
+/// A reply that belongs to no request.
 pub(super) const SURPLUS_REPLY: &[u8] = b"*3\r\n$1\r\nx\r\n$-1\r\n$-1\r\n";
-/// The reply to what is rejected.
+/// The reply to a rejected request.
 pub(super) const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
+/// The reply to a request that failed.
 const ERROR_REPLY: &[u8] = b"-ERR failed\r\n";
-/// Bytes of a value that is too long to be held complete.
+/// Sizes in bytes of values that are too long for the gateway to buffer whole.
 const LONG_VALUE_BYTES: std::ops::Range<usize> = 66_000..120_000;
-/// Where a long value is truncated at the earliest.
+/// Minimum length in bytes of a truncated reply.
 const MIN_TRUNCATED_BYTES: usize = 100;
+/// Replies that cannot be parsed.
 const MALFORMED_REPLIES: [&[u8]; 5] =
     [b"*3\r\n$5\r\nab", b"noise\r\n", b"*3\r\n$3000000000\r\nxxxx", b"$5\r\nvalue\r\n", b"-what is this\r\n"];
 
 impl Backend {
-    /// The reply to a job that was executed: a value that names the request and the backend, or a faulty one.
+    /// Returns the reply to an executed job: a value that identifies request, customer and backend, an error, or a malformed reply.
     pub(super) fn build_reply(&self, ctx: &mut Context, job: &Job) -> Vec<u8> {
         if ctx.draw_bool(self.faults.errors) {
             return ERROR_REPLY.to_vec();
--- a/emulator/src/clients/command.rs
+++ b/emulator/src/clients/command.rs
@@ -1,9 +1,9 @@
-//! Commands of clients, as they are on the wire.
+//! Encodes the commands that clients send.
 
-/// Gateway instances of a customer, at the most.
+/// Maximum number of gateway instances per customer.
 const MAX_SPREAD: usize = 3;
 
-/// Commands that can't be parsed.
+/// Malformed, incomplete and invalid commands.
 pub(super) const MALFORMED_COMMANDS: [&[u8]; 9] = [
     b"hello\r\n",
     b"*5\r\n$9\r\nCALL.POST\r\n$-7\r\n",
@@ -16,58 +16,61 @@
     b"$$$$$$$$$$$$$$$$\n",
 ];
 
-/// An operation as clients know it.
+/// An operation that clients request.
 #[derive(Clone, Debug)]
 pub struct ClientOperation {
-    /// Its name in commands.
+    /// Name of the operation in commands.
     pub name: String,
-    /// It is requested by `CALL.GET`, else by `CALL.POST`.
+    /// Whether the operation is requested by `CALL.GET` instead of `CALL.POST`.
     pub uses_get: bool,
-    /// Seconds that clients wait.
+    /// Maximum client timeout in seconds.
     pub timeout: f64,
-    /// How often it is requested, relative to others.
+    /// Share of requests for this operation, relative to the weights of the others.
     pub weight: f64,
 }
 
-/// The gateway instances of a customer: consecutive ones.
+/// The gateway instances of a customer, which have consecutive indexes modulo the number of instances.
 #[derive(Clone, Copy)]
 pub(super) struct InstanceRange {
-    /// The index of the first one.
+    /// Index of the first instance.
     pub first: usize,
-    /// How many; after the last index follows 0.
+    /// Number of instances.
     pub count: usize,
 }
 
 impl InstanceRange {
-    /// Those of a customer, of so many in all.
-    pub fn of(customer: u64, instances: usize) -> InstanceRange {
+    /// Returns the instances of a customer in a deployment of `instance_count` instances.
+    pub fn for_customer(customer: u64, instance_count: usize) -> InstanceRange {
         let customer = customer as usize;
-        InstanceRange { first: customer % instances, count: 1 + customer % instances.min(MAX_SPREAD) }
+        InstanceRange {
+            first: customer % instance_count,
+            count: 1 + customer % instance_count.min(MAX_SPREAD),
+        }
     }
 }
 
-/// A request as it is sent.
+/// A request command.
 pub(super) struct Command<'a> {
-    /// What is requested.
+    /// The requested operation.
     pub operation: &'a ClientOperation,
-    /// The name of the customer's plan.
+    /// Name of the customer's plan.
     pub plan: &'a str,
-    /// The customer's number.
+    /// Id of the customer.
     pub customer: u64,
-    /// The request's id, which no other request has.
+    /// Id of the request, unique within a run.
     pub id: u64,
-    /// Units that it takes of the customer's quota.
+    /// Units that the request takes from the customer's quota.
     pub units: f64,
-    /// Milliseconds that the client waits.
+    /// Client timeout in milliseconds.
     pub timeout_ms: f64,
     /// The gateway instances that may serve the customer.
     pub instances: InstanceRange,
-    /// Bytes of its body, for `CALL.POST`.
+    /// Length of the body in bytes, or `None` for `CALL.GET`.
     pub body: Option<usize>,
 }
 
 impl Command<'_> {
-    /// The command as it is on the wire.
+    /// Encodes the command for the wire.
     pub fn encode(&self) -> Vec<u8> {
         let Command { operation, plan, customer, id, units, timeout_ms, instances, body } = self;
         let InstanceRange { first, count } = instances;
@@ -90,7 +93,7 @@
     }
 }
 
-/// Ids are all different, and look it.
-pub(super) fn scramble(number: u64) -> u64 {
+/// Maps consecutive numbers to distinct request ids without an obvious order.
+pub(super) fn request_id(number: u64) -> u64 {
     (number ^ 0x5bd1_e995).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
--- a/emulator/src/clients/mod.rs
+++ b/emulator/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Clients: a front that distributes each customer's requests over its gateway instances, on connections that are kept; clients that send
-//! what can't be parsed; those that disconnect early, or open connections and send nothing.
+//! Models of clients: a frontend that sends the requests of all customers to their gateway instances on persistent connections, clients
+//! that send malformed commands, and clients that open connections without sending anything.
 mod command;
 
 pub use command::ClientOperation;
@@ -8,99 +8,106 @@
 use crate::context::Context;
 use crate::network::{LinkId, Remote, Side};
 use crate::scheduled_event::ScheduledEvent;
-use command::{scramble, Command, InstanceRange, MALFORMED_COMMANDS};
+use command::{request_id, Command, InstanceRange, MALFORMED_COMMANDS};
 use quillramp_gateway::state::connection::ConnectionId;
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{IpAddr, Ipv4Addr};
 
-/// The most connections of the front to one gateway instance.
+/// Maximum number of connections from the frontend to one gateway instance.
 const MAX_CONNECTIONS: usize = 24;
-/// The most requests in flight on one of them.
+/// Maximum number of requests in flight on one connection of the frontend.
 const MAX_PIPELINED: usize = 3;
-/// The probability with which a request goes behind others on a connection.
-const PIPELINING: f64 = 0.15;
-/// The network of the front's addresses.
+/// Probability that a request is pipelined behind others instead of sent on a new connection, if no connection is idle.
+const PIPELINING_PROBABILITY: f64 = 0.15;
+/// The network of the frontend's address, which admission lists as known.
 pub const KNOWN_NETWORK: &str = "127.0.9.0/24";
-/// The front's own address.
-const FRONT_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 9, 1));
-/// The address of other clients.
+/// The frontend's address.
+const FRONTEND_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 9, 1));
+/// The address of all other clients, which admission does not list as known.
 const UNKNOWN_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 10, 1));
-/// How often a throttled request is sent again, at the most, and the probability of it each time.
+/// Maximum number of retries of a throttled request.
 const MAX_RETRIES: u32 = 2;
+/// Probability of each retry of a throttled request.
 const RETRY_PROBABILITY: f64 = 0.5;
-/// Seconds until then where the gateway named no time, in milliseconds.
+/// Delay before a retry in milliseconds, if the response does not specify one.
 const DEFAULT_RETRY_AFTER_MS: f64 = 200.0;
-/// Bytes of a request's body: usually, and where it is too long to be held complete.
+/// Length in bytes of most request bodies.
 const BODY_BYTES: usize = 12;
+/// Lengths in bytes of request bodies that are too long for the gateway to buffer whole.
 const LONG_BODY_BYTES: std::ops::Range<usize> = 66_000..90_000;
-/// Bytes of a response that are looked at.
+/// Number of bytes at the start of a response that are kept to parse the retry delay.
 const RESPONSE_HEAD_BYTES: usize = 64;
 
-/// A request of a customer; it is sent under a new id each time.
+/// A customer's request, which is sent under a new id at each retry.
 #[derive(Clone, Debug)]
 pub struct PlannedRequest {
-    /// The customer's id.
+    /// Id of the customer.
     pub customer: u64,
-    /// Index into the operations.
+    /// Index of the operation.
     pub operation: usize,
-    /// Its units.
+    /// Units of the request.
     pub units: f64,
-    /// How often it was sent again.
+    /// Number of retries so far.
     pub retries: u32,
 }
 
 /// How the client behind a connection behaves.
 #[derive(Clone, Copy, PartialEq)]
 enum Behavior {
-    /// The front.
+    /// The frontend, which sends valid commands.
     Valid,
-    /// It sends what can't be parsed.
+    /// The client sends a malformed command.
     Malformed,
-    /// It sends nothing.
+    /// The client sends nothing.
     Idle,
 }
 
+/// A connection to a gateway process.
 struct Connection {
+    /// Index of the gateway instance.
     instance: usize,
     behavior: Behavior,
+    /// Bytes received and not parsed yet.
     received: Vec<u8>,
-    /// The requests in flight, by index.
+    /// Indexes of the requests in flight, oldest first.
     pending: VecDeque<usize>,
 }
 
 /// All clients of a run.
 #[derive(Default)]
 pub struct Clients {
-    /// What may be requested.
+    /// The operations that clients request.
     pub operations: Vec<ClientOperation>,
-    /// The names of the customers' plans.
+    /// Names of the plans; customers are assigned to them in turn.
     pub plans: Vec<String>,
     connections: BTreeMap<LinkId, Connection>,
+    /// All requests so far, by index.
     requests: Vec<PlannedRequest>,
+    /// Number of request ids issued so far.
     issued_ids: u64,
-    /// How many times the usual rate requests come at.
+    /// Factor on the request rate; 1 without a fault.
     pub rate_factor: f64,
-    /// The fraction of requests behind which the client disconnects early.
+    /// Fraction of requests shortly after which the client disconnects.
     pub early_disconnects: f64,
-    /// Clients a second that send what can't be parsed.
+    /// Rate of new clients that send a malformed command, per second.
     pub malformed_rate: f64,
 }
 
 impl Clients {
-    /// Clients that have not requested anything yet.
+    /// Creates clients without connections and requests.
     pub fn new(operations: Vec<ClientOperation>, plans: Vec<String>) -> Clients {
         Clients { operations, plans, rate_factor: 1.0, ..Clients::default() }
     }
 
-    /// Sends the next request, and schedules the one after it unless it came at `until` or later. `serving` names, by instance, the
-    /// process that takes new connections.
+    /// Sends the next request, and schedules the one after it unless it would be sent at `until` or later. `serving` has the process
+    /// that accepts new connections for each instance.
     pub fn next_request(&mut self, ctx: &mut Context, serving: &[Option<usize>], until: f64) {
         let gap = -(1.0 - ctx.rng.gen_range(0.0..1.0f64)).ln() / (ctx.world.request_rate * self.rate_factor);
         if ctx.now + gap < until {
             ctx.schedule_in(gap, ScheduledEvent::RequestDue);
         }
-        // Few customers request much.
+        // Squaring skews the distribution towards the customers with low ids.
         let customer = ctx.rng.gen_range(0.0..1.0f64).powi(2) * ctx.world.customers as f64;
         let operation = self.draw_operation(ctx);
         let units = f64::from(ctx.rng.gen_range(1..=3u32));
@@ -108,20 +115,22 @@
         self.send_request(ctx, serving, self.requests.len() - 1);
     }
 
+    /// Draws an operation at random, by the operations' weights.
     fn draw_operation(&self, ctx: &mut Context) -> usize {
         let total = self.operations.iter().map(|operation| operation.weight).sum::<f64>();
-        let mut rest = ctx.rng.gen_range(0.0..total);
-        let drawn = self.operations.iter().position(|operation| {
-            rest -= operation.weight;
-            rest < 0.0
+        let mut remaining = ctx.rng.gen_range(0.0..total);
+        let index = self.operations.iter().position(|operation| {
+            remaining -= operation.weight;
+            remaining < 0.0
         });
-        drawn.unwrap_or(0)
+        index.unwrap_or(0)
     }
 
-    /// Sends a request, by index, to one of its customer's gateway instances.
+    /// Sends the request with this index to a random one of its customer's gateway instances. Nothing is sent if the instance has no
+    /// running process.
     pub fn send_request(&mut self, ctx: &mut Context, serving: &[Option<usize>], index: usize) {
         let request = self.requests[index].clone();
-        let instances = InstanceRange::of(request.customer, serving.len());
+        let instances = InstanceRange::for_customer(request.customer, serving.len());
         let instance = (instances.first + ctx.rng.gen_range(0..instances.count)) % serving.len();
         let Some(link) = self.select_connection(ctx, serving, instance) else { return };
         self.issued_ids += 1;
@@ -131,21 +140,22 @@
             operation,
             plan: &self.plans[request.customer as usize % self.plans.len()],
             customer: request.customer,
-            id: scramble(self.issued_ids),
+            id: request_id(self.issued_ids),
             units: request.units,
             timeout_ms,
             instances,
             body: (!operation.uses_get).then(|| draw_body_length(ctx)),
         };
         ctx.send(link, Side::Gateway, &command.encode());
-        self.connections.get_mut(&link).expect("just selected").pending.push_back(index);
+        self.connections.get_mut(&link).expect("the selected connection is open").pending.push_back(index);
         if ctx.draw_bool(self.early_disconnects) {
             let delay = ctx.rng.gen_range(0.0..0.1);
             ctx.schedule_in(delay, ScheduledEvent::ClientDisconnects(link));
         }
     }
 
-    /// A connection to that instance: an idle one, or one that is not too busy, or a new one; none where nothing listens.
+    /// Returns a connection of the frontend to an instance: an idle one, the least busy one, or a new one. Returns `None` if there is
+    /// none to use and no process accepts connections.
     fn select_connection(
         &mut self,
         ctx: &mut Context,
@@ -155,38 +165,40 @@
         let usable = |connection: &Connection| {
             connection.instance == instance && connection.behavior == Behavior::Valid
         };
-        let own = || self.connections.iter().filter(|(_, connection)| usable(connection));
-        let pipelines = ctx.rng.gen_bool(PIPELINING);
-        let idle = own().find(|(_, connection)| connection.pending.is_empty()).map(|(link, _)| *link);
-        let busy = own()
+        let usable_connections = || self.connections.iter().filter(|(_, connection)| usable(connection));
+        let may_pipeline = ctx.rng.gen_bool(PIPELINING_PROBABILITY);
+        let idle =
+            usable_connections().find(|(_, connection)| connection.pending.is_empty()).map(|(link, _)| *link);
+        let least_busy = usable_connections()
             .filter(|(_, connection)| connection.pending.len() < MAX_PIPELINED)
             .min_by_key(|(link, connection)| (connection.pending.len(), **link))
             .map(|(link, _)| *link);
-        if let Some(link) = if pipelines { busy } else { idle } {
+        if let Some(link) = if may_pipeline { least_busy } else { idle } {
             return Some(link);
         }
-        if own().count() >= MAX_CONNECTIONS {
-            return busy;
+        if usable_connections().count() >= MAX_CONNECTIONS {
+            return least_busy;
         }
         let process = serving[instance]?;
         Some(self.connect(ctx, process, instance, Behavior::Valid))
     }
 
+    /// Opens a connection to a gateway process.
     fn connect(&mut self, ctx: &mut Context, process: usize, instance: usize, behavior: Behavior) -> LinkId {
         let id = ctx.open_link(process, ConnectionId::Client(0), Remote::Client);
         let valid = behavior == Behavior::Valid;
-        let link = ctx.links.get_mut(&id).expect("just opened");
+        let link = ctx.links.get_mut(&id).expect("the link was just opened");
         link.remote_open = true;
         link.malformed = behavior == Behavior::Malformed;
         link.known_address = valid;
-        link.client_address = if valid { FRONT_ADDRESS } else { UNKNOWN_ADDRESS };
+        link.client_address = if valid { FRONTEND_ADDRESS } else { UNKNOWN_ADDRESS };
         let connection = Connection { instance, behavior, received: vec![], pending: VecDeque::new() };
         self.connections.insert(id, connection);
         ctx.connect_to_gateway(id);
         id
     }
 
-    /// A client connects and sends what can't be parsed; the next one is scheduled.
+    /// Connects a client that sends a malformed command, and schedules the next one.
     pub fn next_malformed_client(&mut self, ctx: &mut Context, serving: &[Option<usize>]) {
         if self.malformed_rate <= 0.0 {
             return;
@@ -199,7 +211,7 @@
         ctx.send(link, Side::Gateway, command);
     }
 
-    /// So many clients connect at once and send nothing.
+    /// Opens `count` connections at once on which nothing is sent.
     pub fn open_idle_connections(&mut self, ctx: &mut Context, serving: &[Option<usize>], count: usize) {
         for _ in 0..count {
             let instance = ctx.rng.gen_range(0..serving.len());
@@ -209,7 +221,7 @@
         }
     }
 
-    /// These bytes of a gateway process have arrived. What was throttled is requested again at times.
+    /// Handles bytes received from a gateway process. Some of the throttled requests are scheduled for a retry.
     pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         connection.received.extend_from_slice(bytes);
@@ -225,14 +237,14 @@
         }
     }
 
-    /// A client disconnects.
+    /// Closes a connection of a client.
     pub fn disconnect(&mut self, ctx: &mut Context, link: LinkId) {
         if self.connections.remove(&link).is_some() {
             ctx.close(link, Side::Remote);
         }
     }
 
-    /// The gateway process has closed a connection, or is gone: requests without a response are sent once more, on another connection.
+    /// Handles the end of a connection. Requests in flight that were not retried before are sent again.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
         let Some(connection) = self.connections.remove(&link) else {
             return ctx.mark_closed(link, Side::Remote);
@@ -249,6 +261,7 @@
     }
 }
 
+/// Draws the length of a request's body, in bytes.
 fn draw_body_length(ctx: &mut Context) -> usize {
     if ctx.draw_bool(ctx.world.long_values) {
         ctx.rng.gen_range(LONG_BODY_BYTES)
@@ -257,7 +270,7 @@
     }
 }
 
-/// Milliseconds after which a throttled request may be sent again, as its response says.
+/// Returns the delay in milliseconds that the response to a throttled request specifies, or the default.
 fn retry_after_ms(response: &[u8]) -> f64 {
     let text = std::str::from_utf8(&response["-BUSY".len()..]).ok();
     text.and_then(|text| text.trim().parse().ok()).unwrap_or(DEFAULT_RETRY_AFTER_MS)
--- a/emulator/src/counter.rs
+++ b/emulator/src/counter.rs
@@ -1,4 +1,4 @@
-//! The counter: named totals that live for a while, over pipelined HTTP/1.1.
+//! Model of the counter: named totals with a limited lifetime, over pipelined HTTP/1.1.
 use crate::context::Context;
 use crate::http_request::{parse_request, query_number};
 use crate::network::{LinkId, Side};
@@ -6,65 +6,73 @@
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Seconds that a call takes.
+/// Seconds that the counter takes to handle a call.
 const CALL_DURATION: std::ops::Range<f64> = 0.0003..0.0015;
+/// Response to a rejected call.
 const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// The body of a response that can't be parsed.
+/// Body of a malformed response.
 const MALFORMED_BODY: &str = "many";
 
-/// A total, and when it begins anew.
+/// A total, and the time after which the next call resets it.
 #[derive(Clone, Copy, Default)]
 struct Total {
     sum: f64,
     expires_at: f64,
 }
 
+/// Totals by name.
 type Totals = HashMap<String, Total>;
 
 /// The counter of a run.
 pub struct Counter {
     totals: Totals,
-    /// What a second counter holds while they are split.
+    /// Totals of the second counter during a split.
     second_totals: Option<Totals>,
     connections: BTreeMap<LinkId, Connection>,
-    /// Connections are refused.
+    /// Whether connections are refused.
     pub down: bool,
-    /// It does not react at all.
+    /// Whether the counter does not respond.
     pub unresponsive: bool,
-    /// How many times slower it is.
+    /// Factor on the time that a call takes; 1 without a fault.
     pub slowdown: f64,
-    /// The fraction of responses that can't be parsed.
+    /// Fraction of responses that cannot be parsed.
     pub malformed_responses: f64,
-    /// The fraction of calls that are added, with the connection ended in place of a response.
+    /// Fraction of calls whose units are added, but to which the counter closes the connection instead of responding.
     pub lost_responses: f64,
-    /// The fraction of calls that are rejected.
+    /// Fraction of calls that are rejected.
     pub rejections: f64,
-    /// Calls that it handled.
+    /// Number of calls handled, including rejected ones.
     pub calls: u64,
 }
 
+/// A connection from a gateway process.
 struct Connection {
     instance: usize,
+    /// Bytes received and not parsed yet.
     received: Vec<u8>,
+    /// Calls without a response, oldest first.
     calls: VecDeque<Call>,
-    /// The oldest call is being handled.
+    /// Whether the oldest call is being handled.
     busy: bool,
 }
 
+/// A call that adds units to a total.
 struct Call {
     name: String,
-    added: f64,
-    /// Seconds that a new total lives.
+    /// Units to add.
+    units: f64,
+    /// Lifetime of a new total, in seconds.
     time_to_live: f64,
 }
 
 impl Call {
+    /// Parses the target of a request.
     fn parse(target: &str) -> Call {
         let path = target.strip_prefix("/counters/");
         let name = path.and_then(|path| path.split('?').next()).unwrap_or("");
         Call {
             name: name.to_owned(),
-            added: query_number(target, "by").unwrap_or(0.0),
+            units: query_number(target, "by").unwrap_or(0.0),
             time_to_live: query_number(target, "expire_ms").unwrap_or(1.0) / 1e3,
         }
     }
@@ -88,7 +96,7 @@
 }
 
 impl Counter {
-    /// A process of that gateway instance asks for a connection.
+    /// Accepts or refuses a connection from a process of a gateway instance, or does not respond.
     pub fn connect_requested(&mut self, ctx: &mut Context, id: LinkId, instance: usize) {
         if self.unresponsive {
             return;
@@ -104,7 +112,7 @@
         ctx.schedule_in(delay, ScheduledEvent::ConnectCompleted { link: id, accepted });
     }
 
-    /// These bytes of a gateway process have arrived.
+    /// Handles bytes received from a gateway process. Complete calls are queued.
     pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         connection.received.extend_from_slice(bytes);
@@ -115,6 +123,7 @@
         self.start_next_call(ctx, link);
     }
 
+    /// Starts to handle the oldest call of a connection, unless one is being handled.
     fn start_next_call(&mut self, ctx: &mut Context, link: LinkId) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         if connection.busy || connection.calls.is_empty() || self.unresponsive {
@@ -125,7 +134,7 @@
         ctx.schedule_in(seconds, ScheduledEvent::CounterCallCompleted(link));
     }
 
-    /// The oldest call on a connection has been handled.
+    /// Completes the oldest call of a connection: adds its units and responds, or applies a fault.
     pub fn complete_call(&mut self, ctx: &mut Context, link: LinkId) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         connection.busy = false;
@@ -150,7 +159,7 @@
         self.start_next_call(ctx, link);
     }
 
-    /// Adds to a total, and returns the sum. While there are two counters, every other instance meets the second one.
+    /// Adds a call's units to a total, and returns the sum. During a split, instances with odd indexes use the second counter.
     fn add(&mut self, now: f64, instance: usize, call: Call) -> f64 {
         let totals = match &mut self.second_totals {
             Some(second) if instance % 2 == 1 => second,
@@ -160,22 +169,23 @@
         if now > total.expires_at {
             *total = Total { sum: 0.0, expires_at: now + call.time_to_live };
         }
-        total.sum += call.added;
+        total.sum += call.units;
         total.sum
     }
 
+    /// Closes a connection.
     fn disconnect(&mut self, ctx: &mut Context, link: LinkId) {
         self.connections.remove(&link);
         ctx.close(link, Side::Remote);
     }
 
-    /// The gateway process has closed a connection.
+    /// Handles the close of a connection by the gateway process.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
         self.connections.remove(&link);
         ctx.confirm_close(link);
     }
 
-    /// It crashes: open connections are reset, and new ones refused.
+    /// Crashes the counter: open connections are reset, and new ones are refused.
     pub fn crash(&mut self, ctx: &mut Context) {
         self.down = true;
         for link in std::mem::take(&mut self.connections).into_keys() {
@@ -183,7 +193,7 @@
         }
     }
 
-    /// It is responsive again, and handles what has come meanwhile.
+    /// Makes the counter responsive again. It handles the calls received in the meantime.
     pub fn resume(&mut self, ctx: &mut Context) {
         self.unresponsive = false;
         for link in self.connections.keys().copied().collect::<Vec<_>>() {
@@ -191,17 +201,17 @@
         }
     }
 
-    /// All totals are lost.
+    /// Discards all totals of the first counter.
     pub fn clear(&mut self) {
         self.totals.clear();
     }
 
-    /// From now on there are two, the second one with a copy of the totals.
+    /// Starts a split: adds a second counter with a copy of the totals.
     pub fn split(&mut self) {
         self.second_totals = Some(self.totals.clone());
     }
 
-    /// The second one is gone, and its totals with it.
+    /// Ends a split: discards the second counter and its totals.
     pub fn merge(&mut self) {
         self.second_totals = None;
     }
--- a/emulator/src/discovery.rs
+++ b/emulator/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery service: a log of changes to the endpoint list, and at each gateway instance an agent that knows it up to some version.
+//! Model of the list service: a log of changes to the endpoint list, and an agent at each gateway instance, which receives the changes
+//! after a delay and serves them to the instance's processes.
 use crate::context::Context;
 use crate::http_request::{parse_request, query_number};
 use crate::network::{LinkId, Side};
@@ -9,75 +10,81 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Seconds until a change has reached an agent.
+/// Seconds until a change of the endpoint list reaches an agent.
 const PROPAGATION_DELAY: std::ops::Range<f64> = 0.005..0.3;
-/// A body that can't be parsed.
+/// Body of a malformed response.
 const MALFORMED_BODY: &str = "{\"index\":";
 
-/// An entry of the endpoint list: a backend under one name.
+/// An entry of the endpoint list: a backend's name, address and status.
 #[derive(Clone, Debug)]
 pub struct EndpointEntry {
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Where it listens.
+    /// Address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Its zone's name.
+    /// Name of the endpoint's zone.
     pub zone: String,
-    /// Its cell.
+    /// Index of the endpoint's cell.
     pub cell: usize,
-    /// Its status, as on the wire.
+    /// Status of the endpoint, as on the wire.
     pub status: &'static str,
-    /// When its process was started, in seconds.
-    pub started: f64,
+    /// Start time of the backend's process, in seconds.
+    pub started_at: f64,
 }
 
 impl EndpointEntry {
+    /// Encodes the entry as JSON.
     fn json(&self) -> Value {
         json!({"name": self.name, "address": self.address, "zone": self.zone, "type": "m", "group": self.cell,
-               "status": self.status, "weight": 1.0, "since_ms": (self.started * 1e3).round()})
+               "status": self.status, "weight": 1.0, "since_ms": (self.started_at * 1e3).round()})
     }
 }
 
+/// The agent of a gateway instance.
 #[derive(Clone, Default)]
 struct Agent {
-    /// How much of the log it knows.
+    /// Number of log entries that have reached the agent.
     version: usize,
-    /// When the last change on its way arrives: changes arrive in order.
-    last_update: f64,
-    /// Its next response is a snapshot.
+    /// Arrival time of the last published change. Changes arrive in order.
+    last_update_at: f64,
+    /// Whether the agent's next response has to be a snapshot.
     snapshot_due: bool,
 }
 
+/// A connection from a gateway process to the agent of its instance.
 struct Connection {
     instance: usize,
+    /// Bytes received and not parsed yet.
     received: Vec<u8>,
-    /// The version after which a watch waits for changes.
+    /// Version of the pending watch, which waits for a newer version.
     watched_version: Option<usize>,
-    /// The watch's number.
+    /// Number of the latest watch on the connection.
     watch: u64,
 }
 
-/// The discovery service of a run.
+/// The list service of a run.
 pub struct Discovery {
+    /// All changes so far. The number of entries is the version.
     log: Vec<EndpointEntry>,
-    /// By gateway instance.
+    /// Agents, by gateway instance.
     agents: Vec<Agent>,
     connections: BTreeMap<LinkId, Connection>,
+    /// Number of watches so far.
     watches: u64,
-    /// Seconds by which changes are late.
+    /// Additional delay of changes, in seconds.
     pub extra_delay: f64,
-    /// It does not respond.
+    /// Whether the service does not respond.
     pub down: bool,
-    /// Its responses can't be parsed.
+    /// Whether responses are malformed.
     pub malformed_responses: bool,
-    /// It presents this version as if it were the newest.
+    /// Version of the log whose entries snapshots contain, although they carry the current version number.
     pub stale_version: Option<usize>,
-    /// The endpoint names that it leaves out.
+    /// Names of endpoints that responses omit.
     pub hidden_backends: Vec<String>,
 }
 
 impl Discovery {
-    /// A service whose agents all know these entries.
+    /// Creates a service with these entries, which have reached all agents.
     pub fn new(entries: Vec<EndpointEntry>, instances: usize) -> Discovery {
         let agent = Agent { version: entries.len(), ..Agent::default() };
         Discovery {
@@ -93,18 +100,18 @@
         }
     }
 
-    /// Adds a change; it reaches each agent after a while.
+    /// Appends a change to the log, and schedules its arrival at each agent.
     pub fn publish(&mut self, ctx: &mut Context, entry: EndpointEntry) {
         ctx.trace.record_line(ctx.now, &format!("endpoint list: {} {}", entry.name, entry.status));
         self.log.push(entry);
         for (instance, agent) in self.agents.iter_mut().enumerate() {
             let at = ctx.now + ctx.rng.gen_range(PROPAGATION_DELAY) + self.extra_delay;
-            agent.last_update = agent.last_update.max(at);
-            ctx.events.schedule(agent.last_update, ScheduledEvent::EndpointUpdate(instance));
+            agent.last_update_at = agent.last_update_at.max(at);
+            ctx.events.schedule(agent.last_update_at, ScheduledEvent::EndpointUpdate(instance));
         }
     }
 
-    /// The next response of every agent is a snapshot, with what is hidden or stale now.
+    /// Makes the next response of each agent a snapshot, and answers pending watches with it.
     pub fn force_snapshots(&mut self, ctx: &mut Context) {
         for instance in 0..self.agents.len() {
             self.agents[instance].snapshot_due = true;
@@ -112,40 +119,42 @@
         }
     }
 
-    /// The number of changes so far.
+    /// Returns the newest version, which is the number of changes so far.
     pub fn latest_version(&self) -> usize {
         self.log.len()
     }
 
-    /// A change has reached the agent of an instance.
+    /// Handles the arrival of a change at the agent of an instance.
     pub fn agent_updated(&mut self, ctx: &mut Context, instance: usize) {
         let agent = &mut self.agents[instance];
         agent.version = (agent.version + 1).min(self.log.len());
         self.answer_watches(ctx, instance);
     }
 
-    /// Answers the watches at an instance that there is something to notify of.
+    /// Answers the watches at an instance's agent if a newer version or a snapshot is available.
     fn answer_watches(&mut self, ctx: &mut Context, instance: usize) {
-        while let Some((link, watched)) = self.due_watch(instance) {
+        while let Some((link, watched)) = self.answerable_watch(instance) {
             self.respond(ctx, link, Some(watched));
         }
     }
 
-    fn due_watch(&self, instance: usize) -> Option<(LinkId, usize)> {
+    /// Returns the link and version of a watch that can be answered now.
+    fn answerable_watch(&self, instance: usize) -> Option<(LinkId, usize)> {
         let agent = &self.agents[instance];
-        let own = self.connections.iter().filter(|(_, connection)| connection.instance == instance);
-        let mut watches = own.filter_map(|(link, connection)| Some((*link, connection.watched_version?)));
+        let of_instance = self.connections.iter().filter(|(_, connection)| connection.instance == instance);
+        let mut watches =
+            of_instance.filter_map(|(link, connection)| Some((*link, connection.watched_version?)));
         watches.find(|(_, watched)| agent.version > *watched || agent.snapshot_due)
     }
 
-    /// The list as the agent of an instance knows it.
+    /// Returns the endpoint list as of the version that has reached an instance's agent.
     pub fn snapshot_of(&self, instance: usize) -> EndpointList {
         let version = self.agents[instance].version;
         let text = self.snapshot(version, version).to_string();
-        endpoints::decode(text.as_bytes()).expect("our own list")
+        endpoints::decode(text.as_bytes()).expect("the generated endpoint list can be decoded")
     }
 
-    /// The list at a version, presented under another one.
+    /// Returns the endpoint list as of a version in JSON, labeled with another version.
     fn snapshot(&self, version: usize, presented_version: usize) -> Value {
         let mut newest: BTreeMap<&str, &EndpointEntry> = BTreeMap::new();
         for entry in &self.log[..version] {
@@ -156,11 +165,12 @@
         json!({"index": presented_version, "snapshot": true, "endpoints": endpoints})
     }
 
+    /// Returns whether responses omit an entry.
     fn hides(&self, entry: &EndpointEntry) -> bool {
         self.hidden_backends.contains(&entry.name)
     }
 
-    /// A process of that gateway instance asks for a connection.
+    /// Accepts a connection from a process of a gateway instance, or does not respond while the service is down.
     pub fn connect_requested(&mut self, ctx: &mut Context, id: LinkId, instance: usize) {
         if self.down {
             return;
@@ -173,7 +183,7 @@
         ctx.schedule_in(delay, ScheduledEvent::ConnectCompleted { link: id, accepted: true });
     }
 
-    /// These bytes of a gateway process have arrived.
+    /// Handles bytes received from a gateway process. A complete request is answered, or registered as a watch.
     pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         connection.received.extend_from_slice(bytes);
@@ -196,7 +206,7 @@
         }
     }
 
-    /// A watch, by its number, has come to its timeout.
+    /// Answers a watch that has timed out, unless it was answered before.
     pub fn watch_timed_out(&mut self, ctx: &mut Context, link: LinkId, watch: u64) {
         let connection = self.connections.get(&link).filter(|connection| connection.watch == watch);
         if let Some(version) = connection.and_then(|connection| connection.watched_version) {
@@ -204,7 +214,7 @@
         }
     }
 
-    /// Responds with the changes since a version, or with a snapshot.
+    /// Responds with the changes since a version, or with a snapshot if `since` is `None` or the agent has to send one.
     fn respond(&mut self, ctx: &mut Context, link: LinkId, since: Option<usize>) {
         let Some(connection) = self.connections.get_mut(&link) else { return };
         connection.watched_version = None;
@@ -223,22 +233,23 @@
         ctx.send(link, Side::Gateway, response.as_bytes());
     }
 
+    /// Returns the changes between two versions in JSON.
     fn changes(&self, since: usize, version: usize) -> Value {
         let visible = self.log[since..version].iter().filter(|entry| !self.hides(entry));
         let endpoints: Vec<Value> = visible.map(EndpointEntry::json).collect();
         json!({"index": version, "snapshot": false, "endpoints": endpoints})
     }
 
-    /// The gateway process has closed a connection.
+    /// Handles the close of a connection by the gateway process.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId) {
         self.connections.remove(&link);
         ctx.confirm_close(link);
     }
 
-    /// Closes the connections of an instance: the service is at another address now.
+    /// Closes the connections of an instance, whose configuration names another address of the service now.
     pub fn disconnect_instance(&mut self, ctx: &mut Context, instance: usize) {
-        let own = self.connections.iter().filter(|(_, connection)| connection.instance == instance);
-        for link in own.map(|(link, _)| *link).collect::<Vec<_>>() {
+        let of_instance = self.connections.iter().filter(|(_, connection)| connection.instance == instance);
+        for link in of_instance.map(|(link, _)| *link).collect::<Vec<_>>() {
             self.connections.remove(&link);
             ctx.close(link, Side::Remote);
         }
--- a/emulator/src/gateway_process/connection.rs
+++ b/emulator/src/gateway_process/connection.rs
@@ -1,34 +1,34 @@
-//! A process's connection, with what the socket layer keeps for one.
+//! The state of a gateway process's connection, as the socket layer keeps it.
 use crate::network::LinkId;
 use quillramp_gateway::state::connection::ConnectionId;
 use quillramp_gateway::state::event::Event;
 use quillramp_gateway::state::framing::{MessageReader, MessageSink};
 use quillramp_gateway::state::write_buffer::WriteBuffer;
 
-/// An open connection, or one that was asked for.
+/// A connection that is open or being established.
 pub(super) struct Connection {
-    /// The link that it is on.
+    /// The link of the connection.
     pub link: LinkId,
-    /// The remote has accepted it.
+    /// Whether the remote has accepted the connection.
     pub established: bool,
-    /// Decodes what arrives.
+    /// Decodes the received bytes.
     pub reader: MessageReader,
-    /// Bytes that have arrived and are not decoded yet.
+    /// Bytes received and not decoded yet.
     pub received: Vec<u8>,
-    /// What is not written yet.
+    /// Bytes not written yet.
     pub write_buffer: WriteBuffer,
-    /// Of a connection to a backend: the client that a long value is streamed to.
+    /// The client connection that a long value from this backend connection is streamed to.
     pub stream_to: Option<ConnectionId>,
-    /// Nothing is read from it any more.
+    /// Whether received bytes are no longer read.
     pub reading_stopped: bool,
-    /// When something of a long value was streamed last.
+    /// Time at which bytes of a long value were last streamed.
     pub stream_progress_at: f64,
-    /// The remote has closed it, behind bytes that are not decoded yet.
+    /// Whether the remote closed the connection after bytes that are not decoded yet.
     pub remote_closed: bool,
 }
 
 impl Connection {
-    /// A connection under this id; `established`: the remote has accepted it.
+    /// Creates the state of a connection. `established` is whether the remote has accepted it.
     pub fn new(link: LinkId, id: ConnectionId, established: bool) -> Connection {
         Connection {
             link,
@@ -44,19 +44,19 @@
     }
 }
 
-/// What one pass of the reader decoded.
+/// The output of one call of the reader.
 #[derive(Default)]
 pub(super) struct DecodedInput {
     /// Events for the reducer.
     pub events: Vec<Event>,
-    /// Bytes of a long value, as its client gets them.
+    /// Bytes of a long value, encoded for its client.
     pub streamed: Vec<u8>,
-    /// The long value is complete.
+    /// Whether the long value is complete.
     pub stream_ended: bool,
 }
 
 impl DecodedInput {
-    /// Whether something of a long value was decoded.
+    /// Returns whether the start or bytes of a long value were decoded.
     pub fn has_stream_progress(&self) -> bool {
         let started = self.events.iter().any(|event| matches!(event, Event::StreamStarted(_)));
         started || !self.streamed.is_empty()
--- a/emulator/src/gateway_process/effects.rs
+++ b/emulator/src/gateway_process/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the reducer asks for, as the socket layer does.
+//! Applies the reducer's effects as the socket layer does.
 use super::connection::Connection;
 use super::{Addresses, GatewayProcess, ProcessRequest};
 use crate::context::Context;
@@ -13,11 +13,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Seconds between the reducer's wish to exit and the process's next look at whether all is done.
+/// Seconds from the effect that requests the exit to the process's next run, which checks whether it can exit.
 const EXIT_CHECK_INTERVAL: f64 = 0.01;
 
 impl GatewayProcess {
-    /// Carries out an effect; what concerns neither the process nor the network is returned.
+    /// Applies an effect. Returns a request if the effect concerns neither the process nor the network.
     pub(super) fn apply_effect(
         &mut self,
         ctx: &mut Context,
@@ -128,17 +128,18 @@
     fn close_if_idle(&mut self, ctx: &mut Context, client: u64, reason: CloseReason) {
         let id = ConnectionId::Client(client);
         let all_read = self.connections.get(&id).is_some_and(|connection| connection.received.is_empty());
-        let command_waits = self
+        let has_queued_command = self
             .inbox
             .iter()
             .any(|event| matches!(event, Event::ClientCommand { client: sender, .. } if *sender == client));
-        if all_read && !command_waits {
+        if all_read && !has_queued_command {
             self.close(ctx, id);
             self.deliver_event(ctx, Event::IdleClientClosed { client, reason });
         }
     }
 
-    /// Closes a connection on which a long value makes no progress. The times are in seconds.
+    /// Closes a connection on which a long value has made no progress for `stalled_for` seconds, or for `unresponsive_for` seconds if
+    /// the value is being streamed.
     fn close_if_stalled(&mut self, ctx: &mut Context, backend: u64, unresponsive_for: f64, stalled_for: f64) {
         let id = ConnectionId::Backend(backend);
         let stalled = |connection: &Connection| {
@@ -150,19 +151,20 @@
         }
     }
 
-    /// Passes a long value on to a client from now on, or reads it for nobody.
+    /// Starts to stream a long value to a client, or to read and discard it if `client` is `None`.
     fn start_stream(&mut self, ctx: &mut Context, backend: u64, client: Option<u64>) {
         let id = ConnectionId::Backend(backend);
         let connection = self.connections.get_mut(&id);
         let Some(length) = connection.and_then(|connection| connection.reader.start_streaming()) else {
             return;
         };
-        let to = client.map(ConnectionId::Client).filter(|to| self.connections.contains_key(to));
-        if let Some(client) = to.and_then(|to| self.connections.get_mut(&to)) {
+        let recipient =
+            client.map(ConnectionId::Client).filter(|recipient| self.connections.contains_key(recipient));
+        if let Some(client) = recipient.and_then(|recipient| self.connections.get_mut(&recipient)) {
             client.write_buffer.buffer().extend_from_slice(format!("${length}\r\n").as_bytes());
         }
-        let connection = self.connections.get_mut(&id).expect("just found");
-        connection.stream_to = to;
+        let connection = self.connections.get_mut(&id).expect("the connection was just used");
+        connection.stream_to = recipient;
         connection.stream_progress_at = ctx.now;
         self.decode(ctx, id);
         let ended = |open: &Connection| open.remote_closed && !open.reader.is_stream_pending();
@@ -188,8 +190,8 @@
 
     fn send_datagram(&self, ctx: &mut Context, addresses: &Addresses, to: SocketAddr, body: &[u8]) {
         let broadcast = addresses.broadcast == Some(to);
-        let addressed = addresses.instances.iter().filter(|(address, _)| broadcast || **address == to);
-        let instances: BTreeSet<usize> = addressed.map(|(_, instance)| *instance).collect();
+        let recipients = addresses.instances.iter().filter(|(address, _)| broadcast || **address == to);
+        let instances: BTreeSet<usize> = recipients.map(|(_, instance)| *instance).collect();
         for instance in instances.into_iter().filter(|instance| *instance != self.instance) {
             if !ctx.draw_bool(ctx.datagram_loss) {
                 let delay = ctx.draw_delay();
--- a/emulator/src/gateway_process/inbound.rs
+++ b/emulator/src/gateway_process/inbound.rs
@@ -1,4 +1,4 @@
-//! What the network brings to a process: connections, bytes and ends become events of the reducer.
+//! Converts connection requests, received bytes and closed links to events of the reducer.
 use super::connection::{Connection, DecodedInput};
 use super::{GatewayProcess, OTHER_DESCRIPTORS};
 use crate::context::Context;
@@ -7,7 +7,7 @@
 use quillramp_gateway::state::event::Event;
 
 impl GatewayProcess {
-    /// A client, or an operator, asks for a connection.
+    /// Adds a connection from a client or an operator to the backlog, or resets it if the process does not accept connections.
     pub fn connect_requested(&mut self, ctx: &mut Context, link: LinkId) {
         if !self.alive || !self.accepting {
             return ctx.abort(link, Side::Gateway);
@@ -20,7 +20,7 @@
         self.accept(ctx);
     }
 
-    /// Accepts connections from the backlog as long as there are descriptors. Operators are accepted beyond that.
+    /// Accepts connections from the backlog while descriptors are available. Connections from operators are accepted regardless.
     pub(super) fn accept(&mut self, ctx: &mut Context) {
         while let Some(&id) = self.backlog.front() {
             let Some(link) = ctx.links.get(&id) else {
@@ -36,16 +36,17 @@
         }
     }
 
-    /// Notifies the reducer, once a batch, that there are no descriptors for a connection.
+    /// Notifies the reducer that no descriptor is available for a waiting connection, at most once per batch.
     fn report_exhaustion(&mut self, ctx: &mut Context) {
         if !self.inbox.iter().any(|event| matches!(event, Event::DescriptorsExhausted)) {
             self.deliver_event(ctx, Event::DescriptorsExhausted);
         }
     }
 
+    /// Accepts the connection on a link, and decodes the bytes received before.
     fn accept_link(&mut self, ctx: &mut Context, id: LinkId) {
-        self.accepted += 1;
-        let number = self.accepted;
+        self.accepted_connections += 1;
+        let number = self.accepted_connections;
         let Some(link) = ctx.links.get_mut(&id) else { return };
         let (connection_id, event) = if link.remote == Remote::Operator {
             (ConnectionId::Admin(number), Event::AdminConnected(number))
@@ -66,31 +67,33 @@
         self.decode(ctx, connection_id);
     }
 
+    /// Returns the id of the process's connection on a link.
     fn connection_on(&self, ctx: &Context, link: LinkId) -> Option<ConnectionId> {
         let id = ctx.links.get(&link)?.connection;
         self.connections.get(&id).filter(|connection| connection.link == link).map(|_| id)
     }
 
-    /// A connection that this process asked for was accepted or refused.
+    /// Handles the acceptance or refusal of a connection that this process opened.
     pub fn connect_completed(&mut self, ctx: &mut Context, link: LinkId, accepted: bool) {
         let Some(id) = self.connection_on(ctx, link) else { return };
         if accepted {
-            self.connections.get_mut(&id).expect("just found").established = true;
+            self.connections.get_mut(&id).expect("the connection was just found").established = true;
             return self.deliver_event(ctx, Event::Connected(id));
         }
         self.connection_failed(ctx, id, CloseReason::Refused, true);
     }
 
-    /// Bytes have arrived on a link.
+    /// Handles bytes that arrive on a link.
     pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
         if !self.alive {
             return;
         }
         let id = self.connection_on(ctx, link);
-        // What a client wrote counts as received as soon as the machine has it, read or not; but a connection that is no longer read
-        // from may be closed across what lies there, and the client asks again elsewhere.
-        let ignored = id.is_some_and(|id| self.connections[&id].reading_stopped);
-        if !ignored && ctx.links.get(&link).is_some_and(|link| link.remote == Remote::Client) {
+        // For the checker, bytes from a client count as received when they reach the machine, even if the process has not read them.
+        // An exception are connections that the process no longer reads: it may close them in spite of unread bytes, and the client
+        // retries on another connection.
+        let is_ignored = id.is_some_and(|id| self.connections[&id].reading_stopped);
+        if !is_ignored && ctx.links.get(&link).is_some_and(|link| link.remote == Remote::Client) {
             ctx.checker.client_bytes_received(ctx.now, link, bytes);
         }
         if self.backlog.contains(&link) {
@@ -102,11 +105,15 @@
             ConnectionId::Discovery(_) => ctx.checker.discovery_bytes_received(ctx.now, link, bytes),
             _ => {}
         }
-        self.connections.get_mut(&id).expect("just found").received.extend_from_slice(bytes);
+        self.connections
+            .get_mut(&id)
+            .expect("the connection was just found")
+            .received
+            .extend_from_slice(bytes);
         self.decode(ctx, id);
     }
 
-    /// Decodes what has arrived on a connection, as far as it is complete.
+    /// Decodes all complete messages in the received bytes of a connection. Bytes that cannot be decoded end the connection.
     pub(super) fn decode(&mut self, ctx: &mut Context, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id).filter(|c| !c.reading_stopped) else { return };
         let mut input = DecodedInput::default();
@@ -144,7 +151,7 @@
         self.flush(ctx, to);
     }
 
-    /// The remote has closed a link, or it was reset.
+    /// Handles a link that was reset or closed by the remote.
     pub fn link_closed(&mut self, ctx: &mut Context, link: LinkId, reset: bool) {
         self.backlog.retain(|waiting| *waiting != link);
         if let Some(id) = self.connection_on(ctx, link) {
@@ -153,10 +160,11 @@
         ctx.mark_closed(link, Side::Gateway);
     }
 
+    /// Reports the end of a connection to the reducer, unless a long value has to be streamed before.
     fn remote_closed(&mut self, ctx: &mut Context, id: ConnectionId, reset: bool) {
-        let connection = self.connections.get_mut(&id).expect("just found");
+        let connection = self.connections.get_mut(&id).expect("the connection was just found");
         if !reset && connection.reader.is_stream_pending() && !connection.received.is_empty() {
-            // What was written before the end is streamed first.
+            // The bytes received before the close are streamed first.
             connection.remote_closed = true;
             return;
         }
@@ -169,7 +177,7 @@
         self.connection_failed(ctx, id, reason, unsent);
     }
 
-    /// A connection has ended, not by the reducer's wish: the reducer is notified.
+    /// Removes a connection that the reducer did not ask to close, and notifies the reducer.
     pub(super) fn connection_failed(
         &mut self,
         ctx: &mut Context,
--- a/emulator/src/gateway_process/injected_defect.rs
+++ b/emulator/src/gateway_process/injected_defect.rs
@@ -1,4 +1,4 @@
-//! Gateway processes broken on purpose, so that each check is seen to find what it is for.
+//! Defects that can be injected into gateway processes, to verify that the checker detects them.
 use super::GatewayProcess;
 use crate::context::Context;
 use quillramp_gateway::state::connection::ConnectionId;
@@ -6,58 +6,58 @@
 use quillramp_gateway::wire::endpoints::EndpointList;
 use quillramp_gateway::wire::resp::ClientReply;
 
-/// How a gateway process is broken.
+/// A defect injected into all gateway processes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum InjectedDefect {
-    /// One answer in fifty is never written.
+    /// One response in fifty is not written.
     #[value(name = "swallows-answers")]
     DropsResponses,
-    /// One answer in fifty is written twice.
+    /// One response in fifty is written twice.
     #[value(name = "answers-twice")]
     DuplicatesResponses,
-    /// Deliveries that may not be repeated are, now and then.
+    /// One attempt in twenty of a non-idempotent operation is written twice.
     #[value(name = "repeats-orders")]
     RepeatsNonIdempotent,
-    /// What may have run is throttled instead of errored.
+    /// A request that a backend may have executed gets a throttled response instead of an error.
     #[value(name = "throttles-anyway")]
     ThrottlesExecuted,
-    /// Drains and deletions are not heard.
+    /// Drains and deletions of backends are ignored.
     #[value(name = "ignores-drains")]
     IgnoresDrains,
-    /// Every backend counts as warm.
+    /// No backend gets a slow start.
     #[value(name = "forgets-cold")]
     SkipsSlowStart,
-    /// Quotas and ceilings are taken for fifty times what they are.
+    /// Quotas and ceilings are fifty times as high as those that the checker expects.
     #[value(name = "busts-ceilings")]
     ExceedsCeilings,
 }
 
-/// The probability with which a response is dropped or written twice.
-const RESPONSE_FAULT: f64 = 0.02;
-/// The probability with which an attempt is written twice.
-const ATTEMPT_FAULT: f64 = 0.05;
+/// Probability that a response is dropped or written twice.
+const RESPONSE_DEFECT_PROBABILITY: f64 = 0.02;
+/// Probability that an attempt of a non-idempotent operation is written twice.
+const ATTEMPT_DEFECT_PROBABILITY: f64 = 0.05;
 
 impl GatewayProcess {
     fn has_defect(&self, defect: InjectedDefect) -> bool {
         self.defect == Some(defect)
     }
 
-    /// Draws whether the next response is dropped.
+    /// Returns whether the next response is dropped, drawn at random if the process has this defect.
     pub(super) fn drops_response(&self, ctx: &mut Context) -> bool {
-        self.has_defect(InjectedDefect::DropsResponses) && ctx.draw_bool(RESPONSE_FAULT)
+        self.has_defect(InjectedDefect::DropsResponses) && ctx.draw_bool(RESPONSE_DEFECT_PROBABILITY)
     }
 
-    /// Draws whether the next response is written twice.
+    /// Returns whether the next response is written twice, drawn at random if the process has this defect.
     pub(super) fn duplicates_response(&self, ctx: &mut Context) -> bool {
-        self.has_defect(InjectedDefect::DuplicatesResponses) && ctx.draw_bool(RESPONSE_FAULT)
+        self.has_defect(InjectedDefect::DuplicatesResponses) && ctx.draw_bool(RESPONSE_DEFECT_PROBABILITY)
     }
 
-    /// Draws whether the next attempt is written twice.
+    /// Returns whether the next attempt is written twice, drawn at random if the process has this defect.
     pub(super) fn duplicates_attempt(&self, ctx: &mut Context) -> bool {
-        self.has_defect(InjectedDefect::RepeatsNonIdempotent) && ctx.draw_bool(ATTEMPT_FAULT)
+        self.has_defect(InjectedDefect::RepeatsNonIdempotent) && ctx.draw_bool(ATTEMPT_DEFECT_PROBABILITY)
     }
 
-    /// The response that is written in place of this one.
+    /// Returns the response that is written instead of `response`: the same one without a defect.
     pub(super) fn altered_response(&self, response: ClientReply) -> ClientReply {
         match response {
             ClientReply::Error(reason)
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The event that the reducer gets in place of this one.
+    /// Returns the event that is delivered to the reducer instead of `event`: the same one without a defect.
     pub(super) fn altered_event(&self, event: Event) -> Event {
         let Event::HttpResponse { connection: connection @ ConnectionId::Discovery(_), mut response } = event
         else {
@@ -88,7 +88,7 @@
     }
 }
 
-/// A discovery response in which every backend was started long ago.
+/// Returns an endpoint list in JSON with the start times of all backends set to 0.
 fn without_start_times(body: &str) -> String {
     let mut parts = body.split("\"since_ms\":");
     let mut altered = parts.next().unwrap_or_default().to_owned();
@@ -99,7 +99,7 @@
     altered
 }
 
-/// The endpoint list that a process starts with in place of this one.
+/// Returns the endpoint list that a process starts with instead of `endpoints`: the same one without a defect.
 pub(super) fn altered_endpoints(endpoints: &EndpointList, defect: Option<InjectedDefect>) -> EndpointList {
     let mut endpoints = endpoints.clone();
     if defect == Some(InjectedDefect::SkipsSlowStart) {
--- a/emulator/src/gateway_process/mod.rs
+++ b/emulator/src/gateway_process/mod.rs
@@ -1,14 +1,14 @@
-//! A gateway process: the real reducer with the real decisions in it and the real codecs, on the simulated network in place of sockets.
+//! A gateway process: the production reducer, policies and codecs on the simulated network instead of sockets.
 //!
-//! What the socket layer does with events and effects is done here in the same order:
+//! These modules replace the socket layer, and process events and effects in the same order:
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `inbound` | what the network brings: connections, bytes and ends become events |
-//! | `effects` | what the reducer asks for |
-//! | `outbound` | writes, closes |
+//! | `inbound` | converts connection requests, received bytes and closed links to events |
+//! | `effects` | applies the reducer's effects |
+//! | `outbound` | writes to connections and closes them |
 //! | `connection` | the state of one connection |
-//! | `injected_defect` | processes broken on purpose |
+//! | `injected_defect` | defects that the checker has to detect |
 mod connection;
 mod effects;
 mod inbound;
@@ -32,94 +32,96 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Descriptors of a process that are not connections.
+/// Number of descriptors that a process uses for other purposes than connections.
 pub const OTHER_DESCRIPTORS: usize = 8;
-/// Events that come within so many seconds are handled in one batch.
+/// Seconds from the first event of a batch to the run that handles it. Events that arrive in between join the batch.
 const BATCH_INTERVAL: f64 = 50e-6;
 
-/// What listens at which address.
+/// The addresses of the models and the gateway instances.
 #[derive(Default)]
 pub struct Addresses {
-    /// What accepts connections.
+    /// Models that accept connections, by address.
     pub remotes: HashMap<SocketAddr, Remote>,
-    /// Gateway instances, by the address at which they get datagrams.
+    /// Gateway instances, by the address at which they receive datagrams.
     pub instances: HashMap<SocketAddr, usize>,
-    /// The address that reaches all instances.
+    /// The broadcast address of all instances.
     pub broadcast: Option<SocketAddr>,
 }
 
-/// What a process asks of its surroundings other than the network.
+/// A request of a process that the simulation handles outside of the process and the network.
 pub enum ProcessRequest {
-    /// Saves an operator's change for this instance's processes.
+    /// Save an operator's change to the state that the instance's processes share.
     SaveChange {
-        /// The operator's call, to be notified once it is saved.
+        /// The operator's call that is answered once the change is saved.
         call: u64,
-        /// The change.
+        /// The change to save.
         change: AdminChange,
     },
-    /// From now on it holds no more than so many descriptors.
+    /// Announce to the instance's other processes that this one holds no more than this number of descriptors from now on.
     AnnounceDescriptorLimit(usize),
-    /// It exits.
+    /// End the process.
     Exit,
 }
 
-/// What a process starts with.
+/// The initial state and configuration of a process.
 pub struct StartOptions {
-    /// The process's index, unique within a run.
+    /// Index of the process, unique within a run.
     pub index: usize,
-    /// The gateway instance that it belongs to.
+    /// Index of the gateway instance that the process belongs to.
     pub instance: usize,
-    /// Its own address.
+    /// Address at which the process receives datagrams.
     pub own_address: SocketAddr,
-    /// Its configuration.
+    /// Configuration of the process.
     pub configuration: settings::Loaded,
-    /// How each operation may be repeated, by the operation's name.
+    /// Idempotency of each operation, by the operation's name.
     pub idempotency: HashMap<Vec<u8>, Idempotency>,
-    /// What the reducer is told of its surroundings.
+    /// Configuration of the reducer: addresses of peers and services, descriptors, and capabilities of the process.
     pub reducer: ReducerConfig,
-    /// The endpoint list as known before the start.
+    /// The endpoint list at the start.
     pub endpoints: EndpointList,
-    /// What the instance's processes share.
+    /// State that the instance's processes share.
     pub shared_state: SharedState,
-    /// What the operator's file declares.
+    /// Contents of the operator's file.
     pub operator_update: OperatorUpdate,
-    /// How it is broken on purpose.
+    /// Defect to inject into the process.
     pub defect: Option<InjectedDefect>,
 }
 
 /// A process of a gateway instance.
 pub struct GatewayProcess {
-    /// The process's index, unique within a run.
+    /// Index of the process, unique within a run.
     pub index: usize,
-    /// The gateway instance that it belongs to.
+    /// Index of the gateway instance that the process belongs to.
     pub instance: usize,
     own_address: SocketAddr,
     reducer: Reducer,
     connections: BTreeMap<ConnectionId, Connection>,
     /// Events that the reducer has not handled yet.
     inbox: Vec<Event>,
-    /// Connections that wait to be accepted.
+    /// Links of the connections that wait to be accepted.
     backlog: VecDeque<LinkId>,
-    /// What has arrived on them meanwhile.
+    /// Bytes received on the links in the backlog.
     backlog_bytes: HashMap<LinkId, Vec<u8>>,
-    /// Counts the accepted connections: their ids.
-    accepted: u64,
-    /// It has not ended.
+    /// Number of accepted connections, which is also the number in the id of the newest one.
+    accepted_connections: u64,
+    /// Whether the process has not ended.
     pub alive: bool,
-    /// It accepts connections.
+    /// Whether the process accepts connections.
     pub accepting: bool,
     max_descriptors: usize,
-    /// When it handles its inbox or its timers next.
+    /// Time of the next scheduled run; infinite if none is scheduled.
     next_run: f64,
+    /// Time until which the process is suspended.
     stalled_until: f64,
+    /// Whether the reducer asked to exit as soon as all work is done.
     exiting: bool,
     defect: Option<InjectedDefect>,
-    /// By the operation's name.
+    /// Idempotency of each operation, by the operation's name.
     idempotency: HashMap<Vec<u8>, Idempotency>,
 }
 
 impl GatewayProcess {
-    /// Starts a process.
+    /// Starts a process and schedules its first run.
     pub fn start(ctx: &mut Context, options: StartOptions) -> GatewayProcess {
         let StartOptions { index, defect, .. } = options;
         let endpoints = altered_endpoints(&options.endpoints, defect);
@@ -139,7 +141,7 @@
             inbox: vec![],
             backlog: VecDeque::new(),
             backlog_bytes: HashMap::new(),
-            accepted: 0,
+            accepted_connections: 0,
             alive: true,
             accepting: true,
             max_descriptors,
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Schedules the next run at that time, unless an earlier one is scheduled.
+    /// Schedules a run of the process, unless an earlier one is scheduled. A stalled process runs when the stall ends.
     fn wake(&mut self, ctx: &mut Context, at: f64) {
         let at = at.max(self.stalled_until).max(ctx.now);
         if self.alive && (at < self.next_run || self.next_run < ctx.now) {
@@ -160,25 +162,25 @@
         }
     }
 
-    /// Puts an event into the inbox.
+    /// Adds an event to the inbox and schedules the run that handles it.
     pub fn deliver_event(&mut self, ctx: &mut Context, event: Event) {
         self.inbox.push(event);
         self.wake(ctx, ctx.now + BATCH_INTERVAL);
     }
 
-    /// The process does nothing for so many seconds.
+    /// Suspends the process for a number of seconds.
     pub fn stall(&mut self, ctx: &mut Context, seconds: f64) {
         self.stalled_until = ctx.now + seconds;
         ctx.checker.process_stalled(self.stalled_until, self.index);
     }
 
-    /// How many connections it holds.
+    /// Returns the number of open connections, including those being established.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Lets the reducer handle the inbox and its timers, and carries out what it asks for. What concerns neither the process nor the
-    /// network is returned.
+    /// Runs the process: the reducer handles the inbox and its timers, and the effects are applied. Returns the requests that the
+    /// simulation has to handle.
     pub fn run(&mut self, ctx: &mut Context, addresses: &Addresses) -> Vec<ProcessRequest> {
         if !self.alive || ctx.now < self.next_run {
             return vec![];
@@ -206,7 +208,7 @@
         requests
     }
 
-    /// The process ends: it is killed, or exits by itself.
+    /// Ends the process and its connections. A process that exits flushes and closes them, a killed one resets them.
     pub fn terminate(&mut self, ctx: &mut Context, killed: bool) {
         if !std::mem::replace(&mut self.alive, false) {
             return;
--- a/emulator/src/simulation/backends.rs
+++ b/emulator/src/simulation/backends.rs
@@ -1,15 +1,15 @@
-//! Backends start, crash and are replaced, and the endpoint list follows.
+//! Starts, fails and replaces backends, and publishes their status on the endpoint list.
 use super::Simulation;
 use crate::addresses;
 use crate::backend::Lifecycle;
 use crate::discovery::EndpointEntry;
 use crate::scheduled_event::ScheduledEvent;
 
-/// Seconds until the backend that replaces another one has started at its address.
+/// Seconds after which the replacement of a backend starts at the same address.
 const REPLACEMENT_DELAY: f64 = 0.4;
 
 impl Simulation<'_> {
-    /// A backend's entry on the endpoint list, with that status.
+    /// Returns a backend's entry on the endpoint list, with the given status.
     pub(super) fn endpoint_entry(&self, backend: usize, status: &'static str) -> EndpointEntry {
         let world = &self.scenario.world;
         EndpointEntry {
@@ -18,7 +18,7 @@
             zone: format!("z{}", backend % world.zones),
             cell: backend % world.cells,
             status,
-            started: self.backends[backend].started.unwrap_or(0.0),
+            started_at: self.backends[backend].started_at.unwrap_or(0.0),
         }
     }
 
@@ -28,7 +28,7 @@
         self.discovery.publish(&mut self.ctx, entry);
     }
 
-    /// A backend's process starts, unless one has started since that incarnation.
+    /// Starts a process of a backend, unless one runs or has started since the given incarnation.
     pub(super) fn start_backend(&mut self, backend: usize, incarnation: u64) {
         let state = &mut self.backends[backend];
         if state.incarnation != incarnation || state.lifecycle == Lifecycle::Up {
@@ -38,7 +38,7 @@
         self.publish_status(backend, "SERVING");
     }
 
-    /// A backend's process crashes, or its machine becomes unresponsive; the next one starts after so many seconds.
+    /// Crashes a backend's process, or makes its machine unresponsive. A new process starts after `duration` seconds.
     pub(super) fn fail_backend(&mut self, backend: usize, failure: Lifecycle, duration: f64) {
         let state = &mut self.backends[backend];
         if state.lifecycle != Lifecycle::Up {
@@ -49,7 +49,7 @@
         self.ctx.schedule_in(duration, ScheduledEvent::BackendStarts { backend, incarnation });
     }
 
-    /// A backend leaves the endpoint list and ends; another one takes its address under a new name.
+    /// Removes a backend from the endpoint list and stops its process. The replacement has a new name and the same address.
     pub(super) fn replace_backend(&mut self, backend: usize) {
         self.publish_status(backend, "DELETED");
         let state = &mut self.backends[backend];
--- a/emulator/src/simulation/dispatch.rs
+++ b/emulator/src/simulation/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands each event to the party that it concerns.
+//! Dispatches each scheduled event to the gateway process or model that handles it.
 use super::Simulation;
 use crate::gateway_process::OTHER_DESCRIPTORS;
 use crate::network::{LinkId, Remote, Side};
@@ -6,11 +6,11 @@
 use quillramp_gateway::state::event::Event;
 use rand::Rng;
 
-/// Seconds until a connection to an address at which nothing listens is refused.
+/// Seconds after which a connection to an address without a listener is refused.
 const REFUSAL_DELAY: f64 = 0.001;
 
 impl Simulation<'_> {
-    /// Lets an event happen.
+    /// Handles an event at the current virtual time.
     pub(super) fn handle(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::BytesArrived { link, at: Side::Gateway, bytes } => {
@@ -52,13 +52,13 @@
     }
 
     fn request_due(&mut self) {
-        let until = self.last_request();
+        let until = self.clients_stop_at();
         let serving = self.serving_processes();
         self.clients.next_request(&mut self.ctx, &serving, until);
     }
 
     fn retry_due(&mut self, request: usize) {
-        if self.ctx.now < self.last_request() {
+        if self.ctx.now < self.clients_stop_at() {
             let serving = self.serving_processes();
             self.clients.send_request(&mut self.ctx, &serving, request);
         }
@@ -69,7 +69,7 @@
         self.clients.next_malformed_client(&mut self.ctx, &serving);
     }
 
-    /// A datagram goes to the process that takes new connections.
+    /// Delivers a datagram to the instance's process that accepts new connections.
     fn deliver_datagram(&mut self, instance: usize, datagram: Event) {
         if let Some(process) = self.instances[instance].newest_process() {
             self.processes[process].deliver_event(&mut self.ctx, datagram);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Resets some link, and schedules the next one.
+    /// Resets a random open link, and schedules the next reset.
     fn random_reset(&mut self) {
         if self.reset_rate <= 0.0 {
             return;
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Begins and ends the faults of a scenario.
+//! Starts and ends the faults of a scenario.
 use super::instances::SHUTDOWN_TIMEOUT;
 use super::Simulation;
 use crate::addresses;
@@ -8,21 +8,21 @@
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::state::event::Event;
 
-/// What two counters granted during a split is still there for so many seconds after it.
-const SPLIT_AFTERMATH: f64 = 5.0;
+/// Seconds after a split of the counter for which ceilings are not checked, because units that both counters granted may still be in use.
+const SPLIT_SETTLING_TIME: f64 = 5.0;
 
-/// A fault at the moment at which it starts or ends.
+/// The start or the end of a fault.
 struct Boundary {
     fault: Fault,
     ended: bool,
 }
 
 impl Boundary {
-    fn started(&self) -> bool {
+    fn is_start(&self) -> bool {
         !self.ended
     }
 
-    /// The severity as a fraction of events: none once it has ended.
+    /// Returns the severity as a fraction or a rate: 0 at the end of the fault.
     fn fraction(&self) -> f64 {
         if self.ended {
             0.0
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The severity as a factor: 1 once it has ended.
+    /// Returns the severity as a factor: 1 at the end of the fault.
     fn factor(&self) -> f64 {
         if self.ended {
             1.0
@@ -44,7 +44,7 @@
         self.fault.severity.unwrap_or(0.0)
     }
 
-    /// Seconds that it lasts.
+    /// Returns the duration of the fault in seconds, 0 for a fault without one.
     fn duration(&self) -> f64 {
         self.fault.duration.unwrap_or(0.0)
     }
@@ -65,11 +65,11 @@
 }
 
 impl Simulation<'_> {
-    /// A fault of the scenario starts or ends.
+    /// Applies the start or the end of a fault of the scenario.
     pub(super) fn fault_boundary(&mut self, index: usize, ended: bool) {
         let boundary = Boundary { fault: self.scenario.faults[index].clone(), ended };
         self.ctx.trace.record_line(self.ctx.now, &boundary.trace_line());
-        if boundary.started() {
+        if boundary.is_start() {
             *self.fault_counts.entry(boundary.fault.kind).or_default() += 1;
             if let Some(duration) = boundary.fault.duration {
                 self.ctx.schedule_in(duration, ScheduledEvent::FaultBoundary { index, ended: true });
@@ -88,18 +88,18 @@
         let backend = boundary.backend();
         let Some(state) = self.backends.get_mut(backend) else { return };
         match boundary.fault.kind {
-            FaultKind::Crash if boundary.started() => {
+            FaultKind::Crash if boundary.is_start() => {
                 self.fail_backend(backend, Lifecycle::Crashed, boundary.duration())
             }
-            FaultKind::Unresponsive if boundary.started() => {
+            FaultKind::Unresponsive if boundary.is_start() => {
                 self.fail_backend(backend, Lifecycle::Unresponsive, boundary.duration())
             }
-            FaultKind::Drain if boundary.started() => {
+            FaultKind::Drain if boundary.is_start() => {
                 state.draining = true;
                 self.publish_status(backend, "DRAINING");
             }
             FaultKind::Drain => self.replace_backend(backend),
-            FaultKind::Replace if boundary.started() => self.replace_backend(backend),
+            FaultKind::Replace if boundary.is_start() => self.replace_backend(backend),
             FaultKind::Slow => state.faults.slowdown = boundary.factor(),
             FaultKind::LostResponses => state.faults.lost_responses = boundary.fraction(),
             FaultKind::MalformedResponses => state.faults.malformed_responses = boundary.fraction(),
@@ -115,13 +115,13 @@
     fn zone_fault(&mut self, boundary: &Boundary) {
         let now = self.ctx.now;
         match boundary.fault.kind {
-            FaultKind::ZoneLoss if boundary.started() => {
+            FaultKind::ZoneLoss if boundary.is_start() => {
                 for backend in self.backends_of_zone(boundary.fault.zone) {
                     self.fail_backend(backend, Lifecycle::Crashed, boundary.duration());
                 }
             }
             FaultKind::ZonePartition => {
-                if boundary.started() {
+                if boundary.is_start() {
                     let zone = boundary.fault.zone.unwrap_or(0);
                     self.ctx.partitions.push(Partition { zone, until: now + boundary.duration() });
                 }
@@ -131,6 +131,7 @@
         }
     }
 
+    /// Returns the indexes of a zone's backends.
     fn backends_of_zone(&self, zone: Option<usize>) -> Vec<usize> {
         let zones = self.scenario.world.zones;
         (0..self.backends.len()).filter(|backend| Some(backend % zones) == zone).collect()
@@ -139,7 +140,7 @@
     fn instance_fault(&mut self, boundary: &Boundary) {
         let instance = boundary.instance();
         match boundary.fault.kind {
-            FaultKind::DrainInstance if boundary.started() => {
+            FaultKind::DrainInstance if boundary.is_start() => {
                 self.operator_call(instance, "/healthcheck/fail")
             }
             FaultKind::DrainInstance => self.operator_call(instance, "/healthcheck/ok"),
@@ -148,22 +149,22 @@
                 let change = if boundary.ended { "ready" } else { "maint" };
                 self.operator_call(instance, &format!("/backends/{name}/{change}"));
             }
-            FaultKind::Kill if boundary.started() => {
+            FaultKind::Kill if boundary.is_start() => {
                 self.kill_instance(instance);
                 self.ctx.schedule_in(boundary.duration(), ScheduledEvent::InstanceStarts(instance));
             }
-            FaultKind::Terminate if boundary.started() => {
+            FaultKind::Terminate if boundary.is_start() => {
                 self.shut_down_instance(instance);
                 let restart = SHUTDOWN_TIMEOUT + boundary.duration();
                 self.ctx.schedule_in(restart, ScheduledEvent::InstanceStarts(instance));
             }
-            FaultKind::Upgrade if boundary.started() => self.upgrade_instance(instance),
-            FaultKind::ReloadConfiguration if boundary.started() => {
+            FaultKind::Upgrade if boundary.is_start() => self.upgrade_instance(instance),
+            FaultKind::ReloadConfiguration if boundary.is_start() => {
                 self.discovery.disconnect_instance(&mut self.ctx, instance);
                 self.process_fault(boundary);
             }
             FaultKind::Stall | FaultKind::ReloadOperatorFile | FaultKind::WriteBackpressure
-                if boundary.started() =>
+                if boundary.is_start() =>
             {
                 self.process_fault(boundary)
             }
@@ -171,7 +172,7 @@
         }
     }
 
-    /// A fault of an instance's newest process alone.
+    /// Applies a fault that affects only the newest process of an instance.
     fn process_fault(&mut self, boundary: &Boundary) {
         let instance = boundary.instance();
         let Some(process) = self.instances[instance].newest_process() else { return };
@@ -202,14 +203,14 @@
 
     fn counter_fault(&mut self, boundary: &Boundary) {
         match boundary.fault.kind {
-            FaultKind::CounterDown if boundary.started() => self.counter.crash(&mut self.ctx),
+            FaultKind::CounterDown if boundary.is_start() => self.counter.crash(&mut self.ctx),
             FaultKind::CounterDown => self.counter.down = false,
-            FaultKind::CounterUnresponsive if boundary.started() => self.counter.unresponsive = true,
+            FaultKind::CounterUnresponsive if boundary.is_start() => self.counter.unresponsive = true,
             FaultKind::CounterUnresponsive => self.counter.resume(&mut self.ctx),
             FaultKind::CounterSlow => self.counter.slowdown = boundary.factor(),
             FaultKind::CounterReset => self.counter.clear(),
-            FaultKind::CounterSplit if boundary.started() => {
-                let until = self.ctx.now + boundary.duration() + SPLIT_AFTERMATH;
+            FaultKind::CounterSplit if boundary.is_start() => {
+                let until = self.ctx.now + boundary.duration() + SPLIT_SETTLING_TIME;
                 self.ctx.checker.counter_split_until(until);
                 self.counter.split();
             }
@@ -226,17 +227,17 @@
             FaultKind::DiscoveryDelayed => {
                 self.discovery.extra_delay = if boundary.ended { 0.0 } else { boundary.duration() }
             }
-            FaultKind::DiscoveryDown => self.discovery.down = boundary.started(),
-            FaultKind::DiscoveryMalformed => self.discovery.malformed_responses = boundary.started(),
+            FaultKind::DiscoveryDown => self.discovery.down = boundary.is_start(),
+            FaultKind::DiscoveryMalformed => self.discovery.malformed_responses = boundary.is_start(),
             FaultKind::DiscoveryStale => {
                 let version = self.discovery.latest_version();
-                self.discovery.stale_version = boundary.started().then_some(version);
+                self.discovery.stale_version = boundary.is_start().then_some(version);
                 self.discovery.force_snapshots(&mut self.ctx);
             }
             FaultKind::DiscoveryTruncated => {
                 let names = &self.backend_names;
-                let hidden = ((names.len() as f64 * boundary.fraction()) as usize).min(names.len() - 1);
-                self.discovery.hidden_backends = names[..hidden].to_vec();
+                let hidden_count = ((names.len() as f64 * boundary.fraction()) as usize).min(names.len() - 1);
+                self.discovery.hidden_backends = names[..hidden_count].to_vec();
                 self.discovery.force_snapshots(&mut self.ctx);
             }
             _ => {}
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -1,4 +1,4 @@
-//! Gateway instances: their processes start, shut down, are replaced and are killed.
+//! Starts, upgrades, shuts down and kills the processes of gateway instances.
 use super::Simulation;
 use crate::addresses;
 use crate::deployment::admission_limits;
@@ -14,35 +14,35 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// A process that was asked to shut down is killed after so many seconds.
+/// Seconds after which a process that was asked to shut down is killed.
 pub(super) const SHUTDOWN_TIMEOUT: f64 = 3.7;
 
-/// Set the seeds of instances' processes apart: by scenario,
-const SCENARIO_SEED: u64 = 31;
-/// and by instance; the starts of one instance follow each other.
-const INSTANCE_SEED: u64 = 1009;
+/// Factor of the scenario's seed in the seed of a process, so that scenarios with consecutive seeds give their processes other seeds.
+const SCENARIO_SEED_FACTOR: u64 = 31;
+/// Distance between the process seeds of consecutive instances. The starts of one instance use consecutive seeds.
+const INSTANCE_SEED_STRIDE: u64 = 1009;
 
-/// A gateway instance, whatever processes it has.
+/// A gateway instance, which may have no process, one, or several during an upgrade.
 #[derive(Default)]
 pub(super) struct Instance {
-    /// Its running processes, the newest last.
+    /// Indexes of the running processes, oldest first.
     pub processes: Vec<usize>,
-    /// The backends that its operators ejected, as its processes save them.
+    /// Backends that operators ejected at this instance, as its processes save them.
     ejected_backends: BTreeMap<String, f64>,
-    /// Its operators drained it.
+    /// Whether operators drained the instance.
     drained: bool,
-    /// Counts its processes.
+    /// Number of processes started so far.
     starts: u64,
 }
 
 impl Instance {
-    /// The process that takes new connections.
+    /// Returns the process that accepts new connections, if one runs.
     pub fn newest_process(&self) -> Option<usize> {
         self.processes.last().copied()
     }
 }
 
-/// An operator's call to a process that asked for a change.
+/// An operator's call whose change has been saved.
 #[derive(Clone, Copy)]
 struct SavedCall {
     process: usize,
@@ -50,12 +50,13 @@
 }
 
 impl Simulation<'_> {
-    /// By instance, the process that takes new connections.
+    /// Returns for each instance the process that accepts new connections, if one runs.
     pub(super) fn serving_processes(&self) -> Vec<Option<usize>> {
         self.instances.iter().map(Instance::newest_process).collect()
     }
 
-    /// What a process of an instance, or one that is about to start, shares with the others.
+    /// Returns the state that a process shares with the other processes of its instance. `process` is `None` for a process that is
+    /// about to start.
     fn shared_state(&self, instance: usize, process: Option<usize>) -> SharedState {
         let Instance { processes, ejected_backends, drained, .. } = &self.instances[instance];
         let peer_running = processes.iter().any(|other| Some(*other) != process);
@@ -69,14 +70,14 @@
         }
     }
 
-    /// Starts an instance, unless one of its processes runs.
+    /// Starts a process of an instance, unless one already runs.
     pub(super) fn start_instance(&mut self, instance: usize) {
         if self.instances[instance].processes.is_empty() {
             self.start_process(instance);
         }
     }
 
-    /// Starts a process of an instance.
+    /// Starts a new process of an instance, which becomes its newest process.
     pub(super) fn start_process(&mut self, instance: usize) {
         self.instances[instance].starts += 1;
         let index = self.processes.len();
@@ -100,13 +101,13 @@
         self.instances[instance].processes.push(index);
     }
 
-    /// The configuration of an instance's next process, with a seed of its own.
+    /// Returns the configuration of an instance's next process, with a seed that is different for each start.
     fn configuration(&self, instance: usize) -> settings::Loaded {
         let mut settings = self.settings.clone();
         settings["slot_no"] = json!(instance);
-        let start = instance as u64 * INSTANCE_SEED + self.instances[instance].starts;
-        let seed = self.scenario.seed.wrapping_mul(SCENARIO_SEED).wrapping_add(start);
-        settings::load(seed, settings.to_string().as_bytes()).expect("settings of our own")
+        let seed_offset = instance as u64 * INSTANCE_SEED_STRIDE + self.instances[instance].starts;
+        let seed = self.scenario.seed.wrapping_mul(SCENARIO_SEED_FACTOR).wrapping_add(seed_offset);
+        settings::load(seed, settings.to_string().as_bytes()).expect("the generated settings are valid")
     }
 
     fn reducer_config(&self) -> ReducerConfig {
@@ -125,10 +126,11 @@
         }
     }
 
-    /// What an operator's file declares: limits of admission and membership as the world has them, and drawn routes if asked for.
-    pub(super) fn operator_update(&mut self, draw_routes: bool) -> OperatorUpdate {
+    /// Returns the contents of an operator's file: the world's admission limits and membership interval, and random routes if
+    /// `random_routes` is set.
+    pub(super) fn operator_update(&mut self, random_routes: bool) -> OperatorUpdate {
         let world = &self.scenario.world;
-        let drawn = if draw_routes {
+        let generated = if random_routes {
             operator_files::generate(&mut self.ctx.rng, &self.platform)
         } else {
             OperatorUpdate::default()
@@ -136,11 +138,11 @@
         OperatorUpdate {
             admission: world.admission.then(|| admission_limits(world)),
             membership_interval: (world.membership_interval > 0.0).then_some(world.membership_interval),
-            ..drawn
+            ..generated
         }
     }
 
-    /// Does what a process asked for.
+    /// Handles a request of a process to its surroundings.
     pub(super) fn process_request(&mut self, process: usize, request: ProcessRequest) {
         let instance = self.processes[process].instance;
         match request {
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Notifies the processes of an instance of what they share now.
+    /// Notifies the processes of an instance of their current shared state, and one of them that its operator's call was saved.
     fn notify_shared_state(&mut self, instance: usize, saved: Option<SavedCall>) {
         for process in self.instances[instance].processes.clone() {
             let call = saved.filter(|saved| saved.process == process).map(|saved| saved.call);
@@ -167,7 +169,7 @@
         }
     }
 
-    /// A process is killed, or exits by itself.
+    /// Ends a process: it was killed, or it exits.
     pub(super) fn end_process(&mut self, process: usize, killed: bool) {
         if !self.processes[process].alive {
             return;
@@ -180,7 +182,7 @@
         self.notify_shared_state(instance, None);
     }
 
-    /// Asks a process to shut down, and kills it when its time is over.
+    /// Asks a process to shut down, and schedules its kill for the end of the shutdown timeout.
     fn shut_down(&mut self, process: usize) {
         self.ctx.checker.shutdown_requested(self.ctx.now, process);
         self.processes[process].deliver_event(&mut self.ctx, Event::Shutdown);
@@ -201,15 +203,15 @@
         }
     }
 
-    /// Starts the next version beside an instance's only process, which is asked to shut down.
+    /// Upgrades an instance that has one process: starts a new process and asks the old one to shut down.
     pub(super) fn upgrade_instance(&mut self, instance: usize) {
-        let &[old] = &self.instances[instance].processes[..] else { return };
+        let &[old_process] = &self.instances[instance].processes[..] else { return };
         self.start_process(instance);
         self.notify_shared_state(instance, None);
-        self.shut_down(old);
+        self.shut_down(old_process);
     }
 
-    /// An operator calls an instance.
+    /// Sends an operator's call to the newest process of an instance.
     pub(super) fn operator_call(&mut self, instance: usize, path: &str) {
         let Some(process) = self.instances[instance].newest_process() else { return };
         let id = self.ctx.open_link(process, ConnectionId::Admin(0), Remote::Operator);
--- a/emulator/src/simulation/mod.rs
+++ b/emulator/src/simulation/mod.rs
@@ -1,12 +1,13 @@
-//! A run of a scenario: a world of gateway processes and models, its faults at their times, every invariant checked after each event.
+//! Runs a scenario: gateway processes and models on a virtual clock, with the scenario's faults. The checker's invariants are checked
+//! after each event.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `dispatch` | hands each event to the party that it concerns |
-//! | `instances` | starts and ends processes of gateway instances, and what those share |
-//! | `backends` | starts and ends backends |
-//! | `faults` | begins and ends the scenario's faults |
-//! | `report` | the result |
+//! | `dispatch` | dispatches each event to the process or model that handles it |
+//! | `instances` | starts and ends processes of gateway instances, keeps their shared state |
+//! | `backends` | starts, fails and replaces backends |
+//! | `faults` | starts and ends the scenario's faults |
+//! | `report` | the result of a run |
 mod backends;
 mod dispatch;
 mod faults;
@@ -37,13 +38,13 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 
-/// The virtual clock's time at which a run starts, in seconds: well after 1970, and not at the edge of any window.
+/// Virtual time at which a run starts, in seconds since the start of 1970: well after 0, and not at the edge of a time window.
 const START_TIME: f64 = 1000.0;
-/// How long a run goes on after the clients' last request, in seconds: longer than any client waits.
+/// Seconds for which a run continues after the clients' last request: longer than any client timeout.
 const COOLDOWN: f64 = 4.5;
-/// When the clients' first request comes, in seconds from the start.
-const FIRST_REQUEST: f64 = 0.05;
-/// Keeps the draws of a run apart from those that generated its scenario.
+/// Seconds from the start of a run to the clients' first request.
+const FIRST_REQUEST_DELAY: f64 = 0.05;
+/// XORed into the scenario's seed, so that a run's random draws differ from those that generated the scenario.
 const RUN_SEED_MASK: u64 = 0x71_75_69_6c_6c;
 
 /// A run in progress.
@@ -52,17 +53,17 @@
     ctx: Context,
     addresses: Addresses,
     instances: Vec<Instance>,
-    /// All processes that were ever started, by index.
+    /// All processes started so far, running or ended, by index.
     processes: Vec<GatewayProcess>,
     backends: Vec<Backend>,
-    /// The name of each backend's newest incarnation on the endpoint list.
+    /// Name of each backend on the endpoint list, by index; a replacement has a new name.
     backend_names: Vec<String>,
     counter: Counter,
     discovery: Discovery,
     clients: Clients,
-    /// Links that are reset at random, a second.
+    /// Rate at which random links are reset, per second.
     reset_rate: f64,
-    /// The descriptors that a process which shuts down will not go beyond, by the process's index.
+    /// Descriptor limits that processes announced when they began to shut down, by the process's index.
     descriptor_limits: BTreeMap<usize, usize>,
     defect: Option<InjectedDefect>,
     settings: Value,
@@ -71,7 +72,7 @@
     fault_counts: BTreeMap<FaultKind, u64>,
 }
 
-/// Runs a scenario to its end, or to the first violation.
+/// Runs a scenario to its end, or until an invariant is violated.
 pub fn simulate(scenario: &Scenario, defect: Option<InjectedDefect>) -> Report {
     let mut simulation = Simulation::new(scenario, defect);
     simulation.run();
@@ -83,7 +84,8 @@
         let world = scenario.world.clone();
         let rng = ChaCha8Rng::seed_from_u64(scenario.seed ^ RUN_SEED_MASK);
         let settings = gateway_settings(&world, defect);
-        let loaded = settings::load(0, settings.to_string().as_bytes()).expect("settings of our own");
+        let loaded =
+            settings::load(0, settings.to_string().as_bytes()).expect("the generated settings are valid");
         let idempotency = operations().map(|op| (op.name.as_bytes().to_vec(), op.idempotency));
         let mut simulation = Simulation {
             scenario,
@@ -108,7 +110,7 @@
         simulation
     }
 
-    /// Lists the backends, starts the instances and schedules what comes from outside.
+    /// Publishes the backends on the endpoint list, starts the instances, and schedules the faults and the first request.
     fn populate(&mut self) {
         let world = &self.scenario.world;
         let entries = (0..world.backends).map(|backend| self.endpoint_entry(backend, "SERVING")).collect();
@@ -123,16 +125,16 @@
             let start = ScheduledEvent::FaultBoundary { index, ended: false };
             self.ctx.events.schedule(START_TIME + fault.at, start);
         }
-        self.ctx.schedule_in(FIRST_REQUEST, ScheduledEvent::RequestDue);
+        self.ctx.schedule_in(FIRST_REQUEST_DELAY, ScheduledEvent::RequestDue);
     }
 
-    /// When clients send their last request.
-    fn last_request(&self) -> f64 {
+    /// Returns the time from which clients send no more requests.
+    fn clients_stop_at(&self) -> f64 {
         START_TIME + self.scenario.seconds
     }
 
     fn run(&mut self) {
-        let end = self.last_request() + COOLDOWN;
+        let end = self.clients_stop_at() + COOLDOWN;
         while self.ctx.checker.violation.is_none() {
             let Some((at, event)) = self.ctx.events.pop() else { break };
             if at > end {
@@ -170,29 +172,30 @@
     }
 }
 
+/// Returns the addresses of the models and of the gateway instances.
 fn listening_addresses(world: &World) -> Addresses {
-    let mut known = Addresses::default();
+    let mut listeners = Addresses::default();
     for index in 0..2 {
-        known.remotes.insert(addresses::counter(index), Remote::Counter);
-        known.remotes.insert(addresses::discovery(index), Remote::Discovery);
+        listeners.remotes.insert(addresses::counter(index), Remote::Counter);
+        listeners.remotes.insert(addresses::discovery(index), Remote::Discovery);
     }
     for backend in 0..world.backends {
-        known.remotes.insert(addresses::backend(backend), Remote::Backend(backend));
+        listeners.remotes.insert(addresses::backend(backend), Remote::Backend(backend));
     }
     if world.gossip {
         let instances = 0..world.instances;
-        known.instances = instances.map(|instance| (addresses::instance(instance), instance)).collect();
-        known.broadcast = Some(addresses::broadcast());
+        listeners.instances = instances.map(|instance| (addresses::instance(instance), instance)).collect();
+        listeners.broadcast = Some(addresses::broadcast());
     }
-    known
+    listeners
 }
 
 fn new_clients() -> Clients {
-    let offered = operations().map(|operation| ClientOperation {
+    let client_operations = operations().map(|operation| ClientOperation {
         name: operation.name.into(),
         uses_get: operation.idempotency == Idempotency::Idempotent,
         timeout: operation.timeout,
         weight: operation.weight,
     });
-    Clients::new(offered.into(), PLANS.iter().map(|plan| plan.name.to_owned()).collect())
+    Clients::new(client_operations.into(), PLANS.iter().map(|plan| plan.name.to_owned()).collect())
 }
--- a/emulator/src/simulation/report.rs
+++ b/emulator/src/simulation/report.rs
@@ -1,4 +1,4 @@
-//! What came of a run.
+//! The result of a run.
 use crate::checker::{Coverage, Violation};
 use crate::quota_usage::QuotaUsage;
 use crate::scenario::FaultKind;
@@ -7,45 +7,46 @@
 /// The result of one run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The scenario's seed.
+    /// Seed of the scenario.
     pub seed: u64,
-    /// Events that happened.
+    /// Number of events handled.
     pub steps: u64,
-    /// The digest of the trace: equal runs have equal digests.
+    /// Digest of the trace. Equal runs have equal digests.
     pub digest: u64,
-    /// What there was to check.
+    /// Numbers of requests, attempts and checks.
     pub coverage: Coverage,
-    /// Calls that the counter handled.
+    /// Number of calls that the counter handled.
     pub counter_calls: u64,
-    /// Connections that processes asked for to backends.
+    /// Number of connections that gateway processes opened to backends, including refused ones.
     pub backend_connections: u64,
-    /// Units of customers with a quota.
+    /// Units that customers with a quota used.
     pub units: f64,
-    /// Those of them that were beyond the quota.
+    /// The part of `units` that exceeded the quotas.
     pub excess_units: f64,
-    /// The most by which a customer was beyond its quota over any span, as a fraction of what it allowed in that span.
+    /// Highest overshoot of a customer over any time span, as a fraction of the units that its quota allowed in that span.
     pub worst_overshoot: f64,
-    /// What each customer with a quota used.
+    /// Usage of each customer with a quota.
     pub quota_usage: Vec<QuotaUsage>,
-    /// How many faults of each kind struck.
+    /// Number of faults injected, by kind.
     pub faults: BTreeMap<FaultKind, u64>,
-    /// The first violation; the run ended with it.
+    /// The violation that ended the run, if any.
     pub violation: Option<Violation>,
-    /// The last lines of the trace.
+    /// Last lines of the trace, oldest first.
     pub trace: Vec<String>,
 }
 
-/// A customer's overshoot and its bound, both as fractions of what its quota allowed in the whole run.
+/// A customer's overshoot and its bound, both as fractions of the units that its quota allowed in the whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BoundedOvershoot {
-    /// What was beyond the quota.
+    /// Units beyond the quota, as a fraction of the allowed units.
     pub overshoot: f64,
-    /// The most that is tolerated.
+    /// Maximum tolerated overshoot.
     pub bound: f64,
 }
 
 impl Report {
-    /// The customer that comes closest to its bound, or furthest beyond it.
+    /// Returns the customer whose overshoot is furthest beyond its bound, or closest to it if no customer exceeds its bound. Both
+    /// values are 0 if no customer has a quota.
     pub fn worst_customer(&self, bound: impl Fn(&QuotaUsage) -> f64) -> BoundedOvershoot {
         let of_customer = |usage: &QuotaUsage| BoundedOvershoot {
             overshoot: usage.excess_units / usage.allowed_units(),
