--- a/emulator/src/addresses.rs
+++ b/emulator/src/addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses of a simulated deployment: a network for each kind of party, on loopback.
+//! Loopback addresses of a simulated deployment. The third octet depends on the kind of node.
 use std::net::SocketAddr;
 
 const BACKEND_NETWORK: u8 = 1;
@@ -12,32 +12,32 @@
 const DISCOVERY_PORT: u16 = 8500;
 const DATAGRAM_PORT: u16 = 7946;
 
-/// Large fleets go on in the next network.
+/// Returns the address of a node. The bits of `index` beyond the lowest eight are the second octet.
 fn address(network: u8, index: usize, port: u16) -> SocketAddr {
     SocketAddr::from(([127, (index >> 8) as u8, network, index as u8], port))
 }
 
-/// Where a backend listens.
+/// Returns the address at which a backend listens.
 pub fn backend(index: usize) -> SocketAddr {
     address(BACKEND_NETWORK, index, BACKEND_PORT)
 }
 
-/// Where the counter listens: at one of two addresses.
+/// Returns one of the two addresses at which the counter listens.
 pub fn counter(index: usize) -> SocketAddr {
     address(COUNTER_NETWORK, index, COUNTER_PORT)
 }
 
-/// Where the discovery service listens: at one of two addresses.
+/// Returns one of the two addresses at which the list service listens.
 pub fn discovery(index: usize) -> SocketAddr {
     address(DISCOVERY_NETWORK, index, DISCOVERY_PORT)
 }
 
-/// Where a gateway instance gets datagrams.
+/// Returns the address at which a gateway instance receives datagrams.
 pub fn instance(index: usize) -> SocketAddr {
     address(INSTANCE_NETWORK, index, DATAGRAM_PORT)
 }
 
-/// The address that reaches all gateway instances.
+/// Returns the broadcast address of all gateway instances.
 pub fn broadcast() -> SocketAddr {
     address(BROADCAST_NETWORK, 1, DATAGRAM_PORT)
 }
--- a/emulator/src/context.rs
+++ b/emulator/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a simulated world share: clock, random draws, links, the checker, the trace.
+//! The state that all parts of a simulation share: clock, event queue, random number generator, links, checker and trace.
 use crate::checker::Checker;
 use crate::event_queue::EventQueue;
 use crate::network::{Link, LinkId, Partition};
@@ -9,37 +9,38 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// The shared state of one run. Times are seconds of the virtual clock.
+/// The shared state of one run. Times are in seconds of the virtual clock.
 pub struct Context {
-    /// The time.
+    /// The current time.
     pub now: f64,
-    /// What is to happen.
+    /// Events that have not happened yet.
     pub events: EventQueue<ScheduledEvent>,
-    /// The source of all random draws of a run: their order is part of its result.
+    /// Generator of all random numbers of a run. The result of the run depends on the order of the draws.
     pub rng: ChaCha8Rng,
-    /// Checks the invariants.
+    /// The checker of the invariants.
     pub checker: Checker,
-    /// What happened.
+    /// The trace of the run.
     pub trace: Trace,
-    /// The deployment.
+    /// The simulated deployment.
     pub world: World,
-    /// The links that at least one end has open.
+    /// Links that are open at one or both sides.
     pub links: BTreeMap<LinkId, Link>,
+    /// Id of the newest link.
     pub(crate) last_link: LinkId,
-    /// Connections that processes asked for to backends.
+    /// Number of connections that gateway processes opened to backends, including refused ones.
     pub backend_connections: u64,
-    /// Zones that can't be reached.
+    /// Current partitions.
     pub partitions: Vec<Partition>,
-    /// How many times longer than usual everything takes on the network.
+    /// Factor on network delays; 1 without a fault.
     pub delay_factor: f64,
-    /// The fraction of datagrams between gateway instances that is lost.
+    /// Fraction of the datagrams between gateway instances that are lost.
     pub datagram_loss: f64,
-    /// Each backend's zone, by the backend's index.
+    /// Zone of each backend, by the backend's index.
     pub backend_zones: Vec<usize>,
 }
 
 impl Context {
-    /// A world in which nothing has happened before `now`.
+    /// Creates the state at the start of a run, which is at time `now`.
     pub fn new(rng: ChaCha8Rng, checker: Checker, world: World, now: f64) -> Context {
         let backend_zones = (0..world.backends).map(|backend| backend % world.zones).collect();
         Context {
@@ -59,12 +60,12 @@
         }
     }
 
-    /// True with this probability. Nothing is drawn where it is 0.
+    /// Draws a boolean that is true with this probability. A probability of 0 draws no random number.
     pub fn draw_bool(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.gen_bool(probability.min(1.0))
     }
 
-    /// Schedules an event in so many seconds.
+    /// Schedules an event after a delay in seconds.
     pub fn schedule_in(&mut self, seconds: f64, event: ScheduledEvent) {
         self.events.schedule(self.now + seconds, event);
     }
--- a/emulator/src/deployment.rs
+++ b/emulator/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The deployment that a scenario's world describes: its operations and plans, the configuration of its gateway instances, and the limits
-//! that a run of it is checked against.
+//! Derives the deployment from a scenario's world: operations and plans, the configuration of the gateway instances, and the limits that
+//! the checker verifies.
 use crate::checker::{Ceiling, CheckedLimits, OperationSpec, QuotaLimit, SlowStartLimit};
 use crate::clients::KNOWN_NETWORK;
 use crate::gateway_process::InjectedDefect;
@@ -8,49 +8,49 @@
 use quillramp_admission::Limits;
 use serde_json::{json, Value};
 
-/// Seconds in which a request with an idempotency key may be repeated.
+/// Seconds for which backends remember an idempotency key.
 const KEY_WINDOW: f64 = 1.5;
-/// The most attempts of one request.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: usize = 5;
-/// The most units of one request.
+/// Maximum number of units per request.
 const MAX_UNITS: f64 = 4.0;
-/// The fraction of a ceiling's burst by which the ceiling may be passed.
+/// Fraction of a ceiling's burst by which a customer may exceed the ceiling.
 const CEILING_SLACK: f64 = 0.1;
-/// How many times its quotas and ceilings a gateway takes that exceeds them on purpose.
+/// Factor on the quotas and ceilings in the gateway's configuration, if the defect that exceeds them is injected.
 const EXCESS_FACTOR: f64 = 50.0;
-/// Descriptors of a gateway instance that are not for clients.
+/// Number of descriptors of a gateway instance that are not available to clients.
 const RESERVED_DESCRIPTORS: usize = 60;
 
-/// An operation of every world.
+/// An operation. All worlds have the same operations.
 pub(crate) struct Operation {
-    /// Its name in commands.
+    /// Name of the operation in commands.
     pub name: &'static str,
-    /// Whether, and how, it may be repeated.
+    /// Whether the operation may be executed more than once, and under which conditions.
     pub idempotency: Idempotency,
-    /// The latency objective, in seconds.
+    /// Latency objective in seconds.
     pub objective: f64,
-    /// Seconds that clients wait.
+    /// Maximum client timeout in seconds.
     pub timeout: f64,
-    /// How often clients ask for it, relative to others.
+    /// Share of requests for this operation, relative to the weights of the others.
     pub weight: f64,
 }
 
-/// A plan of every world.
+/// A plan. All worlds have the same plans.
 pub(crate) struct Plan {
-    /// Its name.
+    /// Name of the plan.
     pub name: &'static str,
-    /// Units a second, 0 for a plan without a quota.
+    /// Quota in units per second, 0 for a plan without a quota.
     pub rate: f64,
-    /// Units at once.
+    /// Burst of the quota, in units.
     pub burst: f64,
-    /// Requests in flight at once, 0 for any number.
+    /// Maximum number of requests in flight, 0 for no limit.
     pub max_in_flight: usize,
-    /// How many times the quota the ceiling is, 0 for none.
+    /// Ratio of the ceiling to the quota, 0 for a plan without a ceiling.
     pub ceiling_factor: f64,
 }
 
 impl Plan {
-    /// Units by which the ceiling may be passed.
+    /// Returns the units by which a customer may exceed the ceiling.
     fn ceiling_slack(&self) -> f64 {
         let ceiling_burst = self.burst * self.ceiling_factor;
         if ceiling_burst > 0.0 {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The operations of every world.
+/// Returns the operations of all worlds.
 pub(crate) fn operations() -> [Operation; 4] {
     let keyed = |scope| Idempotency::Keyed { scope, window: KEY_WINDOW };
     let operation = |name, idempotency, objective, timeout, weight| Operation {
@@ -79,7 +79,7 @@
     ]
 }
 
-/// The plans of every world.
+/// The plans of all worlds.
 pub(crate) const PLANS: [Plan; 4] = [
     Plan { name: "small", rate: 24.0, burst: 48.0, max_in_flight: 0, ceiling_factor: 0.0 },
     Plan { name: "wide", rate: 8.0, burst: 16.0, max_in_flight: 0, ceiling_factor: 1.8 },
@@ -87,11 +87,11 @@
     Plan { name: "large", rate: 60.0, burst: 80.0, max_in_flight: 0, ceiling_factor: 2.0 },
 ];
 
-/// The configuration of a gateway instance of this world, as the gateway reads it. `slot_no` is left at 0.
+/// Returns the configuration of a gateway instance as the JSON that the gateway reads. `slot_no`, the instance's index, is 0.
 pub fn gateway_settings(world: &World, defect: Option<InjectedDefect>) -> Value {
-    let excess = if defect == Some(InjectedDefect::ExceedsCeilings) { EXCESS_FACTOR } else { 1.0 };
+    let excess_factor = if defect == Some(InjectedDefect::ExceedsCeilings) { EXCESS_FACTOR } else { 1.0 };
     let classes: Vec<Value> = operations().iter().map(operation_settings).collect();
-    let tariffs: Vec<Value> = PLANS.iter().map(|plan| plan_settings(plan, excess)).collect();
+    let tariffs: Vec<Value> = PLANS.iter().map(|plan| plan_settings(plan, excess_factor)).collect();
     let zones: Vec<String> = (0..world.zones).map(|zone| format!("z{zone}")).collect();
     json!({
         "balancers": world.instances, "slot_no": 0,
@@ -106,6 +106,7 @@
     })
 }
 
+/// Returns the settings of an operation.
 fn operation_settings(operation: &Operation) -> Value {
     let (kind, scope, window) = match operation.idempotency {
         Idempotency::Idempotent => ("retryable", "all", 0.0),
@@ -118,14 +119,15 @@
            "idempotency": kind, "name": operation.name, "window_us": window * 1e6})
 }
 
-fn plan_settings(plan: &Plan, excess: f64) -> Value {
+/// Returns the settings of a plan, with quota and ceiling multiplied by `excess_factor`.
+fn plan_settings(plan: &Plan, excess_factor: f64) -> Value {
     let Plan { name, rate, burst, max_in_flight, ceiling_factor } = plan;
-    json!({"ceiling_rate": rate * ceiling_factor * excess, "ceiling_slack": plan.ceiling_slack() * excess,
-           "depth": burst * excess, "hard_burst": burst * ceiling_factor * excess, "name": name,
-           "parallel": max_in_flight, "per_second": rate * excess})
+    json!({"ceiling_rate": rate * ceiling_factor * excess_factor, "ceiling_slack": plan.ceiling_slack() * excess_factor,
+           "depth": burst * excess_factor, "hard_burst": burst * ceiling_factor * excess_factor, "name": name,
+           "parallel": max_in_flight, "per_second": rate * excess_factor})
 }
 
-/// The limits that a run in this world is checked against.
+/// Returns the limits that the checker verifies in a run of this world.
 pub(crate) fn checked_limits(world: &World) -> CheckedLimits {
     let ceiling = |plan: &Plan| Ceiling {
         rate: plan.rate * plan.ceiling_factor,
@@ -156,7 +158,7 @@
     }
 }
 
-/// The limits of admission, for worlds that have them: the usual clients' addresses are known.
+/// Returns the admission limits of a world that has them. The frontend's network is listed as known.
 pub(crate) fn admission_limits(world: &World) -> Limits {
     let connections = world.max_descriptors - RESERVED_DESCRIPTORS;
     Limits {
@@ -169,6 +171,6 @@
         unfinished: 4 * connections,
         first_word: 1.0,
         known_for: 0.0,
-        known: vec![KNOWN_NETWORK.parse().expect("a network")],
+        known: vec![KNOWN_NETWORK.parse().expect("KNOWN_NETWORK is a valid network")],
     }
 }
--- a/emulator/src/http_request.rs
+++ b/emulator/src/http_request.rs
@@ -1,9 +1,10 @@
-//! HTTP requests as the counter and the discovery service read them.
+//! Parses HTTP requests for the models of the counter and the list service.
 
-/// Headers of a request, at the most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 16;
 
-/// A request's target, and its length in bytes with the body, once it is complete.
+/// Parses the first request. Returns its target and its length in bytes, including the body, or `None` if it is incomplete or
+/// invalid.
 pub fn parse_request(bytes: &[u8]) -> Option<(String, usize)> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -16,7 +17,7 @@
     (bytes.len() >= length).then(|| (head.path.unwrap_or("").to_owned(), length))
 }
 
-/// A number by its name in the query of a target.
+/// Returns the value of a numeric query parameter, or `None` if the target has no such parameter or it is not a number.
 pub fn query_number(target: &str, name: &str) -> Option<f64> {
     let query = target.split_once('?')?.1;
     let parameters = query.split('&').filter_map(|parameter| parameter.split_once('='));
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,19 +1,20 @@
-//! The emulator: the gateway's own reducer, codecs and decisions on a virtual clock, before models of everybody else, with faults from a
-//! seed and every invariant checked after each event. Its world is plain: it finds violations, and measures nothing.
+//! Deterministic simulation testing of the gateway: the production reducer, codecs and policies run on a virtual clock, against models
+//! of clients, backends and services, with faults generated from a seed. Invariants are checked after each event. The models are
+//! simple: the emulator finds violations of invariants, and is not meant for performance measurements.
 //!
-//! A run goes through these parts:
+//! These modules take part in a run:
 //!
-//! - [`scenario`] describes it: a deployment and the faults that strike it, from a file or generated from a seed. [`deployment`] derives
-//!   the gateway's configuration and the limits of the checks.
-//! - [`simulation`] runs it: it takes one event after another from the queue of the virtual clock and hands each to the party that it
-//!   concerns, a [`gateway_process`] or a model (clients, backends, the counter, the discovery service).
-//! - All parties share a context: the clock, the source of random draws, the links of the network, the trace.
-//! - [`checker`] sees every byte at the gateway's edge and what the models did, and keeps the first violation.
+//! - [`scenario`] describes the run: a deployment and the faults injected into it, read from a file or generated from a seed.
+//!   [`deployment`] derives the gateway's configuration and the limits for the checker.
+//! - [`simulation`] takes one event after another from the queue of the virtual clock, and dispatches it to a [`gateway_process`] or to
+//!   a model (clients, backends, the counter, the list service).
+//! - All of them share a context: the clock, the random number generator, the links of the network and the trace.
+//! - [`checker`] observes every byte that the gateway reads or writes and the actions of the models, and keeps the first violation.
 //!
-//! The same seed gives the same run, byte for byte: every random draw comes from one generator, in the order of events.
+//! The same seed gives the same run, byte for byte: all random numbers of a run come from one generator, in the order of the events.
 //!
-//! Many runs: [`sweep`] over seeds, [`shrinker`] for a smaller scenario with the same violation, [`results`] as files, and the studies
-//! [`growth_study`], [`quota_study`] and [`fleet_study`].
+//! Built on single runs are the [`sweep`] over seeds, the [`shrinker`], which searches for a smaller scenario with the same violation,
+//! the [`results`] files, and the studies [`growth_study`], [`quota_study`] and [`fleet_study`].
 mod addresses;
 mod backend;
 pub mod checker;
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! quillramp-emulator: runs scenarios, replays and shrinks those that violate an invariant, and sweeps over seeds.
+//! quillramp-emulator: runs scenarios, sweeps over seeds, and replays and shrinks scenarios that violate an invariant.
 mod arguments;
 mod commands;
 mod output;
@@ -6,8 +6,8 @@
 use clap::Parser;
 use std::process::ExitCode;
 
-/// The exit code for scenarios and calls that can't be understood.
-const EXIT_UNUSABLE: u8 = 2;
+/// Exit code for invalid command lines and scenarios, and for files that cannot be read or written.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     match commands::run(arguments::Arguments::parse()) {
@@ -16,7 +16,7 @@
             for line in error.to_string().lines() {
                 eprintln!("quillramp-emulator: {line}");
             }
-            ExitCode::from(EXIT_UNUSABLE)
+            ExitCode::from(EXIT_INVALID_INPUT)
         }
     }
 }
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -1,40 +1,41 @@
-//! The network: links on which bytes are delivered in order, in pieces, late, held back by a partition, or cut off between any two.
+//! The simulated network: links that deliver bytes in order, with delays, in pieces, after partitions, or up to a reset.
 use crate::context::Context;
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::state::connection::ConnectionId;
 use rand::Rng;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// The number of a link, unique within a run.
+/// Number of a link, unique within a run.
 pub type LinkId = usize;
 
-/// What is at the other end of a gateway process's link.
+/// The remote end of a gateway process's link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Remote {
     /// A client.
     Client,
     /// A backend, by index.
     Backend(usize),
-    /// The counter, or the second one while it is split.
+    /// The counter, including the second one during a split.
     Counter,
-    /// The discovery service.
+    /// The list service.
     Discovery,
     /// An operator.
     Operator,
-    /// An address at which nothing listens.
+    /// An address without a listener.
     Unreachable,
 }
 
 /// One side of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Side {
-    /// That of the gateway process.
+    /// The side of the gateway process.
     Gateway,
-    /// That of the remote.
+    /// The side of the remote.
     Remote,
 }
 
 impl Side {
+    /// Returns the other side.
     fn other(self) -> Side {
         match self {
             Side::Gateway => Side::Remote,
@@ -45,33 +46,33 @@
 
 /// A connection between a gateway process and a remote.
 pub struct Link {
-    /// The process, by index.
+    /// Index of the gateway process.
     pub process: usize,
-    /// The process's own name of it.
+    /// The process's id of the connection.
     pub connection: ConnectionId,
-    /// The other end.
+    /// The remote end.
     pub remote: Remote,
-    /// The process has it open, as far as it knows.
+    /// Whether the link is open from the process's point of view.
     pub gateway_open: bool,
-    /// The remote has it open, as far as it knows.
+    /// Whether the link is open from the remote's point of view.
     pub remote_open: bool,
-    /// When the last byte on its way to the remote arrives.
+    /// Arrival time of the last byte or notification sent to the remote.
     last_arrival_at_remote: f64,
-    /// When the last byte on its way to the process arrives.
+    /// Arrival time of the last byte or notification sent to the process.
     last_arrival_at_gateway: f64,
-    /// Until then the network takes little of what the process writes.
+    /// Time until which the network accepts only part of the process's writes.
     pub backpressure_until: f64,
-    /// The client sends what can't be parsed.
+    /// Whether the client sends malformed commands.
     pub malformed: bool,
-    /// The gateway's admission knows the client's address.
+    /// Whether admission lists the client's address as known.
     pub known_address: bool,
     /// The client's address.
     pub client_address: IpAddr,
 }
 
 impl Link {
-    /// Whether a side has it open, as far as that side knows.
-    fn open_at(&mut self, side: Side) -> &mut bool {
+    /// Returns the flag that tells whether the link is open from a side's point of view.
+    fn open_flag(&mut self, side: Side) -> &mut bool {
         match side {
             Side::Gateway => &mut self.gateway_open,
             Side::Remote => &mut self.remote_open,
@@ -79,23 +80,24 @@
     }
 }
 
-/// The backends of a zone can't be reached until then: what is sent to them arrives afterwards.
+/// A partition between a zone's backends and the gateway. Bytes sent in either direction arrive after its end; connections are still
+/// established.
 #[derive(Clone, Copy)]
 pub struct Partition {
-    /// The zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// When it ends.
+    /// Time at which the partition ends.
     pub until: f64,
 }
 
 impl Context {
-    /// Draws how long something takes to another machine, in seconds.
+    /// Draws a one-way network delay, in seconds.
     pub fn draw_delay(&mut self) -> f64 {
         let [min, max] = self.world.network_delay;
         self.delay_factor * if max > min { self.rng.gen_range(min..max) } else { min }
     }
 
-    /// When what is sent to or by this remote now can arrive at the earliest.
+    /// Returns the time until which a remote is partitioned from the gateway, 0 if it is not.
     fn partitioned_until(&self, remote: Remote) -> f64 {
         let Remote::Backend(backend) = remote else { return 0.0 };
         let zone = self.backend_zones[backend];
@@ -103,7 +105,7 @@
         partitions.map(|partition| partition.until).fold(0.0, f64::max)
     }
 
-    /// A new link, open at the process's end.
+    /// Creates a link that is open at the process's side, and returns its id.
     pub fn open_link(&mut self, process: usize, connection: ConnectionId, remote: Remote) -> LinkId {
         self.last_link += 1;
         self.backend_connections += u64::from(matches!(remote, Remote::Backend(_)));
@@ -124,73 +126,75 @@
         self.last_link
     }
 
-    /// When the next thing for that side of a link arrives: after all that was sent before it.
+    /// Draws the arrival time of the next bytes or notification for a side of a link. Order is preserved: they do not arrive before
+    /// anything sent to this side earlier. Returns `None` if the link no longer exists.
     fn next_arrival(&mut self, id: LinkId, to: Side) -> Option<f64> {
         let remote = self.links.get(&id)?.remote;
         let at = (self.now + self.draw_delay()).max(self.partitioned_until(remote));
         let link = self.links.get_mut(&id)?;
-        let last = match to {
+        let last_arrival = match to {
             Side::Remote => &mut link.last_arrival_at_remote,
             Side::Gateway => &mut link.last_arrival_at_gateway,
         };
-        *last = last.max(at);
-        Some(*last)
+        *last_arrival = last_arrival.max(at);
+        Some(*last_arrival)
     }
 
-    /// A remote asks a process for a connection; what is sent on the link arrives after that.
+    /// Sends a remote's connection request to a process. Bytes sent on the link afterwards arrive after it.
     pub fn connect_to_gateway(&mut self, id: LinkId) {
         if let Some(at) = self.next_arrival(id, Side::Gateway) {
             self.events.schedule(at, ScheduledEvent::ConnectRequested(id));
         }
     }
 
-    /// Sends bytes, at times in pieces that arrive one after another.
+    /// Sends bytes to a side of a link, possibly split into pieces that arrive one after another.
     pub fn send(&mut self, id: LinkId, to: Side, bytes: &[u8]) {
-        let mut rest = bytes;
-        while !rest.is_empty() {
-            let unsplit = rest.len() < 2 || !self.draw_bool(self.world.split_writes);
-            let length = if unsplit { rest.len() } else { self.rng.gen_range(1..rest.len()) };
-            let (piece, behind) = rest.split_at(length);
+        let mut remaining = bytes;
+        while !remaining.is_empty() {
+            let unsplit = remaining.len() < 2 || !self.draw_bool(self.world.split_writes);
+            let length = if unsplit { remaining.len() } else { self.rng.gen_range(1..remaining.len()) };
+            let (piece, tail) = remaining.split_at(length);
             if !self.send_unsplit(id, to, piece) {
                 return;
             }
-            rest = behind;
+            remaining = tail;
         }
     }
 
-    /// Sends bytes that arrive all at once; false where the link is gone.
+    /// Sends bytes that arrive in one piece. Returns false if the link no longer exists.
     pub fn send_unsplit(&mut self, id: LinkId, to: Side, bytes: &[u8]) -> bool {
         let Some(at) = self.next_arrival(id, to) else { return false };
         self.events.schedule(at, ScheduledEvent::BytesArrived { link: id, at: to, bytes: bytes.to_vec() });
         true
     }
 
-    /// One side closes a link; the other side is notified behind all that was sent.
+    /// Closes one side of a link. The other side is notified after all bytes sent before have arrived.
     pub fn close(&mut self, id: LinkId, by: Side) {
         self.close_side(id, by, false);
     }
 
-    /// One side resets a link: the other side is notified at once, and what is on its way is lost in both directions.
+    /// Resets a link from one side. The other side is notified at once, and bytes in transit in both directions are lost.
     pub fn abort(&mut self, id: LinkId, by: Side) {
         self.close_side(id, by, true);
     }
 
+    /// Closes one side of a link, and schedules the notification of the other side if that is open.
     fn close_side(&mut self, id: LinkId, by: Side, reset: bool) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        let was_open = std::mem::replace(link.open_at(by), false);
+        let was_open = std::mem::replace(link.open_flag(by), false);
         if !was_open {
             return;
         }
-        let notified = by.other();
-        if !*link.open_at(notified) {
+        let other_side = by.other();
+        if !*link.open_flag(other_side) {
             self.links.remove(&id);
-        } else if let Some(at) = self.next_arrival(id, notified) {
+        } else if let Some(at) = self.next_arrival(id, other_side) {
             let at = if reset { self.now } else { at };
-            self.events.schedule(at, ScheduledEvent::LinkClosed { link: id, at: notified, reset });
+            self.events.schedule(at, ScheduledEvent::LinkClosed { link: id, at: other_side, reset });
         }
     }
 
-    /// A link breaks: both sides are notified at once, and nothing else arrives.
+    /// Resets a link from the network. Both open sides are notified at once, and bytes in transit are lost.
     pub fn reset(&mut self, id: LinkId) {
         let Some(link) = self.links.get(&id) else { return };
         for (side, open) in [(Side::Gateway, link.gateway_open), (Side::Remote, link.remote_open)] {
@@ -201,22 +205,22 @@
         }
     }
 
-    /// One side was notified that the link is closed, and uses it no more.
+    /// Marks one side of a link as closed after its notification, and removes the link if both sides are closed.
     pub fn mark_closed(&mut self, id: LinkId, at: Side) {
         let Some(link) = self.links.get_mut(&id) else { return };
-        *link.open_at(at) = false;
+        *link.open_flag(at) = false;
         if !link.gateway_open && !link.remote_open {
             self.links.remove(&id);
         }
     }
 
-    /// A remote was notified that the link is closed, and closes its side too.
+    /// Closes the remote's side of a link after its notification that the process's side is closed.
     pub fn confirm_close(&mut self, id: LinkId) {
         self.close(id, Side::Remote);
         self.mark_closed(id, Side::Remote);
     }
 
-    /// The links for which the condition holds, in the order of their numbers.
+    /// Returns the links that satisfy a condition, in ascending order of their ids.
     pub fn links_matching(&self, condition: impl Fn(&Link) -> bool) -> Vec<LinkId> {
         self.links.iter().filter(|(_, link)| condition(link)).map(|(id, _)| *id).collect()
     }
--- a/emulator/src/scenario/fault_kind.rs
+++ b/emulator/src/scenario/fault_kind.rs
@@ -61,7 +61,7 @@
     #[serde(rename = "zone-loss")]
     #[value(name = "zone-loss")]
     ZoneLoss,
-    /// The zone's backends are unreachable. Bytes sent to or by them arrive after the partition ends.
+    /// The zone's backends are partitioned from the gateway. Bytes sent in either direction arrive after the partition ends.
     #[serde(rename = "zone-cut")]
     #[value(name = "zone-cut")]
     ZonePartition,
--- a/emulator/src/scheduled_event.rs
+++ b/emulator/src/scheduled_event.rs
@@ -1,91 +1,91 @@
-//! What can happen at a time of the virtual clock.
+//! Events that are scheduled on the virtual clock.
 use crate::network::{LinkId, Side};
 use std::net::SocketAddr;
 
-/// An event of the simulated world. Processes, instances and backends are named by their index.
+/// An event of the simulation. Processes, instances and backends are identified by their index.
 pub enum ScheduledEvent {
     /// Bytes arrive at one side of a link.
     BytesArrived {
-        /// On which link.
+        /// The link.
         link: LinkId,
-        /// At which side.
+        /// The receiving side.
         at: Side,
-        /// The bytes.
+        /// The bytes that arrive.
         bytes: Vec<u8>,
     },
-    /// One side is notified that the link was closed behind all that was sent, or reset.
+    /// One side is notified that a link was closed or reset.
     LinkClosed {
-        /// Which link.
+        /// The link.
         link: LinkId,
-        /// Which side is notified.
+        /// The notified side.
         at: Side,
-        /// Whatever was on its way is lost.
+        /// Whether the link was reset, which discards bytes in transit, instead of closed after all bytes.
         reset: bool,
     },
-    /// A connection that one side asked for has reached the other side.
+    /// A connection request arrives at the other side.
     ConnectRequested(LinkId),
-    /// A process is notified that a connection it asked for was accepted or refused.
+    /// A process is notified that the connection that it requested was accepted or refused.
     ConnectCompleted {
-        /// Which link.
+        /// The link.
         link: LinkId,
-        /// Accepted, else refused.
+        /// Whether the connection was accepted.
         accepted: bool,
     },
-    /// A process handles the events that have come, or its timers.
+    /// A process runs: it handles its inbox and its timers.
     ProcessWake(usize),
     /// A datagram arrives at a gateway instance.
     DatagramArrived {
-        /// At which instance.
+        /// The receiving instance.
         instance: usize,
-        /// The sender.
+        /// Address of the sender.
         from: SocketAddr,
         /// The payload.
         body: Vec<u8>,
     },
     /// A backend has executed a job.
     JobCompleted {
-        /// Which backend.
+        /// The backend.
         backend: usize,
-        /// The job's number at that backend.
+        /// Number of the job at this backend.
         job: u64,
     },
     /// A fault of the scenario starts or ends.
     FaultBoundary {
         /// Index into the scenario's faults.
         index: usize,
-        /// It ends, else it starts.
+        /// Whether the fault ends; otherwise it starts.
         ended: bool,
     },
-    /// The clients send the next request.
+    /// The frontend sends the next request.
     RequestDue,
-    /// The next client connects that sends what can't be parsed.
+    /// The next client that sends a malformed command connects.
     MalformedClientDue,
-    /// A client sends a request again, by the request's index.
+    /// The frontend retries the request with this index.
     RetryDue(usize),
     /// A client disconnects.
     ClientDisconnects(LinkId),
-    /// Some link is reset at random.
+    /// A random link is reset.
     RandomReset,
     /// The counter has handled the oldest call on a link.
     CounterCallCompleted(LinkId),
-    /// A watch at the discovery service has come to its timeout.
+    /// A watch at the list service times out.
     WatchTimedOut {
-        /// The link that it waits on.
+        /// The link of the watch.
         link: LinkId,
-        /// The watch's number.
+        /// Number of the watch.
         watch: u64,
     },
-    /// A change of the endpoint list reaches the discovery agent of an instance.
+    /// A change of the endpoint list reaches the list service's agent of an instance.
     EndpointUpdate(usize),
-    /// A process is killed, if it is still there.
+    /// A process is killed, unless it has ended.
     ProcessKilled(usize),
-    /// An instance's process starts, unless one runs.
+    /// An instance starts a process, unless one runs.
     InstanceStarts(usize),
-    /// The process of a backend that crashed or was replaced starts.
+    /// A new process of a backend starts after a crash, an outage or a replacement.
     BackendStarts {
-        /// Which backend.
+        /// The backend.
         backend: usize,
-        /// The incarnation that came to its end: the event is stale after the next start.
+        /// The incarnation that ended. The event is ignored if another process has started since.
         incarnation: u64,
     },
 }
