--- a/emulator/src/backend/mod.rs
+++ b/emulator/src/backend/mod.rs
@@ -126,7 +126,7 @@
         ctx.schedule_in(delay, ScheduledEvent::ConnectCompleted { link: id, accepted });
     }
 
-    /// Handles bytes received from a gateway process. The connection is closed if they are not a request command.
+    /// Handles bytes received from a gateway process. Anything other than request commands closes the connection.
     pub fn bytes_received(&mut self, ctx: &mut Context, link: LinkId, bytes: &[u8]) {
         if self.lifecycle != Lifecycle::Up {
             return;
--- a/emulator/src/clients/mod.rs
+++ b/emulator/src/clients/mod.rs
@@ -107,7 +107,7 @@
         if ctx.now + gap < until {
             ctx.schedule_in(gap, ScheduledEvent::RequestDue);
         }
-        // Squaring skews the distribution towards the customers with low ids.
+        // Squaring skews the distribution: a few customers, those with low ids, send most requests.
         let customer = ctx.rng.gen_range(0.0..1.0f64).powi(2) * ctx.world.customers as f64;
         let operation = self.draw_operation(ctx);
         let units = f64::from(ctx.rng.gen_range(1..=3u32));
--- a/emulator/src/gateway_process/inbound.rs
+++ b/emulator/src/gateway_process/inbound.rs
@@ -90,8 +90,8 @@
         }
         let id = self.connection_on(ctx, link);
         // For the checker, bytes from a client count as received when they reach the machine, even if the process has not read them.
-        // An exception are connections that the process no longer reads: it may close them in spite of unread bytes, and the client
-        // retries on another connection.
+        // Connections that the process no longer reads are an exception: it may close them despite unread bytes, and the client retries
+        // on another connection.
         let is_ignored = id.is_some_and(|id| self.connections[&id].reading_stopped);
         if !is_ignored && ctx.links.get(&link).is_some_and(|link| link.remote == Remote::Client) {
             ctx.checker.client_bytes_received(ctx.now, link, bytes);
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -8,7 +8,7 @@
 //!   [`deployment`] derives the gateway's configuration and the limits for the checker.
 //! - [`simulation`] takes one event after another from the queue of the virtual clock, and dispatches it to a [`gateway_process`] or to
 //!   a model (clients, backends, the counter, the list service).
-//! - All of them share a context: the clock, the random number generator, the links of the network and the trace.
+//! - All parts of a run share a context: the clock, the random number generator, the links of the network and the trace.
 //! - [`checker`] observes every byte that the gateway reads or writes and the actions of the models, and keeps the first violation.
 //!
 //! The same seed gives the same run, byte for byte: all random numbers of a run come from one generator, in the order of the events.
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -1,4 +1,5 @@
-//! The simulated network: links that deliver bytes in order, with delays, in pieces, after partitions, or up to a reset.
+//! The simulated network. Links deliver bytes in order, after random delays and possibly in pieces. Partitions hold bytes back, and
+//! resets discard bytes in transit.
 use crate::context::Context;
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::state::connection::ConnectionId;
--- a/emulator/src/scenario/generate.rs
+++ b/emulator/src/scenario/generate.rs
@@ -66,7 +66,7 @@
 fn generate_fault(rng: &mut ChaCha8Rng, world: &World, seconds: f64) -> Fault {
     let is_applicable = |kind: &FaultKind| *kind != FaultKind::Upgrade || world.inherits_listener;
     let kinds: Vec<FaultKind> = FaultKind::all().filter(is_applicable).collect();
-    let kind = *kinds.choose(rng).expect("the list of fault kinds is empty");
+    let kind = *kinds.choose(rng).expect("at least one fault kind is applicable");
     let target = kind.target();
     let backend = target.has_backend().then(|| rng.gen_range(0..world.backends));
     let instance = target.has_instance().then(|| rng.gen_range(0..world.instances));
--- a/emulator/src/scenario/mod.rs
+++ b/emulator/src/scenario/mod.rs
@@ -1,6 +1,6 @@
 //! Scenarios: a deployment and the faults injected into it. A scenario is read from TOML and validated, or generated from a seed.
 //!
-//! Names in scenario files stay stable: a field or fault kind with another name in the code keeps the file's name by `serde(rename)`.
+//! Names in scenario files stay stable: where the code has another name, `serde(rename)` gives the name in files.
 mod fault;
 mod fault_kind;
 mod generate;
@@ -38,7 +38,7 @@
     /// The text is not valid TOML, or its fields are not those of a scenario.
     #[error("{0}")]
     Syntax(String),
-    /// Invalid values, one line each, which starts with the value's location.
+    /// Invalid values: one line per value, starting with its location.
     #[error("{}", .0.join("\n"))]
     Invalid(Vec<String>),
 }
--- a/emulator/src/scenario/validate.rs
+++ b/emulator/src/scenario/validate.rs
@@ -1,4 +1,4 @@
-//! Validates scenarios. Each problem is one line, which starts with the location of the invalid value.
+//! Validates scenarios. Each problem is one line, starting with the location of the invalid value.
 use super::fault_kind::SeverityRange;
 use super::{Fault, FaultKind, Scenario, World, MAX_DURATION};
 
@@ -24,7 +24,7 @@
 }
 
 impl Scenario {
-    /// Returns one line for each invalid value, which starts with the value's location.
+    /// Returns one line per invalid value, starting with its location.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Problems::default();
         problems.require(
@@ -96,7 +96,7 @@
 }
 
 impl Fault {
-    /// Returns one line for each invalid value, which starts with `location`. `seconds` is the duration of the run.
+    /// Returns one line per invalid value, starting with `location`. `seconds` is the duration of the run.
     pub fn problems(&self, location: &str, seconds: f64, world: &World) -> Vec<String> {
         let mut problems = Problems::default();
         problems.require(
--- a/emulator/src/scenario/world.rs
+++ b/emulator/src/scenario/world.rs
@@ -19,7 +19,7 @@
     /// Requests per second of all clients together.
     #[serde(rename = "rate")]
     pub request_rate: f64,
-    /// Mean time that a backend takes to execute one unit, in seconds.
+    /// Seconds that a warmed-up backend takes to execute one unit, before jitter.
     #[serde(rename = "service")]
     pub service_time: f64,
     /// Number of requests that a backend executes concurrently.
--- a/emulator/src/scheduled_event.rs
+++ b/emulator/src/scheduled_event.rs
@@ -81,7 +81,7 @@
     ProcessKilled(usize),
     /// An instance starts a process, unless one runs.
     InstanceStarts(usize),
-    /// A new process of a backend starts after a crash, an outage or a replacement.
+    /// A new process of a backend starts after a crash, a machine failure or a replacement.
     BackendStarts {
         /// The backend.
         backend: usize,
--- a/emulator/src/simulation/dispatch.rs
+++ b/emulator/src/simulation/dispatch.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Resets a random open link, and schedules the next reset.
+    /// Resets a random open link other than those of operators, and schedules the next reset.
     fn random_reset(&mut self) {
         if self.reset_rate <= 0.0 {
             return;
--- a/emulator/src/simulation/faults.rs
+++ b/emulator/src/simulation/faults.rs
@@ -8,7 +8,7 @@
 use crate::scheduled_event::ScheduledEvent;
 use quillramp_gateway::state::event::Event;
 
-/// Seconds after a split of the counter for which ceilings are not checked, because units that both counters granted may still be in use.
+/// Seconds after a split of the counter for which ceilings are not checked: units granted by both counters may still be in use.
 const SPLIT_SETTLING_TIME: f64 = 5.0;
 
 /// The start or the end of a fault.
--- a/emulator/src/simulation/instances.rs
+++ b/emulator/src/simulation/instances.rs
@@ -17,7 +17,7 @@
 /// Seconds after which a process that was asked to shut down is killed.
 pub(super) const SHUTDOWN_TIMEOUT: f64 = 3.7;
 
-/// Factor of the scenario's seed in the seed of a process, so that scenarios with consecutive seeds give their processes other seeds.
+/// Factor on the scenario's seed in the seed of a process, which keeps the process seeds of scenarios with consecutive seeds apart.
 const SCENARIO_SEED_FACTOR: u64 = 31;
 /// Distance between the process seeds of consecutive instances. The starts of one instance use consecutive seeds.
 const INSTANCE_SEED_STRIDE: u64 = 1009;
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Notifies the processes of an instance of their current shared state, and one of them that its operator's call was saved.
+    /// Notifies the processes of an instance of their current shared state. `saved` is the operator's call that caused the change, if
+    /// any.
     fn notify_shared_state(&mut self, instance: usize, saved: Option<SavedCall>) {
         for process in self.instances[instance].processes.clone() {
             let call = saved.filter(|saved| saved.process == process).map(|saved| saved.call);
