--- a/lease/examples/cost/credit.rs
+++ b/lease/examples/cost/credit.rs
@@ -70,12 +70,12 @@
 
     /// Whether a request that no lease covers is admitted on credit; the burst is the plan's, in units.
     pub fn admits_on_credit(&self, rule: CreditRule, burst: f64, now: f64) -> bool {
-        let is_known = now - self.last_response_at < RESPONSE_LIFETIME;
+        let is_response_recent = now - self.last_response_at < RESPONSE_LIFETIME;
         let has_plenty = f64::from(self.available_units) >= CREDIT_THRESHOLD_FRACTION * burst;
         let allowed = match rule {
             CreditRule::Never => false,
-            CreditRule::IfPlentyReported => is_known && has_plenty,
-            CreditRule::UnlessShortReported => !is_known || has_plenty,
+            CreditRule::IfPlentyReported => is_response_recent && has_plenty,
+            CreditRule::UnlessShortReported => !is_response_recent || has_plenty,
         };
         let max_credit_requests = MAX_CREDIT_REQUESTS.max((burst * MAX_CREDIT_FRACTION) as usize);
         allowed && self.credit_requests < max_credit_requests
--- a/lease/examples/cost/run.rs
+++ b/lease/examples/cost/run.rs
@@ -72,7 +72,7 @@
     submitted: BTreeMap<RequestId, usize>,
     traffic: Traffic,
     /// Whether the warm-up is over.
-    is_counting: bool,
+    is_measuring: bool,
 }
 
 impl Run {
@@ -91,7 +91,7 @@
             map,
             submitted: BTreeMap::new(),
             traffic: Traffic::default(),
-            is_counting: false,
+            is_measuring: false,
             settings,
         }
     }
@@ -102,7 +102,7 @@
         let mut next_request = START;
         let mut next_background = START;
         while now < START + WARM_UP + DURATION {
-            self.is_counting = now >= START + WARM_UP;
+            self.is_measuring = now >= START + WARM_UP;
             let delivery = self.network.front().map_or(f64::INFINITY, |delivery| delivery.at);
             let timer = self.client.poll_timeout().unwrap_or(f64::INFINITY);
             now = next_request.min(next_background).min(delivery).min(timer).max(now);
@@ -116,7 +116,7 @@
                 self.handle_request(now);
             } else {
                 next_background += BACKGROUND_INTERVAL;
-                self.report_background(now);
+                self.report_background_load(now);
             }
             self.handle_outputs(now);
         }
@@ -124,13 +124,13 @@
     }
 
     fn count(&mut self, add: impl FnOnce(&mut Traffic)) {
-        if self.is_counting {
+        if self.is_measuring {
             add(&mut self.traffic);
         }
     }
 
     /// The other gateway instances' requests, distributed over the tenants as the traffic is.
-    fn report_background(&mut self, now: f64) {
+    fn report_background_load(&mut self, now: f64) {
         let requests = (REQUEST_RATE * (GATEWAYS - 1.0) * BACKGROUND_INTERVAL) as usize;
         let mut spent: BTreeMap<ShardId, BTreeMap<usize, i32>> = BTreeMap::new();
         for _ in 0..requests {
--- a/lease/src/bin/quillramp-lease-shard/connections.rs
+++ b/lease/src/bin/quillramp-lease-shard/connections.rs
@@ -22,7 +22,7 @@
 
 /// The service's handle on a connection.
 pub struct ConnectionHandle {
-    responses: SyncSender<Vec<u8>>,
+    response_queue: SyncSender<Vec<u8>>,
     stream: Arc<TcpStream>,
 }
 
@@ -32,7 +32,7 @@
     /// # Errors
     /// [`TrySendError`] if the other side does not read, or the connection is closed.
     pub fn send(&self, bytes: Vec<u8>) -> Result<(), TrySendError<Vec<u8>>> {
-        self.responses.try_send(bytes)
+        self.response_queue.try_send(bytes)
     }
 
     /// Closes the connection.
@@ -74,8 +74,8 @@
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
     let stream = Arc::new(stream);
-    let (responses, queued_responses) = sync_channel(MAX_QUEUED_RESPONSES);
-    let handle = ConnectionHandle { responses, stream: stream.clone() };
+    let (response_queue, queued_responses) = sync_channel(MAX_QUEUED_RESPONSES);
+    let handle = ConnectionHandle { response_queue, stream: stream.clone() };
     if events.send(Event::Opened { connection, handle }).is_err() {
         // The process is about to end.
         return Ok(());
@@ -85,14 +85,14 @@
     let events = events.clone();
     let reading_stream = stream.clone();
     std::thread::spawn(move || {
-        read_all(&reading_stream, connection, &events);
+        read_until_closed(&reading_stream, connection, &events);
         open_connections.fetch_sub(1, Ordering::Relaxed);
     });
-    std::thread::spawn(move || write_all(&stream, &queued_responses));
+    std::thread::spawn(move || write_responses(&stream, &queued_responses));
     Ok(())
 }
 
-fn read_all(mut stream: &TcpStream, connection: ConnectionId, events: &Sender<Event>) {
+fn read_until_closed(mut stream: &TcpStream, connection: ConnectionId, events: &Sender<Event>) {
     let mut buffer = [0; READ_BUFFER_SIZE];
     loop {
         match stream.read(&mut buffer) {
@@ -111,7 +111,7 @@
     let _ = events.send(Event::Closed { connection });
 }
 
-fn write_all(mut stream: &TcpStream, queued_responses: &Receiver<Vec<u8>>) {
+fn write_responses(mut stream: &TcpStream, queued_responses: &Receiver<Vec<u8>>) {
     for bytes in queued_responses {
         if stream.write_all(&bytes).is_err() {
             break;
--- a/lease/src/bin/quillramp-lease-shard/main.rs
+++ b/lease/src/bin/quillramp-lease-shard/main.rs
@@ -68,8 +68,8 @@
     let address = listener.local_addr().map_err(StartError::LocalAddress)?;
     let service = Service::new(settings, map)
         .map_err(|source| MapFileError::Invalid { path: arguments.map.clone(), source })?;
-    connections::spawn_acceptor(listener, service.events());
-    spawn_signal_handler(signals, arguments.map, service.events());
+    connections::spawn_acceptor(listener, service.event_sender());
+    spawn_signal_handler(signals, arguments.map, service.event_sender());
     log(format_args!("serves at {address}"));
     service.run();
     log("stopped");
--- a/lease/src/bin/quillramp-lease-shard/peers.rs
+++ b/lease/src/bin/quillramp-lease-shard/peers.rs
@@ -22,7 +22,7 @@
     pub fn send(&mut self, address: SocketAddr, bytes: Vec<u8>) {
         let queue = self.queues.entry(address).or_insert_with(|| {
             let (queue, buffers) = sync_channel(QUEUE_CAPACITY);
-            std::thread::spawn(move || write_all(address, &buffers));
+            std::thread::spawn(move || write_queued_buffers(address, &buffers));
             queue
         });
         // Fails if the queue is full: the shard retransmits.
@@ -30,7 +30,7 @@
     }
 }
 
-fn write_all(address: SocketAddr, buffers: &Receiver<Vec<u8>>) {
+fn write_queued_buffers(address: SocketAddr, buffers: &Receiver<Vec<u8>>) {
     let mut connection = None;
     for bytes in buffers {
         if connection.is_none() {
--- a/lease/src/bin/quillramp-lease-shard/service.rs
+++ b/lease/src/bin/quillramp-lease-shard/service.rs
@@ -45,7 +45,7 @@
     peers: PeerConnections,
     connections: HashMap<ConnectionId, ConnectionHandle>,
     event_sender: Sender<Event>,
-    events: Receiver<Event>,
+    event_receiver: Receiver<Event>,
 }
 
 impl Service {
@@ -56,7 +56,7 @@
     pub fn new(settings: ShardSettings, map: ShardMap) -> Result<Service, ShardMapError> {
         let clock = Clock::new();
         let shard = Shard::new(clock.now(), settings, map.clone())?;
-        let (event_sender, events) = channel();
+        let (event_sender, event_receiver) = channel();
         Ok(Service {
             clock,
             shard,
@@ -64,12 +64,12 @@
             peers: PeerConnections::default(),
             connections: HashMap::new(),
             event_sender,
-            events,
+            event_receiver,
         })
     }
 
     /// Where other threads send their events.
-    pub fn events(&self) -> Sender<Event> {
+    pub fn event_sender(&self) -> Sender<Event> {
         self.event_sender.clone()
     }
 
@@ -77,7 +77,7 @@
     pub fn run(mut self) {
         loop {
             let timeout = (self.shard.poll_timeout() - self.clock.now()).max(0.0);
-            match self.events.recv_timeout(Duration::from_secs_f64(timeout)) {
+            match self.event_receiver.recv_timeout(Duration::from_secs_f64(timeout)) {
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return,
                 Ok(event) => self.handle_event(event),
                 Err(RecvTimeoutError::Timeout) => self.shard.handle_timeout(self.clock.now()),
--- a/lease/src/client/connection.rs
+++ b/lease/src/client/connection.rs
@@ -85,14 +85,18 @@
     }
 
     /// The shard cannot be reached: requests for units fail at once, reports stay queued.
-    pub(super) fn fail_urgent_requests(&mut self, outputs: &mut Vec<ClientOutput>) {
-        self.fail_queued(outputs, PendingRequest::is_urgent);
+    pub(super) fn fail_unit_requests(&mut self, outputs: &mut Vec<ClientOutput>) {
+        self.fail_queued(outputs, PendingRequest::requests_units);
     }
 
-    fn fail_queued(&mut self, outputs: &mut Vec<ClientOutput>, fails: impl Fn(&PendingRequest) -> bool) {
+    fn fail_queued(
+        &mut self,
+        outputs: &mut Vec<ClientOutput>,
+        should_fail: impl Fn(&PendingRequest) -> bool,
+    ) {
         self.queue.retain(|_, entry| {
             entry.requests.retain_mut(|request| {
-                let failed = fails(request);
+                let failed = should_fail(request);
                 if failed {
                     request.complete(LeaseOutcome::NotApplied, outputs);
                 }
--- a/lease/src/client/mod.rs
+++ b/lease/src/client/mod.rs
@@ -60,11 +60,12 @@
         // A shard that was down may be due for an attempt to connect.
         self.drive_connection(now, shard);
         let connection = self.connections.entry(shard).or_default();
-        if connection.is_down() && pending.is_urgent() {
+        if connection.is_down() && pending.requests_units() {
             pending.complete(LeaseOutcome::NotApplied, &mut self.outputs);
             return id;
         }
-        let delay = if pending.is_urgent() { self.settings.batch_delay } else { self.settings.report_delay };
+        let delay =
+            if pending.requests_units() { self.settings.batch_delay } else { self.settings.report_delay };
         connection.enqueue(PendingEntry {
             tenant: request.tenant,
             plan: request.plan,
@@ -115,7 +116,7 @@
             batch.sent_at = None;
         }
         if connect_failed {
-            connection.fail_urgent_requests(&mut self.outputs);
+            connection.fail_unit_requests(&mut self.outputs);
         }
         self.drive_connection(now, shard);
     }
@@ -148,7 +149,7 @@
 
     /// Does whatever is due by now.
     pub fn handle_timeout(&mut self, now: f64) {
-        if let Some(former) = self.maps.activate_due(now) {
+        if let Some(former) = self.maps.activate_if_due(now) {
             self.apply_map_change(now, &former);
         }
         let shards: Vec<ShardId> = self.connections.keys().copied().collect();
--- a/lease/src/client/pending.rs
+++ b/lease/src/client/pending.rs
@@ -20,7 +20,7 @@
     }
 
     /// Whether it requests units, rather than only reports.
-    pub(super) fn is_urgent(&self) -> bool {
+    pub(super) fn requests_units(&self) -> bool {
         self.requested_units > 0.0
     }
 
--- a/lease/src/client/settings.rs
+++ b/lease/src/client/settings.rs
@@ -46,7 +46,7 @@
     /// The backoff after a failed attempt to connect, seconds: pseudo-random, the same for the same attempt.
     pub(super) fn backoff(&self, attempt: u32) -> f64 {
         let key = [self.gateway, u64::from(attempt)].map(u64::to_le_bytes).concat();
-        let draw = (xxhash_rust::xxh64::xxh64(&key, 0) >> 32) as f64 / f64::from(u32::MAX);
-        self.reconnect_backoff * (0.5 + draw)
+        let jitter = (xxhash_rust::xxh64::xxh64(&key, 0) >> 32) as f64 / f64::from(u32::MAX);
+        self.reconnect_backoff * (0.5 + jitter)
     }
 }
--- a/lease/src/regional_quota/mod.rs
+++ b/lease/src/regional_quota/mod.rs
@@ -11,10 +11,10 @@
 use demand::DemandEstimate;
 
 /// The part of the configured fraction that is never transferred away.
-const FLOOR_OF_CONFIGURED: f64 = 0.5;
+const FLOOR_FRACTION_OF_CONFIGURED: f64 = 0.5;
 /// The part of the spare quota that one transfer carries, so that a tenant that moves back and forth finds some on
 /// either side.
-const TRANSFERRED_PART_OF_SPARE: f64 = 0.5;
+const TRANSFER_FRACTION_OF_SPARE: f64 = 0.5;
 /// Smallest transfer, parts per million of the quota: a smaller one is not worth its messages.
 const MIN_TRANSFER_PPM: u32 = 10_000;
 /// Least time between two requests of an owner that is short of units, seconds.
@@ -22,7 +22,7 @@
 
 /// The part of a configured fraction that is never transferred away; both in parts per million of the quota.
 pub fn floor_ppm(configured_ppm: u32) -> u32 {
-    (f64::from(configured_ppm) * FLOOR_OF_CONFIGURED) as u32
+    (f64::from(configured_ppm) * FLOOR_FRACTION_OF_CONFIGURED) as u32
 }
 
 /// A transfer that has not been acknowledged yet.
@@ -113,12 +113,12 @@
     /// long enough ago. A request is taken as made.
     pub fn should_request_transfer(&mut self, plan: &Plan, now: f64) -> bool {
         let available_rate = plan.rate * f64::from(self.fraction_ppm) / f64::from(FULL_QUOTA_PPM);
-        let requests =
+        let should_request =
             self.reconciled && now >= self.next_request_at && self.demand.rate(now) > available_rate;
-        if requests {
+        if should_request {
             self.next_request_at = now + TRANSFER_REQUEST_INTERVAL;
         }
-        requests
+        should_request
     }
 
     /// The other owner is short of units: begins a transfer of half of what is neither used nor part of the floor.
@@ -127,7 +127,7 @@
         let used_ppm = self.demand.rate(now) / plan.rate * f64::from(FULL_QUOTA_PPM);
         let retained_ppm = used_ppm.max(f64::from(floor_ppm(configured_ppm)));
         let spare_ppm = (f64::from(self.fraction_ppm) - retained_ppm).max(0.0);
-        let amount_ppm = (spare_ppm * TRANSFERRED_PART_OF_SPARE) as u32;
+        let amount_ppm = (spare_ppm * TRANSFER_FRACTION_OF_SPARE) as u32;
         if !self.reconciled || self.outgoing.is_some() || amount_ppm < MIN_TRANSFER_PPM {
             return false;
         }
@@ -169,7 +169,7 @@
 
     /// The other owner sent a transfer; returns whether to acknowledge it.
     pub fn receive_transfer(&mut self, from: PeerIdentity, number: u32, amount_ppm: u32) -> bool {
-        if !self.reconciled || !self.accepts(from) {
+        if !self.reconciled || !self.accepts_messages_from(from) {
             return false;
         }
         let last_added_transfer = self.peer.map_or(0, |peer| peer.last_added_transfer);
@@ -182,7 +182,7 @@
 
     /// The other owner has acknowledged a transfer.
     pub fn transfer_acknowledged(&mut self, from: PeerIdentity, number: u32) {
-        if !self.accepts(from) {
+        if !self.accepts_messages_from(from) {
             return;
         }
         if let Some(outgoing) = self.outgoing.filter(|outgoing| outgoing.number == number) {
@@ -194,14 +194,14 @@
     }
 
     /// Whether a newer process of the sending shard is known: messages of a replaced process are obsolete.
-    pub fn has_newer_peer(&self, from: PeerIdentity) -> bool {
+    pub fn is_replaced_process(&self, from: PeerIdentity) -> bool {
         self.peer.is_some_and(|peer| {
             peer.identity.shard == from.shard && peer.identity.incarnation > from.incarnation
         })
     }
 
     /// Messages of a replaced process do not count.
-    fn accepts(&self, from: PeerIdentity) -> bool {
+    fn accepts_messages_from(&self, from: PeerIdentity) -> bool {
         self.peer.is_none_or(|peer| peer.identity == from)
     }
 }
--- a/lease/src/shard/account.rs
+++ b/lease/src/shard/account.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether the bucket is short of units, so that the other region may be asked for some of its quota.
-    pub(super) fn is_short(&mut self, now: f64) -> bool {
+    pub(super) fn has_low_balance(&mut self, now: f64) -> bool {
         self.bucket.balance(now) < LOW_BALANCE_FRACTION * self.bucket.capacity()
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Whether nothing is lost if the account is forgotten: the bucket is full and the fraction the configured one.
-    pub(super) fn is_dispensable(&mut self, now: f64, configured_ppm: u32, has_peer_region: bool) -> bool {
+    pub(super) fn is_removable(&mut self, now: f64, configured_ppm: u32, has_peer_region: bool) -> bool {
         let idle_lifetime = if has_peer_region { IDLE_BUCKET_LIFETIME } else { 0.0 };
         let is_full = self.bucket.balance(now) >= self.bucket.capacity();
         let is_idle = now - self.last_used_at >= idle_lifetime;
@@ -68,8 +68,8 @@
     /// The other owner is short of units: begins a transfer to it and returns its message, if there is something to transfer.
     fn begin_transfer(&mut self, context: &PeerMessageContext) -> Option<PeerMessage> {
         let PeerMessageContext { now, tenant, plan, configured_ppm, next_transfer_number, .. } = *context;
-        let begins = self.regional_quota.begin_transfer(plan, configured_ppm, next_transfer_number, now);
-        if !begins {
+        let has_begun = self.regional_quota.begin_transfer(plan, configured_ppm, next_transfer_number, now);
+        if !has_begun {
             return None;
         }
         self.regional_quota.pending_message(tenant, self.plan)
@@ -98,8 +98,8 @@
                 None
             }
             PeerMessage::Transfer { transfer_number, amount_ppm, .. } => {
-                let acknowledges = quota.receive_transfer(from, transfer_number, amount_ppm);
-                acknowledges.then_some(PeerMessage::Acknowledge {
+                let should_acknowledge = quota.receive_transfer(from, transfer_number, amount_ppm);
+                should_acknowledge.then_some(PeerMessage::Acknowledge {
                     tenant,
                     transfer_number,
                     sender_incarnation: from.incarnation,
--- a/lease/src/shard/batches.rs
+++ b/lease/src/shard/batches.rs
@@ -43,7 +43,7 @@
         }
         let Some(account) = self.accounts.get_mut(&entry.tenant) else { return EntryResponse::UnknownPlan };
         let response = account.apply_entry(now, entry);
-        if account.is_short(now) {
+        if account.has_low_balance(now) {
             self.request_transfer(now, entry.tenant);
         }
         response
--- a/lease/src/shard/mod.rs
+++ b/lease/src/shard/mod.rs
@@ -90,7 +90,7 @@
 
     /// Does whatever is due by now.
     pub fn handle_timeout(&mut self, now: f64) {
-        if self.ownership.activate_due(now) {
+        if self.ownership.activate_if_due(now) {
             self.apply_map_change(now);
         }
         if now >= self.next_retransmit_at {
@@ -199,6 +199,6 @@
         self.ownership.remove_expired(now);
         let configured_ppm = self.ownership.configured_fraction_ppm();
         let has_peer_region = self.ownership.has_peer_region();
-        self.accounts.retain(|_, account| !account.is_dispensable(now, configured_ppm, has_peer_region));
+        self.accounts.retain(|_, account| !account.is_removable(now, configured_ppm, has_peer_region));
     }
 }
--- a/lease/src/shard/ownership.rs
+++ b/lease/src/shard/ownership.rs
@@ -61,8 +61,8 @@
     }
 
     /// Puts the newer map into force if its time has come; whether it was.
-    pub(super) fn activate_due(&mut self, now: f64) -> bool {
-        let Some(map) = self.maps.activate_due(now) else { return false };
+    pub(super) fn activate_if_due(&mut self, now: f64) -> bool {
+        let Some(map) = self.maps.activate_if_due(now) else { return false };
         self.former_maps.push(FormerMap { map, ended_at: now });
         true
     }
--- a/lease/src/shard/peer_messages.rs
+++ b/lease/src/shard/peer_messages.rs
@@ -18,7 +18,7 @@
         }
         let Some(account) = self.accounts.get_mut(&tenant) else { return };
         let Some(plan) = self.ownership.map().plan(account.plan) else { return };
-        if account.regional_quota.has_newer_peer(from) {
+        if account.regional_quota.is_replaced_process(from) {
             return;
         }
         let context = PeerMessageContext {
@@ -42,7 +42,7 @@
 
     /// Retransmits what has not been answered.
     pub(super) fn retransmit_unanswered(&mut self) {
-        for tenant in self.peer_outbox.next_round() {
+        for tenant in self.peer_outbox.next_retransmissions() {
             self.transmit_pending_message(tenant);
         }
     }
--- a/lease/src/shard/peer_outbox.rs
+++ b/lease/src/shard/peer_outbox.rs
@@ -37,10 +37,11 @@
     }
 
     /// The tenants whose messages are retransmitted next: at most a frame's worth, in rotation.
-    pub(super) fn next_round(&mut self) -> Vec<TenantId> {
-        let up_to_end = self.unanswered.range(self.next_tenant..);
-        let from_begin = self.unanswered.range(..self.next_tenant);
-        let tenants: Vec<TenantId> = up_to_end.chain(from_begin).take(MAX_PEER_MESSAGES).copied().collect();
+    pub(super) fn next_retransmissions(&mut self) -> Vec<TenantId> {
+        let from_next_tenant = self.unanswered.range(self.next_tenant..);
+        let before_next_tenant = self.unanswered.range(..self.next_tenant);
+        let tenants: Vec<TenantId> =
+            from_next_tenant.chain(before_next_tenant).take(MAX_PEER_MESSAGES).copied().collect();
         self.next_tenant = tenants.last().map_or(0, |last| last.wrapping_add(1));
         tenants
     }
--- a/lease/src/shard/sessions.rs
+++ b/lease/src/shard/sessions.rs
@@ -65,7 +65,7 @@
         connection: ConnectionId,
     ) -> Result<Option<Frame>, ProtocolViolation> {
         match self.connections.get_mut(&connection) {
-            Some(open) => Ok(open.decoder.next_frame()?),
+            Some(open_connection) => Ok(open_connection.decoder.next_frame()?),
             None => Ok(None),
         }
     }
@@ -93,8 +93,8 @@
                 None
             }
         };
-        if let Some(open) = self.connections.get_mut(&connection) {
-            open.gateway = Some(gateway);
+        if let Some(open_connection) = self.connections.get_mut(&connection) {
+            open_connection.gateway = Some(gateway);
         }
         Ok(replaced.filter(|former| self.connections.contains_key(former)))
     }
@@ -109,7 +109,7 @@
         connection: ConnectionId,
         sequence: u32,
     ) -> Result<BatchDisposition, ProtocolViolation> {
-        let gateway = self.connections.get(&connection).and_then(|open| open.gateway);
+        let gateway = self.connections.get(&connection).and_then(|open_connection| open_connection.gateway);
         let gateway = gateway.ok_or(ProtocolViolation::BatchBeforeHello)?;
         let session = self.sessions.get_mut(&gateway).ok_or(ProtocolViolation::BatchBeforeHello)?;
         if session.connection != connection {
--- a/lease/src/shard_map/schedule.rs
+++ b/lease/src/shard_map/schedule.rs
@@ -44,7 +44,7 @@
     }
 
     /// Puts the newer map into force if its time has come, and returns the former map.
-    pub(crate) fn activate_due(&mut self, now: f64) -> Option<ShardMap> {
+    pub(crate) fn activate_if_due(&mut self, now: f64) -> Option<ShardMap> {
         let ignores_active_at = self.injected_fault == Some(InjectedFault::ActivateMapImmediately);
         let next = self.next.take_if(|map| ignores_active_at || map.active_at <= now)?;
         Some(std::mem::replace(&mut self.active, next))
--- a/lease/src/shard_map/validation.rs
+++ b/lease/src/shard_map/validation.rs
@@ -18,13 +18,13 @@
     if plans.is_empty() || plans.len() > usize::from(PlanId::MAX) {
         return Err(ShardMapError::InvalidPlanCount { found: plans.len() });
     }
-    match plans.iter().find(|plan| !is_usable(plan)) {
+    match plans.iter().find(|plan| !is_valid_plan(plan)) {
         Some(plan) => Err(ShardMapError::InvalidPlan(plan.name.clone())),
         None => Ok(()),
     }
 }
 
-fn is_usable(plan: &Plan) -> bool {
+fn is_valid_plan(plan: &Plan) -> bool {
     plan.rate.is_finite() && plan.rate > 0.0 && BURST_RANGE.contains(&plan.burst)
 }
 
--- a/lease/tests/exchange/main.rs
+++ b/lease/tests/exchange/main.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_retransmitted_batch_gets_the_same_response_and_counts_once() {
+fn a_retransmitted_batch_gets_the_same_response_and_is_applied_once() {
     let RequestInFlight { mut client, request_id, bytes } = RequestInFlight::new(4.0);
     let mut shard = shard(NOW);
     shard.receive(LATER, 1, &bytes);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn requests_of_one_tenant_are_one_entry_and_are_granted_in_order() {
+fn requests_of_one_tenant_are_sent_as_one_entry_and_granted_in_order() {
     let RequestInFlight { mut client, request_id: first, bytes } = RequestInFlight::new(40.0);
     let [second, third] = [8.0, 5.0].map(|units| client.submit(LATER, request_units(units, LATER + 1.0)));
     assert!(sent_bytes(&mut client).is_empty(), "only one batch is in flight");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_request_that_was_never_sent_is_not_applied_at_its_deadline() {
+fn a_queued_request_is_not_applied_at_its_deadline() {
     let RequestInFlight { mut client, request_id, bytes } = RequestInFlight::new(4.0);
     let mut shard = shard(NOW);
     shard.receive(LATER, 1, &bytes);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_client_connects_again_also_when_it_has_nothing_to_send() {
+fn a_client_reconnects_even_with_nothing_to_send() {
     let RequestInFlight { mut client, .. } = RequestInFlight::new(4.0);
     client.handle_disconnected(LATER, 1);
     client.handle_disconnected(LATER, 1);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_new_shard_fills_its_buckets_at_their_rate() {
+fn buckets_of_a_new_shard_refill_at_the_rate_of_the_plan() {
     for (age, refilled_units) in [(0.0, 0.0), (10.0, 10.0), (49.0, 49.0), (5000.0, 50.0)] {
         let RequestInFlight { mut client, request_id, bytes } = RequestInFlight::new(50.0);
         let mut shard = shard(LATER - age);
--- a/lease/tests/failures.rs
+++ b/lease/tests/failures.rs
@@ -18,7 +18,7 @@
 /// Units that a lost lease may hold: what is requested at a time, and what is left of the lease before.
 const MAX_LEASED_UNITS: f64 = LEASE_UNITS + 1.0;
 /// Spends are whole units and grants are rounded to hundredths.
-const ROUNDING: f64 = 1.0;
+const ROUNDING_UNITS: f64 = 1.0;
 
 /// Outcome of the run with a seed.
 struct SeedOutcome {
@@ -28,7 +28,7 @@
 
 /// Leased units and credit of all gateway instances, and credit that could not be reported (docs/leases.md, "Bound").
 fn bound(outcome: &RunOutcome) -> f64 {
-    GATEWAYS as f64 * (MAX_LEASED_UNITS + MAX_CREDIT_UNITS) + outcome.lost_credit_units + ROUNDING
+    GATEWAYS as f64 * (MAX_LEASED_UNITS + MAX_CREDIT_UNITS) + outcome.lost_credit_units + ROUNDING_UNITS
 }
 
 fn is_within_bound(outcome: &RunOutcome) -> bool {
@@ -49,24 +49,24 @@
 
 fn run_in_parallel(scenario: &(impl Fn(u64) -> Scenario + Sync)) -> Vec<SeedOutcome> {
     let threads = std::thread::available_parallelism().map_or(1, |processors| processors.get()).min(4) as u64;
-    let run_part = move |first: u64| -> Vec<SeedOutcome> {
+    let run_seeds_from = move |first: u64| -> Vec<SeedOutcome> {
         let seeds = (first..SEEDS).step_by(threads as usize);
         seeds.map(|seed| SeedOutcome { seed, outcome: Simulation::run(scenario(seed)) }).collect()
     };
     std::thread::scope(|scope| {
-        let handles: Vec<_> = (0..threads).map(|first| scope.spawn(move || run_part(first))).collect();
+        let handles: Vec<_> = (0..threads).map(|first| scope.spawn(move || run_seeds_from(first))).collect();
         handles.into_iter().flat_map(|handle| handle.join().expect("a run ended")).collect()
     })
 }
 
 fn print_summary(name: &str, outcomes: &[RunOutcome]) {
-    type Figure = fn(&RunOutcome) -> f64;
-    let most = |figure: Figure| outcomes.iter().map(figure).fold(0.0, f64::max);
-    let mean = |figure: Figure| outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64;
+    type Metric = fn(&RunOutcome) -> f64;
+    let max = |metric: Metric| outcomes.iter().map(metric).fold(0.0, f64::max);
+    let mean = |metric: Metric| outcomes.iter().map(metric).sum::<f64>() / outcomes.len() as f64;
     println!(
         "{name}: excess most {:.2}, mean {:.2}; smallest bound {:.2}; admitted {:.4} of requests; in the window admitted \
          {:.4} of requests and {:.4} of the quota refilled; leases lost {:.2}, credit lost {:.2}, transfers {:.1}",
-        most(|outcome| outcome.max_excess_units),
+        max(|outcome| outcome.max_excess_units),
         mean(|outcome| outcome.max_excess_units),
         outcomes.iter().map(bound).fold(f64::INFINITY, f64::min),
         mean(|outcome| outcome.admitted as f64 / outcome.requests as f64),
@@ -91,19 +91,19 @@
 }
 
 /// Demand of twice each quota in both regions.
-fn busy(seed: u64, duration: f64) -> Scenario {
+fn overloaded(seed: u64, duration: f64) -> Scenario {
     Scenario { demand: [20.0, 20.0], later_demand: [20.0, 20.0], ..Scenario::new(seed, duration) }
 }
 
 fn steady(seed: u64) -> Scenario {
     let faults = vec![timed(30.0, Fault::BeginWindow)];
-    Scenario { response_loss: 0.01, faults, ..busy(seed, 60.0) }
+    Scenario { response_loss: 0.01, faults, ..overloaded(seed, 60.0) }
 }
 
 fn shard_stopped(seed: u64) -> Scenario {
     let stop = Fault::StopShard { shard: 1, unresponsive: seed.is_multiple_of(2) };
     let faults = vec![timed(30.0, Fault::BeginWindow), timed(30.0, stop)];
-    Scenario { faults, ..busy(seed, 60.0) }
+    Scenario { faults, ..overloaded(seed, 60.0) }
 }
 
 fn shards_replaced(seed: u64) -> Scenario {
@@ -112,7 +112,7 @@
         faults.push(timed(30.0, Fault::StopShard { shard, unresponsive: seed.is_multiple_of(2) }));
         faults.push(timed(31.0, Fault::StartShard { shard }));
     }
-    Scenario { faults, ..busy(seed, 60.0) }
+    Scenario { faults, ..overloaded(seed, 60.0) }
 }
 
 /// Quota has moved to the north when the regions are partitioned; then demand is as high in the south, and its shards
@@ -146,17 +146,17 @@
 }
 
 /// Gateway instances that [`gateways_killed`] kills.
-const KILLS: u32 = 10;
+const KILL_COUNT: u32 = 10;
 
 /// Every two seconds a gateway instance is killed before it receives the response to a batch.
 fn gateways_killed(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut faults = vec![timed(30.0, Fault::BeginWindow)];
-    for round in 0..KILLS {
+    for round in 0..KILL_COUNT {
         let gateway = GatewayId(rng.gen_range(0..GATEWAYS));
         faults.push(timed(30.0 + 2.0 * f64::from(round), Fault::KillGatewayAtNextBatch { gateway }));
     }
-    Scenario { response_loss: 0.02, faults, ..busy(seed, 55.0) }
+    Scenario { response_loss: 0.02, faults, ..overloaded(seed, 55.0) }
 }
 
 /// All tenants move to new shards; gateway instances learn of it within 28 seconds, the old shards last.
@@ -175,7 +175,7 @@
         faults.push(timed(time, Fault::DeliverMapToGateway { gateway: GatewayId(index), map: map.clone() }));
     }
     faults.extend([1, 2, 11, 12].map(|shard| deliver(shard, LAST_DELIVERY)));
-    Scenario { faults, ..busy(seed, 80.0) }
+    Scenario { faults, ..overloaded(seed, 80.0) }
 }
 
 /// Demand is low at each gateway instance, so that units are returned; responses to returns are lost.
@@ -197,18 +197,18 @@
 }
 
 #[test]
-fn a_quota_holds_while_a_shard_is_stopped() {
+fn a_quota_is_enforced_while_a_shard_is_stopped() {
     run_all("shard stopped", shard_stopped);
 }
 
 #[test]
-fn a_shard_that_replaces_another_grants_no_burst() {
+fn a_replacement_shard_grants_no_burst() {
     run_all("shards replaced", shards_replaced);
     assert_detected(InjectedFault::StartWithFullBucket, shards_replaced);
 }
 
 #[test]
-fn partitioned_regions_use_no_fraction_of_a_quota_twice() {
+fn partitioned_regions_never_use_the_same_fraction_of_a_quota() {
     let outcomes = run_all("regions partitioned", regions_partitioned);
     for outcome in outcomes {
         assert!(outcome.transfers > 0, "no fraction of a quota was transferred: {outcome:?}");
@@ -223,10 +223,10 @@
 }
 
 #[test]
-fn a_gateway_instance_killed_before_a_response_loses_no_more_than_its_leases() {
+fn a_killed_gateway_instance_loses_at_most_its_leases() {
     let outcomes = run_all("gateways killed", gateways_killed);
     for outcome in outcomes {
-        let max_lost_units = KILLS as f64 * TENANTS.len() as f64 * MAX_LEASED_UNITS;
+        let max_lost_units = KILL_COUNT as f64 * TENANTS.len() as f64 * MAX_LEASED_UNITS;
         assert!(outcome.lost_lease_units <= max_lost_units, "at most {max_lost_units}: {outcome:?}");
     }
 }
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_retransmitted_batch_counts_once() {
+fn a_retransmitted_batch_is_applied_once() {
     run_all("returns retransmitted", returns_retransmitted);
     assert_detected(InjectedFault::ReapplyRetransmittedBatch, returns_retransmitted);
 }
--- a/lease/tests/shard_map.rs
+++ b/lease/tests/shard_map.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn invalid_maps_are_rejected_with_one_line() {
+fn invalid_maps_are_rejected_with_a_one_line_error() {
     assert_eq!(
         rejection("share = 0.6", "share = 0.5"),
         "shares of all regions: expected a sum of 1, found 0.9"
--- a/lease/tests/simulation/driver.rs
+++ b/lease/tests/simulation/driver.rs
@@ -18,7 +18,7 @@
 /// Shards up to this number are in the first region.
 const LAST_SHARD_OF_FIRST_REGION: ShardId = 10;
 /// Shortest time until a timer fires, seconds.
-const MIN_TIMER: f64 = 1e-5;
+const MIN_TIMER_DELAY: f64 = 1e-5;
 /// Interval at which the fractions of both regions are added up, seconds.
 const FRACTION_CHECK_INTERVAL: f64 = 0.05;
 
@@ -100,7 +100,7 @@
             self.handle_event(next.event);
             if self.now >= next_check_at {
                 next_check_at = self.now + FRACTION_CHECK_INTERVAL;
-                self.check_fractions();
+                self.record_fraction_sums();
             }
         }
     }
@@ -118,14 +118,14 @@
 
     /// Schedules the next request of a tenant in a region, as a Poisson process.
     fn schedule_arrival(&mut self, region: usize, tenant: TenantId) {
-        let has_changed = self.now >= START + self.scenario.demand_change_at;
-        let demand = if has_changed { self.scenario.later_demand } else { self.scenario.demand };
+        let is_after_demand_change = self.now >= START + self.scenario.demand_change_at;
+        let demand = if is_after_demand_change { self.scenario.later_demand } else { self.scenario.demand };
         let interval = -(1.0 - self.rng.gen::<f64>()).ln() / demand[region];
         self.queue.schedule(self.now + interval, Event::RequestArrival { region, tenant });
     }
 
     /// Observes the sum of both regions' fractions of each tenant's quota.
-    fn check_fractions(&mut self) {
+    fn record_fraction_sums(&mut self) {
         for tenant in TENANTS {
             let owners = self.map.regions.iter().map(|region| region.owner(tenant));
             let sum: u32 =
@@ -197,7 +197,7 @@
         if let Some(due) = gateway.poll_timeout() {
             if gateway.timer.is_none_or(|at| due < at || at <= self.now) {
                 gateway.timer = Some(due);
-                self.queue.schedule(due.max(self.now + MIN_TIMER), Event::GatewayTimer(id));
+                self.queue.schedule(due.max(self.now + MIN_TIMER_DELAY), Event::GatewayTimer(id));
             }
         }
         for result in results {
@@ -224,7 +224,7 @@
         let Some(shard) = self.shards.get_mut(&id) else { return };
         action(shard, self.now);
         let outputs = shard.poll_outputs();
-        let due = shard.poll_timeout().max(self.now + MIN_TIMER);
+        let due = shard.poll_timeout().max(self.now + MIN_TIMER_DELAY);
         let timer = self.shard_timers.entry(id).or_insert(0.0);
         if due < *timer || *timer <= self.now {
             *timer = due;
--- a/lease/tests/simulation/faults.rs
+++ b/lease/tests/simulation/faults.rs
@@ -9,7 +9,7 @@
 /// Time until a killed gateway instance restarts, seconds.
 const GATEWAY_RESTART_DELAY: f64 = 1.0;
 /// A delivered map whose `active_at` is no further ahead is the one by which fractions are added up, seconds.
-const MAP_HORIZON: f64 = 1000.0;
+const MAX_MAP_LEAD_TIME: f64 = 1000.0;
 
 impl Simulation {
     pub(super) fn apply_fault(&mut self, fault: Fault) {
@@ -56,7 +56,7 @@
 
     fn deliver_map_to_shard(&mut self, shard: ShardId, map: ShardMap) {
         self.latest_map = map.clone();
-        if map.active_at <= self.now + MAP_HORIZON {
+        if map.active_at <= self.now + MAX_MAP_LEAD_TIME {
             self.map = map.clone();
         }
         if self.shards.contains_key(&shard) {
--- a/lease/tests/simulation/network.rs
+++ b/lease/tests/simulation/network.rs
@@ -60,22 +60,26 @@
     }
 
     fn connection_of(&self, gateway: GatewayId, shard: ShardId) -> Option<ConnectionId> {
-        self.connections_where(|open| open.gateway == gateway && open.shard == shard).next()
+        self.connections_where(|open_connection| {
+            open_connection.gateway == gateway && open_connection.shard == shard
+        })
+        .next()
     }
 
     pub fn connections_to_shard(&self, shard: ShardId) -> Vec<ConnectionId> {
-        self.connections_where(|open| open.shard == shard).collect()
+        self.connections_where(|open_connection| open_connection.shard == shard).collect()
     }
 
     fn connections_of_gateway(&self, gateway: GatewayId) -> Vec<ConnectionId> {
-        self.connections_where(|open| open.gateway == gateway).collect()
+        self.connections_where(|open_connection| open_connection.gateway == gateway).collect()
     }
 
     fn connections_where<'a>(
         &'a self,
         selects: impl Fn(&OpenConnection) -> bool + 'a,
     ) -> impl Iterator<Item = ConnectionId> + 'a {
-        let connections = self.connections.iter().filter(move |(_, open)| selects(open));
+        let connections =
+            self.connections.iter().filter(move |(_, open_connection)| selects(open_connection));
         connections.map(|(connection, _)| *connection)
     }
 }
@@ -167,10 +171,10 @@
     /// Bytes of one direction arrive in the order in which they were sent.
     fn draw_delivery(&mut self, connection: ConnectionId, direction: Direction) -> f64 {
         let at = self.now + self.draw_delay();
-        let Some(open) = self.network.connections.get_mut(&connection) else { return at };
+        let Some(open_connection) = self.network.connections.get_mut(&connection) else { return at };
         let last_delivery = match direction {
-            Direction::ToShard => &mut open.last_delivery_to_shard,
-            Direction::ToGateway => &mut open.last_delivery_to_gateway,
+            Direction::ToShard => &mut open_connection.last_delivery_to_shard,
+            Direction::ToGateway => &mut open_connection.last_delivery_to_gateway,
         };
         *last_delivery = last_delivery.max(at);
         *last_delivery
@@ -188,9 +192,9 @@
             return;
         }
         if accepted && self.shards.contains_key(&shard) {
-            let open =
+            let open_connection =
                 OpenConnection { gateway, shard, last_delivery_to_shard: 0.0, last_delivery_to_gateway: 0.0 };
-            self.network.connections.insert(connection, open);
+            self.network.connections.insert(connection, open_connection);
             self.with_gateway(gateway, |gateway, now| gateway.client.handle_connected(now, shard));
         } else {
             self.with_gateway(gateway, |gateway, now| gateway.client.handle_disconnected(now, shard));
@@ -198,9 +202,9 @@
     }
 
     pub(super) fn deliver_to_shard(&mut self, connection: ConnectionId, bytes: &[u8]) {
-        let Some(open) = self.network.connections.get(&connection) else { return };
-        let gateway = open.gateway;
-        let shard = open.shard;
+        let Some(open_connection) = self.network.connections.get(&connection) else { return };
+        let gateway = open_connection.gateway;
+        let shard = open_connection.shard;
         let frames = complete_frames(bytes);
         let has_batch = frames.iter().any(|frame| matches!(frame, Frame::Batch { .. }));
         self.network.response_loss = if frames.iter().any(only_returns_units) {
@@ -215,24 +219,26 @@
     }
 
     pub(super) fn deliver_to_gateway(&mut self, connection: ConnectionId, bytes: &[u8]) {
-        let Some(open) = self.network.connections.get(&connection) else { return };
-        let shard = open.shard;
-        self.with_gateway(open.gateway, |gateway, now| gateway.client.receive(now, shard, bytes));
+        let Some(open_connection) = self.network.connections.get(&connection) else { return };
+        let shard = open_connection.shard;
+        self.with_gateway(open_connection.gateway, |gateway, now| gateway.client.receive(now, shard, bytes));
     }
 
     pub(super) fn reset_connection(&mut self, connection: ConnectionId) {
-        let Some(open) = self.remove_connection(connection) else { return };
-        let shard = open.shard;
-        self.with_gateway(open.gateway, |gateway, now| gateway.client.handle_disconnected(now, shard));
+        let Some(open_connection) = self.remove_connection(connection) else { return };
+        let shard = open_connection.shard;
+        self.with_gateway(open_connection.gateway, |gateway, now| {
+            gateway.client.handle_disconnected(now, shard)
+        });
     }
 
     /// Closes a connection at its shard.
     fn remove_connection(&mut self, connection: ConnectionId) -> Option<OpenConnection> {
-        let open = self.network.connections.remove(&connection)?;
-        if let Some(shard) = self.shards.get_mut(&open.shard) {
+        let open_connection = self.network.connections.remove(&connection)?;
+        if let Some(shard) = self.shards.get_mut(&open_connection.shard) {
             shard.handle_disconnected(connection);
         }
-        Some(open)
+        Some(open_connection)
     }
 
     pub(super) fn remove_connections_of(&mut self, gateway: GatewayId) {
--- a/lease/tests/sockets/main.rs
+++ b/lease/tests/sockets/main.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn an_invalid_map_at_startup_is_one_log_line_and_a_failure() {
+fn startup_with_an_invalid_map_fails_with_one_log_line() {
     let address = unique_address();
     let valid = map_text(1, address, 25.0);
     let starts = [
--- a/lease/tests/wire.rs
+++ b/lease/tests/wire.rs
@@ -89,14 +89,14 @@
     }
 
     #[test]
-    fn no_bytes_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut decoder = FrameDecoder::default();
         decoder.extend(&bytes);
         while let Ok(Some(_)) = decoder.next_frame() {}
     }
 
     #[test]
-    fn no_corrupted_frame_makes_the_decoder_panic(
+    fn a_corrupted_frame_does_not_make_the_decoder_panic(
         frame in frame(),
         index in any::<prop::sample::Index>(),
         value in any::<u8>(),
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn more_entries_than_allowed_are_rejected() {
+fn a_frame_with_too_many_entries_is_rejected() {
     let entry = BatchEntry { tenant: 1, plan: 0, spent_hundredths: 0, requested_hundredths: 100 };
     let mut decoder = FrameDecoder::default();
     decoder.extend(&encode(&Frame::Batch { sequence: 1, entries: vec![entry; MAX_BATCH_ENTRIES + 1] }));
