--- a/lease/examples/cost/credit.rs
+++ b/lease/examples/cost/credit.rs
@@ -9,7 +9,8 @@
 const MAX_CREDIT_REQUESTS: usize = 1;
 /// The same for a tenant with a large quota, as a fraction of the burst.
 const MAX_CREDIT_FRACTION: f64 = 0.01;
-/// A lease covers the requests that this gateway instance sees of the tenant in this time, seconds; at least one.
+/// A lease covers the requests that this gateway instance sees of the tenant in this time, seconds; at least
+/// one.
 const LEASE_HORIZON: f64 = 2.0;
 /// Time constant of a tenant's request rate, seconds.
 const RATE_TIME_CONSTANT: f64 = 10.0;
--- a/lease/examples/cost/main.rs
+++ b/lease/examples/cost/main.rs
@@ -1,9 +1,10 @@
-//! What one gateway instance of the target spends on leases: 231 requests a second of 14,000 tenants, three shards in
-//! its region, through the real client and the real shards, on a virtual clock. The load of 420 gateway instances on the
-//! tenants' buckets is drawn from the same traffic and reported to the shards directly.
+//! What one gateway instance of the target spends on leases: 231 requests a second of 14,000 tenants, three
+//! shards in its region, through the real client and the real shards, on a virtual clock. The load of 420
+//! gateway instances on the tenants' buckets is drawn from the same traffic and reported to the shards
+//! directly.
 //!
-//! Prints a CSV. Bytes on the wire count 40 for the header of each segment (IPv4 and TCP without options) that carries
-//! data, and one bare acknowledgement for each response.
+//! Prints a CSV. Bytes on the wire count 40 for the header of each segment (IPv4 and TCP without options)
+//! that carries data, and one bare acknowledgement for each response.
 mod credit;
 mod run;
 mod traffic;
--- a/lease/examples/cost/run.rs
+++ b/lease/examples/cost/run.rs
@@ -16,8 +16,8 @@
 
 /// Seconds that are counted, after the warm-up.
 pub const DURATION: f64 = 60.0;
-/// Long enough for a gateway instance to have seen most tenants of the uniform distribution, each once a minute;
-/// seconds.
+/// Long enough for a gateway instance to have seen most tenants of the uniform distribution, each once a
+/// minute; seconds.
 const WARM_UP: f64 = 120.0;
 /// Unix time of the run's start, seconds: the shards have run for long.
 const START: f64 = 100_000.0;
--- a/lease/src/bin/quillramp-lease-shard/connections.rs
+++ b/lease/src/bin/quillramp-lease-shard/connections.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and runs their threads, which only do I/O.
+//! Accepts connections. Each connection has a reading and a writing thread, which only do I/O.
 use crate::service::Event;
 use quillramp_lease::shard::ConnectionId;
 use std::io::{self, Read, Write};
@@ -8,41 +8,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most connections at a time: twice the target's 420 gateway instances, since old connections may stand beside new
-/// ones, and other shards.
+/// Maximum number of open connections: twice the 420 gateway instances of the target, because an old
+/// connection of an instance may still be open beside its new one, plus connections of other shards.
 const MAX_CONNECTIONS: usize = 1024;
-/// Most responses that wait for a gateway instance to read them; it has one batch in flight.
+/// Maximum number of responses queued for one connection. A gateway instance has only one batch in flight.
 const MAX_QUEUED_RESPONSES: usize = 16;
-/// Time-out of writing a response; the connection is closed then.
+/// Timeout for writing a response; the connection is closed when it expires.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Delay after a failed accept, when file descriptors are exhausted.
+/// Delay before the next accept after a failed one, for instance when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Size of a connection's read buffer, bytes.
+/// Size of the read buffer of a connection, in bytes.
 const READ_BUFFER_SIZE: usize = 16 * 1024;
 
-/// The service's handle on a connection.
+/// Handle by which the service sends to a connection and closes it.
 pub struct ConnectionHandle {
     response_queue: SyncSender<Vec<u8>>,
     stream: Arc<TcpStream>,
 }
 
 impl ConnectionHandle {
-    /// Queues bytes to be written.
+    /// Queues bytes for the writing thread.
     ///
     /// # Errors
-    /// [`TrySendError`] if the other side does not read, or the connection is closed.
+    /// Returns [`TrySendError`] if the queue is full because the remote side does not read, or if the
+    /// connection is closed.
     pub fn send(&self, bytes: Vec<u8>) -> Result<(), TrySendError<Vec<u8>>> {
         self.response_queue.try_send(bytes)
     }
 
     /// Closes the connection.
     pub fn close(&self) {
-        // Fails if it is closed already.
+        // Fails if the connection is already closed.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// Accepts connections in a thread of its own.
+/// Starts the thread that accepts connections.
 pub fn spawn_acceptor(listener: TcpListener, events: Sender<Event>) {
     std::thread::spawn(move || {
         let open_connections = Arc::new(AtomicUsize::new(0));
@@ -53,7 +54,7 @@
                 continue;
             };
             if open_connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
-                // Dropping the stream closes it.
+                // Dropping the stream closes the connection.
                 continue;
             }
             if spawn_connection(stream, next_connection, &events, &open_connections).is_err() {
@@ -65,6 +66,9 @@
 }
 
 /// Starts the reading and the writing thread of a connection.
+///
+/// # Errors
+/// Returns [`io::Error`] if the socket options cannot be set.
 fn spawn_connection(
     stream: TcpStream,
     connection: ConnectionId,
@@ -77,7 +81,7 @@
     let (response_queue, queued_responses) = sync_channel(MAX_QUEUED_RESPONSES);
     let handle = ConnectionHandle { response_queue, stream: stream.clone() };
     if events.send(Event::Opened { connection, handle }).is_err() {
-        // The process is about to end.
+        // The service has stopped; the process is about to exit.
         return Ok(());
     }
     open_connections.fetch_add(1, Ordering::Relaxed);
@@ -107,7 +111,7 @@
             Err(_) => break,
         }
     }
-    // Fails if the process is about to end.
+    // Fails if the service has stopped.
     let _ = events.send(Event::Closed { connection });
 }
 
@@ -117,6 +121,6 @@
             break;
         }
     }
-    // Fails if it is closed already.
+    // Fails if the connection is already closed.
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/lease/src/bin/quillramp-lease-shard/error.rs
+++ b/lease/src/bin/quillramp-lease-shard/error.rs
@@ -1,49 +1,49 @@
-//! Why the program cannot start or cannot read its shard map.
+//! Errors of the program: a failed start and an unusable shard map file.
 use quillramp_lease::shard_map::ShardMapError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the shard map file cannot be used.
+/// Error for a shard map file that cannot be used.
 #[derive(Debug, Error)]
 pub enum MapFileError {
     /// The file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read shard map {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The file's content is not a valid map, or not one for this shard.
-    #[error("{}: {source}", path.display())]
+    /// The file does not contain a valid map, or the map does not contain this shard.
+    #[error("shard map {}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Underlying error.
         source: ShardMapError,
     },
 }
 
-/// Why the program cannot start.
+/// Error that prevents the program from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The shard map file cannot be used.
     #[error(transparent)]
     Map(#[from] MapFileError),
     /// Signal handlers cannot be installed.
-    #[error("signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The listening address cannot be bound.
-    #[error("--listen {address}: {source}")]
+    /// The listening socket cannot be bound to its address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address of the option.
+        /// Address given by `--listen`.
         address: SocketAddr,
-        /// The cause.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The address of the listener cannot be determined.
-    #[error("{0}")]
+    /// The local address of the listening socket cannot be determined.
+    #[error("cannot determine the address of the listening socket: {0}")]
     LocalAddress(#[source] io::Error),
 }
--- a/lease/src/bin/quillramp-lease-shard/main.rs
+++ b/lease/src/bin/quillramp-lease-shard/main.rs
@@ -1,4 +1,4 @@
-//! quillramp-lease-shard: one shard of the lease service on sockets.
+//! `quillramp-lease-shard`: runs one shard of the lease service on TCP sockets.
 mod clock;
 mod connections;
 mod error;
@@ -18,23 +18,23 @@
 use std::process::ExitCode;
 use std::sync::mpsc::Sender;
 
-/// One shard of the lease service: keeps the token buckets of the tenants that it owns, in memory.
+/// Runs one shard of the lease service, which keeps the token buckets of the tenants that it owns in memory.
 ///
-/// SIGHUP reloads the shard map, SIGTERM and SIGINT stop the shard. Exit codes: 0 stopped by a signal; 1 the shard could not start,
-/// standard error says why; 2 a command line that can't be understood.
+/// SIGHUP reloads the shard map; SIGTERM and SIGINT stop the shard. Exit codes: 0 if the shard was stopped by
+/// a signal, 1 if it could not start (the reason is on standard error), 2 if the command line is invalid.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// Address on which gateway instances and other shards are accepted, as IP:PORT.
+    /// Address on which to accept gateway instances and other shards, as IP:PORT.
     #[arg(long)]
     listen: SocketAddr,
-    /// The shard map, a TOML file.
+    /// Path of the shard map, a TOML file.
     #[arg(long, value_name = "FILE")]
     map: PathBuf,
-    /// The region of this shard in the map.
+    /// Name of this shard's region in the shard map.
     #[arg(long)]
     region: String,
-    /// The number of this shard in the map.
+    /// Id of this shard in the shard map.
     #[arg(long)]
     id: ShardId,
 }
@@ -92,17 +92,18 @@
     });
 }
 
-/// Returns whether further signals are to be handled.
+/// Reloads the map on SIGHUP and stops the service on any other signal. Returns whether to wait for further
+/// signals.
 fn handle_signal(signal: i32, map_path: &Path, events: &Sender<Event>) -> bool {
     if signal != SIGHUP {
-        // A service that has ended does not need to be stopped.
+        // Fails if the service has already stopped.
         let _ = events.send(Event::Stop);
         return false;
     }
     match read_map(map_path) {
         Ok(map) => events.send(Event::MapReloaded(map)).is_ok(),
         Err(error) => {
-            log(format_args!("{error}; the last good map stays"));
+            log(format_args!("{error}; keeping the last valid shard map"));
             true
         }
     }
--- a/lease/src/bin/quillramp-lease-shard/service.rs
+++ b/lease/src/bin/quillramp-lease-shard/service.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the shard's state machine.
+//! The event loop of the thread that owns the shard's state machine.
 use crate::clock::Clock;
 use crate::connections::ConnectionHandle;
 use crate::log;
@@ -9,38 +9,38 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
 
-/// What other threads report to the service.
+/// Event that another thread sends to the service.
 pub enum Event {
     /// A connection was accepted.
     Opened {
         /// The connection.
         connection: ConnectionId,
-        /// Its sending side.
+        /// Handle for sending to the connection and closing it.
         handle: ConnectionHandle,
     },
-    /// Bytes arrived.
+    /// Bytes arrived on a connection.
     Received {
         /// The connection.
         connection: ConnectionId,
-        /// The bytes.
+        /// Received bytes.
         bytes: Vec<u8>,
     },
-    /// A connection was closed by the other side, or failed.
+    /// A connection failed or was closed by the remote side.
     Closed {
         /// The connection.
         connection: ConnectionId,
     },
-    /// The map file was read again.
+    /// The shard map file was reloaded.
     MapReloaded(ShardMap),
-    /// The process is to end.
+    /// A signal requested the service to stop.
     Stop,
 }
 
-/// A shard with its connections.
+/// A shard and its connections.
 pub struct Service {
     clock: Clock,
     shard: Shard,
-    /// The newest map, for the addresses of other shards.
+    /// The newest accepted map, which has the addresses of other shards.
     newest_map: ShardMap,
     peers: PeerConnections,
     connections: HashMap<ConnectionId, ConnectionHandle>,
@@ -49,10 +49,10 @@
 }
 
 impl Service {
-    /// A shard without any state.
+    /// Creates a service whose shard has no tenants and no connections yet.
     ///
     /// # Errors
-    /// [`ShardMapError`] if the map is invalid or lacks the shard.
+    /// Returns [`ShardMapError`] if the map is invalid or does not contain the shard.
     pub fn new(settings: ShardSettings, map: ShardMap) -> Result<Service, ShardMapError> {
         let clock = Clock::new();
         let shard = Shard::new(clock.now(), settings, map.clone())?;
@@ -68,12 +68,12 @@
         })
     }
 
-    /// Where other threads send their events.
+    /// Returns a sender for the events of another thread.
     pub fn event_sender(&self) -> Sender<Event> {
         self.event_sender.clone()
     }
 
-    /// Serves until [`Event::Stop`].
+    /// Handles events until [`Event::Stop`].
     pub fn run(mut self) {
         loop {
             let timeout = (self.shard.poll_timeout() - self.clock.now()).max(0.0);
@@ -95,7 +95,7 @@
                 self.connections.insert(connection, handle);
             }
             Event::Received { connection, bytes } => {
-                // Bytes that were read before the connection was closed here no longer count.
+                // Ignore bytes that were read before this thread closed the connection.
                 if self.connections.contains_key(&connection) {
                     self.shard.receive(now, connection, &bytes);
                 }
@@ -112,10 +112,15 @@
     fn update_map(&mut self, now: f64, map: ShardMap) {
         match self.shard.update_map(now, map.clone()) {
             Ok(()) => {
-                log(format_args!("map of epoch {}, in force from {} on", map.epoch, map.active_at));
+                log(format_args!(
+                    "accepted shard map of epoch {}, active at Unix time {} s",
+                    map.epoch, map.active_at
+                ));
                 self.newest_map = map;
             }
-            Err(error) => log(format_args!("{error}; the last good map stays")),
+            Err(error) => log(format_args!(
+                "rejected the reloaded shard map: {error}; keeping the last valid shard map"
+            )),
         }
     }
 
@@ -124,7 +129,7 @@
             ShardOutput::Send { connection, bytes } => {
                 let Some(handle) = self.connections.get(&connection) else { return };
                 if handle.send(bytes).is_err() {
-                    // It does not read.
+                    // The gateway instance does not read its responses, or the connection is closed.
                     self.close(connection);
                     self.shard.handle_disconnected(connection);
                 }
--- a/lease/src/client/batch.rs
+++ b/lease/src/client/batch.rs
@@ -1,23 +1,24 @@
-//! The batch in flight to a shard.
+//! A batch in flight to a shard.
 use super::pending::{PendingEntry, PendingRequest};
 use super::types::{ClientOutput, LeaseOutcome};
 use crate::wire::{encode, Frame};
 
-/// A batch that has not been answered. It is kept with its bytes, so that it can be retransmitted unchanged.
+/// A batch whose response has not arrived. Its encoded bytes are kept, so that it can be retransmitted
+/// unchanged.
 #[derive(Debug)]
 pub(super) struct InFlightBatch {
     pub(super) sequence: u32,
-    /// The encoded frame.
+    /// The encoded frame of the batch.
     pub(super) bytes: Vec<u8>,
     pub(super) entries: Vec<PendingEntry>,
-    /// Unix time in seconds of the last transmission; `None` while there is no connection.
+    /// Unix time in seconds of the last transmission, `None` while the shard is not connected.
     pub(super) sent_at: Option<f64>,
-    /// The last deadline of its requests: Unix time, seconds.
+    /// Latest deadline of the requests in the batch, as Unix time in seconds.
     pub(super) deadline: f64,
 }
 
 impl InFlightBatch {
-    /// Encodes a batch that is sent now.
+    /// Encodes a batch that is sent at `now` (Unix time in seconds).
     pub(super) fn new(now: f64, sequence: u32, entries: Vec<PendingEntry>) -> InFlightBatch {
         let frame = Frame::Batch { sequence, entries: entries.iter().map(PendingEntry::to_wire).collect() };
         let bytes = encode(&frame);
@@ -30,7 +31,8 @@
         self.entries.iter().flat_map(|entry| &entry.requests)
     }
 
-    /// Ends the requests whose deadline has passed; they may have been applied.
+    /// Completes the requests whose deadline has passed as unconfirmed, since the shard may have applied
+    /// them.
     pub(super) fn expire_requests(&mut self, now: f64, outputs: &mut Vec<ClientOutput>) {
         for request in self.entries.iter_mut().flat_map(|entry| &mut entry.requests) {
             if request.deadline <= now {
@@ -39,7 +41,8 @@
         }
     }
 
-    /// Whether nobody awaits its response and it cannot be retransmitted.
+    /// Whether the batch can be dropped: the deadlines of all its requests have passed, and there is no
+    /// connection on which its response could arrive.
     pub(super) fn is_abandoned(&self, now: f64) -> bool {
         self.deadline <= now && self.sent_at.is_none()
     }
--- a/lease/src/client/connection.rs
+++ b/lease/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One shard as a client sees it: the connection, the queue and the batch in flight.
+//! The client's state for one shard: the connection, the queue of entries and the batch in flight.
 use super::batch::InFlightBatch;
 use super::pending::{PendingEntry, PendingRequest};
 use super::settings::ClientSettings;
@@ -8,27 +8,30 @@
 use crate::wire::{FrameDecoder, MAX_BATCH_ENTRIES};
 use std::collections::BTreeMap;
 
-/// State of the connection to a shard; times in seconds of Unix time.
+/// State of the connection to a shard. Times are Unix time in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ConnectionState {
-    /// The next attempt is made at `retry_at`, if there is something to send or the last attempt failed: requests fail
-    /// at once until a connection shows that the shard is back.
+    /// Not connected. The client connects at `retry_at` if it has entries to send or if the last attempt to
+    /// connect failed. In the latter case new requests for units fail immediately, so the client needs the
+    /// attempt to detect that the shard is back.
     Disconnected {
         retry_at: f64,
         connect_failed: bool,
     },
+    /// Waiting for the connection to open, from time `since` on.
     Connecting {
         since: f64,
     },
     Connected,
 }
 
+/// Connection to one shard, with the entries queued for it and the batch in flight.
 #[derive(Debug)]
 pub(super) struct ShardConnection {
     pub(super) state: ConnectionState,
     pub(super) decoder: FrameDecoder,
     next_sequence: u32,
-    /// Disconnections since the last successful connect; the backoff is drawn from it.
+    /// Number of disconnections since the last successful connect. Seeds the jitter of the backoff.
     pub(super) disconnects: u32,
     pub(super) in_flight: Option<InFlightBatch>,
     pub(super) queue: BTreeMap<TenantId, PendingEntry>,
@@ -48,7 +51,7 @@
 }
 
 impl ShardConnection {
-    /// Queues an entry, merged with the tenant's entry if there is one.
+    /// Queues an entry, or merges it into the tenant's entry if one is queued.
     pub(super) fn enqueue(&mut self, entry: PendingEntry) {
         match self.queue.get_mut(&entry.tenant) {
             Some(queued) => queued.merge(entry),
@@ -62,19 +65,19 @@
         self.in_flight.is_some() || !self.queue.is_empty()
     }
 
-    /// Whether the last attempt to connect failed and no further one has succeeded.
+    /// Whether the shard is disconnected and the last attempt to connect to it failed.
     pub(super) fn is_down(&self) -> bool {
         matches!(self.state, ConnectionState::Disconnected { connect_failed: true, .. })
     }
 
-    /// Whether the batch in flight has not been answered in time.
+    /// Whether the batch in flight has been unanswered for at least `response_timeout` seconds.
     pub(super) fn is_unresponsive(&self, now: f64, response_timeout: f64) -> bool {
         let sent_at = self.in_flight.as_ref().and_then(|batch| batch.sent_at);
         sent_at.is_some_and(|sent_at| now >= sent_at + response_timeout)
     }
 
-    /// Ends the requests whose deadline has passed, and drops a batch that nobody awaits and that cannot be
-    /// retransmitted.
+    /// Completes the requests whose deadline has passed: as not applied if queued, as unconfirmed if in
+    /// flight. Drops the batch in flight if it is abandoned.
     pub(super) fn expire_requests(&mut self, now: f64, outputs: &mut Vec<ClientOutput>) {
         self.fail_queued(outputs, |request| request.deadline <= now);
         let Some(batch) = &mut self.in_flight else { return };
@@ -84,11 +87,14 @@
         }
     }
 
-    /// The shard cannot be reached: requests for units fail at once, reports stay queued.
+    /// Completes the queued requests for units as not applied, because the shard is unreachable. Reports stay
+    /// queued.
     pub(super) fn fail_unit_requests(&mut self, outputs: &mut Vec<ClientOutput>) {
         self.fail_queued(outputs, PendingRequest::requests_units);
     }
 
+    /// Completes the queued requests selected by `should_fail` as not applied, and removes entries left
+    /// empty.
     fn fail_queued(
         &mut self,
         outputs: &mut Vec<ClientOutput>,
@@ -106,7 +112,8 @@
         });
     }
 
-    /// The shard is no longer in the map: ends everything that is queued or in flight.
+    /// Completes all requests, because the shard is no longer in the map: queued ones as not applied, those
+    /// in flight as unconfirmed.
     pub(super) fn fail_all(&mut self, outputs: &mut Vec<ClientOutput>) {
         for entry in std::mem::take(&mut self.queue).values_mut() {
             entry.complete_all(&LeaseOutcome::NotApplied, outputs);
@@ -118,8 +125,8 @@
         }
     }
 
-    /// Builds the next batch and returns its bytes, if none is in flight and an entry's time has come; other queued
-    /// entries go along.
+    /// Builds the next batch and returns its bytes, if no batch is in flight and the `send_at` of an entry
+    /// has passed. The batch also carries queued entries that are not due yet.
     pub(super) fn start_batch(&mut self, now: f64) -> Option<Vec<u8>> {
         let is_due = self.queue.values().any(|entry| entry.send_at <= now);
         if self.in_flight.is_some() || !is_due {
@@ -134,7 +141,7 @@
         Some(bytes)
     }
 
-    /// Takes as many entries as fit a batch, in the order in which they are to be sent.
+    /// Removes up to [`MAX_BATCH_ENTRIES`] entries from the queue, in the order of their `send_at`.
     fn take_earliest_entries(&mut self) -> Vec<PendingEntry> {
         let mut order: Vec<&PendingEntry> = self.queue.values().collect();
         order.sort_by(|a, b| a.send_at.total_cmp(&b.send_at).then(a.tenant.cmp(&b.tenant)));
@@ -142,10 +149,12 @@
         tenants.iter().filter_map(|tenant| self.queue.remove(tenant)).collect()
     }
 
-    /// Takes the batch that a response answers; `None`: the response is obsolete.
+    /// Takes the batch in flight if a response answers it; returns `None` if the response is to an earlier
+    /// batch.
     ///
     /// # Errors
-    /// [`ProtocolViolation`] if the response does not fit the batch in flight, which then stays in flight.
+    /// Returns [`ProtocolViolation`] if the response does not match the batch in flight, which then stays in
+    /// flight.
     pub(super) fn take_answered_batch(
         &mut self,
         sequence: u32,
@@ -165,7 +174,8 @@
         Ok(self.in_flight.take())
     }
 
-    /// Unix time in seconds at which something has to be done for this shard.
+    /// Returns the Unix time in seconds at which the client next has to act on this shard: at a deadline, a
+    /// timeout, a reconnect or the start of a batch.
     pub(super) fn next_timeout(&self, settings: &ClientSettings) -> Option<f64> {
         let queued_requests = self.queue.values().flat_map(|entry| &entry.requests);
         let queued_deadlines = queued_requests.map(|request| request.deadline);
@@ -178,6 +188,7 @@
             .reduce(f64::min)
     }
 
+    /// Returns the Unix time in seconds of the first deadline or timeout of the batch in flight.
     fn in_flight_timeout(&self, settings: &ClientSettings) -> Option<f64> {
         let batch = self.in_flight.as_ref()?;
         let awaited = batch.requests().filter(|request| request.is_awaited());
@@ -188,6 +199,7 @@
         Some(awaited.map(|request| request.deadline).fold(batch_timeout, f64::min))
     }
 
+    /// Returns the Unix time in seconds of the next attempt to connect, or of the timeout of the current one.
     fn state_timeout(&self, settings: &ClientSettings) -> Option<f64> {
         match self.state {
             ConnectionState::Disconnected { retry_at, connect_failed } => {
--- a/lease/src/client/mod.rs
+++ b/lease/src/client/mod.rs
@@ -1,7 +1,8 @@
-//! The gateway instance's side: batches its requests for each shard, with one batch in flight per shard.
+//! The client of a gateway instance, which batches requests by shard and keeps at most one batch in flight
+//! per shard.
 //!
-//! The caller owns the sockets and the clock. After each event it drains [`LeaseClient::poll_outputs`] and sets a timer
-//! to [`LeaseClient::poll_timeout`]. All times are seconds of Unix time.
+//! The caller owns the sockets and the clock. After each event it drains [`LeaseClient::poll_outputs`] and
+//! sets a timer to [`LeaseClient::poll_timeout`]. All times are Unix time in seconds.
 mod batch;
 mod connection;
 mod pending;
@@ -19,7 +20,7 @@
 use pending::{PendingEntry, PendingRequest};
 use std::collections::BTreeMap;
 
-/// The state machine of one gateway instance.
+/// State machine of a gateway instance's lease client.
 #[derive(Debug)]
 pub struct LeaseClient {
     settings: ClientSettings,
@@ -30,10 +31,10 @@
 }
 
 impl LeaseClient {
-    /// A client without connections; they are opened when needed.
+    /// Creates a client without connections. The client connects to a shard when it has a request for it.
     ///
     /// # Errors
-    /// [`ShardMapError`] if the map is invalid or lacks the client's region.
+    /// Returns [`ShardMapError`] if the map is invalid or does not contain the client's region.
     pub fn new(settings: ClientSettings, map: ShardMap) -> Result<LeaseClient, ShardMapError> {
         map.validate()?;
         map.region(&settings.region)?;
@@ -46,7 +47,7 @@
         })
     }
 
-    /// Requests or reports units; the outcome follows as [`ClientOutput::Completed`].
+    /// Submits a request for units or a report. Its outcome is output as [`ClientOutput::Completed`].
     pub fn submit(&mut self, now: f64, request: LeaseRequest) -> RequestId {
         let id = RequestId(self.next_request_id);
         self.next_request_id += 1;
@@ -57,7 +58,8 @@
             deadline: request.deadline,
         };
         let shard = self.owner(request.tenant);
-        // A shard that was down may be due for an attempt to connect.
+        // If the shard was down and its backoff has expired, this starts an attempt to connect, and the
+        // request is queued.
         self.drive_connection(now, shard);
         let connection = self.connections.entry(shard).or_default();
         if connection.is_down() && pending.requests_units() {
@@ -76,7 +78,8 @@
         id
     }
 
-    /// The connection that [`ClientOutput::Connect`] requested is open.
+    /// Handles an open connection that [`ClientOutput::Connect`] requested. Sends `Hello` and retransmits the
+    /// batch in flight.
     pub fn handle_connected(&mut self, now: f64, shard: ShardId) {
         let hello = Frame::Hello {
             version: PROTOCOL_VERSION,
@@ -101,7 +104,7 @@
         self.drive_connection(now, shard);
     }
 
-    /// The connection was lost, or could not be opened.
+    /// Handles a connection that was lost or could not be opened.
     pub fn handle_disconnected(&mut self, now: f64, shard: ShardId) {
         let Some(connection) = self.connections.get_mut(&shard) else { return };
         if matches!(connection.state, ConnectionState::Disconnected { .. }) {
@@ -109,7 +112,8 @@
         }
         let connect_failed = matches!(connection.state, ConnectionState::Connecting { .. });
         connection.disconnects = connection.disconnects.wrapping_add(1);
-        // An open connection that broke is reopened at once: the shard may have been replaced.
+        // Reconnect immediately after the loss of an open connection, since a new shard process may have
+        // replaced the old one. Back off only after a failed attempt to connect.
         let backoff = if connect_failed { self.settings.backoff(connection.disconnects) } else { 0.0 };
         connection.state = ConnectionState::Disconnected { retry_at: now + backoff, connect_failed };
         if let Some(batch) = &mut connection.in_flight {
@@ -121,7 +125,7 @@
         self.drive_connection(now, shard);
     }
 
-    /// Bytes arrived on the shard's connection, in arbitrary pieces.
+    /// Handles bytes received on the shard's connection, which may be split at any position.
     pub fn receive(&mut self, now: f64, shard: ShardId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&shard) else { return };
         if connection.state != ConnectionState::Connected {
@@ -134,10 +138,11 @@
         }
     }
 
-    /// Takes over a newer map, which is used from its `active_at` on.
+    /// Schedules a newer map, which takes effect at its `active_at`.
     ///
     /// # Errors
-    /// [`ShardMapError`] if the map is invalid, lacks the client's region or is not newer than the newest one known.
+    /// Returns [`ShardMapError`] if the map is invalid, does not contain the client's region or has no higher
+    /// epoch than the newest map accepted.
     pub fn update_map(&mut self, now: f64, map: ShardMap) -> Result<(), ShardMapError> {
         map.validate()?;
         map.region(&self.settings.region)?;
@@ -147,7 +152,8 @@
         Ok(())
     }
 
-    /// Does whatever is due by now.
+    /// Performs the actions due at `now`: activates a scheduled map, expires requests, connects and sends
+    /// batches.
     pub fn handle_timeout(&mut self, now: f64) {
         if let Some(former) = self.maps.activate_if_due(now) {
             self.apply_map_change(now, &former);
@@ -158,7 +164,8 @@
         }
     }
 
-    /// When [`LeaseClient::handle_timeout`] has something to do next, Unix time in seconds.
+    /// Returns the Unix time in seconds at which to call [`LeaseClient::handle_timeout`], or `None` if no
+    /// timer is needed.
     pub fn poll_timeout(&self) -> Option<f64> {
         let activation = self.maps.next_activation().into_iter();
         let connections = self.connections.values();
@@ -167,19 +174,20 @@
             .reduce(f64::min)
     }
 
-    /// What the caller has to do, in order.
+    /// Drains the outputs, which the caller must perform in order.
     pub fn poll_outputs(&mut self) -> Vec<ClientOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Epoch of the map in force.
+    /// Returns the epoch of the active map.
     pub fn epoch(&self) -> u32 {
         self.maps.active().epoch
     }
 
+    /// Returns the shard that owns the tenant under the active map.
     fn owner(&self, tenant: TenantId) -> ShardId {
         let region = self.maps.active().region(&self.settings.region);
-        region.expect("checked with the map").owner(tenant)
+        region.expect("the client's region is in every accepted map").owner(tenant)
     }
 
     fn enqueue_at_owner(&mut self, entry: PendingEntry) {
@@ -187,11 +195,12 @@
         self.connections.entry(shard).or_default().enqueue(entry);
     }
 
-    /// Queued entries move to the owners under the new map; a batch in flight stays with its shard.
+    /// Moves queued entries to the tenants' owners under the new map. A batch in flight stays with its shard.
     fn apply_map_change(&mut self, now: f64, former: &ShardMap) {
         let map = self.maps.active();
         for (shard, connection) in &mut self.connections {
-            // A shard at another address is another process.
+            // A shard whose address has changed is another process: connect to it without waiting for the
+            // backoff.
             let has_moved = former.shard_address(*shard) != map.shard_address(*shard);
             if has_moved && connection.state != ConnectionState::Connected {
                 connection.state = ConnectionState::Disconnected { retry_at: now, connect_failed: false };
@@ -218,13 +227,14 @@
         Ok(())
     }
 
-    /// Closes a connection that is of no use any more, as if it had been lost.
+    /// Closes a connection that has failed or timed out, and handles it like a lost one.
     fn close_connection(&mut self, now: f64, shard: ShardId) {
         self.outputs.push(ClientOutput::Close { shard });
         self.handle_disconnected(now, shard);
     }
 
-    /// Does whatever is possible now for one shard: ends overdue requests, connects, sends the next batch.
+    /// Performs all actions due for one shard: expires requests, connects, closes a connection that has timed
+    /// out and sends the next batch.
     fn drive_connection(&mut self, now: f64, shard: ShardId) {
         let Some(connection) = self.connections.get_mut(&shard) else { return };
         connection.expire_requests(now, &mut self.outputs);
@@ -249,6 +259,7 @@
         }
     }
 
+    /// Requests a connection to the shard, or fails all its requests if the active map no longer contains it.
     fn connect(&mut self, now: f64, shard: ShardId) {
         let Some(connection) = self.connections.get_mut(&shard) else { return };
         let Some(address) = self.maps.active().shard_address(shard) else {
--- a/lease/src/client/pending.rs
+++ b/lease/src/client/pending.rs
@@ -1,4 +1,4 @@
-//! Requests between their submission and their completion.
+//! Requests that have been submitted and not completed yet.
 use super::types::{ClientOutput, LeaseOutcome, RequestId};
 use crate::shard_map::{PlanId, TenantId};
 use crate::wire::{units_to_hundredths, BatchEntry};
@@ -6,11 +6,12 @@
 /// A request that is queued or in flight.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
-    /// `None`: nobody awaits an outcome, since the caller has it already or the client made the request by itself.
+    /// `None` if the caller awaits no outcome: it has received the outcome already, or the client itself made
+    /// the request.
     pub(super) id: Option<RequestId>,
     pub(super) requested_units: f64,
     pub(super) spent_units: f64,
-    /// Unix time, seconds.
+    /// Unix time in seconds by which the request must be completed.
     pub(super) deadline: f64,
 }
 
@@ -19,12 +20,12 @@
         self.id.is_some()
     }
 
-    /// Whether it requests units, rather than only reports.
+    /// Whether the request asks for units rather than only reporting spent ones.
     pub(super) fn requests_units(&self) -> bool {
         self.requested_units > 0.0
     }
 
-    /// Reports the outcome, once.
+    /// Outputs the outcome, unless the request has been completed already.
     pub(super) fn complete(&mut self, outcome: LeaseOutcome, outputs: &mut Vec<ClientOutput>) {
         if let Some(request_id) = self.id.take() {
             outputs.push(ClientOutput::Completed { request_id, outcome });
@@ -32,18 +33,20 @@
     }
 }
 
-/// Requests of one tenant that are sent as one entry of a batch.
+/// Requests of one tenant, which are sent as one entry of a batch.
 #[derive(Clone, Debug)]
 pub(super) struct PendingEntry {
     pub(super) tenant: TenantId,
     pub(super) plan: PlanId,
     pub(super) requests: Vec<PendingRequest>,
-    /// Unix time in seconds from which the entry makes a batch be sent.
+    /// Unix time in seconds from which a batch is started for this entry. A batch started earlier for another
+    /// entry may carry this one too.
     pub(super) send_at: f64,
 }
 
 impl PendingEntry {
-    /// Adds the requests of another entry of the same tenant.
+    /// Merges another entry of the same tenant: adds its requests and adopts its plan and the earlier
+    /// `send_at`.
     pub(super) fn merge(&mut self, other: PendingEntry) {
         self.plan = other.plan;
         self.send_at = self.send_at.min(other.send_at);
@@ -56,7 +59,8 @@
         }
     }
 
-    /// The entry on the wire. Reports count even if nobody awaits them; units are requested only for who does.
+    /// Returns the wire form of the entry. Spent units of all requests are reported, but units are requested
+    /// only for requests whose outcome is still awaited.
     pub(super) fn to_wire(&self) -> BatchEntry {
         let spent_units: f64 = self.requests.iter().map(|request| request.spent_units).sum();
         let awaited = self.requests.iter().filter(|request| request.is_awaited());
--- a/lease/src/client/responses.rs
+++ b/lease/src/client/responses.rs
@@ -1,4 +1,4 @@
-//! How a client applies the responses to a batch.
+//! Handling of the responses to a batch.
 use super::pending::{PendingEntry, PendingRequest};
 use super::types::LeaseOutcome;
 use super::LeaseClient;
@@ -6,16 +6,17 @@
 use crate::shard_map::{PlanId, ShardId, TenantId};
 use crate::wire::{EntryResponse, HUNDREDTHS_PER_UNIT};
 
-/// Delay of an entry after `Moved`, seconds: the newer map is expected to arrive meanwhile.
+/// Delay before an entry answered with `Moved` is sent again, in seconds. The client expects to receive the
+/// newer map in this time.
 const MOVED_RETRY_DELAY: f64 = 0.1;
-/// Time that a return of units by the client itself may wait for its shard, seconds.
+/// Time in seconds after which the client gives up returning units that it received for expired requests.
 const RETURN_DEADLINE: f64 = 5.0;
 
 impl LeaseClient {
     /// Applies the responses to the batch in flight.
     ///
     /// # Errors
-    /// [`ProtocolViolation`] if they do not fit the batch.
+    /// Returns [`ProtocolViolation`] if they do not match the batch in flight.
     pub(super) fn handle_batch_response(
         &mut self,
         now: f64,
@@ -40,7 +41,8 @@
         Ok(())
     }
 
-    /// Distributes a grant among the entry's requests in order; what nobody awaits any longer is returned.
+    /// Distributes granted units among the awaited requests of an entry in order, and gives the remaining
+    /// units back to the tenant's owner.
     fn distribute_grant(
         &mut self,
         now: f64,
@@ -59,6 +61,7 @@
         }
     }
 
+    /// Queues a report that returns units to the tenant's owner.
     fn return_units(&mut self, now: f64, tenant: TenantId, plan: PlanId, units: f64) {
         let request = PendingRequest {
             id: None,
--- a/lease/src/client/settings.rs
+++ b/lease/src/client/settings.rs
@@ -1,34 +1,35 @@
-//! Settings of a gateway instance's client.
+//! Settings of a lease client.
 use crate::fault_injection::InjectedFault;
 
-/// Identity and timing of a client.
+/// Identity and timing of a lease client.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// This gateway instance.
+    /// Id of this gateway instance.
     pub gateway: u64,
-    /// This process; grows with each start.
+    /// Incarnation of this process; higher for each later process of the instance.
     pub incarnation: u64,
-    /// Name of the region whose shards are used.
+    /// Name of the region whose shards the client uses.
     pub region: String,
-    /// Longest time that a report waits for a request to be batched with, seconds.
+    /// Maximum time in seconds that a report waits to be sent in one batch with other requests.
     pub report_delay: f64,
-    /// Time that a request for units waits for others to be batched with, seconds; 0: it is sent at once.
+    /// Time in seconds that a request for units waits for others to share its batch; 0 sends it immediately.
     pub batch_delay: f64,
-    /// Time without a response to a batch after which the connection is considered broken, seconds. Several round trips
-    /// within a region.
+    /// Time in seconds without a response to a batch after which the client closes the connection: several
+    /// round trips within a region.
     pub response_timeout: f64,
-    /// Time after which opening a connection is aborted, seconds.
+    /// Time in seconds after which the client aborts an attempt to connect.
     pub connect_timeout: f64,
-    /// Mean backoff between two attempts to connect, seconds. Each is drawn from half to one and a half of it, to avoid
-    /// a thundering herd of gateway instances.
+    /// Mean backoff in seconds after a failed attempt to connect. Each backoff is between 0.5 and 1.5 times
+    /// the mean, to avoid a thundering herd of gateway instances.
     pub reconnect_backoff: f64,
-    /// For tests only.
+    /// Fault for tests; `None` in production.
     #[doc(hidden)]
     pub injected_fault: Option<InjectedFault>,
 }
 
 impl ClientSettings {
-    /// The default timing for a process (`incarnation`) of a gateway instance in a region.
+    /// Returns settings with the default timing for the process `incarnation` of the gateway instance
+    /// `gateway`.
     pub fn new(gateway: u64, incarnation: u64, region: &str) -> ClientSettings {
         ClientSettings {
             gateway,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// The backoff after a failed attempt to connect, seconds: pseudo-random, the same for the same attempt.
+    /// Returns the backoff in seconds after a failed attempt to connect. Its jitter is pseudo-random, but
+    /// always the same for a given instance and attempt.
     pub(super) fn backoff(&self, attempt: u32) -> f64 {
         let key = [self.gateway, u64::from(attempt)].map(u64::to_le_bytes).concat();
         let jitter = (xxhash_rust::xxh64::xxh64(&key, 0) >> 32) as f64 / f64::from(u32::MAX);
--- a/lease/src/client/types.rs
+++ b/lease/src/client/types.rs
@@ -1,70 +1,72 @@
-//! What the caller of a [`LeaseClient`](super::LeaseClient) passes in and gets out.
+//! Input and output types of a [`LeaseClient`](super::LeaseClient).
 use crate::shard_map::{PlanId, ShardId, TenantId};
 use std::net::SocketAddr;
 
-/// Identifies a request in its outcome.
+/// Id that links the outcome of a request to its submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A request for units of one tenant, or a report of units spent without a lease.
+/// Request for units of one tenant, report of units spent without a lease, or both.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseRequest {
-    /// The tenant whose quota is used.
+    /// Tenant whose quota is used.
     pub tenant: TenantId,
-    /// The tenant's plan.
+    /// Plan of the tenant.
     pub plan: PlanId,
-    /// Units requested; 0: only a report, which may wait to be batched.
+    /// Number of units requested; 0 for a mere report, which may wait for other requests to share its batch.
     pub requested_units: f64,
-    /// Units spent without a lease since the last report; negative: unspent units that are returned.
+    /// Units spent without a lease since the last report; negative to return unspent units.
     pub spent_units: f64,
     /// Unix time in seconds by which the outcome is needed.
     pub deadline: f64,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseOutcome {
-    /// The shard applied it.
+    /// The shard applied the request.
     Granted {
-        /// Units that may be spent.
+        /// Units that the gateway instance may spend.
         units: f64,
         /// Whole units left in the tenant's bucket.
         available_units: u32,
     },
-    /// It was never sent, or the shard rejected it: nothing was applied, the report included.
+    /// The request was never sent, or the shard rejected it. Neither the request for units nor the report was
+    /// applied.
     NotApplied,
-    /// It was sent and not answered in time, so it may have been applied. Its report must not be repeated; units that
-    /// are granted later are returned by the client.
+    /// The request was sent but not answered by its deadline, so the shard may have applied it. The caller
+    /// must not repeat the report. If the shard grants units later, the client returns them.
     Unconfirmed,
 }
 
-/// What the caller has to do.
+/// Action that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutput {
-    /// Open a connection; report the result by `handle_connected` or `handle_disconnected`.
+    /// Open a connection, and report the result by `handle_connected` or `handle_disconnected`.
     Connect {
-        /// The shard to connect to.
+        /// Shard to connect to.
         shard: ShardId,
-        /// Its address.
+        /// Address of the shard.
         address: SocketAddr,
     },
     /// Write bytes to the shard's connection.
     Send {
         /// The shard.
         shard: ShardId,
-        /// Complete frames.
+        /// Encoded frames.
         bytes: Vec<u8>,
     },
-    /// Close the shard's connection, or abort opening it; no `handle_disconnected` is expected.
+    /// Close the shard's connection, or abort the attempt to connect. The caller need not call
+    /// `handle_disconnected`.
     Close {
         /// The shard.
         shard: ShardId,
     },
-    /// A request has ended.
+    /// A request has been completed.
     Completed {
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: LeaseOutcome,
     },
 }
--- a/lease/src/fault_injection.rs
+++ b/lease/src/fault_injection.rs
@@ -1,16 +1,17 @@
-//! Faults that a test may inject, to show that it would detect them; never set outside of tests.
+//! Faults that a test injects to show that it detects them. They are never set outside of tests.
 
-/// A fault: one safeguard of the protocol does not work.
+/// A fault that disables one safeguard of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A shard applies a batch again when it is retransmitted.
+    /// A shard applies a retransmitted batch again.
     ReapplyRetransmittedBatch,
-    /// A bucket is full at a shard that has just started.
+    /// The buckets of a shard that has just started are full instead of empty.
     StartWithFullBucket,
-    /// A shard map is used as soon as it has been read.
+    /// A shard map takes effect when it is read instead of at its `active_at`.
     ActivateMapImmediately,
-    /// An owner that does not know its fraction of the quota uses the configured one.
+    /// An owner that has not been reconciled with the other owner uses the configured fraction of the quota
+    /// instead of the floor.
     AssumeConfiguredFraction,
-    /// A transfer is deducted only when it is acknowledged.
+    /// The sender of a transfer deducts it when it is acknowledged instead of before sending it.
     DeductOnAcknowledgement,
 }
--- a/lease/src/protocol_violation.rs
+++ b/lease/src/protocol_violation.rs
@@ -1,42 +1,43 @@
-//! Why a connection is closed by the side that reads from it.
+//! Protocol violations, for which the receiving side closes a connection.
 use crate::wire::WireError;
 use thiserror::Error;
 
-/// What the other side of a connection did wrong. The connection is closed; the reader's state stays as it was.
+/// Violation of the protocol by the remote side of a connection. The receiver closes the connection and
+/// leaves the rest of its state unchanged.
 #[derive(Debug, Error, PartialEq)]
 pub(crate) enum ProtocolViolation {
     /// The bytes are not a valid frame.
     #[error(transparent)]
     InvalidFrame(#[from] WireError),
-    /// A frame of a kind that this side never receives.
-    #[error("unexpected frame")]
+    /// The frame is of a kind that the remote side must not send.
+    #[error("received a frame of a kind that the remote side must not send")]
     UnexpectedFrame,
-    /// A gateway instance that speaks another version of the protocol.
+    /// The gateway instance uses another version of the protocol.
     #[error("unsupported protocol version {0}")]
     UnsupportedVersion(u8),
-    /// A newer process of the gateway instance has connected already.
-    #[error("incarnation {0} has been replaced by a newer one")]
+    /// A newer process of the gateway instance has already connected.
+    #[error("a newer process has replaced incarnation {0} of the gateway instance")]
     ReplacedIncarnation(u64),
-    /// A batch before the `Hello` of its connection.
-    #[error("batch before hello")]
+    /// The connection carried a batch before its `Hello`.
+    #[error("received a batch before the hello frame")]
     BatchBeforeHello,
-    /// A batch on a connection that the gateway instance has replaced by a newer one.
-    #[error("batch on a replaced connection")]
+    /// The gateway instance has replaced the connection of this batch by a newer one.
+    #[error("received a batch on a replaced connection")]
     ReplacedConnection,
-    /// A response to a batch that has not been sent.
-    #[error("response to batch {found}, expected at most {expected}")]
+    /// The response is to a batch that has not been sent.
+    #[error("expected a response to batch {expected} at most, found one to batch {found}")]
     UnknownBatch {
-        /// Sequence of the batch in flight.
+        /// Sequence number of the batch in flight.
         expected: u32,
-        /// Sequence of the response.
+        /// Sequence number in the response.
         found: u32,
     },
-    /// The responses of a batch are not as many as its entries.
-    #[error("{found} responses to {expected} entries")]
+    /// The number of responses differs from the number of entries in the batch.
+    #[error("expected {expected} responses, one per entry of the batch, found {found}")]
     ResponseCount {
-        /// Entries of the batch.
+        /// Number of entries in the batch.
         expected: usize,
-        /// Responses received.
+        /// Number of responses received.
         found: usize,
     },
 }
--- a/lease/src/regional_quota/mod.rs
+++ b/lease/src/regional_quota/mod.rs
@@ -1,8 +1,12 @@
-//! The fractions of one tenant's quota that the owners in two regions hold, and transfers between them.
+//! The split of a tenant's quota between its owners in two regions, and the transfers between the owners.
 //!
-//! Both fractions, with what is in transit, never add up to more than the full quota: the sender deducts before it
-//! sends, the receiver adds a transfer once, and an owner that does not know its fraction uses the floor, which no
-//! owner transfers away, until the other owner has reported what it holds.
+//! The sum of both fractions and of the transfer in transit never exceeds the full quota. Three rules ensure
+//! this:
+//! - The sender of a transfer deducts it before sending it.
+//! - The receiver adds each transfer only once.
+//! - An owner whose fraction is unknown, for instance after a restart, is reconciled with the other owner
+//!   first: until the other owner has reported its allocation, it uses only the floor, which is never
+//!   transferred away.
 mod demand;
 
 use crate::fault_injection::InjectedFault;
@@ -10,52 +14,56 @@
 use crate::wire::{PeerIdentity, PeerMessage};
 use demand::DemandEstimate;
 
-/// The part of the configured fraction that is never transferred away.
+/// Part of the configured fraction that an owner never transfers away: the floor.
 const FLOOR_FRACTION_OF_CONFIGURED: f64 = 0.5;
-/// The part of the spare quota that one transfer carries, so that a tenant that moves back and forth finds some on
-/// either side.
+/// Part of the spare quota that one transfer carries. The sender keeps the rest, for a tenant whose demand
+/// alternates between the regions.
 const TRANSFER_FRACTION_OF_SPARE: f64 = 0.5;
-/// Smallest transfer, parts per million of the quota: a smaller one is not worth its messages.
+/// Smallest transfer, in parts per million of the quota. A smaller one is not worth its messages.
 const MIN_TRANSFER_PPM: u32 = 10_000;
-/// Least time between two requests of an owner that is short of units, seconds.
+/// Minimum interval in seconds between two transfer requests of an owner.
 const TRANSFER_REQUEST_INTERVAL: f64 = 1.0;
 
-/// The part of a configured fraction that is never transferred away; both in parts per million of the quota.
+/// Returns the floor of a configured fraction, which is never transferred away. Both are in parts per million
+/// of the quota.
 pub fn floor_ppm(configured_ppm: u32) -> u32 {
     (f64::from(configured_ppm) * FLOOR_FRACTION_OF_CONFIGURED) as u32
 }
 
-/// A transfer that has not been acknowledged yet.
+/// Transfer sent to the other owner and not acknowledged yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct OutgoingTransfer {
     number: u32,
     amount_ppm: u32,
 }
 
-/// The process of the other owner whose transfers count.
+/// Process of the other owner whose messages are accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct PeerOwner {
     identity: PeerIdentity,
-    /// Number of its last transfer that was added; 0: none.
+    /// Number of the last transfer added from this process, 0 if none.
     last_added_transfer: u32,
 }
 
-/// What one owner knows of its fraction of a tenant's quota. Fractions are parts per million (ppm), times Unix time in
-/// seconds.
+/// One owner's fraction of a tenant's quota, and the state of its protocol with the other owner.
+///
+/// Fractions are in parts per million (ppm) of the quota, and times are Unix time in seconds.
 #[derive(Clone, Debug)]
 pub struct RegionalQuota {
     fraction_ppm: u32,
-    /// Whether the fraction is known to fit the other owner's.
+    /// Whether the fraction is consistent with the allocation of the other owner.
     reconciled: bool,
+    /// The transfer in transit to the other owner.
     outgoing: Option<OutgoingTransfer>,
     peer: Option<PeerOwner>,
     demand: DemandEstimate,
+    /// Earliest time of the next transfer request.
     next_request_at: f64,
     injected_fault: Option<InjectedFault>,
 }
 
 impl RegionalQuota {
-    /// The fraction of an owner that has no peer in another region.
+    /// Creates the constant fraction of an owner that has no peer in another region.
     pub fn fixed(fraction_ppm: u32, now: f64) -> RegionalQuota {
         RegionalQuota {
             fraction_ppm,
@@ -68,7 +76,8 @@
         }
     }
 
-    /// An owner that does not know its fraction: it uses `floor_ppm` until the other owner has responded.
+    /// Creates the fraction of an owner that is not reconciled yet: `floor_ppm` until the other owner has
+    /// responded.
     pub fn unreconciled(
         floor_ppm: u32,
         configured_ppm: u32,
@@ -84,33 +93,35 @@
         }
     }
 
-    /// The fraction of the quota that may be used here (ppm).
+    /// Returns the fraction of the quota that this owner may use (ppm).
     pub fn fraction_ppm(&self) -> u32 {
         self.fraction_ppm
     }
 
-    /// Whether a message has to be retransmitted until it is answered.
+    /// Whether [`RegionalQuota::pending_message`] must be retransmitted until the other owner responds.
     pub fn awaits_response(&self) -> bool {
         !self.reconciled || self.outgoing.is_some()
     }
 
-    /// Whether the fraction is the configured one, with nothing in transit.
+    /// Whether the fraction equals the configured one, is reconciled and has no transfer in transit.
     pub fn is_settled_at(&self, configured_ppm: u32) -> bool {
         !self.awaits_response() && self.fraction_ppm == configured_ppm
     }
 
-    /// Another shard now owns the tenant in the other region: transfers of the former owner no longer count.
+    /// Drops the process of the other owner, because another shard now owns the tenant in the other region.
+    /// Messages of the new owner are then accepted.
     pub fn forget_peer(&mut self) {
         self.peer = None;
     }
 
-    /// Records units that were spent or requested.
+    /// Records units that were spent or requested, as demand.
     pub fn record_demand(&mut self, units: f64, now: f64) {
         self.demand.record(units, now);
     }
 
-    /// Whether to request a transfer now: the demand exceeds this fraction of the plan's rate, and the last request was
-    /// long enough ago. A request is taken as made.
+    /// Whether to request a transfer now: the demand exceeds this owner's fraction of the plan's rate, and
+    /// the last request was at least `TRANSFER_REQUEST_INTERVAL` ago. If it returns true, the request counts
+    /// as made.
     pub fn should_request_transfer(&mut self, plan: &Plan, now: f64) -> bool {
         let available_rate = plan.rate * f64::from(self.fraction_ppm) / f64::from(FULL_QUOTA_PPM);
         let should_request =
@@ -121,8 +132,9 @@
         should_request
     }
 
-    /// The other owner is short of units: begins a transfer of half of what is neither used nor part of the floor.
-    /// False: nothing is transferred now.
+    /// Begins a transfer to the other owner, which is short of units. The transfer carries half of the
+    /// fraction that is neither used by the demand here nor part of the floor. Returns false if nothing can
+    /// be transferred now.
     pub fn begin_transfer(&mut self, plan: &Plan, configured_ppm: u32, number: u32, now: f64) -> bool {
         let used_ppm = self.demand.rate(now) / plan.rate * f64::from(FULL_QUOTA_PPM);
         let retained_ppm = used_ppm.max(f64::from(floor_ppm(configured_ppm)));
@@ -138,7 +150,7 @@
         true
     }
 
-    /// The message that awaits a response, to be sent now or again.
+    /// Returns the message whose response is pending, for its first transmission or a retransmission.
     pub fn pending_message(&self, tenant: TenantId, plan: PlanId) -> Option<PeerMessage> {
         if !self.reconciled {
             return Some(PeerMessage::Reconcile { tenant, plan });
@@ -147,8 +159,8 @@
         Some(PeerMessage::Transfer { tenant, plan, transfer_number: number, amount_ppm })
     }
 
-    /// The other owner does not know its fraction: returns what is allocated here, transfers in transit included (ppm);
-    /// `None` if unknown here as well.
+    /// Returns this owner's allocation (ppm), including a transfer in transit, for the process `from` of the
+    /// other owner, which is not reconciled. Returns `None` if this owner is not reconciled either.
     pub fn allocated_ppm_for(&mut self, from: PeerIdentity) -> Option<u32> {
         if self.peer.is_none_or(|peer| peer.identity != from) {
             self.peer = Some(PeerOwner { identity: from, last_added_transfer: 0 });
@@ -157,7 +169,9 @@
         self.reconciled.then_some(self.fraction_ppm + in_transit_ppm)
     }
 
-    /// The other owner has reported what it holds (ppm); `None`: it does not know itself.
+    /// Handles the allocation (ppm) that the other owner has reported; this owner then holds the rest of the
+    /// quota. `None` means that the other owner is not reconciled either; this owner then uses its configured
+    /// fraction.
     pub fn reconcile(&mut self, allocated_ppm: Option<u32>, configured_ppm: u32) {
         if self.reconciled {
             return;
@@ -167,7 +181,8 @@
         self.reconciled = true;
     }
 
-    /// The other owner sent a transfer; returns whether to acknowledge it.
+    /// Adds a transfer of the other owner, unless it has been added before. Returns whether to acknowledge
+    /// it.
     pub fn receive_transfer(&mut self, from: PeerIdentity, number: u32, amount_ppm: u32) -> bool {
         if !self.reconciled || !self.accepts_messages_from(from) {
             return false;
@@ -180,7 +195,7 @@
         true
     }
 
-    /// The other owner has acknowledged a transfer.
+    /// Handles the other owner's acknowledgement of a transfer.
     pub fn transfer_acknowledged(&mut self, from: PeerIdentity, number: u32) {
         if !self.accepts_messages_from(from) {
             return;
@@ -193,14 +208,16 @@
         }
     }
 
-    /// Whether a newer process of the sending shard is known: messages of a replaced process are obsolete.
+    /// Whether a newer process of the same shard has replaced the process `from`, so that its messages are
+    /// obsolete.
     pub fn is_replaced_process(&self, from: PeerIdentity) -> bool {
         self.peer.is_some_and(|peer| {
             peer.identity.shard == from.shard && peer.identity.incarnation > from.incarnation
         })
     }
 
-    /// Messages of a replaced process do not count.
+    /// Whether messages of the process `from` are accepted: it is the known process of the other owner, or
+    /// none is known yet.
     fn accepts_messages_from(&self, from: PeerIdentity) -> bool {
         self.peer.is_none_or(|peer| peer.identity == from)
     }
--- a/lease/src/shard/account.rs
+++ b/lease/src/shard/account.rs
@@ -1,39 +1,39 @@
-//! One tenant at its owner.
+//! The state that a shard keeps for one tenant.
 use super::IDLE_BUCKET_LIFETIME;
 use crate::regional_quota::RegionalQuota;
 use crate::shard_map::{Plan, PlanId, TenantId};
 use crate::token_bucket::TokenBucket;
 use crate::wire::{BatchEntry, EntryResponse, PeerIdentity, PeerMessage, HUNDREDTHS_PER_UNIT};
 
-/// A bucket whose balance is below this fraction of its capacity is short of units.
+/// Fraction of the capacity below which a balance is low.
 const LOW_BALANCE_FRACTION: f64 = 0.25;
 
-/// The token bucket of one tenant, and the fraction of the quota that it may use.
+/// Token bucket of one tenant, and the fraction of the quota that this region may use.
 #[derive(Debug)]
 pub(super) struct Account {
     pub(super) plan: PlanId,
     pub(super) bucket: TokenBucket,
     pub(super) regional_quota: RegionalQuota,
-    /// Unix time in seconds of the last entry applied.
+    /// Unix time in seconds at which an entry was last applied.
     pub(super) last_used_at: f64,
 }
 
-/// What an account needs to know of its shard in order to handle a peer's message.
+/// Shard state that an account needs to handle a message from a peer.
 pub(super) struct PeerMessageContext<'a> {
-    /// Unix time, seconds.
+    /// Unix time in seconds.
     pub(super) now: f64,
     pub(super) tenant: TenantId,
     pub(super) plan: &'a Plan,
-    /// The fraction that the map gives this region, parts per million.
+    /// Fraction of the quota that the map assigns to this region, in parts per million.
     pub(super) configured_ppm: u32,
     /// Incarnation of this shard's process.
     pub(super) incarnation: u64,
-    /// Number of a transfer that would begin now.
+    /// Number for the next transfer, if one begins.
     pub(super) next_transfer_number: u32,
 }
 
 impl Account {
-    /// Applies an entry of a batch: first the units spent, then the request.
+    /// Applies an entry of a batch: deducts the spent units first, then grants requested ones.
     pub(super) fn apply_entry(&mut self, now: f64, entry: &BatchEntry) -> EntryResponse {
         let spent_units = f64::from(entry.spent_hundredths) / HUNDREDTHS_PER_UNIT;
         let requested_units = f64::from(entry.requested_hundredths) / HUNDREDTHS_PER_UNIT;
@@ -47,17 +47,18 @@
         }
     }
 
-    /// Whether the bucket is short of units, so that the other region may be asked for some of its quota.
+    /// Whether the balance is so low that the shard may request quota from the other region.
     pub(super) fn has_low_balance(&mut self, now: f64) -> bool {
         self.bucket.balance(now) < LOW_BALANCE_FRACTION * self.bucket.capacity()
     }
 
-    /// Adapts the bucket to the fraction of the plan that may be used here.
+    /// Adapts the bucket to the plan and to this region's current fraction of the quota.
     pub(super) fn reconfigure_bucket(&mut self, plan: &Plan, now: f64) {
         self.bucket.reconfigure(plan, self.regional_quota.fraction_ppm(), now);
     }
 
-    /// Whether nothing is lost if the account is forgotten: the bucket is full and the fraction the configured one.
+    /// Whether the account can be removed without loss: the bucket is full, the fraction is the configured
+    /// one and, with a peer region, the tenant has been idle for [`IDLE_BUCKET_LIFETIME`].
     pub(super) fn is_removable(&mut self, now: f64, configured_ppm: u32, has_peer_region: bool) -> bool {
         let idle_lifetime = if has_peer_region { IDLE_BUCKET_LIFETIME } else { 0.0 };
         let is_full = self.bucket.balance(now) >= self.bucket.capacity();
@@ -65,7 +66,8 @@
         is_full && is_idle && self.regional_quota.is_settled_at(configured_ppm)
     }
 
-    /// The other owner is short of units: begins a transfer to it and returns its message, if there is something to transfer.
+    /// Begins a transfer to the other owner, which is short of units. Returns its message, or `None` if
+    /// nothing can be transferred now.
     fn begin_transfer(&mut self, context: &PeerMessageContext) -> Option<PeerMessage> {
         let PeerMessageContext { now, tenant, plan, configured_ppm, next_transfer_number, .. } = *context;
         let has_begun = self.regional_quota.begin_transfer(plan, configured_ppm, next_transfer_number, now);
@@ -75,7 +77,8 @@
         self.regional_quota.pending_message(tenant, self.plan)
     }
 
-    /// Handles a message of the tenant's owner in the other region, and returns the response.
+    /// Handles a message from the tenant's owner in the other region, and returns the response if there is
+    /// one.
     pub(super) fn handle_peer_message(
         &mut self,
         from: PeerIdentity,
--- a/lease/src/shard/batches.rs
+++ b/lease/src/shard/batches.rs
@@ -1,4 +1,4 @@
-//! How a shard applies the batches of gateway instances.
+//! Handling of the batches of gateway instances.
 use super::account::Account;
 use super::sessions::BatchDisposition;
 use super::types::{ConnectionId, ShardOutput};
@@ -9,10 +9,11 @@
 use crate::wire::{encode, BatchEntry, EntryResponse, Frame, PeerMessage};
 
 impl Shard {
-    /// Applies a batch, or sends the stored response again if it has been applied already.
+    /// Applies a new batch and sends the response, or sends the stored response again if the batch is a
+    /// retransmission.
     ///
     /// # Errors
-    /// [`ProtocolViolation`] if the connection is not the current one of a gateway instance.
+    /// Returns [`ProtocolViolation`] if the connection is not the current one of a gateway instance.
     pub(super) fn handle_batch(
         &mut self,
         now: f64,
@@ -49,7 +50,8 @@
         response
     }
 
-    /// Makes sure that the tenant has an account of this plan; false: the map has no such plan.
+    /// Ensures that the tenant has an account with this plan. Returns false if the map does not contain the
+    /// plan.
     pub(super) fn ensure_account(&mut self, now: f64, tenant: TenantId, plan_id: PlanId) -> bool {
         let Some(plan) = self.ownership.map().plan(plan_id) else { return false };
         if let Some(account) = self.accounts.get_mut(&tenant) {
@@ -68,7 +70,7 @@
         true
     }
 
-    /// Requests quota from the other region if the tenant's demand asks for it.
+    /// Requests quota from the other region if the tenant's demand exceeds this region's fraction.
     fn request_transfer(&mut self, now: f64, tenant: TenantId) {
         let Some(peer) = self.ownership.peer_owner(tenant) else { return };
         let Some(account) = self.accounts.get_mut(&tenant) else { return };
--- a/lease/src/shard/mod.rs
+++ b/lease/src/shard/mod.rs
@@ -1,7 +1,7 @@
-//! A shard: keeps the token buckets of the tenants that it owns and applies each batch once.
+//! A shard, which keeps the token buckets of the tenants that it owns and applies each batch exactly once.
 //!
-//! The caller owns the sockets and the clock. After each event it drains [`Shard::poll_outputs`] and sets a timer to
-//! [`Shard::poll_timeout`]. All times are seconds of Unix time.
+//! The caller owns the sockets and the clock. After each event it drains [`Shard::poll_outputs`] and sets a
+//! timer to [`Shard::poll_timeout`]. All times are Unix time in seconds.
 mod account;
 mod batches;
 mod ownership;
@@ -21,15 +21,16 @@
 use sessions::SessionTable;
 use std::collections::BTreeMap;
 
-/// Interval at which messages to other shards are retransmitted, seconds: some round trips between regions.
+/// Interval in seconds at which unanswered messages to other shards are retransmitted: several round trips
+/// between regions.
 const RETRANSMIT_INTERVAL: f64 = 0.5;
-/// Interval at which expired sessions and buckets are removed, seconds.
+/// Interval in seconds at which expired sessions, accounts and former maps are removed.
 const CLEANUP_INTERVAL: f64 = 30.0;
-/// With a second region, buckets are kept for this long after their last use, seconds: a new one has to request its
-/// fraction of the quota first.
+/// Minimum time in seconds for which an account is kept after its last use if there is a second region,
+/// because a new account must first be reconciled with the other region.
 const IDLE_BUCKET_LIFETIME: f64 = 600.0;
 
-/// The state machine of one shard.
+/// State machine of one shard.
 #[derive(Debug)]
 pub struct Shard {
     settings: ShardSettings,
@@ -37,7 +38,7 @@
     sessions: SessionTable,
     accounts: BTreeMap<TenantId, Account>,
     peer_outbox: PeerOutbox,
-    /// Number of the last transfer to another region; 0: none.
+    /// Number of the last transfer to another region, 0 if none.
     last_transfer_number: u32,
     next_retransmit_at: f64,
     next_cleanup_at: f64,
@@ -45,11 +46,12 @@
 }
 
 impl Shard {
-    /// A shard without any state. The map is used at once, since there is no other one; before its `active_at` the
-    /// shard grants nothing, since owners under the former map may still grant.
+    /// Creates a shard without accounts or sessions. The map is active immediately, since there is no other
+    /// one. Until its `active_at` the shard grants nothing, because the owners under the former map may still
+    /// grant units.
     ///
     /// # Errors
-    /// [`ShardMapError`] if the map is invalid or lacks the shard.
+    /// Returns [`ShardMapError`] if the map is invalid or does not contain the shard.
     pub fn new(now: f64, settings: ShardSettings, map: ShardMap) -> Result<Shard, ShardMapError> {
         Ok(Shard {
             ownership: Ownership::new(now, &settings, map)?,
@@ -64,7 +66,8 @@
         })
     }
 
-    /// Bytes arrived on a connection, in arbitrary pieces; an unknown connection is a new one.
+    /// Handles bytes received on a connection, which may be split at any position. The first bytes register a
+    /// new connection.
     pub fn receive(&mut self, now: f64, connection: ConnectionId, bytes: &[u8]) {
         self.handle_timeout(now);
         self.sessions.receive(connection, bytes);
@@ -73,22 +76,23 @@
         }
     }
 
-    /// A connection was lost.
+    /// Handles the loss of a connection.
     pub fn handle_disconnected(&mut self, connection: ConnectionId) {
         self.sessions.remove_connection(connection);
     }
 
-    /// Takes over a newer map, which is used from its `active_at` on.
+    /// Schedules a newer map, which takes effect at its `active_at`.
     ///
     /// # Errors
-    /// [`ShardMapError`] if the map is invalid or not newer than the newest one known.
+    /// Returns [`ShardMapError`] if the map is invalid or has no higher epoch than the newest map accepted.
     pub fn update_map(&mut self, now: f64, map: ShardMap) -> Result<(), ShardMapError> {
         self.ownership.schedule(map)?;
         self.handle_timeout(now);
         Ok(())
     }
 
-    /// Does whatever is due by now.
+    /// Performs the actions due at `now`: activates a scheduled map, retransmits unanswered messages and
+    /// removes expired state.
     pub fn handle_timeout(&mut self, now: f64) {
         if self.ownership.activate_if_due(now) {
             self.apply_map_change(now);
@@ -103,31 +107,32 @@
         }
     }
 
-    /// When [`Shard::handle_timeout`] has something to do next, Unix time in seconds.
+    /// Returns the Unix time in seconds at which to call [`Shard::handle_timeout`].
     pub fn poll_timeout(&self) -> f64 {
         let activation = self.ownership.next_activation();
         let retransmit = self.peer_outbox.has_unanswered().then_some(self.next_retransmit_at);
         activation.into_iter().chain(retransmit).fold(self.next_cleanup_at, f64::min)
     }
 
-    /// What the caller has to do, in order.
+    /// Drains the outputs, which the caller must perform in order.
     pub fn poll_outputs(&mut self) -> Vec<ShardOutput> {
         let from = PeerIdentity { shard: self.settings.id, incarnation: self.settings.incarnation };
         self.peer_outbox.drain_frames(from, self.epoch(), &mut self.outputs);
         std::mem::take(&mut self.outputs)
     }
 
-    /// Epoch of the map in force.
+    /// Returns the epoch of the active map.
     pub fn epoch(&self) -> u32 {
         self.ownership.map().epoch
     }
 
-    /// The fraction of a tenant's quota that may be used here, parts per million; `None`: the tenant has no bucket
-    /// here.
+    /// Returns the fraction of a tenant's quota that this shard may use, in parts per million, or `None` if
+    /// the tenant has no account here.
     pub fn quota_fraction_ppm(&self, tenant: TenantId) -> Option<u32> {
         self.accounts.get(&tenant).map(|account| account.regional_quota.fraction_ppm())
     }
 
+    /// Closes a connection from the shard's side.
     fn close(&mut self, connection: ConnectionId) {
         self.sessions.remove_connection(connection);
         self.outputs.push(ShardOutput::Close { connection });
@@ -159,7 +164,8 @@
                 self.handle_batch(now, connection, sequence, &entries)?;
             }
             Frame::Peer { from, epoch, messages } => {
-                // Under different maps the two shards may disagree on who owns a tenant.
+                // Ignore messages sent under another map, since the two shards may disagree about a tenant's
+                // owner.
                 if epoch == self.epoch() {
                     for message in messages {
                         self.handle_peer_message(now, from, &message);
@@ -171,7 +177,8 @@
         Ok(())
     }
 
-    /// Drops the accounts of tenants that moved away, and adapts the other ones to the new map.
+    /// Drops the accounts of tenants that this shard no longer owns or whose plan was removed, and adapts the
+    /// others to the new map.
     fn apply_map_change(&mut self, now: f64) {
         let ownership = &self.ownership;
         self.accounts.retain(|tenant, account| {
@@ -193,7 +200,8 @@
         self.peer_outbox.reset(awaiting.map(|(tenant, _)| *tenant).collect());
     }
 
-    /// Forgets gateway instances that are gone, and accounts that a new one would be equal to.
+    /// Removes sessions of gateway instances that are gone, former maps that no longer matter, and accounts
+    /// that are equivalent to new ones.
     fn remove_expired(&mut self, now: f64) {
         self.sessions.remove_expired(now);
         self.ownership.remove_expired(now);
--- a/lease/src/shard/peer_messages.rs
+++ b/lease/src/shard/peer_messages.rs
@@ -1,11 +1,11 @@
-//! How a shard handles and retransmits messages between the owners of a tenant in two regions.
+//! Handling and retransmission of messages between the owners of a tenant in two regions.
 use super::account::PeerMessageContext;
 use super::Shard;
 use crate::shard_map::TenantId;
 use crate::wire::{PeerIdentity, PeerMessage};
 
 impl Shard {
-    /// Handles a message if sender and receiver are the tenant's owners.
+    /// Handles a message, or ignores it unless its sender and this shard are the tenant's owners.
     pub(super) fn handle_peer_message(&mut self, now: f64, from: PeerIdentity, message: &PeerMessage) {
         let tenant = message.tenant();
         if self.ownership.peer_owner(tenant) != Some(from.shard) || !self.ownership.owns(tenant) {
@@ -40,13 +40,14 @@
         }
     }
 
-    /// Retransmits what has not been answered.
+    /// Retransmits the next messages that have not been answered.
     pub(super) fn retransmit_unanswered(&mut self) {
         for tenant in self.peer_outbox.next_retransmissions() {
             self.transmit_pending_message(tenant);
         }
     }
 
+    /// Queues the tenant's pending message, if there is one, for its owner in the other region.
     pub(super) fn transmit_pending_message(&mut self, tenant: TenantId) {
         let Some(peer) = self.ownership.peer_owner(tenant) else { return };
         let Some(account) = self.accounts.get(&tenant) else { return };
--- a/lease/src/shard/peer_outbox.rs
+++ b/lease/src/shard/peer_outbox.rs
@@ -1,14 +1,16 @@
-//! Messages to other shards: those to be sent next, and the tenants whose messages have not been answered.
+//! Messages queued for other shards, and the tenants whose messages have not been answered.
 use super::types::ShardOutput;
 use crate::shard_map::{ShardId, TenantId};
 use crate::wire::{encode, Frame, PeerIdentity, PeerMessage, MAX_PEER_MESSAGES};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Queue of messages to other shards.
 #[derive(Debug, Default)]
 pub(super) struct PeerOutbox {
     messages: BTreeMap<ShardId, Vec<PeerMessage>>,
+    /// Tenants whose message is retransmitted until it is answered.
     unanswered: BTreeSet<TenantId>,
-    /// The tenant with which the next round of retransmissions begins.
+    /// Tenant with which the next retransmissions start.
     next_tenant: TenantId,
 }
 
@@ -17,7 +19,7 @@
         self.messages.entry(shard).or_default().push(message);
     }
 
-    /// Notes whether a tenant has a message that is not answered.
+    /// Sets whether a tenant has an unanswered message.
     pub(super) fn set_unanswered(&mut self, tenant: TenantId, unanswered: bool) {
         if unanswered {
             self.unanswered.insert(tenant);
@@ -26,7 +28,7 @@
         }
     }
 
-    /// Drops all messages; these tenants' messages are not answered.
+    /// Drops all queued messages, and replaces the set of tenants with an unanswered message.
     pub(super) fn reset(&mut self, unanswered: BTreeSet<TenantId>) {
         self.messages.clear();
         self.unanswered = unanswered;
@@ -36,7 +38,8 @@
         !self.unanswered.is_empty()
     }
 
-    /// The tenants whose messages are retransmitted next: at most a frame's worth, in rotation.
+    /// Returns the tenants whose messages are retransmitted next, in rotation: at most [`MAX_PEER_MESSAGES`]
+    /// of them, which fit into one frame.
     pub(super) fn next_retransmissions(&mut self) -> Vec<TenantId> {
         let from_next_tenant = self.unanswered.range(self.next_tenant..);
         let before_next_tenant = self.unanswered.range(..self.next_tenant);
@@ -46,7 +49,7 @@
         tenants
     }
 
-    /// Takes all messages as frames.
+    /// Encodes all queued messages into frames, and appends these to `outputs`.
     pub(super) fn drain_frames(&mut self, from: PeerIdentity, epoch: u32, outputs: &mut Vec<ShardOutput>) {
         for (shard, messages) in std::mem::take(&mut self.messages) {
             for messages in messages.chunks(MAX_PEER_MESSAGES) {
--- a/lease/src/shard/sessions.rs
+++ b/lease/src/shard/sessions.rs
@@ -1,44 +1,48 @@
-//! Connections to a shard and the sessions of gateway instances, by which a batch is applied only once.
+//! Connections to a shard, and the sessions of gateway instances, which ensure that each batch is applied
+//! only once.
 use super::types::ConnectionId;
 use crate::fault_injection::InjectedFault;
 use crate::protocol_violation::ProtocolViolation;
 use crate::wire::{Frame, FrameDecoder};
 use std::collections::BTreeMap;
 
-/// Lifetime of a session since its last frame, seconds; far longer than a client retransmits a batch.
+/// Lifetime of a session after its last frame, in seconds; far longer than a client retransmits a batch.
 const SESSION_LIFETIME: f64 = 120.0;
 
+/// State of an open connection.
 #[derive(Debug, Default)]
 struct Connection {
     decoder: FrameDecoder,
-    /// The gateway instance, once it has sent its `Hello`.
+    /// Id of the gateway instance, `None` until it has sent its `Hello`.
     gateway: Option<u64>,
 }
 
-/// What is stored for a gateway instance: the last batch applied and its response.
+/// State kept for a gateway instance across its connections: the last batch applied and its response.
 #[derive(Debug)]
 struct Session {
     incarnation: u64,
+    /// Current connection of the instance.
     connection: ConnectionId,
-    /// Sequence of the last batch applied; 0: none.
+    /// Sequence number of the last batch applied, 0 if none.
     last_sequence: u32,
-    /// The encoded response to it.
+    /// Encoded response to the last batch applied.
     last_response: Vec<u8>,
     /// Unix time in seconds of the last `Hello` or batch.
     last_seen_at: f64,
 }
 
-/// What has to be done with a batch.
+/// Classification of a received batch, which determines its handling.
 #[derive(Debug)]
 pub(super) enum BatchDisposition {
-    /// It is older than the last batch applied: nothing.
+    /// The batch is older than the last one applied: ignore it.
     Obsolete,
-    /// It is the last batch applied: send the stored response again.
+    /// The batch is the last one applied: send the stored response again.
     Retransmitted { response: Vec<u8> },
-    /// Apply it.
+    /// The batch is new: apply it.
     New { gateway: u64 },
 }
 
+/// Open connections, and the sessions by gateway instance.
 #[derive(Debug)]
 pub(super) struct SessionTable {
     connections: BTreeMap<ConnectionId, Connection>,
@@ -51,15 +55,16 @@
         SessionTable { connections: BTreeMap::new(), sessions: BTreeMap::new(), injected_fault }
     }
 
-    /// Buffers received bytes; an unknown connection is a new one.
+    /// Buffers bytes received on a connection. The first bytes register a new connection.
     pub(super) fn receive(&mut self, connection: ConnectionId, bytes: &[u8]) {
         self.connections.entry(connection).or_default().decoder.extend(bytes);
     }
 
-    /// The next complete frame of a connection, `None` if there is none or the connection is closed.
+    /// Returns the next complete frame of a connection, `None` if more bytes are needed or the connection is
+    /// closed.
     ///
     /// # Errors
-    /// [`ProtocolViolation::InvalidFrame`] if the bytes are not a valid frame.
+    /// Returns [`ProtocolViolation::InvalidFrame`] if the bytes are not a valid frame.
     pub(super) fn next_frame(
         &mut self,
         connection: ConnectionId,
@@ -74,11 +79,12 @@
         self.connections.remove(&connection);
     }
 
-    /// A gateway instance introduces itself. Returns the connection that this one replaces and that has to be closed:
-    /// what it still carries must not be applied after what arrives on this one.
+    /// Assigns a connection to a gateway instance on its `Hello`. Returns the instance's former connection,
+    /// which the caller must close: batches still in transit on it must not be applied after those on the new
+    /// connection.
     ///
     /// # Errors
-    /// [`ProtocolViolation::ReplacedIncarnation`] if a newer process of the instance has a session.
+    /// Returns [`ProtocolViolation::ReplacedIncarnation`] if a newer process of the instance has a session.
     pub(super) fn handle_hello(
         &mut self,
         now: f64,
@@ -99,10 +105,10 @@
         Ok(replaced.filter(|former| self.connections.contains_key(former)))
     }
 
-    /// Decides what to do with a batch by its sequence.
+    /// Classifies a batch by its sequence number.
     ///
     /// # Errors
-    /// [`ProtocolViolation`] if the connection is not the current one of a gateway instance.
+    /// Returns [`ProtocolViolation`] if the connection is not the current one of a gateway instance.
     pub(super) fn receive_batch(
         &mut self,
         now: f64,
@@ -128,7 +134,7 @@
         })
     }
 
-    /// Stores the response to a batch that has been applied.
+    /// Stores the encoded response to a batch that has been applied.
     pub(super) fn store_response(&mut self, gateway: u64, sequence: u32, response: &[u8]) {
         if let Some(session) = self.sessions.get_mut(&gateway) {
             session.last_sequence = sequence;
@@ -137,7 +143,7 @@
         }
     }
 
-    /// Forgets gateway instances that are gone.
+    /// Removes sessions whose last frame is older than [`SESSION_LIFETIME`].
     pub(super) fn remove_expired(&mut self, now: f64) {
         self.sessions.retain(|_, session| now - session.last_seen_at < SESSION_LIFETIME);
     }
@@ -148,8 +154,11 @@
         Session { incarnation, connection, last_sequence: 0, last_response: vec![], last_seen_at: now }
     }
 
-    /// Moves the session to a connection, and returns the former connection if it is another one. A newer process
-    /// begins a new count of batches.
+    /// Moves the session to a connection, and returns the former connection if it is a different one. A newer
+    /// process of the instance restarts the sequence numbers.
+    ///
+    /// # Errors
+    /// Returns [`ProtocolViolation::ReplacedIncarnation`] if the session belongs to a newer process.
     fn reconnect(
         &mut self,
         now: f64,
--- a/lease/src/shard/types.rs
+++ b/lease/src/shard/types.rs
@@ -1,44 +1,44 @@
-//! What the caller of a [`Shard`](super::Shard) passes in and gets out.
+//! Input and output types of a [`Shard`](super::Shard).
 use crate::fault_injection::InjectedFault;
 use crate::shard_map::ShardId;
 
-/// Identifies a connection to the shard; chosen by the caller, never used twice.
+/// Id of a connection to the shard. The caller assigns it and never uses it for another connection.
 pub type ConnectionId = u64;
 
 /// Identity of a shard.
 #[derive(Clone, Debug)]
 pub struct ShardSettings {
-    /// Its number in the shard map.
+    /// Id of the shard in the shard map.
     pub id: ShardId,
-    /// Name of its region.
+    /// Name of the shard's region.
     pub region: String,
-    /// This process; grows with each start.
+    /// Incarnation of this process; higher for each later process of the shard.
     pub incarnation: u64,
-    /// For tests only.
+    /// Fault for tests; `None` in production.
     #[doc(hidden)]
     pub injected_fault: Option<InjectedFault>,
 }
 
-/// What the caller has to do.
+/// Action that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardOutput {
     /// Write bytes to a connection.
     Send {
         /// The connection.
         connection: ConnectionId,
-        /// Complete frames.
+        /// Encoded frames.
         bytes: Vec<u8>,
     },
-    /// Close a connection; no `handle_disconnected` is expected.
+    /// Close a connection. The caller need not call `handle_disconnected`.
     Close {
         /// The connection.
         connection: ConnectionId,
     },
-    /// Send bytes to another shard; they may be lost.
+    /// Send bytes to another shard, without any guarantee of delivery.
     SendToPeer {
-        /// The other shard.
+        /// Receiving shard.
         shard: ShardId,
-        /// Complete frames.
+        /// Encoded frames.
         bytes: Vec<u8>,
     },
 }
--- a/lease/src/shard_map/validation.rs
+++ b/lease/src/shard_map/validation.rs
@@ -1,9 +1,10 @@
-//! Checks of a shard map beyond what its types say.
+//! Validation of the constraints on a shard map that its field types do not express.
 use super::{Plan, PlanId, Region, ShardMap, ShardMapError, QUOTA_FRACTION_TOLERANCE};
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// Usable bursts, units: hundredths of a unit then fit the wire's 32 bits.
+/// Range of valid bursts, in units. Up to the maximum, hundredths of a unit fit into the 32 bits of the wire
+/// format.
 const BURST_RANGE: RangeInclusive<f64> = 1.0..=1e7;
 
 pub(super) fn validate(map: &ShardMap) -> Result<(), ShardMapError> {
--- a/lease/src/wire/codec.rs
+++ b/lease/src/wire/codec.rs
@@ -1,49 +1,51 @@
-//! Encoding of frames, and decoding of a byte stream into frames.
+//! Encodes frames, and decodes a byte stream into frames.
 use super::{Frame, MAX_BATCH_ENTRIES, MAX_PEER_MESSAGES};
 use thiserror::Error;
 
-/// Bytes of the length that precedes each frame's body.
+/// Size in bytes of the length field that precedes the body of each frame.
 const LENGTH_BYTES: usize = 2;
 
-/// Why bytes are not a valid frame.
+/// Error for bytes that are not a valid frame.
 #[derive(Debug, Error, PartialEq)]
 pub enum WireError {
-    /// The body, of this many bytes, cannot be decoded.
-    #[error("a frame of {0} bytes can't be read")]
+    /// The body, which has this size in bytes, cannot be decoded.
+    #[error("cannot decode a frame body of {0} bytes")]
     Malformed(usize),
-    /// The frame holds this many entries or messages, more than allowed.
-    #[error("a frame holds {0} entries, more than allowed")]
+    /// The frame contains this number of entries or messages, which exceeds the limit.
+    #[error("a frame contains {0} entries or messages, which exceeds the limit")]
     TooManyEntries(usize),
 }
 
-/// Encodes a frame, its length included.
+/// Encodes a frame, including its length field.
 ///
 /// # Panics
-/// If the frame holds more than [`MAX_BATCH_ENTRIES`] or [`MAX_PEER_MESSAGES`]: the state machines never build one.
+/// Panics if the body exceeds the 65,535 bytes that the length field can express. This never happens with up
+/// to [`MAX_BATCH_ENTRIES`] or [`MAX_PEER_MESSAGES`], which the state machines do not exceed.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let mut bytes = vec![0; LENGTH_BYTES];
-    bytes = postcard::to_extend(frame, bytes).expect("a vector takes all bytes");
-    let length = u16::try_from(bytes.len() - LENGTH_BYTES).expect("entries are bounded");
+    bytes = postcard::to_extend(frame, bytes).expect("encoding into a vector never runs out of space");
+    let length = u16::try_from(bytes.len() - LENGTH_BYTES)
+        .expect("a frame within the entry limits fits its length field");
     bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
     bytes
 }
 
-/// Splits a byte stream, which arrives in arbitrary pieces, into frames.
+/// Decodes frames from a byte stream that arrives in arbitrary pieces.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
 }
 
 impl FrameDecoder {
-    /// Appends received bytes; call [`FrameDecoder::next_frame`] until it returns `None`.
+    /// Appends received bytes. The caller then calls [`FrameDecoder::next_frame`] until it returns `None`.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next complete frame, or `None` if more bytes are needed.
+    /// Returns the next complete frame, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// [`WireError`] if the next frame is invalid; the stream cannot be decoded any further.
+    /// Returns [`WireError`] if the next frame is invalid. The rest of the stream cannot be decoded then.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, WireError> {
         let Some((length, rest)) = self.buffer.split_first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
--- a/lease/src/wire/mod.rs
+++ b/lease/src/wire/mod.rs
@@ -1,8 +1,9 @@
-//! The messages of the protocol, between gateway instances and shards and between shards.
+//! The protocol messages between gateway instances and shards, and between shards.
 //!
-//! Each [`Frame`] travels as a length (two bytes, little-endian) and a body in postcard's format, whose integers have
-//! variable lengths; the order of fields and variants is the wire format, their names are not. Amounts of units travel
-//! as integer hundredths. A frame that cannot be decoded ends its connection.
+//! Each [`Frame`] is encoded as a length (two bytes, little-endian) and a body in the postcard format, which
+//! uses variable-length integers. The order of fields and variants is part of the wire format; their names
+//! are not. Amounts of units are encoded as integer hundredths. The receiver closes a connection when it
+//! cannot decode a frame.
 mod codec;
 
 pub use codec::{encode, FrameDecoder, WireError};
@@ -10,23 +11,25 @@
 use crate::shard_map::{PlanId, ShardId, TenantId};
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol, announced in [`Frame::Hello`].
+/// Version of the protocol, sent in [`Frame::Hello`].
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Hundredths in a unit. Requests cost whole units or a few tenths.
+/// Hundredths per unit. The resolution suffices, since requests cost whole units or a few tenths.
 pub const HUNDREDTHS_PER_UNIT: f64 = 100.0;
-/// Most entries in a batch: the largest entry takes 23 bytes, so such a batch fits into one frame.
+/// Maximum number of entries in a batch. The largest entry takes 23 bytes, so that a full batch fits into one
+/// frame.
 pub const MAX_BATCH_ENTRIES: usize = 1024;
-/// Most messages in a frame between shards; the largest message takes 27 bytes.
+/// Maximum number of messages in a frame between shards. The largest message takes 27 bytes, so that all fit
+/// into one frame.
 pub const MAX_PEER_MESSAGES: usize = 1024;
 
-/// What a gateway instance requests and reports for one tenant.
+/// A gateway instance's request and report for one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchEntry {
-    /// The tenant whose quota is used.
+    /// Tenant whose quota is used.
     pub tenant: TenantId,
     /// The tenant's plan.
     pub plan: PlanId,
-    /// Hundredths of units spent without a lease; negative: unspent hundredths of a lease that are returned.
+    /// Hundredths of units spent without a lease; negative to return unspent hundredths of a lease.
     pub spent_hundredths: i32,
     /// Hundredths of units requested.
     pub requested_hundredths: u32,
@@ -42,64 +45,66 @@
         /// Whole units left in the tenant's bucket, rounded down.
         available_units: u32,
     },
-    /// Under its map the shard does not own the tenant; nothing was applied.
+    /// The shard does not own the tenant under its active map; nothing was applied.
     Moved {
-        /// Epoch of the shard's map.
+        /// Epoch of the shard's active map.
         epoch: u32,
     },
-    /// The shard's map has no such plan; nothing was applied.
+    /// The shard's map does not contain the plan; nothing was applied.
     UnknownPlan,
 }
 
-/// The process that sends a frame between shards.
+/// Process that sends a frame to another shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PeerIdentity {
-    /// The sending shard.
+    /// Id of the sending shard.
     pub shard: ShardId,
-    /// Its process.
+    /// Incarnation of the sending process.
     pub incarnation: u64,
 }
 
-/// What the owners of one tenant in two regions send each other. Amounts are parts per million (ppm) of the quota.
+/// Message between the two owners of a tenant in different regions. Amounts are in parts per million (ppm) of
+/// the quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The sender is short of units and requests whatever part of the quota the receiver can spare.
+    /// The sender is short of units and requests a transfer of quota that the receiver does not need.
     RequestTransfer {
-        /// The tenant whose quota is concerned.
+        /// Tenant whose quota is concerned.
         tenant: TenantId,
     },
-    /// The sender does not know its fraction of the quota and requests what the receiver holds.
+    /// The sender is not reconciled, for instance after a restart, and asks for the receiver's allocation.
     Reconcile {
-        /// The tenant whose quota is concerned.
+        /// Tenant whose quota is concerned.
         tenant: TenantId,
         /// The tenant's plan.
         plan: PlanId,
     },
     /// Response to [`PeerMessage::Reconcile`].
     ReconcileResponse {
-        /// The tenant whose quota is concerned.
+        /// Tenant whose quota is concerned.
         tenant: TenantId,
-        /// What the sender holds, transfers in transit included (ppm); `None`: it does not know itself.
+        /// Allocation of the sender including a transfer in transit (ppm), `None` if the sender is not
+        /// reconciled either.
         allocated_ppm: Option<u32>,
-        /// Incarnation of the requesting process; a response to a former process is of no use to its successor.
+        /// Incarnation of the requesting process. A later process ignores the response.
         requester_incarnation: u64,
     },
-    /// A part of the quota that the sender has already deducted from its own fraction.
+    /// The sender transfers a part of the quota, which it has already deducted from its own fraction.
     Transfer {
-        /// The tenant whose quota is concerned.
+        /// Tenant whose quota is concerned.
         tenant: TenantId,
         /// The tenant's plan.
         plan: PlanId,
-        /// Number of the transfer, counted by the sending process.
+        /// Number of the transfer, assigned by the sending process in ascending order.
         transfer_number: u32,
-        /// The part transferred (ppm).
+        /// Transferred part of the quota (ppm).
         amount_ppm: u32,
     },
-    /// The receiver has added a transfer to its fraction.
+    /// The sender has added a received transfer to its fraction.
     Acknowledge {
-        /// The tenant whose quota is concerned.
+        /// Tenant whose quota is concerned.
         tenant: TenantId,
-        /// Number of the transfer.
+        /// Number of the acknowledged transfer.
         transfer_number: u32,
         /// Incarnation of the process that sent the transfer.
         sender_incarnation: u64,
@@ -107,7 +112,7 @@
 }
 
 impl PeerMessage {
-    /// The tenant whose quota is concerned.
+    /// Returns the tenant whose quota is concerned.
     pub fn tenant(&self) -> TenantId {
         match self {
             PeerMessage::RequestTransfer { tenant }
@@ -119,48 +124,48 @@
     }
 }
 
-/// One frame.
+/// Unit of transmission on a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// First frame on a gateway instance's connection.
+    /// First frame that a gateway instance sends on a connection.
     Hello {
-        /// [`PROTOCOL_VERSION`].
+        /// [`PROTOCOL_VERSION`] of the sender.
         version: u8,
-        /// The gateway instance.
+        /// Id of the gateway instance.
         gateway: u64,
-        /// Its process; grows with each start.
+        /// Incarnation of the sending process; higher for each later process of the instance.
         incarnation: u64,
-        /// Epoch of its shard map.
+        /// Epoch of the active shard map of the instance.
         epoch: u32,
     },
-    /// A gateway instance's requests and reports.
+    /// Requests and reports of a gateway instance.
     Batch {
-        /// Counts the batches that this incarnation sends to this shard.
+        /// Sequence number among the batches that this incarnation sends to this shard.
         sequence: u32,
         /// One entry per tenant.
         entries: Vec<BatchEntry>,
     },
-    /// A shard's response to a batch.
+    /// Response of a shard to a batch.
     BatchResponse {
-        /// Sequence of the batch.
+        /// Sequence number of the batch.
         sequence: u32,
-        /// One response per entry, in the order of the batch.
+        /// One response per entry, in the order of the entries.
         responses: Vec<EntryResponse>,
     },
     /// Messages from one shard to another.
     Peer {
-        /// The sending process.
+        /// Sending process.
         from: PeerIdentity,
-        /// Epoch of the sender's shard map.
+        /// Epoch of the sender's active shard map.
         epoch: u32,
-        /// The messages, in order.
+        /// Messages, in order.
         messages: Vec<PeerMessage>,
     },
 }
 
-/// Converts units to integer hundredths and rounds up, so that what is spent or requested is never understated.
+/// Converts units to integer hundredths, rounded up so that spent or requested units are never understated.
 pub fn units_to_hundredths(units: f64) -> i32 {
-    /// Tolerance in hundredths: 0.1 + 0.2 counts as thirty hundredths.
+    /// Rounding tolerance in hundredths, so that 0.1 + 0.2 converts to thirty hundredths rather than 31.
     const ROUNDING_TOLERANCE: f64 = 1e-6;
     (units * HUNDREDTHS_PER_UNIT - ROUNDING_TOLERANCE).ceil() as i32
 }
--- a/lease/tests/failures.rs
+++ b/lease/tests/failures.rs
@@ -1,5 +1,6 @@
-//! Failures on a virtual clock, over many seeds: the units admitted beyond a quota stay within the bound that docs/leases.md
-//! derives, and exceed it where the mechanism that prevents this is switched off by an injected fault.
+//! Failures on a virtual clock, over many seeds: the units admitted beyond a quota stay within the bound that
+//! docs/leases.md derives, and exceed it where the mechanism that prevents this is switched off by an
+//! injected fault.
 mod simulation;
 
 use quillramp_lease::fault_injection::InjectedFault;
@@ -26,7 +27,8 @@
     outcome: RunOutcome,
 }
 
-/// Leased units and credit of all gateway instances, and credit that could not be reported (docs/leases.md, "Bound").
+/// Leased units and credit of all gateway instances, and credit that could not be reported (docs/leases.md,
+/// "Bound").
 fn bound(outcome: &RunOutcome) -> f64 {
     GATEWAYS as f64 * (MAX_LEASED_UNITS + MAX_CREDIT_UNITS) + outcome.lost_credit_units + ROUNDING_UNITS
 }
@@ -115,8 +117,8 @@
     Scenario { faults, ..overloaded(seed, 60.0) }
 }
 
-/// Quota has moved to the north when the regions are partitioned; then demand is as high in the south, and its shards
-/// are replaced.
+/// Quota has moved to the north when the regions are partitioned; then demand is as high in the south, and
+/// its shards are replaced.
 fn regions_partitioned(seed: u64) -> Scenario {
     let mut faults = vec![timed(20.0, Fault::PartitionRegions), timed(20.0, Fault::BeginWindow)];
     for shard in [11, 12] {
--- a/lease/tests/shard_map.rs
+++ b/lease/tests/shard_map.rs
@@ -59,21 +59,27 @@
     );
     assert_eq!(
         rejection("share = 0.6", "share = nan"),
-        "region 'north': share: expected above 0 to 1, found NaN"
+        "region 'north': expected a share above 0 and at most 1, found NaN"
     );
-    assert_eq!(rejection("id = 2", "id = 1"), "shard 1: numbered twice");
-    assert_eq!(rejection("7102", "7101"), "shard 2: another shard has its address");
-    assert_eq!(rejection("\"south\"", "\"north\""), "region 'north': named twice");
-    assert_eq!(rejection("1790000000.0", "-1.0"), "active_at: expected seconds of Unix time, found -1");
+    assert_eq!(rejection("id = 2", "id = 1"), "shard 1: expected a unique id, found two shards of this id");
+    assert_eq!(
+        rejection("7102", "7101"),
+        "shard 2: expected a unique address, found another shard of this address"
+    );
+    assert_eq!(
+        rejection("\"south\"", "\"north\""),
+        "region 'north': expected a unique name, found two regions of this name"
+    );
+    assert_eq!(rejection("1790000000.0", "-1.0"), "active_at: expected Unix time in seconds, found -1");
     let invalid_plan = "plan 'team': expected a rate above 0 and a burst from 1 to 1e7 units, both finite";
     assert_eq!(rejection("rate = 20.0", "rate = 0.0"), invalid_plan);
     assert_eq!(rejection("burst = 40.0", "burst = inf"), invalid_plan);
     let unknown_key = rejection("epoch = 3", "epoch = 3\nspare = 1");
     assert!(unknown_key.contains("spare"), "{unknown_key}");
     let missing_value = rejection("epoch = 3", "epoch = ");
-    assert!(missing_value.starts_with("no shard map: line 2: "), "{missing_value}");
+    assert!(missing_value.starts_with("parse error in line 2: "), "{missing_value}");
     let invalid_address = rejection("127.0.0.1:7101", "somewhere");
-    assert!(invalid_address.starts_with("no shard map: line 15: "), "{invalid_address}");
+    assert!(invalid_address.starts_with("parse error in line 15: "), "{invalid_address}");
 }
 
 #[test]
--- a/lease/tests/simulation/gateway.rs
+++ b/lease/tests/simulation/gateway.rs
@@ -1,5 +1,5 @@
-//! A plain gateway instance: spends leases, spends on credit while the last response reported plenty of available
-//! units, and requests a lease otherwise.
+//! A plain gateway instance: spends leases, spends on credit while the last response reported plenty of
+//! available units, and requests a lease otherwise.
 use quillramp_lease::client::{
     ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
 };
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Admits queued requests as far as the units reach and requests further ones; without any units all are rejected.
+    /// Admits queued requests as far as the units reach and requests further ones; without any units all are
+    /// rejected.
     fn handle_lease_outcome(&mut self, now: f64, tenant: TenantId, outcome: &LeaseOutcome) {
         let account = self.accounts.get_mut(&tenant).expect("a known tenant");
         let units = if let LeaseOutcome::Granted { units, .. } = outcome { *units } else { 0.0 };
--- a/lease/tests/simulation/mod.rs
+++ b/lease/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Gateway instances, shards of two regions and a network on a virtual clock, all drawn from a seed, with an exact
-//! bucket of each quota as the reference.
+//! Gateway instances, shards of two regions and a network on a virtual clock, all drawn from a seed, with an
+//! exact bucket of each quota as the reference.
 mod driver;
 mod events;
 mod faults;
--- a/lease/tests/simulation/reference_bucket.rs
+++ b/lease/tests/simulation/reference_bucket.rs
@@ -9,7 +9,8 @@
     balance: f64,
     /// Unix time, seconds.
     refilled_at: f64,
-    /// Most units beyond the quota in any window of time that ends with a spend: `spent - (burst + rate * window)`.
+    /// Most units beyond the quota in any window of time that ends with a spend: `spent - (burst + rate *
+    /// window)`.
     pub max_excess_units: f64,
 }
 
--- a/lease/tests/simulation/scenario.rs
+++ b/lease/tests/simulation/scenario.rs
@@ -50,7 +50,8 @@
 
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The process or the machine of a shard stops; if `unresponsive`, its connections stay open without an answer.
+    /// The process or the machine of a shard stops; if `unresponsive`, its connections stay open without an
+    /// answer.
     StopShard {
         shard: ShardId,
         unresponsive: bool,
--- a/lease/tests/sockets/main.rs
+++ b/lease/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! Shard processes on loopback: grants, a shard killed and replaced, a retransmitted batch, invalid input and reloaded maps.
+//! Shard processes on loopback: grants, a shard killed and replaced, a retransmitted batch, invalid input and
+//! reloaded maps.
 mod shard_process;
 mod socket_client;
 
@@ -21,8 +22,8 @@
 /// The port of each shard, on an address of its own.
 const SHARD_PORT: u16 = 7101;
 
-/// An address that no other test uses, for a shard that is started later. A port that was bound to find it, and released, might be
-/// taken by then, or still be open in a process that another test is just starting.
+/// An address that no other test uses, for a shard that is started later. A port that was bound to find it,
+/// and released, might be taken by then, or still be open in a process that another test is just starting.
 fn unique_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -169,7 +170,7 @@
         FailingStart {
             map: valid.replace("epoch = 1", "epoch = one"),
             region: "north",
-            error: "no shard map",
+            error: "parse error in line 1: ",
         },
         FailingStart { map: valid.clone(), region: "west", error: "region 'west': not in the map" },
         FailingStart {
@@ -202,13 +203,13 @@
         shard.signal(Signal::SIGHUP);
     };
     reload(&shard, "nonsense");
-    shard.wait_for_log("the last good map stays");
+    shard.wait_for_log("keeping the last valid shard map");
     reload(&shard, &map_text(1, address, 30.0));
-    let log = shard.wait_for_log("the last good map stays");
-    assert!(log.contains("epoch 1: expected above 1"), "{log}");
+    let log = shard.wait_for_log("keeping the last valid shard map");
+    assert!(log.contains("epoch 1: expected an epoch above 1"), "{log}");
     let next_map = map_text(2, address, 30.0);
     reload(&shard, &next_map);
-    shard.wait_for_log("map of epoch 2");
+    shard.wait_for_log("shard map of epoch 2");
     let outcome = SocketClient::new(&next_map).request(1.0);
     assert!(matches!(outcome, LeaseOutcome::Granted { .. }), "{outcome:?}");
     shard.signal(Signal::SIGTERM);
--- a/lease/tests/sockets/socket_client.rs
+++ b/lease/tests/sockets/socket_client.rs
@@ -51,7 +51,8 @@
         panic!("no outcome in {TIMEOUT:?}");
     }
 
-    /// Carries out the client's outputs, then reads for a moment; returns the outcome of the request once there is one.
+    /// Carries out the client's outputs, then reads for a moment; returns the outcome of the request once
+    /// there is one.
     fn step(&mut self, request_id: RequestId) -> Option<LeaseOutcome> {
         let mut outcome = None;
         for output in self.client.poll_outputs() {
