--- a/lease/examples/cost/credit.rs
+++ b/lease/examples/cost/credit.rs
@@ -1,32 +1,35 @@
-//! The gateway instance's record of a tenant, and when it admits a request on credit.
+//! The gateway instance's state of a tenant, and the rules for admitting a request on credit, that is,
+//! without a lease.
 use quillramp_lease::client::RequestId;
 
-/// Fraction of the burst that has to be available for credit.
+/// Minimum available units for credit, as a fraction of the burst.
 const CREDIT_THRESHOLD_FRACTION: f64 = 0.5;
-/// Time for which a response about available units counts, seconds.
+/// Time in seconds for which the available units of a response are considered recent.
 const RESPONSE_LIFETIME: f64 = 120.0;
-/// Most requests of a tenant on credit whose report has not been answered.
+/// Maximum number of a tenant's requests on credit whose report has not been answered.
 const MAX_CREDIT_REQUESTS: usize = 1;
-/// The same for a tenant with a large quota, as a fraction of the burst.
+/// Maximum number of such requests as a fraction of the burst, if that is more (for a tenant with a large
+/// quota).
 const MAX_CREDIT_FRACTION: f64 = 0.01;
-/// A lease covers the requests that this gateway instance sees of the tenant in this time, seconds; at least
-/// one.
+/// Time in seconds for which a lease covers the tenant's requests at this gateway instance. A lease has at
+/// least one unit.
 const LEASE_HORIZON: f64 = 2.0;
-/// Time constant of a tenant's request rate, seconds.
+/// Time constant of the average request rate of a tenant, in seconds.
 const RATE_TIME_CONSTANT: f64 = 10.0;
 
-/// When a request without a lease is admitted before its shard has been asked for units.
+/// Rule by which a request that no lease covers is admitted without first requesting units from the shard.
 #[derive(Clone, Copy, PartialEq)]
 pub enum CreditRule {
+    /// Never admit on credit.
     Never,
-    /// A recent response reported plenty of available units.
+    /// Admit if a recent response reported plenty of available units.
     IfPlentyReported,
-    /// As [`CreditRule::IfPlentyReported`], and where no recent response is known.
+    /// Admit unless a recent response reported too few available units.
     UnlessShortReported,
 }
 
 impl CreditRule {
-    /// Its name in the CSV.
+    /// Returns the name of the rule in the CSV.
     pub fn name(self) -> &'static str {
         match self {
             CreditRule::Never => "Never",
@@ -36,40 +39,40 @@
     }
 }
 
-/// One tenant at the gateway instance; times in seconds.
+/// State of one tenant at the gateway instance. Times are Unix time in seconds.
 #[derive(Default, Clone)]
 pub struct Account {
-    /// Units of the lease that are left.
+    /// Units left of the lease.
     pub leased_units: f64,
-    /// Units available at the shard according to its last response.
+    /// Available units that the shard reported in its last response.
     pub available_units: u32,
-    /// When the shard last responded.
+    /// Time of the shard's last response.
     pub last_response_at: f64,
-    /// Requests per second.
+    /// Average request rate at `last_request_at`, in requests per second.
     request_rate: f64,
     last_request_at: f64,
-    /// The request for a lease that has not been answered.
+    /// Lease request that has not been answered.
     pub lease_request: Option<RequestId>,
-    /// Requests on credit whose report has not been answered.
+    /// Number of requests on credit whose report has not been answered.
     pub credit_requests: usize,
-    /// Requests that wait for units.
+    /// Number of requests that wait for units.
     pub queued_requests: usize,
 }
 
 impl Account {
-    /// Notes a request of the tenant.
+    /// Records a request of the tenant in the average request rate.
     pub fn record_request(&mut self, now: f64) {
         let decay = (-(now - self.last_request_at) / RATE_TIME_CONSTANT).exp();
         self.request_rate = self.request_rate * decay + 1.0 / RATE_TIME_CONSTANT;
         self.last_request_at = now;
     }
 
-    /// Units of a lease that is requested now.
+    /// Returns the number of units for a new lease request.
     pub fn lease_units(&self) -> f64 {
         (self.request_rate * LEASE_HORIZON).floor().max(1.0)
     }
 
-    /// Whether a request that no lease covers is admitted on credit; the burst is the plan's, in units.
+    /// Whether a request that no lease covers is admitted on credit. `burst` is that of the plan, in units.
     pub fn admits_on_credit(&self, rule: CreditRule, burst: f64, now: f64) -> bool {
         let is_response_recent = now - self.last_response_at < RESPONSE_LIFETIME;
         let has_plenty = f64::from(self.available_units) >= CREDIT_THRESHOLD_FRACTION * burst;
--- a/lease/examples/cost/main.rs
+++ b/lease/examples/cost/main.rs
@@ -1,10 +1,10 @@
-//! What one gateway instance of the target spends on leases: 231 requests a second of 14,000 tenants, three
-//! shards in its region, through the real client and the real shards, on a virtual clock. The load of 420
-//! gateway instances on the tenants' buckets is drawn from the same traffic and reported to the shards
-//! directly.
+//! Measures the network traffic that leases cause at one gateway instance of the target: 231 requests per
+//! second of 14,000 tenants, with three shards in the region. It runs the real client and the real shards on
+//! a virtual clock. The requests of the other instances, 420 in total, are drawn from the same distribution
+//! and reported directly to the shards.
 //!
-//! Prints a CSV. Bytes on the wire count 40 for the header of each segment (IPv4 and TCP without options)
-//! that carries data, and one bare acknowledgement for each response.
+//! Prints a CSV. The bytes on the wire include 40 bytes for the header (IPv4 and TCP without options) of each
+//! segment that carries data, and of one bare acknowledgement for each response.
 mod credit;
 mod run;
 mod traffic;
--- a/lease/examples/cost/run.rs
+++ b/lease/examples/cost/run.rs
@@ -1,4 +1,4 @@
-//! One run: the gateway instance, the shards and the network on a virtual clock.
+//! One run of the gateway instance, the shards and the network on a virtual clock.
 use crate::credit::{Account, CreditRule};
 use crate::traffic::Traffic;
 use crate::workload::{
@@ -14,35 +14,37 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Seconds that are counted, after the warm-up.
+/// Duration of the measurement after the warm-up, in seconds.
 pub const DURATION: f64 = 60.0;
-/// Long enough for a gateway instance to have seen most tenants of the uniform distribution, each once a
-/// minute; seconds.
+/// Duration of the warm-up, in seconds: long enough for the gateway instance to receive requests of most
+/// tenants, each of which makes about one per minute under the uniform distribution.
 const WARM_UP: f64 = 120.0;
-/// Unix time of the run's start, seconds: the shards have run for long.
+/// Unix time in seconds at which the run starts, long after the shards started.
 const START: f64 = 100_000.0;
-/// Round-trip time between the gateway instance and a shard, seconds.
+/// Round-trip time between the gateway instance and a shard, in seconds.
 const ROUND_TRIP: f64 = 0.001;
-/// Interval at which the other gateway instances report, seconds.
+/// Interval in seconds at which the other gateway instances report.
 const BACKGROUND_INTERVAL: f64 = 0.1;
-/// Most entries in one of their batches.
+/// Maximum number of entries in a batch of the other gateway instances.
 const MAX_BACKGROUND_ENTRIES: usize = 1000;
-/// Deadline of a report, seconds after it is submitted.
+/// Time in seconds from the submission of a report to its deadline.
 const REPORT_DEADLINE: f64 = 5.0;
-/// Deadline of a request for a lease, seconds after it is submitted.
+/// Time in seconds from the submission of a lease request to its deadline.
 const LEASE_DEADLINE: f64 = 1.0;
+/// Connection of the measured gateway instance.
 const CONNECTION: ConnectionId = 1;
+/// Connection that carries the reports of the other gateway instances.
 const BACKGROUND_CONNECTION: ConnectionId = 1_000_000;
 
-/// What a row of the CSV is measured with.
+/// Settings of one run, which yields one row of the CSV.
 pub struct Settings {
-    /// How the requests are distributed over the tenants.
+    /// Distribution of the requests over the tenants.
     pub distribution: TenantDistribution,
-    /// When requests are admitted on credit.
+    /// Rule for admitting requests on credit.
     pub credit_rule: CreditRule,
-    /// As in [`ClientSettings`], seconds.
+    /// [`ClientSettings::report_delay`] in seconds.
     pub report_delay: f64,
-    /// As in [`ClientSettings`], seconds.
+    /// [`ClientSettings::batch_delay`] in seconds.
     pub batch_delay: f64,
 }
 
@@ -51,9 +53,11 @@
     Shard,
 }
 
+/// Bytes in transit.
 struct Delivery {
+    /// Unix time of the arrival, in seconds.
     at: f64,
-    /// The shard at one end of the connection.
+    /// Shard at one end of the connection; the client is at the other.
     shard: ShardId,
     destination: Destination,
     bytes: Vec<u8>,
@@ -68,7 +72,7 @@
     shards: BTreeMap<ShardId, Shard>,
     network: VecDeque<Delivery>,
     accounts: Vec<Account>,
-    /// Tenants of the requests in flight, by index.
+    /// Index of the tenant of each request in flight.
     submitted: BTreeMap<RequestId, usize>,
     traffic: Traffic,
     /// Whether the warm-up is over.
@@ -76,7 +80,7 @@
 }
 
 impl Run {
-    /// A run that has not begun.
+    /// Prepares a run.
     pub fn new(settings: Settings) -> Run {
         let map = settings.distribution.shard_map();
         let mut client_settings = ClientSettings::new(1, 1, REGION);
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Runs to the end, and returns what was counted after the warm-up.
+    /// Runs to the end, and returns the traffic counted after the warm-up.
     pub fn measure(mut self) -> Traffic {
         let mut now = START;
         let mut next_request = START;
@@ -123,13 +127,15 @@
         self.traffic
     }
 
+    /// Applies `add` to the counts, unless the run is in its warm-up.
     fn count(&mut self, add: impl FnOnce(&mut Traffic)) {
         if self.is_measuring {
             add(&mut self.traffic);
         }
     }
 
-    /// The other gateway instances' requests, distributed over the tenants as the traffic is.
+    /// Reports the requests of the other gateway instances, which have the same distribution over the
+    /// tenants.
     fn report_background_load(&mut self, now: f64) {
         let requests = (REQUEST_RATE * (GATEWAYS - 1.0) * BACKGROUND_INTERVAL) as usize;
         let mut spent: BTreeMap<ShardId, BTreeMap<usize, i32>> = BTreeMap::new();
@@ -193,7 +199,7 @@
                 ClientOutput::Completed { request_id, outcome } => {
                     self.handle_outcome(now, request_id, &outcome);
                 }
-                ClientOutput::Close { .. } => panic!("no connection fails in this run"),
+                ClientOutput::Close { .. } => panic!("expected no connection to fail in this run"),
             }
         }
     }
@@ -237,9 +243,9 @@
     }
 
     fn handle_outcome(&mut self, now: f64, request_id: RequestId, outcome: &LeaseOutcome) {
-        let index = self.submitted.remove(&request_id).expect("each request ends once");
+        let index = self.submitted.remove(&request_id).expect("each request is completed only once");
         let LeaseOutcome::Granted { units, available_units } = outcome else {
-            panic!("no request fails in this run: {outcome:?}")
+            panic!("expected every request to be granted in this run, found {outcome:?}")
         };
         let account = &mut self.accounts[index];
         account.available_units = *available_units;
@@ -260,7 +266,7 @@
     }
 }
 
-/// A request of a tenant, by its index, that neither requests nor reports units.
+/// Returns a request of the tenant with this index that neither requests nor reports units.
 fn empty_request(index: usize, deadline: f64) -> LeaseRequest {
     LeaseRequest {
         tenant: tenant_id(index),
@@ -276,7 +282,8 @@
     Shard::new(0.0, settings, map.clone()).expect("a valid map")
 }
 
-/// Batches that report what was spent, by the tenant's index, from a new process of another gateway instance.
+/// Encodes a `Hello` of a new process of another gateway instance, and batches that report the spent
+/// hundredths by tenant index.
 fn background_frames(now: f64, spent_hundredths: BTreeMap<usize, i32>) -> Vec<u8> {
     let mut bytes = encode(&Frame::Hello {
         version: PROTOCOL_VERSION,
--- a/lease/examples/cost/workload.rs
+++ b/lease/examples/cost/workload.rs
@@ -1,14 +1,15 @@
-//! The target's traffic: requests of many tenants at one gateway instance, and the tenants' quotas.
+//! The traffic of the target: requests of many tenants at one gateway instance, and the quotas of the
+//! tenants.
 use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
 
-/// Tenants of the target.
+/// Number of tenants of the target.
 pub const TENANTS: usize = 14_000;
 /// Requests per second at one gateway instance.
 pub const REQUEST_RATE: f64 = 231.0;
-/// Gateway instances of the target.
+/// Number of gateway instances of the target.
 pub const GATEWAYS: f64 = 420.0;
 /// Shards of the region.
 pub const SHARDS: [ShardId; 3] = [1, 2, 3];
@@ -16,12 +17,12 @@
 pub const REGION: &str = "north";
 /// Quota of a tenant, as a multiple of its traffic at all gateway instances.
 const QUOTA_OVER_DEMAND: f64 = 1.5;
-/// Burst of a quota, as the time in which it is refilled, seconds.
+/// Time in seconds in which the rate refills the burst of a quota.
 const BURST_REFILL_TIME: f64 = 2.0;
-/// Smallest burst, units.
+/// Minimum burst, in units.
 const MIN_BURST: f64 = 4.0;
 
-/// How the requests are distributed over the tenants.
+/// Distribution of the requests over the tenants.
 #[derive(Clone, Copy, PartialEq)]
 pub enum TenantDistribution {
     Uniform,
@@ -29,7 +30,7 @@
 }
 
 impl TenantDistribution {
-    /// Its name in the CSV.
+    /// Returns the name of the distribution in the CSV.
     pub fn name(self) -> &'static str {
         match self {
             TenantDistribution::Uniform => "uniform",
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Draws the tenant of a request, by its index.
+    /// Draws the index of a request's tenant.
     pub fn draw(self, rng: &mut ChaCha8Rng) -> usize {
         match self {
             TenantDistribution::Uniform => rng.gen_range(0..TENANTS),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Fraction of the traffic by tenant.
+    /// Returns each tenant's fraction of the traffic.
     fn weights(self) -> Vec<f64> {
         let raw = (1..=TENANTS).map(|rank| match self {
             TenantDistribution::Uniform => 1.0,
@@ -59,7 +60,7 @@
         raw.into_iter().map(|weight| weight / sum).collect()
     }
 
-    /// A map with a plan for each tenant, so that each uses the same part of its quota.
+    /// Returns a map with one plan per tenant, sized so that every tenant uses the same part of its quota.
     pub fn shard_map(self) -> ShardMap {
         let shards =
             SHARDS.iter().map(|id| ShardEntry { id: *id, address: ([127, 0, 0, 1], 7000 + *id).into() });
@@ -77,12 +78,12 @@
     Plan { name: "plan".into(), rate, burst: (rate * BURST_REFILL_TIME).max(MIN_BURST) }
 }
 
-/// Tenant ids lie below 2^33.
+/// Returns the id of the tenant with this index, spread over the range below 2^33.
 pub fn tenant_id(index: usize) -> TenantId {
     (index as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 31
 }
 
-/// Draws the time until the next event of a Poisson process, seconds.
+/// Draws the time in seconds until the next event of a Poisson process. `rate` is in events per second.
 pub fn draw_interval(rng: &mut ChaCha8Rng, rate: f64) -> f64 {
     -(1.0 - rng.gen::<f64>()).ln() / rate
 }
--- a/lease/tests/exchange/fixtures.rs
+++ b/lease/tests/exchange/fixtures.rs
@@ -1,16 +1,16 @@
-//! A lease client and a shard with one map, and the bytes and outcomes that they put out.
+//! A lease client and a shard under one map, and helpers that collect their bytes and outcomes.
 use quillramp_lease::client::{
     ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
 };
 use quillramp_lease::shard::{Shard, ShardOutput, ShardSettings};
 use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardMap};
 
-/// Unix time of the shard's start, seconds.
+/// Unix time in seconds at which the shard starts.
 pub const NOW: f64 = 1000.0;
-/// Long enough after it for all buckets to be full.
+/// Unix time in seconds, long enough after [`NOW`] for all buckets to be full.
 pub const LATER: f64 = 2000.0;
 
-/// A map of one region with these shards and a plan of one unit per second with a burst of 50.
+/// Returns a map of one region with these shards and a plan of one unit per second with a burst of 50 units.
 pub fn map(epoch: u32, shards: &[u16]) -> ShardMap {
     let entry = |id: &u16| ShardEntry { id: *id, address: ([127, 0, 0, 1], 7000 + *id).into() };
     let shards = shards.iter().map(entry).collect();
@@ -22,26 +22,28 @@
     }
 }
 
-/// A shard that started at this time with this map.
+/// Returns shard 1, started at `started_at` with this map.
 pub fn shard_with_map(started_at: f64, map: ShardMap) -> Shard {
     let settings = ShardSettings { id: 1, region: "north".into(), incarnation: 1, injected_fault: None };
     Shard::new(started_at, settings, map).expect("a valid map")
 }
 
+/// Returns shard 1, started at `started_at` with a map that contains no other shard.
 pub fn shard(started_at: f64) -> Shard {
     shard_with_map(started_at, map(1, &[1]))
 }
 
+/// Returns a client without connections.
 pub fn client() -> LeaseClient {
     LeaseClient::new(ClientSettings::new(5, 1, "north"), map(1, &[1])).expect("a valid map")
 }
 
-/// A request of one tenant.
+/// Returns a request for units of tenant 9.
 pub fn request_units(units: f64, deadline: f64) -> LeaseRequest {
     LeaseRequest { tenant: 9, plan: 0, requested_units: units, spent_units: 0.0, deadline }
 }
 
-/// All bytes that the client sends now.
+/// Drains the client's outputs and returns the bytes that it sends.
 pub fn sent_bytes(client: &mut LeaseClient) -> Vec<u8> {
     let bytes = client.poll_outputs().into_iter().filter_map(|output| match output {
         ClientOutput::Send { bytes, .. } => Some(bytes),
@@ -50,14 +52,14 @@
     bytes.flatten().collect()
 }
 
-/// A request that has ended.
+/// Completion of a request.
 #[derive(Debug, PartialEq)]
 pub struct Completion {
     pub request_id: RequestId,
     pub outcome: LeaseOutcome,
 }
 
-/// The requests that end now.
+/// Drains the client's outputs and returns the requests that it completes.
 pub fn completions(client: &mut LeaseClient) -> Vec<Completion> {
     let completions = client.poll_outputs().into_iter().filter_map(|output| match output {
         ClientOutput::Completed { request_id, outcome } => Some(Completion { request_id, outcome }),
@@ -78,7 +80,7 @@
     Completion { request_id, outcome: LeaseOutcome::Unconfirmed }
 }
 
-/// All bytes that the shard sends now.
+/// Drains the shard's outputs and returns the bytes that it sends.
 pub fn response_bytes(shard: &mut Shard) -> Vec<u8> {
     let bytes = shard.poll_outputs().into_iter().filter_map(|output| match output {
         ShardOutput::Send { bytes, .. } => Some(bytes),
@@ -87,22 +89,22 @@
     bytes.flatten().collect()
 }
 
-/// The client sends to the shard and receives the response.
+/// Delivers the client's bytes to the shard, and the shard's response to the client.
 pub fn exchange(now: f64, client: &mut LeaseClient, shard: &mut Shard) {
     shard.receive(now, 1, &sent_bytes(client));
     client.receive(now, 1, &response_bytes(shard));
 }
 
-/// A client with an open connection and one batch in flight.
+/// A client with an open connection and one request in flight.
 pub struct RequestInFlight {
     pub client: LeaseClient,
     pub request_id: RequestId,
-    /// The bytes of its Hello and of the batch.
+    /// Encoded `Hello` and batch.
     pub bytes: Vec<u8>,
 }
 
 impl RequestInFlight {
-    /// A request for these units, with a deadline one second after [`LATER`].
+    /// Submits a request for `units` at [`LATER`], with a deadline one second later, and sends it.
     pub fn new(units: f64) -> RequestInFlight {
         let mut client = client();
         let request_id = client.submit(LATER, request_units(units, LATER + 1.0));
--- a/lease/tests/exchange/main.rs
+++ b/lease/tests/exchange/main.rs
@@ -1,4 +1,5 @@
-//! One lease client and one shard, step by step: retransmissions, late responses and a shard that is down.
+//! Exchanges between one lease client and one shard: retransmissions, late responses and a shard that is
+//! down.
 mod fixtures;
 
 use fixtures::{
@@ -32,7 +33,7 @@
     client.handle_disconnected(LATER, 1);
     client.handle_connected(LATER, 1);
     let retransmitted = sent_bytes(&mut client);
-    assert_eq!(retransmitted, bytes, "the same frames, Hello included");
+    assert_eq!(retransmitted, bytes, "the client must retransmit the same frames, including Hello");
     shard.receive(LATER, 2, &retransmitted);
     let response = response_bytes(&mut shard);
     assert_eq!(response, lost_response);
@@ -44,7 +45,7 @@
 fn requests_of_one_tenant_are_sent_as_one_entry_and_granted_in_order() {
     let RequestInFlight { mut client, request_id: first, bytes } = RequestInFlight::new(40.0);
     let [second, third] = [8.0, 5.0].map(|units| client.submit(LATER, request_units(units, LATER + 1.0)));
-    assert!(sent_bytes(&mut client).is_empty(), "only one batch is in flight");
+    assert!(sent_bytes(&mut client).is_empty(), "a second batch was sent while one is in flight");
     let mut shard = shard(NOW);
     shard.receive(LATER, 1, &bytes);
     client.receive(LATER, 1, &response_bytes(&mut shard));
@@ -56,7 +57,8 @@
     assert_eq!(completions(&mut client), [granted(second, 8.0, 0), granted(third, 2.0, 0)]);
 }
 
-/// The bytes that the client sends once this request has ended.
+/// Drains the client's outputs, asserts that the request is completed, and returns the bytes that the client
+/// sends.
 fn sent_bytes_on_completion(client: &mut LeaseClient, request_id: RequestId) -> Vec<u8> {
     let mut sent = vec![];
     let mut is_completed = false;
@@ -64,10 +66,10 @@
         match output {
             ClientOutput::Send { bytes, .. } => sent.extend(bytes),
             ClientOutput::Completed { request_id: completed, .. } => is_completed |= completed == request_id,
-            other => panic!("{other:?}"),
+            other => panic!("expected Send or Completed, found {other:?}"),
         }
     }
-    assert!(is_completed);
+    assert!(is_completed, "{request_id:?} is not completed");
     sent
 }
 
@@ -76,17 +78,17 @@
     decoder.extend(bytes);
     match decoder.next_frame() {
         Ok(Some(Frame::Batch { entries, .. })) => entries,
-        other => panic!("{other:?}"),
+        other => panic!("expected a batch, found {other:?}"),
     }
 }
 
 #[test]
 fn a_request_whose_batch_is_unanswered_at_the_deadline_is_unconfirmed() {
     let RequestInFlight { mut client, request_id, .. } = RequestInFlight::new(4.0);
-    // The batch has timed out as well, so the connection is closed.
+    // The response timeout has expired as well, so the outputs also close the connection.
     client.handle_timeout(LATER + 1.0);
-    let ended = completions(&mut client);
-    assert!(ended.contains(&unconfirmed(request_id)), "{ended:?}");
+    let completed = completions(&mut client);
+    assert!(completed.contains(&unconfirmed(request_id)), "{completed:?}");
 }
 
 #[test]
@@ -114,12 +116,12 @@
     let mut shard = shard(NOW);
     shard.receive(LATER + 0.1, 1, &bytes);
     client.receive(LATER + 0.1, 1, &response_bytes(&mut shard));
-    let due = client.poll_timeout().expect("units to return");
-    client.handle_timeout(due);
-    exchange(due, &mut client, &mut shard);
-    // All 50 units of the burst are available again.
-    let second = client.submit(due, request_units(50.0, due + 1.0));
-    exchange(due, &mut client, &mut shard);
+    let timeout_at = client.poll_timeout().expect("a timeout for returning the units");
+    client.handle_timeout(timeout_at);
+    exchange(timeout_at, &mut client, &mut shard);
+    // The shard received the units: all 50 units of the burst are available again.
+    let second = client.submit(timeout_at, request_units(50.0, timeout_at + 1.0));
+    exchange(timeout_at, &mut client, &mut shard);
     assert_eq!(completions(&mut client), [granted(second, 50.0, 0)]);
 }
 
@@ -129,15 +131,22 @@
     let report = client.submit(LATER, LeaseRequest { spent_units: 1.0, ..request_units(0.0, LATER + 1.0) });
     client.handle_disconnected(LATER, 1);
     let outputs = client.poll_outputs();
-    assert!(matches!(outputs[..], [ClientOutput::Connect { .. }]), "reconnects at once: {outputs:?}");
+    assert!(
+        matches!(outputs[..], [ClientOutput::Connect { .. }]),
+        "expected an immediate reconnect, found {outputs:?}"
+    );
     client.handle_disconnected(LATER, 1);
-    assert_eq!(client.poll_outputs(), [], "it backs off; the batch in flight and the report stay queued");
+    assert_eq!(
+        client.poll_outputs(),
+        [],
+        "expected a backoff that keeps the batch in flight and the queued report"
+    );
     let rejected = client.submit(LATER, request_units(1.0, LATER + 1.0));
     assert_eq!(completions(&mut client), [not_applied(rejected)]);
     client.handle_timeout(LATER + 1.0);
-    let mut ended = completions(&mut client);
-    ended.sort_by_key(|completion| completion.request_id);
-    assert_eq!(ended, [unconfirmed(request_id), not_applied(report)]);
+    let mut completed = completions(&mut client);
+    completed.sort_by_key(|completion| completion.request_id);
+    assert_eq!(completed, [unconfirmed(request_id), not_applied(report)]);
 }
 
 #[test]
@@ -146,27 +155,27 @@
     client.handle_disconnected(LATER, 1);
     client.handle_disconnected(LATER, 1);
     client.handle_timeout(LATER + 1.0);
-    let due = client.poll_timeout().expect("it backs off");
-    client.handle_timeout(due);
-    client.handle_disconnected(due, 1);
-    let due = client.poll_timeout().expect("it backs off, with nothing to send");
-    let rejected = client.submit(due - 0.001, request_units(1.0, due + 1.0));
-    let ended = completions(&mut client);
-    assert!(ended.contains(&not_applied(rejected)), "{ended:?}");
-    client.handle_timeout(due);
+    let timeout_at = client.poll_timeout().expect("a backoff timeout");
+    client.handle_timeout(timeout_at);
+    client.handle_disconnected(timeout_at, 1);
+    let timeout_at = client.poll_timeout().expect("a backoff timeout with nothing to send");
+    let rejected = client.submit(timeout_at - 0.001, request_units(1.0, timeout_at + 1.0));
+    let completed = completions(&mut client);
+    assert!(completed.contains(&not_applied(rejected)), "{completed:?}");
+    client.handle_timeout(timeout_at);
     let outputs = client.poll_outputs();
     assert!(matches!(outputs[..], [ClientOutput::Connect { shard: 1, .. }]), "{outputs:?}");
-    client.handle_connected(due, 1);
-    client.submit(due, request_units(1.0, due + 1.0));
+    client.handle_connected(timeout_at, 1);
+    client.submit(timeout_at, request_units(1.0, timeout_at + 1.0));
     assert!(!sent_bytes(&mut client).is_empty());
 }
 
 #[test]
 fn an_unresponsive_shard_is_disconnected() {
     let RequestInFlight { mut client, .. } = RequestInFlight::new(4.0);
-    let due = client.poll_timeout().expect("a batch in flight");
-    assert_eq!(due, LATER + ClientSettings::new(5, 1, "north").response_timeout);
-    client.handle_timeout(due);
+    let timeout_at = client.poll_timeout().expect("a response timeout of the batch in flight");
+    assert_eq!(timeout_at, LATER + ClientSettings::new(5, 1, "north").response_timeout);
+    client.handle_timeout(timeout_at);
     let outputs = client.poll_outputs();
     assert!(
         matches!(outputs[..], [ClientOutput::Close { shard: 1 }, ClientOutput::Connect { shard: 1, .. }]),
@@ -184,7 +193,7 @@
     assert_eq!(shard.poll_outputs(), [ShardOutput::Close { connection: 2 }]);
     shard.receive(LATER, 3, &hello(2));
     let outputs = shard.poll_outputs();
-    assert_eq!(outputs, [ShardOutput::Close { connection: 1 }], "the former connection is closed");
+    assert_eq!(outputs, [ShardOutput::Close { connection: 1 }], "the shard must close the former connection");
 }
 
 #[test]
@@ -215,7 +224,11 @@
         let mut shard = shard(LATER - age);
         shard.receive(LATER, 1, &bytes);
         client.receive(LATER, 1, &response_bytes(&mut shard));
-        assert_eq!(completions(&mut client), [granted(request_id, refilled_units, 0)], "after {age} s");
+        assert_eq!(
+            completions(&mut client),
+            [granted(request_id, refilled_units, 0)],
+            "shard started {age} s before the request"
+        );
     }
 }
 
@@ -223,7 +236,7 @@
 fn a_shard_removed_from_the_map_fails_its_batch_and_queued_requests_move() {
     let RequestInFlight { mut client, request_id, .. } = RequestInFlight::new(4.0);
     let queued = client.submit(LATER, request_units(1.0, LATER + 1.0));
-    client.update_map(LATER, map(2, &[2])).expect("a newer map");
+    client.update_map(LATER, map(2, &[2])).expect("a map with a higher epoch is accepted");
     let outputs = client.poll_outputs();
     assert!(
         outputs.iter().any(|output| matches!(output, ClientOutput::Connect { shard: 2, .. })),
@@ -238,7 +251,7 @@
 #[test]
 fn a_map_that_is_not_newer_is_rejected() {
     let mut client = client();
-    client.update_map(LATER, map(2, &[2])).expect("a newer map");
+    client.update_map(LATER, map(2, &[2])).expect("a map with a higher epoch is accepted");
     assert!(client.update_map(LATER, map(2, &[1])).is_err());
 }
 
--- a/lease/tests/shard_map.rs
+++ b/lease/tests/shard_map.rs
@@ -1,4 +1,4 @@
-//! Shard maps: the error for each invalid map, and the shard that owns a tenant.
+//! Shard maps: the errors of invalid maps, and the distribution of tenants over shards.
 use quillramp_lease::shard_map::{ShardId, ShardMap, ShardMapError};
 
 const VALID_MAP: &str = r#"
@@ -31,12 +31,12 @@
 address = "127.0.0.1:7111"
 "#;
 
-/// The error of the valid map with the first occurrence of a text replaced.
+/// Replaces the first occurrence of `text` in the valid map, and returns the error message of the result.
 fn rejection(text: &str, replacement: &str) -> String {
-    assert!(VALID_MAP.contains(text), "'{text}' is not in the map");
+    assert!(VALID_MAP.contains(text), "'{text}' is not in the valid map");
     let map = VALID_MAP.replacen(text, replacement, 1);
     let error = ShardMap::parse(&map).expect_err(&map).to_string();
-    assert!(!error.contains('\n'), "more than one line: {error}");
+    assert!(!error.contains('\n'), "expected an error message of one line, found: {error}");
     error
 }
 
@@ -105,7 +105,11 @@
     for tenant in 0..10_000 {
         let owner = with_shard.owner(tenant);
         if owner != REMOVED {
-            assert_eq!(without_shard.owner(tenant), owner, "tenant {tenant}");
+            assert_eq!(
+                without_shard.owner(tenant),
+                owner,
+                "tenant {tenant} moved although its shard was not removed"
+            );
         }
     }
 }
--- a/lease/tests/simulation/driver.rs
+++ b/lease/tests/simulation/driver.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario: the event loop, the arrivals of requests and the starts of processes.
+//! Runs a scenario: event loop, arrivals of requests and starts of processes.
 use super::events::{Event, EventQueue};
 use super::gateway::{Gateway, GatewayId, RequestResult};
 use super::network::Network;
@@ -13,39 +13,42 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Shards of the first map, by region.
+/// Shards of the initial map, by region.
 const SHARDS: [&[ShardId]; 2] = [&[1, 2], &[11, 12]];
-/// Shards up to this number are in the first region.
+/// Highest id of a shard in the first region.
 const LAST_SHARD_OF_FIRST_REGION: ShardId = 10;
-/// Shortest time until a timer fires, seconds.
+/// Minimum delay of a timer, in seconds.
 const MIN_TIMER_DELAY: f64 = 1e-5;
-/// Interval at which the fractions of both regions are added up, seconds.
+/// Interval in seconds at which the sum of both regions' fractions is recorded.
 const FRACTION_CHECK_INTERVAL: f64 = 0.05;
 
+/// State of a simulation.
 pub struct Simulation {
     pub(super) scenario: Scenario,
     pub(super) rng: ChaCha8Rng,
-    /// Unix time, seconds.
+    /// Virtual time, as Unix time in seconds.
     pub(super) now: f64,
     pub(super) queue: EventQueue,
     pub(super) gateways: BTreeMap<GatewayId, Gateway>,
     pub(super) shards: BTreeMap<ShardId, Shard>,
+    /// Unix time in seconds of each shard's next timer event.
     shard_timers: BTreeMap<ShardId, f64>,
     pub(super) network: Network,
     last_incarnation: u64,
-    /// The map by which the fractions of both regions are added up.
+    /// Map whose owners' fractions are added up.
     pub(super) map: ShardMap,
-    /// The map with which processes start.
+    /// Map with which new processes start.
     pub(super) latest_map: ShardMap,
     reference_buckets: BTreeMap<TenantId, ReferenceBucket>,
-    /// Begin of the measurement window.
+    /// Unix time in seconds at which the current measurement window began, `None` outside of a window.
     pub(super) window_began_at: Option<f64>,
-    /// Gateway instances that are killed once a shard has applied their next batch.
+    /// Gateway instances that are killed after a shard has applied their next batch.
     pub(super) gateways_to_kill: BTreeSet<GatewayId>,
     pub(super) outcome: RunOutcome,
 }
 
 impl Simulation {
+    /// Runs a scenario to its end and returns the outcome.
     pub fn run(scenario: Scenario) -> RunOutcome {
         let map = two_region_map(1, 0.0, SHARDS);
         let mut simulation = Simulation {
@@ -116,7 +119,7 @@
         self.outcome
     }
 
-    /// Schedules the next request of a tenant in a region, as a Poisson process.
+    /// Schedules the next request of a tenant in a region. The arrivals are a Poisson process.
     fn schedule_arrival(&mut self, region: usize, tenant: TenantId) {
         let is_after_demand_change = self.now >= START + self.scenario.demand_change_at;
         let demand = if is_after_demand_change { self.scenario.later_demand } else { self.scenario.demand };
@@ -124,7 +127,7 @@
         self.queue.schedule(self.now + interval, Event::RequestArrival { region, tenant });
     }
 
-    /// Observes the sum of both regions' fractions of each tenant's quota.
+    /// Records the sum of both regions' fractions of each tenant's quota.
     fn record_fraction_sums(&mut self) {
         for tenant in TENANTS {
             let owners = self.map.regions.iter().map(|region| region.owner(tenant));
@@ -142,7 +145,8 @@
             incarnation: self.last_incarnation,
             injected_fault: self.scenario.injected_fault,
         };
-        let shard = Shard::new(self.now, settings, self.latest_map.clone()).expect("the map has the shard");
+        let shard =
+            Shard::new(self.now, settings, self.latest_map.clone()).expect("the map contains the shard");
         self.network.unresponsive_shards.remove(&id);
         self.shards.insert(id, shard);
     }
@@ -188,16 +192,16 @@
         }
     }
 
-    /// Runs an action on a gateway instance, and then does what it put out and sets its timer.
+    /// Applies `action` to a gateway instance, then performs its outputs and sets its timer.
     pub(super) fn with_gateway(&mut self, id: GatewayId, action: impl FnOnce(&mut Gateway, f64)) {
         let Some(gateway) = self.gateways.get_mut(&id) else { return };
         action(gateway, self.now);
         let outputs = gateway.poll_outputs(self.now);
         let results = std::mem::take(&mut gateway.results);
-        if let Some(due) = gateway.poll_timeout() {
-            if gateway.timer.is_none_or(|at| due < at || at <= self.now) {
-                gateway.timer = Some(due);
-                self.queue.schedule(due.max(self.now + MIN_TIMER_DELAY), Event::GatewayTimer(id));
+        if let Some(timeout_at) = gateway.poll_timeout() {
+            if gateway.timer.is_none_or(|at| timeout_at < at || at <= self.now) {
+                gateway.timer = Some(timeout_at);
+                self.queue.schedule(timeout_at.max(self.now + MIN_TIMER_DELAY), Event::GatewayTimer(id));
             }
         }
         for result in results {
@@ -219,16 +223,16 @@
         }
     }
 
-    /// Runs an action on a shard, and then does what it put out and sets its timer.
+    /// Applies `action` to a shard, then performs its outputs and sets its timer.
     pub(super) fn with_shard(&mut self, id: ShardId, action: impl FnOnce(&mut Shard, f64)) {
         let Some(shard) = self.shards.get_mut(&id) else { return };
         action(shard, self.now);
         let outputs = shard.poll_outputs();
-        let due = shard.poll_timeout().max(self.now + MIN_TIMER_DELAY);
+        let timeout_at = shard.poll_timeout().max(self.now + MIN_TIMER_DELAY);
         let timer = self.shard_timers.entry(id).or_insert(0.0);
-        if due < *timer || *timer <= self.now {
-            *timer = due;
-            self.queue.schedule(due, Event::ShardTimer(id));
+        if timeout_at < *timer || *timer <= self.now {
+            *timer = timeout_at;
+            self.queue.schedule(timeout_at, Event::ShardTimer(id));
         }
         for output in outputs {
             self.handle_shard_output(output);
--- a/lease/tests/simulation/events.rs
+++ b/lease/tests/simulation/events.rs
@@ -1,4 +1,4 @@
-//! Events on the virtual clock.
+//! Events of the simulation and their queue.
 use super::gateway::GatewayId;
 use super::scenario::Fault;
 use quillramp_lease::shard::ConnectionId;
@@ -20,10 +20,10 @@
     PeerFrame { to: ShardId, bytes: Vec<u8> },
 }
 
-/// An event at a time (Unix time, seconds).
+/// An event with its time (Unix time in seconds).
 pub struct ScheduledEvent {
     pub at: f64,
-    /// Events at the same time take place in the order of their scheduling.
+    /// Position in the order of scheduling, which orders events at the same time.
     number: u64,
     pub event: Event,
 }
@@ -48,6 +48,7 @@
     }
 }
 
+/// Queue of events, ordered by time.
 #[derive(Default)]
 pub struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -60,7 +61,7 @@
         self.events.push(Reverse(ScheduledEvent { at, number: self.last_number, event }));
     }
 
-    /// The earliest event.
+    /// Removes and returns the earliest event.
     pub fn pop(&mut self) -> Option<ScheduledEvent> {
         self.events.pop().map(|Reverse(scheduled)| scheduled)
     }
--- a/lease/tests/simulation/faults.rs
+++ b/lease/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a scenario.
+//! Application of a scenario's faults.
 use super::driver::Simulation;
 use super::events::Event;
 use super::gateway::GatewayId;
@@ -6,9 +6,10 @@
 use super::{RATE, TENANTS};
 use quillramp_lease::shard_map::{ShardId, ShardMap};
 
-/// Time until a killed gateway instance restarts, seconds.
+/// Time in seconds until a killed gateway instance restarts.
 const GATEWAY_RESTART_DELAY: f64 = 1.0;
-/// A delivered map whose `active_at` is no further ahead is the one by which fractions are added up, seconds.
+/// Maximum time in seconds from the delivery of a map to its `active_at` for the fraction sums to follow its
+/// owners.
 const MAX_MAP_LEAD_TIME: f64 = 1000.0;
 
 impl Simulation {
@@ -29,7 +30,7 @@
             Fault::DeliverMapToShard { shard, map } => self.deliver_map_to_shard(shard, map),
             Fault::DeliverMapToGateway { gateway, map } => {
                 self.with_gateway(gateway, |gateway, now| {
-                    gateway.client.update_map(now, map).expect("a newer map");
+                    gateway.client.update_map(now, map).expect("a map with a higher epoch is accepted");
                 });
             }
             Fault::BeginWindow => self.window_began_at = Some(self.now),
@@ -60,7 +61,9 @@
             self.map = map.clone();
         }
         if self.shards.contains_key(&shard) {
-            self.with_shard(shard, |shard, now| shard.update_map(now, map).expect("a newer map"));
+            self.with_shard(shard, |shard, now| {
+                shard.update_map(now, map).expect("a map with a higher epoch is accepted")
+            });
         } else {
             self.start_shard(shard);
         }
--- a/lease/tests/simulation/gateway.rs
+++ b/lease/tests/simulation/gateway.rs
@@ -1,45 +1,49 @@
-//! A plain gateway instance: spends leases, spends on credit while the last response reported plenty of
-//! available units, and requests a lease otherwise.
+//! A simplified gateway instance. It admits a request from the tenant's lease while units are left. Otherwise
+//! it admits the request on credit if the shard's last response reported plenty of available units, or else
+//! requests a lease.
 use quillramp_lease::client::{
     ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
 };
 use quillramp_lease::shard_map::{ShardMap, TenantId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Units requested at a time.
+/// Units per lease request.
 pub const LEASE_UNITS: f64 = 3.0;
-/// Most units spent on credit: without a lease, and with no response to their report yet.
+/// Maximum units on credit, that is, spent without a lease and not acknowledged by a response to their
+/// report.
 pub const MAX_CREDIT_UNITS: f64 = 1.0;
-/// Available units reported by the shard from which on units are spent on credit.
+/// Minimum number of available units, as reported by the shard, for spending on credit.
 const CREDIT_THRESHOLD_UNITS: u32 = 20;
-/// Time after which an unused lease is returned, seconds.
+/// Time in seconds after which the unused units of a lease are returned.
 const LEASE_LIFETIME: f64 = 0.4;
-/// Time that a request waits for units, seconds.
+/// Maximum time in seconds that a request waits for units.
 const REQUEST_TIMEOUT: f64 = 0.3;
-/// Time that a report or a return may take, seconds.
+/// Time in seconds from the submission of a report or a return to its deadline.
 const REPORT_TIMEOUT: f64 = 2.0;
 
-/// Number of a gateway instance in the simulation.
+/// Id of a gateway instance in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GatewayId(pub usize);
 
-/// A request that has ended.
+/// Result of a request of a tenant.
 pub struct RequestResult {
     pub tenant: TenantId,
     pub admitted: bool,
 }
 
+/// State of one tenant at the gateway instance.
 #[derive(Default)]
 struct Account {
     leased_units: f64,
-    /// Unix time, seconds.
+    /// Unix time in seconds of the last response to a lease request.
     leased_at: f64,
-    /// Units available at the shard according to its last response.
+    /// Available units that the shard reported in its last response.
     available_units: u32,
-    /// Units spent on credit.
+    /// Units spent on credit whose report has not been answered.
     credit_units: f64,
+    /// Lease request that has not been answered.
     lease_request: Option<RequestId>,
-    /// Deadlines of the requests that wait for units: Unix time, seconds.
+    /// Deadlines of the requests that wait for units, as Unix time in seconds.
     queued_deadlines: VecDeque<f64>,
 }
 
@@ -59,9 +63,9 @@
     accounts: BTreeMap<TenantId, Account>,
     submitted: BTreeMap<RequestId, SubmittedRequest>,
     pub results: Vec<RequestResult>,
-    /// Units of reports that ended unconfirmed.
+    /// Units of reports whose outcome is unconfirmed.
     pub lost_credit_units: f64,
-    /// When the simulation wakes the gateway instance: Unix time, seconds.
+    /// Unix time in seconds of the next timer event.
     pub timer: Option<f64>,
 }
 
@@ -146,7 +150,7 @@
         self.submit_report(now, tenant, -units, RequestKind::Return);
     }
 
-    /// Handles the outcomes of the client's requests, and returns its outputs for the network.
+    /// Handles the outcomes of the client's requests, and returns the remaining outputs for the network.
     pub fn poll_outputs(&mut self, now: f64) -> Vec<ClientOutput> {
         let mut network_outputs = vec![];
         loop {
@@ -167,7 +171,7 @@
 
     fn handle_outcome(&mut self, now: f64, request_id: RequestId, outcome: &LeaseOutcome) {
         let SubmittedRequest { tenant, kind } =
-            self.submitted.remove(&request_id).expect("each request ends once");
+            self.submitted.remove(&request_id).expect("each request is completed only once");
         let account = self.accounts.get_mut(&tenant).expect("a known tenant");
         if let LeaseOutcome::Granted { available_units, .. } = outcome {
             account.available_units = *available_units;
@@ -191,8 +195,8 @@
         }
     }
 
-    /// Admits queued requests as far as the units reach and requests further ones; without any units all are
-    /// rejected.
+    /// Admits as many queued requests as the leased units cover, and requests another lease for the others.
+    /// Rejects all of them if the units cover none.
     fn handle_lease_outcome(&mut self, now: f64, tenant: TenantId, outcome: &LeaseOutcome) {
         let account = self.accounts.get_mut(&tenant).expect("a known tenant");
         let units = if let LeaseOutcome::Granted { units, .. } = outcome { *units } else { 0.0 };
--- a/lease/tests/simulation/mod.rs
+++ b/lease/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Gateway instances, shards of two regions and a network on a virtual clock, all drawn from a seed, with an
-//! exact bucket of each quota as the reference.
+//! Deterministic simulation of gateway instances, the shards of two regions and a network on a virtual clock.
+//! A seed determines all random choices. An exact token bucket of each full quota serves as the reference.
 mod driver;
 mod events;
 mod faults;
@@ -13,17 +13,17 @@
 
 use quillramp_lease::shard_map::{Plan, Region, ShardEntry, ShardId, ShardMap, TenantId};
 
-/// Unix time of the simulation's start, seconds.
+/// Unix time in seconds at which the simulation starts.
 pub const START: f64 = 1_000_000.0;
 pub const TENANTS: [TenantId; 2] = [0x1_2345_6789, 7];
 pub const GATEWAYS_PER_REGION: usize = 4;
 pub const REGIONS: [&str; 2] = ["north", "south"];
-/// Units per second of each tenant's quota.
+/// Refill rate of each tenant's quota, in units per second.
 pub const RATE: f64 = 10.0;
-/// Units of each tenant's quota that may be used at once.
+/// Burst of each tenant's quota, in units.
 pub const BURST: f64 = 400.0;
 
-/// A map of two regions with shards of these numbers.
+/// Returns a map of two regions, each with half of every quota and with the shards of these ids.
 pub fn two_region_map(epoch: u32, active_at: f64, shards: [&[ShardId]; 2]) -> ShardMap {
     let entry = |id: &ShardId| ShardEntry { id: *id, address: ([127, 0, 0, 1], 7000 + *id).into() };
     let region = |index: usize| Region {
--- a/lease/tests/simulation/network.rs
+++ b/lease/tests/simulation/network.rs
@@ -1,4 +1,5 @@
-//! The network: connections with delays, losses and splits of the byte stream, and frames between shards.
+//! The simulated network: connections with random delays, losses and splits of the byte stream, and frames
+//! between shards.
 use super::driver::Simulation;
 use super::events::Event;
 use super::gateway::GatewayId;
@@ -10,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// One-way delay within a region, seconds.
+/// One-way delay within a region, in seconds.
 const DELAY: Range<f64> = 0.0002..0.003;
-/// Additional one-way delay between the regions, seconds.
+/// Additional one-way delay between the regions, in seconds.
 const INTER_REGION_DELAY: f64 = 0.03;
 /// Probability that bytes arrive in two pieces.
 const SPLIT_PROBABILITY: f64 = 0.1;
@@ -25,9 +26,9 @@
 struct OpenConnection {
     gateway: GatewayId,
     shard: ShardId,
-    /// Unix time of the last delivery in this direction, seconds.
+    /// Unix time in seconds of the last delivery to the shard.
     last_delivery_to_shard: f64,
-    /// The same in the other direction.
+    /// Unix time in seconds of the last delivery to the gateway instance.
     last_delivery_to_gateway: f64,
 }
 
@@ -38,7 +39,7 @@
     pub unresponsive_shards: BTreeSet<ShardId>,
     /// Whether the regions are partitioned.
     pub partitioned: bool,
-    /// Probability that the next response is lost with its connection.
+    /// Probability that the connection is reset instead of delivering the next response.
     response_loss: f64,
 }
 
@@ -74,23 +75,25 @@
         self.connections_where(|open_connection| open_connection.gateway == gateway).collect()
     }
 
+    /// Returns the connections that satisfy `predicate`.
     fn connections_where<'a>(
         &'a self,
-        selects: impl Fn(&OpenConnection) -> bool + 'a,
+        predicate: impl Fn(&OpenConnection) -> bool + 'a,
     ) -> impl Iterator<Item = ConnectionId> + 'a {
         let connections =
-            self.connections.iter().filter(move |(_, open_connection)| selects(open_connection));
+            self.connections.iter().filter(move |(_, open_connection)| predicate(open_connection));
         connections.map(|(connection, _)| *connection)
     }
 }
 
-/// Complete frames in a piece of a stream that begins with one.
+/// Returns the complete frames at the start of `bytes`, a piece of a stream that begins at a frame boundary.
 fn complete_frames(bytes: &[u8]) -> Vec<Frame> {
     let mut decoder = FrameDecoder::default();
     decoder.extend(bytes);
     std::iter::from_fn(|| decoder.next_frame().ok().flatten()).collect()
 }
 
+/// Whether the frame is a batch whose entries all return units without requesting any.
 fn only_returns_units(frame: &Frame) -> bool {
     let returns_units = |entry: &BatchEntry| entry.requested_hundredths == 0 && entry.spent_hundredths < 0;
     matches!(frame, Frame::Batch { entries, .. } if entries.iter().all(returns_units))
@@ -108,7 +111,7 @@
             ClientOutput::Send { shard, bytes } => {
                 let Some(connection) = self.network.connection_of(gateway, shard) else { return };
                 for bytes in self.split_randomly(bytes) {
-                    let at = self.draw_delivery(connection, Direction::ToShard);
+                    let at = self.draw_delivery_time(connection, Direction::ToShard);
                     self.queue.schedule(at, Event::BytesToShard { connection, bytes });
                 }
             }
@@ -134,16 +137,16 @@
         match output {
             ShardOutput::Send { connection, bytes } => {
                 if self.rng.gen_bool(self.network.response_loss) {
-                    let at = self.draw_delivery(connection, Direction::ToGateway);
+                    let at = self.draw_delivery_time(connection, Direction::ToGateway);
                     return self.queue.schedule(at, Event::ConnectionReset { connection });
                 }
                 for bytes in self.split_randomly(bytes) {
-                    let at = self.draw_delivery(connection, Direction::ToGateway);
+                    let at = self.draw_delivery_time(connection, Direction::ToGateway);
                     self.queue.schedule(at, Event::BytesToGateway { connection, bytes });
                 }
             }
             ShardOutput::Close { connection } => {
-                let at = self.draw_delivery(connection, Direction::ToGateway);
+                let at = self.draw_delivery_time(connection, Direction::ToGateway);
                 self.queue.schedule(at, Event::ConnectionReset { connection });
             }
             ShardOutput::SendToPeer { shard, bytes } => {
@@ -155,7 +158,8 @@
         }
     }
 
-    /// A stream arrives in arbitrary pieces.
+    /// Splits bytes into two pieces with probability [`SPLIT_PROBABILITY`], since a stream may arrive in
+    /// arbitrary pieces.
     fn split_randomly(&mut self, mut bytes: Vec<u8>) -> Vec<Vec<u8>> {
         if !self.rng.gen_bool(SPLIT_PROBABILITY) {
             return vec![bytes];
@@ -168,8 +172,9 @@
         self.rng.gen_range(DELAY)
     }
 
-    /// Bytes of one direction arrive in the order in which they were sent.
-    fn draw_delivery(&mut self, connection: ConnectionId, direction: Direction) -> f64 {
+    /// Returns a random delivery time in seconds of Unix time, not before earlier deliveries in the same
+    /// direction, so that bytes arrive in the order in which they were sent.
+    fn draw_delivery_time(&mut self, connection: ConnectionId, direction: Direction) -> f64 {
         let at = self.now + self.draw_delay();
         let Some(open_connection) = self.network.connections.get_mut(&connection) else { return at };
         let last_delivery = match direction {
@@ -232,7 +237,7 @@
         });
     }
 
-    /// Closes a connection at its shard.
+    /// Removes a connection and reports its loss to the shard.
     fn remove_connection(&mut self, connection: ConnectionId) -> Option<OpenConnection> {
         let open_connection = self.network.connections.remove(&connection)?;
         if let Some(shard) = self.shards.get_mut(&open_connection.shard) {
@@ -250,7 +255,7 @@
     pub(super) fn deliver_peer_frame(&mut self, to: ShardId, bytes: &[u8]) {
         let has_transfer = complete_frames(bytes).iter().any(has_transfer);
         self.outcome.transfers += u64::from(has_transfer);
-        // Each frame between shards has a connection of its own.
+        // Each frame between shards uses a new connection.
         let connection = self.network.new_connection_id();
         if has_transfer && self.scenario.partition_at_transfer {
             self.network.partitioned = true;
--- a/lease/tests/simulation/outcome.rs
+++ b/lease/tests/simulation/outcome.rs
@@ -1,22 +1,25 @@
-//! What a simulation observed.
+//! Outcome of a simulation.
 
+/// Counts and maxima observed in a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunOutcome {
-    /// Most units beyond a quota in any window, over all tenants.
+    /// Maximum units admitted beyond a quota in any window of time, over all tenants.
     pub max_excess_units: f64,
     pub requests: u64,
     pub admitted: u64,
     pub rejected: u64,
-    /// The same within the measurement window.
+    /// Requests within the measurement windows.
     pub window_requests: u64,
+    /// Requests admitted within the measurement windows.
     pub window_admitted: u64,
-    /// Units that the quotas refilled within the measurement window.
+    /// Units by which the quotas refilled within the measurement windows.
     pub window_quota_units: f64,
-    /// Largest sum of both regions' fractions of one tenant's quota, parts per million.
+    /// Maximum sum of both regions' fractions of a tenant's quota, in parts per million.
     pub max_fraction_sum_ppm: u32,
-    /// Units of reports on credit that ended unconfirmed, or were lost with their gateway instance.
+    /// Units spent on credit whose report is unconfirmed or was lost with a killed gateway instance.
     pub lost_credit_units: f64,
-    /// Units of leases that were lost with their gateway instance.
+    /// Leased units lost with killed gateway instances.
     pub lost_lease_units: f64,
+    /// Peer frames with a quota transfer that arrived.
     pub transfers: u64,
 }
--- a/lease/tests/sockets/main.rs
+++ b/lease/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! Shard processes on loopback: grants, a shard killed and replaced, a retransmitted batch, invalid input and
+//! Shard processes on loopback: grants, a killed and replaced shard, a retransmitted batch, invalid input and
 //! reloaded maps.
 mod shard_process;
 mod socket_client;
@@ -16,14 +16,15 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Longest time that a test waits for a response.
+/// Maximum time that a test waits for a response.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The port of each shard, on an address of its own.
+/// Port of every shard. Each shard has its own loopback address.
 const SHARD_PORT: u16 = 7101;
 
-/// An address that no other test uses, for a shard that is started later. A port that was bound to find it,
-/// and released, might be taken by then, or still be open in a process that another test is just starting.
+/// Returns a loopback address that no other test uses. Binding a free port and releasing it would not do:
+/// another process may take the port before the shard starts, or a process that another test is starting may
+/// have inherited the socket.
 fn unique_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -31,7 +32,7 @@
     SocketAddr::from(([127, high | 128, low, number], SHARD_PORT))
 }
 
-/// A map with one shard and a plan of this rate with a burst of 50 units.
+/// Returns the text of a map with one shard and a plan of `rate` units per second with a burst of 50 units.
 fn map_text(epoch: u32, address: SocketAddr, rate: f64) -> String {
     format!(
         "epoch = {epoch}\nactive_at = 0.0\n[[plan]]\nname = \"team\"\nrate = {rate:?}\nburst = 50.0\n\
@@ -41,15 +42,15 @@
 
 fn write_map(name: &str, text: &str) -> PathBuf {
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}.toml", std::process::id()));
-    std::fs::write(&file, text).expect("the map is written");
+    std::fs::write(&file, text).expect("the map file is writable");
     file
 }
 
-/// Requests units, and returns how many were granted.
+/// Requests units and returns the number of units granted.
 fn granted_units(client: &mut SocketClient, units: f64) -> f64 {
     match client.request(units) {
         LeaseOutcome::Granted { units, .. } => units,
-        other => panic!("{other:?}"),
+        other => panic!("expected a grant, found {other:?}"),
     }
 }
 
@@ -61,14 +62,17 @@
     let map = write_map("replaced", &text);
     let shard = ShardProcess::start(address, &map);
     let mut client = SocketClient::new(&text);
-    sleep(Duration::from_millis(2500)); // longer than a bucket takes to fill
+    sleep(Duration::from_millis(2500)); // longer than a bucket takes to refill (2 s)
     assert_eq!(granted_units(&mut client, 40.0), 40.0);
     drop(shard);
     let _shard = ShardProcess::start(address, &map);
     let started = Instant::now();
     let units = granted_units(&mut client, 40.0);
     let max_refilled = RATE * (started.elapsed().as_secs_f64() + 1.0);
-    assert!(units <= max_refilled, "{units} granted, a new shard refilled at most {max_refilled}");
+    assert!(
+        units <= max_refilled,
+        "expected at most {max_refilled} units from the replacement's refill, found {units} granted"
+    );
     sleep(Duration::from_millis(500));
     assert!(granted_units(&mut client, 5.0) > 0.0);
 }
@@ -82,18 +86,18 @@
     let mut client = SocketClient::new(&text);
     client.request(1.0);
     drop(shard);
-    // The first request may still be sent on the old connection, or wait for the new one to fail.
+    // The first request may still be sent on the old connection, or may wait until the new connection fails.
     for request in ["first", "second"] {
         let outcome = client.request(1.0);
         assert!(
             matches!(outcome, LeaseOutcome::NotApplied | LeaseOutcome::Unconfirmed),
-            "{request} request: {outcome:?}"
+            "{request} request: expected a failure, found {outcome:?}"
         );
     }
     let _shard = ShardProcess::start(address, &map);
     let deadline = Instant::now() + TIMEOUT;
     while !matches!(client.request(1.0), LeaseOutcome::Granted { units, .. } if units > 0.0) {
-        assert!(Instant::now() < deadline, "nothing granted in {TIMEOUT:?}");
+        assert!(Instant::now() < deadline, "no units granted within {TIMEOUT:?}");
         sleep(Duration::from_millis(20));
     }
 }
@@ -106,18 +110,18 @@
     let entry = BatchEntry { tenant: 9, plan: 0, spent_hundredths: -2000, requested_hundredths: 700 };
     let mut bytes = encode(&Frame::Hello { version: PROTOCOL_VERSION, gateway: 5, incarnation: 1, epoch: 1 });
     bytes.extend(encode(&Frame::Batch { sequence: 1, entries: vec![entry] }));
-    // 20 units were returned once and 7 granted once.
+    // The bucket starts almost empty. 20 units are returned once and 7 granted once, so that 13 remain.
     let response = EntryResponse::Granted { granted_hundredths: 700, available_units: 13 };
     let expected = Frame::BatchResponse { sequence: 1, responses: vec![response] };
     for _ in 0..3 {
         let mut stream = connect(address);
-        stream.write_all(&bytes).expect("the shard reads");
+        stream.write_all(&bytes).expect("the shard reads from the connection");
         assert_eq!(read_frame(&mut stream), expected);
     }
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("the shard accepts");
+    let stream = TcpStream::connect(address).expect("the shard accepts connections");
     stream.set_read_timeout(Some(TIMEOUT)).expect("an open socket");
     stream
 }
@@ -126,11 +130,11 @@
     let mut decoder = FrameDecoder::default();
     let mut buffer = [0; 1024];
     loop {
-        if let Some(frame) = decoder.next_frame().expect("a frame") {
+        if let Some(frame) = decoder.next_frame().expect("a valid frame") {
             return frame;
         }
-        let length = stream.read(&mut buffer).expect("a response in time");
-        assert!(length > 0, "closed without a response");
+        let length = stream.read(&mut buffer).expect("a response before the read timeout");
+        assert!(length > 0, "the shard closed the connection without a response");
         decoder.extend(&buffer[..length]);
     }
 }
@@ -142,18 +146,18 @@
     let map = write_map("invalid-frame", &text);
     let _shard = ShardProcess::start(address, &map);
     let mut stream = connect(address);
-    stream.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("the shard reads");
+    stream.write_all(b"GET / HTTP/1.1\r\n\r\n").expect("the shard reads from the connection");
     stream.shutdown(std::net::Shutdown::Write).expect("an open socket");
-    assert_eq!(stream.read(&mut [0; 16]).unwrap_or(0), 0, "closed without a response");
+    assert_eq!(stream.read(&mut [0; 16]).unwrap_or(0), 0, "expected a closed connection without a response");
     let outcome = SocketClient::new(&text).request(1.0);
     assert!(matches!(outcome, LeaseOutcome::Granted { .. }), "{outcome:?}");
 }
 
-/// A start that fails.
+/// Startup that is expected to fail.
 struct FailingStart<'a> {
     map: String,
     region: &'a str,
-    /// Part of the log line.
+    /// Expected part of the log line.
     error: &'a str,
 }
 
@@ -199,7 +203,7 @@
     let file = write_map("reloaded", &map_text(1, address, 25.0));
     let mut shard = ShardProcess::start(address, &file);
     let reload = |shard: &ShardProcess, map: &str| {
-        std::fs::write(&file, map).expect("the map is written");
+        std::fs::write(&file, map).expect("the map file is writable");
         shard.signal(Signal::SIGHUP);
     };
     reload(&shard, "nonsense");
--- a/lease/tests/sockets/socket_client.rs
+++ b/lease/tests/sockets/socket_client.rs
@@ -1,4 +1,4 @@
-//! The lease client of a gateway instance on a socket.
+//! A lease client on a TCP socket.
 use super::TIMEOUT;
 use quillramp_lease::client::{
     ClientOutput, ClientSettings, LeaseClient, LeaseOutcome, LeaseRequest, RequestId,
@@ -8,13 +8,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The only shard.
+/// Id of the only shard.
 const SHARD: ShardId = 1;
-/// Unix time of the client's start, seconds; the client's clock needs no relation to the shard's.
+/// Time of the client's clock at its start, in seconds. The clocks of client and shard need not agree.
 const START: f64 = 1000.0;
-/// Deadline of a request, seconds.
+/// Time in seconds from the submission of a request to its deadline.
 const REQUEST_DEADLINE: f64 = 5.0;
-/// Longest time that the socket is read for at once.
+/// Read timeout of the socket, after which the client's timers are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const READ_BUFFER_SIZE: usize = 4096;
@@ -37,7 +37,7 @@
         START + self.started.elapsed().as_secs_f64()
     }
 
-    /// Requests units of one tenant and waits for the outcome.
+    /// Requests units of tenant 9 and waits for the outcome.
     pub fn request(&mut self, units: f64) -> LeaseOutcome {
         let deadline = self.now() + REQUEST_DEADLINE;
         let request = LeaseRequest { tenant: 9, plan: 0, requested_units: units, spent_units: 0.0, deadline };
@@ -48,11 +48,11 @@
                 return outcome;
             }
         }
-        panic!("no outcome in {TIMEOUT:?}");
+        panic!("no outcome within {TIMEOUT:?}");
     }
 
-    /// Carries out the client's outputs, then reads for a moment; returns the outcome of the request once
-    /// there is one.
+    /// Performs the client's outputs, then reads from the socket for up to [`POLL_INTERVAL`]. Returns the
+    /// outcome of the request once it is completed.
     fn step(&mut self, request_id: RequestId) -> Option<LeaseOutcome> {
         let mut outcome = None;
         for output in self.client.poll_outputs() {
--- a/lease/tests/wire.rs
+++ b/lease/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames: what is encoded is decoded again from pieces of any size, and no bytes make the decoder panic.
+//! Encoding and decoding of frames: round trips through pieces of any size, and a decoder that never panics.
 use proptest::prelude::*;
 use quillramp_lease::wire::{
     encode, BatchEntry, EntryResponse, Frame, FrameDecoder, PeerIdentity, PeerMessage, WireError,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Encoding panics if a frame is too large for its length field.
+/// Encoding panics if a frame is too large for its length field, so the entry limits must prevent that.
 #[test]
 fn the_largest_frames_can_be_encoded() {
     let entry = BatchEntry {
