--- a/lease/examples/cost/run.rs
+++ b/lease/examples/cost/run.rs
@@ -103,23 +103,23 @@
     /// Runs to the end, and returns the traffic counted after the warm-up.
     pub fn measure(mut self) -> Traffic {
         let mut now = START;
-        let mut next_request = START;
-        let mut next_background = START;
+        let mut next_request_at = START;
+        let mut next_background_at = START;
         while now < START + WARM_UP + DURATION {
             self.is_measuring = now >= START + WARM_UP;
-            let delivery = self.network.front().map_or(f64::INFINITY, |delivery| delivery.at);
-            let timer = self.client.poll_timeout().unwrap_or(f64::INFINITY);
-            now = next_request.min(next_background).min(delivery).min(timer).max(now);
-            if delivery <= now {
+            let next_delivery_at = self.network.front().map_or(f64::INFINITY, |delivery| delivery.at);
+            let next_timeout_at = self.client.poll_timeout().unwrap_or(f64::INFINITY);
+            now = next_request_at.min(next_background_at).min(next_delivery_at).min(next_timeout_at).max(now);
+            if next_delivery_at <= now {
                 let delivery = self.network.pop_front().expect("a delivery is due");
                 self.deliver(now, delivery);
-            } else if timer <= now {
+            } else if next_timeout_at <= now {
                 self.client.handle_timeout(now);
-            } else if next_request <= now {
-                next_request += draw_interval(&mut self.rng, REQUEST_RATE);
+            } else if next_request_at <= now {
+                next_request_at += draw_interval(&mut self.rng, REQUEST_RATE);
                 self.handle_request(now);
             } else {
-                next_background += BACKGROUND_INTERVAL;
+                next_background_at += BACKGROUND_INTERVAL;
                 self.report_background_load(now);
             }
             self.handle_outputs(now);
--- a/lease/examples/cost/workload.rs
+++ b/lease/examples/cost/workload.rs
@@ -16,7 +16,7 @@
 /// Name of the region.
 pub const REGION: &str = "north";
 /// Quota of a tenant, as a multiple of its traffic at all gateway instances.
-const QUOTA_OVER_DEMAND: f64 = 1.5;
+const QUOTA_TO_TRAFFIC_RATIO: f64 = 1.5;
 /// Time in seconds in which the rate refills the burst of a quota.
 const BURST_REFILL_TIME: f64 = 2.0;
 /// Minimum burst, in units.
@@ -51,13 +51,13 @@
 
     /// Returns each tenant's fraction of the traffic.
     fn weights(self) -> Vec<f64> {
-        let raw = (1..=TENANTS).map(|rank| match self {
+        let raw_weights = (1..=TENANTS).map(|rank| match self {
             TenantDistribution::Uniform => 1.0,
             TenantDistribution::Zipf => 1.0 / rank as f64,
         });
-        let raw: Vec<f64> = raw.collect();
-        let sum: f64 = raw.iter().sum();
-        raw.into_iter().map(|weight| weight / sum).collect()
+        let raw_weights: Vec<f64> = raw_weights.collect();
+        let sum: f64 = raw_weights.iter().sum();
+        raw_weights.into_iter().map(|weight| weight / sum).collect()
     }
 
     /// Returns a map with one plan per tenant, sized so that every tenant uses the same part of its quota.
@@ -74,7 +74,7 @@
 }
 
 fn plan_of_weight(weight: f64) -> Plan {
-    let rate = weight * REQUEST_RATE * GATEWAYS * QUOTA_OVER_DEMAND;
+    let rate = weight * REQUEST_RATE * GATEWAYS * QUOTA_TO_TRAFFIC_RATIO;
     Plan { name: "plan".into(), rate, burst: (rate * BURST_REFILL_TIME).max(MIN_BURST) }
 }
 
--- a/lease/src/bin/quillramp-lease-shard/main.rs
+++ b/lease/src/bin/quillramp-lease-shard/main.rs
@@ -18,7 +18,7 @@
 use std::process::ExitCode;
 use std::sync::mpsc::Sender;
 
-/// Runs one shard of the lease service, which keeps the token buckets of the tenants that it owns in memory.
+/// Runs one shard of the lease service, which keeps in memory the token buckets of the tenants that it owns.
 ///
 /// SIGHUP reloads the shard map; SIGTERM and SIGINT stop the shard. Exit codes: 0 if the shard was stopped by
 /// a signal, 1 if it could not start (the reason is on standard error), 2 if the command line is invalid.
--- a/lease/src/client/connection.rs
+++ b/lease/src/client/connection.rs
@@ -143,14 +143,15 @@
 
     /// Removes up to [`MAX_BATCH_ENTRIES`] entries from the queue, in the order of their `send_at`.
     fn take_earliest_entries(&mut self) -> Vec<PendingEntry> {
-        let mut order: Vec<&PendingEntry> = self.queue.values().collect();
-        order.sort_by(|a, b| a.send_at.total_cmp(&b.send_at).then(a.tenant.cmp(&b.tenant)));
-        let tenants: Vec<TenantId> = order.iter().take(MAX_BATCH_ENTRIES).map(|entry| entry.tenant).collect();
+        let mut sorted_entries: Vec<&PendingEntry> = self.queue.values().collect();
+        sorted_entries.sort_by(|a, b| a.send_at.total_cmp(&b.send_at).then(a.tenant.cmp(&b.tenant)));
+        let tenants: Vec<TenantId> =
+            sorted_entries.iter().take(MAX_BATCH_ENTRIES).map(|entry| entry.tenant).collect();
         tenants.iter().filter_map(|tenant| self.queue.remove(tenant)).collect()
     }
 
-    /// Takes the batch in flight if a response answers it; returns `None` if the response is to an earlier
-    /// batch.
+    /// Takes the batch in flight if a response answers it. Returns `None` if the response is to an earlier
+    /// batch or no batch is in flight.
     ///
     /// # Errors
     /// Returns [`ProtocolViolation`] if the response does not match the batch in flight, which then stays in
--- a/lease/src/shard/mod.rs
+++ b/lease/src/shard/mod.rs
@@ -196,8 +196,9 @@
                 account.reconfigure_bucket(plan, now);
             }
         }
-        let awaiting = self.accounts.iter().filter(|(_, account)| account.regional_quota.awaits_response());
-        self.peer_outbox.reset(awaiting.map(|(tenant, _)| *tenant).collect());
+        let accounts_awaiting_response =
+            self.accounts.iter().filter(|(_, account)| account.regional_quota.awaits_response());
+        self.peer_outbox.reset(accounts_awaiting_response.map(|(tenant, _)| *tenant).collect());
     }
 
     /// Removes sessions of gateway instances that are gone, former maps that no longer matter, and accounts
--- a/lease/src/shard/ownership.rs
+++ b/lease/src/shard/ownership.rs
@@ -11,7 +11,7 @@
 struct FormerMap {
     map: ShardMap,
     /// Unix time in seconds at which the map was replaced.
-    ended_at: f64,
+    replaced_at: f64,
 }
 
 /// Active, scheduled and former shard maps, and the place of this shard in them.
@@ -65,7 +65,7 @@
     /// Activates the scheduled map if its `active_at` has passed. Returns whether the active map changed.
     pub(super) fn activate_if_due(&mut self, now: f64) -> bool {
         let Some(map) = self.maps.activate_if_due(now) else { return false };
-        self.former_maps.push(FormerMap { map, ended_at: now });
+        self.former_maps.push(FormerMap { map, replaced_at: now });
         true
     }
 
@@ -79,7 +79,7 @@
     /// for at least [`IDLE_BUCKET_LIFETIME`].
     pub(super) fn remove_expired(&mut self, now: f64) {
         let lifetime = self.map().longest_refill_time().max(IDLE_BUCKET_LIFETIME);
-        self.former_maps.retain(|former| now - former.ended_at < lifetime);
+        self.former_maps.retain(|former| now - former.replaced_at < lifetime);
     }
 
     /// Returns the active map.
@@ -135,8 +135,9 @@
         if self.injected_fault == Some(InjectedFault::StartWithFullBucket) {
             return now - plan.refill_time();
         }
-        let elsewhere = self.former_maps.iter().filter(|former| !self.owns_under(&former.map, tenant));
-        elsewhere.map(|former| former.ended_at).fold(self.empty_at, f64::max)
+        let maps_with_other_owner =
+            self.former_maps.iter().filter(|former| !self.owns_under(&former.map, tenant));
+        maps_with_other_owner.map(|former| former.replaced_at).fold(self.empty_at, f64::max)
     }
 
     /// Returns the lowest floor under the active map and recently replaced ones. The other region may still
