--- a/load/src/scale/clients.rs
+++ b/load/src/scale/clients.rs
@@ -16,7 +16,7 @@
 /// Connections of the clients; each has its answers in order, so a slow one holds up only those behind it.
 const CONNECTIONS: usize = 64;
 /// The longest latency that is told from longer ones.
-const LONGEST_MICROSECONDS: u64 = 60_000_000;
+const MAX_LATENCY_MICROSECONDS: u64 = 60_000_000;
 
 /// When the requests of a connection that are not answered yet were written.
 type PendingRequests = Arc<Mutex<VecDeque<Instant>>>;
@@ -40,7 +40,7 @@
     /// Connects to an instance and sends it requests.
     pub fn start(address: SocketAddr, source: RequestSource) -> Result<Clients, ScaleError> {
         let histogram =
-            Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, 3).map_err(ScaleError::Histogram)?;
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROSECONDS, 3).map_err(ScaleError::Histogram)?;
         let outcomes = Arc::new(OutcomeCounters::default());
         let latencies = Arc::new(Mutex::new(histogram));
         let stop = Arc::new(AtomicBool::new(false));
@@ -81,7 +81,7 @@
         let outcomes = outcomes.clone();
         let latencies = latencies.clone();
         let pending = pending.clone();
-        move || read_answers(reader, &pending, &outcomes, &latencies)
+        move || read_replies(reader, &pending, &outcomes, &latencies)
     });
     Ok(Connection { stream, pending })
 }
@@ -93,12 +93,12 @@
     outcomes: &OutcomeCounters,
     stop: &AtomicBool,
 ) {
-    let mut at = 0.0;
+    let mut send_at_seconds = 0.0;
     let start = Instant::now();
-    for number in 0.. {
-        at += source.next_gap();
-        sleep(Duration::from_secs_f64(at).saturating_sub(start.elapsed()));
-        let connection = &mut connections[number % CONNECTIONS];
+    for index in 0.. {
+        send_at_seconds += source.next_interarrival_seconds();
+        sleep(Duration::from_secs_f64(send_at_seconds).saturating_sub(start.elapsed()));
+        let connection = &mut connections[index % CONNECTIONS];
         lock(&connection.pending).push_back(Instant::now());
         if stop.load(Ordering::Relaxed) || connection.stream.write_all(&source.next_request()).is_err() {
             return;
@@ -107,7 +107,7 @@
     }
 }
 
-fn read_answers(
+fn read_replies(
     stream: TcpStream,
     pending: &PendingRequests,
     outcomes: &OutcomeCounters,
--- a/load/src/scale/clock.rs
+++ b/load/src/scale/clock.rs
@@ -9,8 +9,8 @@
 }
 
 /// Sleeps until that Unix time in seconds.
-pub fn sleep_until(at: f64) {
-    sleep(Duration::from_secs_f64((at - unix_now()).max(0.0)));
+pub fn sleep_until(deadline: f64) {
+    sleep(Duration::from_secs_f64((deadline - unix_now()).max(0.0)));
 }
 
 /// Processor time that this thread has used; zero where the system does not tell.
--- a/load/src/scale/command.rs
+++ b/load/src/scale/command.rs
@@ -7,8 +7,8 @@
 use super::real;
 use super::rows::{self, Row, Source};
 use super::slope_report;
-use super::span::Span;
-use super::sweep::{self, Bounds, Plan};
+use super::sweep::{self, SweepLimits, SweepSpec};
+use super::timing::Timing;
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 
@@ -22,7 +22,7 @@
         point: OperatingPoint,
         /// How long it is measured.
         #[command(flatten)]
-        span: Span,
+        timing: Timing,
         /// Name of the run in its rows.
         #[arg(long, default_value = "real")]
         run: String,
@@ -40,13 +40,13 @@
         point: OperatingPoint,
         /// How long they are measured.
         #[command(flatten)]
-        span: Span,
+        timing: Timing,
         /// Name of the run in its rows.
         #[arg(long, default_value = "hollow")]
         run: String,
         /// How they reach the counter and the list service.
-        #[arg(long, value_enum, default_value_t = Transport::InProcess)]
-        on: Transport,
+        #[arg(long = "on", value_name = "ON", value_enum, default_value_t = Transport::InProcess)]
+        transport: Transport,
         /// Number of embedded instances; for the rest of the fleet the stand-in counter adds an estimate.
         #[arg(long = "hollow", value_name = "INSTANCES", default_value_t = 4)]
         embedded: usize,
@@ -64,10 +64,10 @@
         base: OperatingPoint,
         /// How long each point is measured.
         #[command(flatten)]
-        span: Span,
+        timing: Timing,
         /// What the sweep may use.
         #[command(flatten)]
-        bounds: Bounds,
+        limits: SweepLimits,
         /// Number of embedded instances at each point.
         #[arg(long = "hollow", value_name = "INSTANCES", default_value_t = 4)]
         embedded: usize,
@@ -116,23 +116,23 @@
 /// Measures and appends the rows to their file; the text for standard output.
 pub fn run(command: &Scale) -> Result<String, ScaleError> {
     match command {
-        Scale::Real { point, span, run, program, out } => {
-            keep(out, &real::measure(program, run, point, span)?)
+        Scale::Real { point, timing, run, program, out } => {
+            append_rows(out, &real::measure(program, run, point, timing)?)
         }
-        Scale::Hollow { point, span, run, on, embedded, out } => {
-            let measured = match on {
-                Transport::InProcess => embedded_run::in_process(run, point, *embedded, span)?,
-                Transport::Sockets => embedded_run::on_sockets(run, point, *embedded, span)?,
+        Scale::Hollow { point, timing, run, transport, embedded, out } => {
+            let rows = match transport {
+                Transport::InProcess => embedded_run::measure_in_process(run, point, *embedded, timing)?,
+                Transport::Sockets => embedded_run::measure_on_sockets(run, point, *embedded, timing)?,
             };
-            keep(out, &measured)
+            append_rows(out, &rows)
         }
-        Scale::Sweep { factors, base, span, bounds, embedded, out } => {
-            let plan = Plan { base, factors, span, instances: *embedded, bounds };
-            let missing = sweep::sweep(&plan, out)?;
+        Scale::Sweep { factors, base, timing, limits, embedded, out } => {
+            let spec = SweepSpec { base, factors, timing, instances: *embedded, limits };
+            let missing = sweep::sweep(&spec, out)?;
             Ok(missing.iter().map(|line| format!("missing: {line}\n")).collect())
         }
         Scale::Changes { point, burst, run, embedded, out } => {
-            keep(out, &propagation::measure(run, point, *embedded, burst)?)
+            append_rows(out, &propagation::measure(run, point, *embedded, burst)?)
         }
         Scale::Fit { rows, folder } => fit(rows, folder),
         Scale::Beside { rows, real, hollow } => {
@@ -148,14 +148,14 @@
 fn fit(rows: &Path, folder: &Path) -> Result<String, ScaleError> {
     let rows = rows::read(rows)?;
     let source = rows.first().map_or(Source::InProcess, |row| row.source);
-    let fits = fit::fits(&rows);
+    let fits = fit::fit_rows(&rows);
     slope_report::write_slopes(&folder.join("slopes.csv"), &fits, source)?;
     slope_report::draw_charts(folder, &fits)?;
     Ok(slope_report::table(&fits, source))
 }
 
 /// Appends measured rows to a file; a line for each.
-fn keep(out: &Path, rows: &[Row]) -> Result<String, ScaleError> {
+fn append_rows(out: &Path, rows: &[Row]) -> Result<String, ScaleError> {
     rows::append(out, rows)?;
     let line = |row: &Row| format!("{}: {} {:.4} {}\n", row.run, row.figure, row.value, row.unit);
     Ok(rows.iter().map(line).collect())
--- a/load/src/scale/embedded/interface.rs
+++ b/load/src/scale/embedded/interface.rs
@@ -17,7 +17,7 @@
 
 /// Where the services are.
 #[derive(Clone, Copy, Debug)]
-pub struct Services {
+pub struct ServiceAddresses {
     /// The counter.
     pub counter: SocketAddr,
     /// The list service.
@@ -30,21 +30,21 @@
     /// The outcomes of the requests.
     pub outcomes: OutcomeCounts,
     /// Processor time of the reducer, the decisions and the codecs.
-    pub processor: Duration,
+    pub cpu_time: Duration,
 }
 
 impl Reading {
     /// Adds another instance's, or an earlier process's, reading.
     pub fn add(&mut self, other: &Reading) {
         self.outcomes = self.outcomes.plus(&other.outcomes);
-        self.processor += other.processor;
+        self.cpu_time += other.cpu_time;
     }
 
     /// The difference from an earlier reading.
     pub fn since(&self, earlier: &Reading) -> Reading {
         Reading {
             outcomes: self.outcomes.since(&earlier.outcomes),
-            processor: self.processor.saturating_sub(earlier.processor),
+            cpu_time: self.cpu_time.saturating_sub(earlier.cpu_time),
         }
     }
 }
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -2,7 +2,7 @@
 //! sockets, threads or a process of its own. Whoever runs it moves the bytes and passes the time.
 mod interface;
 
-pub use interface::{ConnectionCommand, Reading, Services, Step};
+pub use interface::{ConnectionCommand, Reading, ServiceAddresses, Step};
 
 use super::clock::thread_cpu_time;
 use super::error::ScaleError;
@@ -21,13 +21,13 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// Client connections of one instance, as many as a real one has in these runs.
-const CLIENTS: u64 = 64;
+const CLIENT_CONNECTIONS: u64 = 64;
 /// Descriptors it believes to have: enough for a connection to each backend.
-pub const DESCRIPTORS: usize = 8_192;
+pub const MAX_DESCRIPTORS: usize = 8_192;
 /// Read buffers larger than this, in bytes, are released, as in a real one's connections.
-const RETAINED_BUFFER: usize = 16 * 1024;
+const MAX_RETAINED_BUFFER_BYTES: usize = 16 * 1024;
 /// Sets the seeds of instances apart.
-const INSTANCE_SEED: u64 = 7919;
+const INSTANCE_SEED_FACTOR: u64 = 7919;
 
 struct Stream {
     reader: MessageReader,
@@ -57,7 +57,7 @@
     instance: &InstanceSettings,
 ) -> Result<Option<OperatorUpdate>, ScaleError> {
     let Some(text) = operator_file::render(point) else { return Ok(None) };
-    let platform = operator::platform(instance, DESCRIPTORS);
+    let platform = operator::platform(instance, MAX_DESCRIPTORS);
     let read = quillramp_operator::read(&text, Some(&platform));
     let read = read.map_err(|diagnostics| {
         ScaleError::OperatorFile(operator::diagnostic_lines("operator's file", &diagnostics).join("; "))
@@ -69,9 +69,9 @@
 pub struct EmbeddedInstance {
     reducer: Reducer,
     streams: HashMap<ConnectionId, Stream>,
-    inbox: Vec<Event>,
+    pending_events: Vec<Event>,
     /// The host that its HTTP requests name.
-    host: SocketAddr,
+    http_host: SocketAddr,
     last_client: u64,
     reading: Reading,
 }
@@ -82,9 +82,9 @@
         now: f64,
         point: &OperatingPoint,
         instance: usize,
-        services: Services,
+        services: ServiceAddresses,
     ) -> Result<EmbeddedInstance, ScaleError> {
-        let seed = point.seed.wrapping_mul(INSTANCE_SEED).wrapping_add(instance as u64);
+        let seed = point.seed.wrapping_mul(INSTANCE_SEED_FACTOR).wrapping_add(instance as u64);
         let loaded = settings::load(seed, point.settings(instance).to_string().as_bytes())
             .map_err(|e| ScaleError::Settings(e.to_string()))?;
         let update = operator_update(point, &loaded.instance)?;
@@ -93,28 +93,30 @@
             peer_broadcast: None,
             counter: Some(services.counter),
             discovery: services.discovery,
-            max_descriptors: DESCRIPTORS,
+            max_descriptors: MAX_DESCRIPTORS,
             inherited_listener: false,
             admin_enabled: false,
             saves_changes: false,
         };
-        let known = EndpointList { index: 0, snapshot: true, endpoints: vec![] };
-        let mut new = EmbeddedInstance {
-            reducer: Reducer::new(now, loaded, config, &known),
+        let initial_list = EndpointList { index: 0, snapshot: true, endpoints: vec![] };
+        let mut embedded = EmbeddedInstance {
+            reducer: Reducer::new(now, loaded, config, &initial_list),
             streams: HashMap::new(),
-            inbox: vec![],
-            host: services.discovery,
+            pending_events: vec![],
+            http_host: services.discovery,
             last_client: 0,
             reading: Reading::default(),
         };
-        for client in 0..CLIENTS {
-            new.streams.insert(ConnectionId::Client(client), Stream::new(ConnectionId::Client(client)));
-            new.inbox.push(Event::ClientAccepted { client, address: IpAddr::V4(Ipv4Addr::LOCALHOST) });
+        for client in 0..CLIENT_CONNECTIONS {
+            embedded.streams.insert(ConnectionId::Client(client), Stream::new(ConnectionId::Client(client)));
+            embedded
+                .pending_events
+                .push(Event::ClientAccepted { client, address: IpAddr::V4(Ipv4Addr::LOCALHOST) });
         }
         if let Some(update) = update {
-            new.reducer.apply_operator_update(now, update);
+            embedded.reducer.apply_operator_update(now, update);
         }
-        Ok(new)
+        Ok(embedded)
     }
 
     /// What it has done until now.
@@ -124,7 +126,7 @@
 
     /// A request arrives on the next client's connection.
     pub fn request(&mut self, bytes: &[u8]) {
-        self.last_client = (self.last_client + 1) % CLIENTS;
+        self.last_client = (self.last_client + 1) % CLIENT_CONNECTIONS;
         self.reading.outcomes.sent += 1;
         self.received(ConnectionId::Client(self.last_client), bytes);
     }
@@ -132,7 +134,7 @@
     /// A connection that it opened is established.
     pub fn connected(&mut self, connection: ConnectionId) {
         if self.streams.contains_key(&connection) {
-            self.inbox.push(Event::Connected(connection));
+            self.pending_events.push(Event::Connected(connection));
         }
     }
 
@@ -141,33 +143,33 @@
         let start = thread_cpu_time();
         let Some(stream) = self.streams.get_mut(&connection) else { return };
         stream.input.extend_from_slice(bytes);
-        let decoded = stream.reader.decode(&stream.input, &mut EventCollector(&mut self.inbox));
+        let decoded = stream.reader.decode(&stream.input, &mut EventCollector(&mut self.pending_events));
         match decoded {
-            Ok(used) => drop(stream.input.drain(..used)),
-            Err(reason) => self.ended(connection, reason),
+            Ok(consumed) => drop(stream.input.drain(..consumed)),
+            Err(reason) => self.connection_ended(connection, reason),
         }
         if let Some(stream) = self.streams.get_mut(&connection) {
-            if stream.input.is_empty() && stream.input.capacity() > RETAINED_BUFFER {
+            if stream.input.is_empty() && stream.input.capacity() > MAX_RETAINED_BUFFER_BYTES {
                 stream.input = vec![];
             }
         }
-        self.reading.processor += thread_cpu_time().saturating_sub(start);
+        self.reading.cpu_time += thread_cpu_time().saturating_sub(start);
     }
 
     /// A connection ended that it did not close itself.
-    pub fn ended(&mut self, connection: ConnectionId, reason: CloseReason) {
+    pub fn connection_ended(&mut self, connection: ConnectionId, reason: CloseReason) {
         if let Some(stream) = self.streams.remove(&connection) {
             let unsent = !stream.output.is_empty();
-            self.inbox.push(Event::ConnectionEnded { connection, reason, unsent });
+            self.pending_events.push(Event::ConnectionEnded { connection, reason, unsent });
         }
     }
 
     /// Processes what it has received.
     pub fn step(&mut self, now: f64) -> Step {
         let start = thread_cpu_time();
-        let mut events = std::mem::take(&mut self.inbox);
+        let mut events = std::mem::take(&mut self.pending_events);
         self.reducer.handle_batch(now, &mut events);
-        self.inbox = events; // empty by now, its allocation is used again
+        self.pending_events = events; // empty by now, its allocation is used again
         let ReducerOutput { next_poll_at: next_at, effects } = self.reducer.poll(now);
         let mut commands = vec![];
         let mut written = vec![];
@@ -181,7 +183,7 @@
                 commands.push(ConnectionCommand::Send(connection, std::mem::take(&mut stream.output)));
             }
         }
-        self.reading.processor += thread_cpu_time().saturating_sub(start);
+        self.reading.cpu_time += thread_cpu_time().saturating_sub(start);
         Step { next_at, commands }
     }
 
@@ -198,13 +200,13 @@
             }
         };
         match effect {
-            Effect::Reply { reply, .. } => self.count(&reply),
+            Effect::Reply { reply, .. } => self.count_reply(&reply),
             // What has been written leaves with the batch, so nothing can be withdrawn later.
             Effect::SendAttempt { connection, request: call, timeout_ms, .. } => {
-                write(ConnectionId::Backend(connection), &|out| call.encode(timeout_ms, out))
+                write(ConnectionId::Backend(connection), &|output| call.encode(timeout_ms, output))
             }
             Effect::HttpRequest { connection, request } => {
-                write(connection, &|out| request.encode(self.host, out))
+                write(connection, &|output| request.encode(self.http_host, output))
             }
             Effect::Connect { connection, address } => {
                 self.streams.insert(connection, Stream::new(connection));
@@ -219,7 +221,7 @@
         }
     }
 
-    fn count(&mut self, reply: &ClientReply) {
+    fn count_reply(&mut self, reply: &ClientReply) {
         // Encoded and dropped: a real one encodes it too.
         let mut out = vec![];
         reply.encode(&mut out);
--- a/load/src/scale/embedded_run.rs
+++ b/load/src/scale/embedded_run.rs
@@ -3,15 +3,15 @@
 use super::embedded::Reading;
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
-use super::process::usage;
+use super::process::process_usage;
 use super::requests::Population;
 use super::rows::{Row, Rows, Source};
-use super::server_load::{LoadReadings, Role};
+use super::server_traffic::{Role, ServerTrafficCounts};
 use super::simulation::Simulation;
 use super::socket_group::{partition, Group};
-use super::span::Span;
-use super::stand_ins::{Backends, StandIns};
-use super::steady_state::{self, SpanUsage};
+use super::stand_ins::{BackendMode, StandIns};
+use super::steady_state::{self, IntervalUsage};
+use super::timing::Timing;
 use std::thread::scope;
 
 /// What embedded instances are run on.
@@ -25,120 +25,124 @@
 
 /// Values read at the beginning and at the end of a span.
 #[derive(Clone, Copy, Default)]
-struct AtBounds<T> {
-    begin: T,
+struct StartEnd<T> {
+    start: T,
     end: T,
 }
 
 /// When a span is counted, Unix time in seconds.
-type Bounds = AtBounds<f64>;
+type Interval = StartEnd<f64>;
 
 /// Measures `instances` embedded instances on sockets. Memory is what this process grew by, its stand-ins with it.
-pub fn on_sockets(
+pub fn measure_on_sockets(
     run: &str,
     point: &OperatingPoint,
     instances: usize,
-    span: &Span,
+    timing: &Timing,
 ) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::Socket, point);
-    let process = std::process::id();
-    let before = usage(process);
-    let stand_ins = StandIns::start(point, instances, Backends::Listed)?;
+    let pid = std::process::id();
+    let usage_before = process_usage(pid);
+    let stand_ins = StandIns::start(point, instances, BackendMode::ListedOnly)?;
     let population = Population::new(point)?;
-    let begin = unix_now() + span.warm_up;
-    let bounds = Bounds { begin, end: begin + span.seconds };
-    let measured = scope(|threads| -> Result<SocketReadings, ScaleError> {
+    let start = unix_now() + timing.warm_up;
+    let interval = Interval { start, end: start + timing.seconds };
+    let readings = scope(|threads| -> Result<SocketReadings, ScaleError> {
         let mut groups = vec![];
         for members in partition(instances) {
             let services = stand_ins.services();
             let population = &population;
             groups.push(threads.spawn(move || {
                 let group = Group::start(point, population, members, services)?;
-                Ok(read_group(group, bounds))
+                Ok(read_group(group, interval))
             }));
         }
-        let loads = read_loads(&stand_ins, bounds);
-        let resident = usage(process).resident;
+        let traffic = read_traffic(&stand_ins, interval);
+        let resident_mib = process_usage(pid).resident_mib;
         let groups = groups.into_iter().map(|group| group.join().map_err(|_| ScaleError::GroupPanicked)?);
-        Ok(SocketReadings { loads, resident, groups: groups.collect::<Result<_, ScaleError>>()? })
+        Ok(SocketReadings { traffic, resident_mib, groups: groups.collect::<Result<_, ScaleError>>()? })
     })?;
     rows.add("hollow front doors", instances as f64, "1");
-    steady_state::add_rows(&mut rows, &socket_usage(span, instances, &measured));
-    rows.add("memory", (measured.resident - before.resident) / instances as f64, "MiB");
+    steady_state::add_rows(&mut rows, &socket_usage(timing, instances, &readings));
+    rows.add("memory", (readings.resident_mib - usage_before.resident_mib) / instances as f64, "MiB");
     Ok(rows.all)
 }
 
 /// What was measured over a span on sockets.
 struct SocketReadings {
     /// The load of the stand-ins.
-    loads: AtBounds<LoadReadings>,
+    traffic: StartEnd<ServerTrafficCounts>,
     /// Memory of this process at the end, MiB.
-    resident: f64,
+    resident_mib: f64,
     /// The instances, by group.
-    groups: Vec<AtBounds<Reading>>,
+    groups: Vec<StartEnd<Reading>>,
 }
 
 /// Waits for the span to pass, and reads the load of the stand-ins at both of its ends.
-fn read_loads(stand_ins: &StandIns, bounds: Bounds) -> AtBounds<LoadReadings> {
-    sleep_until(bounds.begin);
-    let begin = stand_ins.loads.read();
-    sleep_until(bounds.end);
-    AtBounds { begin, end: stand_ins.loads.read() }
+fn read_traffic(stand_ins: &StandIns, interval: Interval) -> StartEnd<ServerTrafficCounts> {
+    sleep_until(interval.start);
+    let start = stand_ins.traffic.read();
+    sleep_until(interval.end);
+    StartEnd { start, end: stand_ins.traffic.read() }
 }
 
 /// Runs a group over the span.
-fn read_group(mut group: Group, bounds: Bounds) -> AtBounds<Reading> {
-    group.run(bounds.begin);
-    let begin = group.read();
-    group.run(bounds.end);
-    AtBounds { begin, end: group.read() }
+fn read_group(mut group: Group, interval: Interval) -> StartEnd<Reading> {
+    group.run(interval.start);
+    let start = group.read();
+    group.run(interval.end);
+    StartEnd { start, end: group.read() }
 }
 
-fn socket_usage(span: &Span, instances: usize, measured: &SocketReadings) -> SpanUsage {
-    let mut usage = SpanUsage {
-        seconds: span.seconds,
+fn socket_usage(timing: &Timing, instances: usize, readings: &SocketReadings) -> IntervalUsage {
+    let mut usage = IntervalUsage {
+        seconds: timing.seconds,
         instances,
         outcomes: Default::default(),
-        loads: measured.loads.end.since(&measured.loads.begin),
-        processor: 0.0,
+        traffic: readings.traffic.end.since(&readings.traffic.start),
+        cpu_seconds: 0.0,
     };
-    for reading in &measured.groups {
-        let counted = reading.end.since(&reading.begin);
+    for reading in &readings.groups {
+        let counted = reading.end.since(&reading.start);
         usage.outcomes = usage.outcomes.plus(&counted.outcomes);
-        usage.processor += counted.processor.as_secs_f64();
+        usage.cpu_seconds += counted.cpu_time.as_secs_f64();
     }
     usage
 }
 
 /// Measures `instances` embedded instances, with their stand-ins in this process. Memory is what this process grew by.
-pub fn in_process(
+pub fn measure_in_process(
     run: &str,
     point: &OperatingPoint,
     instances: usize,
-    span: &Span,
+    timing: &Timing,
 ) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::InProcess, point);
-    let process = std::process::id();
+    let pid = std::process::id();
     let mut simulation = Simulation::new(point, instances)?;
-    let before = usage(process); // tenants and their distribution, which all instances share, are there by now
-    simulation.run(span.warm_up)?;
-    let warm_up = simulation.loads.read();
-    let list_bytes = warm_up.of(Role::Discovery).sent;
+    let usage_before = process_usage(pid); // tenants and their distribution, which all instances share, are there by now
+    simulation.run(timing.warm_up)?;
+    let warm_up_traffic = simulation.traffic.read();
+    let list_bytes = warm_up_traffic.of(Role::Discovery).bytes_sent;
     rows.add("hollow front doors", instances as f64, "1");
     rows.add("list sent until counted", list_bytes as f64 / instances as f64, "bytes");
-    simulation.begin_changes(point.changes);
-    let loads = simulation.loads.read();
-    let reading = simulation.read();
-    simulation.run(span.seconds)?;
-    let counted = simulation.read().since(&reading);
-    let span_usage = SpanUsage {
-        seconds: span.seconds,
+    simulation.start_changes(point.changes);
+    let traffic_before = simulation.traffic.read();
+    let reading_before = simulation.read();
+    simulation.run(timing.seconds)?;
+    let counted = simulation.read().since(&reading_before);
+    let interval_usage = IntervalUsage {
+        seconds: timing.seconds,
         instances,
         outcomes: counted.outcomes,
-        loads: simulation.loads.read().since(&loads),
-        processor: counted.processor.as_secs_f64(),
+        traffic: simulation.traffic.read().since(&traffic_before),
+        cpu_seconds: counted.cpu_time.as_secs_f64(),
     };
-    steady_state::add_rows(&mut rows, &span_usage);
-    rows.add("memory", (usage(process).resident - before.resident) / instances as f64, "MiB");
+    steady_state::add_rows(&mut rows, &interval_usage);
+    rows.add(
+        "memory",
+        (process_usage(pid).resident_mib - usage_before.resident_mib) / instances as f64,
+        "MiB",
+    );
     Ok(rows.all)
 }
--- a/load/src/scale/endpoint_rotation.rs
+++ b/load/src/scale/endpoint_rotation.rs
@@ -10,7 +10,7 @@
     address: SocketAddr,
     draining: bool,
     /// The version that last changed it.
-    changed: u64,
+    changed_version: u64,
 }
 
 impl Entry {
@@ -26,14 +26,14 @@
     version: u64,
     entries: Vec<Entry>,
     /// Which entry drains next.
-    next: usize,
+    next_to_drain: usize,
 }
 
 impl EndpointRotation {
     /// All serve, at version 1.
     pub fn new(addresses: &[SocketAddr]) -> EndpointRotation {
-        let entry = |address: &SocketAddr| Entry { address: *address, draining: false, changed: 1 };
-        EndpointRotation { version: 1, entries: addresses.iter().map(entry).collect(), next: 0 }
+        let entry = |address: &SocketAddr| Entry { address: *address, draining: false, changed_version: 1 };
+        EndpointRotation { version: 1, entries: addresses.iter().map(entry).collect(), next_to_drain: 0 }
     }
 
     /// The version, from 1 on.
@@ -42,24 +42,25 @@
     }
 
     /// The answer to a caller that knows a version: a snapshot for 0, else what has changed.
-    pub fn answer(&self, since: u64) -> Value {
-        let changed = self.entries.iter().enumerate().filter(|(_, entry)| entry.changed > since);
+    pub fn response(&self, since_version: u64) -> Value {
+        let changed =
+            self.entries.iter().enumerate().filter(|(_, entry)| entry.changed_version > since_version);
         let endpoints: Vec<Value> = changed.map(|(index, entry)| entry.to_json(index)).collect();
-        json!({"index": self.version, "snapshot": since == 0, "endpoints": endpoints})
+        json!({"index": self.version, "snapshot": since_version == 0, "endpoints": endpoints})
     }
 
     /// Makes the next version: one backend drains; the one that did before serves again.
     pub fn advance(&mut self) {
         self.version += 1;
         let count = self.entries.len();
-        let previous = (self.next + count - 1) % count;
-        for (index, draining) in [(self.next, true), (previous, false)] {
+        let previous = (self.next_to_drain + count - 1) % count;
+        for (index, draining) in [(self.next_to_drain, true), (previous, false)] {
             let entry = &mut self.entries[index];
             if entry.draining != draining {
                 entry.draining = draining;
-                entry.changed = self.version;
+                entry.changed_version = self.version;
             }
         }
-        self.next = (self.next + 1) % count;
+        self.next_to_drain = (self.next_to_drain + 1) % count;
     }
 }
--- a/load/src/scale/error.rs
+++ b/load/src/scale/error.rs
@@ -39,7 +39,7 @@
     },
     /// The instance ended before it accepted connections.
     #[error("{} ended at its start: {status}", program.display())]
-    EndedAtStart {
+    ExitedAtStart {
         /// The program.
         program: PathBuf,
         /// How it ended.
--- a/load/src/scale/fit.rs
+++ b/load/src/scale/fit.rs
@@ -4,7 +4,7 @@
 
 /// One measurement of a figure.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Point {
+pub struct DataPoint {
     /// The value of the factor that is varied.
     pub factor: f64,
     /// The value of the figure.
@@ -23,26 +23,26 @@
     /// The same as a part of the mean of the points.
     pub relative_residual: f64,
     /// Points that the line is fitted through.
-    pub points: usize,
+    pub point_count: usize,
 }
 
 impl Line {
     /// Through these points by least squares; none where they are fewer than two or all over one value.
-    pub fn through(points: &[Point]) -> Option<Line> {
+    pub fn through(points: &[DataPoint]) -> Option<Line> {
         let pairs: Vec<(f64, f64)> = points.iter().map(|point| (point.factor, point.figure)).collect();
         let fitted: Result<(f64, f64), _> = linreg::linear_regression_of(&pairs);
         let (slope, intercept) = fitted.ok()?;
         let count = points.len() as f64;
-        let distance = |point: &Point| point.figure - slope * point.factor - intercept;
-        let squares: f64 = points.iter().map(|point| distance(point).powi(2)).sum();
-        let residual = (squares / count).sqrt();
+        let distance = |point: &DataPoint| point.figure - slope * point.factor - intercept;
+        let square_sum: f64 = points.iter().map(|point| distance(point).powi(2)).sum();
+        let residual = (square_sum / count).sqrt();
         let mean = points.iter().map(|point| point.figure.abs()).sum::<f64>() / count;
         let relative_residual = if mean > 0.0 { residual / mean } else { 0.0 };
-        Some(Line { slope, intercept, residual, relative_residual, points: points.len() })
+        Some(Line { slope, intercept, residual, relative_residual, point_count: points.len() })
     }
 
     /// The figure at that value of the factor, by the line.
-    pub fn at(&self, factor: f64) -> f64 {
+    pub fn value_at(&self, factor: f64) -> f64 {
         self.intercept + self.slope * factor
     }
 }
@@ -107,7 +107,7 @@
     }
 
     /// The value of this factor at the point of a row.
-    pub fn of(self, row: &Row) -> f64 {
+    pub fn value_in(self, row: &Row) -> f64 {
         match self {
             Factor::Instances => row.instances as f64,
             Factor::Backends => row.backends as f64,
@@ -119,7 +119,7 @@
     }
 
     /// The name of the runs that vary it.
-    pub fn run(self) -> String {
+    pub fn run_name(self) -> String {
         format!("over {}", self.name())
     }
 }
@@ -134,7 +134,7 @@
     /// The unit of the figure.
     pub unit: String,
     /// The measurements.
-    pub points: Vec<Point>,
+    pub points: Vec<DataPoint>,
     /// The line through the points.
     pub line: Line,
 }
@@ -147,20 +147,23 @@
 }
 
 /// Lines through the figures of all runs that vary a factor.
-pub fn fits(rows: &[Row]) -> Vec<Fit> {
-    let mut all = vec![];
+pub fn fit_rows(rows: &[Row]) -> Vec<Fit> {
+    let mut fits = vec![];
     for factor in FACTORS {
-        let run = factor.run();
-        let mut points: BTreeMap<FigureKey, Vec<Point>> = BTreeMap::new();
+        let run = factor.run_name();
+        let mut points: BTreeMap<FigureKey, Vec<DataPoint>> = BTreeMap::new();
         for row in rows.iter().filter(|row| row.run == run) {
             let key = FigureKey { figure: &row.figure, unit: &row.unit };
-            points.entry(key).or_default().push(Point { factor: factor.of(row), figure: row.value });
+            points
+                .entry(key)
+                .or_default()
+                .push(DataPoint { factor: factor.value_in(row), figure: row.value });
         }
         for (FigureKey { figure, unit }, points) in points {
             if let Some(line) = Line::through(&points) {
-                all.push(Fit { factor, figure: figure.into(), unit: unit.into(), points, line });
+                fits.push(Fit { factor, figure: figure.into(), unit: unit.into(), points, line });
             }
         }
     }
-    all
+    fits
 }
--- a/load/src/scale/operating_point.rs
+++ b/load/src/scale/operating_point.rs
@@ -68,28 +68,28 @@
     /// Index of its plan in `PLANS`.
     pub plan: usize,
     /// Requests a second at all instances together.
-    pub offered: f64,
+    pub offered_rate: f64,
 }
 
 /// Quotas there are: the smallest in units a second, each next one twice the one before; 7 is one of them.
-const SMALLEST_QUOTA: f64 = 7.0 / 16.0;
+const SMALLEST_QUOTA_PER_SECOND: f64 = 7.0 / 16.0;
 /// How many: the largest is above the rate that Zipf's first of 900 tenants has of 97,000 requests.
-const PLANS: usize = 16;
+const PLAN_COUNT: usize = 16;
 /// Seconds of its quota that a tenant may have at once, as the emulator's plans have it.
 const BURST_SECONDS: f64 = 2.0;
 /// Units that any tenant may have at once: a request of one unit fits.
-const LEAST_BURST: f64 = 2.0;
+const MIN_BURST_UNITS: f64 = 2.0;
 /// How long a backend of these runs takes to answer, seconds.
-pub const BACKEND_SECONDS: f64 = 0.005;
+pub const BACKEND_RESPONSE_SECONDS: f64 = 0.005;
 
 /// Units a second of a plan.
 pub fn quota(plan: usize) -> f64 {
-    SMALLEST_QUOTA * f64::powi(2.0, plan as i32)
+    SMALLEST_QUOTA_PER_SECOND * f64::powi(2.0, plan as i32)
 }
 
 /// Units that a plan allows at once.
 pub fn burst(plan: usize) -> f64 {
-    (quota(plan) * BURST_SECONDS).max(LEAST_BURST)
+    (quota(plan) * BURST_SECONDS).max(MIN_BURST_UNITS)
 }
 
 /// The name of a plan in the settings.
@@ -135,18 +135,19 @@
     /// The fraction of the fleet that is absent where so many instances are there, for the counter to estimate; none where nothing is
     /// to be estimated.
     pub fn absent_fraction(&self, instances: usize) -> Option<f64> {
-        let absent = 1.0 - instances as f64 / self.instances as f64;
-        (absent > 0.0 && !self.alone).then_some(absent)
+        let absent_fraction = 1.0 - instances as f64 / self.instances as f64;
+        (absent_fraction > 0.0 && !self.alone).then_some(absent_fraction)
     }
 
     /// Each tenant, with the smallest quota that covers the requests that the fleet gets for it.
     pub fn tenants(&self) -> Vec<Tenant> {
         let weights = self.weights();
-        let all: f64 = weights.iter().sum();
+        let total_weight: f64 = weights.iter().sum();
         let tenant = |weight: f64| {
-            let offered = self.fleet_requests * weight / all;
-            let plan = (0..PLANS - 1).find(|plan| quota(*plan) >= offered).unwrap_or(PLANS - 1);
-            Tenant { plan, offered }
+            let offered_rate = self.fleet_requests * weight / total_weight;
+            let plan =
+                (0..PLAN_COUNT - 1).find(|plan| quota(*plan) >= offered_rate).unwrap_or(PLAN_COUNT - 1);
+            Tenant { plan, offered_rate }
         };
         weights.into_iter().map(tenant).collect()
     }
@@ -162,7 +163,7 @@
             json!({"name": plan_name(plan), "per_second": quota(plan), "depth": burst(plan), "parallel": 0,
                    "ceiling_rate": 0.0, "ceiling_slack": 0.0, "hard_burst": 0.0})
         };
-        settings["tariffs"] = (0..PLANS).map(plan).collect();
+        settings["tariffs"] = (0..PLAN_COUNT).map(plan).collect();
         settings
     }
 }
--- a/load/src/scale/operator_file.rs
+++ b/load/src/scale/operator_file.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 /// Tenants that a route names at the most; the rest has none.
-const TENANTS_OF_A_ROUTE: usize = 14;
+const MAX_TENANTS_PER_ROUTE: usize = 14;
 
 /// The text of the file; none where the point has no routes.
 pub fn render(point: &OperatingPoint) -> Option<String> {
@@ -11,14 +11,14 @@
         return None;
     }
     let mut text = String::from("[[class]]\nname = \"two tries\"\nattempts = 2\n");
-    let each = (point.tenants / point.routes).clamp(1, TENANTS_OF_A_ROUTE);
+    let tenants_per_route = (point.tenants / point.routes).clamp(1, MAX_TENANTS_PER_ROUTE);
     for route in 0..point.routes {
-        let tenants = (0..each).map(|index| (route * each + index) % point.tenants);
-        let named: Vec<String> = tenants.map(|tenant| format!("\"{tenant:016x}\"")).collect();
+        let tenants = (0..tenants_per_route).map(|index| (route * tenants_per_route + index) % point.tenants);
+        let quoted: Vec<String> = tenants.map(|tenant| format!("\"{tenant:016x}\"")).collect();
         let _ = write!(
             text,
             "\n[[route]]\noperations = [\"look\"]\ncustomers = [{}]\nclass = \"two tries\"\n",
-            named.join(", ")
+            quoted.join(", ")
         );
     }
     Some(text)
--- a/load/src/scale/outcomes.rs
+++ b/load/src/scale/outcomes.rs
@@ -30,12 +30,12 @@
 impl OutcomeCounters {
     /// The values now.
     pub fn read(&self) -> OutcomeCounts {
-        let now = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
         OutcomeCounts {
-            sent: now(&self.sent),
-            served: now(&self.served),
-            throttled: now(&self.throttled),
-            errored: now(&self.errored),
+            sent: load(&self.sent),
+            served: load(&self.served),
+            throttled: load(&self.throttled),
+            errored: load(&self.errored),
         }
     }
 }
--- a/load/src/scale/process.rs
+++ b/load/src/scale/process.rs
@@ -3,28 +3,28 @@
 
 /// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Usage {
+pub struct ProcessUsage {
     /// Seconds of processor time in user mode.
-    pub user: f64,
+    pub user_seconds: f64,
     /// Seconds of processor time in the kernel.
-    pub system: f64,
+    pub system_seconds: f64,
     /// Resident memory, MiB.
-    pub resident: f64,
+    pub resident_mib: f64,
 }
 
-impl Usage {
+impl ProcessUsage {
     /// Seconds of processor time in all.
-    pub fn processor(&self) -> f64 {
-        self.user + self.system
+    pub fn cpu_seconds(&self) -> f64 {
+        self.user_seconds + self.system_seconds
     }
 }
 
 /// What the process has used until now; zeros where it is gone.
-pub fn usage(process: u32) -> Usage {
-    let stat = process_stat::read(process);
-    Usage {
-        user: stat.user_ticks / TICKS_PER_SECOND,
-        system: stat.system_ticks / TICKS_PER_SECOND,
-        resident: stat.resident_kib / KIB_PER_MIB,
+pub fn process_usage(pid: u32) -> ProcessUsage {
+    let stat = process_stat::read(pid);
+    ProcessUsage {
+        user_seconds: stat.user_ticks / TICKS_PER_SECOND,
+        system_seconds: stat.system_ticks / TICKS_PER_SECOND,
+        resident_mib: stat.resident_kib / KIB_PER_MIB,
     }
 }
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -3,13 +3,13 @@
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
 use super::operator_file;
-use super::process::{usage, Usage};
+use super::process::{process_usage, ProcessUsage};
 use super::requests::{Population, RequestSource};
 use super::rows::{Row, Rows, Source};
-use super::server_load::Role;
-use super::span::Span;
-use super::stand_ins::{Backends, StandIns};
-use super::steady_state::{self, SpanUsage};
+use super::server_traffic::Role;
+use super::stand_ins::{BackendMode, StandIns};
+use super::steady_state::{self, IntervalUsage};
+use super::timing::Timing;
 use crate::sync::lock;
 use crate::test_bed::loopback::reserve_address;
 use serde_json::json;
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 /// Descriptors of the instance: enough for a connection to each backend.
-const DESCRIPTORS: usize = 8_192;
+const MAX_DESCRIPTORS: usize = 8_192;
 /// Memory that the instance believes to have, MB.
 const MEMORY_MB: usize = 256;
 /// The longest that an instance may take to accept connections.
@@ -28,19 +28,19 @@
 /// How often a starting instance is dialled.
 const START_POLL: Duration = Duration::from_millis(1);
 /// Time for the instance to take in the endpoint list.
-const SETTLE: Duration = Duration::from_secs(1);
+const LIST_WAIT: Duration = Duration::from_secs(1);
 
 struct InstanceProcess {
     process: Child,
-    configuration: PathBuf,
+    configuration_path: PathBuf,
 }
 
 impl Drop for InstanceProcess {
     fn drop(&mut self) {
         let _ = self.process.kill(); // it may have ended
         let _ = self.process.wait();
-        let _ = std::fs::remove_file(&self.configuration);
-        let _ = std::fs::remove_file(self.configuration.with_extension("toml"));
+        let _ = std::fs::remove_file(&self.configuration_path);
+        let _ = std::fs::remove_file(self.configuration_path.with_extension("toml"));
         // it may not be there
     }
 }
@@ -56,7 +56,7 @@
         let path = std::env::temp_dir().join(format!("quillramp-scale-{}.json", std::process::id()));
         let text = json!({"name": "n0", "listen": address, "discovery": stand_ins.discovery,
             "counter": stand_ins.counter, "seed": format!("{:016x}", point.seed),
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS},
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": MAX_DESCRIPTORS},
             "known": {"index": 0, "snapshot": true, "endpoints": []}, "settings": point.settings(0)});
         std::fs::write(&path, text.to_string()).map_err(ScaleError::file(&path))?;
         let mut command = Command::new(program);
@@ -67,18 +67,18 @@
         }
         command.env("EDGE_CONFIG", &path).stdout(Stdio::null()).stderr(Stdio::null());
         let process = command.spawn().map_err(ScaleError::file(program))?;
-        let mut instance = InstanceProcess { process, configuration: path };
+        let mut instance = InstanceProcess { process, configuration_path: path };
         instance.wait_until_accepting(program, address)?;
         Ok(instance)
     }
 
     fn wait_until_accepting(&mut self, program: &Path, address: SocketAddr) -> Result<(), ScaleError> {
-        let until = Instant::now() + START_TIMEOUT;
+        let deadline = Instant::now() + START_TIMEOUT;
         while TcpStream::connect(address).is_err() {
             if let Ok(Some(status)) = self.process.try_wait() {
-                return Err(ScaleError::EndedAtStart { program: program.to_owned(), status });
+                return Err(ScaleError::ExitedAtStart { program: program.to_owned(), status });
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(ScaleError::NotAccepting { program: program.to_owned(), address });
             }
             sleep(START_POLL);
@@ -86,8 +86,8 @@
         Ok(())
     }
 
-    fn usage(&self) -> Usage {
-        usage(self.process.id())
+    fn usage(&self) -> ProcessUsage {
+        process_usage(self.process.id())
     }
 }
 
@@ -96,13 +96,13 @@
     program: &Path,
     run: &str,
     point: &OperatingPoint,
-    span: &Span,
+    timing: &Timing,
 ) -> Result<Vec<Row>, ScaleError> {
     let mut rows = Rows::new(run, Source::Real, point);
-    let stand_ins = StandIns::start(point, 1, Backends::Served)?;
+    let stand_ins = StandIns::start(point, 1, BackendMode::Listening)?;
     let address = reserve_address();
     let instance = InstanceProcess::start(program, point, &stand_ins, address)?;
-    sleep(SETTLE);
+    sleep(LIST_WAIT);
     add_start_rows(&mut rows, &stand_ins, &instance);
     let population = Population::new(point)?;
     let clients = if point.requests > 0.0 {
@@ -110,11 +110,11 @@
     } else {
         None
     };
-    sleep(Duration::from_secs_f64(span.warm_up));
+    sleep(Duration::from_secs_f64(timing.warm_up));
     if let Some(clients) = &clients {
         lock(&clients.latencies).reset();
     }
-    add_steady_rows(&mut rows, &stand_ins, &instance, clients.as_ref(), span);
+    add_steady_state_rows(&mut rows, &stand_ins, &instance, clients.as_ref(), timing);
     if let Some(clients) = &clients {
         add_latency_rows(&mut rows, clients);
     }
@@ -123,39 +123,43 @@
 
 /// What the start cost.
 fn add_start_rows(rows: &mut Rows, stand_ins: &StandIns, instance: &InstanceProcess) {
-    let list_bytes = stand_ins.loads.read().of(Role::Discovery).sent;
-    rows.add("whole list", stand_ins.list_bytes as f64, "bytes");
+    let list_bytes = stand_ins.traffic.read().of(Role::Discovery).bytes_sent;
+    rows.add("whole list", stand_ins.snapshot_bytes as f64, "bytes");
     rows.add("list sent at start", list_bytes as f64, "bytes");
-    rows.add("processor to the list in force", instance.usage().processor(), "s");
-    rows.add("memory after start", instance.usage().resident, "MiB");
+    rows.add("processor to the list in force", instance.usage().cpu_seconds(), "s");
+    rows.add("memory after start", instance.usage().resident_mib, "MiB");
 }
 
 /// Counts over the span.
-fn add_steady_rows(
+fn add_steady_state_rows(
     rows: &mut Rows,
     stand_ins: &StandIns,
     instance: &InstanceProcess,
     clients: Option<&Clients>,
-    span: &Span,
+    timing: &Timing,
 ) {
     let outcomes = || clients.map(|clients| clients.outcomes.read()).unwrap_or_default();
-    let loads = stand_ins.loads.read();
-    let used_before = instance.usage();
+    let traffic_before = stand_ins.traffic.read();
+    let usage_before = instance.usage();
     let start = Instant::now();
     let outcomes_before = outcomes();
-    sleep(Duration::from_secs_f64(span.seconds));
+    sleep(Duration::from_secs_f64(timing.seconds));
     let seconds = start.elapsed().as_secs_f64();
-    let used = instance.usage();
-    let usage = SpanUsage {
+    let usage_after = instance.usage();
+    let interval_usage = IntervalUsage {
         seconds,
         instances: 1,
         outcomes: outcomes().since(&outcomes_before),
-        loads: stand_ins.loads.read().since(&loads),
-        processor: used.processor() - used_before.processor(),
+        traffic: stand_ins.traffic.read().since(&traffic_before),
+        cpu_seconds: usage_after.cpu_seconds() - usage_before.cpu_seconds(),
     };
-    steady_state::add_rows(rows, &usage);
-    rows.add("processor, kernel", (used.system - used_before.system) / seconds, "cores");
-    rows.add("memory", used.resident, "MiB");
+    steady_state::add_rows(rows, &interval_usage);
+    rows.add(
+        "processor, kernel",
+        (usage_after.system_seconds - usage_before.system_seconds) / seconds,
+        "cores",
+    );
+    rows.add("memory", usage_after.resident_mib, "MiB");
 }
 
 fn add_latency_rows(rows: &mut Rows, clients: &Clients) {
--- a/load/src/scale/requests.rs
+++ b/load/src/scale/requests.rs
@@ -10,9 +10,9 @@
 /// Milliseconds that a client waits, as the request says.
 const CLIENT_TIMEOUT_MS: u64 = 1_400;
 /// Sets the seeds of instances' requests apart from other seeds of the point.
-const REQUEST_SEED: u64 = 1_000_003;
+const REQUEST_SEED_FACTOR: u64 = 1_000_003;
 /// Request ids hold the number of the instance above this many bits.
-const INSTANCE_SHIFT: u32 = 40;
+const INSTANCE_ID_SHIFT: u32 = 40;
 
 /// The tenants of a point, and how often each is drawn.
 pub struct Population {
@@ -31,7 +31,7 @@
 pub struct RequestSource {
     rng: ChaCha8Rng,
     population: Arc<Population>,
-    gaps: Exp<f64>,
+    interarrival_times: Exp<f64>,
     instances: usize,
     last_id: u64,
 }
@@ -43,19 +43,19 @@
         population: &Arc<Population>,
         instance: usize,
     ) -> Result<RequestSource, ScaleError> {
-        let seed = point.seed.wrapping_mul(REQUEST_SEED).wrapping_add(instance as u64);
+        let seed = point.seed.wrapping_mul(REQUEST_SEED_FACTOR).wrapping_add(instance as u64);
         Ok(RequestSource {
             rng: ChaCha8Rng::seed_from_u64(seed),
             population: population.clone(),
-            gaps: Exp::new(point.requests).map_err(ScaleError::Requests)?,
+            interarrival_times: Exp::new(point.requests).map_err(ScaleError::Requests)?,
             instances: point.instances,
-            last_id: (instance as u64) << INSTANCE_SHIFT,
+            last_id: (instance as u64) << INSTANCE_ID_SHIFT,
         })
     }
 
     /// Seconds to the next request.
-    pub fn next_gap(&mut self) -> f64 {
-        self.gaps.sample(&mut self.rng)
+    pub fn next_interarrival_seconds(&mut self) -> f64 {
+        self.interarrival_times.sample(&mut self.rng)
     }
 
     /// The next request, as a client writes it: no body, one unit, idempotent.
--- a/load/src/scale/rows.rs
+++ b/load/src/scale/rows.rs
@@ -97,13 +97,13 @@
             figure: figure.to_owned(),
             value,
             unit: unit.to_owned(),
-            command: command(),
+            command: command_line(),
         });
     }
 }
 
 /// The command line of this process, its program without the folder.
-fn command() -> String {
+fn command_line() -> String {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     format!("quillramp-load {}", arguments.join(" "))
 }
--- a/load/src/scale/server_protocol.rs
+++ b/load/src/scale/server_protocol.rs
@@ -1,5 +1,5 @@
 //! The answers of the counter, the list service and the backends of a scale run: bytes in, bytes out, no sockets.
-use super::counts::Counts;
+use super::counter_totals::CounterTotals;
 use super::endpoint_rotation::EndpointRotation;
 use crate::example_servers::number;
 use quillramp_gateway::wire::resp::{self, ClientCommand};
@@ -37,11 +37,11 @@
 }
 
 /// The counter's answer to the first call of these bytes; `now` is Unix time in seconds.
-pub fn answer_count(now: f64, counts: &mut Counts, bytes: &[u8]) -> Decoded<Vec<u8>> {
+pub fn answer_counter_call(now: f64, totals: &mut CounterTotals, bytes: &[u8]) -> Decoded<Vec<u8>> {
     let Some(DecodedMessage { value: target, length }) = decode_target(bytes)? else { return Ok(None) };
     let path = target.split('?').next().unwrap_or_default();
     let name = path.strip_prefix("/counters/").unwrap_or_default();
-    let total = counts.add(now, name, number(&target, "by"));
+    let total = totals.add(now, name, number(&target, "by"));
     Ok(Some(DecodedMessage { value: encode_response(&total.to_string()), length }))
 }
 
@@ -55,7 +55,7 @@
 
 /// What the list service answers to a caller that knows a version.
 pub fn encode_endpoints(endpoints: &EndpointRotation, since: u64) -> Vec<u8> {
-    encode_response(&endpoints.answer(since).to_string())
+    encode_response(&endpoints.response(since).to_string())
 }
 
 /// A backend's answer to the first command of these bytes: the id of the request, its cost of one unit, no load report.
--- a/load/src/scale/server_load.rs
+++ b/load/src/scale/server_traffic.rs
@@ -28,27 +28,27 @@
 
 /// Counts of one role since the start.
 #[derive(Default)]
-pub struct ServerLoad {
+pub struct TrafficCounters {
     connections: AtomicU64,
     calls: AtomicU64,
-    received: AtomicU64,
-    sent: AtomicU64,
+    bytes_received: AtomicU64,
+    bytes_sent: AtomicU64,
 }
 
 /// The counts of one role at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReading {
+pub struct TrafficCounts {
     /// Connections that were made.
     pub connections: u64,
     /// Requests that were understood.
     pub calls: u64,
     /// Bytes from instances.
-    pub received: u64,
+    pub bytes_received: u64,
     /// Bytes to instances.
-    pub sent: u64,
+    pub bytes_sent: u64,
 }
 
-impl ServerLoad {
+impl TrafficCounters {
     /// Counts a connection.
     pub fn count_connection(&self) {
         self.connections.fetch_add(1, Ordering::Relaxed);
@@ -61,66 +61,66 @@
 
     /// Counts bytes from an instance.
     pub fn count_received(&self, bytes: usize) {
-        self.received.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.bytes_received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// Counts bytes to an instance.
     pub fn count_sent(&self, bytes: usize) {
-        self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.bytes_sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// The counts now.
-    pub fn read(&self) -> LoadReading {
-        let now = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        LoadReading {
-            connections: now(&self.connections),
-            calls: now(&self.calls),
-            received: now(&self.received),
-            sent: now(&self.sent),
+    pub fn read(&self) -> TrafficCounts {
+        let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        TrafficCounts {
+            connections: load(&self.connections),
+            calls: load(&self.calls),
+            bytes_received: load(&self.bytes_received),
+            bytes_sent: load(&self.bytes_sent),
         }
     }
 }
 
-impl LoadReading {
+impl TrafficCounts {
     /// The difference from an earlier reading.
-    pub fn since(&self, earlier: &LoadReading) -> LoadReading {
-        LoadReading {
+    pub fn since(&self, earlier: &TrafficCounts) -> TrafficCounts {
+        TrafficCounts {
             connections: self.connections - earlier.connections,
             calls: self.calls - earlier.calls,
-            received: self.received - earlier.received,
-            sent: self.sent - earlier.sent,
+            bytes_received: self.bytes_received - earlier.bytes_received,
+            bytes_sent: self.bytes_sent - earlier.bytes_sent,
         }
     }
 }
 
 /// The load of each role.
 #[derive(Default)]
-pub struct ServerLoads([ServerLoad; Role::ALL.len()]);
+pub struct ServerTraffic([TrafficCounters; Role::ALL.len()]);
 
 /// The counts of all roles at one time, in the order of `Role::ALL`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReadings(pub [LoadReading; Role::ALL.len()]);
+pub struct ServerTrafficCounts(pub [TrafficCounts; Role::ALL.len()]);
 
-impl ServerLoads {
+impl ServerTraffic {
     /// The load of a role.
-    pub fn of(&self, role: Role) -> &ServerLoad {
+    pub fn of(&self, role: Role) -> &TrafficCounters {
         &self.0[role as usize]
     }
 
     /// All counts now.
-    pub fn read(&self) -> LoadReadings {
-        LoadReadings(Role::ALL.map(|role| self.of(role).read()))
+    pub fn read(&self) -> ServerTrafficCounts {
+        ServerTrafficCounts(Role::ALL.map(|role| self.of(role).read()))
     }
 }
 
-impl LoadReadings {
+impl ServerTrafficCounts {
     /// The counts of a role.
-    pub fn of(&self, role: Role) -> &LoadReading {
+    pub fn of(&self, role: Role) -> &TrafficCounts {
         &self.0[role as usize]
     }
 
     /// The difference from an earlier reading.
-    pub fn since(&self, earlier: &LoadReadings) -> LoadReadings {
-        LoadReadings(std::array::from_fn(|role| self.0[role].since(&earlier.0[role])))
+    pub fn since(&self, earlier: &ServerTrafficCounts) -> ServerTrafficCounts {
+        ServerTrafficCounts(std::array::from_fn(|role| self.0[role].since(&earlier.0[role])))
     }
 }
--- a/load/src/scale/simulation/instances.rs
+++ b/load/src/scale/simulation/instances.rs
@@ -1,24 +1,25 @@
 //! The instances of a simulation: their starts, requests and steps.
-use super::servers::role;
-use super::{address, Port, Simulation, SimulationEvent};
-use crate::scale::embedded::{ConnectionCommand, EmbeddedInstance, Services};
+use super::servers::server_role;
+use super::{address, ConnectionKey, Simulation, SimulationEvent};
+use crate::scale::embedded::{ConnectionCommand, EmbeddedInstance, ServiceAddresses};
 use crate::scale::error::ScaleError;
 use quillramp_gateway::state::connection::ConnectionId;
 
 /// Seconds from one machine to another, one way: within one zone.
-pub(super) const LATENCY: f64 = 0.000_25;
+pub(super) const ONE_WAY_LATENCY_SECONDS: f64 = 0.000_25;
 /// Seconds in which what comes to an instance makes one batch: about what a wake-up takes.
-const BATCH: f64 = 50e-6;
+const BATCH_SECONDS: f64 = 50e-6;
 /// The ports that the services are listed with.
 const COUNTER_PORT: u16 = 1;
 const DISCOVERY_PORT: u16 = 2;
 
 impl Simulation {
     pub(super) fn start(&mut self, slot: usize) -> Result<(), ScaleError> {
-        let services = Services { counter: address(COUNTER_PORT), discovery: address(DISCOVERY_PORT) };
+        let services =
+            ServiceAddresses { counter: address(COUNTER_PORT), discovery: address(DISCOVERY_PORT) };
         let instance = EmbeddedInstance::new(self.events.now, &self.point, slot, services)?;
         self.slots[slot].instance = Some(instance);
-        self.wake(slot, self.events.now);
+        self.schedule_step(slot, self.events.now);
         if self.point.requests > 0.0 {
             self.schedule_request(slot);
         }
@@ -26,7 +27,7 @@
     }
 
     fn schedule_request(&mut self, slot: usize) {
-        let gap = self.slots[slot].requests.next_gap();
+        let gap = self.slots[slot].requests.next_interarrival_seconds();
         self.events.push(self.events.now + gap, SimulationEvent::Request(slot));
     }
 
@@ -35,19 +36,19 @@
         if let Some(instance) = &mut self.slots[slot].instance {
             instance.request(&request);
         }
-        self.wake(slot, self.events.now + BATCH);
+        self.schedule_step(slot, self.events.now + BATCH_SECONDS);
         self.schedule_request(slot);
     }
 
     /// Calls the instance that a connection belongs to.
-    pub(super) fn with_instance(&mut self, port: Port, action: impl FnOnce(&mut EmbeddedInstance)) {
-        if let Some(instance) = &mut self.slots[port.instance].instance {
+    pub(super) fn with_instance(&mut self, key: ConnectionKey, action: impl FnOnce(&mut EmbeddedInstance)) {
+        if let Some(instance) = &mut self.slots[key.instance].instance {
             action(instance);
         }
-        self.wake(port.instance, self.events.now + BATCH);
+        self.schedule_step(key.instance, self.events.now + BATCH_SECONDS);
     }
 
-    fn wake(&mut self, slot: usize, at: f64) {
+    fn schedule_step(&mut self, slot: usize, at: f64) {
         if at < self.slots[slot].step_at {
             self.slots[slot].step_at = at;
             self.events.push(at, SimulationEvent::Step(slot));
@@ -67,28 +68,30 @@
             self.execute(slot, command);
         }
         if let Some(next_at) = step.next_at {
-            self.wake(slot, next_at.max(now));
+            self.schedule_step(slot, next_at.max(now));
         }
     }
 
     fn execute(&mut self, instance: usize, command: ConnectionCommand) {
-        let port = |connection: ConnectionId| Port { instance, connection };
+        let key = |connection: ConnectionId| ConnectionKey { instance, connection };
         let now = self.events.now;
         match command {
             ConnectionCommand::Connect(connection, _) => {
-                if let Some(role) = role(connection) {
-                    self.loads.of(role).count_connection();
+                if let Some(role) = server_role(connection) {
+                    self.traffic.of(role).count_connection();
                 }
-                self.events.push(now + 2.0 * LATENCY, SimulationEvent::Connected(port(connection)));
+                self.events
+                    .push(now + 2.0 * ONE_WAY_LATENCY_SECONDS, SimulationEvent::Connected(key(connection)));
             }
             ConnectionCommand::Send(connection, bytes) => {
-                if let Some(role) = role(connection) {
-                    self.loads.of(role).count_received(bytes.len());
-                    self.events.push(now + LATENCY, SimulationEvent::Serve(port(connection), bytes));
+                if let Some(role) = server_role(connection) {
+                    self.traffic.of(role).count_received(bytes.len());
+                    self.events
+                        .push(now + ONE_WAY_LATENCY_SECONDS, SimulationEvent::Serve(key(connection), bytes));
                 }
             }
             ConnectionCommand::Close(connection) => {
-                self.watches.retain(|watch| watch.port != port(connection));
+                self.watches.retain(|watch| watch.key != key(connection));
             }
         }
     }
--- a/load/src/scale/simulation/mod.rs
+++ b/load/src/scale/simulation/mod.rs
@@ -3,14 +3,14 @@
 mod instances;
 mod servers;
 
-use super::counts::Counts;
+use super::counter_totals::CounterTotals;
 use super::embedded::{EmbeddedInstance, Reading};
 use super::endpoint_rotation::EndpointRotation;
 use super::error::ScaleError;
 use super::event_queue::EventQueue;
 use super::operating_point::OperatingPoint;
 use super::requests::{Population, RequestSource};
-use super::server_load::ServerLoads;
+use super::server_traffic::ServerTraffic;
 use quillramp_gateway::state::connection::ConnectionId;
 use servers::PendingWatch;
 use std::collections::HashMap;
@@ -18,9 +18,9 @@
 use std::sync::Arc;
 
 /// When a run begins on its clock: Unix time at the edge of a count's window, so that windows are seen alike.
-const BEGIN: f64 = 1_700_000_010.0;
+const START_UNIX_SECONDS: f64 = 1_700_000_010.0;
 /// Instances start one after another within this, seconds.
-const START_SPREAD: f64 = 1.0;
+const START_SPREAD_SECONDS: f64 = 1.0;
 /// The port of the first backend; ports below it are the other servers'.
 const FIRST_BACKEND_PORT: u16 = 1_024;
 
@@ -31,13 +31,13 @@
     /// A client of an instance sends a request.
     Request(usize),
     /// A connection of an instance is established.
-    Connected(Port),
+    Connected(ConnectionKey),
     /// Bytes come to an instance.
-    Receive(Port, Arc<[u8]>),
+    Receive(ConnectionKey, Arc<[u8]>),
     /// Bytes come to a server.
-    Serve(Port, Vec<u8>),
+    Serve(ConnectionKey, Vec<u8>),
     /// A watch of the list has waited for as long as it was to.
-    WatchTimeout(Port),
+    WatchTimeout(ConnectionKey),
     /// The list changes.
     ChangeList,
     /// An instance starts.
@@ -46,7 +46,7 @@
 
 /// A connection of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Port {
+struct ConnectionKey {
     instance: usize,
     connection: ConnectionId,
 }
@@ -65,13 +65,13 @@
     point: OperatingPoint,
     events: EventQueue<SimulationEvent>,
     slots: Vec<Slot>,
-    counts: Counts,
+    totals: CounterTotals,
     endpoints: EndpointRotation,
     watches: Vec<PendingWatch>,
     /// Answers of the list service until the next change, by the version that the caller had.
     list_answers: HashMap<u64, Arc<[u8]>>,
     /// What crossed the connections of the servers.
-    pub loads: ServerLoads,
+    pub traffic: ServerTraffic,
 }
 
 /// An address that nobody dials: servers are told apart by what a connection is for.
@@ -90,25 +90,25 @@
         }
         let backend = |index: usize| address(FIRST_BACKEND_PORT + index as u16);
         let backends: Vec<SocketAddr> = (0..point.backends).map(backend).collect();
-        let mut new = Simulation {
+        let mut simulation = Simulation {
             point: point.clone(),
-            events: EventQueue::new(BEGIN),
+            events: EventQueue::new(START_UNIX_SECONDS),
             slots,
-            counts: Counts::new(point.tenants(), point.absent_fraction(instances)),
+            totals: CounterTotals::new(point.tenants(), point.absent_fraction(instances)),
             endpoints: EndpointRotation::new(&backends),
             watches: vec![],
             list_answers: HashMap::new(),
-            loads: ServerLoads::default(),
+            traffic: ServerTraffic::default(),
         };
         for slot in 0..instances {
-            let at = BEGIN + START_SPREAD * slot as f64 / instances as f64;
-            new.events.push(at, SimulationEvent::Start(slot));
+            let at = START_UNIX_SECONDS + START_SPREAD_SECONDS * slot as f64 / instances as f64;
+            simulation.events.push(at, SimulationEvent::Start(slot));
         }
-        Ok(new)
+        Ok(simulation)
     }
 
     /// Changes the list `per_second` times a second from now on.
-    pub fn begin_changes(&mut self, per_second: f64) {
+    pub fn start_changes(&mut self, per_second: f64) {
         self.point.changes = per_second;
         self.schedule_change();
     }
@@ -125,11 +125,11 @@
 
     /// What all instances have done until now.
     pub fn read(&self) -> Reading {
-        let mut all = Reading::default();
+        let mut sum = Reading::default();
         for instance in self.slots.iter().filter_map(|slot| slot.instance.as_ref()) {
-            all.add(instance.reading());
+            sum.add(instance.reading());
         }
-        all
+        sum
     }
 
     fn handle(&mut self, event: SimulationEvent) -> Result<(), ScaleError> {
@@ -137,16 +137,16 @@
             SimulationEvent::Start(slot) => self.start(slot)?,
             SimulationEvent::Step(slot) => self.step(slot),
             SimulationEvent::Request(slot) => self.request(slot),
-            SimulationEvent::Connected(port) => {
-                self.with_instance(port, |instance| instance.connected(port.connection))
+            SimulationEvent::Connected(key) => {
+                self.with_instance(key, |instance| instance.connected(key.connection))
             }
-            SimulationEvent::Receive(port, bytes) => {
-                self.with_instance(port, |instance| instance.received(port.connection, &bytes))
+            SimulationEvent::Receive(key, bytes) => {
+                self.with_instance(key, |instance| instance.received(key.connection, &bytes))
             }
-            SimulationEvent::Serve(port, bytes) => self.serve(port, &bytes).map_err(|error| {
-                ScaleError::Protocol { connection: format!("{:?}", port.connection), reason: error.0 }
+            SimulationEvent::Serve(key, bytes) => self.serve(key, &bytes).map_err(|error| {
+                ScaleError::Protocol { connection: format!("{:?}", key.connection), reason: error.0 }
             })?,
-            SimulationEvent::WatchTimeout(port) => self.end_watch(port),
+            SimulationEvent::WatchTimeout(key) => self.end_watch(key),
             SimulationEvent::ChangeList => self.change_list(),
         }
         Ok(())
--- a/load/src/scale/slope_report.rs
+++ b/load/src/scale/slope_report.rs
@@ -1,6 +1,6 @@
 //! Slopes as a table, a file and charts.
 use super::error::ScaleError;
-use super::fit::{Fit, Point, FACTORS};
+use super::fit::{DataPoint, Fit, FACTORS};
 use super::rows::{Row, Source};
 use plotters::prelude::*;
 use std::fmt::Write;
@@ -10,8 +10,8 @@
 const WIDTH: u32 = 640;
 const HEIGHT: u32 = 360;
 /// The least length of an axis, and room beyond the farthest point as a factor.
-const LEAST_AXIS: f64 = 1e-9;
-const HEADROOM: f64 = 1.1;
+const MIN_AXIS_LENGTH: f64 = 1e-9;
+const AXIS_HEADROOM: f64 = 1.1;
 /// The figures that have a chart.
 const CHARTED: [&str; 7] = [
     "counter: calls a request",
@@ -39,10 +39,10 @@
             fit.line.slope,
             fit.unit,
             fit.factor.unit(),
-            fit.line.at(sizes[4]),
+            fit.line.value_at(sizes[4]),
             sizes[0],
             sizes[4],
-            fit.line.points,
+            fit.line.point_count,
             100.0 * fit.line.relative_residual,
             source.name(),
         );
@@ -72,7 +72,7 @@
             .map(|number| number.to_string());
         let mut record = vec![fit.factor.name().to_owned(), fit.figure.clone(), fit.unit.clone()];
         record.extend(numbers);
-        record.extend([line.points.to_string(), source.name().to_owned()]);
+        record.extend([line.point_count.to_string(), source.name().to_owned()]);
         writer.write_record(record).map_err(&failed)?;
     }
     writer.flush().map_err(ScaleError::file(path))
@@ -96,7 +96,8 @@
 fn draw_chart(path: &Path, fit: &Fit) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let area = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
     area.fill(&WHITE)?;
-    let max = |of: fn(&Point) -> f64| fit.points.iter().map(of).fold(LEAST_AXIS, f64::max) * HEADROOM;
+    let max =
+        |of: fn(&DataPoint) -> f64| fit.points.iter().map(of).fold(MIN_AXIS_LENGTH, f64::max) * AXIS_HEADROOM;
     let x_max = max(|point| point.factor);
     let y_max = max(|point| point.figure);
     let title = format!(
@@ -113,7 +114,7 @@
         .y_label_area_size(64)
         .build_cartesian_2d(0.0..x_max, 0.0..y_max)?;
     chart.configure_mesh().x_desc(fit.factor.name()).y_desc(&fit.unit).draw()?;
-    let ends = [0.0, x_max].map(|x| (x, fit.line.at(x)));
+    let ends = [0.0, x_max].map(|x| (x, fit.line.value_at(x)));
     chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(1)))?;
     chart.draw_series(
         fit.points.iter().map(|point| Circle::new((point.factor, point.figure), 4, RED.filled())),
--- a/load/src/scale/socket_group/instances.rs
+++ b/load/src/scale/socket_group/instances.rs
@@ -1,15 +1,15 @@
 //! The instances of a group: their requests, steps, connections and restarts.
-use super::sockets::Progress;
-use super::{BackendPort, Group, GroupEvent, InForce};
+use super::sockets::ConnectProgress;
+use super::{AppliedVersion, BackendConnection, Group, GroupEvent};
 use crate::scale::clock::unix_now;
 use crate::scale::embedded::{ConnectionCommand, EmbeddedInstance};
-use crate::scale::operating_point::BACKEND_SECONDS;
+use crate::scale::operating_point::BACKEND_RESPONSE_SECONDS;
 use crate::scale::server_protocol;
 use mio::Token;
 use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
 
 /// Seconds from an instance to a backend in the same process, one way.
-const LATENCY: f64 = 0.000_25;
+const ONE_WAY_LATENCY_SECONDS: f64 = 0.000_25;
 /// Seconds that an instance is away for a restart.
 const RESTART_SECONDS: f64 = 1.0;
 
@@ -19,45 +19,46 @@
         if let Some(instance) = &mut self.slots[slot].instance {
             action(instance);
         }
-        self.wake(slot, self.events.now);
+        self.schedule_step(slot, self.events.now);
     }
 
     pub(super) fn stop(&mut self, slot: usize) {
         let state = &mut self.slots[slot];
-        state.starts += 1;
+        state.generation += 1;
         if let Some(instance) = state.instance.take() {
-            state.earlier.add(instance.reading());
+            state.previous_processes.add(instance.reading());
         }
         self.sockets.close_all(slot);
         self.events.push(self.events.now + RESTART_SECONDS, GroupEvent::Start(slot));
     }
 
-    pub(super) fn start_again(&mut self, slot: usize) {
-        let started = EmbeddedInstance::new(unix_now(), &self.point, self.first + slot, self.services);
+    pub(super) fn restart(&mut self, slot: usize) {
+        let started =
+            EmbeddedInstance::new(unix_now(), &self.point, self.first_instance + slot, self.services);
         self.slots[slot].instance = started.ok(); // the same settings were read at its first start
-        self.wake(slot, self.events.now);
+        self.schedule_step(slot, self.events.now);
     }
 
     /// Records the versions that a watch's caller has in force: all until the one that it knows.
-    fn record_in_force(&mut self, slot: usize, bytes: &[u8]) {
+    fn record_applied_versions(&mut self, slot: usize, bytes: &[u8]) {
         let Ok(Some(decoded)) = server_protocol::decode_watch(bytes) else { return };
         let watch = decoded.value;
-        let instance = self.first + slot;
+        let instance = self.first_instance + slot;
         let state = &mut self.slots[slot];
-        if watch.since > state.version {
+        if watch.since > state.applied_version {
             let at = unix_now();
-            let new = state.version + 1..=watch.since;
-            self.in_force.extend(new.map(|version| InForce { instance, version, at }));
-            state.version = watch.since;
+            let new = state.applied_version + 1..=watch.since;
+            self.applied_versions.extend(new.map(|version| AppliedVersion { instance, version, at }));
+            state.applied_version = watch.since;
         }
     }
 
     pub(super) fn schedule_request(&mut self, slot: usize, now: f64) {
-        let gap = self.slots[slot].requests.next_gap();
+        let gap = self.slots[slot].requests.next_interarrival_seconds();
         self.events.push(now + gap, GroupEvent::Request(slot));
     }
 
-    fn wake(&mut self, slot: usize, at: f64) {
+    fn schedule_step(&mut self, slot: usize, at: f64) {
         if at < self.slots[slot].step_at {
             self.slots[slot].step_at = at;
             self.events.push(at, GroupEvent::Step(slot));
@@ -76,7 +77,7 @@
             self.execute(slot, command);
         }
         if let Some(next_at) = step.next_at {
-            self.wake(slot, next_at);
+            self.schedule_step(slot, next_at);
         }
     }
 
@@ -84,20 +85,22 @@
         let now = self.events.now;
         match command {
             ConnectionCommand::Connect(connection @ ConnectionId::Backend(_), _) => {
-                let port = self.backend_port(slot, connection);
-                self.events.push(now + 2.0 * LATENCY, GroupEvent::Connected(port));
+                let backend = self.backend_connection(slot, connection);
+                self.events.push(now + 2.0 * ONE_WAY_LATENCY_SECONDS, GroupEvent::Connected(backend));
             }
             ConnectionCommand::Connect(connection, address) => {
                 if self.sockets.connect(slot, connection, address).is_err() {
-                    self.with_instance(slot, |instance| instance.ended(connection, CloseReason::Refused));
+                    self.with_instance(slot, |instance| {
+                        instance.connection_ended(connection, CloseReason::Refused)
+                    });
                 }
             }
             ConnectionCommand::Send(connection @ ConnectionId::Backend(_), bytes) => {
-                self.answer_commands(self.backend_port(slot, connection), &bytes);
+                self.answer_commands(self.backend_connection(slot, connection), &bytes);
             }
             ConnectionCommand::Send(connection, bytes) => {
                 if matches!(connection, ConnectionId::Discovery(_)) {
-                    self.record_in_force(slot, &bytes);
+                    self.record_applied_versions(slot, &bytes);
                 }
                 self.send(slot, connection, &bytes);
             }
@@ -105,23 +108,23 @@
         }
     }
 
-    fn backend_port(&self, slot: usize, connection: ConnectionId) -> BackendPort {
-        BackendPort { slot, start: self.slots[slot].starts, connection }
+    fn backend_connection(&self, slot: usize, connection: ConnectionId) -> BackendConnection {
+        BackendConnection { slot, generation: self.slots[slot].generation, connection }
     }
 
     /// Answers commands as a backend does. An instance writes complete commands, one or more.
-    fn answer_commands(&mut self, port: BackendPort, bytes: &[u8]) {
-        let at = self.events.now + 2.0 * LATENCY + BACKEND_SECONDS;
+    fn answer_commands(&mut self, backend: BackendConnection, bytes: &[u8]) {
+        let at = self.events.now + 2.0 * ONE_WAY_LATENCY_SECONDS + BACKEND_RESPONSE_SECONDS;
         let mut rest = bytes;
         while let Ok(Some(reply)) = server_protocol::answer_command(rest) {
-            self.events.push(at, GroupEvent::Receive(port, reply.value));
+            self.events.push(at, GroupEvent::Receive(backend, reply.value));
             rest = &rest[reply.length..];
         }
     }
 
     fn send(&mut self, slot: usize, connection: ConnectionId, bytes: &[u8]) {
         if let Err(token) = self.sockets.send(slot, connection, bytes) {
-            self.end(token, CloseReason::Reset);
+            self.end_connection(token, CloseReason::Reset);
         }
     }
 
@@ -129,26 +132,26 @@
     pub(super) fn socket_ready(&mut self, token: Token) {
         let Some(owner) = self.sockets.owner(token) else { return };
         match self.sockets.finish_connect(token) {
-            Progress::Established => {}
-            Progress::Connected => {
+            ConnectProgress::Established => {}
+            ConnectProgress::Connected => {
                 self.with_instance(owner.slot, |instance| instance.connected(owner.connection));
             }
-            Progress::Pending => return,
-            Progress::Failed => return self.end(token, CloseReason::Refused),
+            ConnectProgress::Pending => return,
+            ConnectProgress::Failed => return self.end_connection(token, CloseReason::Refused),
         }
         let instance = &mut self.slots[owner.slot].instance;
         let received = |bytes: &[u8]| {
             instance.iter_mut().for_each(|instance| instance.received(owner.connection, bytes))
         };
-        if let Some(reason) = self.sockets.exchange(token, received) {
-            self.end(token, reason);
+        if let Some(reason) = self.sockets.read_and_write(token, received) {
+            self.end_connection(token, reason);
         }
-        self.wake(owner.slot, self.events.now);
+        self.schedule_step(owner.slot, self.events.now);
     }
 
     /// A connection ended, and the instance is notified.
-    fn end(&mut self, token: Token, reason: CloseReason) {
+    fn end_connection(&mut self, token: Token, reason: CloseReason) {
         let Some(owner) = self.sockets.remove(token) else { return };
-        self.with_instance(owner.slot, |instance| instance.ended(owner.connection, reason));
+        self.with_instance(owner.slot, |instance| instance.connection_ended(owner.connection, reason));
     }
 }
--- a/load/src/scale/socket_group/mod.rs
+++ b/load/src/scale/socket_group/mod.rs
@@ -4,7 +4,7 @@
 mod sockets;
 
 use super::clock::unix_now;
-use super::embedded::{EmbeddedInstance, Reading, Services};
+use super::embedded::{EmbeddedInstance, Reading, ServiceAddresses};
 use super::error::ScaleError;
 use super::event_queue::EventQueue;
 use super::operating_point::OperatingPoint;
@@ -19,7 +19,7 @@
 /// Threads that the instances are spread over; the stand-ins have another one.
 const THREADS: usize = 6;
 /// The longest sleep.
-const LONGEST_SLEEP: Duration = Duration::from_millis(20);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(20);
 /// Socket events that are taken at once.
 const EVENT_CAPACITY: usize = 256;
 
@@ -35,9 +35,9 @@
     /// A client of an instance sends a request.
     Request(usize),
     /// A connection to a backend is established.
-    Connected(BackendPort),
+    Connected(BackendConnection),
     /// Bytes of a backend come to an instance.
-    Receive(BackendPort, Vec<u8>),
+    Receive(BackendConnection, Vec<u8>),
     /// An instance is killed.
     Stop(usize),
     /// An instance starts again.
@@ -46,9 +46,9 @@
 
 /// A connection to a backend, of one process of an instance.
 #[derive(Clone, Copy)]
-struct BackendPort {
+struct BackendConnection {
     slot: usize,
-    start: u64,
+    generation: u64,
     connection: ConnectionId,
 }
 
@@ -63,7 +63,7 @@
 
 /// An instance first requested the changes after a version of the list: all versions until then are in force there.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct InForce {
+pub struct AppliedVersion {
     /// Its number in the fleet.
     pub instance: usize,
     /// The version.
@@ -77,11 +77,11 @@
     /// None while it restarts.
     instance: Option<EmbeddedInstance>,
     /// Counts its processes: what is on its way to an earlier one is lost.
-    starts: u64,
+    generation: u64,
     /// What earlier processes did.
-    earlier: Reading,
+    previous_processes: Reading,
     /// The newest version of the list that it has had in force.
-    version: u64,
+    applied_version: u64,
     requests: RequestSource,
     /// When it is stepped next.
     step_at: f64,
@@ -93,11 +93,11 @@
     slots: Vec<Slot>,
     sockets: Sockets,
     point: OperatingPoint,
-    services: Services,
+    services: ServiceAddresses,
     /// The number in the fleet of its first instance.
-    first: usize,
+    first_instance: usize,
     /// When its instances had which version of the list in force.
-    pub in_force: Vec<InForce>,
+    pub applied_versions: Vec<AppliedVersion>,
 }
 
 impl Group {
@@ -106,20 +106,20 @@
         point: &OperatingPoint,
         population: &Arc<Population>,
         members: Range<usize>,
-        services: Services,
+        services: ServiceAddresses,
     ) -> Result<Group, ScaleError> {
         let sockets = Sockets::new()?;
         let now = unix_now();
-        let first = members.start;
+        let first_instance = members.start;
         let mut slots = vec![];
         for number in members {
             let requests = RequestSource::new(point, population, number)?;
             let instance = EmbeddedInstance::new(now, point, number, services)?;
             slots.push(Slot {
                 instance: Some(instance),
-                starts: 0,
-                earlier: Reading::default(),
-                version: 0,
+                generation: 0,
+                previous_processes: Reading::default(),
+                applied_version: 0,
                 requests,
                 step_at: now,
             });
@@ -130,8 +130,8 @@
             sockets,
             point: point.clone(),
             services,
-            first,
-            in_force: vec![],
+            first_instance,
+            applied_versions: vec![],
         };
         for slot in 0..group.slots.len() {
             group.events.push(now, GroupEvent::Step(slot));
@@ -144,9 +144,9 @@
 
     /// Restarts those of these instances that are its own.
     pub fn schedule_restarts(&mut self, restarts: &[Restart]) {
-        let own = self.first..self.first + self.slots.len();
-        for restart in restarts.iter().filter(|restart| own.contains(&restart.instance)) {
-            self.events.push(restart.at, GroupEvent::Stop(restart.instance - self.first));
+        let numbers = self.first_instance..self.first_instance + self.slots.len();
+        for restart in restarts.iter().filter(|restart| numbers.contains(&restart.instance)) {
+            self.events.push(restart.at, GroupEvent::Stop(restart.instance - self.first_instance));
         }
     }
 
@@ -162,7 +162,7 @@
                 self.handle(event);
             }
             let sleep = |at: f64| Duration::from_secs_f64((at - now).max(0.0));
-            let wait = self.events.next_at().map_or(LONGEST_SLEEP, sleep).min(LONGEST_SLEEP);
+            let wait = self.events.next_at().map_or(MAX_POLL_WAIT, sleep).min(MAX_POLL_WAIT);
             if self.sockets.poll(&mut socket_events, wait).is_ok() {
                 let ready: Vec<Token> = socket_events.iter().map(|event| event.token()).collect();
                 ready.into_iter().for_each(|token| self.socket_ready(token));
@@ -172,12 +172,12 @@
 
     /// What all of them have done until now.
     pub fn read(&self) -> Reading {
-        let mut all = Reading::default();
+        let mut sum = Reading::default();
         for slot in &self.slots {
-            all.add(&slot.earlier);
-            slot.instance.iter().for_each(|instance| all.add(instance.reading()));
+            sum.add(&slot.previous_processes);
+            slot.instance.iter().for_each(|instance| sum.add(instance.reading()));
         }
-        all
+        sum
     }
 
     fn handle(&mut self, event: GroupEvent) {
@@ -188,20 +188,20 @@
                 self.with_instance(slot, |instance| instance.request(&request));
                 self.schedule_request(slot, self.events.now);
             }
-            GroupEvent::Connected(port) if self.is_current(port) => {
-                self.with_instance(port.slot, |instance| instance.connected(port.connection));
+            GroupEvent::Connected(backend) if self.is_current(backend) => {
+                self.with_instance(backend.slot, |instance| instance.connected(backend.connection));
             }
-            GroupEvent::Receive(port, bytes) if self.is_current(port) => {
-                self.with_instance(port.slot, |instance| instance.received(port.connection, &bytes));
+            GroupEvent::Receive(backend, bytes) if self.is_current(backend) => {
+                self.with_instance(backend.slot, |instance| instance.received(backend.connection, &bytes));
             }
             GroupEvent::Connected(_) | GroupEvent::Receive(..) => {}
             GroupEvent::Stop(slot) => self.stop(slot),
-            GroupEvent::Start(slot) => self.start_again(slot),
+            GroupEvent::Start(slot) => self.restart(slot),
         }
     }
 
     /// Whether the process that the connection belongs to is still running.
-    fn is_current(&self, port: BackendPort) -> bool {
-        self.slots[port.slot].starts == port.start
+    fn is_current(&self, backend: BackendConnection) -> bool {
+        self.slots[backend.slot].generation == backend.generation
     }
 }
--- a/load/src/scale/socket_group/sockets.rs
+++ b/load/src/scale/socket_group/sockets.rs
@@ -14,7 +14,7 @@
 
 /// The instance and the connection that a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Owner {
+pub(super) struct SocketOwner {
     /// Index of the instance in its group.
     pub slot: usize,
     /// The connection, as the instance names it.
@@ -22,7 +22,7 @@
 }
 
 struct Socket {
-    owner: Owner,
+    owner: SocketOwner,
     stream: TcpStream,
     /// What is not written yet.
     output: Vec<u8>,
@@ -30,7 +30,7 @@
 }
 
 /// How far a connection has come.
-pub(super) enum Progress {
+pub(super) enum ConnectProgress {
     /// It was established before.
     Established,
     /// It is established by now.
@@ -45,7 +45,7 @@
 pub(super) struct Sockets {
     poll: Poll,
     sockets: HashMap<Token, Socket>,
-    tokens: HashMap<Owner, Token>,
+    tokens: HashMap<SocketOwner, Token>,
     next_token: usize,
     read_buffer: Vec<u8>,
 }
@@ -74,35 +74,35 @@
         let token = Token(self.next_token);
         self.next_token += 1;
         self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        let owner = Owner { slot, connection };
+        let owner = SocketOwner { slot, connection };
         self.sockets.insert(token, Socket { owner, stream, output: vec![], established: false });
         self.tokens.insert(owner, token);
         Ok(())
     }
 
     /// The owner of a socket that is open.
-    pub fn owner(&self, token: Token) -> Option<Owner> {
+    pub fn owner(&self, token: Token) -> Option<SocketOwner> {
         self.sockets.get(&token).map(|socket| socket.owner)
     }
 
     /// Looks whether a connection is established.
-    pub fn finish_connect(&mut self, token: Token) -> Progress {
-        let Some(socket) = self.sockets.get_mut(&token) else { return Progress::Failed };
+    pub fn finish_connect(&mut self, token: Token) -> ConnectProgress {
+        let Some(socket) = self.sockets.get_mut(&token) else { return ConnectProgress::Failed };
         if socket.established {
-            return Progress::Established;
+            return ConnectProgress::Established;
         }
         match (socket.stream.take_error(), socket.stream.peer_addr()) {
             (Ok(None), Ok(_)) => {
                 socket.established = true;
-                Progress::Connected
+                ConnectProgress::Connected
             }
-            (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => Progress::Pending,
-            _ => Progress::Failed,
+            (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => ConnectProgress::Pending,
+            _ => ConnectProgress::Failed,
         }
     }
 
     /// Reads all available bytes and writes what is pending; why the connection is over, if it is.
-    pub fn exchange(&mut self, token: Token, received: impl FnMut(&[u8])) -> Option<CloseReason> {
+    pub fn read_and_write(&mut self, token: Token, received: impl FnMut(&[u8])) -> Option<CloseReason> {
         let socket = self.sockets.get_mut(&token)?;
         let read = read_available(&mut socket.stream, &mut self.read_buffer, received);
         match read.and_then(|()| self.flush(token)) {
@@ -119,7 +119,7 @@
         connection: ConnectionId,
         bytes: &[u8],
     ) -> std::result::Result<(), Token> {
-        let Some(token) = self.tokens.get(&Owner { slot, connection }).copied() else { return Ok(()) };
+        let Some(token) = self.tokens.get(&SocketOwner { slot, connection }).copied() else { return Ok(()) };
         if let Some(socket) = self.sockets.get_mut(&token) {
             socket.output.extend_from_slice(bytes);
         }
@@ -135,19 +135,20 @@
 
     /// Closes a connection of an instance, if it is open.
     pub fn close(&mut self, slot: usize, connection: ConnectionId) {
-        if let Some(token) = self.tokens.get(&Owner { slot, connection }).copied() {
+        if let Some(token) = self.tokens.get(&SocketOwner { slot, connection }).copied() {
             self.remove(token);
         }
     }
 
     /// Closes all connections of an instance.
     pub fn close_all(&mut self, slot: usize) {
-        let own: Vec<Owner> = self.tokens.keys().filter(|owner| owner.slot == slot).copied().collect();
-        own.into_iter().for_each(|owner| self.close(owner.slot, owner.connection));
+        let owners: Vec<SocketOwner> =
+            self.tokens.keys().filter(|owner| owner.slot == slot).copied().collect();
+        owners.into_iter().for_each(|owner| self.close(owner.slot, owner.connection));
     }
 
     /// Ends a socket; its owner, if it was open.
-    pub fn remove(&mut self, token: Token) -> Option<Owner> {
+    pub fn remove(&mut self, token: Token) -> Option<SocketOwner> {
         let mut socket = self.sockets.remove(&token)?;
         let _ = self.poll.registry().deregister(&mut socket.stream); // it ends now in any case
         self.tokens.remove(&socket.owner);
--- a/load/src/scale/stand_ins/connection.rs
+++ b/load/src/scale/stand_ins/connection.rs
@@ -1,5 +1,5 @@
 //! The connections of the stand-ins.
-use crate::scale::server_load::{Role, ServerLoads};
+use crate::scale::server_traffic::{Role, ServerTraffic};
 use crate::scale::stream_io::{read_available, write_pending};
 use mio::net::TcpStream;
 use std::io::Result;
@@ -22,11 +22,11 @@
     }
 
     /// Reads all available bytes; an error where the connection is over.
-    pub fn read(&mut self, buffer: &mut [u8], loads: &ServerLoads) -> Result<()> {
-        let load = loads.of(self.role);
+    pub fn read(&mut self, buffer: &mut [u8], traffic: &ServerTraffic) -> Result<()> {
+        let counters = traffic.of(self.role);
         let input = &mut self.input;
         read_available(&mut self.stream, buffer, |bytes| {
-            load.count_received(bytes.len());
+            counters.count_received(bytes.len());
             input.extend_from_slice(bytes);
         })
     }
@@ -37,9 +37,9 @@
     }
 
     /// Writes what is pending, as far as the socket takes it.
-    pub fn flush(&mut self, loads: &ServerLoads) -> Result<()> {
+    pub fn flush(&mut self, traffic: &ServerTraffic) -> Result<()> {
         let written = write_pending(&mut self.stream, &mut self.output)?;
-        loads.of(self.role).count_sent(written);
+        traffic.of(self.role).count_sent(written);
         Ok(())
     }
 }
--- a/load/src/scale/stand_ins/event_loop.rs
+++ b/load/src/scale/stand_ins/event_loop.rs
@@ -2,11 +2,11 @@
 use super::connection::Connection;
 use super::Changes;
 use crate::scale::clock::unix_now;
-use crate::scale::counts::Counts;
+use crate::scale::counter_totals::CounterTotals;
 use crate::scale::endpoint_rotation::EndpointRotation;
-use crate::scale::operating_point::BACKEND_SECONDS;
-use crate::scale::server_load::{Role, ServerLoads};
+use crate::scale::operating_point::BACKEND_RESPONSE_SECONDS;
 use crate::scale::server_protocol;
+use crate::scale::server_traffic::{Role, ServerTraffic};
 use crate::sync::lock;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token};
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 /// The longest that the loop sleeps before it looks whether it is to end.
-const LONGEST_SLEEP: Duration = Duration::from_millis(50);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(50);
 /// How often counts whose time is over are dropped.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 /// Buffer of one read, bytes.
@@ -42,11 +42,11 @@
     /// Registered with their indices as tokens.
     pub listeners: Vec<Listener>,
     /// The counter's counts.
-    pub counts: Counts,
+    pub totals: CounterTotals,
     /// The endpoint list.
     pub endpoints: EndpointRotation,
     /// What crosses the connections.
-    pub loads: Arc<ServerLoads>,
+    pub traffic: Arc<ServerTraffic>,
     /// Changes of the list that others request.
     pub changes: Arc<Changes>,
     /// Between changes of the list that the loop makes by itself; none where it makes none.
@@ -63,7 +63,7 @@
 
 /// An answer of a backend, and when it is given; ordered by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct DueAnswer {
+struct DelayedReply {
     at: Instant,
     token: Token,
     bytes: Vec<u8>,
@@ -74,7 +74,7 @@
     connections: HashMap<Token, Connection>,
     next_token: usize,
     watches: Vec<PendingWatch>,
-    due_answers: BinaryHeap<Reverse<DueAnswer>>,
+    delayed_replies: BinaryHeap<Reverse<DelayedReply>>,
     read_buffer: Vec<u8>,
 }
 
@@ -86,7 +86,7 @@
             setup,
             connections: HashMap::new(),
             watches: vec![],
-            due_answers: BinaryHeap::new(),
+            delayed_replies: BinaryHeap::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
         }
     }
@@ -97,38 +97,38 @@
         let mut expire_at = Instant::now() + EXPIRY_INTERVAL;
         let mut last_change = Instant::now();
         while !stop.load(Ordering::Relaxed) {
-            let sleep = self.sleep();
-            if self.setup.poll.poll(&mut events, Some(sleep)).is_err() {
+            let timeout = self.poll_timeout();
+            if self.setup.poll.poll(&mut events, Some(timeout)).is_err() {
                 continue; // a signal
             }
             for event in &events {
-                self.ready(event.token());
+                self.handle_ready(event.token());
             }
             let now = Instant::now();
             if let Some(interval) =
                 self.setup.change_interval.filter(|interval| now >= last_change + *interval)
             {
                 last_change += interval;
-                self.setup.changes.requested.fetch_add(1, Ordering::Relaxed);
+                self.setup.changes.requested_count.fetch_add(1, Ordering::Relaxed);
             }
             self.write_changes();
             self.answer_watches(now);
             self.answer_commands(now);
             if now >= expire_at {
                 expire_at = now + EXPIRY_INTERVAL;
-                self.setup.counts.expire(unix_now());
+                self.setup.totals.expire(unix_now());
             }
         }
     }
 
     /// How long nothing is due.
-    fn sleep(&self) -> Duration {
-        let next = self.due_answers.peek();
-        let wait = next.map_or(LONGEST_SLEEP, |next| next.0.at.saturating_duration_since(Instant::now()));
-        wait.min(LONGEST_SLEEP)
+    fn poll_timeout(&self) -> Duration {
+        let next = self.delayed_replies.peek();
+        let wait = next.map_or(MAX_POLL_WAIT, |next| next.0.at.saturating_duration_since(Instant::now()));
+        wait.min(MAX_POLL_WAIT)
     }
 
-    fn ready(&mut self, token: Token) {
+    fn handle_ready(&mut self, token: Token) {
         if token.0 < self.setup.listeners.len() {
             return self.accept(token.0);
         }
@@ -147,7 +147,7 @@
                 continue; // no descriptor is left: the connection ends
             }
             self.next_token += 1;
-            self.setup.loads.of(role).count_connection();
+            self.setup.traffic.of(role).count_connection();
             self.connections.insert(token, Connection::new(role, stream));
         }
     }
@@ -163,16 +163,16 @@
     /// Reads all available bytes and serves it; an error where the connection is over.
     fn read(&mut self, token: Token) -> Result<()> {
         let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
-        connection.read(&mut self.read_buffer, &self.setup.loads)?;
+        connection.read(&mut self.read_buffer, &self.setup.traffic)?;
         let role = connection.role;
         let input = std::mem::take(&mut connection.input);
-        let mut used = 0;
-        while let Some(length) = self.serve(token, role, &input[used..])? {
-            self.setup.loads.of(role).count_call();
-            used += length;
+        let mut consumed = 0;
+        while let Some(length) = self.serve(token, role, &input[consumed..])? {
+            self.setup.traffic.of(role).count_call();
+            consumed += length;
         }
         if let Some(connection) = self.connections.get_mut(&token) {
-            connection.input = input[used..].to_vec();
+            connection.input = input[consumed..].to_vec();
         }
         Ok(())
     }
@@ -182,12 +182,12 @@
         if bytes.is_empty() {
             return Ok(None);
         }
-        let used = match role {
+        let consumed = match role {
             Role::Backend => {
                 let reply = server_protocol::answer_command(bytes).map_err(invalid)?;
                 reply.map(|reply| {
-                    let at = Instant::now() + Duration::from_secs_f64(BACKEND_SECONDS);
-                    self.due_answers.push(Reverse(DueAnswer { at, token, bytes: reply.value }));
+                    let at = Instant::now() + Duration::from_secs_f64(BACKEND_RESPONSE_SECONDS);
+                    self.delayed_replies.push(Reverse(DelayedReply { at, token, bytes: reply.value }));
                     reply.length
                 })
             }
@@ -200,23 +200,24 @@
                 })
             }
             Role::Counter => {
-                let counts = &mut self.setup.counts;
-                let answer = server_protocol::answer_count(unix_now(), counts, bytes).map_err(invalid)?;
+                let totals = &mut self.setup.totals;
+                let answer =
+                    server_protocol::answer_counter_call(unix_now(), totals, bytes).map_err(invalid)?;
                 answer.map(|answer| {
                     self.respond(token, &answer.value);
                     answer.length
                 })
             }
         };
-        Ok(used)
+        Ok(consumed)
     }
 
     /// Writes the changes that were requested since it last looked.
     fn write_changes(&mut self) {
-        let mut written = lock(&self.setup.changes.written);
-        while written.len() < self.setup.changes.requested.load(Ordering::Relaxed) {
+        let mut write_times = lock(&self.setup.changes.write_times);
+        while write_times.len() < self.setup.changes.requested_count.load(Ordering::Relaxed) {
             self.setup.endpoints.advance();
-            written.push(unix_now());
+            write_times.push(unix_now());
         }
     }
 
@@ -236,8 +237,8 @@
 
     /// Gives the answers of backends that are due.
     fn answer_commands(&mut self, now: Instant) {
-        while self.due_answers.peek().is_some_and(|next| next.0.at <= now) {
-            let Some(Reverse(answer)) = self.due_answers.pop() else { return };
+        while self.delayed_replies.peek().is_some_and(|next| next.0.at <= now) {
+            let Some(Reverse(answer)) = self.delayed_replies.pop() else { return };
             self.respond(answer.token, &answer.bytes);
             self.flush_or_close(answer.token);
         }
@@ -251,7 +252,7 @@
 
     fn flush(&mut self, token: Token) -> Result<()> {
         let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
-        connection.flush(&self.setup.loads)
+        connection.flush(&self.setup.traffic)
     }
 
     fn flush_or_close(&mut self, token: Token) {
--- a/load/src/scale/stand_ins/mod.rs
+++ b/load/src/scale/stand_ins/mod.rs
@@ -4,12 +4,12 @@
 mod connection;
 mod event_loop;
 
-use super::counts::Counts;
-use super::embedded::Services;
+use super::counter_totals::CounterTotals;
+use super::embedded::ServiceAddresses;
 use super::endpoint_rotation::EndpointRotation;
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
-use super::server_load::{Role, ServerLoads};
+use super::server_traffic::{Role, ServerTraffic};
 use crate::sync::lock;
 use crate::test_bed::loopback::own_loopback;
 use event_loop::{EventLoop, Listener, Setup};
@@ -28,19 +28,19 @@
 
 /// Whether the backends of the list are there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Backends {
+pub enum BackendMode {
     /// They listen and answer.
-    Served,
+    Listening,
     /// They are on the list only; whoever runs the instances answers for them.
-    Listed,
+    ListedOnly,
 }
 
 /// Changes of the list that were requested, and when each was written.
 #[derive(Default)]
 struct Changes {
-    requested: AtomicUsize,
+    requested_count: AtomicUsize,
     /// Unix time in seconds, from version 2 on.
-    written: Mutex<Vec<f64>>,
+    write_times: Mutex<Vec<f64>>,
 }
 
 /// Stand-ins that serve until this is dropped.
@@ -50,9 +50,9 @@
     /// Where the list service is.
     pub discovery: SocketAddr,
     /// Bytes of a snapshot of the list, as the list service writes it.
-    pub list_bytes: usize,
+    pub snapshot_bytes: usize,
     /// What crossed the connections.
-    pub loads: Arc<ServerLoads>,
+    pub traffic: Arc<ServerTraffic>,
     changes: Arc<Changes>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -63,25 +63,25 @@
     pub fn start(
         point: &OperatingPoint,
         instances: usize,
-        backends: Backends,
+        backend_mode: BackendMode,
     ) -> Result<StandIns, ScaleError> {
         let poll = Poll::new().map_err(ScaleError::Poll)?;
-        let listening = if backends == Backends::Served { point.backends } else { 0 };
-        let listeners = listen_all(poll.registry(), listening)?;
-        let listening = listening_addresses(&listeners)?;
-        let endpoints = match backends {
-            Backends::Served => EndpointRotation::new(&listening[SERVICE_LISTENERS..]),
-            Backends::Listed => EndpointRotation::new(&unserved_addresses(point.backends)),
+        let listening_backends = if backend_mode == BackendMode::Listening { point.backends } else { 0 };
+        let listeners = listen_all(poll.registry(), listening_backends)?;
+        let addresses = listening_addresses(&listeners)?;
+        let endpoints = match backend_mode {
+            BackendMode::Listening => EndpointRotation::new(&addresses[SERVICE_LISTENERS..]),
+            BackendMode::ListedOnly => EndpointRotation::new(&unserved_addresses(point.backends)),
         };
-        let list_bytes = endpoints.answer(0).to_string().len();
-        let loads = Arc::new(ServerLoads::default());
+        let snapshot_bytes = endpoints.response(0).to_string().len();
+        let traffic = Arc::new(ServerTraffic::default());
         let changes = Arc::new(Changes::default());
         let event_loop = EventLoop::new(Setup {
             poll,
             listeners,
-            counts: Counts::new(point.tenants(), point.absent_fraction(instances)),
+            totals: CounterTotals::new(point.tenants(), point.absent_fraction(instances)),
             endpoints,
-            loads: loads.clone(),
+            traffic: traffic.clone(),
             changes: changes.clone(),
             change_interval: (point.changes > 0.0).then(|| Duration::from_secs_f64(1.0 / point.changes)),
         });
@@ -91,10 +91,10 @@
             move || event_loop.run(&stop)
         });
         Ok(StandIns {
-            counter: listening[0],
-            discovery: listening[1],
-            list_bytes,
-            loads,
+            counter: addresses[0],
+            discovery: addresses[1],
+            snapshot_bytes,
+            traffic,
             changes,
             stop,
             thread: Some(thread),
@@ -102,18 +102,18 @@
     }
 
     /// Where the services are.
-    pub fn services(&self) -> Services {
-        Services { counter: self.counter, discovery: self.discovery }
+    pub fn services(&self) -> ServiceAddresses {
+        ServiceAddresses { counter: self.counter, discovery: self.discovery }
     }
 
     /// Changes the list once more, within a moment.
-    pub fn change(&self) {
-        self.changes.requested.fetch_add(1, Ordering::Relaxed);
+    pub fn request_change(&self) {
+        self.changes.requested_count.fetch_add(1, Ordering::Relaxed);
     }
 
     /// When each version of the list was written, from version 2 on; Unix time in seconds.
-    pub fn written(&self) -> Vec<f64> {
-        lock(&self.changes.written).clone()
+    pub fn write_times(&self) -> Vec<f64> {
+        lock(&self.changes.write_times).clone()
     }
 }
 
--- a/load/src/scale/steady_state.rs
+++ b/load/src/scale/steady_state.rs
@@ -1,10 +1,10 @@
 //! The steady state: what a span of traffic cost one instance, in rows.
 use super::outcomes::OutcomeCounts;
 use super::rows::Rows;
-use super::server_load::{LoadReadings, Role};
+use super::server_traffic::{Role, ServerTrafficCounts};
 
 /// What all measured instances did and used in a span.
-pub struct SpanUsage {
+pub struct IntervalUsage {
     /// Length of the span, seconds.
     pub seconds: f64,
     /// Instances that were measured.
@@ -12,13 +12,13 @@
     /// The outcomes of the requests.
     pub outcomes: OutcomeCounts,
     /// The load of the servers.
-    pub loads: LoadReadings,
+    pub traffic: ServerTrafficCounts,
     /// Seconds of processor time.
-    pub processor: f64,
+    pub cpu_seconds: f64,
 }
 
 /// Adds the figures of a span, each for one instance.
-pub fn add_rows(rows: &mut Rows, usage: &SpanUsage) {
+pub fn add_rows(rows: &mut Rows, usage: &IntervalUsage) {
     let instance_seconds = usage.seconds * usage.instances as f64;
     let sent = usage.outcomes.sent.max(1) as f64;
     rows.add("counted", usage.seconds, "s");
@@ -33,12 +33,12 @@
     }
     for role in Role::ALL {
         let name = role.name();
-        let load = usage.loads.of(role);
-        rows.add(&format!("{name}: calls"), load.calls as f64 / instance_seconds, "1/s");
-        rows.add(&format!("{name}: calls a request"), load.calls as f64 / sent, "1");
-        rows.add(&format!("{name}: bytes out"), load.received as f64 / instance_seconds, "B/s");
-        rows.add(&format!("{name}: bytes in"), load.sent as f64 / instance_seconds, "B/s");
-        rows.add(&format!("{name}: connections made"), load.connections as f64 / instance_seconds, "1/s");
+        let counts = usage.traffic.of(role);
+        rows.add(&format!("{name}: calls"), counts.calls as f64 / instance_seconds, "1/s");
+        rows.add(&format!("{name}: calls a request"), counts.calls as f64 / sent, "1");
+        rows.add(&format!("{name}: bytes out"), counts.bytes_received as f64 / instance_seconds, "B/s");
+        rows.add(&format!("{name}: bytes in"), counts.bytes_sent as f64 / instance_seconds, "B/s");
+        rows.add(&format!("{name}: connections made"), counts.connections as f64 / instance_seconds, "1/s");
     }
-    rows.add("processor", usage.processor / instance_seconds, "cores");
+    rows.add("processor", usage.cpu_seconds / instance_seconds, "cores");
 }
--- a/load/src/scale/stream_io.rs
+++ b/load/src/scale/stream_io.rs
@@ -6,12 +6,12 @@
 pub fn read_available(
     stream: &mut TcpStream,
     buffer: &mut [u8],
-    mut received: impl FnMut(&[u8]),
+    mut on_bytes: impl FnMut(&[u8]),
 ) -> Result<()> {
     loop {
         match stream.read(buffer) {
             Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-            Ok(length) => received(&buffer[..length]),
+            Ok(length) => on_bytes(&buffer[..length]),
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
@@ -21,15 +21,15 @@
 
 /// Writes what is pending, as far as the socket takes it; how many bytes that were.
 pub fn write_pending(stream: &mut TcpStream, pending: &mut Vec<u8>) -> Result<usize> {
-    let mut done = 0;
-    while done < pending.len() {
-        match stream.write(&pending[done..]) {
-            Ok(length) => done += length,
+    let mut written = 0;
+    while written < pending.len() {
+        match stream.write(&pending[written..]) {
+            Ok(length) => written += length,
             Err(e) if e.kind() == ErrorKind::WouldBlock => break,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
     }
-    pending.drain(..done);
-    Ok(done)
+    pending.drain(..written);
+    Ok(written)
 }
--- a/load/src/scale/sweep.rs
+++ b/load/src/scale/sweep.rs
@@ -3,55 +3,55 @@
 use super::error::ScaleError;
 use super::fit::{Factor, FACTORS};
 use super::operating_point::OperatingPoint;
-use super::process::usage;
+use super::process::process_usage;
 use super::rows;
-use super::span::Span;
+use super::timing::Timing;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 /// Memory that all points together may take, MiB: half of the machine's.
-const MAX_MEMORY: f64 = 12.0 * 1024.0;
+const MAX_MEMORY_MIB: f64 = 12.0 * 1024.0;
 /// How often the running points are looked at.
 const POLL: Duration = Duration::from_millis(100);
 
 /// What a sweep may use.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Bounds {
+pub struct SweepLimits {
     /// Number of points that are measured at once, each in a process of its own.
-    #[arg(long, default_value_t = 4)]
-    pub at_once: usize,
+    #[arg(long = "at-once", value_name = "AT_ONCE", default_value_t = 4)]
+    pub parallelism: usize,
     /// Seconds after which points that still run are stopped, and reported as missing.
-    #[arg(long, value_name = "SECONDS", default_value_t = 80.0)]
-    pub longest: f64,
+    #[arg(long = "longest", value_name = "SECONDS", default_value_t = 80.0)]
+    pub max_seconds: f64,
 }
 
 /// What a sweep measures.
-pub struct Plan<'a> {
+pub struct SweepSpec<'a> {
     /// The point that each factor is varied at.
     pub base: &'a OperatingPoint,
     /// What is varied; all factors, where none is named.
     pub factors: &'a [Factor],
     /// How long each point is measured.
-    pub span: &'a Span,
+    pub timing: &'a Timing,
     /// Embedded instances at each point.
     pub instances: usize,
     /// What the sweep may use.
-    pub bounds: &'a Bounds,
+    pub limits: &'a SweepLimits,
 }
 
-impl Plan<'_> {
+impl SweepSpec<'_> {
     /// The arguments of `scale hollow` for one size of a factor.
     fn arguments(&self, factor: Factor, size: f64, out: &Path) -> Vec<String> {
-        let named = |name: &str, value: String| [name.to_owned(), value];
-        let mut words = vec!["scale".to_owned(), "hollow".to_owned()];
-        words.extend(named("--run", factor.run()));
-        words.extend(named("--hollow", self.instances.to_string()));
-        words.extend(named("--out", out.display().to_string()));
-        words.extend(self.span.arguments());
-        words.extend(self.point(factor, size).arguments());
-        words
+        let option = |name: &str, value: String| [name.to_owned(), value];
+        let mut arguments = vec!["scale".to_owned(), "hollow".to_owned()];
+        arguments.extend(option("--run", factor.run_name()));
+        arguments.extend(option("--hollow", self.instances.to_string()));
+        arguments.extend(option("--out", out.display().to_string()));
+        arguments.extend(self.timing.arguments());
+        arguments.extend(self.point(factor, size).arguments());
+        arguments
     }
 
     /// The base with one size of a factor.
@@ -75,53 +75,53 @@
 }
 
 /// A measurement that was not begun.
-struct Waiting {
+struct PendingPoint {
     factor: Factor,
     size: f64,
 }
 
-impl Waiting {
+impl PendingPoint {
     fn name(&self) -> String {
         format!("{} {}", self.factor.name(), self.size)
     }
 }
 
 /// A measurement that runs.
-struct Running {
+struct RunningPoint {
     process: Child,
     name: String,
     rows: PathBuf,
 }
 
 struct Sweep<'a> {
-    plan: &'a Plan<'a>,
+    spec: &'a SweepSpec<'a>,
     out: &'a Path,
     program: PathBuf,
-    until: Instant,
+    deadline: Instant,
     /// The next one is the last.
-    waiting: Vec<Waiting>,
-    running: Vec<Running>,
+    pending: Vec<PendingPoint>,
+    running: Vec<RunningPoint>,
     missing: Vec<String>,
 }
 
 /// Measures all sizes of the factors; each point's rows are appended to `out`. Returns which points did not complete, and why.
-pub fn sweep(plan: &Plan, out: &Path) -> Result<Vec<String>, ScaleError> {
-    let factors = if plan.factors.is_empty() { &FACTORS } else { plan.factors };
+pub fn sweep(spec: &SweepSpec, out: &Path) -> Result<Vec<String>, ScaleError> {
+    let factors = if spec.factors.is_empty() { &FACTORS } else { spec.factors };
     let points =
-        factors.iter().flat_map(|factor| factor.sizes().map(|size| Waiting { factor: *factor, size }));
+        factors.iter().flat_map(|factor| factor.sizes().map(|size| PendingPoint { factor: *factor, size }));
     let mut sweep = Sweep {
-        plan,
+        spec,
         out,
         program: std::env::current_exe().map_err(ScaleError::CurrentProgram)?,
-        waiting: points.rev().collect(),
+        pending: points.rev().collect(),
         running: vec![],
         missing: vec![],
-        until: Instant::now() + Duration::from_secs_f64(plan.bounds.longest),
+        deadline: Instant::now() + Duration::from_secs_f64(spec.limits.max_seconds),
     };
-    while !(sweep.waiting.is_empty() && sweep.running.is_empty()) {
+    while !(sweep.pending.is_empty() && sweep.running.is_empty()) {
         sweep.launch()?;
         sleep(POLL);
-        if let Some(reason) = sweep.exceeded() {
+        if let Some(reason) = sweep.exceeded_limit() {
             sweep.stop(&reason);
         }
         sweep.collect()?;
@@ -132,30 +132,31 @@
 impl Sweep<'_> {
     /// Starts as many points as may run at once.
     fn launch(&mut self) -> Result<(), ScaleError> {
-        while self.running.len() < self.plan.bounds.at_once.max(1) {
-            let Some(next) = self.waiting.pop() else { break };
-            let Waiting { factor, size } = next;
+        while self.running.len() < self.spec.limits.parallelism.max(1) {
+            let Some(next) = self.pending.pop() else { break };
+            let PendingPoint { factor, size } = next;
             let rows = self.out.with_extension(format!("{}-{size}.part", factor.name().replace(' ', "-")));
             let mut command = Command::new(&self.program);
-            command.args(self.plan.arguments(factor, size, &rows)).stdout(Stdio::null());
+            command.args(self.spec.arguments(factor, size, &rows)).stdout(Stdio::null());
             let process = command.spawn().map_err(ScaleError::file(&self.program))?;
-            self.running.push(Running { process, name: next.name(), rows });
+            self.running.push(RunningPoint { process, name: next.name(), rows });
         }
         Ok(())
     }
 
     /// Which bound is exceeded, if one is.
-    fn exceeded(&self) -> Option<String> {
-        let memory: f64 = self.running.iter().map(|point| usage(point.process.id()).resident).sum();
-        if memory > MAX_MEMORY {
+    fn exceeded_limit(&self) -> Option<String> {
+        let memory: f64 =
+            self.running.iter().map(|point| process_usage(point.process.id()).resident_mib).sum();
+        if memory > MAX_MEMORY_MIB {
             return Some(format!("{memory:.0} MiB in all"));
         }
-        (Instant::now() > self.until).then(|| format!("not done in {} s", self.plan.bounds.longest))
+        (Instant::now() > self.deadline).then(|| format!("not done in {} s", self.spec.limits.max_seconds))
     }
 
     fn stop(&mut self, reason: &str) {
-        for waiting in self.waiting.drain(..) {
-            self.missing.push(format!("{}: not begun, {reason}", waiting.name()));
+        for pending in self.pending.drain(..) {
+            self.missing.push(format!("{}: not begun, {reason}", pending.name()));
         }
         for running in &mut self.running {
             let _ = running.process.kill(); // it may have ended
--- a/load/src/scale/span.rs
+++ b/load/src/scale/timing.rs
@@ -2,7 +2,7 @@
 
 /// Seconds of a measurement.
 #[derive(Clone, Debug, clap::Args)]
-pub struct Span {
+pub struct Timing {
     /// Seconds of traffic before the measurement, in which instances adapt the rate of their counter calls.
     #[arg(long, value_name = "SECONDS", default_value_t = 10.0)]
     pub warm_up: f64,
@@ -11,7 +11,7 @@
     pub seconds: f64,
 }
 
-impl Span {
+impl Timing {
     /// The command-line arguments for the same span.
     pub fn arguments(&self) -> [String; 4] {
         ["--warm-up".to_owned(), self.warm_up.to_string(), "--seconds".to_owned(), self.seconds.to_string()]
--- a/load/tests/scale.rs
+++ b/load/tests/scale.rs
@@ -2,13 +2,13 @@
 //! the endpoint list.
 use clap::Subcommand;
 use quillramp_load::scale::command::Scale;
-use quillramp_load::scale::counts::Counts;
+use quillramp_load::scale::counter_totals::CounterTotals;
 use quillramp_load::scale::embedded_run;
-use quillramp_load::scale::fit::{fits, Factor, Line, Point};
+use quillramp_load::scale::fit::{fit_rows, DataPoint, Factor, Line};
 use quillramp_load::scale::operating_point::{burst, quota, OperatingPoint, Spread, Tenant};
 use quillramp_load::scale::propagation::{self, Burst};
 use quillramp_load::scale::rows::{self, Row};
-use quillramp_load::scale::span::Span;
+use quillramp_load::scale::timing::Timing;
 use std::ops::Range;
 
 /// Bytes for which a backend is listed.
@@ -45,7 +45,8 @@
 }
 
 fn in_process(point: &OperatingPoint, seconds: f64) -> Vec<Row> {
-    embedded_run::in_process("test", point, 3, &Span { warm_up: 8.0, seconds }).expect("the run completes")
+    embedded_run::measure_in_process("test", point, 3, &Timing { warm_up: 8.0, seconds })
+        .expect("the run completes")
 }
 
 #[test]
@@ -74,18 +75,18 @@
 
 #[test]
 fn what_absent_instances_spend_and_correct_is_estimated() {
-    let tenant = Tenant { plan: 4, offered: 4.0 };
+    let tenant = Tenant { plan: 4, offered_rate: 4.0 };
     assert_eq!(quota(4), 7.0);
     assert_eq!(burst(4), 14.0);
     let window_start = 1_700_000_010.0;
     let count = format!("0.{}", (window_start / 30.0) as u64);
-    let mut without_others = Counts::new(vec![tenant], None);
+    let mut without_others = CounterTotals::new(vec![tenant], None);
     assert_eq!(without_others.add(window_start + 5.0, &count, 1.0), 1.0);
     assert_eq!(without_others.add(window_start + 9.0, &count, 2.0), 3.0);
 
     // The token bucket refills 7 units a second and the fleet spends 4: the total lags by 3 units a second more, and is corrected
     // whenever it lags by an eighth of the burst.
-    let mut with_others = Counts::new(vec![tenant], Some(1.0));
+    let mut with_others = CounterTotals::new(vec![tenant], Some(1.0));
     let lag = |seconds: f64, total: f64| 7.0 * seconds - total;
     let first = with_others.add(window_start + 0.5, &count, 0.0);
     assert!((lag(0.5, first) - 1.5).abs() < 1e-6, "{first}");
@@ -129,20 +130,20 @@
     for spread in [Spread::Uniform, Spread::Zipf] {
         let point = OperatingPoint { spread, fleet_requests: 97_000.0, tenants: 14_000, ..operating_point() };
         let tenants = point.tenants();
-        let offered: f64 = tenants.iter().map(|tenant| tenant.offered).sum();
+        let offered: f64 = tenants.iter().map(|tenant| tenant.offered_rate).sum();
         assert!((offered - 97_000.0).abs() < 1.0, "{offered}");
-        assert!(tenants.iter().all(|tenant| quota(tenant.plan) >= tenant.offered), "{spread:?}");
+        assert!(tenants.iter().all(|tenant| quota(tenant.plan) >= tenant.offered_rate), "{spread:?}");
     }
 }
 
 /// How often the counter is called within four seconds depends on when they begin; how long a call is does not.
 #[test]
 fn sockets_and_simulation_agree() {
-    let span = Span { warm_up: 6.0, seconds: 4.0 };
+    let timing = Timing { warm_up: 6.0, seconds: 4.0 };
     let on_sockets =
-        embedded_run::on_sockets("test", &operating_point(), 3, &span).expect("the run completes");
+        embedded_run::measure_on_sockets("test", &operating_point(), 3, &timing).expect("the run completes");
     let simulated =
-        embedded_run::in_process("test", &operating_point(), 3, &span).expect("the run completes");
+        embedded_run::measure_in_process("test", &operating_point(), 3, &timing).expect("the run completes");
     assert!(figure(&on_sockets, "served") > 0.9, "{on_sockets:?}");
     let ratio = bytes_per_call(&on_sockets) / bytes_per_call(&simulated);
     assert!((0.9..1.1).contains(&ratio), "bytes a call {ratio:.2} times");
@@ -150,7 +151,7 @@
 
 #[test]
 fn a_burst_of_changes_is_in_force_everywhere_while_some_instances_restart() {
-    let burst = Burst { burst: 4, over: 2.0, one_in: 5, warm_up: 1.0 };
+    let burst = Burst { change_count: 4, duration: 2.0, restart_one_in: 5, warm_up: 1.0 };
     let point = OperatingPoint { requests: 5.0, ..operating_point() };
     let rows = propagation::measure("test", &point, 10, &burst).expect("the run completes");
     assert_eq!(figure(&rows, "changes written"), 4.0);
@@ -161,7 +162,8 @@
 
 /// The line through measurements, given as factor and figure.
 fn line_through(measured: &[(f64, f64)]) -> Option<Line> {
-    let points: Vec<Point> = measured.iter().map(|&(factor, figure)| Point { factor, figure }).collect();
+    let points: Vec<DataPoint> =
+        measured.iter().map(|&(factor, figure)| DataPoint { factor, figure }).collect();
     Line::through(&points)
 }
 
@@ -172,7 +174,7 @@
     assert!((line.intercept - 3.0).abs() < ROUNDING, "{line:?}");
     assert!(line.residual < ROUNDING, "{line:?}");
     let with_residual = line_through(&[(0.0, 0.0), (1.0, 3.0), (2.0, 0.0)]).expect("a line");
-    assert!((with_residual.at(1.0) - 1.0).abs() < ROUNDING, "{with_residual:?}");
+    assert!((with_residual.value_at(1.0) - 1.0).abs() < ROUNDING, "{with_residual:?}");
     assert!((with_residual.residual - 2f64.sqrt()).abs() < ROUNDING, "{with_residual:?}");
     assert_eq!(line_through(&[(1.0, 1.0)]), None);
 }
@@ -183,7 +185,7 @@
     for backends in [60, 120] {
         let mut rows = in_process(&OperatingPoint { backends, ..operating_point() }, 1.0);
         for row in &mut rows {
-            row.run = Factor::Backends.run();
+            row.run = Factor::Backends.run_name();
         }
         written.extend(rows);
     }
@@ -191,7 +193,7 @@
     rows::append(&file, &written).expect("the rows are written");
     assert_eq!(rows::read(&file).expect("the rows are read"), written);
     std::fs::remove_file(&file).expect("the file of this test");
-    let fits = fits(&written);
+    let fits = fit_rows(&written);
     let list_fit = fits.iter().find(|fit| fit.figure == "list sent until counted").expect("a fit");
     let bytes_per_backend = list_fit.line.slope;
     assert!(BYTES_PER_BACKEND.contains(&bytes_per_backend), "{bytes_per_backend:.1} bytes a backend");
