--- a/load/src/scale/clients.rs
+++ b/load/src/scale/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of one instance: requests at times that wait for no answer, over a few connections.
+//! Open-loop clients of one instance: they send requests at scheduled times, without waiting for replies, over a
+//! fixed number of connections.
 use super::error::ScaleError;
 use super::outcomes::OutcomeCounters;
 use super::requests::RequestSource;
@@ -13,12 +14,13 @@
 use std::thread::{sleep, spawn, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Connections of the clients; each has its answers in order, so a slow one holds up only those behind it.
+/// Number of client connections. Replies on one connection arrive in request order, so a slow reply delays only the
+/// later ones on its connection.
 const CONNECTIONS: usize = 64;
-/// The longest latency that is told from longer ones.
+/// Upper bound of the latency histogram; longer latencies are recorded as this value.
 const MAX_LATENCY_MICROSECONDS: u64 = 60_000_000;
 
-/// When the requests of a connection that are not answered yet were written.
+/// Send times of the requests of a connection that have no reply yet.
 type PendingRequests = Arc<Mutex<VecDeque<Instant>>>;
 
 struct Connection {
@@ -28,16 +30,16 @@
 
 /// Clients that send requests until this is dropped.
 pub struct Clients {
-    /// The outcomes of the requests.
+    /// Outcomes of the requests.
     pub outcomes: Arc<OutcomeCounters>,
-    /// Microseconds from a request's write to its answer, all outcomes.
+    /// Microseconds from the write of a request to its reply, for all outcomes.
     pub latencies: Arc<Mutex<Histogram<u64>>>,
     stop: Arc<AtomicBool>,
     writer: Option<JoinHandle<()>>,
 }
 
 impl Clients {
-    /// Connects to an instance and sends it requests.
+    /// Connects to an instance and starts to send requests.
     pub fn start(address: SocketAddr, source: RequestSource) -> Result<Clients, ScaleError> {
         let histogram =
             Histogram::new_with_bounds(1, MAX_LATENCY_MICROSECONDS, 3).map_err(ScaleError::Histogram)?;
@@ -62,12 +64,12 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(writer) = self.writer.take() {
-            let _ = writer.join(); // its panic was printed
+            let _ = writer.join(); // the panic message is already printed
         }
     }
 }
 
-/// Connects, and reads the answers on a thread of their own.
+/// Opens a connection and starts a thread that reads its replies.
 fn connect(
     address: SocketAddr,
     outcomes: &Arc<OutcomeCounters>,
@@ -86,7 +88,7 @@
     Ok(Connection { stream, pending })
 }
 
-/// Writes the requests at their times, over the connections in turns.
+/// Writes each request at its scheduled time, using the connections in turn.
 fn write_requests(
     mut source: RequestSource,
     mut connections: Vec<Connection>,
--- a/load/src/scale/command.rs
+++ b/load/src/scale/command.rs
@@ -1,4 +1,5 @@
-//! The `scale` commands of the program. Names of commands and options call an instance a front door, and an embedded one hollow.
+//! The `scale` subcommands of `quillramp-load`. Their names and options say `front-doors` for gateway instances and
+//! `hollow` for embedded instances.
 use super::embedded_run::{self, Transport};
 use super::error::ScaleError;
 use super::fit::{self, Factor};
@@ -12,21 +13,21 @@
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
 
-/// What can be measured.
+/// A measurement, or a report on measured rows.
 #[derive(Subcommand)]
 pub enum Scale {
-    /// Measure one process of the gateway program, among stand-in servers on loopback.
+    /// Measure one process of the gateway program with stand-in servers on loopback.
     Real {
-        /// The sizes and the traffic.
+        /// Fleet sizes and traffic.
         #[command(flatten)]
         point: OperatingPoint,
-        /// How long it is measured.
+        /// Duration of the warm-up and of the measurement.
         #[command(flatten)]
         timing: Timing,
         /// Name of the run in its rows.
         #[arg(long, default_value = "real")]
         run: String,
-        /// The gateway program.
+        /// Path of the gateway program.
         #[arg(long, value_name = "FILE", default_value = "target/release/quillramp")]
         program: PathBuf,
         /// CSV file to append the rows to.
@@ -35,37 +36,37 @@
     },
     /// Measure embedded ("hollow") instances: the gateway's code in this process, without its sockets.
     Hollow {
-        /// The sizes and the traffic.
+        /// Fleet sizes and traffic.
         #[command(flatten)]
         point: OperatingPoint,
-        /// How long they are measured.
+        /// Duration of the warm-up and of the measurement.
         #[command(flatten)]
         timing: Timing,
         /// Name of the run in its rows.
         #[arg(long, default_value = "hollow")]
         run: String,
-        /// How they reach the counter and the list service.
+        /// How the instances reach the counter and the list service.
         #[arg(long = "on", value_name = "ON", value_enum, default_value_t = Transport::InProcess)]
         transport: Transport,
-        /// Number of embedded instances; for the rest of the fleet the stand-in counter adds an estimate.
+        /// Number of embedded instances; the stand-in counter estimates the rest of the fleet.
         #[arg(long = "hollow", value_name = "INSTANCES", default_value_t = 4)]
         embedded: usize,
         /// CSV file to append the rows to.
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Measure embedded ("hollow") instances while one factor at a time is varied over five sizes.
+    /// Measure embedded ("hollow") instances, varying one factor at a time over five sizes.
     Sweep {
         /// The factors to vary [default: all]
         #[arg(value_enum)]
         factors: Vec<Factor>,
-        /// The sizes and the traffic of the factors that are not varied.
+        /// Fleet sizes and traffic of the factors that are not varied.
         #[command(flatten)]
         base: OperatingPoint,
-        /// How long each point is measured.
+        /// Duration of the warm-up and of the measurement at each point.
         #[command(flatten)]
         timing: Timing,
-        /// What the sweep may use.
+        /// Limits on processes and time.
         #[command(flatten)]
         limits: SweepLimits,
         /// Number of embedded instances at each point.
@@ -75,10 +76,10 @@
         #[arg(long, value_name = "FILE")]
         out: PathBuf,
     },
-    /// Measure how long changes of the endpoint list take to be in force, in seconds, while some instances restart; embedded
-    /// ("hollow") instances on sockets.
+    /// Measure how many seconds a change of the endpoint list takes to reach every embedded ("hollow") instance, on
+    /// sockets, while some instances restart.
     Changes {
-        /// The sizes and the traffic.
+        /// Fleet sizes and traffic.
         #[command(flatten)]
         point: OperatingPoint,
         /// The changes and the restarts.
@@ -96,7 +97,7 @@
     },
     /// Fit straight lines to the rows of a sweep; prints a table of the slopes.
     Fit {
-        /// The CSV file of the sweep's rows.
+        /// CSV file with the rows of the sweep.
         rows: PathBuf,
         /// Existing directory to write `slopes.csv` and charts to.
         #[arg(long, value_name = "DIRECTORY")]
@@ -104,16 +105,16 @@
     },
     /// Compare a run of the program with one of embedded ("hollow") instances at the same point, figure by figure.
     Beside {
-        /// The CSV file of rows that has both runs.
+        /// CSV file with the rows of both runs.
         rows: PathBuf,
-        /// Name of the run of the program.
+        /// Name of the run that measured the program.
         real: String,
-        /// Name of the run of embedded instances.
+        /// Name of the run that measured embedded instances.
         hollow: String,
     },
 }
 
-/// Measures and appends the rows to their file; the text for standard output.
+/// Executes a command, and returns the text for standard output.
 pub fn run(command: &Scale) -> Result<String, ScaleError> {
     match command {
         Scale::Real { point, timing, run, program, out } => {
@@ -144,7 +145,7 @@
     }
 }
 
-/// Writes the slopes and the charts of a sweep into the folder; the slopes as a table.
+/// Writes `slopes.csv` and the charts of a sweep into the folder, and returns the slopes as a table.
 fn fit(rows: &Path, folder: &Path) -> Result<String, ScaleError> {
     let rows = rows::read(rows)?;
     let source = rows.first().map_or(Source::InProcess, |row| row.source);
@@ -154,7 +155,7 @@
     Ok(slope_report::table(&fits, source))
 }
 
-/// Appends measured rows to a file; a line for each.
+/// Appends rows to a CSV file, and returns one line of text for each row.
 fn append_rows(out: &Path, rows: &[Row]) -> Result<String, ScaleError> {
     rows::append(out, rows)?;
     let line = |row: &Row| format!("{}: {} {:.4} {}\n", row.run, row.figure, row.value, row.unit);
--- a/load/src/scale/counter_totals.rs
+++ b/load/src/scale/counter_totals.rs
@@ -1,38 +1,41 @@
-//! The counts of a stand-in counter. Where one instance stands for a fleet, what the others would have added is estimated:
-//! what they spend of each tenant's quota, and how they correct upwards a count that lags behind what its token bucket regained. So the
-//! instances that are there make hardly any corrections; of those of a whole fleet each would make its part.
+//! The totals of a stand-in counter. If only some instances of the fleet run, the totals include an estimate of what
+//! the absent instances would add: the units they spend of each tenant's quota, and their corrections of a total that
+//! lags behind the refill of its token bucket. The estimate makes nearly all corrections, so the running instances
+//! make hardly any; in a whole fleet each instance would make its share of them.
 use super::operating_point::{burst, quota, Tenant};
 use std::collections::HashMap;
 
-/// Seconds that one name of a count is in use, as the decisions have it (`WINDOW` in `src/policy/counter.rs`).
+/// Seconds for which instances use one counter key (equal to `WINDOW` in `src/policy/counter.rs`).
 const WINDOW_SECONDS: f64 = 30.0;
-/// The part of the burst by which a count may lag behind what its token bucket regained before an instance corrects it
-/// (`TOLERATED_LAG_FRACTION` in `src/policy/leases.rs`).
+/// Lag of a total behind the refill of its token bucket, as a fraction of the burst, above which an instance corrects
+/// the total (equal to `TOLERATED_LAG_FRACTION` in `src/policy/leases.rs`).
 const CORRECTED_LAG_FRACTION: f64 = 1.0 / 8.0;
-/// Windows after which a count is forgotten.
+/// Number of windows without a call after which a total is removed.
 const EXPIRY_WINDOWS: f64 = 2.0;
 
 struct Total {
     units: f64,
-    /// When it was last asked for, Unix time in seconds.
+    /// Time of the last call for this key, Unix time in seconds.
     updated_at: f64,
 }
 
-/// The counts by name.
+/// The totals of a counter by key.
 pub struct CounterTotals {
     totals: HashMap<String, Total>,
     tenants: Vec<Tenant>,
-    /// The fraction of each tenant's requests that absent instances would get; none where they are not estimated.
+    /// Fraction of each tenant's requests that absent instances would receive; `None` if they are not estimated.
     absent_fraction: Option<f64>,
 }
 
 impl CounterTotals {
-    /// Counts for these tenants, with the fraction of the requests that is estimated for instances that are not there.
+    /// Creates a counter without totals. `absent_fraction` is the fraction of each tenant's requests that absent
+    /// instances would receive; `None` disables the estimate.
     pub fn new(tenants: Vec<Tenant>, absent_fraction: Option<f64>) -> CounterTotals {
         CounterTotals { totals: HashMap::new(), tenants, absent_fraction }
     }
 
-    /// Adds to a count (`tenant.series`, the tenant in hexadecimal); its new total. `now` is Unix time in seconds.
+    /// Adds `by` units to the total of a key (`tenant.series`, the tenant in hexadecimal) and returns the new total.
+    /// `now` is Unix time in seconds.
     pub fn add(&mut self, now: f64, key: &str, by: f64) -> f64 {
         let estimate = self.absent_fraction.and_then(|fraction| self.estimate(key, fraction));
         let window_start = estimate.map_or(now, |estimate| estimate.window_start);
@@ -48,7 +51,7 @@
         total.units
     }
 
-    /// Forgets counts whose window is past, as their time to live would end.
+    /// Removes totals whose window is over, as a counter does when their time to live ends.
     pub fn expire(&mut self, now: f64) {
         self.totals.retain(|_, total| now - total.updated_at < EXPIRY_WINDOWS * WINDOW_SECONDS);
     }
@@ -66,25 +69,25 @@
     }
 }
 
-/// What the absent instances do with a count.
+/// Estimate of what the absent instances add to one total.
 #[derive(Clone, Copy)]
 struct AbsentInstances {
-    /// Beginning of the count's window, Unix time in seconds.
+    /// Start of the key's window, Unix time in seconds.
     window_start: f64,
-    /// Units a second of the tenant's plan.
+    /// Quota of the tenant's plan, units per second.
     quota: f64,
-    /// Units at once of the tenant's plan.
+    /// Burst of the tenant's plan, units.
     burst: f64,
-    /// Units a second at the absent instances.
+    /// Units per second that the absent instances spend.
     spend_rate: f64,
 }
 
 impl AbsentInstances {
-    /// Where the count stands now, with what the others spent and corrected since it was last asked for.
+    /// Returns the total at `now`, including what the absent instances spent and corrected since the previous call.
     fn units(&self, now: f64, previous: &Total) -> f64 {
         let refilled = |at: f64| self.quota * (at - self.window_start).max(0.0);
         let lag = refilled(now) - previous.units - self.spend_rate * (now - previous.updated_at);
-        // Whichever of them sees it lag so far corrects it to what was regained, again and again.
+        // Each time the lag exceeds the threshold, an absent instance corrects the total to the refilled amount.
         let lag = if lag > CORRECTED_LAG_FRACTION * self.burst {
             lag % (CORRECTED_LAG_FRACTION * self.burst)
         } else {
--- a/load/src/scale/embedded/interface.rs
+++ b/load/src/scale/embedded/interface.rs
@@ -1,10 +1,10 @@
-//! What an embedded instance is given and gives: addresses, connection commands, readings.
+//! Input and output of an embedded instance: service addresses, connection commands and usage readings.
 use crate::scale::outcomes::OutcomeCounts;
 use quillramp_gateway::state::connection::ConnectionId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What an embedded instance requests of its connections.
+/// An operation on a connection that an embedded instance requests of its caller.
 #[derive(Debug, PartialEq)]
 pub enum ConnectionCommand {
     /// Open a connection to an address.
@@ -15,32 +15,32 @@
     Close(ConnectionId),
 }
 
-/// Where the services are.
+/// Addresses of the counter and the list service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceAddresses {
-    /// The counter.
+    /// Address of the counter.
     pub counter: SocketAddr,
-    /// The list service.
+    /// Address of the list service.
     pub discovery: SocketAddr,
 }
 
-/// What an embedded instance has done until some time.
+/// Cumulative request outcomes and processor time of embedded instances.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reading {
-    /// The outcomes of the requests.
+    /// Outcomes of the requests.
     pub outcomes: OutcomeCounts,
-    /// Processor time of the reducer, the decisions and the codecs.
+    /// Processor time of the reducer, the policies and the codecs.
     pub cpu_time: Duration,
 }
 
 impl Reading {
-    /// Adds another instance's, or an earlier process's, reading.
+    /// Adds the reading of another instance or of an earlier process.
     pub fn add(&mut self, other: &Reading) {
         self.outcomes = self.outcomes.plus(&other.outcomes);
         self.cpu_time += other.cpu_time;
     }
 
-    /// The difference from an earlier reading.
+    /// Returns the increase since an earlier reading.
     pub fn since(&self, earlier: &Reading) -> Reading {
         Reading {
             outcomes: self.outcomes.since(&earlier.outcomes),
@@ -49,10 +49,10 @@
     }
 }
 
-/// What an instance has to do after a step.
+/// Result of one step of an embedded instance.
 pub struct Step {
-    /// When it is to be stepped next at the latest, Unix time in seconds; none where nothing is scheduled.
+    /// Latest time of the next step, Unix time in seconds; `None` if no timer is set.
     pub next_at: Option<f64>,
-    /// What is to be done now.
+    /// Connection commands to execute now.
     pub commands: Vec<ConnectionCommand>,
 }
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -1,5 +1,6 @@
-//! An embedded instance, `hollow` on the command line and in the rows: the reducer, the decisions and the codecs of a real one, without
-//! sockets, threads or a process of its own. Whoever runs it moves the bytes and passes the time.
+//! An embedded instance, called `hollow` on the command line and in the rows: the reducer, the policies and the
+//! codecs of the gateway, without sockets, threads or a separate process. Its caller transfers the bytes and provides
+//! the time.
 mod interface;
 
 pub use interface::{ConnectionCommand, Reading, ServiceAddresses, Step};
@@ -20,13 +21,13 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Client connections of one instance, as many as a real one has in these runs.
+/// Number of client connections of one instance, the same as with the real program.
 const CLIENT_CONNECTIONS: u64 = 64;
-/// Descriptors it believes to have: enough for a connection to each backend.
+/// File descriptors in the instance's limits, enough for a connection to each backend.
 pub const MAX_DESCRIPTORS: usize = 8_192;
-/// Read buffers larger than this, in bytes, are released, as in a real one's connections.
+/// Empty read buffers with a larger capacity are released, as the gateway's connections do.
 const MAX_RETAINED_BUFFER_BYTES: usize = 16 * 1024;
-/// Sets the seeds of instances apart.
+/// Multiplier that separates the seeds of instances of different operating-point seeds.
 const INSTANCE_SEED_FACTOR: u64 = 7919;
 
 struct Stream {
@@ -41,17 +42,17 @@
     }
 }
 
-/// Collects the events that a codec finds; no value here is long enough to pass through in pieces.
+/// Collects decoded events. `body_chunk` does nothing, because no value of a scale run is long enough to be streamed.
 struct EventCollector<'a>(&'a mut Vec<Event>);
 
 impl MessageSink for EventCollector<'_> {
-    fn event(&mut self, event: Event, _long: usize) {
+    fn event(&mut self, event: Event, _long_command_bytes: usize) {
         self.0.push(event);
     }
-    fn body_chunk(&mut self, _bytes: &[u8], _end: bool) {}
+    fn body_chunk(&mut self, _bytes: &[u8], _is_last: bool) {}
 }
 
-/// What the operator's file of a point declares; none where there is no such file.
+/// Returns the update that the operator's file of an operating point declares; `None` if it has no such file.
 fn operator_update(
     point: &OperatingPoint,
     instance: &InstanceSettings,
@@ -65,19 +66,20 @@
     Ok(Some(operator::operator_update(read, &platform)))
 }
 
-/// One instance without its sockets.
+/// A gateway instance without sockets.
 pub struct EmbeddedInstance {
     reducer: Reducer,
     streams: HashMap<ConnectionId, Stream>,
     pending_events: Vec<Event>,
-    /// The host that its HTTP requests name.
+    /// Host header of its HTTP requests.
     http_host: SocketAddr,
     last_client: u64,
     reading: Reading,
 }
 
 impl EmbeddedInstance {
-    /// One that has just started with an empty list. `now` is Unix time in seconds, here and below.
+    /// Creates an instance that starts now, with an empty endpoint list. Here and in the other methods, `now` is Unix
+    /// time in seconds.
     pub fn new(
         now: f64,
         point: &OperatingPoint,
@@ -119,26 +121,26 @@
         Ok(embedded)
     }
 
-    /// What it has done until now.
+    /// Returns the outcomes and the processor time since the start.
     pub fn reading(&self) -> &Reading {
         &self.reading
     }
 
-    /// A request arrives on the next client's connection.
+    /// Takes a request on the connection of the next client.
     pub fn request(&mut self, bytes: &[u8]) {
         self.last_client = (self.last_client + 1) % CLIENT_CONNECTIONS;
         self.reading.outcomes.sent += 1;
         self.received(ConnectionId::Client(self.last_client), bytes);
     }
 
-    /// A connection that it opened is established.
+    /// Takes the notification that a connection is established.
     pub fn connected(&mut self, connection: ConnectionId) {
         if self.streams.contains_key(&connection) {
             self.pending_events.push(Event::Connected(connection));
         }
     }
 
-    /// Bytes arrived on a connection.
+    /// Takes bytes that arrived on a connection, and decodes them into events.
     pub fn received(&mut self, connection: ConnectionId, bytes: &[u8]) {
         let start = thread_cpu_time();
         let Some(stream) = self.streams.get_mut(&connection) else { return };
@@ -156,7 +158,7 @@
         self.reading.cpu_time += thread_cpu_time().saturating_sub(start);
     }
 
-    /// A connection ended that it did not close itself.
+    /// Takes the notification that a connection ended which the instance did not close.
     pub fn connection_ended(&mut self, connection: ConnectionId, reason: CloseReason) {
         if let Some(stream) = self.streams.remove(&connection) {
             let unsent = !stream.output.is_empty();
@@ -164,12 +166,12 @@
         }
     }
 
-    /// Processes what it has received.
+    /// Processes the pending events and due timers.
     pub fn step(&mut self, now: f64) -> Step {
         let start = thread_cpu_time();
         let mut events = std::mem::take(&mut self.pending_events);
         self.reducer.handle_batch(now, &mut events);
-        self.pending_events = events; // empty by now, its allocation is used again
+        self.pending_events = events; // empty now; keeps its allocation
         let ReducerOutput { next_poll_at: next_at, effects } = self.reducer.poll(now);
         let mut commands = vec![];
         let mut written = vec![];
@@ -201,9 +203,9 @@
         };
         match effect {
             Effect::Reply { reply, .. } => self.count_reply(&reply),
-            // What has been written leaves with the batch, so nothing can be withdrawn later.
-            Effect::SendAttempt { connection, request: call, timeout_ms, .. } => {
-                write(ConnectionId::Backend(connection), &|output| call.encode(timeout_ms, output))
+            // The bytes are sent at the end of this step, so the attempt cannot be withdrawn later.
+            Effect::SendAttempt { connection, request, timeout_ms, .. } => {
+                write(ConnectionId::Backend(connection), &|output| request.encode(timeout_ms, output))
             }
             Effect::HttpRequest { connection, request } => {
                 write(connection, &|output| request.encode(self.http_host, output))
@@ -216,15 +218,16 @@
                 self.streams.remove(&connection);
                 commands.push(ConnectionCommand::Close(connection));
             }
-            // Its clients stay, and there are no logs, no operator and no process.
+            // The other effects concern closing clients, logs, the operator and the process; an embedded instance
+            // keeps its clients and has none of the others.
             _ => {}
         }
     }
 
     fn count_reply(&mut self, reply: &ClientReply) {
-        // Encoded and dropped: a real one encodes it too.
-        let mut out = vec![];
-        reply.encode(&mut out);
+        // The reply is encoded and dropped, so that the processor time includes the encoding.
+        let mut output = vec![];
+        reply.encode(&mut output);
         let outcomes = &mut self.reading.outcomes;
         match reply {
             ClientReply::Value(_) | ClientReply::Streamed => outcomes.served += 1,
--- a/load/src/scale/embedded_run.rs
+++ b/load/src/scale/embedded_run.rs
@@ -1,4 +1,4 @@
-//! Embedded instances in the steady state: what each of them costs at a point.
+//! Measures what embedded instances cost in the steady state at one operating point.
 use super::clock::{sleep_until, unix_now};
 use super::embedded::Reading;
 use super::error::ScaleError;
@@ -14,26 +14,27 @@
 use super::timing::Timing;
 use std::thread::scope;
 
-/// What embedded instances are run on.
+/// Transport between embedded instances and the counter and list service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Transport {
-    /// Stand-ins in this process, on a virtual clock.
+    /// Stand-ins in this process, on a simulated clock.
     InProcess,
     /// Sockets on loopback, in real time.
     Sockets,
 }
 
-/// Values read at the beginning and at the end of a span.
+/// Values at the start and at the end of the measured interval.
 #[derive(Clone, Copy, Default)]
 struct StartEnd<T> {
     start: T,
     end: T,
 }
 
-/// When a span is counted, Unix time in seconds.
+/// Start and end of the measured interval, Unix time in seconds.
 type Interval = StartEnd<f64>;
 
-/// Measures `instances` embedded instances on sockets. Memory is what this process grew by, its stand-ins with it.
+/// Measures `instances` embedded instances on sockets. The memory figure is the growth of this process, which
+/// includes the stand-ins.
 pub fn measure_on_sockets(
     run: &str,
     point: &OperatingPoint,
@@ -68,17 +69,17 @@
     Ok(rows.all)
 }
 
-/// What was measured over a span on sockets.
+/// Readings of a run on sockets.
 struct SocketReadings {
-    /// The load of the stand-ins.
+    /// Traffic of the stand-ins.
     traffic: StartEnd<ServerTrafficCounts>,
-    /// Memory of this process at the end, MiB.
+    /// Resident memory of this process at the end, MiB.
     resident_mib: f64,
-    /// The instances, by group.
+    /// Usage of the instances, by group.
     groups: Vec<StartEnd<Reading>>,
 }
 
-/// Waits for the span to pass, and reads the load of the stand-ins at both of its ends.
+/// Waits until the interval is over, and reads the traffic of the stand-ins at its start and end.
 fn read_traffic(stand_ins: &StandIns, interval: Interval) -> StartEnd<ServerTrafficCounts> {
     sleep_until(interval.start);
     let start = stand_ins.traffic.read();
@@ -86,7 +87,7 @@
     StartEnd { start, end: stand_ins.traffic.read() }
 }
 
-/// Runs a group over the span.
+/// Runs a group until the end of the interval, and reads its usage at the start and end.
 fn read_group(mut group: Group, interval: Interval) -> StartEnd<Reading> {
     group.run(interval.start);
     let start = group.read();
@@ -110,7 +111,8 @@
     usage
 }
 
-/// Measures `instances` embedded instances, with their stand-ins in this process. Memory is what this process grew by.
+/// Measures `instances` embedded instances on a simulated clock, with the stand-ins in this process. The memory
+/// figure is the growth of this process.
 pub fn measure_in_process(
     run: &str,
     point: &OperatingPoint,
@@ -120,7 +122,8 @@
     let mut rows = Rows::new(run, Source::InProcess, point);
     let pid = std::process::id();
     let mut simulation = Simulation::new(point, instances)?;
-    let usage_before = process_usage(pid); // tenants and their distribution, which all instances share, are there by now
+    // Read after the tenants and their distribution exist, because all instances share them.
+    let usage_before = process_usage(pid);
     simulation.run(timing.warm_up)?;
     let warm_up_traffic = simulation.traffic.read();
     let list_bytes = warm_up_traffic.of(Role::Discovery).bytes_sent;
--- a/load/src/scale/endpoint_rotation.rs
+++ b/load/src/scale/endpoint_rotation.rs
@@ -1,15 +1,17 @@
-//! The endpoint list of the scale runs' list service: with each change the next backend drains and the one before serves again.
+//! The endpoint list of the stand-in list service. Each change sets the next backend to draining and the previous one
+//! back to serving.
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Zones and groups that the backends are spread over.
+/// Number of zones that the backends are spread over.
 const ZONES: usize = 4;
+/// Number of backend groups that the backends are spread over.
 const GROUPS: usize = 3;
 
 struct Entry {
     address: SocketAddr,
     draining: bool,
-    /// The version that last changed it.
+    /// Version of the list that last changed this entry.
     changed_version: u64,
 }
 
@@ -21,27 +23,27 @@
     }
 }
 
-/// The list at one version.
+/// The endpoint list at its current version.
 pub struct EndpointRotation {
     version: u64,
     entries: Vec<Entry>,
-    /// Which entry drains next.
+    /// Index of the entry that the next change sets to draining.
     next_to_drain: usize,
 }
 
 impl EndpointRotation {
-    /// All serve, at version 1.
+    /// Creates version 1 of the list, in which all backends serve.
     pub fn new(addresses: &[SocketAddr]) -> EndpointRotation {
         let entry = |address: &SocketAddr| Entry { address: *address, draining: false, changed_version: 1 };
         EndpointRotation { version: 1, entries: addresses.iter().map(entry).collect(), next_to_drain: 0 }
     }
 
-    /// The version, from 1 on.
+    /// Returns the current version; the first is 1.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The answer to a caller that knows a version: a snapshot for 0, else what has changed.
+    /// Returns the response to a watch: a snapshot for `since_version` 0, otherwise the entries that changed later.
     pub fn response(&self, since_version: u64) -> Value {
         let changed =
             self.entries.iter().enumerate().filter(|(_, entry)| entry.changed_version > since_version);
@@ -49,7 +51,7 @@
         json!({"index": self.version, "snapshot": since_version == 0, "endpoints": endpoints})
     }
 
-    /// Makes the next version: one backend drains; the one that did before serves again.
+    /// Advances to the next version: sets one backend to draining and the previous one back to serving.
     pub fn advance(&mut self) {
         self.version += 1;
         let count = self.entries.len();
--- a/load/src/scale/error.rs
+++ b/load/src/scale/error.rs
@@ -1,107 +1,107 @@
-//! Why a scale run failed.
+//! Errors of scale runs.
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitStatus;
 
-/// Why a scale run failed.
+/// An error of a scale run.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// No loopback port could be bound.
-    #[error("a port: {0}")]
+    /// A listening socket on loopback could not be opened or registered with the event loop.
+    #[error("cannot listen on a loopback port: {0}")]
     Port(#[source] io::Error),
-    /// No event loop could be made.
-    #[error("poll: {0}")]
+    /// The event loop's poll could not be created.
+    #[error("cannot create the event loop's poll: {0}")]
     Poll(#[source] io::Error),
     /// A file could not be read, written or removed, or a program could not be started.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file or program.
+        /// Path of the file or program.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A table could not be read or written.
+    /// A CSV file could not be read or written.
     #[error("{}: {source}", path.display())]
     Table {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the table's reader or writer said.
+        /// Error of the CSV reader or writer.
         source: csv::Error,
     },
     /// A chart could not be drawn.
-    #[error("{name}: {source}")]
+    #[error("cannot draw the chart {name}: {source}")]
     Chart {
-        /// The file's name.
+        /// Name of the chart's file.
         name: String,
-        /// What the chart's backend said.
+        /// Error of the drawing library.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The instance ended before it accepted connections.
-    #[error("{} ended at its start: {status}", program.display())]
+    /// The instance exited before it accepted connections.
+    #[error("{} exited before it accepted connections: {status}", program.display())]
     ExitedAtStart {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
     },
-    /// The instance did not accept connections in time.
-    #[error("{} does not accept at {address}", program.display())]
+    /// The instance did not accept connections before the start timeout.
+    #[error("{} did not accept connections at {address} before the start timeout", program.display())]
     NotAccepting {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// Where it was to listen.
+        /// Configured listen address of the instance.
         address: SocketAddr,
     },
     /// A client could not connect.
-    #[error("client: {0}")]
+    #[error("a client cannot connect to the instance: {0}")]
     Client(#[source] io::Error),
-    /// The histogram of latencies could not be made.
-    #[error("histogram: {0}")]
+    /// The latency histogram could not be created.
+    #[error("cannot create the latency histogram: {0}")]
     Histogram(#[source] hdrhistogram::CreationError),
-    /// Tenants cannot be drawn: there are none.
-    #[error("tenants: {0}")]
+    /// Requests cannot be distributed over the tenants because there are none.
+    #[error("cannot distribute requests over the tenants: {0}")]
     Tenants(#[source] rand::distributions::WeightedError),
-    /// The rate of requests is out of range.
-    #[error("requests: {0}")]
+    /// The request rate is out of range.
+    #[error("the request rate is out of range: {0}")]
     Requests(#[source] rand_distr::ExpError),
-    /// The settings of an embedded instance are wrong.
-    #[error("{0}")]
+    /// The settings of an embedded instance are invalid.
+    #[error("invalid settings of an embedded instance: {0}")]
     Settings(String),
-    /// The operator's file of an embedded instance is wrong.
+    /// The operator's file of an embedded instance is invalid.
     #[error("{0}")]
     OperatorFile(String),
-    /// An embedded instance sent what a server cannot read.
-    #[error("{connection}: {reason}")]
+    /// An embedded instance sent bytes that a stand-in server cannot decode.
+    #[error("cannot decode a request on connection {connection}: {reason}")]
     Protocol {
-        /// The connection's id.
+        /// Id of the connection.
         connection: String,
-        /// What is wrong with the bytes.
+        /// Error of the decoder.
         reason: &'static str,
     },
     /// A thread that runs embedded instances panicked.
-    #[error("a thread that runs embedded instances has panicked")]
+    #[error("a thread that runs embedded instances panicked")]
     GroupPanicked,
-    /// This program's own file is not known.
-    #[error("this program: {0}")]
+    /// The path of the running program could not be determined.
+    #[error("cannot determine the path of the running program: {0}")]
     CurrentProgram(#[source] io::Error),
-    /// The end of a measurement's process could not be learnt.
-    #[error("{name}: {source}")]
+    /// The exit status of a measurement's process could not be read.
+    #[error("cannot read the exit status of the process that measures {name}: {source}")]
     Wait {
-        /// The measurement.
+        /// Name of the measurement.
         name: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
 impl ScaleError {
-    /// The error of a file or a program.
+    /// Returns a function that converts an I/O error of a file or program.
     pub(crate) fn file(path: &Path) -> impl Fn(io::Error) -> ScaleError + '_ {
         move |source| ScaleError::File { path: path.to_owned(), source }
     }
 
-    /// The error of a table.
+    /// Returns a function that converts an error of a CSV file.
     pub(crate) fn table(path: &Path) -> impl Fn(csv::Error) -> ScaleError + '_ {
         move |source| ScaleError::Table { path: path.to_owned(), source }
     }
--- a/load/src/scale/fit.rs
+++ b/load/src/scale/fit.rs
@@ -1,33 +1,34 @@
-//! Straight lines through measured points.
+//! Least-squares lines through the figures of a sweep.
 use super::rows::Row;
 use std::collections::BTreeMap;
 
-/// One measurement of a figure.
+/// One measured value of a figure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DataPoint {
-    /// The value of the factor that is varied.
+    /// Value of the varied factor.
     pub factor: f64,
-    /// The value of the figure.
+    /// Value of the figure.
     pub figure: f64,
 }
 
-/// A line through the points of one figure over one factor, and how far they lie off it.
+/// A straight line through the data points of one figure over one factor, and its residual.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Growth of the figure with the factor.
+    /// Increase of the figure per unit of the factor.
     pub slope: f64,
-    /// The figure where the factor is 0.
+    /// Value of the line where the factor is 0.
     pub intercept: f64,
-    /// Root of the mean square of the points' distances from the line.
+    /// Root mean square of the differences between the points and the line, in the unit of the figure.
     pub residual: f64,
-    /// The same as a part of the mean of the points.
+    /// `residual` divided by the mean of the points' absolute values.
     pub relative_residual: f64,
-    /// Points that the line is fitted through.
+    /// Number of points that the line is fitted to.
     pub point_count: usize,
 }
 
 impl Line {
-    /// Through these points by least squares; none where they are fewer than two or all over one value.
+    /// Fits a line to the points by least squares. Returns `None` for fewer than two points, or if all points have
+    /// the same factor.
     pub fn through(points: &[DataPoint]) -> Option<Line> {
         let pairs: Vec<(f64, f64)> = points.iter().map(|point| (point.factor, point.figure)).collect();
         let fitted: Result<(f64, f64), _> = linreg::linear_regression_of(&pairs);
@@ -41,16 +42,16 @@
         Some(Line { slope, intercept, residual, relative_residual, point_count: points.len() })
     }
 
-    /// The figure at that value of the factor, by the line.
+    /// Returns the value of the line at a value of the factor.
     pub fn value_at(&self, factor: f64) -> f64 {
         self.intercept + self.slope * factor
     }
 }
 
-/// What is varied, one at a time.
+/// A size or rate that a sweep varies while all others stay constant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum Factor {
-    /// Gateway instances of the fleet, 25 to 420; traffic and quotas grow with them.
+    /// Gateway instances in the fleet, 25 to 420; traffic and quotas grow with their number.
     #[value(name = "front-doors")]
     Instances,
     /// Backends on the endpoint list, 240 to 3,800.
@@ -59,9 +60,9 @@
     Tenants,
     /// Routes in the operator's file, 60 to 1,000.
     Routes,
-    /// Changes of the endpoint list, 0 to 10 a second.
+    /// Changes of the endpoint list, 0 to 10 per second.
     Changes,
-    /// Requests at one instance, 23 to 231 a second.
+    /// Requests at one instance, 23 to 231 per second.
     Requests,
 }
 
@@ -70,7 +71,7 @@
     [Factor::Instances, Factor::Backends, Factor::Tenants, Factor::Routes, Factor::Changes, Factor::Requests];
 
 impl Factor {
-    /// Its name, as runs and charts have it.
+    /// Returns the name of the factor in runs and charts.
     pub fn name(self) -> &'static str {
         match self {
             Factor::Instances => "front doors",
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The unit of one more of it.
+    /// Returns the unit of the factor, to which a slope refers.
     pub fn unit(self) -> &'static str {
         match self {
             Factor::Instances => "front door",
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Five sizes up to the target's. The target's 231 requests a second are the most that an instance is measured at.
+    /// Returns the five sizes of a sweep; the last is the size of the target fleet. For `Requests`, that is 231
+    /// requests per second, the highest rate at which an instance is measured.
     pub fn sizes(self) -> [f64; 5] {
         match self {
             Factor::Instances => [25.0, 60.0, 120.0, 240.0, 420.0],
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The value of this factor at the point of a row.
+    /// Returns the value of the factor at the operating point of a row.
     pub fn value_in(self, row: &Row) -> f64 {
         match self {
             Factor::Instances => row.instances as f64,
@@ -118,35 +120,35 @@
         }
     }
 
-    /// The name of the runs that vary it.
+    /// Returns the name of the run that varies the factor.
     pub fn run_name(self) -> String {
         format!("over {}", self.name())
     }
 }
 
-/// A fitted line with what it is of.
+/// A line with its factor, its figure and the data points that it is fitted to.
 #[derive(Clone, Debug)]
 pub struct Fit {
-    /// What was varied.
+    /// Factor that was varied.
     pub factor: Factor,
-    /// The name of the figure.
+    /// Name of the figure.
     pub figure: String,
-    /// The unit of the figure.
+    /// Unit of the figure.
     pub unit: String,
-    /// The measurements.
+    /// Measured data points.
     pub points: Vec<DataPoint>,
-    /// The line through the points.
+    /// Line through the points.
     pub line: Line,
 }
 
-/// A figure, told apart by its name and its unit.
+/// Key of a figure: two figures of the same name but different units are distinct.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FigureKey<'a> {
     figure: &'a str,
     unit: &'a str,
 }
 
-/// Lines through the figures of all runs that vary a factor.
+/// Fits a line to each figure of each run that varies a factor. Figures without a line are left out.
 pub fn fit_rows(rows: &[Row]) -> Vec<Fit> {
     let mut fits = vec![];
     for factor in FACTORS {
--- a/load/src/scale/mod.rs
+++ b/load/src/scale/mod.rs
@@ -1,12 +1,16 @@
-//! Scale runs: what one instance of a large fleet costs, measured at sizes that no single machine can run whole.
+//! Scale runs: measure what one gateway instance of a large fleet costs. One machine cannot run the whole fleet, so
+//! one or a few instances run, and a stand-in counter estimates what the others would add to its totals.
 //!
-//! * `real` measures the program itself, beside the stand-ins of `stand_ins` on loopback.
-//! * `embedded` is an instance without sockets and a process of its own; the command line and the rows call it `hollow`.
-//!   `simulation` runs some of them on a simulated clock, `socket_group` with real sockets; `embedded_run` measures both.
-//! * `propagation` measures how long a change of the endpoint list takes to be in force.
-//! * `sweep` measures over one factor after another, `fit` puts lines through the figures, `slope_report` prints and draws them.
+//! * `real` measures one process of the gateway program. `stand_ins` provides the counter, the list service and the
+//!   backends on loopback.
+//! * `embedded` runs the gateway's code in this process, without its sockets; the command line and the rows call such
+//!   an instance `hollow`. `simulation` runs embedded instances on a simulated clock, `socket_group` runs them with
+//!   real sockets, and `embedded_run` measures both.
+//! * `propagation` measures the time from a change of the endpoint list until every instance has applied it.
+//! * `sweep` varies one factor at a time, `fit` fits straight lines to the figures, and `slope_report` prints and
+//!   draws these lines.
 //!
-//! Every figure is a row with the command that gave it; `rows` has the format.
+//! Each figure is one row of a CSV file, together with the command that measured it; `rows` defines the format.
 mod clients;
 mod clock;
 pub mod command;
--- a/load/src/scale/operating_point.rs
+++ b/load/src/scale/operating_point.rs
@@ -1,21 +1,22 @@
-//! The operating point of a scale run: the sizes of the fleet, its traffic and how that is spread over the tenants.
+//! The operating point of a scale run: the sizes of the fleet, its traffic, and the distribution of the traffic over
+//! the tenants.
 use super::error::ScaleError;
 use quillramp_emulator::deployment::gateway_settings;
 use quillramp_emulator::scenario::World;
 use rand::distributions::WeightedIndex;
 use serde_json::{json, Value};
 
-/// How the requests of the fleet are spread over its tenants.
+/// Distribution of the fleet's requests over its tenants.
 #[derive(Clone, Copy, Debug, PartialEq, clap::ValueEnum)]
 pub enum Spread {
-    /// Every tenant sends as many requests as any other.
+    /// All tenants send equally many requests.
     Uniform,
     /// The tenant of rank n sends 1/n as many requests as the first (Zipf's law, exponent 1).
     Zipf,
 }
 
 impl Spread {
-    /// The name of the spread, as the rows have it.
+    /// Returns the name of the distribution in rows and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Spread::Uniform => "uniform",
@@ -24,81 +25,83 @@
     }
 }
 
-/// The sizes and the traffic of one measurement.
+/// Fleet sizes and traffic of one measurement.
 #[derive(Clone, Debug, clap::Args)]
 pub struct OperatingPoint {
     /// Seed of the traffic and of the instances' random draws.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Number of gateway instances in the fleet, as the settings of each instance have it.
+    /// Number of gateway instances in the fleet, as stated in the settings of each instance.
     #[arg(long = "front-doors", value_name = "INSTANCES", default_value_t = 420)]
     pub instances: usize,
     /// Number of backends on the endpoint list.
     #[arg(long, default_value_t = 3_800)]
     pub backends: usize,
-    /// Number of tenants, each with a quota of its own.
+    /// Number of tenants, each with its own quota.
     #[arg(long, default_value_t = 14_000)]
     pub tenants: usize,
-    /// Requests a second at all instances of the fleet together; the quotas are derived from it.
+    /// Requests per second of the whole fleet; the quotas are derived from this rate.
     #[arg(long, default_value_t = 97_000.0)]
     pub fleet_requests: f64,
-    /// Requests a second at each instance that is measured.
+    /// Requests per second at each measured instance.
     #[arg(long, default_value_t = 231.0)]
     pub requests: f64,
-    /// Number of routes in the operator's file, each for a few tenants of its own; 0: no such file.
+    /// Number of routes in the operator's file, each for a few tenants; 0 omits the file.
     #[arg(long, default_value_t = 0)]
     pub routes: usize,
-    /// Changes of the endpoint list a second: a backend is draining, or is ready again.
+    /// Changes of the endpoint list per second; each sets one backend to draining and another back to serving.
     #[arg(long, default_value_t = 0.0)]
     pub changes: f64,
-    /// How the requests are distributed over the tenants.
+    /// Distribution of the requests over the tenants.
     #[arg(long, value_enum, default_value_t = Spread::Uniform)]
     pub spread: Spread,
     /// Run the instances without a counter.
     #[arg(long)]
     pub without_counter: bool,
-    /// Let the stand-in counter add nothing for instances of the fleet that do not run.
+    /// Do not let the stand-in counter estimate what instances that do not run would add.
     #[arg(long)]
     pub alone: bool,
 }
 
-/// A tenant's quota: its plan, and the requests a second that the whole fleet gets for it.
+/// Plan of a tenant, and the request rate that the fleet receives for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Index of its plan in `PLANS`.
+    /// Index of the tenant's plan, less than `PLAN_COUNT`.
     pub plan: usize,
-    /// Requests a second at all instances together.
+    /// Requests per second of this tenant at all instances together.
     pub offered_rate: f64,
 }
 
-/// Quotas there are: the smallest in units a second, each next one twice the one before; 7 is one of them.
+/// Quota of plan 0 in units per second. Each further plan has twice the quota of the one before; plan 4 has 7 units
+/// per second.
 const SMALLEST_QUOTA_PER_SECOND: f64 = 7.0 / 16.0;
-/// How many: the largest is above the rate that Zipf's first of 900 tenants has of 97,000 requests.
+/// Number of plans. The largest quota exceeds the rate of the first of 900 tenants under Zipf's law, with 97,000
+/// requests per second for all tenants.
 const PLAN_COUNT: usize = 16;
-/// Seconds of its quota that a tenant may have at once, as the emulator's plans have it.
+/// Burst of a plan as seconds of its quota; the emulator's plans use the same value.
 const BURST_SECONDS: f64 = 2.0;
-/// Units that any tenant may have at once: a request of one unit fits.
+/// Minimum burst of a plan in units, so that a request of one unit always fits.
 const MIN_BURST_UNITS: f64 = 2.0;
-/// How long a backend of these runs takes to answer, seconds.
+/// Response time of a stand-in backend in seconds.
 pub const BACKEND_RESPONSE_SECONDS: f64 = 0.005;
 
-/// Units a second of a plan.
+/// Returns the quota of a plan in units per second.
 pub fn quota(plan: usize) -> f64 {
     SMALLEST_QUOTA_PER_SECOND * f64::powi(2.0, plan as i32)
 }
 
-/// Units that a plan allows at once.
+/// Returns the burst of a plan in units.
 pub fn burst(plan: usize) -> f64 {
     (quota(plan) * BURST_SECONDS).max(MIN_BURST_UNITS)
 }
 
-/// The name of a plan in the settings.
+/// Returns the name of a plan in the settings.
 pub fn plan_name(plan: usize) -> String {
     format!("plan{plan}")
 }
 
 impl OperatingPoint {
-    /// The command-line arguments for the same point.
+    /// Returns the command-line arguments that give the same operating point.
     pub fn arguments(&self) -> Vec<String> {
         let numbers = [
             ("--seed", self.seed.to_string()),
@@ -118,7 +121,7 @@
         words
     }
 
-    /// The weight of each tenant among all requests, not normalized.
+    /// Returns the relative request rate of each tenant, not normalized.
     fn weights(&self) -> Vec<f64> {
         let weight = |rank: usize| match self.spread {
             Spread::Uniform => 1.0,
@@ -127,19 +130,19 @@
         (1..=self.tenants).map(weight).collect()
     }
 
-    /// The distribution that tenants are drawn by; an error where there are none.
+    /// Returns the distribution of requests over the tenants; fails if there are no tenants.
     pub fn distribution(&self) -> Result<WeightedIndex<f64>, ScaleError> {
         WeightedIndex::new(self.weights()).map_err(ScaleError::Tenants)
     }
 
-    /// The fraction of the fleet that is absent where so many instances are there, for the counter to estimate; none where nothing is
-    /// to be estimated.
+    /// Returns the fraction of the fleet that does not run if `instances` run, which the counter estimates. Returns
+    /// `None` if the whole fleet runs, or if the estimate is disabled.
     pub fn absent_fraction(&self, instances: usize) -> Option<f64> {
         let absent_fraction = 1.0 - instances as f64 / self.instances as f64;
         (absent_fraction > 0.0 && !self.alone).then_some(absent_fraction)
     }
 
-    /// Each tenant, with the smallest quota that covers the requests that the fleet gets for it.
+    /// Returns the tenants. Each gets the smallest plan whose quota covers its request rate.
     pub fn tenants(&self) -> Vec<Tenant> {
         let weights = self.weights();
         let total_weight: f64 = weights.iter().sum();
@@ -152,7 +155,7 @@
         weights.into_iter().map(tenant).collect()
     }
 
-    /// The settings in the configuration of the instance of that number.
+    /// Returns the settings of the instance with this index.
     pub fn settings(&self, instance: usize) -> Value {
         let world =
             World { instances: self.instances, backends: self.backends, gossip: false, ..World::default() };
--- a/load/src/scale/operator_file.rs
+++ b/load/src/scale/operator_file.rs
@@ -1,11 +1,11 @@
-//! An operator's file with as many routes as the point has, each for a few tenants of its own.
+//! Renders the operator's file of an operating point: one route for each few tenants.
 use super::operating_point::OperatingPoint;
 use std::fmt::Write;
 
-/// Tenants that a route names at the most; the rest has none.
+/// Maximum number of tenants that one route names; the remaining tenants have no route.
 const MAX_TENANTS_PER_ROUTE: usize = 14;
 
-/// The text of the file; none where the point has no routes.
+/// Returns the text of the operator's file; `None` if the operating point has no routes.
 pub fn render(point: &OperatingPoint) -> Option<String> {
     if point.routes == 0 {
         return None;
--- a/load/src/scale/outcomes.rs
+++ b/load/src/scale/outcomes.rs
@@ -1,7 +1,7 @@
-//! The outcomes of the requests.
+//! Counts of request outcomes.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters of the outcomes of the requests.
+/// Counters of request outcomes, shared between threads.
 #[derive(Default)]
 pub struct OutcomeCounters {
     /// Requests that were sent.
@@ -14,7 +14,7 @@
     pub errored: AtomicU64,
 }
 
-/// The values of `OutcomeCounters` at one time.
+/// Values of `OutcomeCounters` at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
     /// Requests that were sent.
@@ -28,7 +28,7 @@
 }
 
 impl OutcomeCounters {
-    /// The values now.
+    /// Returns the current values.
     pub fn read(&self) -> OutcomeCounts {
         let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
         OutcomeCounts {
@@ -41,7 +41,7 @@
 }
 
 impl OutcomeCounts {
-    /// Both together.
+    /// Returns the sum of both counts.
     pub fn plus(&self, other: &OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             sent: self.sent + other.sent,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The difference from an earlier reading.
+    /// Returns the increase since an earlier reading.
     pub fn since(&self, earlier: &OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             sent: self.sent - earlier.sent,
--- a/load/src/scale/process.rs
+++ b/load/src/scale/process.rs
@@ -1,7 +1,7 @@
-//! What a process has used.
+//! Processor time and memory of a process.
 use crate::process_stat::{self, KIB_PER_MIB, TICKS_PER_SECOND};
 
-/// Processor time and memory of a process.
+/// Processor time and memory of a process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
     /// Seconds of processor time in user mode.
@@ -13,13 +13,13 @@
 }
 
 impl ProcessUsage {
-    /// Seconds of processor time in all.
+    /// Returns the seconds of processor time in user mode and in the kernel.
     pub fn cpu_seconds(&self) -> f64 {
         self.user_seconds + self.system_seconds
     }
 }
 
-/// What the process has used until now; zeros where it is gone.
+/// Returns the usage of a process since its start; zeros if the process no longer exists.
 pub fn process_usage(pid: u32) -> ProcessUsage {
     let stat = process_stat::read(pid);
     ProcessUsage {
--- a/load/src/scale/propagation.rs
+++ b/load/src/scale/propagation.rs
@@ -1,5 +1,6 @@
-//! How long a change of the endpoint list takes to be in force on every instance: a burst of changes while some instances
-//! restart. Embedded instances on sockets, one list service.
+//! Measures how long a change of the endpoint list takes until every instance has applied it ("in force" in the
+//! rows). Embedded instances on sockets watch one list service, which writes a burst of changes while some instances
+//! restart.
 use super::clock::{sleep_until, unix_now};
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
@@ -10,27 +11,27 @@
 use super::stand_ins::{BackendMode, StandIns};
 use std::thread::scope;
 
-/// The burst of changes.
+/// A burst of changes of the endpoint list, and the restarts of instances during it.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Burst {
-    /// Number of changes, evenly over the span.
+    /// Number of changes, evenly spaced over the duration of the burst.
     #[arg(long = "burst", value_name = "CHANGES", default_value_t = 20)]
     pub change_count: usize,
-    /// Seconds from the first change to the end of the span.
+    /// Duration of the burst in seconds, from the first change on.
     #[arg(long = "over", value_name = "SECONDS", default_value_t = 60.0)]
     pub duration: f64,
-    /// One of this number of instances restarts within the span; 0: none does.
+    /// One in this number of instances restarts during the burst; 0 disables restarts.
     #[arg(long = "one-in", value_name = "ONE_IN", default_value_t = 10)]
     pub restart_one_in: usize,
-    /// Seconds before the first change, in which the instances start.
+    /// Seconds between the start of the instances and the first change.
     #[arg(long, value_name = "SECONDS", default_value_t = 15.0)]
     pub warm_up: f64,
 }
 
-/// Seconds after the span in which changes may still come into force; the longest watch is shorter.
+/// Seconds after the burst during which instances may still apply changes; longer than the longest watch.
 const SETTLE_SECONDS: f64 = 7.0;
 
-/// The instances that restart, evenly over the span.
+/// Returns the restarts, evenly spaced over the duration of the burst.
 fn evenly_spaced_restarts(instances: usize, burst: &Burst, start: f64) -> Vec<Restart> {
     if burst.restart_one_in == 0 {
         return vec![];
@@ -41,13 +42,14 @@
     restarted.into_iter().enumerate().map(|(index, instance)| Restart { at: at(index), instance }).collect()
 }
 
-/// Seconds from write to in force, sorted, of the instances that `is_counted` accepts.
+/// Returns the sorted delays, in seconds, from the write of a version until an instance applied it, for the instances
+/// that `is_counted` accepts.
 fn propagation_delays(
     write_times: &[f64],
     applied_versions: &[AppliedVersion],
     is_counted: impl Fn(usize) -> bool,
 ) -> Vec<f64> {
-    // Version 1 is the list that all start with.
+    // Version 1 is the initial list, so `write_times` begins with version 2.
     let delay = |applied: &AppliedVersion| {
         Some(applied.at - write_times.get((applied.version as usize).checked_sub(2)?)?)
     };
@@ -62,7 +64,7 @@
     sorted.get((quantile * last as f64).ceil() as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// Measures the burst with so many embedded instances.
+/// Measures the propagation delays of a burst of changes on `instances` embedded instances.
 pub fn measure(
     run: &str,
     point: &OperatingPoint,
@@ -99,7 +101,7 @@
     Ok(rows.all)
 }
 
-/// Changes the list, evenly over the span.
+/// Requests the changes, evenly spaced over the duration of the burst.
 fn request_changes(stand_ins: &StandIns, burst: &Burst, start: f64) {
     for index in 0..burst.change_count {
         sleep_until(start + burst.duration * index as f64 / burst.change_count as f64);
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -1,4 +1,4 @@
-//! One real instance at a point: the program as it is built, among the stand-ins, at its fraction of the fleet's rate.
+//! Measures one process of the gateway program with stand-in servers, at one instance's request rate.
 use super::clients::Clients;
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
@@ -19,15 +19,15 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Descriptors of the instance: enough for a connection to each backend.
+/// File descriptors in the instance's limits, enough for a connection to each backend.
 const MAX_DESCRIPTORS: usize = 8_192;
-/// Memory that the instance believes to have, MB.
+/// Memory in the instance's limits, MB.
 const MEMORY_MB: usize = 256;
-/// The longest that an instance may take to accept connections.
+/// Maximum time until a started instance accepts connections.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a starting instance is dialled.
+/// Interval of the connection attempts to a starting instance.
 const START_POLL: Duration = Duration::from_millis(1);
-/// Time for the instance to take in the endpoint list.
+/// Time for the instance to receive and apply the endpoint list.
 const LIST_WAIT: Duration = Duration::from_secs(1);
 
 struct InstanceProcess {
@@ -37,16 +37,17 @@
 
 impl Drop for InstanceProcess {
     fn drop(&mut self) {
-        let _ = self.process.kill(); // it may have ended
+        let _ = self.process.kill(); // fails if the process has exited
         let _ = self.process.wait();
         let _ = std::fs::remove_file(&self.configuration_path);
         let _ = std::fs::remove_file(self.configuration_path.with_extension("toml"));
-        // it may not be there
+        // fails if the operating point has no routes and therefore no operator's file
     }
 }
 
 impl InstanceProcess {
-    /// Starts the program with an empty list, so that all of the list crosses its connection; waits until it accepts connections.
+    /// Starts the program and waits until it accepts connections. Its initial endpoint list is empty, so that the
+    /// traffic of the list service includes the whole list.
     fn start(
         program: &Path,
         point: &OperatingPoint,
@@ -91,7 +92,7 @@
     }
 }
 
-/// Measures one instance of the program at a point.
+/// Measures one process of the gateway program at an operating point.
 pub fn measure(
     program: &Path,
     run: &str,
@@ -121,7 +122,7 @@
     Ok(rows.all)
 }
 
-/// What the start cost.
+/// Adds the cost of the start: the bytes of the list, processor time and memory.
 fn add_start_rows(rows: &mut Rows, stand_ins: &StandIns, instance: &InstanceProcess) {
     let list_bytes = stand_ins.traffic.read().of(Role::Discovery).bytes_sent;
     rows.add("whole list", stand_ins.snapshot_bytes as f64, "bytes");
@@ -130,7 +131,7 @@
     rows.add("memory after start", instance.usage().resident_mib, "MiB");
 }
 
-/// Counts over the span.
+/// Adds the figures of the measured interval.
 fn add_steady_state_rows(
     rows: &mut Rows,
     stand_ins: &StandIns,
--- a/load/src/scale/requests.rs
+++ b/load/src/scale/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of one instance's clients: tenants and gaps in time drawn by seed.
+//! Generates the requests of one instance's clients; the tenants and the inter-arrival times depend only on the seed.
 use super::error::ScaleError;
 use super::operating_point::{plan_name, OperatingPoint, Tenant};
 use rand::distributions::{Distribution, WeightedIndex};
@@ -7,27 +7,27 @@
 use rand_distr::Exp;
 use std::sync::Arc;
 
-/// Milliseconds that a client waits, as the request says.
+/// Client timeout in milliseconds that each request states.
 const CLIENT_TIMEOUT_MS: u64 = 1_400;
-/// Sets the seeds of instances' requests apart from other seeds of the point.
+/// Multiplier that separates the seeds of request sources from other seeds of the operating point.
 const REQUEST_SEED_FACTOR: u64 = 1_000_003;
-/// Request ids hold the number of the instance above this many bits.
+/// Number of low bits of a request id that count requests; the bits above hold the instance's index.
 const INSTANCE_ID_SHIFT: u32 = 40;
 
-/// The tenants of a point, and how often each is drawn.
+/// The tenants of an operating point and the distribution of requests over them.
 pub struct Population {
     tenants: Vec<Tenant>,
     distribution: WeightedIndex<f64>,
 }
 
 impl Population {
-    /// The tenants of a point; an error where there are none.
+    /// Creates the tenants of an operating point; fails if there are none.
     pub fn new(point: &OperatingPoint) -> Result<Arc<Population>, ScaleError> {
         Ok(Arc::new(Population { tenants: point.tenants(), distribution: point.distribution()? }))
     }
 }
 
-/// Draws the requests of one instance.
+/// Generates the requests of one instance at random intervals.
 pub struct RequestSource {
     rng: ChaCha8Rng,
     population: Arc<Population>,
@@ -37,7 +37,7 @@
 }
 
 impl RequestSource {
-    /// The requests of the instance of that number. All instances serve every tenant.
+    /// Creates the source of the instance with this index. Every instance serves all tenants.
     pub fn new(
         point: &OperatingPoint,
         population: &Arc<Population>,
@@ -53,17 +53,17 @@
         })
     }
 
-    /// Seconds to the next request.
+    /// Returns the seconds until the next request.
     pub fn next_interarrival_seconds(&mut self) -> f64 {
         self.interarrival_times.sample(&mut self.rng)
     }
 
-    /// The next request, as a client writes it: no body, one unit, idempotent.
+    /// Returns the next request as encoded by a client: idempotent, one unit, without a body.
     pub fn next_request(&mut self) -> Vec<u8> {
         let tenant = self.population.distribution.sample(&mut self.rng);
         self.last_id += 1;
         let plan = plan_name(self.population.tenants[tenant].plan);
-        let spread = self.instances;
+        let spread = self.instances; // number of instances that share the tenant
         let attributes = format!("c=look,t={plan},d={CLIENT_TIMEOUT_MS},units=1,spread={spread},first=0");
         let id = self.last_id;
         format!(
--- a/load/src/scale/rows.rs
+++ b/load/src/scale/rows.rs
@@ -1,4 +1,5 @@
-//! Rows of a scale run: one figure each, with the point it belongs to, where it came from and the command.
+//! Rows of a scale run. Each row holds one figure with its operating point, its source and the command that measured
+//! it.
 use super::error::ScaleError;
 use super::operating_point::OperatingPoint;
 use serde::{Deserialize, Serialize};
@@ -12,14 +13,14 @@
     Real,
     /// Embedded instances, on sockets.
     Socket,
-    /// Embedded instances, stand-ins in the same process.
+    /// Embedded instances, with the stand-ins in the same process.
     InProcess,
     /// The emulator's clock.
     VirtualClock,
 }
 
 impl Source {
-    /// Its name, as rows and tables have it.
+    /// Returns the name of the source in rows and tables.
     pub fn name(self) -> &'static str {
         match self {
             Source::Real => "real",
@@ -30,57 +31,57 @@
     }
 }
 
-/// One figure.
+/// One measured figure.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// Name of the run.
     pub run: String,
     /// How the figure was measured.
     pub source: Source,
-    /// Instances of the fleet.
+    /// Instances in the fleet.
     #[serde(rename = "front_doors")]
     pub instances: usize,
-    /// Backends on the list.
+    /// Backends on the endpoint list.
     pub backends: usize,
-    /// Tenants of the fleet.
+    /// Tenants in the fleet.
     pub tenants: usize,
     /// Routes in the operator's file.
     pub routes: usize,
-    /// Requests a second at one instance.
+    /// Requests per second at one instance.
     pub requests: f64,
-    /// Changes of the endpoint list a second.
+    /// Changes of the endpoint list per second.
     pub changes: f64,
-    /// How requests are spread over tenants.
+    /// Distribution of the requests over the tenants.
     pub spread: String,
     /// Whether the instance has a counter.
     pub counter: bool,
-    /// The name of the figure.
+    /// Name of the figure.
     #[serde(rename = "what")]
     pub figure: String,
-    /// Its value.
+    /// Value of the figure.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the figure.
     pub unit: String,
-    /// The command that gave it.
+    /// Command line that measured the figure.
     pub command: String,
 }
 
-/// Figures of one run, as they are gathered.
+/// Collects the rows of one run.
 pub struct Rows {
     run: String,
     source: Source,
     point: OperatingPoint,
-    /// The rows until now.
+    /// Rows added so far.
     pub all: Vec<Row>,
 }
 
 impl Rows {
-    /// No figures yet, of the run of that name.
+    /// Creates a collection without rows for the run with this name.
     pub fn new(run: &str, source: Source, point: &OperatingPoint) -> Rows {
         Rows { run: run.to_owned(), source, point: point.clone(), all: vec![] }
     }
 
-    /// Adds a figure.
+    /// Adds a row for a figure.
     pub fn add(&mut self, figure: &str, value: f64, unit: &str) {
         let point = &self.point;
         self.all.push(Row {
@@ -102,13 +103,13 @@
     }
 }
 
-/// The command line of this process, its program without the folder.
+/// Returns the command line of this process, with the program's name instead of its path.
 fn command_line() -> String {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     format!("quillramp-load {}", arguments.join(" "))
 }
 
-/// Appends to a file of rows, which is made with its header if need be.
+/// Appends rows to a CSV file; creates the file with a header if it does not exist.
 pub fn append(path: &Path, rows: &[Row]) -> Result<(), ScaleError> {
     let is_new = !path.exists();
     let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
@@ -120,7 +121,7 @@
     writer.flush().map_err(ScaleError::file(path))
 }
 
-/// Reads a file of rows.
+/// Reads the rows of a CSV file.
 pub fn read(path: &Path) -> Result<Vec<Row>, ScaleError> {
     let mut reader = csv::Reader::from_path(path).map_err(ScaleError::table(path))?;
     reader.deserialize().collect::<Result<Vec<Row>, csv::Error>>().map_err(ScaleError::table(path))
--- a/load/src/scale/server_traffic.rs
+++ b/load/src/scale/server_traffic.rs
@@ -1,7 +1,8 @@
-//! What crossed the connections of the stand-ins, by the server's role. Bytes are TCP payload: no headers, no acknowledgements.
+//! Traffic between instances and stand-in servers, by server role. Bytes are TCP payload, without headers and
+//! acknowledgements.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The server that a connection leads to.
+/// Role of the server at the other end of an instance's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The counter.
@@ -13,10 +14,10 @@
 }
 
 impl Role {
-    /// All roles, in the order of `Loads`.
+    /// All roles, in the order of `ServerTraffic`.
     pub const ALL: [Role; 3] = [Role::Counter, Role::Discovery, Role::Backend];
 
-    /// The name of the role, as the rows have it.
+    /// Returns the name of the role in the rows.
     pub fn name(self) -> &'static str {
         match self {
             Role::Counter => "counter",
@@ -26,7 +27,7 @@
     }
 }
 
-/// Counts of one role since the start.
+/// Traffic counters of one role since the start, shared between threads.
 #[derive(Default)]
 pub struct TrafficCounters {
     connections: AtomicU64,
@@ -35,16 +36,16 @@
     bytes_sent: AtomicU64,
 }
 
-/// The counts of one role at one time.
+/// Values of `TrafficCounters` at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrafficCounts {
-    /// Connections that were made.
+    /// Connections established.
     pub connections: u64,
-    /// Requests that were understood.
+    /// Requests decoded.
     pub calls: u64,
-    /// Bytes from instances.
+    /// Bytes received from instances.
     pub bytes_received: u64,
-    /// Bytes to instances.
+    /// Bytes sent to instances.
     pub bytes_sent: u64,
 }
 
@@ -59,17 +60,17 @@
         self.calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts bytes from an instance.
+    /// Counts bytes received from an instance.
     pub fn count_received(&self, bytes: usize) {
         self.bytes_received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts bytes to an instance.
+    /// Counts bytes sent to an instance.
     pub fn count_sent(&self, bytes: usize) {
         self.bytes_sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// The counts now.
+    /// Returns the current values.
     pub fn read(&self) -> TrafficCounts {
         let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
         TrafficCounts {
@@ -82,7 +83,7 @@
 }
 
 impl TrafficCounts {
-    /// The difference from an earlier reading.
+    /// Returns the increase since an earlier reading.
     pub fn since(&self, earlier: &TrafficCounts) -> TrafficCounts {
         TrafficCounts {
             connections: self.connections - earlier.connections,
@@ -93,33 +94,33 @@
     }
 }
 
-/// The load of each role.
+/// Traffic counters of all roles, in the order of `Role::ALL`.
 #[derive(Default)]
 pub struct ServerTraffic([TrafficCounters; Role::ALL.len()]);
 
-/// The counts of all roles at one time, in the order of `Role::ALL`.
+/// Values of `ServerTraffic` at one time, in the order of `Role::ALL`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerTrafficCounts(pub [TrafficCounts; Role::ALL.len()]);
 
 impl ServerTraffic {
-    /// The load of a role.
+    /// Returns the counters of a role.
     pub fn of(&self, role: Role) -> &TrafficCounters {
         &self.0[role as usize]
     }
 
-    /// All counts now.
+    /// Returns the current values of all roles.
     pub fn read(&self) -> ServerTrafficCounts {
         ServerTrafficCounts(Role::ALL.map(|role| self.of(role).read()))
     }
 }
 
 impl ServerTrafficCounts {
-    /// The counts of a role.
+    /// Returns the values of a role.
     pub fn of(&self, role: Role) -> &TrafficCounts {
         &self.0[role as usize]
     }
 
-    /// The difference from an earlier reading.
+    /// Returns the increase since an earlier reading.
     pub fn since(&self, earlier: &ServerTrafficCounts) -> ServerTrafficCounts {
         ServerTrafficCounts(std::array::from_fn(|role| self.0[role].since(&earlier.0[role])))
     }
--- a/load/src/scale/simulation/instances.rs
+++ b/load/src/scale/simulation/instances.rs
@@ -1,16 +1,17 @@
-//! The instances of a simulation: their starts, requests and steps.
+//! The instances of a simulation: starts, requests, steps and connection commands.
 use super::servers::server_role;
 use super::{address, ConnectionKey, Simulation, SimulationEvent};
 use crate::scale::embedded::{ConnectionCommand, EmbeddedInstance, ServiceAddresses};
 use crate::scale::error::ScaleError;
 use quillramp_gateway::state::connection::ConnectionId;
 
-/// Seconds from one machine to another, one way: within one zone.
+/// One-way network latency in seconds between two machines of one zone.
 pub(super) const ONE_WAY_LATENCY_SECONDS: f64 = 0.000_25;
-/// Seconds in which what comes to an instance makes one batch: about what a wake-up takes.
+/// Seconds from the first input of a batch until the instance processes it; about the time of a thread's wake-up.
 const BATCH_SECONDS: f64 = 50e-6;
-/// The ports that the services are listed with.
+/// Port of the counter's address.
 const COUNTER_PORT: u16 = 1;
+/// Port of the list service's address.
 const DISCOVERY_PORT: u16 = 2;
 
 impl Simulation {
@@ -27,8 +28,8 @@
     }
 
     fn schedule_request(&mut self, slot: usize) {
-        let gap = self.slots[slot].requests.next_interarrival_seconds();
-        self.events.push(self.events.now + gap, SimulationEvent::Request(slot));
+        let delay = self.slots[slot].requests.next_interarrival_seconds();
+        self.events.push(self.events.now + delay, SimulationEvent::Request(slot));
     }
 
     pub(super) fn request(&mut self, slot: usize) {
@@ -40,7 +41,7 @@
         self.schedule_request(slot);
     }
 
-    /// Calls the instance that a connection belongs to.
+    /// Calls `action` with the instance that a connection belongs to, and schedules its next step.
     pub(super) fn with_instance(&mut self, key: ConnectionKey, action: impl FnOnce(&mut EmbeddedInstance)) {
         if let Some(instance) = &mut self.slots[key.instance].instance {
             action(instance);
@@ -59,7 +60,7 @@
         let now = self.events.now;
         let state = &mut self.slots[slot];
         if state.step_at > now {
-            return; // it was postponed since
+            return; // stale event: the instance ran an earlier step, and the next one is due later
         }
         state.step_at = f64::INFINITY;
         let Some(instance) = &mut state.instance else { return };
--- a/load/src/scale/simulation/mod.rs
+++ b/load/src/scale/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! Embedded instances and their stand-ins in one process, on a simulated clock: nothing waits, so a run takes as long as its decisions
-//! do, and its figures do not depend on what else the machine has to do.
+//! Embedded instances and their stand-in servers in one process, on a simulated clock. The simulation never waits, so
+//! a run takes only the processor time of its events, and the simulated figures do not depend on other load of the
+//! machine.
 mod instances;
 mod servers;
 
@@ -17,50 +18,51 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// When a run begins on its clock: Unix time at the edge of a count's window, so that windows are seen alike.
+/// Unix time at which the simulated clock starts: the start of a counter window, so that all runs see the same
+/// windows.
 const START_UNIX_SECONDS: f64 = 1_700_000_010.0;
-/// Instances start one after another within this, seconds.
+/// Seconds over which the starts of the instances are evenly spread.
 const START_SPREAD_SECONDS: f64 = 1.0;
-/// The port of the first backend; ports below it are the other servers'.
+/// Port of the first backend's address; the services use lower ports.
 const FIRST_BACKEND_PORT: u16 = 1_024;
 
-/// Something that happens at a time.
+/// An event on the simulated clock. Instances are identified by the index of their slot.
 enum SimulationEvent {
-    /// An instance processes what it has received.
+    /// An instance processes its pending input.
     Step(usize),
     /// A client of an instance sends a request.
     Request(usize),
     /// A connection of an instance is established.
     Connected(ConnectionKey),
-    /// Bytes come to an instance.
+    /// Bytes arrive at an instance.
     Receive(ConnectionKey, Arc<[u8]>),
-    /// Bytes come to a server.
+    /// Bytes arrive at a server.
     Serve(ConnectionKey, Vec<u8>),
-    /// A watch of the list has waited for as long as it was to.
+    /// The timeout of a watch of the endpoint list expires.
     WatchTimeout(ConnectionKey),
-    /// The list changes.
+    /// The endpoint list changes.
     ChangeList,
     /// An instance starts.
     Start(usize),
 }
 
-/// A connection of an instance.
+/// Identifies a connection by its instance and the instance's connection id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ConnectionKey {
     instance: usize,
     connection: ConnectionId,
 }
 
-/// An instance of the fleet.
+/// State of one simulated instance.
 struct Slot {
-    /// None until it starts.
+    /// `None` until the instance starts.
     instance: Option<EmbeddedInstance>,
     requests: RequestSource,
-    /// When it is stepped next.
+    /// Time of the next step, Unix time in seconds; infinite if no step is scheduled.
     step_at: f64,
 }
 
-/// Some instances of a fleet, or all of them, on a simulated clock.
+/// A simulation of some or all instances of a fleet.
 pub struct Simulation {
     point: OperatingPoint,
     events: EventQueue<SimulationEvent>,
@@ -68,19 +70,19 @@
     totals: CounterTotals,
     endpoints: EndpointRotation,
     watches: Vec<PendingWatch>,
-    /// Answers of the list service until the next change, by the version that the caller had.
+    /// Encoded responses of the list service, by the version in the request; valid until the next change of the list.
     list_answers: HashMap<u64, Arc<[u8]>>,
-    /// What crossed the connections of the servers.
+    /// Traffic between the instances and the servers.
     pub traffic: ServerTraffic,
 }
 
-/// An address that nobody dials: servers are told apart by what a connection is for.
+/// Returns an address that is never dialled: the simulation finds the server by the kind of the connection id.
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
 impl Simulation {
-    /// `instances` of the point's fleet; the counter estimates what the rest of it would add.
+    /// Creates a simulation of `instances` instances; the counter estimates what the rest of the fleet would add.
     pub fn new(point: &OperatingPoint, instances: usize) -> Result<Simulation, ScaleError> {
         let population = Population::new(point)?;
         let mut slots = vec![];
@@ -107,13 +109,13 @@
         Ok(simulation)
     }
 
-    /// Changes the list `per_second` times a second from now on.
+    /// Starts to change the endpoint list `per_second` times per second.
     pub fn start_changes(&mut self, per_second: f64) {
         self.point.changes = per_second;
         self.schedule_change();
     }
 
-    /// Runs for some seconds of the simulated clock.
+    /// Advances the simulation by a number of simulated seconds.
     pub fn run(&mut self, seconds: f64) -> Result<(), ScaleError> {
         let until = self.events.now + seconds;
         while let Some(event) = self.events.pop_due(until) {
@@ -123,7 +125,7 @@
         Ok(())
     }
 
-    /// What all instances have done until now.
+    /// Returns the sum of the readings of all instances.
     pub fn read(&self) -> Reading {
         let mut sum = Reading::default();
         for instance in self.slots.iter().filter_map(|slot| slot.instance.as_ref()) {
--- a/load/src/scale/simulation/servers.rs
+++ b/load/src/scale/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! The servers of a simulation: counter, list service and backends.
+//! The stand-in servers of a simulation: counter, list service and backends.
 use super::instances::ONE_WAY_LATENCY_SECONDS;
 use super::{ConnectionKey, Simulation, SimulationEvent};
 use crate::scale::operating_point::BACKEND_RESPONSE_SECONDS;
@@ -8,30 +8,31 @@
 use quillramp_gateway::wire::ProtocolError;
 use std::sync::Arc;
 
-/// A watch of the list that waits for a change.
+/// A watch of the endpoint list that waits for a change.
 pub(super) struct PendingWatch {
-    /// The connection that it came on.
+    /// Connection of the caller.
     pub key: ConnectionKey,
-    /// The version that the caller knows.
+    /// Version of the list that the caller has applied.
     since: u64,
-    /// Unix time in seconds.
+    /// Timeout of the watch, Unix time in seconds.
     until: f64,
 }
 
 impl Simulation {
-    /// Serves the requests of these bytes. Requests leave an instance complete, in one piece, and arrive so.
+    /// Serves all requests in `bytes`. An incomplete request is an error: instances send only complete requests, and
+    /// the simulation delivers each send in one piece.
     pub(super) fn serve(&mut self, key: ConnectionKey, bytes: &[u8]) -> Result<(), ProtocolError> {
         let Some(role) = server_role(key.connection) else { return Ok(()) };
         let mut consumed = 0;
         while consumed < bytes.len() {
             let served = self.serve_first(key, role, &bytes[consumed..])?;
-            consumed += served.ok_or(ProtocolError("half a request"))?;
+            consumed += served.ok_or(ProtocolError("incomplete request"))?;
             self.traffic.of(role).count_call();
         }
         Ok(())
     }
 
-    /// Serves the first request: how many bytes it took, none where it is not complete.
+    /// Serves the first request in `bytes` and returns its length; `None` if the request is incomplete.
     fn serve_first(
         &mut self,
         key: ConnectionKey,
@@ -63,10 +64,13 @@
         }
     }
 
-    fn answer(&mut self, key: ConnectionKey, role: Role, bytes: Arc<[u8]>, after: f64) {
+    /// Sends a response to an instance after a service time in seconds.
+    fn answer(&mut self, key: ConnectionKey, role: Role, bytes: Arc<[u8]>, service_seconds: f64) {
         self.traffic.of(role).count_sent(bytes.len());
-        self.events
-            .push(self.events.now + after + ONE_WAY_LATENCY_SECONDS, SimulationEvent::Receive(key, bytes));
+        self.events.push(
+            self.events.now + service_seconds + ONE_WAY_LATENCY_SECONDS,
+            SimulationEvent::Receive(key, bytes),
+        );
     }
 
     fn watch(&mut self, key: ConnectionKey, watch: WatchRequest) {
@@ -84,17 +88,17 @@
         self.answer(key, Role::Discovery, answer, 0.0);
     }
 
-    /// Answers a watch that has waited long enough.
+    /// Answers the watch on a connection if its timeout has expired.
     pub(super) fn end_watch(&mut self, key: ConnectionKey) {
         let now = self.events.now;
-        let is_over = |watch: &PendingWatch| watch.key == key && now >= watch.until;
-        if let Some(index) = self.watches.iter().position(is_over) {
+        let is_expired = |watch: &PendingWatch| watch.key == key && now >= watch.until;
+        if let Some(index) = self.watches.iter().position(is_expired) {
             let watch = self.watches.swap_remove(index);
             self.answer_watch(key, watch.since);
         }
     }
 
-    /// Changes the list, and answers all watches.
+    /// Changes the endpoint list, answers all watches and schedules the next change.
     pub(super) fn change_list(&mut self) {
         self.endpoints.advance();
         self.list_answers.clear();
@@ -111,7 +115,7 @@
     }
 }
 
-/// The role of the server that a connection leads to; none for connections to the instance.
+/// Returns the role of the server at the other end of a connection; `None` for incoming connections of an instance.
 pub(super) fn server_role(connection: ConnectionId) -> Option<Role> {
     match connection {
         ConnectionId::Counter(_) => Some(Role::Counter),
--- a/load/src/scale/slope_report.rs
+++ b/load/src/scale/slope_report.rs
@@ -1,4 +1,4 @@
-//! Slopes as a table, a file and charts.
+//! Reports the fitted lines of a sweep as a table, a CSV file and charts, and compares two runs.
 use super::error::ScaleError;
 use super::fit::{DataPoint, Fit, FACTORS};
 use super::rows::{Row, Source};
@@ -6,13 +6,15 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Width and height of a chart, pixels.
+/// Width of a chart in pixels.
 const WIDTH: u32 = 640;
+/// Height of a chart in pixels.
 const HEIGHT: u32 = 360;
-/// The least length of an axis, and room beyond the farthest point as a factor.
+/// Minimum maximum of an axis, so that an axis is not empty if all values are 0.
 const MIN_AXIS_LENGTH: f64 = 1e-9;
+/// Length of an axis as a multiple of the largest value.
 const AXIS_HEADROOM: f64 = 1.1;
-/// The figures that have a chart.
+/// Figures for which charts are drawn.
 const CHARTED: [&str; 7] = [
     "counter: calls a request",
     "counter: bytes out",
@@ -23,7 +25,7 @@
     "throttled",
 ];
 
-/// All slopes, a line each.
+/// Returns a Markdown table with one line for each fit.
 pub fn table(fits: &[Fit], source: Source) -> String {
     let mut text = String::from(
         "| factor | figure | slope | per | at the target | range | points | residual | source |\n\
@@ -50,11 +52,11 @@
     text
 }
 
-/// Slopes as rows of a file.
+/// Writes the fits to a CSV file.
 pub fn write_slopes(path: &Path, fits: &[Fit], source: Source) -> Result<(), ScaleError> {
-    let failed = ScaleError::table(path);
-    let mut writer = csv::Writer::from_path(path).map_err(&failed)?;
-    let head = [
+    let table_error = ScaleError::table(path);
+    let mut writer = csv::Writer::from_path(path).map_err(&table_error)?;
+    let header = [
         "factor",
         "figure",
         "unit",
@@ -65,7 +67,7 @@
         "points",
         "source",
     ];
-    writer.write_record(head).map_err(&failed)?;
+    writer.write_record(header).map_err(&table_error)?;
     for fit in fits {
         let line = &fit.line;
         let numbers = [line.slope, line.intercept, line.residual, line.relative_residual]
@@ -73,12 +75,12 @@
         let mut record = vec![fit.factor.name().to_owned(), fit.figure.clone(), fit.unit.clone()];
         record.extend(numbers);
         record.extend([line.point_count.to_string(), source.name().to_owned()]);
-        writer.write_record(record).map_err(&failed)?;
+        writer.write_record(record).map_err(&table_error)?;
     }
     writer.flush().map_err(ScaleError::file(path))
 }
 
-/// A chart for each factor and charted figure: the points and the line through them.
+/// Draws a chart for each charted figure of each factor, with the data points and the line through them.
 pub fn draw_charts(folder: &Path, fits: &[Fit]) -> Result<(), ScaleError> {
     for factor in FACTORS {
         let is_charted = |fit: &&Fit| fit.factor == factor && CHARTED.contains(&fit.figure.as_str());
@@ -123,7 +125,8 @@
     Ok(())
 }
 
-/// Rows of a run of the program beside those of embedded instances at the same point, and their ratios.
+/// Returns a Markdown table that compares a run of the program with a run of embedded instances at the same operating
+/// point, with the ratio of each figure.
 pub fn compare_runs(real: &[Row], embedded: &[Row]) -> String {
     let mut text = String::from(
         "| figure | unit | program | embedded | embedded / program |\n| --- | --- | --- | --- | --- |\n",
--- a/load/src/scale/socket_group/instances.rs
+++ b/load/src/scale/socket_group/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of a group: their requests, steps, connections and restarts.
+//! The instances of a group: requests, steps, connections and restarts.
 use super::sockets::ConnectProgress;
 use super::{AppliedVersion, BackendConnection, Group, GroupEvent};
 use crate::scale::clock::unix_now;
@@ -8,13 +8,13 @@
 use mio::Token;
 use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
 
-/// Seconds from an instance to a backend in the same process, one way.
+/// Simulated one-way latency in seconds between an instance and a backend.
 const ONE_WAY_LATENCY_SECONDS: f64 = 0.000_25;
-/// Seconds that an instance is away for a restart.
+/// Seconds between the kill of an instance and its next start.
 const RESTART_SECONDS: f64 = 1.0;
 
 impl Group {
-    /// Calls an instance, if it is running.
+    /// Calls `action` with an instance if it is running, and schedules its next step.
     pub(super) fn with_instance(&mut self, slot: usize, action: impl FnOnce(&mut EmbeddedInstance)) {
         if let Some(instance) = &mut self.slots[slot].instance {
             action(instance);
@@ -35,11 +35,11 @@
     pub(super) fn restart(&mut self, slot: usize) {
         let started =
             EmbeddedInstance::new(unix_now(), &self.point, self.first_instance + slot, self.services);
-        self.slots[slot].instance = started.ok(); // the same settings were read at its first start
+        self.slots[slot].instance = started.ok(); // never an error: the first start accepted the same settings
         self.schedule_step(slot, self.events.now);
     }
 
-    /// Records the versions that a watch's caller has in force: all until the one that it knows.
+    /// Records the versions that a watch shows to be applied: all up to the version since which it requests changes.
     fn record_applied_versions(&mut self, slot: usize, bytes: &[u8]) {
         let Ok(Some(decoded)) = server_protocol::decode_watch(bytes) else { return };
         let watch = decoded.value;
@@ -47,15 +47,19 @@
         let state = &mut self.slots[slot];
         if watch.since > state.applied_version {
             let at = unix_now();
-            let new = state.applied_version + 1..=watch.since;
-            self.applied_versions.extend(new.map(|version| AppliedVersion { instance, version, at }));
+            let newly_applied = state.applied_version + 1..=watch.since;
+            self.applied_versions.extend(newly_applied.map(|version| AppliedVersion {
+                instance,
+                version,
+                at,
+            }));
             state.applied_version = watch.since;
         }
     }
 
     pub(super) fn schedule_request(&mut self, slot: usize, now: f64) {
-        let gap = self.slots[slot].requests.next_interarrival_seconds();
-        self.events.push(now + gap, GroupEvent::Request(slot));
+        let delay = self.slots[slot].requests.next_interarrival_seconds();
+        self.events.push(now + delay, GroupEvent::Request(slot));
     }
 
     fn schedule_step(&mut self, slot: usize, at: f64) {
@@ -68,7 +72,7 @@
     pub(super) fn step(&mut self, slot: usize) {
         let now = unix_now();
         if self.slots[slot].step_at > now {
-            return; // it was postponed since
+            return; // stale event: the instance ran an earlier step, and the next one is due later
         }
         self.slots[slot].step_at = f64::INFINITY;
         let Some(instance) = &mut self.slots[slot].instance else { return };
@@ -112,7 +116,7 @@
         BackendConnection { slot, generation: self.slots[slot].generation, connection }
     }
 
-    /// Answers commands as a backend does. An instance writes complete commands, one or more.
+    /// Schedules a backend's replies to the commands in `bytes`. An instance always writes complete commands.
     fn answer_commands(&mut self, backend: BackendConnection, bytes: &[u8]) {
         let at = self.events.now + 2.0 * ONE_WAY_LATENCY_SECONDS + BACKEND_RESPONSE_SECONDS;
         let mut rest = bytes;
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Establishes, reads and writes a socket, as far as it goes.
+    /// Handles a readiness event of a socket: completes the connect, then reads and writes until it would block.
     pub(super) fn socket_ready(&mut self, token: Token) {
         let Some(owner) = self.sockets.owner(token) else { return };
         match self.sockets.finish_connect(token) {
@@ -149,7 +153,7 @@
         self.schedule_step(owner.slot, self.events.now);
     }
 
-    /// A connection ended, and the instance is notified.
+    /// Removes a socket and notifies its instance that the connection ended.
     fn end_connection(&mut self, token: Token, reason: CloseReason) {
         let Some(owner) = self.sockets.remove(token) else { return };
         self.with_instance(owner.slot, |instance| instance.connection_ended(owner.connection, reason));
--- a/load/src/scale/socket_group/mod.rs
+++ b/load/src/scale/socket_group/mod.rs
@@ -1,5 +1,5 @@
-//! Embedded instances with real sockets towards a counter and a list service, many to one thread. Their clients and backends are in
-//! this process.
+//! Groups of embedded instances that share a thread. Their connections to the counter and the list service are real
+//! sockets; their clients and backends are simulated in the group.
 mod instances;
 mod sockets;
 
@@ -16,27 +16,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Threads that the instances are spread over; the stand-ins have another one.
+/// Maximum number of threads for the instances; the stand-ins run on one more.
 const THREADS: usize = 6;
-/// The longest sleep.
+/// Maximum time of one wait for socket events.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(20);
-/// Socket events that are taken at once.
+/// Maximum number of socket events per poll.
 const EVENT_CAPACITY: usize = 256;
 
-/// Instances by thread: consecutive numbers, as evenly as they go.
+/// Splits the instances into one range for each thread, with sizes that differ by at most one.
 pub fn partition(instances: usize) -> impl Iterator<Item = Range<usize>> {
     let threads = THREADS.min(instances);
     (0..threads).map(move |thread| thread * instances / threads..(thread + 1) * instances / threads)
 }
 
+/// An event of a group. Instances are identified by the index of their slot.
 enum GroupEvent {
-    /// An instance processes what it has received.
+    /// An instance processes its pending input.
     Step(usize),
     /// A client of an instance sends a request.
     Request(usize),
     /// A connection to a backend is established.
     Connected(BackendConnection),
-    /// Bytes of a backend come to an instance.
+    /// Bytes from a backend arrive at an instance.
     Receive(BackendConnection, Vec<u8>),
     /// An instance is killed.
     Stop(usize),
@@ -44,7 +45,7 @@
     Start(usize),
 }
 
-/// A connection to a backend, of one process of an instance.
+/// A connection from one process of an instance to a backend.
 #[derive(Clone, Copy)]
 struct BackendConnection {
     slot: usize,
@@ -52,56 +53,57 @@
     connection: ConnectionId,
 }
 
-/// An instance that is to be killed, and when; it starts again after a second.
+/// A scheduled restart: the instance is killed, and starts again after a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Restart {
-    /// Unix time in seconds.
+    /// Time of the kill, Unix time in seconds.
     pub at: f64,
-    /// Its number in the fleet.
+    /// Index of the instance in the fleet.
     pub instance: usize,
 }
 
-/// An instance first requested the changes after a version of the list: all versions until then are in force there.
+/// A version of the endpoint list that an instance has applied. The instance has applied a version once a watch
+/// requests the changes since this version or a later one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AppliedVersion {
-    /// Its number in the fleet.
+    /// Index of the instance in the fleet.
     pub instance: usize,
-    /// The version.
+    /// Version of the list.
     pub version: u64,
-    /// Unix time in seconds.
+    /// Time of the first such watch, Unix time in seconds.
     pub at: f64,
 }
 
-/// An instance of the group.
+/// State of one instance of the group.
 struct Slot {
-    /// None while it restarts.
+    /// `None` while the instance restarts.
     instance: Option<EmbeddedInstance>,
-    /// Counts its processes: what is on its way to an earlier one is lost.
+    /// Number of restarts. Backend events of an earlier generation are dropped.
     generation: u64,
-    /// What earlier processes did.
+    /// Sum of the readings of earlier processes.
     previous_processes: Reading,
-    /// The newest version of the list that it has had in force.
+    /// Newest version of the endpoint list that the instance has applied.
     applied_version: u64,
     requests: RequestSource,
-    /// When it is stepped next.
+    /// Time of the next step, Unix time in seconds; infinite if no step is scheduled.
     step_at: f64,
 }
 
-/// Instances of one thread.
+/// The embedded instances of one thread.
 pub struct Group {
     events: EventQueue<GroupEvent>,
     slots: Vec<Slot>,
     sockets: Sockets,
     point: OperatingPoint,
     services: ServiceAddresses,
-    /// The number in the fleet of its first instance.
+    /// Index in the fleet of the group's first instance.
     first_instance: usize,
-    /// When its instances had which version of the list in force.
+    /// Versions of the endpoint list that the instances have applied so far.
     pub applied_versions: Vec<AppliedVersion>,
 }
 
 impl Group {
-    /// Starts the instances of these numbers.
+    /// Starts the instances with these indices in the fleet.
     pub fn start(
         point: &OperatingPoint,
         population: &Arc<Population>,
@@ -112,9 +114,9 @@
         let now = unix_now();
         let first_instance = members.start;
         let mut slots = vec![];
-        for number in members {
-            let requests = RequestSource::new(point, population, number)?;
-            let instance = EmbeddedInstance::new(now, point, number, services)?;
+        for index in members {
+            let requests = RequestSource::new(point, population, index)?;
+            let instance = EmbeddedInstance::new(now, point, index, services)?;
             slots.push(Slot {
                 instance: Some(instance),
                 generation: 0,
@@ -142,15 +144,15 @@
         Ok(group)
     }
 
-    /// Restarts those of these instances that are its own.
+    /// Schedules the restarts of the instances that belong to this group.
     pub fn schedule_restarts(&mut self, restarts: &[Restart]) {
-        let numbers = self.first_instance..self.first_instance + self.slots.len();
-        for restart in restarts.iter().filter(|restart| numbers.contains(&restart.instance)) {
+        let members = self.first_instance..self.first_instance + self.slots.len();
+        for restart in restarts.iter().filter(|restart| members.contains(&restart.instance)) {
             self.events.push(restart.at, GroupEvent::Stop(restart.instance - self.first_instance));
         }
     }
 
-    /// Serves until that Unix time.
+    /// Runs the group until a Unix time in seconds.
     pub fn run(&mut self, until: f64) {
         let mut socket_events = Events::with_capacity(EVENT_CAPACITY);
         loop {
@@ -170,7 +172,7 @@
         }
     }
 
-    /// What all of them have done until now.
+    /// Returns the sum of the readings of all instances, including earlier processes.
     pub fn read(&self) -> Reading {
         let mut sum = Reading::default();
         for slot in &self.slots {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Whether the process that the connection belongs to is still running.
+    /// Returns whether the connection belongs to the current process of its instance.
     fn is_current(&self, backend: BackendConnection) -> bool {
         self.slots[backend.slot].generation == backend.generation
     }
--- a/load/src/scale/socket_group/sockets.rs
+++ b/load/src/scale/socket_group/sockets.rs
@@ -9,39 +9,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Buffer of one read, bytes.
+/// Size of the read buffer in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// The instance and the connection that a socket belongs to.
+/// Instance and connection that a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct SocketOwner {
     /// Index of the instance in its group.
     pub slot: usize,
-    /// The connection, as the instance names it.
+    /// Connection id that the instance assigned.
     pub connection: ConnectionId,
 }
 
 struct Socket {
     owner: SocketOwner,
     stream: TcpStream,
-    /// What is not written yet.
+    /// Bytes that are not yet written.
     output: Vec<u8>,
     established: bool,
 }
 
-/// How far a connection has come.
+/// Progress of a non-blocking connect.
 pub(super) enum ConnectProgress {
-    /// It was established before.
+    /// The connection was already established.
     Established,
-    /// It is established by now.
+    /// The connection has just been established.
     Connected,
-    /// It is not established yet.
+    /// The connection is not yet established.
     Pending,
-    /// It cannot be established.
+    /// The connection cannot be established.
     Failed,
 }
 
-/// The sockets of a group, by their tokens and by their owners.
+/// The sockets of a group, indexed by token and by owner.
 pub(super) struct Sockets {
     poll: Poll,
     sockets: HashMap<Token, Socket>,
@@ -51,7 +51,7 @@
 }
 
 impl Sockets {
-    /// No sockets yet.
+    /// Creates an empty set of sockets.
     pub fn new() -> std::result::Result<Sockets, ScaleError> {
         Ok(Sockets {
             poll: Poll::new().map_err(ScaleError::Poll)?,
@@ -62,12 +62,12 @@
         })
     }
 
-    /// Waits until a socket is ready, or for so long.
+    /// Waits until a socket is ready or the timeout expires.
     pub fn poll(&mut self, events: &mut Events, timeout: Duration) -> Result<()> {
         self.poll.poll(events, Some(timeout))
     }
 
-    /// Begins to connect an instance to an address.
+    /// Starts to connect an instance to an address.
     pub fn connect(&mut self, slot: usize, connection: ConnectionId, address: SocketAddr) -> Result<()> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -80,12 +80,12 @@
         Ok(())
     }
 
-    /// The owner of a socket that is open.
+    /// Returns the owner of an open socket.
     pub fn owner(&self, token: Token) -> Option<SocketOwner> {
         self.sockets.get(&token).map(|socket| socket.owner)
     }
 
-    /// Looks whether a connection is established.
+    /// Checks whether a connection is established, and returns its progress.
     pub fn finish_connect(&mut self, token: Token) -> ConnectProgress {
         let Some(socket) = self.sockets.get_mut(&token) else { return ConnectProgress::Failed };
         if socket.established {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Reads all available bytes and writes what is pending; why the connection is over, if it is.
+    /// Reads all available bytes and writes pending bytes. Returns the reason if the connection has ended.
     pub fn read_and_write(&mut self, token: Token, received: impl FnMut(&[u8])) -> Option<CloseReason> {
         let socket = self.sockets.get_mut(&token)?;
         let read = read_available(&mut socket.stream, &mut self.read_buffer, received);
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Sends bytes, now or once the connection is established. The error is the token of a connection that is over.
+    /// Sends bytes, now or once the connection is established. If the connection has failed, returns its token as the
+    /// error.
     pub fn send(
         &mut self,
         slot: usize,
@@ -147,10 +148,10 @@
         owners.into_iter().for_each(|owner| self.close(owner.slot, owner.connection));
     }
 
-    /// Ends a socket; its owner, if it was open.
+    /// Closes a socket and returns its owner; `None` if it is not open.
     pub fn remove(&mut self, token: Token) -> Option<SocketOwner> {
         let mut socket = self.sockets.remove(&token)?;
-        let _ = self.poll.registry().deregister(&mut socket.stream); // it ends now in any case
+        let _ = self.poll.registry().deregister(&mut socket.stream); // the socket is closed in any case
         self.tokens.remove(&socket.owner);
         Some(socket.owner)
     }
--- a/load/src/scale/stand_ins/connection.rs
+++ b/load/src/scale/stand_ins/connection.rs
@@ -1,4 +1,4 @@
-//! The connections of the stand-ins.
+//! Connections of the stand-in servers.
 use crate::scale::server_traffic::{Role, ServerTraffic};
 use crate::scale::stream_io::{read_available, write_pending};
 use mio::net::TcpStream;
@@ -6,22 +6,22 @@
 
 /// A connection of an instance to a stand-in.
 pub(super) struct Connection {
-    /// The server that it leads to.
+    /// Role of the server that accepted the connection.
     pub role: Role,
-    /// The socket.
+    /// Socket of the connection.
     pub stream: TcpStream,
-    /// What is not served yet.
+    /// Received bytes that are not yet served.
     pub input: Vec<u8>,
     output: Vec<u8>,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Creates the state of an accepted connection.
     pub fn new(role: Role, stream: TcpStream) -> Connection {
         Connection { role, stream, input: vec![], output: vec![] }
     }
 
-    /// Reads all available bytes; an error where the connection is over.
+    /// Reads all available bytes; fails if the connection has ended.
     pub fn read(&mut self, buffer: &mut [u8], traffic: &ServerTraffic) -> Result<()> {
         let counters = traffic.of(self.role);
         let input = &mut self.input;
@@ -31,12 +31,12 @@
         })
     }
 
-    /// Adds an answer to what is to be written.
+    /// Adds a response to the output buffer.
     pub fn respond(&mut self, answer: &[u8]) {
         self.output.extend_from_slice(answer);
     }
 
-    /// Writes what is pending, as far as the socket takes it.
+    /// Writes the output buffer until the socket would block.
     pub fn flush(&mut self, traffic: &ServerTraffic) -> Result<()> {
         let written = write_pending(&mut self.stream, &mut self.output)?;
         traffic.of(self.role).count_sent(written);
--- a/load/src/scale/stand_ins/event_loop.rs
+++ b/load/src/scale/stand_ins/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop that serves the stand-ins.
+//! The event loop of the stand-in servers.
 use super::connection::Connection;
 use super::Changes;
 use crate::scale::clock::unix_now;
@@ -18,50 +18,51 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The longest that the loop sleeps before it looks whether it is to end.
+/// Maximum time of one wait for socket events, after which the loop checks for a stop and for requested changes.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(50);
-/// How often counts whose time is over are dropped.
+/// Interval at which expired totals of the counter are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
-/// Buffer of one read, bytes.
+/// Size of the read buffer in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Socket events that are taken at once.
+/// Maximum number of socket events per poll.
 const EVENT_CAPACITY: usize = 1024;
 
 /// A listening socket of a server.
 pub(super) struct Listener {
-    /// The server.
+    /// Role of the server.
     pub role: Role,
-    /// Its socket.
+    /// Listening socket.
     pub socket: TcpListener,
 }
 
-/// What the event loop starts with.
+/// Resources and parameters of the event loop.
 pub(super) struct Setup {
-    /// The poll that the listeners are registered with.
+    /// Poll that the listeners are registered with.
     pub poll: Poll,
-    /// Registered with their indices as tokens.
+    /// Listeners, registered with their indices as tokens.
     pub listeners: Vec<Listener>,
-    /// The counter's counts.
+    /// Totals of the counter.
     pub totals: CounterTotals,
-    /// The endpoint list.
+    /// Endpoint list of the list service.
     pub endpoints: EndpointRotation,
-    /// What crosses the connections.
+    /// Traffic counters of the servers.
     pub traffic: Arc<ServerTraffic>,
-    /// Changes of the list that others request.
+    /// Changes of the endpoint list that other threads request.
     pub changes: Arc<Changes>,
-    /// Between changes of the list that the loop makes by itself; none where it makes none.
+    /// Interval between changes that the loop makes by itself; `None` if it makes none.
     pub change_interval: Option<Duration>,
 }
 
-/// A watch of the list that waits for a change.
+/// A watch of the endpoint list that waits for a change.
 struct PendingWatch {
     token: Token,
-    /// The version that the caller knows.
+    /// Version of the list that the caller has applied.
     since: u64,
+    /// Timeout of the watch.
     until: Instant,
 }
 
-/// An answer of a backend, and when it is given; ordered by time.
+/// A backend's reply and the time at which it is sent; ordered by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedReply {
     at: Instant,
@@ -69,6 +70,7 @@
     bytes: Vec<u8>,
 }
 
+/// The event loop with its connections.
 pub(super) struct EventLoop {
     setup: Setup,
     connections: HashMap<Token, Connection>,
@@ -79,7 +81,7 @@
 }
 
 impl EventLoop {
-    /// A loop without connections.
+    /// Creates an event loop without connections.
     pub fn new(setup: Setup) -> EventLoop {
         EventLoop {
             next_token: setup.listeners.len(),
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Serves until it is stopped.
+    /// Serves until `stop` is set.
     pub fn run(mut self, stop: &AtomicBool) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         let mut expire_at = Instant::now() + EXPIRY_INTERVAL;
@@ -99,7 +101,7 @@
         while !stop.load(Ordering::Relaxed) {
             let timeout = self.poll_timeout();
             if self.setup.poll.poll(&mut events, Some(timeout)).is_err() {
-                continue; // a signal
+                continue; // interrupted by a signal
             }
             for event in &events {
                 self.handle_ready(event.token());
@@ -121,10 +123,10 @@
         }
     }
 
-    /// How long nothing is due.
+    /// Returns the time until the next delayed reply, at most `MAX_POLL_WAIT`.
     fn poll_timeout(&self) -> Duration {
         let next = self.delayed_replies.peek();
-        let wait = next.map_or(MAX_POLL_WAIT, |next| next.0.at.saturating_duration_since(Instant::now()));
+        let wait = next.map_or(MAX_POLL_WAIT, |reply| reply.0.at.saturating_duration_since(Instant::now()));
         wait.min(MAX_POLL_WAIT)
     }
 
@@ -142,9 +144,9 @@
             let role = self.setup.listeners[listener].role;
             let token = Token(self.next_token);
             let interest = Interest::READABLE | Interest::WRITABLE;
-            let _ = stream.set_nodelay(true); // answers come in one write; a delay would only be seen as slowness
+            let _ = stream.set_nodelay(true); // each response is one write, so Nagle's algorithm would only delay it
             if self.setup.poll.registry().register(&mut stream, token, interest).is_err() {
-                continue; // no descriptor is left: the connection ends
+                continue; // out of descriptors or memory: the connection is closed
             }
             self.next_token += 1;
             self.setup.traffic.of(role).count_connection();
@@ -155,12 +157,12 @@
     fn close(&mut self, token: Token) {
         if let Some(mut connection) = self.connections.remove(&token) {
             let _ = self.setup.poll.registry().deregister(&mut connection.stream);
-            // it ends now in any case
+            // the connection is closed in any case
         }
         self.watches.retain(|watch| watch.token != token);
     }
 
-    /// Reads all available bytes and serves it; an error where the connection is over.
+    /// Reads all available bytes and serves the complete requests in them; fails if the connection has ended.
     fn read(&mut self, token: Token) -> Result<()> {
         let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
         connection.read(&mut self.read_buffer, &self.setup.traffic)?;
@@ -177,7 +179,7 @@
         Ok(())
     }
 
-    /// Serves the first request of these bytes: how many it took, none where it is not complete.
+    /// Serves the first request in `bytes` and returns its length; `None` if the request is incomplete.
     fn serve(&mut self, token: Token, role: Role, bytes: &[u8]) -> Result<Option<usize>> {
         if bytes.is_empty() {
             return Ok(None);
@@ -212,7 +214,7 @@
         Ok(consumed)
     }
 
-    /// Writes the changes that were requested since it last looked.
+    /// Writes the changes that have been requested but not yet written.
     fn write_changes(&mut self) {
         let mut write_times = lock(&self.setup.changes.write_times);
         while write_times.len() < self.setup.changes.requested_count.load(Ordering::Relaxed) {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Answers watches for which there is a change, or whose time is over.
+    /// Answers the watches for which the list has changed or whose timeout has expired.
     fn answer_watches(&mut self, now: Instant) {
         let version = self.setup.endpoints.version();
         let is_due = |watch: &PendingWatch| watch.since < version || now >= watch.until;
@@ -235,12 +237,12 @@
         }
     }
 
-    /// Gives the answers of backends that are due.
+    /// Sends the backends' replies that are due.
     fn answer_commands(&mut self, now: Instant) {
-        while self.delayed_replies.peek().is_some_and(|next| next.0.at <= now) {
-            let Some(Reverse(answer)) = self.delayed_replies.pop() else { return };
-            self.respond(answer.token, &answer.bytes);
-            self.flush_or_close(answer.token);
+        while self.delayed_replies.peek().is_some_and(|reply| reply.0.at <= now) {
+            let Some(Reverse(reply)) = self.delayed_replies.pop() else { return };
+            self.respond(reply.token, &reply.bytes);
+            self.flush_or_close(reply.token);
         }
     }
 
--- a/load/src/scale/stand_ins/mod.rs
+++ b/load/src/scale/stand_ins/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for a scale run: one counter, one list service and thousands of backends, served by one event loop on a thread of its own.
-//! Each counts its connections, calls and bytes. The experiments have servers of another kind, with a thread for each connection and
-//! with faults (`test_bed`).
+//! Stand-in servers of a scale run: one counter, one list service and thousands of backends. One event loop on a
+//! separate thread serves them all, and counts connections, calls and bytes by server role. The servers of the
+//! experiments (`test_bed`) differ: they use one thread for each connection and can inject faults.
 mod connection;
 mod event_loop;
 
@@ -21,37 +21,37 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The port of the first backend that is only listed.
+/// Port of the first backend that is listed but does not listen.
 const FIRST_LISTED_PORT: u16 = 1_024;
-/// Listeners before those of the backends: the counter's and the list service's.
+/// Number of listeners before those of the backends: the counter and the list service.
 const SERVICE_LISTENERS: usize = 2;
 
-/// Whether the backends of the list are there.
+/// Whether the listed backends accept connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendMode {
-    /// They listen and answer.
+    /// The backends listen and answer.
     Listening,
-    /// They are on the list only; whoever runs the instances answers for them.
+    /// The backends are only on the endpoint list; the runner of the instances simulates them.
     ListedOnly,
 }
 
-/// Changes of the list that were requested, and when each was written.
+/// Requested changes of the endpoint list, and the times at which they were written.
 #[derive(Default)]
 struct Changes {
     requested_count: AtomicUsize,
-    /// Unix time in seconds, from version 2 on.
+    /// Unix time in seconds of each version from 2 on.
     write_times: Mutex<Vec<f64>>,
 }
 
-/// Stand-ins that serve until this is dropped.
+/// Running stand-in servers; dropping this stops them.
 pub struct StandIns {
-    /// Where the counter is.
+    /// Address of the counter.
     pub counter: SocketAddr,
-    /// Where the list service is.
+    /// Address of the list service.
     pub discovery: SocketAddr,
-    /// Bytes of a snapshot of the list, as the list service writes it.
+    /// Size in bytes of a snapshot of the endpoint list, as encoded by the list service.
     pub snapshot_bytes: usize,
-    /// What crossed the connections.
+    /// Traffic between the instances and the servers.
     pub traffic: Arc<ServerTraffic>,
     changes: Arc<Changes>,
     stop: Arc<AtomicBool>,
@@ -59,7 +59,8 @@
 }
 
 impl StandIns {
-    /// Starts them on free ports of loopback. `instances` are there; the rest of the fleet is estimated by the counter.
+    /// Starts the servers on free loopback ports. `instances` instances run; the counter estimates the rest of the
+    /// fleet.
     pub fn start(
         point: &OperatingPoint,
         instances: usize,
@@ -101,17 +102,17 @@
         })
     }
 
-    /// Where the services are.
+    /// Returns the addresses of the counter and the list service.
     pub fn services(&self) -> ServiceAddresses {
         ServiceAddresses { counter: self.counter, discovery: self.discovery }
     }
 
-    /// Changes the list once more, within a moment.
+    /// Requests one change of the endpoint list; the event loop writes it within 50 ms.
     pub fn request_change(&self) {
         self.changes.requested_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// When each version of the list was written, from version 2 on; Unix time in seconds.
+    /// Returns the time at which each version of the list from 2 on was written, Unix time in seconds.
     pub fn write_times(&self) -> Vec<f64> {
         lock(&self.changes.write_times).clone()
     }
@@ -121,12 +122,12 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            let _ = thread.join(); // its panic was printed
+            let _ = thread.join(); // the panic message is already printed
         }
     }
 }
 
-/// The listeners of the counter, the list service and the backends, in this order; their tokens are their indices.
+/// Opens the listeners of the counter, the list service and the backends, in this order. Each has its index as token.
 fn listen_all(registry: &Registry, backends: usize) -> Result<Vec<Listener>, ScaleError> {
     let mut listeners = vec![];
     for index in 0..backends + SERVICE_LISTENERS {
@@ -140,7 +141,7 @@
     listeners.iter().map(|listener| listener.socket.local_addr().map_err(ScaleError::Port)).collect()
 }
 
-/// Addresses of backends at which nothing listens.
+/// Returns addresses of backends on which no server listens.
 fn unserved_addresses(backends: usize) -> Vec<SocketAddr> {
     let address = |index: usize| SocketAddr::from((own_loopback(), FIRST_LISTED_PORT + index as u16));
     (0..backends).map(address).collect()
--- a/load/src/scale/steady_state.rs
+++ b/load/src/scale/steady_state.rs
@@ -1,23 +1,23 @@
-//! The steady state: what a span of traffic cost one instance, in rows.
+//! Rows for the steady state: requests, traffic and processor time of one instance.
 use super::outcomes::OutcomeCounts;
 use super::rows::Rows;
 use super::server_traffic::{Role, ServerTrafficCounts};
 
-/// What all measured instances did and used in a span.
+/// Outcomes, traffic and processor time of all measured instances in one measured interval.
 pub struct IntervalUsage {
-    /// Length of the span, seconds.
+    /// Length of the interval in seconds.
     pub seconds: f64,
-    /// Instances that were measured.
+    /// Number of measured instances.
     pub instances: usize,
-    /// The outcomes of the requests.
+    /// Outcomes of the requests.
     pub outcomes: OutcomeCounts,
-    /// The load of the servers.
+    /// Traffic between the instances and the servers.
     pub traffic: ServerTrafficCounts,
-    /// Seconds of processor time.
+    /// Processor time of the instances in seconds.
     pub cpu_seconds: f64,
 }
 
-/// Adds the figures of a span, each for one instance.
+/// Adds the figures of an interval, each as the mean of one instance.
 pub fn add_rows(rows: &mut Rows, usage: &IntervalUsage) {
     let instance_seconds = usage.seconds * usage.instances as f64;
     let sent = usage.outcomes.sent.max(1) as f64;
--- a/load/src/scale/stream_io.rs
+++ b/load/src/scale/stream_io.rs
@@ -1,8 +1,9 @@
-//! Reads and writes of non-blocking streams.
+//! Reads from and writes to non-blocking streams.
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Read, Result, Write};
 
-/// Reads all available bytes, and hands it on in pieces; `UnexpectedEof` where the other side closed the connection.
+/// Reads all available bytes and passes them to `on_bytes` in chunks. Returns `UnexpectedEof` if the peer closed the
+/// connection.
 pub fn read_available(
     stream: &mut TcpStream,
     buffer: &mut [u8],
@@ -19,7 +20,7 @@
     }
 }
 
-/// Writes what is pending, as far as the socket takes it; how many bytes that were.
+/// Writes pending bytes until the socket would block, and returns how many bytes were written.
 pub fn write_pending(stream: &mut TcpStream, pending: &mut Vec<u8>) -> Result<usize> {
     let mut written = 0;
     while written < pending.len() {
--- a/load/src/scale/sweep.rs
+++ b/load/src/scale/sweep.rs
@@ -1,5 +1,5 @@
-//! Runs embedded instances over the factors, one factor at a time. Each point has a process of its own, so that its memory
-//! is told apart; a few of them run at once.
+//! Measures embedded instances while one factor at a time is varied. Each operating point runs in a separate process,
+//! so that its memory can be measured; a few points run in parallel.
 use super::error::ScaleError;
 use super::fit::{Factor, FACTORS};
 use super::operating_point::OperatingPoint;
@@ -11,38 +11,38 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Memory that all points together may take, MiB: half of the machine's.
+/// Maximum memory of all running points together in MiB: half of the machine's memory.
 const MAX_MEMORY_MIB: f64 = 12.0 * 1024.0;
-/// How often the running points are looked at.
-const POLL: Duration = Duration::from_millis(100);
+/// Interval at which the running points are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a sweep may use.
+/// Limits on the processes and the time of a sweep.
 #[derive(Clone, Debug, clap::Args)]
 pub struct SweepLimits {
-    /// Number of points that are measured at once, each in a process of its own.
+    /// Number of points that are measured in parallel, each in a separate process.
     #[arg(long = "at-once", value_name = "AT_ONCE", default_value_t = 4)]
     pub parallelism: usize,
-    /// Seconds after which points that still run are stopped, and reported as missing.
+    /// Maximum seconds of the sweep; unfinished points are then stopped and reported as missing.
     #[arg(long = "longest", value_name = "SECONDS", default_value_t = 80.0)]
     pub max_seconds: f64,
 }
 
-/// What a sweep measures.
+/// Factors and operating points that a sweep measures.
 pub struct SweepSpec<'a> {
-    /// The point that each factor is varied at.
+    /// Operating point of the factors that are not varied.
     pub base: &'a OperatingPoint,
-    /// What is varied; all factors, where none is named.
+    /// Factors to vary; empty for all factors.
     pub factors: &'a [Factor],
-    /// How long each point is measured.
+    /// Duration of the warm-up and of the measurement at each point.
     pub timing: &'a Timing,
-    /// Embedded instances at each point.
+    /// Number of embedded instances at each point.
     pub instances: usize,
-    /// What the sweep may use.
+    /// Limits on processes and time.
     pub limits: &'a SweepLimits,
 }
 
 impl SweepSpec<'_> {
-    /// The arguments of `scale hollow` for one size of a factor.
+    /// Returns the arguments of `scale hollow` for one size of a factor.
     fn arguments(&self, factor: Factor, size: f64, out: &Path) -> Vec<String> {
         let option = |name: &str, value: String| [name.to_owned(), value];
         let mut arguments = vec!["scale".to_owned(), "hollow".to_owned()];
@@ -54,12 +54,12 @@
         arguments
     }
 
-    /// The base with one size of a factor.
+    /// Returns the base operating point with one factor set to a size.
     fn point(&self, factor: Factor, size: f64) -> OperatingPoint {
         let mut point = self.base.clone();
         let count = size as usize;
         match factor {
-            // Each instance gets what it got, so the fleet's traffic and the quotas grow with it.
+            // The rate of each instance stays the same, so the fleet's traffic and the quotas grow with its size.
             Factor::Instances => {
                 point.fleet_requests = self.base.fleet_requests * size / self.base.instances as f64;
                 point.instances = count;
@@ -74,7 +74,7 @@
     }
 }
 
-/// A measurement that was not begun.
+/// An operating point whose measurement has not started.
 struct PendingPoint {
     factor: Factor,
     size: f64,
@@ -86,7 +86,7 @@
     }
 }
 
-/// A measurement that runs.
+/// An operating point that is being measured.
 struct RunningPoint {
     process: Child,
     name: String,
@@ -98,13 +98,14 @@
     out: &'a Path,
     program: PathBuf,
     deadline: Instant,
-    /// The next one is the last.
+    /// Points to start, in reverse order: the next one is the last element.
     pending: Vec<PendingPoint>,
     running: Vec<RunningPoint>,
     missing: Vec<String>,
 }
 
-/// Measures all sizes of the factors; each point's rows are appended to `out`. Returns which points did not complete, and why.
+/// Measures all sizes of the factors and appends the rows of each point to `out`. Returns one line for each point
+/// that did not complete, with the reason.
 pub fn sweep(spec: &SweepSpec, out: &Path) -> Result<Vec<String>, ScaleError> {
     let factors = if spec.factors.is_empty() { &FACTORS } else { spec.factors };
     let points =
@@ -120,7 +121,7 @@
     };
     while !(sweep.pending.is_empty() && sweep.running.is_empty()) {
         sweep.launch()?;
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
         if let Some(reason) = sweep.exceeded_limit() {
             sweep.stop(&reason);
         }
@@ -130,7 +131,7 @@
 }
 
 impl Sweep<'_> {
-    /// Starts as many points as may run at once.
+    /// Starts points until the limit of parallel points is reached.
     fn launch(&mut self) -> Result<(), ScaleError> {
         while self.running.len() < self.spec.limits.parallelism.max(1) {
             let Some(next) = self.pending.pop() else { break };
@@ -144,27 +145,30 @@
         Ok(())
     }
 
-    /// Which bound is exceeded, if one is.
+    /// Returns a description of the limit that is exceeded, if any.
     fn exceeded_limit(&self) -> Option<String> {
         let memory: f64 =
             self.running.iter().map(|point| process_usage(point.process.id()).resident_mib).sum();
         if memory > MAX_MEMORY_MIB {
-            return Some(format!("{memory:.0} MiB in all"));
+            return Some(format!(
+                "all points together use {memory:.0} MiB of at most {MAX_MEMORY_MIB:.0} MiB"
+            ));
         }
-        (Instant::now() > self.deadline).then(|| format!("not done in {} s", self.spec.limits.max_seconds))
+        (Instant::now() > self.deadline)
+            .then(|| format!("the sweep did not finish in {} s", self.spec.limits.max_seconds))
     }
 
     fn stop(&mut self, reason: &str) {
         for pending in self.pending.drain(..) {
-            self.missing.push(format!("{}: not begun, {reason}", pending.name()));
+            self.missing.push(format!("{}: not started, {reason}", pending.name()));
         }
         for running in &mut self.running {
-            let _ = running.process.kill(); // it may have ended
+            let _ = running.process.kill(); // fails if the process has exited
             self.missing.push(format!("{}: stopped, {reason}", running.name));
         }
     }
 
-    /// Takes the rows of the points that have ended.
+    /// Collects the rows of the points whose processes have exited.
     fn collect(&mut self) -> Result<(), ScaleError> {
         for mut point in std::mem::take(&mut self.running) {
             let status = point.process.try_wait();
@@ -178,7 +182,7 @@
         Ok(())
     }
 
-    /// Appends the rows of one point to those of the sweep.
+    /// Moves the rows of one point from its part file to the output file.
     fn append(&self, part: &Path) -> Result<(), ScaleError> {
         let measured = rows::read(part)?;
         rows::append(self.out, &measured)?;
