--- a/load/src/scale/counter_totals.rs
+++ b/load/src/scale/counter_totals.rs
@@ -13,6 +13,7 @@
 /// Number of windows without a call after which a total is removed.
 const EXPIRY_WINDOWS: f64 = 2.0;
 
+/// Total of one counter key.
 struct Total {
     units: f64,
     /// Time of the last call for this key, Unix time in seconds.
@@ -51,7 +52,7 @@
         total.units
     }
 
-    /// Removes totals whose window is over, as a counter does when their time to live ends.
+    /// Removes totals whose window is over, as a counter does when the time to live of a key ends.
     pub fn expire(&mut self, now: f64) {
         self.totals.retain(|_, total| now - total.updated_at < EXPIRY_WINDOWS * WINDOW_SECONDS);
     }
--- a/load/src/scale/operator_file.rs
+++ b/load/src/scale/operator_file.rs
@@ -1,4 +1,4 @@
-//! Renders the operator's file of an operating point: one route for each few tenants.
+//! Renders the operator's file of an operating point. Each of its routes applies to a few tenants.
 use super::operating_point::OperatingPoint;
 use std::fmt::Write;
 
--- a/load/src/scale/outcomes.rs
+++ b/load/src/scale/outcomes.rs
@@ -30,12 +30,12 @@
 impl OutcomeCounters {
     /// Returns the current values.
     pub fn read(&self) -> OutcomeCounts {
-        let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        let value = |count: &AtomicU64| count.load(Ordering::Relaxed);
         OutcomeCounts {
-            sent: load(&self.sent),
-            served: load(&self.served),
-            throttled: load(&self.throttled),
-            errored: load(&self.errored),
+            sent: value(&self.sent),
+            served: value(&self.served),
+            throttled: value(&self.throttled),
+            errored: value(&self.errored),
         }
     }
 }
--- a/load/src/scale/propagation.rs
+++ b/load/src/scale/propagation.rs
@@ -124,10 +124,10 @@
     let all = propagation_delays(write_times, applied_versions, |_| true);
     rows.add("changes not in force at the end", (expected - all.len()) as f64, "of front door and change");
     let without_restart = propagation_delays(write_times, applied_versions, |instance| !restarted(instance));
-    for (scope_name, delays) in [("all", all), ("not restarted", without_restart)] {
-        rows.add(&format!("write to in force, {scope_name}: median"), quantile(&delays, 0.5), "s");
-        rows.add(&format!("write to in force, {scope_name}: p99"), quantile(&delays, 0.99), "s");
-        rows.add(&format!("write to in force, {scope_name}: most"), quantile(&delays, 1.0), "s");
+    for (subset, delays) in [("all", all), ("not restarted", without_restart)] {
+        rows.add(&format!("write to in force, {subset}: median"), quantile(&delays, 0.5), "s");
+        rows.add(&format!("write to in force, {subset}: p99"), quantile(&delays, 0.99), "s");
+        rows.add(&format!("write to in force, {subset}: most"), quantile(&delays, 1.0), "s");
     }
     rows.add("memory of the process", process_usage(std::process::id()).resident_mib, "MiB");
 }
--- a/load/src/scale/real.rs
+++ b/load/src/scale/real.rs
@@ -40,8 +40,8 @@
         let _ = self.process.kill(); // fails if the process has exited
         let _ = self.process.wait();
         let _ = std::fs::remove_file(&self.configuration_path);
+        // Fails if the operating point has no routes and therefore no operator's file.
         let _ = std::fs::remove_file(self.configuration_path.with_extension("toml"));
-        // fails if the operating point has no routes and therefore no operator's file
     }
 }
 
--- a/load/src/scale/requests.rs
+++ b/load/src/scale/requests.rs
@@ -1,4 +1,5 @@
-//! Generates the requests of one instance's clients; the tenants and the inter-arrival times depend only on the seed.
+//! Generates the requests of one instance's clients. Seeded random numbers determine the tenants and the
+//! inter-arrival times, so that runs are repeatable.
 use super::error::ScaleError;
 use super::operating_point::{plan_name, OperatingPoint, Tenant};
 use rand::distributions::{Distribution, WeightedIndex};
--- a/load/src/scale/server_traffic.rs
+++ b/load/src/scale/server_traffic.rs
@@ -72,12 +72,12 @@
 
     /// Returns the current values.
     pub fn read(&self) -> TrafficCounts {
-        let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        let value = |count: &AtomicU64| count.load(Ordering::Relaxed);
         TrafficCounts {
-            connections: load(&self.connections),
-            calls: load(&self.calls),
-            bytes_received: load(&self.bytes_received),
-            bytes_sent: load(&self.bytes_sent),
+            connections: value(&self.connections),
+            calls: value(&self.calls),
+            bytes_received: value(&self.bytes_received),
+            bytes_sent: value(&self.bytes_sent),
         }
     }
 }
--- a/load/src/scale/stand_ins/event_loop.rs
+++ b/load/src/scale/stand_ins/event_loop.rs
@@ -156,8 +156,8 @@
 
     fn close(&mut self, token: Token) {
         if let Some(mut connection) = self.connections.remove(&token) {
+            // An error does not matter, because the connection is closed in any case.
             let _ = self.setup.poll.registry().deregister(&mut connection.stream);
-            // the connection is closed in any case
         }
         self.watches.retain(|watch| watch.token != token);
     }
--- a/load/src/scale/sweep.rs
+++ b/load/src/scale/sweep.rs
@@ -59,7 +59,8 @@
         let mut point = self.base.clone();
         let count = size as usize;
         match factor {
-            // The rate of each instance stays the same, so the fleet's traffic and the quotas grow with its size.
+            // The rate of each instance stays the same, so the fleet's traffic and the quotas grow with
+            // the number of instances.
             Factor::Instances => {
                 point.fleet_requests = self.base.fleet_requests * size / self.base.instances as f64;
                 point.instances = count;
@@ -93,6 +94,7 @@
     rows: PathBuf,
 }
 
+/// State of a running sweep.
 struct Sweep<'a> {
     spec: &'a SweepSpec<'a>,
     out: &'a Path,
@@ -101,6 +103,7 @@
     /// Points to start, in reverse order: the next one is the last element.
     pending: Vec<PendingPoint>,
     running: Vec<RunningPoint>,
+    /// One line for each point that did not complete, with the reason.
     missing: Vec<String>,
 }
 
