--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -27,7 +27,8 @@
 pub const MAX_DESCRIPTORS: usize = 8_192;
 /// Empty read buffers with a larger capacity are released, as the gateway's connections do.
 const MAX_RETAINED_BUFFER_BYTES: usize = 16 * 1024;
-/// Multiplier that separates the seeds of instances of different operating-point seeds.
+/// Multiplier of the operating point's seed. The index of the instance is added, so that each instance has its own
+/// seed.
 const INSTANCE_SEED_FACTOR: u64 = 7919;
 
 struct Stream {
@@ -78,16 +79,16 @@
 }
 
 impl EmbeddedInstance {
-    /// Creates an instance that starts now, with an empty endpoint list. Here and in the other methods, `now` is Unix
-    /// time in seconds.
+    /// Creates the instance with this index in the fleet, which starts now with an empty endpoint list. Here and in
+    /// the other methods, `now` is Unix time in seconds. Fails if the settings or the operator's file are invalid.
     pub fn new(
         now: f64,
         point: &OperatingPoint,
-        instance: usize,
+        index: usize,
         services: ServiceAddresses,
     ) -> Result<EmbeddedInstance, ScaleError> {
-        let seed = point.seed.wrapping_mul(INSTANCE_SEED_FACTOR).wrapping_add(instance as u64);
-        let loaded = settings::load(seed, point.settings(instance).to_string().as_bytes())
+        let seed = point.seed.wrapping_mul(INSTANCE_SEED_FACTOR).wrapping_add(index as u64);
+        let loaded = settings::load(seed, point.settings(index).to_string().as_bytes())
             .map_err(|e| ScaleError::Settings(e.to_string()))?;
         let update = operator_update(point, &loaded.instance)?;
         let config = ReducerConfig {
--- a/load/src/scale/embedded_run.rs
+++ b/load/src/scale/embedded_run.rs
@@ -33,8 +33,8 @@
 /// Start and end of the measured interval, Unix time in seconds.
 type Interval = StartEnd<f64>;
 
-/// Measures `instances` embedded instances on sockets. The memory figure is the growth of this process, which
-/// includes the stand-ins.
+/// Measures `instances` embedded instances on sockets. The memory figure is the growth of this process, including the
+/// stand-ins, per instance.
 pub fn measure_on_sockets(
     run: &str,
     point: &OperatingPoint,
@@ -104,15 +104,15 @@
         cpu_seconds: 0.0,
     };
     for reading in &readings.groups {
-        let counted = reading.end.since(&reading.start);
-        usage.outcomes = usage.outcomes.plus(&counted.outcomes);
-        usage.cpu_seconds += counted.cpu_time.as_secs_f64();
+        let increase = reading.end.since(&reading.start);
+        usage.outcomes = usage.outcomes.plus(&increase.outcomes);
+        usage.cpu_seconds += increase.cpu_time.as_secs_f64();
     }
     usage
 }
 
 /// Measures `instances` embedded instances on a simulated clock, with the stand-ins in this process. The memory
-/// figure is the growth of this process.
+/// figure is the growth of this process per instance.
 pub fn measure_in_process(
     run: &str,
     point: &OperatingPoint,
@@ -133,13 +133,13 @@
     let traffic_before = simulation.traffic.read();
     let reading_before = simulation.read();
     simulation.run(timing.seconds)?;
-    let counted = simulation.read().since(&reading_before);
+    let increase = simulation.read().since(&reading_before);
     let interval_usage = IntervalUsage {
         seconds: timing.seconds,
         instances,
-        outcomes: counted.outcomes,
+        outcomes: increase.outcomes,
         traffic: simulation.traffic.read().since(&traffic_before),
-        cpu_seconds: counted.cpu_time.as_secs_f64(),
+        cpu_seconds: increase.cpu_time.as_secs_f64(),
     };
     steady_state::add_rows(&mut rows, &interval_usage);
     rows.add(
--- a/load/src/scale/requests.rs
+++ b/load/src/scale/requests.rs
@@ -10,7 +10,7 @@
 
 /// Client timeout in milliseconds that each request states.
 const CLIENT_TIMEOUT_MS: u64 = 1_400;
-/// Multiplier that separates the seeds of request sources from other seeds of the operating point.
+/// Multiplier of the operating point's seed, which separates the seeds of the requests from other seeds of the point.
 const REQUEST_SEED_FACTOR: u64 = 1_000_003;
 /// Number of low bits of a request id that count requests; the bits above hold the instance's index.
 const INSTANCE_ID_SHIFT: u32 = 40;
@@ -38,19 +38,20 @@
 }
 
 impl RequestSource {
-    /// Creates the source of the instance with this index. Every instance serves all tenants.
+    /// Creates the source of the instance with this index in the fleet. Every instance serves all tenants. Fails if
+    /// the request rate is out of range.
     pub fn new(
         point: &OperatingPoint,
         population: &Arc<Population>,
-        instance: usize,
+        index: usize,
     ) -> Result<RequestSource, ScaleError> {
-        let seed = point.seed.wrapping_mul(REQUEST_SEED_FACTOR).wrapping_add(instance as u64);
+        let seed = point.seed.wrapping_mul(REQUEST_SEED_FACTOR).wrapping_add(index as u64);
         Ok(RequestSource {
             rng: ChaCha8Rng::seed_from_u64(seed),
             population: population.clone(),
             interarrival_times: Exp::new(point.requests).map_err(ScaleError::Requests)?,
             instances: point.instances,
-            last_id: (instance as u64) << INSTANCE_ID_SHIFT,
+            last_id: (index as u64) << INSTANCE_ID_SHIFT,
         })
     }
 
