--- a/load/src/scale/outcomes.rs
+++ b/load/src/scale/outcomes.rs
@@ -1,7 +1,7 @@
-//! The outcomes of the requests.
+//! Counts of request outcomes.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters of the outcomes of the requests.
+/// Counters of request outcomes, shared between threads.
 #[derive(Default)]
 pub struct OutcomeCounters {
     /// Requests that were sent.
@@ -14,7 +14,7 @@
     pub errored: AtomicU64,
 }
 
-/// The values of `OutcomeCounters` at one time.
+/// Values of `OutcomeCounters` at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
     /// Requests that were sent.
@@ -28,20 +28,20 @@
 }
 
 impl OutcomeCounters {
-    /// The values now.
+    /// Returns the current values.
     pub fn read(&self) -> OutcomeCounts {
-        let now = |count: &AtomicU64| count.load(Ordering::Relaxed);
+        let value = |count: &AtomicU64| count.load(Ordering::Relaxed);
         OutcomeCounts {
-            sent: now(&self.sent),
-            served: now(&self.served),
-            throttled: now(&self.throttled),
-            errored: now(&self.errored),
+            sent: value(&self.sent),
+            served: value(&self.served),
+            throttled: value(&self.throttled),
+            errored: value(&self.errored),
         }
     }
 }
 
 impl OutcomeCounts {
-    /// Both together.
+    /// Returns the sum of both counts.
     pub fn plus(&self, other: &OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             sent: self.sent + other.sent,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The difference from an earlier reading.
+    /// Returns the increase since an earlier reading.
     pub fn since(&self, earlier: &OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             sent: self.sent - earlier.sent,
--- a/load/src/scale/requests.rs
+++ b/load/src/scale/requests.rs
@@ -1,4 +1,5 @@
-//! The requests of one instance's clients: tenants and gaps in time drawn by seed.
+//! Generates the requests of one instance's clients. Seeded random numbers determine the tenants and the
+//! inter-arrival times, so that runs are repeatable.
 use super::error::ScaleError;
 use super::operating_point::{plan_name, OperatingPoint, Tenant};
 use rand::distributions::{Distribution, WeightedIndex};
@@ -7,63 +8,64 @@
 use rand_distr::Exp;
 use std::sync::Arc;
 
-/// Milliseconds that a client waits, as the request says.
+/// Client timeout in milliseconds that each request states.
 const CLIENT_TIMEOUT_MS: u64 = 1_400;
-/// Sets the seeds of instances' requests apart from other seeds of the point.
-const REQUEST_SEED: u64 = 1_000_003;
-/// Request ids hold the number of the instance above this many bits.
-const INSTANCE_SHIFT: u32 = 40;
+/// Multiplier of the operating point's seed, which separates the seeds of the requests from other seeds of the point.
+const REQUEST_SEED_FACTOR: u64 = 1_000_003;
+/// Number of low bits of a request id that count requests; the bits above hold the instance's index.
+const INSTANCE_ID_SHIFT: u32 = 40;
 
-/// The tenants of a point, and how often each is drawn.
+/// The tenants of an operating point and the distribution of requests over them.
 pub struct Population {
     tenants: Vec<Tenant>,
     distribution: WeightedIndex<f64>,
 }
 
 impl Population {
-    /// The tenants of a point; an error where there are none.
+    /// Creates the tenants of an operating point; fails if there are none.
     pub fn new(point: &OperatingPoint) -> Result<Arc<Population>, ScaleError> {
         Ok(Arc::new(Population { tenants: point.tenants(), distribution: point.distribution()? }))
     }
 }
 
-/// Draws the requests of one instance.
+/// Generates the requests of one instance at random intervals.
 pub struct RequestSource {
     rng: ChaCha8Rng,
     population: Arc<Population>,
-    gaps: Exp<f64>,
+    interarrival_times: Exp<f64>,
     instances: usize,
     last_id: u64,
 }
 
 impl RequestSource {
-    /// The requests of the instance of that number. All instances serve every tenant.
+    /// Creates the source of the instance with this index in the fleet. Every instance serves all tenants. Fails if
+    /// the request rate is out of range.
     pub fn new(
         point: &OperatingPoint,
         population: &Arc<Population>,
-        instance: usize,
+        index: usize,
     ) -> Result<RequestSource, ScaleError> {
-        let seed = point.seed.wrapping_mul(REQUEST_SEED).wrapping_add(instance as u64);
+        let seed = point.seed.wrapping_mul(REQUEST_SEED_FACTOR).wrapping_add(index as u64);
         Ok(RequestSource {
             rng: ChaCha8Rng::seed_from_u64(seed),
             population: population.clone(),
-            gaps: Exp::new(point.requests).map_err(ScaleError::Requests)?,
+            interarrival_times: Exp::new(point.requests).map_err(ScaleError::Requests)?,
             instances: point.instances,
-            last_id: (instance as u64) << INSTANCE_SHIFT,
+            last_id: (index as u64) << INSTANCE_ID_SHIFT,
         })
     }
 
-    /// Seconds to the next request.
-    pub fn next_gap(&mut self) -> f64 {
-        self.gaps.sample(&mut self.rng)
+    /// Returns the seconds until the next request.
+    pub fn next_interarrival_seconds(&mut self) -> f64 {
+        self.interarrival_times.sample(&mut self.rng)
     }
 
-    /// The next request, as a client writes it: no body, one unit, idempotent.
+    /// Returns the next request as encoded by a client: idempotent, one unit, without a body.
     pub fn next_request(&mut self) -> Vec<u8> {
         let tenant = self.population.distribution.sample(&mut self.rng);
         self.last_id += 1;
         let plan = plan_name(self.population.tenants[tenant].plan);
-        let spread = self.instances;
+        let spread = self.instances; // number of instances that share the tenant
         let attributes = format!("c=look,t={plan},d={CLIENT_TIMEOUT_MS},units=1,spread={spread},first=0");
         let id = self.last_id;
         format!(
--- a/load/src/scale/socket_group/mod.rs
+++ b/load/src/scale/socket_group/mod.rs
@@ -1,10 +1,10 @@
-//! Embedded instances with real sockets towards a counter and a list service, many to one thread. Their clients and backends are in
-//! this process.
+//! Groups of embedded instances that share a thread. Their connections to the counter and the list service are real
+//! sockets; their clients and backends are simulated in the group.
 mod instances;
 mod sockets;
 
 use super::clock::unix_now;
-use super::embedded::{EmbeddedInstance, Reading, Services};
+use super::embedded::{EmbeddedInstance, Reading, ServiceAddresses};
 use super::error::ScaleError;
 use super::event_queue::EventQueue;
 use super::operating_point::OperatingPoint;
@@ -16,110 +16,112 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Threads that the instances are spread over; the stand-ins have another one.
+/// Maximum number of threads for the instances; the stand-ins run on one more.
 const THREADS: usize = 6;
-/// The longest sleep.
-const LONGEST_SLEEP: Duration = Duration::from_millis(20);
-/// Socket events that are taken at once.
+/// Maximum time of one wait for socket events.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(20);
+/// Maximum number of socket events per poll.
 const EVENT_CAPACITY: usize = 256;
 
-/// Instances by thread: consecutive numbers, as evenly as they go.
+/// Splits the instances into one range for each thread, with sizes that differ by at most one.
 pub fn partition(instances: usize) -> impl Iterator<Item = Range<usize>> {
     let threads = THREADS.min(instances);
     (0..threads).map(move |thread| thread * instances / threads..(thread + 1) * instances / threads)
 }
 
+/// An event of a group. Instances are identified by the index of their slot.
 enum GroupEvent {
-    /// An instance processes what it has received.
+    /// An instance processes its pending input.
     Step(usize),
     /// A client of an instance sends a request.
     Request(usize),
     /// A connection to a backend is established.
-    Connected(BackendPort),
-    /// Bytes of a backend come to an instance.
-    Receive(BackendPort, Vec<u8>),
+    Connected(BackendConnection),
+    /// Bytes from a backend arrive at an instance.
+    Receive(BackendConnection, Vec<u8>),
     /// An instance is killed.
     Stop(usize),
     /// An instance starts again.
     Start(usize),
 }
 
-/// A connection to a backend, of one process of an instance.
+/// A connection from one process of an instance to a backend.
 #[derive(Clone, Copy)]
-struct BackendPort {
+struct BackendConnection {
     slot: usize,
-    start: u64,
+    generation: u64,
     connection: ConnectionId,
 }
 
-/// An instance that is to be killed, and when; it starts again after a second.
+/// A scheduled restart: the instance is killed, and starts again after a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Restart {
-    /// Unix time in seconds.
+    /// Time of the kill, Unix time in seconds.
     pub at: f64,
-    /// Its number in the fleet.
+    /// Index of the instance in the fleet.
     pub instance: usize,
 }
 
-/// An instance first requested the changes after a version of the list: all versions until then are in force there.
+/// A version of the endpoint list that an instance has applied. The instance has applied a version once a watch
+/// requests the changes since this version or a later one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct InForce {
-    /// Its number in the fleet.
+pub struct AppliedVersion {
+    /// Index of the instance in the fleet.
     pub instance: usize,
-    /// The version.
+    /// Version of the list.
     pub version: u64,
-    /// Unix time in seconds.
+    /// Time of the first such watch, Unix time in seconds.
     pub at: f64,
 }
 
-/// An instance of the group.
+/// State of one instance of the group.
 struct Slot {
-    /// None while it restarts.
+    /// `None` while the instance restarts.
     instance: Option<EmbeddedInstance>,
-    /// Counts its processes: what is on its way to an earlier one is lost.
-    starts: u64,
-    /// What earlier processes did.
-    earlier: Reading,
-    /// The newest version of the list that it has had in force.
-    version: u64,
+    /// Number of restarts. Backend events of an earlier generation are dropped.
+    generation: u64,
+    /// Sum of the readings of earlier processes.
+    previous_processes: Reading,
+    /// Newest version of the endpoint list that the instance has applied.
+    applied_version: u64,
     requests: RequestSource,
-    /// When it is stepped next.
+    /// Time of the next step, Unix time in seconds; infinite if no step is scheduled.
     step_at: f64,
 }
 
-/// Instances of one thread.
+/// The embedded instances of one thread.
 pub struct Group {
     events: EventQueue<GroupEvent>,
     slots: Vec<Slot>,
     sockets: Sockets,
     point: OperatingPoint,
-    services: Services,
-    /// The number in the fleet of its first instance.
-    first: usize,
-    /// When its instances had which version of the list in force.
-    pub in_force: Vec<InForce>,
+    services: ServiceAddresses,
+    /// Index in the fleet of the group's first instance.
+    first_instance: usize,
+    /// Versions of the endpoint list that the instances have applied so far.
+    pub applied_versions: Vec<AppliedVersion>,
 }
 
 impl Group {
-    /// Starts the instances of these numbers.
+    /// Starts the instances with these indices in the fleet.
     pub fn start(
         point: &OperatingPoint,
         population: &Arc<Population>,
         members: Range<usize>,
-        services: Services,
+        services: ServiceAddresses,
     ) -> Result<Group, ScaleError> {
         let sockets = Sockets::new()?;
         let now = unix_now();
-        let first = members.start;
+        let first_instance = members.start;
         let mut slots = vec![];
-        for number in members {
-            let requests = RequestSource::new(point, population, number)?;
-            let instance = EmbeddedInstance::new(now, point, number, services)?;
+        for index in members {
+            let requests = RequestSource::new(point, population, index)?;
+            let instance = EmbeddedInstance::new(now, point, index, services)?;
             slots.push(Slot {
                 instance: Some(instance),
-                starts: 0,
-                earlier: Reading::default(),
-                version: 0,
+                generation: 0,
+                previous_processes: Reading::default(),
+                applied_version: 0,
                 requests,
                 step_at: now,
             });
@@ -130,8 +132,8 @@
             sockets,
             point: point.clone(),
             services,
-            first,
-            in_force: vec![],
+            first_instance,
+            applied_versions: vec![],
         };
         for slot in 0..group.slots.len() {
             group.events.push(now, GroupEvent::Step(slot));
@@ -142,15 +144,15 @@
         Ok(group)
     }
 
-    /// Restarts those of these instances that are its own.
+    /// Schedules the restarts of the instances that belong to this group.
     pub fn schedule_restarts(&mut self, restarts: &[Restart]) {
-        let own = self.first..self.first + self.slots.len();
-        for restart in restarts.iter().filter(|restart| own.contains(&restart.instance)) {
-            self.events.push(restart.at, GroupEvent::Stop(restart.instance - self.first));
+        let members = self.first_instance..self.first_instance + self.slots.len();
+        for restart in restarts.iter().filter(|restart| members.contains(&restart.instance)) {
+            self.events.push(restart.at, GroupEvent::Stop(restart.instance - self.first_instance));
         }
     }
 
-    /// Serves until that Unix time.
+    /// Runs the group until a Unix time in seconds.
     pub fn run(&mut self, until: f64) {
         let mut socket_events = Events::with_capacity(EVENT_CAPACITY);
         loop {
@@ -162,7 +164,7 @@
                 self.handle(event);
             }
             let sleep = |at: f64| Duration::from_secs_f64((at - now).max(0.0));
-            let wait = self.events.next_at().map_or(LONGEST_SLEEP, sleep).min(LONGEST_SLEEP);
+            let wait = self.events.next_at().map_or(MAX_POLL_WAIT, sleep).min(MAX_POLL_WAIT);
             if self.sockets.poll(&mut socket_events, wait).is_ok() {
                 let ready: Vec<Token> = socket_events.iter().map(|event| event.token()).collect();
                 ready.into_iter().for_each(|token| self.socket_ready(token));
@@ -170,14 +172,14 @@
         }
     }
 
-    /// What all of them have done until now.
+    /// Returns the sum of the readings of all instances, including earlier processes.
     pub fn read(&self) -> Reading {
-        let mut all = Reading::default();
+        let mut sum = Reading::default();
         for slot in &self.slots {
-            all.add(&slot.earlier);
-            slot.instance.iter().for_each(|instance| all.add(instance.reading()));
+            sum.add(&slot.previous_processes);
+            slot.instance.iter().for_each(|instance| sum.add(instance.reading()));
         }
-        all
+        sum
     }
 
     fn handle(&mut self, event: GroupEvent) {
@@ -188,20 +190,20 @@
                 self.with_instance(slot, |instance| instance.request(&request));
                 self.schedule_request(slot, self.events.now);
             }
-            GroupEvent::Connected(port) if self.is_current(port) => {
-                self.with_instance(port.slot, |instance| instance.connected(port.connection));
+            GroupEvent::Connected(backend) if self.is_current(backend) => {
+                self.with_instance(backend.slot, |instance| instance.connected(backend.connection));
             }
-            GroupEvent::Receive(port, bytes) if self.is_current(port) => {
-                self.with_instance(port.slot, |instance| instance.received(port.connection, &bytes));
+            GroupEvent::Receive(backend, bytes) if self.is_current(backend) => {
+                self.with_instance(backend.slot, |instance| instance.received(backend.connection, &bytes));
             }
             GroupEvent::Connected(_) | GroupEvent::Receive(..) => {}
             GroupEvent::Stop(slot) => self.stop(slot),
-            GroupEvent::Start(slot) => self.start_again(slot),
+            GroupEvent::Start(slot) => self.restart(slot),
         }
     }
 
-    /// Whether the process that the connection belongs to is still running.
-    fn is_current(&self, port: BackendPort) -> bool {
-        self.slots[port.slot].starts == port.start
+    /// Returns whether the connection belongs to the current process of its instance.
+    fn is_current(&self, backend: BackendConnection) -> bool {
+        self.slots[backend.slot].generation == backend.generation
     }
 }
--- a/load/src/scale/socket_group/sockets.rs
+++ b/load/src/scale/socket_group/sockets.rs
@@ -9,49 +9,49 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Buffer of one read, bytes.
+/// Size of the read buffer in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// The instance and the connection that a socket belongs to.
+/// Instance and connection that a socket belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Owner {
+pub(super) struct SocketOwner {
     /// Index of the instance in its group.
     pub slot: usize,
-    /// The connection, as the instance names it.
+    /// Connection id that the instance assigned.
     pub connection: ConnectionId,
 }
 
 struct Socket {
-    owner: Owner,
+    owner: SocketOwner,
     stream: TcpStream,
-    /// What is not written yet.
+    /// Bytes that are not yet written.
     output: Vec<u8>,
     established: bool,
 }
 
-/// How far a connection has come.
-pub(super) enum Progress {
-    /// It was established before.
+/// Progress of a non-blocking connect.
+pub(super) enum ConnectProgress {
+    /// The connection was already established.
     Established,
-    /// It is established by now.
+    /// The connection has just been established.
     Connected,
-    /// It is not established yet.
+    /// The connection is not yet established.
     Pending,
-    /// It cannot be established.
+    /// The connection cannot be established.
     Failed,
 }
 
-/// The sockets of a group, by their tokens and by their owners.
+/// The sockets of a group, indexed by token and by owner.
 pub(super) struct Sockets {
     poll: Poll,
     sockets: HashMap<Token, Socket>,
-    tokens: HashMap<Owner, Token>,
+    tokens: HashMap<SocketOwner, Token>,
     next_token: usize,
     read_buffer: Vec<u8>,
 }
 
 impl Sockets {
-    /// No sockets yet.
+    /// Creates an empty set of sockets.
     pub fn new() -> std::result::Result<Sockets, ScaleError> {
         Ok(Sockets {
             poll: Poll::new().map_err(ScaleError::Poll)?,
@@ -62,47 +62,47 @@
         })
     }
 
-    /// Waits until a socket is ready, or for so long.
+    /// Waits until a socket is ready or the timeout expires.
     pub fn poll(&mut self, events: &mut Events, timeout: Duration) -> Result<()> {
         self.poll.poll(events, Some(timeout))
     }
 
-    /// Begins to connect an instance to an address.
+    /// Starts to connect an instance to an address.
     pub fn connect(&mut self, slot: usize, connection: ConnectionId, address: SocketAddr) -> Result<()> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
         let token = Token(self.next_token);
         self.next_token += 1;
         self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        let owner = Owner { slot, connection };
+        let owner = SocketOwner { slot, connection };
         self.sockets.insert(token, Socket { owner, stream, output: vec![], established: false });
         self.tokens.insert(owner, token);
         Ok(())
     }
 
-    /// The owner of a socket that is open.
-    pub fn owner(&self, token: Token) -> Option<Owner> {
+    /// Returns the owner of an open socket.
+    pub fn owner(&self, token: Token) -> Option<SocketOwner> {
         self.sockets.get(&token).map(|socket| socket.owner)
     }
 
-    /// Looks whether a connection is established.
-    pub fn finish_connect(&mut self, token: Token) -> Progress {
-        let Some(socket) = self.sockets.get_mut(&token) else { return Progress::Failed };
+    /// Checks whether a connection is established, and returns its progress.
+    pub fn finish_connect(&mut self, token: Token) -> ConnectProgress {
+        let Some(socket) = self.sockets.get_mut(&token) else { return ConnectProgress::Failed };
         if socket.established {
-            return Progress::Established;
+            return ConnectProgress::Established;
         }
         match (socket.stream.take_error(), socket.stream.peer_addr()) {
             (Ok(None), Ok(_)) => {
                 socket.established = true;
-                Progress::Connected
+                ConnectProgress::Connected
             }
-            (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => Progress::Pending,
-            _ => Progress::Failed,
+            (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => ConnectProgress::Pending,
+            _ => ConnectProgress::Failed,
         }
     }
 
-    /// Reads all available bytes and writes what is pending; why the connection is over, if it is.
-    pub fn exchange(&mut self, token: Token, received: impl FnMut(&[u8])) -> Option<CloseReason> {
+    /// Reads all available bytes and writes pending bytes. Returns the reason if the connection has ended.
+    pub fn read_and_write(&mut self, token: Token, received: impl FnMut(&[u8])) -> Option<CloseReason> {
         let socket = self.sockets.get_mut(&token)?;
         let read = read_available(&mut socket.stream, &mut self.read_buffer, received);
         match read.and_then(|()| self.flush(token)) {
@@ -112,14 +112,15 @@
         }
     }
 
-    /// Sends bytes, now or once the connection is established. The error is the token of a connection that is over.
+    /// Sends bytes, now or once the connection is established. If the connection has failed, returns its token as the
+    /// error.
     pub fn send(
         &mut self,
         slot: usize,
         connection: ConnectionId,
         bytes: &[u8],
     ) -> std::result::Result<(), Token> {
-        let Some(token) = self.tokens.get(&Owner { slot, connection }).copied() else { return Ok(()) };
+        let Some(token) = self.tokens.get(&SocketOwner { slot, connection }).copied() else { return Ok(()) };
         if let Some(socket) = self.sockets.get_mut(&token) {
             socket.output.extend_from_slice(bytes);
         }
@@ -135,21 +136,22 @@
 
     /// Closes a connection of an instance, if it is open.
     pub fn close(&mut self, slot: usize, connection: ConnectionId) {
-        if let Some(token) = self.tokens.get(&Owner { slot, connection }).copied() {
+        if let Some(token) = self.tokens.get(&SocketOwner { slot, connection }).copied() {
             self.remove(token);
         }
     }
 
     /// Closes all connections of an instance.
     pub fn close_all(&mut self, slot: usize) {
-        let own: Vec<Owner> = self.tokens.keys().filter(|owner| owner.slot == slot).copied().collect();
-        own.into_iter().for_each(|owner| self.close(owner.slot, owner.connection));
+        let owners: Vec<SocketOwner> =
+            self.tokens.keys().filter(|owner| owner.slot == slot).copied().collect();
+        owners.into_iter().for_each(|owner| self.close(owner.slot, owner.connection));
     }
 
-    /// Ends a socket; its owner, if it was open.
-    pub fn remove(&mut self, token: Token) -> Option<Owner> {
+    /// Closes a socket and returns its owner; `None` if it is not open.
+    pub fn remove(&mut self, token: Token) -> Option<SocketOwner> {
         let mut socket = self.sockets.remove(&token)?;
-        let _ = self.poll.registry().deregister(&mut socket.stream); // it ends now in any case
+        let _ = self.poll.registry().deregister(&mut socket.stream); // the socket is closed in any case
         self.tokens.remove(&socket.owner);
         Some(socket.owner)
     }
--- a/load/src/scale/stand_ins/connection.rs
+++ b/load/src/scale/stand_ins/connection.rs
@@ -1,45 +1,45 @@
-//! The connections of the stand-ins.
-use crate::scale::server_load::{Role, ServerLoads};
+//! Connections of the stand-in servers.
+use crate::scale::server_traffic::{Role, ServerTraffic};
 use crate::scale::stream_io::{read_available, write_pending};
 use mio::net::TcpStream;
 use std::io::Result;
 
 /// A connection of an instance to a stand-in.
 pub(super) struct Connection {
-    /// The server that it leads to.
+    /// Role of the server that accepted the connection.
     pub role: Role,
-    /// The socket.
+    /// Socket of the connection.
     pub stream: TcpStream,
-    /// What is not served yet.
+    /// Received bytes that are not yet served.
     pub input: Vec<u8>,
     output: Vec<u8>,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Creates the state of an accepted connection.
     pub fn new(role: Role, stream: TcpStream) -> Connection {
         Connection { role, stream, input: vec![], output: vec![] }
     }
 
-    /// Reads all available bytes; an error where the connection is over.
-    pub fn read(&mut self, buffer: &mut [u8], loads: &ServerLoads) -> Result<()> {
-        let load = loads.of(self.role);
+    /// Reads all available bytes; fails if the connection has ended.
+    pub fn read(&mut self, buffer: &mut [u8], traffic: &ServerTraffic) -> Result<()> {
+        let counters = traffic.of(self.role);
         let input = &mut self.input;
         read_available(&mut self.stream, buffer, |bytes| {
-            load.count_received(bytes.len());
+            counters.count_received(bytes.len());
             input.extend_from_slice(bytes);
         })
     }
 
-    /// Adds an answer to what is to be written.
+    /// Adds a response to the output buffer.
     pub fn respond(&mut self, answer: &[u8]) {
         self.output.extend_from_slice(answer);
     }
 
-    /// Writes what is pending, as far as the socket takes it.
-    pub fn flush(&mut self, loads: &ServerLoads) -> Result<()> {
+    /// Writes the output buffer until the socket would block.
+    pub fn flush(&mut self, traffic: &ServerTraffic) -> Result<()> {
         let written = write_pending(&mut self.stream, &mut self.output)?;
-        loads.of(self.role).count_sent(written);
+        traffic.of(self.role).count_sent(written);
         Ok(())
     }
 }
--- a/load/src/scale/stand_ins/event_loop.rs
+++ b/load/src/scale/stand_ins/event_loop.rs
@@ -1,12 +1,12 @@
-//! The event loop that serves the stand-ins.
+//! The event loop of the stand-in servers.
 use super::connection::Connection;
 use super::Changes;
 use crate::scale::clock::unix_now;
-use crate::scale::counts::Counts;
+use crate::scale::counter_totals::CounterTotals;
 use crate::scale::endpoint_rotation::EndpointRotation;
-use crate::scale::operating_point::BACKEND_SECONDS;
-use crate::scale::server_load::{Role, ServerLoads};
+use crate::scale::operating_point::BACKEND_RESPONSE_SECONDS;
 use crate::scale::server_protocol;
+use crate::scale::server_traffic::{Role, ServerTraffic};
 use crate::sync::lock;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token};
@@ -18,117 +18,119 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The longest that the loop sleeps before it looks whether it is to end.
-const LONGEST_SLEEP: Duration = Duration::from_millis(50);
-/// How often counts whose time is over are dropped.
+/// Maximum time of one wait for socket events, after which the loop checks for a stop and for requested changes.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(50);
+/// Interval at which expired totals of the counter are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
-/// Buffer of one read, bytes.
+/// Size of the read buffer in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Socket events that are taken at once.
+/// Maximum number of socket events per poll.
 const EVENT_CAPACITY: usize = 1024;
 
 /// A listening socket of a server.
 pub(super) struct Listener {
-    /// The server.
+    /// Role of the server.
     pub role: Role,
-    /// Its socket.
+    /// Listening socket.
     pub socket: TcpListener,
 }
 
-/// What the event loop starts with.
+/// Resources and parameters of the event loop.
 pub(super) struct Setup {
-    /// The poll that the listeners are registered with.
+    /// Poll that the listeners are registered with.
     pub poll: Poll,
-    /// Registered with their indices as tokens.
+    /// Listeners, registered with their indices as tokens.
     pub listeners: Vec<Listener>,
-    /// The counter's counts.
-    pub counts: Counts,
-    /// The endpoint list.
+    /// Totals of the counter.
+    pub totals: CounterTotals,
+    /// Endpoint list of the list service.
     pub endpoints: EndpointRotation,
-    /// What crosses the connections.
-    pub loads: Arc<ServerLoads>,
-    /// Changes of the list that others request.
+    /// Traffic counters of the servers.
+    pub traffic: Arc<ServerTraffic>,
+    /// Changes of the endpoint list that other threads request.
     pub changes: Arc<Changes>,
-    /// Between changes of the list that the loop makes by itself; none where it makes none.
+    /// Interval between changes that the loop makes by itself; `None` if it makes none.
     pub change_interval: Option<Duration>,
 }
 
-/// A watch of the list that waits for a change.
+/// A watch of the endpoint list that waits for a change.
 struct PendingWatch {
     token: Token,
-    /// The version that the caller knows.
+    /// Version of the list that the caller has applied.
     since: u64,
+    /// Timeout of the watch.
     until: Instant,
 }
 
-/// An answer of a backend, and when it is given; ordered by time.
+/// A backend's reply and the time at which it is sent; ordered by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct DueAnswer {
+struct DelayedReply {
     at: Instant,
     token: Token,
     bytes: Vec<u8>,
 }
 
+/// The event loop with its connections.
 pub(super) struct EventLoop {
     setup: Setup,
     connections: HashMap<Token, Connection>,
     next_token: usize,
     watches: Vec<PendingWatch>,
-    due_answers: BinaryHeap<Reverse<DueAnswer>>,
+    delayed_replies: BinaryHeap<Reverse<DelayedReply>>,
     read_buffer: Vec<u8>,
 }
 
 impl EventLoop {
-    /// A loop without connections.
+    /// Creates an event loop without connections.
     pub fn new(setup: Setup) -> EventLoop {
         EventLoop {
             next_token: setup.listeners.len(),
             setup,
             connections: HashMap::new(),
             watches: vec![],
-            due_answers: BinaryHeap::new(),
+            delayed_replies: BinaryHeap::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
         }
     }
 
-    /// Serves until it is stopped.
+    /// Serves until `stop` is set.
     pub fn run(mut self, stop: &AtomicBool) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         let mut expire_at = Instant::now() + EXPIRY_INTERVAL;
         let mut last_change = Instant::now();
         while !stop.load(Ordering::Relaxed) {
-            let sleep = self.sleep();
-            if self.setup.poll.poll(&mut events, Some(sleep)).is_err() {
-                continue; // a signal
+            let timeout = self.poll_timeout();
+            if self.setup.poll.poll(&mut events, Some(timeout)).is_err() {
+                continue; // interrupted by a signal
             }
             for event in &events {
-                self.ready(event.token());
+                self.handle_ready(event.token());
             }
             let now = Instant::now();
             if let Some(interval) =
                 self.setup.change_interval.filter(|interval| now >= last_change + *interval)
             {
                 last_change += interval;
-                self.setup.changes.requested.fetch_add(1, Ordering::Relaxed);
+                self.setup.changes.requested_count.fetch_add(1, Ordering::Relaxed);
             }
             self.write_changes();
             self.answer_watches(now);
             self.answer_commands(now);
             if now >= expire_at {
                 expire_at = now + EXPIRY_INTERVAL;
-                self.setup.counts.expire(unix_now());
+                self.setup.totals.expire(unix_now());
             }
         }
     }
 
-    /// How long nothing is due.
-    fn sleep(&self) -> Duration {
-        let next = self.due_answers.peek();
-        let wait = next.map_or(LONGEST_SLEEP, |next| next.0.at.saturating_duration_since(Instant::now()));
-        wait.min(LONGEST_SLEEP)
+    /// Returns the time until the next delayed reply, at most `MAX_POLL_WAIT`.
+    fn poll_timeout(&self) -> Duration {
+        let next = self.delayed_replies.peek();
+        let wait = next.map_or(MAX_POLL_WAIT, |reply| reply.0.at.saturating_duration_since(Instant::now()));
+        wait.min(MAX_POLL_WAIT)
     }
 
-    fn ready(&mut self, token: Token) {
+    fn handle_ready(&mut self, token: Token) {
         if token.0 < self.setup.listeners.len() {
             return self.accept(token.0);
         }
@@ -142,52 +144,52 @@
             let role = self.setup.listeners[listener].role;
             let token = Token(self.next_token);
             let interest = Interest::READABLE | Interest::WRITABLE;
-            let _ = stream.set_nodelay(true); // answers come in one write; a delay would only be seen as slowness
+            let _ = stream.set_nodelay(true); // each response is one write, so Nagle's algorithm would only delay it
             if self.setup.poll.registry().register(&mut stream, token, interest).is_err() {
-                continue; // no descriptor is left: the connection ends
+                continue; // out of descriptors or memory: the connection is closed
             }
             self.next_token += 1;
-            self.setup.loads.of(role).count_connection();
+            self.setup.traffic.of(role).count_connection();
             self.connections.insert(token, Connection::new(role, stream));
         }
     }
 
     fn close(&mut self, token: Token) {
         if let Some(mut connection) = self.connections.remove(&token) {
+            // An error does not matter, because the connection is closed in any case.
             let _ = self.setup.poll.registry().deregister(&mut connection.stream);
-            // it ends now in any case
         }
         self.watches.retain(|watch| watch.token != token);
     }
 
-    /// Reads all available bytes and serves it; an error where the connection is over.
+    /// Reads all available bytes and serves the complete requests in them; fails if the connection has ended.
     fn read(&mut self, token: Token) -> Result<()> {
         let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
-        connection.read(&mut self.read_buffer, &self.setup.loads)?;
+        connection.read(&mut self.read_buffer, &self.setup.traffic)?;
         let role = connection.role;
         let input = std::mem::take(&mut connection.input);
-        let mut used = 0;
-        while let Some(length) = self.serve(token, role, &input[used..])? {
-            self.setup.loads.of(role).count_call();
-            used += length;
+        let mut consumed = 0;
+        while let Some(length) = self.serve(token, role, &input[consumed..])? {
+            self.setup.traffic.of(role).count_call();
+            consumed += length;
         }
         if let Some(connection) = self.connections.get_mut(&token) {
-            connection.input = input[used..].to_vec();
+            connection.input = input[consumed..].to_vec();
         }
         Ok(())
     }
 
-    /// Serves the first request of these bytes: how many it took, none where it is not complete.
+    /// Serves the first request in `bytes` and returns its length; `None` if the request is incomplete.
     fn serve(&mut self, token: Token, role: Role, bytes: &[u8]) -> Result<Option<usize>> {
         if bytes.is_empty() {
             return Ok(None);
         }
-        let used = match role {
+        let consumed = match role {
             Role::Backend => {
                 let reply = server_protocol::answer_command(bytes).map_err(invalid)?;
                 reply.map(|reply| {
-                    let at = Instant::now() + Duration::from_secs_f64(BACKEND_SECONDS);
-                    self.due_answers.push(Reverse(DueAnswer { at, token, bytes: reply.value }));
+                    let at = Instant::now() + Duration::from_secs_f64(BACKEND_RESPONSE_SECONDS);
+                    self.delayed_replies.push(Reverse(DelayedReply { at, token, bytes: reply.value }));
                     reply.length
                 })
             }
@@ -200,27 +202,28 @@
                 })
             }
             Role::Counter => {
-                let counts = &mut self.setup.counts;
-                let answer = server_protocol::answer_count(unix_now(), counts, bytes).map_err(invalid)?;
+                let totals = &mut self.setup.totals;
+                let answer =
+                    server_protocol::answer_counter_call(unix_now(), totals, bytes).map_err(invalid)?;
                 answer.map(|answer| {
                     self.respond(token, &answer.value);
                     answer.length
                 })
             }
         };
-        Ok(used)
+        Ok(consumed)
     }
 
-    /// Writes the changes that were requested since it last looked.
+    /// Writes the changes that have been requested but not yet written.
     fn write_changes(&mut self) {
-        let mut written = lock(&self.setup.changes.written);
-        while written.len() < self.setup.changes.requested.load(Ordering::Relaxed) {
+        let mut write_times = lock(&self.setup.changes.write_times);
+        while write_times.len() < self.setup.changes.requested_count.load(Ordering::Relaxed) {
             self.setup.endpoints.advance();
-            written.push(unix_now());
+            write_times.push(unix_now());
         }
     }
 
-    /// Answers watches for which there is a change, or whose time is over.
+    /// Answers the watches for which the list has changed or whose timeout has expired.
     fn answer_watches(&mut self, now: Instant) {
         let version = self.setup.endpoints.version();
         let is_due = |watch: &PendingWatch| watch.since < version || now >= watch.until;
@@ -234,12 +237,12 @@
         }
     }
 
-    /// Gives the answers of backends that are due.
+    /// Sends the backends' replies that are due.
     fn answer_commands(&mut self, now: Instant) {
-        while self.due_answers.peek().is_some_and(|next| next.0.at <= now) {
-            let Some(Reverse(answer)) = self.due_answers.pop() else { return };
-            self.respond(answer.token, &answer.bytes);
-            self.flush_or_close(answer.token);
+        while self.delayed_replies.peek().is_some_and(|reply| reply.0.at <= now) {
+            let Some(Reverse(reply)) = self.delayed_replies.pop() else { return };
+            self.respond(reply.token, &reply.bytes);
+            self.flush_or_close(reply.token);
         }
     }
 
@@ -251,7 +254,7 @@
 
     fn flush(&mut self, token: Token) -> Result<()> {
         let Some(connection) = self.connections.get_mut(&token) else { return Ok(()) };
-        connection.flush(&self.setup.loads)
+        connection.flush(&self.setup.traffic)
     }
 
     fn flush_or_close(&mut self, token: Token) {
