--- a/examples/example_backend.rs
+++ b/examples/example_backend.rs
@@ -27,23 +27,23 @@
 }
 
 /// Reads one RESP2 array of bulk strings; returns `None` at the end of the connection.
-pub fn command(reader: &mut impl BufRead) -> Result<Option<Vec<String>>> {
+pub fn read_command(reader: &mut impl BufRead) -> Result<Option<Vec<String>>> {
     let mut line = String::new();
     if reader.read_line(&mut line)? == 0 {
         return Ok(None);
     }
-    let item_count = length(&line);
+    let item_count = parse_length(&line);
     let mut items = Vec::new();
     for _ in 0..item_count {
         line.clear();
         reader.read_line(&mut line)?;
-        items.push(read_bulk_string(reader, length(&line))?);
+        items.push(read_bulk_string(reader, parse_length(&line))?);
     }
     Ok(Some(items))
 }
 
 /// Returns the length in the first line of a RESP2 array or bulk string; 0 if it is not a number.
-fn length(line: &str) -> usize {
+fn parse_length(line: &str) -> usize {
     line[1..].trim().parse().unwrap_or(0)
 }
 
@@ -77,10 +77,10 @@
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream.try_clone()?);
         let mut writer = stream;
-        while let Some(items) = command(&mut reader)? {
+        while let Some(items) = read_command(&mut reader)? {
             let arguments = items.get(3).map_or("", |list| list);
-            let operation = argument(arguments, "c=");
-            let plan = argument(arguments, "t=");
+            let operation = find_argument(arguments, "c=");
+            let plan = find_argument(arguments, "t=");
             request_started(&in_flight, plan);
             if operation == "slow" {
                 sleep(SLOW_OPERATION);
@@ -104,7 +104,7 @@
 }
 
 /// Returns the value with this prefix in a comma-separated list of arguments; `?` if there is none.
-fn argument<'a>(list: &'a str, prefix: &str) -> &'a str {
+fn find_argument<'a>(list: &'a str, prefix: &str) -> &'a str {
     list.split(',').find_map(|pair| pair.strip_prefix(prefix)).unwrap_or("?")
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// Reads an HTTP request without a body and returns its target; `None` at the end of the connection.
-pub fn target(reader: &mut impl BufRead) -> Result<Option<String>> {
+pub fn read_target(reader: &mut impl BufRead) -> Result<Option<String>> {
     let mut request_line = String::new();
     if reader.read_line(&mut request_line)? == 0 {
         return Ok(None);
@@ -134,7 +134,7 @@
 }
 
 /// Returns the number with this name in the query of a request target; 0 if there is none.
-pub fn number(target: &str, name: &str) -> f64 {
+pub fn parse_query_number(target: &str, name: &str) -> f64 {
     let query = target.split_once('?').map_or("", |(_, query)| query);
     let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     value.and_then(|value| value.parse().ok()).unwrap_or(0.0)
@@ -146,9 +146,9 @@
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream.try_clone()?);
         let mut writer = stream;
-        while let Some(target) = target(&mut reader)? {
+        while let Some(target) = read_target(&mut reader)? {
             let name = target.split('?').next().unwrap_or("").to_string();
-            let total = add(&totals, name, number(&target, "by"));
+            let total = add(&totals, name, parse_query_number(&target, "by"));
             write_ok(&mut writer, &total.to_string())?;
         }
         Ok(())
@@ -173,10 +173,10 @@
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream.try_clone()?);
         let mut writer = stream;
-        while let Some(target) = target(&mut reader)? {
-            let is_watch = number(&target, "since") >= 1.0;
+        while let Some(target) = read_target(&mut reader)? {
+            let is_watch = parse_query_number(&target, "since") >= 1.0;
             if is_watch {
-                sleep(Duration::from_millis(number(&target, "timeout_ms") as u64));
+                sleep(Duration::from_millis(parse_query_number(&target, "timeout_ms") as u64));
             }
             let no_change = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
             write_ok(&mut writer, if is_watch { no_change } else { &endpoint_list })?;
--- a/gateway/tests/client_disconnects/counter.rs
+++ b/gateway/tests/client_disconnects/counter.rs
@@ -1,5 +1,5 @@
 //! The request waits for the counter.
-use crate::common::example_servers::{target, write_ok};
+use crate::common::example_servers::{read_target, write_ok};
 use crate::common::free_listener;
 use crate::harness::*;
 use std::io::BufReader;
@@ -28,7 +28,7 @@
         let mut client = gateway.connect();
         send_order(&mut client, "early");
         let (mut counter, _) = counter.accept().expect("the gateway connects");
-        target(&mut BufReader::new(&counter)).expect("a call");
+        read_target(&mut BufReader::new(&counter)).expect("a call");
         disconnect.close(client);
         wait_until_disconnect_is_logged(&gateway, disconnect);
         write_ok(&mut counter, "1").expect("the gateway reads");
--- a/gateway/tests/client_disconnects/harness.rs
+++ b/gateway/tests/client_disconnects/harness.rs
@@ -1,5 +1,5 @@
 //! Shared by these tests: ways to disconnect, backends that the test controls, and gateways in front of them.
-use crate::common::example_servers::{command, request, serve_connections, target, write_ok};
+use crate::common::example_servers::{read_command, read_target, request, serve_connections, write_ok};
 use crate::common::{
     endpoint_list, free_listener, serve_endpoints, with_known_backends, FullBacklogBackend, ListedBackend,
     TestGateway,
@@ -129,7 +129,7 @@
 
     /// The body of the next command.
     pub fn next_body(&mut self) -> String {
-        let items = command(&mut self.reader).expect("a command").expect("not the end");
+        let items = read_command(&mut self.reader).expect("a command").expect("not the end");
         items[4].clone()
     }
 
@@ -150,7 +150,7 @@
         }
         self.writer.set_read_timeout(Some(PATIENCE)).expect("an open socket");
         let mut rest = &received[..];
-        let next = || command(&mut rest).expect("a complete command").map(|items| items[4].clone());
+        let next = || read_command(&mut rest).expect("a complete command").map(|items| items[4].clone());
         std::iter::from_fn(next).collect()
     }
 }
@@ -169,7 +169,7 @@
         serve_connections(listener, move |stream| {
             let mut connection = BackendConnection::new(stream);
             connection.writer.set_read_timeout(None)?;
-            while let Some(items) = command(&mut connection.reader)? {
+            while let Some(items) = read_command(&mut connection.reader)? {
                 let _ = body_sender.send(items[4].clone()); // the test may be over
                 let Ok(reply) = next_reply.lock().expect("no panic").recv() else { return Ok(()) };
                 connection.reply(reply);
@@ -263,7 +263,7 @@
     let notified = Arc::new(Mutex::new(notified));
     serve_connections(listener, move |stream| {
         let (mut reader, mut writer) = (BufReader::new(stream.try_clone()?), stream);
-        while target(&mut reader)?.is_some() {
+        while read_target(&mut reader)?.is_some() {
             let Ok(()) = notified.lock().expect("no panic").recv() else { return Ok(()) };
             write_ok(&mut writer, &watch_event)?;
         }
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 mod common;
-use common::example_servers::{self, command, request, serve_connections, target, write_ok};
+use common::example_servers::{self, read_command, read_target, request, serve_connections, write_ok};
 use common::{
     endpoint_list, free_listener, read_reply, read_to_end, serve_endpoints, with_known_backends,
     FullBacklogBackend, ListedBackend, TestGateway, PING,
@@ -28,7 +28,7 @@
     let (sender, commands) = channel();
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream);
-        while let Some(items) = command(&mut reader)? {
+        while let Some(items) = read_command(&mut reader)? {
             let _ = sender.send(items); // the test may be over
         }
         Ok(())
@@ -152,7 +152,7 @@
     let start = Instant::now();
     let (second, _) = new_list_service.accept().expect("the second call");
     assert!(start.elapsed() < 3 * SECOND, "{:?}", start.elapsed());
-    let target = target(&mut BufReader::new(second)).expect("a call");
+    let target = read_target(&mut BufReader::new(second)).expect("a call");
     assert_eq!(target.as_deref(), Some("/v1/endpoints"));
     drop(unresponsive);
 }
@@ -163,11 +163,11 @@
     let is_first = Arc::new(AtomicBool::new(true));
     serve_connections(listener, move |stream| {
         let (mut reader, mut writer) = (BufReader::new(stream.try_clone()?), stream);
-        while target(&mut reader)?.is_some() {
+        while read_target(&mut reader)?.is_some() {
             let _ = sender.send(Instant::now()); // the test may be over
             if is_first.swap(false, Ordering::Relaxed) {
                 write_ok(&mut writer, &endpoint_list)?;
-                target(&mut reader)?; // the watch: its connection is closed
+                read_target(&mut reader)?; // the watch: its connection is closed
                 return Ok(());
             }
         }
@@ -240,7 +240,7 @@
     let mut client = gateway.connect();
     send_request(&mut client, "order", 2900);
     let (mut connection, _) = backend.accept().expect("a connection");
-    let items = command(&mut BufReader::new(&connection));
+    let items = read_command(&mut BufReader::new(&connection));
     assert!(items.expect("a command").is_some());
     gateway.pause();
     connection.write_all(b"-BUSY\r\n").expect("an open connection");
--- a/gateway/tests/descriptors.rs
+++ b/gateway/tests/descriptors.rs
@@ -11,7 +11,9 @@
 use std::time::{Duration, Instant};
 
 mod common;
-use common::example_servers::{self, number, read_reply, request, serve_connections, target, write_ok};
+use common::example_servers::{
+    self, parse_query_number, read_reply, read_target, request, serve_connections, write_ok,
+};
 use common::{
     connect_when_listening, endpoint_list, example_configuration, free_listener, gateway_command,
     limit_descriptors, unique_address, GatewayProcess, ListedBackend, PING,
@@ -50,7 +52,7 @@
         let (lists, shared_state) = (Arc::new(lists), state.clone());
         serve_connections(listener, move |mut stream| {
             let mut reader = BufReader::new(stream.try_clone()?);
-            while let Some(target) = target(&mut reader)? {
+            while let Some(target) = read_target(&mut reader)? {
                 if shared_state.is_down.load(Ordering::SeqCst) {
                     return Ok(()); // closes the connection without a response
                 }
@@ -80,7 +82,7 @@
     lists: &EndpointLists,
     lists_sent: &Sender<Instant>,
 ) -> String {
-    let known_index = number(target, "since") as u64;
+    let known_index = parse_query_number(target, "since") as u64;
     match (state.has_restarted.load(Ordering::SeqCst), known_index) {
         (false, 0) => lists.before_outage.clone(),
         (true, 0 | 1) => {
@@ -88,7 +90,7 @@
             lists.after_outage.clone()
         }
         _ => {
-            sleep(Duration::from_millis(number(target, "timeout_ms") as u64));
+            sleep(Duration::from_millis(parse_query_number(target, "timeout_ms") as u64));
             format!(r#"{{"index":{known_index},"snapshot":false,"endpoints":[]}}"#)
         }
     }
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 mod common;
-use common::example_servers::{self, read_reply, serve_connections, target};
+use common::example_servers::{self, read_reply, read_target, serve_connections};
 use common::{
     endpoint_list, example_configuration, free_listener, gateway_command, start_gateway, unique_address,
     GatewayProcess, PING,
@@ -102,7 +102,7 @@
     let (slow, address) = free_listener();
     serve_connections(slow, |mut stream: TcpStream| {
         let mut reader = BufReader::new(stream.try_clone()?);
-        while target(&mut reader)?.is_some() {
+        while read_target(&mut reader)?.is_some() {
             sleep(Duration::from_secs(3));
             example_servers::write_ok(&mut stream, &endpoint_list(&[]))?;
         }
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 mod common;
-use common::example_servers::{command, read_reply, request, serve_connections};
+use common::example_servers::{read_command, read_reply, request, serve_connections};
 use common::{free_listener, serve_endpoints, with_known_backends, ListedBackend, TestGateway, PING};
 
 const VALUE_LENGTH: usize = 4 * 1024 * 1024;
@@ -31,7 +31,7 @@
         let rest_requested = Arc::new(Mutex::new(rest_requested));
         serve_connections(listener, move |stream| {
             let (mut reader, mut writer) = (BufReader::new(stream.try_clone()?), stream);
-            while command(&mut reader)?.is_some() {
+            while read_command(&mut reader)?.is_some() {
                 let value = "v".repeat(VALUE_LENGTH);
                 write!(writer, "*3\r\n${VALUE_LENGTH}\r\n{}", &value[..FIRST_PART])?;
                 let _ = rest_requested.lock().expect("no panic").recv(); // the test may be over
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 mod common;
-use common::example_servers::{command, request, serve_connections};
+use common::example_servers::{read_command, request, serve_connections};
 use common::{
     connect_when_listening, empty_directory, free_listener, gateway_command, start_services, unique_address,
     GatewayProcess, ListedBackend, PING,
@@ -28,7 +28,7 @@
             .concat();
     serve_connections(listener, move |stream| {
         let (mut reader, mut writer) = (BufReader::new(stream.try_clone()?), stream);
-        while let Some(items) = command(&mut reader)? {
+        while let Some(items) = read_command(&mut reader)? {
             if items[3].contains("c=order") {
                 sleep(Duration::from_millis(20));
                 let value = body_digest(&items[4]);
--- a/load/src/scale/server_protocol.rs
+++ b/load/src/scale/server_protocol.rs
@@ -1,7 +1,7 @@
 //! The answers of the counter, the list service and the backends of a scale run: bytes in, bytes out, no sockets.
 use super::counts::Counts;
 use super::endpoint_rotation::EndpointRotation;
-use crate::example_servers::number;
+use crate::example_servers::parse_query_number;
 use quillramp_gateway::wire::resp::{self, ClientCommand};
 use quillramp_gateway::wire::{Decoded, DecodedMessage, ProtocolError};
 use std::time::Duration;
@@ -41,15 +41,15 @@
     let Some(DecodedMessage { value: target, length }) = decode_target(bytes)? else { return Ok(None) };
     let path = target.split('?').next().unwrap_or_default();
     let name = path.strip_prefix("/counters/").unwrap_or_default();
-    let total = counts.add(now, name, number(&target, "by"));
+    let total = counts.add(now, name, parse_query_number(&target, "by"));
     Ok(Some(DecodedMessage { value: encode_response(&total.to_string()), length }))
 }
 
 /// The first call of the list service of these bytes.
 pub fn decode_watch(bytes: &[u8]) -> Decoded<WatchRequest> {
     let Some(DecodedMessage { value: target, length }) = decode_target(bytes)? else { return Ok(None) };
-    let since = number(&target, "since") as u64;
-    let wait = Duration::from_millis(number(&target, "timeout_ms") as u64);
+    let since = parse_query_number(&target, "since") as u64;
+    let wait = Duration::from_millis(parse_query_number(&target, "timeout_ms") as u64);
     Ok(Some(DecodedMessage { value: WatchRequest { since, wait }, length }))
 }
 
--- a/load/src/test_bed/backend.rs
+++ b/load/src/test_bed/backend.rs
@@ -3,7 +3,7 @@
 use super::executions::BackendRequest;
 use super::loopback::spawn_connection;
 use super::TestBed;
-use crate::example_servers::command;
+use crate::example_servers::read_command;
 use crate::sync::lock;
 use std::io::{BufReader, Result, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -103,7 +103,7 @@
     fn serve(&self, mut stream: TcpStream) -> Result<()> {
         let process = self.process();
         let mut from = BufReader::new(stream.try_clone()?);
-        while let Some(words) = command(&mut from)? {
+        while let Some(words) = read_command(&mut from)? {
             // An unresponsive machine does nothing either; its connections end when it is back.
             while self.test_bed.condition(self.index).unresponsive && !self.test_bed.finished() {
                 sleep(POLL);
--- a/load/src/test_bed/counter.rs
+++ b/load/src/test_bed/counter.rs
@@ -1,7 +1,7 @@
 //! The counters of the test bed.
 use super::loopback::spawn_connection;
 use super::TestBed;
-use crate::example_servers::{number, target};
+use crate::example_servers::{parse_query_number, read_target};
 use crate::sync::lock;
 use std::io::{BufReader, Result, Write};
 use std::net::{TcpListener, TcpStream};
@@ -36,7 +36,7 @@
 
 fn serve(mut stream: TcpStream, instance: CounterInstance, test_bed: &TestBed) -> Result<()> {
     let mut from = BufReader::new(stream.try_clone()?);
-    while let Some(target) = target(&mut from)? {
+    while let Some(target) = read_target(&mut from)? {
         let condition = lock(&test_bed.counter).clone();
         if condition.down {
             return Ok(());
@@ -65,6 +65,6 @@
     let name = target.split('?').next().unwrap_or("").to_owned();
     let mut counts = lock(&test_bed.counts);
     let total = counts[set].entry(name).or_default();
-    *total += number(target, "by");
+    *total += parse_query_number(target, "by");
     *total
 }
--- a/load/src/test_bed/discovery.rs
+++ b/load/src/test_bed/discovery.rs
@@ -1,7 +1,7 @@
 //! The list service of the test bed.
 use super::loopback::spawn_connection;
 use super::TestBed;
-use crate::example_servers::{number, target};
+use crate::example_servers::{parse_query_number, read_target};
 use std::io::{BufReader, Result, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 
 fn serve(mut stream: TcpStream, test_bed: &TestBed) -> Result<()> {
     let mut from = BufReader::new(stream.try_clone()?);
-    while let Some(target) = target(&mut from)? {
-        let since = number(&target, "since") as u64;
-        let wait = Duration::from_millis(number(&target, "timeout_ms") as u64);
+    while let Some(target) = read_target(&mut from)? {
+        let since = parse_query_number(&target, "since") as u64;
+        let wait = Duration::from_millis(parse_query_number(&target, "timeout_ms") as u64);
         let answer =
             if since == 0 { test_bed.endpoints.snapshot() } else { test_bed.endpoints.watch(since, wait) };
         let Some(body) = answer.map(|a| a.to_string()) else { return Ok(()) };
