--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' calls.
+//! Operators' calls: ejecting and restoring backends, draining, statistics, and limits on the connections.
 use crate::bench::*;
 use expect_test::expect;
 use quillramp_gateway::process::shared_file::SharedFileError;
@@ -6,8 +6,8 @@
 use quillramp_gateway::state::event::Event;
 use quillramp_gateway::state::shared_state::SaveError;
 
-/// Guards: a backend that an operator has ejected gets no new attempts, whatever the endpoint list reports; one call restores
-/// it, and it begins with a slow start; a backend that was never listed can't be ejected.
+/// Guards against attempts at a backend that an operator has ejected, whatever the endpoint list reports. One
+/// call restores the backend, which then warms up. A backend that was never listed can't be ejected.
 #[test]
 fn an_ejected_backend_gets_no_attempts_until_an_operator_restores_it() {
     let mut bench = bench_configured(1024, false, true);
@@ -17,7 +17,7 @@
         admin_call(&mut bench, id, "POST /backends/s-b/maint");
         shared_state_saved(&mut bench, id, &["s-b"], false);
     }
-    // It is removed from the list, forgotten, and listed again.
+    // The backend is removed from the endpoint list, forgotten, and listed again.
     bench
         .event(complete_endpoint_list(&[("s-a", 7011)]))
         .run_until(1.0)
@@ -31,13 +31,13 @@
     shared_state_saved(&mut bench, 4, &[], false);
     admin_call(&mut bench, 5, "POST /backends/s-b/ready");
     shared_state_saved(&mut bench, 5, &[], false);
-    let before = bench.trace.len();
+    let length_before = bench.trace.len();
     for customer in 10..40 {
         let at = bench.now - 1000.0 + 0.1;
         bench.request(1, "order", customer).run_until(at);
     }
-    assert!(bench.trace[before..].contains(":7012"), "it gets attempts again");
-    bench.retain_lines(|l| l.contains("operator") || l.contains("by hand") || l.contains("save"));
+    assert!(bench.trace[length_before..].contains(":7012"), "the restored backend gets attempts");
+    bench.retain_lines(|line| line.contains("operator") || line.contains("by hand") || line.contains("save"));
     bench.assert_trace(expect![[r#"
         0.000 operator 1: 404 backend s-x was never listed
         0.000 log: backend s-b ejected by an operator
@@ -58,9 +58,10 @@
     "#]]);
 }
 
-/// A change that can't be saved is in force all the same, and the operator reads why it is not saved.
+/// Guards against a change that is lost, or an error that is hidden, when the shared file can't be written:
+/// the change takes effect in this process, and the reply to the operator says why it was not saved.
 #[test]
-fn an_operator_is_notified_of_a_change_that_can_not_be_saved() {
+fn a_change_that_can_not_be_saved_takes_effect_and_its_reply_reports_the_error() {
     let mut bench = bench_configured(1024, false, true);
     admin_call(&mut bench, 1, "POST /healthcheck/fail");
     let error = SaveError::new(SharedFileError::NotASharedFile { path: "shared.json".into() });
@@ -75,7 +76,8 @@
     "#]]);
 }
 
-/// Guards: each figure counts what was completed, rejected or failed; a request whose client has left is none of these.
+/// Guards against wrong statistics: each figure counts only the requests that were completed, rejected or
+/// failed. A request whose client has disconnected is none of these.
 #[test]
 fn stats_count_completed_rejected_and_failed_requests() {
     let mut bench = bench_configured(1024, false, true);
@@ -91,7 +93,7 @@
         .connection_ended(ConnectionId::Backend(3), CloseReason::Reset, false);
     bench.request(2, "look", 7).run_until(0.15);
     bench.connection_ended(ConnectionId::Client(2), CloseReason::Closed, false);
-    // An exhausted quota rejects.
+    // Requests beyond the quota are rejected.
     for _ in 0..12 {
         bench.request(1, "look", 8);
     }
@@ -100,14 +102,15 @@
     admin_call(&mut bench, 1, "GET /stats");
     bench.run_until(0.5);
     admin_call(&mut bench, 2, "GET /stats");
-    bench.retain_lines(|l| l.contains("operator"));
+    bench.retain_lines(|line| line.contains("operator"));
     bench.assert_trace(expect![[r#"
         0.150 operator 1: 200 {"completed":{"look":1,"order":0},"rejected":{"look":0,"order":0},"failed":{"look":0,"order":1},"upstream_requests":2,"pending":12,"members":2,"members_unavailable":0,"config_reloads":0,"config_reload_errors":1}
         0.500 operator 2: 200 {"completed":{"look":1,"order":0},"rejected":{"look":10,"order":0},"failed":{"look":0,"order":1},"upstream_requests":2,"pending":2,"members":2,"members_unavailable":0,"config_reloads":0,"config_reload_errors":1}
     "#]]);
 }
 
-/// Guards: operators' connections without a complete call delay nothing: their number and their time are limited.
+/// Guards against delays by operators' connections that send no complete call: their number is limited, and
+/// they time out.
 #[test]
 fn idle_admin_connections_are_limited_in_number_and_time_out() {
     let mut bench = bench_configured(1024, false, true);
@@ -117,9 +120,9 @@
     bench.run_until(4.9);
     admin_call(&mut bench, 17, "GET /nowhere");
     bench.run_until(5.1);
-    let ended = bench.trace.matches("ended: called").count();
-    assert_eq!(ended, 17, "{}", bench.trace);
-    bench.retain_lines(|l| l.contains("404") || l.contains("operator 0 "));
+    let ended_count = bench.trace.matches("ended: called").count();
+    assert_eq!(ended_count, 17, "{}", bench.trace);
+    bench.retain_lines(|line| line.contains("404") || line.contains("operator 0 "));
     bench.assert_trace(expect![[r#"
         0.000 log: connection operator 0 ended: called
         4.900 operator 17: 404 no such call
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -1,4 +1,4 @@
-//! A reducer with a trace of its effects, and what its tests do to it.
+//! The test bench of the reducer: it delivers events, advances the clock and writes the effects to a trace.
 use expect_test::Expect;
 use quillramp_admission::Limits;
 use quillramp_gateway::process::{configuration, operator};
@@ -12,16 +12,19 @@
 use quillramp_gateway::wire::resp::{self, BackendReply};
 use std::net::{IpAddr, Ipv4Addr};
 
-pub const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+/// The address of the clients.
+pub const CLIENT_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// Three gateway instances, two backends, an idempotent operation `look` and a non-idempotent one `order`.
+/// A configuration with three gateway instances, two backends, an idempotent operation `look` and a
+/// non-idempotent operation `order`.
 pub const CONFIGURATION: &str = include_str!("configuration.json");
 
-/// An instance with so many descriptors that shares its listening socket or not, and that operators may call or not.
-pub fn bench_configured(max_descriptors: usize, inherited_listener: bool, admin: bool) -> Bench {
-    let loaded = configuration::decode(CONFIGURATION.as_bytes()).expect("a good configuration");
+/// Creates a bench for an instance with at most `max_descriptors` descriptors. `inherited_listener` says
+/// whether its process inherited the listening socket, `admin_enabled` whether operators can call it.
+pub fn bench_configured(max_descriptors: usize, inherited_listener: bool, admin_enabled: bool) -> Bench {
+    let loaded = configuration::decode(CONFIGURATION.as_bytes()).expect("a valid configuration");
     let settings =
-        quillramp::settings::load(loaded.seed, loaded.settings.get().as_bytes()).expect("good settings");
+        quillramp::settings::load(loaded.seed, loaded.settings.get().as_bytes()).expect("valid settings");
     let config = ReducerConfig {
         peers: loaded.peers,
         peer_broadcast: loaded.peer_broadcast,
@@ -29,23 +32,24 @@
         discovery: loaded.discovery,
         max_descriptors,
         inherited_listener,
-        admin_enabled: admin,
-        saves_changes: admin,
+        admin_enabled,
+        saves_changes: admin_enabled,
     };
     let reducer = Reducer::new(1000.0, settings, config, &loaded.initial_endpoints);
-    let mut bench = Bench { reducer, now: 1000.0, id: 1, trace: String::new() };
+    let mut bench = Bench { reducer, now: 1000.0, next_request_id: 1, trace: String::new() };
     bench.poll();
     bench.trace.clear();
     bench
 }
 
-/// A reducer, its clock, and the trace of its effects so far.
+/// A reducer with its clock and a trace of its effects.
 pub struct Bench {
     pub reducer: Reducer,
-    /// Seconds; it starts at 1000.
+    /// Current time in seconds; starts at 1000.
     pub now: f64,
-    /// The id of the next request.
-    pub id: u64,
+    /// ID of the next request.
+    pub next_request_id: u64,
+    /// The effects since the trace was last compared or cleared, one in a line.
     pub trace: String,
 }
 
@@ -57,7 +61,7 @@
     bench_configured(max_descriptors, false, false)
 }
 
-/// An effect as a line of the trace; none where another effect has a line for it.
+/// Returns the line of an effect in the trace; `None` if the line of another effect covers it.
 pub fn describe(effect: &Effect) -> Option<String> {
     Some(match effect {
         Effect::Reply { client, reply } => {
@@ -77,7 +81,7 @@
         }
         Effect::Connect { connection, address } => format!("connect {connection:?} to {address}"),
         Effect::SendDatagram { to, body } => format!("datagram of {} to {to}", body.len()),
-        Effect::Close(_) => return None, // it has a log line
+        Effect::Close(_) => return None, // `LogClosed` has a line
         Effect::Log(message) => format!("log: {message}"),
         Effect::LogClosed(closed) => format!("log: {closed}"),
         Effect::AdminRespond { connection, response } => {
@@ -110,14 +114,15 @@
     }
 }
 
-/// The event of a client's command, from its text on the wire.
+/// Returns the event for a command of this client, decoded from its text on the wire.
 pub fn command_event(client: u64, text: &str) -> Event {
     let decoded = resp::decode_command(text.as_bytes()).expect("valid framing");
     let command = decoded.expect("a complete command").value;
     Event::ClientCommand { client, command }
 }
 
-/// What follows an effect that closes a client that has been idle for too long.
+/// Returns the event that confirms an effect which closes a client after its idle timeout; `None` for other
+/// effects.
 fn idle_client_closed(effect: &Effect) -> Option<Event> {
     match effect {
         Effect::CloseIfIdle { client, reason: CloseReason::Idle } => {
@@ -128,13 +133,13 @@
 }
 
 impl Bench {
-    /// Traces what the reducer asks for; returns when it is to be polled next.
+    /// Polls the reducer and traces its effects; returns the time of the next poll.
     pub fn poll(&mut self) -> Option<f64> {
         let ReducerOutput { next_poll_at, effects } = self.reducer.poll(self.now);
         for line in effects.iter().filter_map(describe) {
             self.trace += &format!("{:.3} {line}\n", self.now - 1000.0);
         }
-        // Nothing is unread on a connection that is idle here: it is closed, and the reducer is notified.
+        // No client has unread input here, so each idle connection is closed and the reducer is notified.
         let mut closed: Vec<Event> = effects.iter().filter_map(idle_client_closed).collect();
         if closed.is_empty() {
             return next_poll_at;
@@ -143,25 +148,26 @@
         self.poll()
     }
 
-    /// Has the reducer handle one event.
+    /// Makes the reducer handle one event.
     pub fn event(&mut self, event: Event) -> &mut Self {
         self.batch(vec![event])
     }
 
-    /// Has an operator's file declare these limits.
+    /// Loads an operator file that declares these admission limits.
     pub fn set_admission_limits(&mut self, limits: Limits) -> &mut Self {
         let update = OperatorUpdate { admission: Some(limits), ..OperatorUpdate::default() };
         self.event(Event::OperatorFileReloaded(Box::new(update)))
     }
 
-    /// Has the reducer handle events that came together.
+    /// Makes the reducer handle these events in one batch.
     pub fn batch(&mut self, mut events: Vec<Event>) -> &mut Self {
         self.reducer.handle_batch(self.now, &mut events);
         self.poll();
         self
     }
 
-    /// Advances the clock to `at` seconds after the start, and polls the reducer whenever it asked for that.
+    /// Advances the clock to `at` seconds after the start, and polls the reducer at each time that it
+    /// requested.
     pub fn run_until(&mut self, at: f64) -> &mut Self {
         while let Some(next) = self.poll().filter(|next| *next <= 1000.0 + at) {
             self.now = self.now.max(next);
@@ -171,12 +177,12 @@
         self
     }
 
-    /// A client connects, from `HERE`.
+    /// Connects a client from `CLIENT_ADDRESS`.
     pub fn client_connects(&mut self, client: u64) -> &mut Self {
-        self.event(Event::ClientAccepted { client, address: HERE })
+        self.event(Event::ClientAccepted { client, address: CLIENT_ADDRESS })
     }
 
-    /// A client sends a request of one unit.
+    /// Sends a request of one unit from this client.
     pub fn request(&mut self, client: u64, operation: &str, customer: u64) -> &mut Self {
         self.request_with(
             client,
@@ -186,7 +192,7 @@
         )
     }
 
-    /// A client sends a request with these arguments after the operation.
+    /// Sends a request from this client; `arguments` follow the operation in its list of arguments.
     pub fn request_with(
         &mut self,
         client: u64,
@@ -201,35 +207,37 @@
             "*{item_count}\r\n${}\r\n{verb}\r\n${}\r\n{customer}\r\n$16\r\n{:016x}\r\n${}\r\n{arguments}\r\n{body}",
             verb.len(),
             customer.len(),
-            self.id,
+            self.next_request_id,
             arguments.len()
         );
-        self.id += 1;
+        self.next_request_id += 1;
         self.client_sends(client, &text)
     }
 
-    /// A client sends a command.
+    /// Sends a command from this client.
     pub fn client_sends(&mut self, client: u64, text: &str) -> &mut Self {
         self.event(command_event(client, text))
     }
 
-    /// A connection to a backend is up.
+    /// Reports that a connection to a backend is established.
     pub fn backend_connected(&mut self, connection: u64) -> &mut Self {
         self.event(Event::Connected(ConnectionId::Backend(connection)))
     }
 
-    /// A backend replies with a value.
+    /// Delivers a backend's reply with this value.
     pub fn backend_replies(&mut self, connection: u64, value: &str) -> &mut Self {
         self.backend_replies_with(connection, value, false)
     }
 
-    /// A backend replies with a value; `more_received`: more bytes follow it at once.
+    /// Delivers a backend's reply with this value; `more_received` says whether more bytes were received
+    /// after it.
     pub fn backend_replies_with(&mut self, connection: u64, value: &str, more_received: bool) -> &mut Self {
         let reply = BackendReply::Value { value: value.into(), billed_units: None, load_report: None };
         self.event(Event::BackendReply { connection, reply, more_received })
     }
 
-    /// A connection ended that the reducer did not close.
+    /// Reports that a connection ended which the reducer did not close; `unsent` says whether its write
+    /// buffer still held unsent bytes.
     pub fn connection_ended(
         &mut self,
         connection: ConnectionId,
@@ -239,7 +247,7 @@
         self.event(Event::ConnectionEnded { connection, reason, unsent })
     }
 
-    /// The counter responds to the first call on a connection.
+    /// Delivers the counter's response to the oldest pending call on this connection.
     pub fn counter_responds(&mut self, connection: u64, status: u16, body: &str) -> &mut Self {
         self.event(Event::HttpResponse {
             connection: ConnectionId::Counter(connection),
@@ -247,32 +255,34 @@
         })
     }
 
-    /// Removes all other lines from the trace.
+    /// Removes the lines from the trace for which `is_retained` returns false.
     pub fn retain_lines(&mut self, is_retained: impl Fn(&str) -> bool) {
         let lines = std::mem::take(&mut self.trace);
         self.trace =
             lines.lines().filter(|line| is_retained(line)).map(|line| line.to_owned() + "\n").collect();
     }
 
-    /// Compares the trace, without the connections to the discovery service.
+    /// Compares the trace, without the connections to the list service, with the expected one, and clears it.
     pub fn assert_trace_without_discovery(&mut self, expected: Expect) {
         self.retain_lines(|line| !line.contains("connection list") && !line.contains("connect Discovery"));
         self.assert_trace(expected);
     }
 
-    /// Compares the trace with the expected one, and begins a new one.
+    /// Compares the trace with the expected one, and clears it.
     pub fn assert_trace(&mut self, expected: Expect) {
         expected.assert_eq(&std::mem::take(&mut self.trace));
     }
 }
 
-/// An operator makes a call, on a connection of its own.
-pub fn admin_call(bench: &mut Bench, connection: u64, text: &str) {
-    let call = admin::decode_call(format!("{text} HTTP/1.1\r\n\r\n").as_bytes()).expect("a complete call");
+/// Makes an operator's call on a new connection.
+pub fn admin_call(bench: &mut Bench, connection: u64, request_line: &str) {
+    let call =
+        admin::decode_call(format!("{request_line} HTTP/1.1\r\n\r\n").as_bytes()).expect("a complete call");
     bench.event(Event::AdminConnected(connection)).event(Event::AdminCall { connection, call });
 }
 
-/// The change of an operator's call has been saved: the backends that are ejected now, and whether the instance is drained.
+/// Reports that the change of an operator's call was saved. Since then the backends in `ejected` are ejected,
+/// and `drained` says whether the instance is drained.
 pub fn shared_state_saved(bench: &mut Bench, call: u64, ejected: &[&str], drained: bool) {
     let shared = SharedState {
         ejected_backends: ejected.iter().map(|name| (name.to_string(), 1000.0)).collect(),
@@ -282,14 +292,15 @@
     bench.event(Event::SharedStateSaved { call: Some(call), shared: Ok(shared) });
 }
 
-/// A response of the discovery service with the complete list: names of backends and their ports.
-pub fn complete_endpoint_list(names: &[(&str, u16)]) -> Event {
+/// Returns the event for a response of the list service with the complete endpoint list: the name and the
+/// port of each backend.
+pub fn complete_endpoint_list(backends: &[(&str, u16)]) -> Event {
     let entry = |(name, port): &(&str, u16)| {
         format!(
             r#"{{"name":"{name}","address":"127.0.0.1:{port}","zone":"z","group":0,"status":"SERVING","weight":1,"since_ms":0}}"#
         )
     };
-    let entries: Vec<String> = names.iter().map(entry).collect();
+    let entries: Vec<String> = backends.iter().map(entry).collect();
     let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
     Event::HttpResponse {
         connection: ConnectionId::Discovery(1),
@@ -299,16 +310,17 @@
 
 pub const PING: &str = "*1\r\n$4\r\nPING\r\n";
 
-/// Has the instance read this operator's file.
+/// Loads an operator file with this text.
 pub fn reload_operator_file(bench: &mut Bench, text: &str) {
-    let loaded = configuration::decode(CONFIGURATION.as_bytes()).expect("a good configuration");
-    let start =
-        quillramp::settings::load(loaded.seed, loaded.settings.get().as_bytes()).expect("good settings");
-    let platform = operator::platform(&start.instance, 1024);
-    let read = quillramp_operator::read(text, Some(&platform)).expect("a good file");
-    bench.event(Event::OperatorFileReloaded(Box::new(operator::operator_update(read, &platform))));
+    let loaded = configuration::decode(CONFIGURATION.as_bytes()).expect("a valid configuration");
+    let settings =
+        quillramp::settings::load(loaded.seed, loaded.settings.get().as_bytes()).expect("valid settings");
+    let platform = operator::platform(&settings.instance, 1024);
+    let file = quillramp_operator::read(text, Some(&platform)).expect("a valid operator file");
+    bench.event(Event::OperatorFileReloaded(Box::new(operator::operator_update(file, &platform))));
 }
 
+/// Admission limits with three connections, one of which is reserved for known addresses.
 pub const LIMITS: Limits = Limits {
     connections: 3,
     reserve: 1,
--- a/gateway/tests/reducer/counter.rs
+++ b/gateway/tests/reducer/counter.rs
@@ -38,7 +38,7 @@
         bench.request(1, "look", customer);
     }
     bench.event(Event::Connected(ConnectionId::Counter(2))).event(Event::Connected(ConnectionId::Counter(3)));
-    // The other connection is idle, but the correction of the first total is still pending.
+    // Connection 3 is idle, but the correction of the total of customer 5 is still pending on connection 2.
     bench
         .counter_responds(3, 200, "1")
         .counter_responds(3, 200, "21")
@@ -58,8 +58,8 @@
     "#]]);
 }
 
-/// Guards: after a response of the counter without a number its connection stayed in use, and the units that it had added
-/// were not refunded.
+/// Guards against two faults after a response of the counter that contains no number: its connection stayed
+/// in use, and the units that the call had added were not refunded.
 #[test]
 fn a_counter_response_without_a_total_closes_its_connection_and_its_units_are_refunded() {
     let mut bench = bench();
--- a/gateway/tests/reducer/descriptors.rs
+++ b/gateway/tests/reducer/descriptors.rs
@@ -1,4 +1,4 @@
-//! File descriptors, and clients that are idle or slow.
+//! Shortage of file descriptors, and clients that are idle or slow.
 use crate::bench::*;
 use expect_test::expect;
 use quillramp_gateway::state::connection::ConnectionId;
@@ -34,8 +34,9 @@
     "#]]);
 }
 
-/// Guards: clients that keep a connection open without sending anything took the descriptors of backend connections, each
-/// of which costs a handshake to open again; and clients that never sent a command kept theirs for ever.
+/// Guards against two faults: clients that kept a connection open without sending anything took the
+/// descriptors of backend connections, each of which costs a handshake to reopen; and clients that never sent
+/// a command kept their descriptors for ever.
 #[test]
 fn idle_clients_are_closed_before_backend_connections_when_descriptors_are_short() {
     let mut bench = bench_with_descriptors(32 + 6);
@@ -49,7 +50,8 @@
         .run_until(2.2)
         .trace
         .clear();
-    // First a client that never sent a command is closed, then one that was answered long ago, then a backend connection.
+    // Connections are closed in this order: a client that never sent a command, a client that was answered
+    // long ago, a backend connection.
     bench.client_connects(3).client_connects(4).request(3, "look", 6).client_connects(5).client_connects(6);
     bench.assert_trace_without_discovery(expect![[r#"
         2.200 connect Counter(5) to 127.0.0.1:7007
@@ -58,7 +60,8 @@
     "#]]);
 }
 
-/// A client that has sent a command may stay for longer than one that has not, unless it stopped in the middle of one.
+/// Guards against one idle timeout for all clients: a client that has sent a command may be idle for longer
+/// than one that has not, unless it stopped in the middle of a command.
 #[test]
 fn idle_clients_are_closed_after_their_timeout_when_descriptors_are_not_short() {
     let mut bench = bench();
@@ -91,10 +94,10 @@
     "#]]);
 }
 
-/// Guards: a client that took 2 s for a command was disconnected, 2 s after its last reply, while more of the command was
-/// arriving.
+/// Guards against a timeout that starts at the last reply: a client that took 2 s for a command was
+/// disconnected 2 s after its last reply, while more of the command was arriving.
 #[test]
-fn a_partial_command_times_out_from_its_first_byte() {
+fn the_timeout_of_a_partial_command_starts_at_its_first_byte() {
     let mut bench = bench();
     bench
         .client_connects(1)
@@ -118,8 +121,9 @@
     "#]]);
 }
 
-/// Guards: descriptors ran short in the batch in which a client's command had been read; the client was evicted for another
-/// one, and the command, which is handled after all other events, was lost without a reply.
+/// Guards against a lost command: descriptors ran short in the batch in which a client's command had been
+/// read. The client was evicted for a new one, and the command, which is handled after all other events, got
+/// no reply.
 #[test]
 fn a_client_whose_command_has_been_read_is_not_evicted() {
     let mut bench = bench_with_descriptors(32 + 5);
@@ -131,7 +135,7 @@
         .run_until(1.0)
         .trace
         .clear();
-    let accepted = [3, 4, 5].map(|id| Event::ClientAccepted { client: id, address: HERE });
+    let accepted = [3, 4, 5].map(|id| Event::ClientAccepted { client: id, address: CLIENT_ADDRESS });
     bench.batch(accepted.into_iter().chain([command_event(1, PING)]).collect());
     bench.assert_trace_without_discovery(expect![[r#"
         1.000 log: connection client 2 ended: crowded
@@ -139,7 +143,8 @@
     "#]]);
 }
 
-/// Guards: during an upgrade each process had half of the descriptors, however few the stopping one still needed.
+/// Guards against a fixed split of the descriptors during an upgrade: each process had half of them, however
+/// few the stopping process still needed.
 #[test]
 fn descriptors_that_a_stopping_process_releases_are_available_to_the_other_one() {
     let accepted_clients = |peer_descriptor_limit| {
@@ -154,7 +159,7 @@
         });
         (1..200)
             .find(|id| bench.client_connects(*id).trace.contains("crowded"))
-            .expect("capacity for fewer than that")
+            .expect("a client is evicted before the 200th connects")
     };
     let half = accepted_clients(None);
     let all_but_60 = accepted_clients(Some(60));
--- a/gateway/tests/reducer/main.rs
+++ b/gateway/tests/reducer/main.rs
@@ -1,4 +1,5 @@
-//! The reducer without sockets: events in, the effects it asks for as a short trace.
+//! Tests of the reducer without sockets: each feeds it events and compares the effects that it returns,
+//! written as a trace.
 
 mod admin;
 mod bench;
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -1,4 +1,4 @@
-//! What an operator's file declares: admission, limits and contracts.
+//! The operator file: admission limits, limits of requests, and contracts.
 use crate::bench::*;
 use expect_test::expect;
 use quillramp_admission::Limits;
@@ -6,19 +6,21 @@
 use quillramp_gateway::state::event::Event;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Capacity for three clients, one of them reserved for the known address.
+/// Returns a bench that admits three clients, one of them reserved for the known address 10.0.0.1.
 fn bench_with_admission() -> Bench {
     let mut bench = bench_configured(1024, false, false);
-    bench.set_admission_limits(Limits { known: vec!["10.0.0.1".parse().expect("an address")], ..LIMITS });
+    bench
+        .set_admission_limits(Limits { known: vec!["10.0.0.1".parse().expect("a valid address")], ..LIMITS });
     bench.trace.clear();
     bench
 }
 
-fn address_in_network(last: u8) -> IpAddr {
-    Ipv4Addr::new(10, 0, 0, last).into()
+fn address_in_network(last_octet: u8) -> IpAddr {
+    Ipv4Addr::new(10, 0, 0, last_octet).into()
 }
 
-/// Guards: the connections of one address were not limited, and a client of a known address could not connect.
+/// Guards against two faults: the connections of one address were not limited, so that a client of a known
+/// address could not connect.
 #[test]
 fn a_rejected_client_gets_the_reason_and_a_known_address_its_reserved_connection() {
     let mut bench = bench_with_admission();
@@ -43,7 +45,8 @@
     "#]]);
 }
 
-/// Guards: the admission controller was not notified that a command had begun, and a slow client was closed as an idle one.
+/// Guards against a slow client that is closed as idle: the admission controller was not notified of the
+/// first part of its command.
 #[test]
 fn a_client_with_a_partial_first_command_is_not_closed_as_idle() {
     let mut bench = bench_with_admission();
@@ -61,9 +64,10 @@
     "#]]);
 }
 
-/// Guards: the commands of one customer took all that its address may have pending.
+/// Guards against a customer that uses up the pending commands of its address: none were left for the other
+/// customers behind that address.
 #[test]
-fn commands_beyond_an_addresss_quota_are_rejected_with_a_retry_delay() {
+fn commands_beyond_a_customers_part_of_its_addresss_limit_are_rejected_with_a_retry_delay() {
     let mut bench = bench_with_admission();
     bench
         .client_connects(1)
@@ -74,22 +78,23 @@
         .request(2, "look", 6)
         .run_until(0.05);
     bench.backend_connected(4);
-    bench.retain_lines(|l| l.contains("client") || l.contains("backend connection"));
+    bench.retain_lines(|line| line.contains("client") || line.contains("backend connection"));
     bench.assert_trace(expect![[r#"
         0.000 client 2: -BUSY 50
         0.050 backend connection 4: look for 750 ms
     "#]]);
 }
 
-/// Guards: a command that had been read before its connection was admitted was not counted, and the connection was evicted
-/// when descriptors were short (emulator, seed 2698).
+/// Guards against the eviction of a connection with pending commands: commands that had been read before
+/// their connection was admitted were not counted, and the connection was evicted when descriptors were short
+/// (emulator, seed 2698).
 #[test]
 fn commands_that_were_read_before_their_connection_was_admitted_are_counted() {
     let mut bench = bench_with_descriptors(32 + 4);
     let limits = Limits { connections: 30, reserve: 0, per_address: 30, strangers: 30, ..LIMITS };
     bench.set_admission_limits(limits).client_connects(1).client_connects(2).run_until(0.5).trace.clear();
     bench.batch(vec![
-        Event::ClientAccepted { client: 3, address: HERE },
+        Event::ClientAccepted { client: 3, address: CLIENT_ADDRESS },
         command_event(3, PING),
         command_event(3, PING),
     ]);
@@ -101,8 +106,9 @@
 
 const SHORT_TIMEOUT_CLASS: &str = "[[class]]\nname = \"short\"\nattempts = 1\ntimeout = 0.2\n[[route]]\noperations = [\"look\"]\nclass = \"short\"\n";
 
-/// Guards: a request keeps the limits under which it was accepted, also where its class has been removed since; two files in
-/// one batch are applied in their order; each change is logged once.
+/// Guards against a reload that changes the limits of pending requests: a request keeps the limits under
+/// which it was accepted, even if its class has been removed since. Two files that are loaded at the same
+/// time are applied in order, and each change is logged once.
 #[test]
 fn requests_keep_the_limits_under_which_they_were_accepted() {
     let mut bench = bench();
@@ -113,7 +119,7 @@
     reload_operator_file(&mut bench, SHORT_TIMEOUT_CLASS);
     reload_operator_file(&mut bench, "");
     bench.request(3, "look", 3).run_until(2.0);
-    bench.retain_lines(|l| l.contains("client") || l.contains("declared"));
+    bench.retain_lines(|line| line.contains("client") || line.contains("declared"));
     bench.assert_trace(expect![[r#"
         0.100 log: request limits declared: 1 classes, for 1 pairs of operation and plan
         0.150 log: request limits declared: 0 classes, for 0 pairs of operation and plan
@@ -123,15 +129,15 @@
     "#]]);
 }
 
-/// Guards: an admission controller that was enabled while connections were open did not count them, and their addresses
-/// exceeded their limits.
+/// Guards against connections that are not counted: an admission controller that was enabled while
+/// connections were open ignored them, and their addresses exceeded their limits.
 #[test]
 fn admission_counts_the_connections_that_were_open_before_it() {
     let mut bench = bench();
     bench.client_connects(1).client_connects(2).client_sends(1, PING).request(2, "look", 5).run_until(0.01);
     bench.set_admission_limits(LIMITS).trace.clear();
     bench.client_connects(3).client_connects(4).client_sends(3, PING).client_sends(4, PING);
-    bench.retain_lines(|l| l.contains("client"));
+    bench.retain_lines(|line| line.contains("client"));
     bench.assert_trace(expect![[r#"
         0.010 client 3 rejected: full
         0.010 log: connection client 3 ended: turned-away
@@ -144,21 +150,22 @@
     "[broker]\ncapacity = 100\nstrangers = \"refuse\"\n[[contract]]\nteam = \"t\"\nrate = 3\nburst = 3\n\
                         operations = [\"look\"]\ncustomers = [\"0000000000000005\"]\n";
 
-/// Guards: what a contract rejects never reaches the policy engine, what the engine rejects is refunded to the contract, and
-/// a customer without a contract is notified of that.
+/// Guards against three faults: a request that its contract rejects reaches the policy engine; a request that
+/// the engine rejects is not refunded to its contract; a customer without a contract does not get that as the
+/// reason.
 #[test]
 fn a_request_is_checked_against_its_contract_before_it_is_routed() {
     let mut bench = bench();
     reload_operator_file(&mut bench, CONTRACT);
     bench.client_connects(1).trace.clear();
-    // An even share of three a second is one, with which it begins.
+    // The instance starts with its even share of the contract's rate of three a second, which is one.
     bench
         .request(1, "look", 5)
         .request(1, "look", 5)
         .request(1, "order", 5)
         .request(1, "look", 6)
         .run_until(1.5);
-    bench.retain_lines(|l| l.contains("client"));
+    bench.retain_lines(|line| line.contains("client"));
     bench.assert_trace(expect![[r#"
         0.516 client 1: -BUSY 500
         0.516 client 1: -BUSY 1000
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -1,4 +1,4 @@
-//! The discovery service and other instances.
+//! Datagrams from peers, the list service, and reloads of the configuration.
 use crate::bench::*;
 use expect_test::expect;
 use quillramp_gateway::state::connection::{CloseReason, ConnectionId};
@@ -8,12 +8,12 @@
 #[test]
 fn datagrams_that_are_malformed_or_from_unknown_peers_are_dropped_and_counted() {
     let mut bench = bench();
-    let peer = "127.0.0.1:7004".parse().expect("an address");
-    let unknown_peer = "127.0.0.1:9".parse().expect("an address");
+    let peer = "127.0.0.1:7004".parse().expect("a valid address");
+    let unknown_peer = "127.0.0.1:9".parse().expect("a valid address");
     bench.event(Event::Datagram { from: peer, body: b"\x01s-a".to_vec() });
     bench.event(Event::Datagram { from: unknown_peer, body: b"\x01s-a".to_vec() });
     bench.event(Event::Datagram { from: peer, body: vec![2; 300] });
-    // A counter's total for more instances than there are.
+    // The total of a counter that more instances share than there are.
     bench.event(Event::Datagram {
         from: peer,
         body: [&[2, 5, 0, 0, 0, 0, 0, 0, 0, 9, 0][..], &[0; 8]].concat(),
@@ -30,18 +30,20 @@
     "#]]);
 }
 
-/// Guards: a configuration that is read again under load moves discovery and the counter, and fails no request.
+/// Guards against requests that fail when a configuration is reloaded under load, with new addresses of the
+/// list service and the counter.
 #[test]
-fn a_reload_moves_discovery_and_the_counter_without_failing_requests() {
+fn a_reload_moves_the_list_service_and_the_counter_without_failing_requests() {
     let mut bench = bench();
     bench
         .client_connects(1)
         .event(Event::Connected(ConnectionId::Discovery(1)))
         .request(1, "look", 5)
         .event(Event::Connected(ConnectionId::Counter(2)));
-    let (list, counter) = ("127.0.0.1:8006".parse().expect("address"), "127.0.0.1:8007".parse().ok());
+    let (discovery, counter) =
+        ("127.0.0.1:8006".parse().expect("a valid address"), "127.0.0.1:8007".parse().ok());
     bench
-        .event(Event::ConfigurationReloaded { discovery: list, counter })
+        .event(Event::ConfigurationReloaded { discovery, counter })
         .event(Event::Connected(ConnectionId::Discovery(3)));
     bench
         .request(1, "look", 6)
@@ -49,10 +51,10 @@
         .counter_responds(2, 200, "1")
         .backend_connected(6)
         .backend_replies(6, "served");
-    let complete = r#"{"index":3,"snapshot":true,"endpoints":[]}"#;
+    let complete_list = r#"{"index":3,"snapshot":true,"endpoints":[]}"#;
     bench.event(Event::HttpResponse {
         connection: ConnectionId::Discovery(3),
-        response: Response { status: 200, body: complete.into(), closes_connection: false },
+        response: Response { status: 200, body: complete_list.into(), closes_connection: false },
     });
     bench.assert_trace(expect![[r#"
         0.000 Discovery(1): watch since 41
@@ -74,8 +76,8 @@
     "#]]);
 }
 
-/// Guards: removed backends were remembered for ever, by name, index and record of the policy engine; and an index must not
-/// be used for another backend while anything refers to the first.
+/// Guards against two faults: the name, the index and the policy engine's record of a removed backend were
+/// kept for ever; or an index is used for another backend while something still refers to the first.
 #[test]
 fn removed_backends_are_forgotten_once_nothing_refers_to_them() {
     let mut bench = bench();
@@ -93,8 +95,8 @@
                 r#"{{"name":"{n}","address":"127.0.0.1:7011","zone":"z","group":0,"status":"SERVING","weight":1,"since_ms":0}}"#
             )
         };
-        let all: Vec<String> = names.iter().map(entry).collect();
-        let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, all.join(","));
+        let entries: Vec<String> = names.iter().map(entry).collect();
+        let body = format!(r#"{{"index":42,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
         bench.event(Event::HttpResponse {
             connection: ConnectionId::Discovery(1),
             response: Response { status: 200, body: body.into(), closes_connection: false },
@@ -103,7 +105,7 @@
         bench.run_until(until).trace.clear();
         bench.reducer.backend_count()
     };
-    // The order is in flight at the first backend all the while; the indices of others are reused.
+    // The order stays in flight at the first backend; the indices of the other backends are reused.
     let mut backend_counts = vec![];
     for names in [&["s-c", "s-d"], &["s-e", "s-f"], &["s-g", "s-h"]] {
         backend_counts.push(list_backends(names));
@@ -111,7 +113,7 @@
     expect!["[4, 4, 4]"].assert_eq(&format!("{backend_counts:?}"));
 }
 
-/// The response of the list service that nothing has changed.
+/// Returns the event for a response of the list service without changes.
 fn unchanged_endpoints(connection: u64) -> Event {
     let body = r#"{"index":41,"snapshot":false,"endpoints":[]}"#;
     Event::HttpResponse {
@@ -120,7 +122,8 @@
     }
 }
 
-/// A discovery service whose first connection becomes unresponsive, and whose second one is reset.
+/// Returns a bench whose first connection to the list service became unresponsive and whose second one was
+/// reset.
 fn bench_with_replaced_discovery_connections() -> Bench {
     let mut bench = bench();
     bench
@@ -136,11 +139,12 @@
     bench
 }
 
-/// Guards: a connection to the list service that had become unresponsive was waited on for 22 s, while all backends were
-/// replaced. Where no response has come when one is due, changes or not, the service is polled at once, without a wait;
-/// the same after a connection has ended.
+/// Guards against an outdated endpoint list: the gateway waited 22 s for a response on an unresponsive
+/// connection to the list service, while all backends were replaced. A watch gets a response at its timeout
+/// even without changes. If the response is overdue, or the connection has ended, the gateway asks on a new
+/// connection for a response without a wait.
 #[test]
-fn an_unresponsive_discovery_connection_is_replaced_when_its_response_is_overdue() {
+fn an_unresponsive_connection_to_the_list_service_is_replaced_when_its_response_is_overdue() {
     let mut bench = bench_with_replaced_discovery_connections();
     bench.assert_trace(expect![[r#"
         0.000 Discovery(1): watch since 41
@@ -155,9 +159,10 @@
     "#]]);
 }
 
-/// Guards: while the service can't be reached a request to it is pending at any time, however long that lasts.
+/// Guards against pauses between the calls to a list service that can't be reached: the gateway keeps
+/// connecting, however long the outage lasts.
 #[test]
-fn an_unreachable_discovery_service_is_polled_without_a_pause() {
+fn an_unreachable_list_service_is_polled_without_a_pause() {
     let mut bench = bench_with_replaced_discovery_connections();
     bench.trace.clear();
     bench.run_until(8.0).connection_ended(ConnectionId::Discovery(3), CloseReason::Reset, false);
--- a/gateway/tests/reducer/requests.rs
+++ b/gateway/tests/reducer/requests.rs
@@ -44,16 +44,17 @@
     "#]]);
 }
 
-/// Guards: units of 0, a non-idempotent operation sent as an idempotent one and the id of a pending request were forwarded to
-/// backends, which reported that five times over and were ejected for it.
+/// Guards against ejections caused by invalid commands: requests with 0 units, non-idempotent operations sent
+/// as idempotent ones, and requests with the ID of a pending one were forwarded, and a backend that had
+/// rejected five of them was ejected.
 #[test]
 fn a_command_that_the_settings_do_not_allow_is_rejected_and_not_forwarded() {
     let mut bench = bench();
     bench.client_connects(1).request(1, "look", 5).run_until(0.05).backend_connected(3).trace.clear();
-    bench.id = 1;
+    bench.next_request_id = 1;
     bench.request(1, "look", 5);
     let customer = "0000000000000005";
-    for list in [
+    for arguments in [
         "t=small,d=800,units=0,spread=1,first=0",
         "t=small,d=800,units=9,spread=1,first=0",
         "t=small,d=800,units=1,spread=0,first=0",
@@ -63,15 +64,15 @@
         "t=small,d=1501,units=1,spread=1,first=0",
         "t=big,d=800,units=1,spread=1,first=0",
     ] {
-        bench.request_with(1, "look", customer, list);
+        bench.request_with(1, "look", customer, arguments);
     }
     bench.request_with(1, "sing", customer, "t=small,d=800,units=1,spread=1,first=0");
-    let list = "c=order,t=small,d=800,units=1,spread=1,first=0";
+    let arguments = "c=order,t=small,d=800,units=1,spread=1,first=0";
     bench.client_sends(
         1,
         &format!(
-            "*4\r\n$8\r\nCALL.GET\r\n$16\r\n{customer}\r\n$16\r\n{customer}\r\n${}\r\n{list}\r\n",
-            list.len()
+            "*4\r\n$8\r\nCALL.GET\r\n$16\r\n{customer}\r\n$16\r\n{customer}\r\n${}\r\n{arguments}\r\n",
+            arguments.len()
         ),
     );
     bench.backend_replies(3, "served");
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn a_late_backend_connection_is_used_only_if_its_backend_serves_and_its_client_waits() {
+fn a_new_backend_connection_is_used_only_if_its_backend_still_serves_and_its_client_still_waits() {
     let mut bench = bench();
     bench.client_connects(1).request(1, "look", 5).run_until(0.05);
     let list = r#"{"index":42,"snapshot":false,"endpoints":[{"name":"s-a","address":"127.0.0.1:7011",
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn an_idle_backend_connection_is_reused_and_closed_before_the_backend_does() {
+fn an_idle_backend_connection_is_reused_and_closed_before_the_backend_closes_it() {
     let mut bench = bench();
     bench
         .client_connects(1)
@@ -183,8 +184,8 @@
     "#]]);
 }
 
-/// Guards: a malformed reply got its backend ejected; a second reply behind a valid one was taken for the next attempt's,
-/// and so was what came on an idle connection.
+/// Guards against three faults: a malformed reply got its backend ejected; a second reply after a valid one
+/// was taken as the reply to the next attempt; and so were bytes that arrived on an idle connection.
 #[test]
 fn malformed_replies_fail_their_attempt_and_unexpected_data_closes_the_connection() {
     let mut bench = bench();
@@ -216,8 +217,8 @@
     "#]]);
 }
 
-/// Two requests of one client: the second one's value is streamed once the first is answered, and then a third is sent on
-/// its connection.
+/// Returns a bench with two requests of one client. The value of the second request is streamed once the
+/// first is answered, and then a third request is sent on the second one's connection.
 fn bench_with_streamed_value() -> Bench {
     let mut bench = bench();
     bench
@@ -245,14 +246,14 @@
     bench
 }
 
-/// The trace without the connections to the counter and to discovery.
+/// Compares the trace, without the connections to the counter and the list service, with the expected one.
 fn assert_trace_of_streams(bench: &mut Bench, expected: Expect) {
     bench.retain_lines(|line| !line.contains("ounter"));
     bench.assert_trace_without_discovery(expected);
 }
 
-/// Guards: a value over 64 KiB ended its connection. It is forwarded when it is its turn, and nothing is retried from then
-/// on.
+/// Guards against the loss of long values: a value over 64 KiB ended its connection. It is forwarded once all
+/// earlier replies are sent, and its request is not retried from then on.
 #[test]
 fn a_long_value_is_streamed_in_its_turn_and_never_retried() {
     let mut bench = bench_with_streamed_value();
@@ -290,7 +291,8 @@
     );
 }
 
-/// Guards: what has been streamed can't be taken back, so a stream that its backend aborts ends its client's connection.
+/// Guards against a truncated value followed by other replies: streamed bytes can't be taken back, so a
+/// stream that its backend aborts closes the client's connection.
 #[test]
 fn a_stream_that_its_backend_aborts_closes_the_clients_connection() {
     let mut bench = bench_with_streamed_value();
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -6,7 +6,7 @@
 use quillramp_gateway::state::shared_state::SharedState;
 
 #[test]
-fn a_shutdown_serves_on_then_closes_connections_and_exits_when_all_is_answered() {
+fn a_shutdown_keeps_serving_then_closes_connections_and_exits_when_all_requests_are_answered() {
     let mut bench = bench();
     bench
         .client_connects(1)
@@ -41,7 +41,8 @@
     "#]]);
 }
 
-/// Drains an instance of three clients, one of which asks on and on: it is not read from any more.
+/// Returns a bench whose instance an operator has drained. Of its three clients, client 1 keeps sending
+/// requests, and its connection stays open.
 fn bench_drained_by_an_operator() -> Bench {
     let mut bench = bench_configured(1024, false, true);
     bench
@@ -68,7 +69,7 @@
     bench
 }
 
-/// Drains the instance once more, ends the drain, and connects a client.
+/// Requests the drain a second time, ends it with one call, and connects a client.
 fn end_drain(bench: &mut Bench) {
     admin_call(bench, 4, "POST /healthcheck/fail");
     shared_state_saved(bench, 4, &[], true);
@@ -77,14 +78,14 @@
     bench.client_connects(4).client_sends(4, PING).run_until(2.0);
 }
 
-/// The trace without the connections to backends and to the counter.
+/// Compares the trace, without the connections to backends and the counter, with the expected one.
 fn assert_trace_of_clients(bench: &mut Bench, expected: Expect) {
     bench.retain_lines(|line| !line.contains("ackend") && !line.contains("ounter"));
     bench.assert_trace(expected);
 }
 
-/// Guards: a drained instance fails its health check at once, accepts new clients for a while and closes connections
-/// between commands.
+/// Guards against requests that are lost in a drain: a drained instance fails its health check at once, still
+/// accepts new clients for a while, and closes connections only between commands.
 #[test]
 fn a_drain_fails_health_checks_at_once_and_closes_connections_between_commands() {
     let mut bench = bench_drained_by_an_operator();
@@ -112,7 +113,8 @@
     );
 }
 
-/// Guards: clients are accepted again after one call, however often the drain was asked for.
+/// Guards against a drain that outlasts the call that ends it: one call is enough, however often the drain
+/// was requested.
 #[test]
 fn a_drain_that_was_requested_twice_ends_with_one_call() {
     let mut bench = bench_drained_by_an_operator();
@@ -131,9 +133,10 @@
     );
 }
 
-/// Guards: SIGTERM in a drain ends in an exit all the same, also where the drain is ended meanwhile.
+/// Guards against a shutdown that stops half-way: SIGTERM during a drain still leads to the exit of the
+/// process, even if an operator ends the drain meanwhile.
 #[test]
-fn a_shutdown_during_a_drain_goes_on_after_the_drain_has_ended() {
+fn a_shutdown_during_a_drain_continues_after_the_drain_has_ended() {
     let mut bench = bench_drained_by_an_operator();
     end_drain(&mut bench);
     bench.trace.clear();
@@ -169,7 +172,8 @@
     );
 }
 
-/// An instance with a pending request whose listening socket a new process has taken over; that one has ejected a backend.
+/// Returns a bench whose process has a pending request, after a new process has taken over its listening
+/// socket and has ejected a backend.
 fn bench_replaced_by_a_new_process() -> Bench {
     let mut bench = bench_configured(1024, true, true);
     bench
@@ -181,11 +185,11 @@
         .run_until(0.05)
         .trace
         .clear();
-    let out = [("s-a".to_string(), 1000.0)].into();
+    let ejected_backends = [("s-a".to_string(), 1000.0)].into();
     bench.event(Event::SharedStateSaved {
         call: None,
         shared: Ok(SharedState {
-            ejected_backends: out,
+            ejected_backends,
             drained: false,
             peer_process_running: true,
             peer_process_newer: true,
@@ -195,9 +199,10 @@
     bench
 }
 
-/// Guards: with the listening socket handed over, the old process stops accepting at once, still reports the instance as
-/// healthy, closes connections only between commands, and none on which no command has been sent; ejections at the new
-/// process hold here too.
+/// Guards against lost requests at a handover. Once the new process has the listening socket, the old one
+/// stops accepting at once, still reports the instance as healthy, and closes connections only between
+/// commands, and none on which no command has been sent. Ejections at the new process apply to the old one
+/// too.
 #[test]
 fn a_replaced_process_answers_pending_requests_while_the_new_one_accepts() {
     let mut bench = bench_replaced_by_a_new_process();
@@ -210,7 +215,7 @@
         .client_sends(3, PING)
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping });
-    bench.retain_lines(|l| !l.contains("ounter"));
+    bench.retain_lines(|line| !line.contains("ounter"));
     bench.assert_trace(expect![[r#"
         0.050 log: backend s-a ejected by an operator
         0.050 log: another process of this instance is running
@@ -236,13 +241,13 @@
     "#]]);
 }
 
-/// Guards: with an inherited socket and no successor, a shutdown waited for clients that had never sent a command and delayed
-/// the next start.
+/// Guards against a slow shutdown: a process with an inherited socket and no successor waited for clients
+/// that had never sent a command, which delayed the next start.
 #[test]
-fn a_shutdown_without_a_successor_is_like_any_other() {
+fn a_shutdown_with_an_inherited_socket_and_no_successor_is_an_ordinary_one() {
     let mut bench = bench_configured(1024, true, true);
     bench.client_connects(1).client_connects(2).client_sends(2, PING);
-    // The process before is still running: it takes nothing over.
+    // The previous process is still running; it does not take over the socket.
     let shared = SharedState { peer_process_running: true, ..SharedState::default() };
     bench.event(Event::SharedStateSaved { call: None, shared: Ok(shared) }).trace.clear();
     bench.event(Event::Shutdown).client_sends(2, PING).run_until(0.3).client_connects(3).run_until(0.6);
@@ -264,22 +269,22 @@
     "#]]);
 }
 
-/// Guards: an instance that an operator had drained and that was then shut down closed connections that it had just accepted,
-/// although commands had been read on them.
+/// Guards against lost commands when a drained instance is shut down: it closed connections that it had just
+/// accepted, although commands had been read on them.
 #[test]
-fn a_shutdown_of_a_drained_instance_serves_on_before_connections_are_closed() {
+fn a_shutdown_of_a_drained_instance_keeps_serving_before_it_closes_connections() {
     let mut bench = bench_configured(1024, false, true);
     bench.client_connects(1);
     admin_call(&mut bench, 1, "POST /healthcheck/fail");
     shared_state_saved(&mut bench, 1, &[], true);
     bench.run_until(0.7).event(Event::Shutdown).run_until(0.9).trace.clear();
     bench
-        .batch(vec![Event::ClientAccepted { client: 2, address: HERE }, command_event(2, PING)])
+        .batch(vec![Event::ClientAccepted { client: 2, address: CLIENT_ADDRESS }, command_event(2, PING)])
         .run_until(1.25);
-    // From now on connections are closed; one on which a command was read is answered first.
+    // From now on new connections are closed; a command that was read on one of them is answered first.
     bench
-        .batch(vec![Event::ClientAccepted { client: 3, address: HERE }, command_event(3, PING)])
-        .event(Event::ClientAccepted { client: 4, address: HERE });
+        .batch(vec![Event::ClientAccepted { client: 3, address: CLIENT_ADDRESS }, command_event(3, PING)])
+        .event(Event::ClientAccepted { client: 4, address: CLIENT_ADDRESS });
     bench.assert_trace_without_discovery(expect![[r#"
         0.900 client 2: -ERR draining
         1.000 log: connection operator 1 ended: called
