--- a/examples/example_backend.rs
+++ b/examples/example_backend.rs
@@ -1,6 +1,7 @@
-//! Example backends, counter and list service for one gateway instance, on loopback, implemented from the public descriptions of
-//! their protocols. `example_backend` starts them at the addresses in `examples/configuration.json`.
-//! `example_backend call OPERATION N` sends N requests to the instance, one after another, and prints the replies.
+//! Example backends, counter and list service for one gateway instance, on loopback, implemented from the
+//! public descriptions of their protocols. `example_backend` starts them at the addresses in
+//! `examples/configuration.json`. `example_backend call OPERATION N` sends N requests to the instance, one
+//! after another, and prints the replies.
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Result, Write};
 use std::net::{TcpListener, TcpStream};
@@ -54,8 +55,8 @@
     Ok(String::from_utf8_lossy(&bytes[..length]).into_owned())
 }
 
-/// Starts a backend that replies to each request with the name of the backend, the operation and the body. The operation `slow`
-/// takes 300 ms, and the operation `fail` fails.
+/// Starts a backend that replies to each request with the name of the backend, the operation and the body.
+/// The operation `slow` takes 300 ms, and the operation `fail` fails.
 pub fn start_backend(listener: TcpListener, name: &'static str) {
     start_backend_with_statistics(listener, name, Arc::default());
 }
@@ -72,7 +73,8 @@
 /// Requests in flight by the name of their plan. Several backends may share one map.
 pub type InFlightByPlan = Arc<Mutex<HashMap<String, InFlight>>>;
 
-/// Starts a backend like [`start_backend`] that also counts its requests in flight and reports a low load with each reply.
+/// Starts a backend like [`start_backend`] that also counts its requests in flight and reports a low load
+/// with each reply.
 pub fn start_backend_with_statistics(listener: TcpListener, name: &'static str, in_flight: InFlightByPlan) {
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -168,7 +170,8 @@
     write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Starts the list service. Its endpoint list never changes, so a watch waits for its timeout and then reports no change.
+/// Starts the list service. Its endpoint list never changes, so a watch waits for its timeout and then
+/// reports no change.
 pub fn start_list_service(listener: TcpListener, endpoint_list: String) {
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream.try_clone()?);
--- a/gateway/tests/client_disconnects/busy_backend.rs
+++ b/gateway/tests/client_disconnects/busy_backend.rs
@@ -1,9 +1,10 @@
-//! The request waits for a backend that is busy.
+//! The client disconnects while its request waits for a busy backend.
 use crate::common::{free_listener, read_reply};
 use crate::harness::*;
 use std::thread::sleep;
 
-/// Guards: a request that waited for a busy backend when its client disconnected is not forwarded once the backend is free.
+/// Guards against a request that is forwarded to a busy backend once that is free, although its client has
+/// disconnected meanwhile.
 #[test]
 fn a_request_that_waits_for_a_busy_backend_is_dropped_when_its_client_disconnects() {
     for disconnect in Disconnect::ALL {
@@ -23,14 +24,14 @@
     }
 }
 
-/// Guards: the same for a retry, after the first backend has rejected the request.
+/// Guards against the same fault with a retry, after the first backend has rejected the request.
 #[test]
 fn a_retry_that_waits_for_a_busy_backend_is_dropped_when_the_client_disconnects() {
     for disconnect in Disconnect::ALL {
         let ((first_listener, first), (second_listener, second)) = (free_listener(), free_listener());
         let first_backend = ControlledBackend::start(first_listener);
         let second_backend = ControlledBackend::start(second_listener);
-        let (gateway, replacement) = gateway_with_replaced_backend(
+        let (gateway, notify) = gateway_with_replaced_backend(
             &format!("busy-again-{disconnect:?}"),
             BackendReplacement { first, second },
             unchanged,
@@ -38,7 +39,7 @@
         let (mut other_client, mut client) = (gateway.connect(), gateway.connect());
         send_order(&mut client, "waits");
         assert_eq!(first_backend.next_body(), "waits");
-        replacement.send(()).expect("a watch is in flight");
+        notify.send(()).expect("a watch is in flight");
         sleep(TENTH_OF_A_SECOND);
         send_order(&mut other_client, "in flight");
         assert_eq!(second_backend.next_body(), "in flight");
--- a/gateway/tests/client_disconnects/harness.rs
+++ b/gateway/tests/client_disconnects/harness.rs
@@ -1,7 +1,8 @@
-//! Shared by these tests: ways to disconnect, backends that the test controls, and gateways in front of them.
+//! Helpers for these tests: ways to disconnect, backends that the test controls, and gateways in front of
+//! them.
 use crate::common::example_servers::{read_command, read_target, request, serve_connections, write_ok};
 use crate::common::{
-    endpoint_list, free_listener, serve_endpoints, with_known_backends, FullBacklogBackend, ListedBackend,
+    endpoint_list, free_listener, serve_endpoints, with_initial_backends, FullBacklogBackend, ListedBackend,
     TestGateway,
 };
 use std::io::{BufReader, ErrorKind, Read, Write};
@@ -12,11 +13,11 @@
 use std::time::{Duration, Instant};
 
 pub const TENTH_OF_A_SECOND: Duration = Duration::from_millis(100);
-/// How long a backend is observed, after a client has disconnected, for requests of that client.
+/// Time after a disconnect during which a backend must receive no request of that client.
 pub const OBSERVATION_TIME: Duration = Duration::from_millis(400);
-/// How long the gateway has for what a test waits for.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// A client's timeout for its request, in milliseconds.
+/// Maximum time that a test waits for an action of the gateway.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a client for its request, in milliseconds.
 const TIMEOUT_MS: u64 = 2900;
 pub const MIB: usize = 1024 * 1024;
 const NO_BODIES: [&str; 0] = [];
@@ -26,7 +27,7 @@
 /// A backend's reply that rejects the request.
 pub const BUSY: &str = "-BUSY\r\n";
 
-/// How a client's connection ends.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Disconnect {
     Fin,
@@ -43,7 +44,7 @@
         drop(client);
     }
 
-    /// The reason that the gateway logs.
+    /// Returns the code of the reason that the gateway logs.
     fn log_reason(self) -> &'static str {
         match self {
             Disconnect::Fin => "closed",
@@ -55,27 +56,29 @@
 /// Waits until the gateway has logged that a client disconnected in this way.
 pub fn wait_until_disconnect_is_logged(gateway: &TestGateway, disconnect: Disconnect) {
     let start = Instant::now();
-    let end = format!("ended: {}", disconnect.log_reason());
+    let line_end = format!("ended: {}", disconnect.log_reason());
     loop {
-        let line = gateway.log.recv_timeout(PATIENCE.saturating_sub(start.elapsed()));
-        let line = line.unwrap_or_else(|_| panic!("no {disconnect:?} is logged in {PATIENCE:?}"));
-        if line.contains("connection client") && line.ends_with(&end) {
+        let line = gateway.log.recv_timeout(WAIT_TIMEOUT.saturating_sub(start.elapsed()));
+        let line = line
+            .unwrap_or_else(|_| panic!("no {disconnect:?} of a client is logged within {WAIT_TIMEOUT:?}"));
+        if line.contains("connection client") && line.ends_with(&line_end) {
             return;
         }
     }
 }
 
-/// A request that must not be repeated, with this body.
+/// Encodes a non-idempotent request with this body.
 pub fn order(body: &str) -> String {
     let body = format!("${}\r\n{body}\r\n", body.len());
     request("order", TIMEOUT_MS).replace("$4\r\nbody\r\n", &body)
 }
 
 pub fn send_order(client: &mut TcpStream, body: &str) {
-    client.write_all(order(body).as_bytes()).expect("the gateway reads");
+    client.write_all(order(body).as_bytes()).expect("the gateway accepts input");
 }
 
-/// Writes until all is written or the socket has taken nothing for 0.3 s; returns the number of bytes that were written.
+/// Writes until all of the text is written or the socket has accepted nothing for 0.3 s; returns the number
+/// of bytes that were written.
 pub fn write_until_blocked(client: &mut TcpStream, text: &str) -> usize {
     client.set_nonblocking(true).expect("an open socket");
     let mut written = 0;
@@ -101,7 +104,7 @@
 }
 
 impl BackendConnection {
-    /// The next connection of the gateway, which must come in time.
+    /// Accepts the next connection of the gateway. Panics if there is none within `WAIT_TIMEOUT`.
     pub fn accept(listener: &TcpListener) -> BackendConnection {
         listener.set_nonblocking(true).expect("an open socket");
         let start = Instant::now();
@@ -115,21 +118,22 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
                 Err(error) => panic!("{error}"),
             }
-            assert!(start.elapsed() < PATIENCE, "the gateway does not connect in {PATIENCE:?}");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "the gateway did not connect within {WAIT_TIMEOUT:?}");
             sleep(TENTH_OF_A_SECOND / 20);
         }
     }
 
     pub fn new(stream: TcpStream) -> BackendConnection {
-        stream.set_read_timeout(Some(PATIENCE)).expect("an open socket");
-        stream.set_write_timeout(Some(PATIENCE)).expect("an open socket");
-        let reader = BufReader::new(stream.try_clone().expect("a second handle"));
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("an open socket");
+        stream.set_write_timeout(Some(WAIT_TIMEOUT)).expect("an open socket");
+        let reader = BufReader::new(stream.try_clone().expect("the socket handle is duplicated"));
         BackendConnection { reader, writer: stream }
     }
 
-    /// The body of the next command.
+    /// Returns the body of the next command.
     pub fn next_body(&mut self) -> String {
-        let items = read_command(&mut self.reader).expect("a command").expect("not the end");
+        let items =
+            read_command(&mut self.reader).expect("a complete command").expect("the connection is open");
         items[4].clone()
     }
 
@@ -141,21 +145,23 @@
         self.writer.write_all(text.as_bytes()).expect("an open connection");
     }
 
-    /// The bodies of all commands until the end, or until nothing has arrived for a while. Panics if a command is incomplete.
+    /// Returns the bodies of all commands until the connection ends, or until nothing has arrived for
+    /// `OBSERVATION_TIME`. Panics if a command is incomplete.
     pub fn remaining_bodies(&mut self) -> Vec<String> {
         self.writer.set_read_timeout(Some(OBSERVATION_TIME)).expect("an open socket");
         let (mut received, mut buffer) = (vec![], vec![0; 65_536]);
         while let Ok(length @ 1..) = self.reader.read(&mut buffer) {
             received.extend_from_slice(&buffer[..length]);
         }
-        self.writer.set_read_timeout(Some(PATIENCE)).expect("an open socket");
+        self.writer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("an open socket");
         let mut rest = &received[..];
-        let next = || read_command(&mut rest).expect("a complete command").map(|items| items[4].clone());
-        std::iter::from_fn(next).collect()
+        let next_body = || read_command(&mut rest).expect("a complete command").map(|items| items[4].clone());
+        std::iter::from_fn(next_body).collect()
     }
 }
 
-/// A backend that sends a reply when the test says so, one request at a time over all its connections.
+/// A backend that sends each reply when the test triggers it. It handles one request at a time over all its
+/// connections.
 pub struct ControlledBackend {
     bodies: Receiver<String>,
     replies: Sender<&'static str>,
@@ -170,8 +176,11 @@
             let mut connection = BackendConnection::new(stream);
             connection.writer.set_read_timeout(None)?;
             while let Some(items) = read_command(&mut connection.reader)? {
-                let _ = body_sender.send(items[4].clone()); // the test may be over
-                let Ok(reply) = next_reply.lock().expect("no panic").recv() else { return Ok(()) };
+                let _ = body_sender.send(items[4].clone()); // fails if the test is over
+                let Ok(reply) = next_reply.lock().expect("no thread panics while it holds the lock").recv()
+                else {
+                    return Ok(());
+                };
                 connection.reply(reply);
             }
             Ok(())
@@ -179,19 +188,19 @@
         ControlledBackend { bodies, replies }
     }
 
-    /// The body of the next command.
+    /// Returns the body of the next command.
     pub fn next_body(&self) -> String {
-        self.bodies.recv_timeout(PATIENCE).expect("the gateway forwards a request")
+        self.bodies.recv_timeout(WAIT_TIMEOUT).expect("the gateway forwards a request")
     }
 
-    /// The body of the next command; `None` if there is none in this time.
+    /// Returns the body of the next command; `None` if there is none within this time.
     pub fn body_within(&self, time: Duration) -> Option<String> {
         self.bodies.recv_timeout(time).ok()
     }
 
-    /// Replies to the oldest request that waits for it. Once the backend is dropped, each request fails.
+    /// Replies to the oldest unanswered request. Once the backend is dropped, each request fails.
     pub fn reply(&self, text: &'static str) {
-        self.replies.send(text).expect("the backend runs");
+        self.replies.send(text).expect("the backend is running");
     }
 }
 
@@ -199,8 +208,9 @@
     configuration
 }
 
-/// The configuration with long timeouts for all but the clients, and without an effective quota. On a busy machine a late answer of
-/// the counter would make the gateway open another connection to it, for which the tests with few descriptors have none.
+/// Returns the configuration with long timeouts for all but the clients, and with a quota that is never
+/// exhausted. With the usual timeout, a late response of the counter on a busy machine would make the gateway
+/// open another connection to it, for which the tests with few descriptors have no descriptor.
 fn with_long_timeouts(configuration: &str) -> String {
     configuration
         .replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
@@ -209,7 +219,7 @@
         .replace("\"counter_timeout_us\": 80000", "\"counter_timeout_us\": 2000000")
 }
 
-/// An instance that knows one backend from the start.
+/// Starts an instance with one backend in its initial endpoint list.
 pub fn gateway_with_backend(
     name: &str,
     address: SocketAddr,
@@ -219,26 +229,26 @@
     let (list_service, list_service_address) = free_listener();
     serve_endpoints(list_service, &[backend]);
     start_gateway(name, list_service_address, |configuration| {
-        change(with_known_backends(&with_long_timeouts(&configuration), &[backend]))
+        change(with_initial_backends(&with_long_timeouts(&configuration), &[backend]))
     })
 }
 
-/// Starts an instance, and waits until the log has the end of the connection that was opened to see whether it listens. The next
-/// disconnect in the log is one of the test's clients.
+/// Starts an instance, and waits until it has logged the end of the connection that checked whether it
+/// listens. The next disconnect in the log is that of a client of the test.
 fn start_gateway(name: &str, list_service: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
     let gateway = TestGateway::start(&format!("leave-{name}"), list_service, change);
     wait_until_disconnect_is_logged(&gateway, Disconnect::Fin);
     gateway
 }
 
-/// The addresses of a backend that drains and of the one that takes its place.
+/// Addresses of a backend that drains and of the backend that replaces it.
 pub struct BackendReplacement {
     pub first: SocketAddr,
     pub second: SocketAddr,
 }
 
-/// An instance that knows the first backend. The channel makes the list service notify it that the first one drains and the
-/// second one is ready.
+/// Starts an instance with the first backend in its initial endpoint list. A message on the channel makes the
+/// list service report that the first backend drains and the second one serves.
 pub fn gateway_with_replaced_backend(
     name: &str,
     replacement: BackendReplacement,
@@ -252,19 +262,22 @@
     let (list_service, list_service_address) = free_listener();
     let notify = serve_controlled_watch(list_service, watch_event);
     let gateway = start_gateway(name, list_service_address, |configuration| {
-        change(with_known_backends(&with_long_timeouts(&configuration), &[first]))
+        change(with_initial_backends(&with_long_timeouts(&configuration), &[first]))
     });
     (gateway, notify)
 }
 
-/// A list service that sends this watch event each time the test says so.
+/// Starts a list service that sends this watch event for each message on the returned channel.
 fn serve_controlled_watch(listener: TcpListener, watch_event: String) -> Sender<()> {
-    let (notify, notified) = channel();
-    let notified = Arc::new(Mutex::new(notified));
+    let (notify, notifications) = channel();
+    let notifications = Arc::new(Mutex::new(notifications));
     serve_connections(listener, move |stream| {
         let (mut reader, mut writer) = (BufReader::new(stream.try_clone()?), stream);
         while read_target(&mut reader)?.is_some() {
-            let Ok(()) = notified.lock().expect("no panic").recv() else { return Ok(()) };
+            let Ok(()) = notifications.lock().expect("no thread panics while it holds the lock").recv()
+            else {
+                return Ok(());
+            };
             write_ok(&mut writer, &watch_event)?;
         }
         Ok(())
@@ -272,7 +285,8 @@
     notify
 }
 
-/// Accepts every connection that is pending or attempted again, which takes a second, and checks that nothing is written to it.
+/// Accepts every connection that is pending or whose attempt is retransmitted, which takes a second, and
+/// asserts that nothing is written to it.
 pub fn assert_nothing_is_written(mut backend: FullBacklogBackend, disconnect: Disconnect) {
     backend.free_backlog();
     backend.listener.set_nonblocking(true).expect("an open socket");
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -14,7 +14,7 @@
 mod common;
 use common::example_servers::{self, read_command, read_target, request, serve_connections, write_ok};
 use common::{
-    endpoint_list, free_listener, read_reply, read_to_end, serve_endpoints, with_known_backends,
+    endpoint_list, free_listener, read_reply, read_to_end, serve_endpoints, with_initial_backends,
     FullBacklogBackend, ListedBackend, TestGateway, PING,
 };
 
@@ -42,7 +42,7 @@
     let (list_service, list_service_address) = free_listener();
     serve_endpoints(list_service, &[backend]);
     TestGateway::start(name, list_service_address, |configuration| {
-        change(with_known_backends(&configuration, &[backend]))
+        change(with_initial_backends(&configuration, &[backend]))
     })
 }
 
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -9,7 +9,7 @@
 
 mod common;
 use common::example_servers::{read_command, read_reply, request, serve_connections};
-use common::{free_listener, serve_endpoints, with_known_backends, ListedBackend, TestGateway, PING};
+use common::{free_listener, serve_endpoints, with_initial_backends, ListedBackend, TestGateway, PING};
 
 const VALUE_LENGTH: usize = 4 * 1024 * 1024;
 /// The part of the value that the backend writes at once.
@@ -46,7 +46,7 @@
         let (list_service, list_service_address) = free_listener();
         serve_endpoints(list_service, &[backend]);
         let gateway = TestGateway::start(&format!("stalled-{name}"), list_service_address, |configuration| {
-            with_known_backends(&configuration, &[backend])
+            with_initial_backends(&configuration, &[backend])
         });
         StalledStream { gateway, write_rest }
     }
