--- a/gateway/tests/backlog.rs
+++ b/gateway/tests/backlog.rs
@@ -1,16 +1,17 @@
-//! What is buffered of commands that arrive faster than they may be accepted.
+//! The undecoded input of a connection: which commands are buffered and which are dropped when they arrive
+//! faster than they are accepted.
 use quillramp_gateway::state::backlog::{Backlog, Rejection, MAX_DROPPED_COMMANDS};
 use quillramp_gateway::wire::resp::{command_extent, decode_command, Extent};
 
-/// The bytes by which a buffer grows.
+/// Number of bytes by which a buffer grows.
 const GROWTH_STEP: usize = 1024;
 
-fn command_with_body(body: usize) -> Vec<u8> {
+fn command_with_body(body_length: usize) -> Vec<u8> {
     let head = "*5\r\n$9\r\nCALL.POST\r\n$16\r\n0000000000000001\r\n$16\r\n0000000000000002\r\n$3\r\nc=x\r\n";
-    format!("{head}${body}\r\n{}\r\n", "b".repeat(body)).into_bytes()
+    format!("{head}${body_length}\r\n{}\r\n", "b".repeat(body_length)).into_bytes()
 }
 
-/// How many dropped commands are rejected now.
+/// Takes all rejections of dropped commands that are due; returns their number.
 fn rejected_count(backlog: &mut Backlog) -> usize {
     std::iter::repeat_with(|| backlog.next_rejection())
         .take_while(|rejection| *rejection == Some(Rejection::Command))
@@ -25,13 +26,13 @@
         b"*1\r\n$4\r\nPING\r\n".to_vec(),
         b"*0\r\n".to_vec(),
     ] {
-        let length = decode_command(&text).expect("valid framing").expect("complete").length;
+        let length = decode_command(&text).expect("valid framing").expect("a complete command").length;
         assert_eq!(command_extent(&text), Ok(Extent::Complete(length)));
         for cut in 0..text.len().min(200) {
             let extent = command_extent(&text[..cut]).expect("valid framing");
             assert!(
                 extent == Extent::Unknown || extent == Extent::Missing(text.len() - cut),
-                "{cut}: {extent:?}"
+                "cut after {cut} bytes: {extent:?}"
             );
         }
     }
@@ -47,20 +48,20 @@
 
 #[test]
 fn complete_commands_are_buffered_and_later_ones_dropped_in_pieces_of_any_size() {
-    let all = [
+    let commands = [
         command_with_body(3),
         command_with_body(70_000),
         b"*1\r\n$4\r\nPING\r\n".to_vec(),
         command_with_body(5),
     ]
     .concat();
-    for piece in [1, 7, 4096, 100_000] {
+    for piece_length in [1, 7, 4096, 100_000] {
         let mut backlog = Backlog::default();
         backlog.extend(&command_with_body(3), GROWTH_STEP);
         backlog.extend(&command_with_body(9)[..20], GROWTH_STEP);
         backlog.start_dropping();
         backlog.extend(&command_with_body(9)[20..], GROWTH_STEP);
-        for bytes in all.chunks(piece) {
+        for bytes in commands.chunks(piece_length) {
             backlog.extend(bytes, GROWTH_STEP);
             assert!(backlog.len() < 70_000, "{} bytes are buffered", backlog.len());
         }
@@ -70,7 +71,7 @@
                 && !backlog.try_stop_dropping()
         );
         backlog.consume(command_with_body(3).len());
-        assert_eq!(rejected_count(&mut backlog), 5, "in pieces of {piece}");
+        assert_eq!(rejected_count(&mut backlog), 5, "in pieces of {piece_length} bytes");
         assert!(backlog.try_stop_dropping() && backlog.is_empty());
         backlog.extend(&command_with_body(2), GROWTH_STEP);
         assert_eq!(backlog.decodable(), command_with_body(2));
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn malformed_input_behind_dropped_commands_is_decoded_in_its_turn() {
+fn malformed_input_after_dropped_commands_is_decoded_in_order() {
     let mut backlog = Backlog::default();
     backlog.extend(&command_with_body(1), GROWTH_STEP);
     backlog.start_dropping();
--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -14,12 +14,13 @@
 
 fn empty_directory(name: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("broker-{name}"));
-    let _ = std::fs::remove_dir_all(&directory); // there is none if the last run succeeded
-    std::fs::create_dir_all(&directory).expect("a directory");
+    let _ = std::fs::remove_dir_all(&directory); // fails if there is none from an earlier run
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     directory
 }
 
-/// An operator file with a contract for each team, which may send requests of the customer with its number.
+/// Returns an operator file with a contract for each team, which may send requests of the customer with the
+/// team's number.
 fn contracts_with_rate(rate: f64) -> String {
     let mut text = format!("[broker]\ncapacity = {}\nstrangers = \"refuse\"\n", rate * 25.0);
     for team in 0..TEAMS {
@@ -32,7 +33,8 @@
     text
 }
 
-/// Two instances with this operator file: the variant `flooded`, and `calm`, which is spared the experiment's flood.
+/// Returns an experiment with two instances that have this operator file. The flood, if there is one, affects
+/// the variant `flooded` and not the variant `calm`.
 fn experiment(operator_file: &Path, seconds: f64, flood_or_faults: &str) -> Experiment {
     let program = env!("CARGO_BIN_EXE_quillramp");
     let text = format!(
@@ -45,7 +47,7 @@
     Experiment::read(&text).expect("a valid experiment")
 }
 
-/// Requests of some customers.
+/// Numbers of requests of some customers.
 struct RequestCounts {
     sent: usize,
     succeeded: usize,
@@ -63,38 +65,42 @@
     result.rows.iter().filter(|row| row.outcome == outcome).count()
 }
 
-/// One team sends 300 requests a second besides its usual five. The others send the same requests in both runs.
+/// Guards against a flood that affects other teams: one team sends 300 requests a second besides its usual
+/// five. The others send the same requests in the run with the flood and in the run without it.
 #[test]
 fn a_team_that_floods_does_not_affect_the_others() {
     let directory = empty_directory("flood");
     let operator_file = directory.join("operator.toml");
-    std::fs::write(&operator_file, contracts_with_rate(16.0)).expect("a file");
+    std::fs::write(&operator_file, contracts_with_rate(16.0)).expect("the operator file is written");
     let flood = "[traffic.flood]\ncustomer = 0\nrate = 300.0\nfrom = 0.5\n";
     let experiment = experiment(&operator_file, 6.0, flood);
     let run = |variant: usize| run_variant(&experiment, &experiment.variants[variant], 0, &directory);
     let [flooded, calm] = [0, 1].map(|variant| run(variant).expect("the run succeeds"));
-    std::fs::remove_dir_all(&directory).expect("the directory of this test");
+    std::fs::remove_dir_all(&directory).expect("the directory of this test is removed");
 
     let others = |result: &RunResult| RequestCounts::of(result, |row| row.customer != FLOODING_TEAM);
     let (others_flooded, others_calm) = (others(&flooded), others(&calm));
-    assert_eq!(others_flooded.sent, others_calm.sent, "the same requests");
+    assert_eq!(others_flooded.sent, others_calm.sent, "the other teams send the same requests in both runs");
     let (served_flooded, served_calm) = (others_flooded.succeeded as f64, others_calm.succeeded as f64);
     let difference = (served_flooded - served_calm).abs() / served_calm;
     assert!(difference < 0.02, "{served_flooded} served during the flood, {served_calm} without it");
     let sent_calm = others_calm.sent as f64;
-    assert!(served_calm > 0.98 * sent_calm, "{served_calm} of {sent_calm}, all within the contracts");
+    assert!(
+        served_calm > 0.98 * sent_calm,
+        "{served_calm} of {sent_calm} served without the flood, all within the contracts"
+    );
 
     let flooding = RequestCounts::of(&flooded, |row| row.customer == FLOODING_TEAM);
     let RequestCounts { sent, succeeded } = flooding;
     assert!(
         sent > 1200 && succeeded * 4 < sent,
-        "{succeeded} of {sent}: the flooding team has its contract and what it may borrow"
+        "{succeeded} of {sent} served, expected the contract of the flooding team and what it may borrow"
     );
     assert_eq!((flooded.summary.duplicates, flooded.summary.died), (0, 0));
     assert_eq!(count(&flooded, Outcome::NoAnswer), 0);
 }
 
-/// Fifty reloads, in both instances in turn.
+/// Returns the faults for fifty reloads, of both instances in turn.
 fn reloads() -> String {
     let mut faults = String::new();
     for i in 0..50 {
@@ -104,7 +110,7 @@
     faults
 }
 
-/// Replaces a file by these versions in turn until the run is over.
+/// Replaces a file with these versions in turn until the run is over.
 fn replace_until(run_is_over: &AtomicBool, file: &Path, versions: &[String]) {
     let new_file = file.with_file_name("new.toml");
     for version in versions.iter().cycle() {
@@ -112,18 +118,19 @@
             return;
         }
         // Renaming replaces the file atomically.
-        std::fs::write(&new_file, version).expect("a file");
-        std::fs::rename(&new_file, file).expect("a file");
+        std::fs::write(&new_file, version).expect("the file is written");
+        std::fs::rename(&new_file, file).expect("the operator file is replaced");
         sleep(Duration::from_millis(40));
     }
 }
 
-/// Each request is answered, and no attempt is repeated.
+/// Guards against requests that are not answered, and attempts that are repeated, when contracts change under
+/// load.
 #[test]
 fn contracts_that_change_under_load_lose_no_request() {
     let directory = empty_directory("changes");
     let operator_file = directory.join("operator.toml");
-    std::fs::write(&operator_file, contracts_with_rate(16.0)).expect("a file");
+    std::fs::write(&operator_file, contracts_with_rate(16.0)).expect("the operator file is written");
     let experiment = experiment(&operator_file, 3.0, &reloads());
     let run_is_over = AtomicBool::new(false);
     let result = std::thread::scope(|scope| {
@@ -140,9 +147,9 @@
         run_is_over.store(true, Ordering::Relaxed);
         result.expect("the run succeeds")
     });
-    std::fs::remove_dir_all(&directory).expect("the directory of this test");
+    std::fs::remove_dir_all(&directory).expect("the directory of this test is removed");
     assert_eq!((result.summary.duplicates, result.summary.died), (0, 0));
     assert_eq!((count(&result, Outcome::NoAnswer), count(&result, Outcome::NotConnected)), (0, 0));
     let (succeeded, sent) = (count(&result, Outcome::Succeeded), result.rows.len());
-    assert!(succeeded * 10 > sent * 9, "{succeeded} of {sent}");
+    assert!(succeeded * 10 > sent * 9, "{succeeded} of {sent} succeeded");
 }
--- a/gateway/tests/client_disconnects/paused_client.rs
+++ b/gateway/tests/client_disconnects/paused_client.rs
@@ -87,7 +87,7 @@
 /// Length of the first part of that body.
 const FIRST_PART_LENGTH: usize = 400_000;
 
-/// Connects a client that has sent the first part of a long body, for which it takes all the memory.
+/// Connects a client and sends the first part of a long body, which takes all the memory for long bodies.
 fn client_that_takes_all_memory(gateway: &TestGateway) -> TcpStream {
     let mut client = gateway.connect();
     let order = partial_order(MEMORY_FILLING_BODY_LENGTH, FIRST_PART_LENGTH);
@@ -128,7 +128,11 @@
         let mut first_client = client_that_takes_all_memory(&gateway);
         let mut client = gateway.connect();
         let order = order(&"y".repeat(MIB));
-        assert_eq!(write_until_blocked(&mut client, &order), order.len(), "the socket buffers hold it");
+        assert_eq!(
+            write_until_blocked(&mut client, &order),
+            order.len(),
+            "the socket buffers hold the order"
+        );
         disconnect.close(client);
         sleep(2 * TENTH_OF_A_SECOND);
         let rest = "x".repeat(MEMORY_FILLING_BODY_LENGTH - FIRST_PART_LENGTH) + "\r\n";
--- a/gateway/tests/client_disconnects/shared_connection.rs
+++ b/gateway/tests/client_disconnects/shared_connection.rs
@@ -73,7 +73,7 @@
 /// Guards against a request that is sent for a client which has disconnected: it waited in a connection's
 /// write buffer and was written although the client had disconnected before any byte of it was written.
 #[test]
-fn a_request_in_an_write_buffer_is_withdrawn_when_its_client_disconnects() {
+fn a_request_in_a_write_buffer_is_withdrawn_when_its_client_disconnects() {
     for disconnect in Disconnect::ALL {
         let (backend, address) = listener_with_small_buffer();
         let gateway = gateway_with_backend(&format!("buffer-{disconnect:?}"), address, with_few_descriptors);
@@ -107,7 +107,7 @@
 
 /// Guards against the same fault with a retry, after the request was rejected on the same connection.
 #[test]
-fn a_retry_in_an_write_buffer_is_withdrawn_when_the_client_disconnects() {
+fn a_retry_in_a_write_buffer_is_withdrawn_when_the_client_disconnects() {
     for disconnect in Disconnect::ALL {
         let (backend, address) = listener_with_small_buffer();
         let gateway =
@@ -131,7 +131,7 @@
 /// was written although the backend was listed as draining before any byte of it was written. As it has not
 /// run, it is forwarded to another backend although it is non-idempotent.
 #[test]
-fn a_request_in_an_write_buffer_is_forwarded_elsewhere_when_its_backend_drains() {
+fn a_request_in_a_write_buffer_is_forwarded_elsewhere_when_its_backend_drains() {
     let ((backend, first), (second_listener, second)) = (listener_with_small_buffer(), free_listener());
     let second_backend = ControlledBackend::start(second_listener);
     let replacement = BackendReplacement { first, second };
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -60,7 +60,7 @@
 
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // fails if the process has exited
+        let _ = self.child.kill(); // the process may have exited already
         let _ = self.child.wait();
     }
 }
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -1,7 +1,7 @@
-//! Pairs of events that race with each other, at a gateway on loopback. Each test forces the unfavourable order: the gateway
-//! process is paused by a signal until both events are there, the backlog of a backend is full until the backend is to be
-//! connected, or a reply is held back until something has been observed. docs/crossings.md lists what is tested here and what
-//! else was examined.
+//! Races between two events at a gateway on loopback. Each test forces the unfavourable order: it pauses the
+//! gateway process with a signal until both events have occurred, keeps the backlog of a backend full until
+//! the connection is to be established, or delays a reply until it has observed an event. docs/crossings.md
+//! lists the races that are tested here and the others that were examined.
 use nix::sys::signal::Signal;
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -20,23 +20,23 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const TENTH_OF_A_SECOND: Duration = Duration::from_millis(100);
-/// What a client is answered by the example backend `a` for an `order`.
+/// Reply of the example backend `a` to an `order`.
 const ORDER_REPLY: &str = "a order body";
 
-/// A backend that never replies. Returns a channel that receives each complete command.
+/// Starts a backend that never replies; returns a channel that receives each complete command.
 fn unresponsive_backend(listener: TcpListener) -> Receiver<Vec<String>> {
     let (sender, commands) = channel();
     serve_connections(listener, move |stream| {
         let mut reader = BufReader::new(stream);
         while let Some(items) = read_command(&mut reader)? {
-            let _ = sender.send(items); // the test may be over
+            let _ = sender.send(items); // fails if the test is over
         }
         Ok(())
     });
     commands
 }
 
-/// An instance that knows one backend from the start.
+/// Starts an instance with one backend in its initial endpoint list.
 fn gateway_with_backend(name: &str, address: SocketAddr, change: impl Fn(String) -> String) -> TestGateway {
     let backend = ListedBackend { name: "a", address };
     let (list_service, list_service_address) = free_listener();
@@ -50,30 +50,32 @@
     configuration
 }
 
-/// Connecting to a backend may take long.
+/// Returns the configuration with a long timeout for connecting to a backend.
 fn with_long_connect_timeout(configuration: String) -> String {
     configuration.replace("\"dial_timeout_us\": 250000", "\"dial_timeout_us\": 5000000")
 }
 
-/// The latency objective of an `order` leaves time for a retry late in the test.
+/// Returns the configuration with a latency objective for `order` that leaves time for a retry late in the
+/// test.
 fn with_long_latency_objective(configuration: String) -> String {
     configuration.replace("\"aim_us\": 1000000", "\"aim_us\": 2900000")
 }
 
 fn send_request(client: &mut TcpStream, operation: &str, timeout_ms: u64) {
-    client.write_all(request(operation, timeout_ms).as_bytes()).expect("the gateway reads");
+    client.write_all(request(operation, timeout_ms).as_bytes()).expect("the gateway accepts input");
 }
 
-/// Ends a connection at this moment. Dropping it may take until a process that another test is just starting has reached its exec:
-/// until then, that process has a copy of the descriptor.
-fn close_now(connection: &TcpStream) {
+/// Closes a connection immediately. Dropping it is not enough: a process that another test is starting has a
+/// copy of the descriptor until its exec.
+fn close_immediately(connection: &TcpStream) {
     connection.shutdown(Shutdown::Both).expect("an open connection");
 }
 
 // ======== shutdown
 
-/// Guards: the process exited 0.5 s after the longest timeout of a client, and after 3 s at the least. The kill comes 0.7 s
-/// after that timeout, and after 3 s at the most. With short timeouts, late requests were not answered.
+/// Guards against late requests that are not answered before the process is killed. The process exited 0.5 s
+/// after the longest timeout of a client, but after at least 3 s. The kill follows 0.7 s after that timeout,
+/// but after at most 3 s, which is too early for that exit if the timeouts are short.
 #[test]
 fn with_short_timeouts_every_request_is_answered_before_the_kill() {
     let (backend, address) = free_listener();
@@ -88,8 +90,8 @@
     commands.recv_timeout(5 * SECOND).expect("the request is forwarded");
     let signalled_at = Instant::now();
     gateway.signal(Signal::SIGTERM);
-    // The connection stays open because an answer is due. More requests arrive on it; the timeout of the last one ends after the
-    // kill.
+    // The connection stays open because a reply is pending. More requests arrive on it; the timeout of the
+    // last one ends after the kill.
     sleep(4 * TENTH_OF_A_SECOND);
     send_request(&mut client, "order", 1000);
     sleep(6 * TENTH_OF_A_SECOND);
@@ -100,7 +102,7 @@
     assert_eq!(replies.matches("-ERR failed").count(), 3, "{replies}");
     assert!(
         last_answered_after < 8 * TENTH_OF_A_SECOND,
-        "the last one was answered after {last_answered_after:?}"
+        "the last request was answered after {last_answered_after:?}"
     );
     assert!(
         gateway.exit_code() == Some(0) && signalled_at.elapsed() < 3 * SECOND,
@@ -109,7 +111,8 @@
     );
 }
 
-/// Guards: with timeouts over 3 s, requests in flight at the kill were not answered, because the exit came after it.
+/// Guards against requests in flight that are not answered before the process is killed: with timeouts over 3
+/// s, the process would have exited only after the kill.
 #[test]
 fn with_long_timeouts_every_request_is_answered_before_the_kill() {
     let (backend, address) = free_listener();
@@ -135,39 +138,42 @@
 
 // ======== list watches
 
-/// Guards: a fetch of the complete endpoint list, which the service answers at once, had the timeout of a watch: a new process,
-/// or one with a new configuration, had no list for 5.4 s if its first connection was unresponsive.
+/// Guards against a long time without an endpoint list: a fetch of the complete list, which the service
+/// answers at once, had the timeout of a watch. A new process, or one with a new configuration, had no list
+/// for 5.4 s if its first connection was unresponsive.
 #[test]
-fn a_first_fetch_of_the_endpoint_list_that_is_not_answered_is_repeated_at_once() {
+fn an_unanswered_first_fetch_of_the_endpoint_list_is_repeated_at_once() {
     let (list_service, address) = free_listener();
     serve_endpoints(list_service, &[ListedBackend { name: "a", address }]);
     // After SIGHUP the gateway fetches the complete list from the new address.
     let (new_list_service, new_address) = free_listener();
     let gateway = TestGateway::start("first", address, unchanged);
-    let configuration = std::fs::read_to_string(&gateway.configuration_file).expect("the configuration");
+    let configuration =
+        std::fs::read_to_string(&gateway.configuration_file).expect("the configuration file is read");
     let configuration = configuration.replace(&address.to_string(), &new_address.to_string());
-    std::fs::write(&gateway.configuration_file, configuration).expect("a file");
+    std::fs::write(&gateway.configuration_file, configuration).expect("the configuration file is written");
     gateway.signal(Signal::SIGHUP);
-    let (unresponsive, _) = new_list_service.accept().expect("the first call");
+    let (unresponsive, _) = new_list_service.accept().expect("the gateway sends the first call");
     let start = Instant::now();
-    let (second, _) = new_list_service.accept().expect("the second call");
+    let (second, _) = new_list_service.accept().expect("the gateway sends the second call");
     assert!(start.elapsed() < 3 * SECOND, "{:?}", start.elapsed());
-    let target = read_target(&mut BufReader::new(second)).expect("a call");
+    let target = read_target(&mut BufReader::new(second)).expect("the gateway sends a call");
     assert_eq!(target.as_deref(), Some("/v1/endpoints"));
     drop(unresponsive);
 }
 
-/// A list service that answers the first call only. Returns a channel that receives the time of each call.
+/// Starts a list service that answers only the first call; returns a channel that receives the time of each
+/// call.
 fn list_service_that_answers_once(listener: TcpListener, endpoint_list: String) -> Receiver<Instant> {
     let (sender, calls) = channel();
     let is_first = Arc::new(AtomicBool::new(true));
     serve_connections(listener, move |stream| {
         let (mut reader, mut writer) = (BufReader::new(stream.try_clone()?), stream);
         while read_target(&mut reader)?.is_some() {
-            let _ = sender.send(Instant::now()); // the test may be over
+            let _ = sender.send(Instant::now()); // fails if the test is over
             if is_first.swap(false, Ordering::Relaxed) {
                 write_ok(&mut writer, &endpoint_list)?;
-                read_target(&mut reader)?; // the watch: its connection is closed
+                read_target(&mut reader)?; // the watch, whose connection is then closed
                 return Ok(());
             }
         }
@@ -176,27 +182,29 @@
     calls
 }
 
-/// Guards: after four calls that were not answered, none was in flight for 1 to 3 s. What an unresponsive service learns once it
-/// responds again counts as notified at once, and a backend that drained by then still got new attempts.
+/// Guards against new attempts at a backend that drained during an outage of the list service: after four
+/// unanswered calls, none was in flight for 1 to 3 s. A change counts as reported to the gateway as soon as
+/// the service responds again, even if no call is in flight that could return it.
 #[test]
 fn a_call_is_always_in_flight_while_the_list_service_is_unresponsive() {
     let (list_service, address) = free_listener();
     let listed = endpoint_list(&[ListedBackend { name: "a", address }]);
     let calls = list_service_that_answers_once(list_service, listed);
     let _gateway = TestGateway::start("silent", address, unchanged);
-    let mut previous = calls.recv_timeout(5 * SECOND).expect("the first call");
+    let mut previous = calls.recv_timeout(5 * SECOND).expect("the gateway sends the first call");
     for call in 2..12 {
-        let next = calls.recv_timeout(5 * SECOND).expect("a further call");
+        let next = calls.recv_timeout(5 * SECOND).expect("the gateway sends a further call");
         let interval = next - previous;
-        assert!(interval < 9 * TENTH_OF_A_SECOND, "call {call} came {interval:?} after the one before");
+        assert!(interval < 9 * TENTH_OF_A_SECOND, "call {call} was sent {interval:?} after the previous one");
         previous = next;
     }
 }
 
 // ======== retries
 
-/// Guards: a connection that was established and ended in the same batch of events counted as broken during an attempt that had
-/// never been written to it, and a request that must not be repeated failed.
+/// Guards against a request that fails although it could be retried: a connection that was established and
+/// ended in the same batch of events counted as broken during an attempt. The attempt had never been written
+/// to it, but its non-idempotent request failed.
 #[test]
 fn a_request_is_retried_if_its_connection_ends_as_it_is_established() {
     let (mut backend, address) = FullBacklogBackend::new();
@@ -207,14 +215,15 @@
     send_request(&mut client, "order", 2900);
     backend.wait_for_connection_attempt();
     gateway.pause();
-    close_now(&backend.accept_pending());
+    close_immediately(&backend.accept_pending());
     example_servers::start_backend(backend.listener, "a");
     gateway.resume();
     assert_eq!(read_reply(&client), ORDER_REPLY);
 }
 
-/// Guards: the client disconnected and the connection for its attempt was established in the same batch of events. The attempt
-/// was written completely before the connection was closed, and the backend ran it for nobody.
+/// Guards against an attempt that runs without a client: the client disconnected and the connection for its
+/// attempt was established in the same batch of events. The attempt was written completely before the
+/// connection was closed.
 #[test]
 fn a_request_that_is_cancelled_as_its_connection_is_established_is_not_written() {
     let (mut backend, address) = FullBacklogBackend::new();
@@ -224,27 +233,28 @@
     backend.wait_for_connection_attempt();
     gateway.pause();
     let mut connection = backend.accept_pending();
-    close_now(&client);
+    close_immediately(&client);
     gateway.resume();
     let mut received = vec![];
-    connection.read_to_end(&mut received).expect("an end, not a reset");
+    connection.read_to_end(&mut received).expect("the connection is closed without a reset");
     assert_eq!(String::from_utf8_lossy(&received), "", "written for a client that had disconnected");
 }
 
-/// Guards: a connection whose end had arrived together with a reply on it was chosen for the next attempt. Nothing was written
-/// to it, but the attempt counted as one that may have run, and a request that must not be repeated failed.
+/// Guards against a request that fails although it could be retried: a connection whose end had arrived
+/// together with a reply was chosen for the next attempt. Nothing was written to it, but the attempt counted
+/// as one that may have run, and its non-idempotent request failed.
 #[test]
 fn a_connection_that_ends_after_a_reply_is_not_used_for_the_next_attempt() {
     let (backend, address) = free_listener();
     let gateway = gateway_with_backend("answer-and-end", address, with_long_latency_objective);
     let mut client = gateway.connect();
     send_request(&mut client, "order", 2900);
-    let (mut connection, _) = backend.accept().expect("a connection");
+    let (mut connection, _) = backend.accept().expect("the gateway connects");
     let items = read_command(&mut BufReader::new(&connection));
-    assert!(items.expect("a command").is_some());
+    assert!(items.expect("a complete command").is_some());
     gateway.pause();
     connection.write_all(b"-BUSY\r\n").expect("an open connection");
-    close_now(&connection);
+    close_immediately(&connection);
     example_servers::start_backend(backend, "a");
     gateway.resume();
     assert_eq!(read_reply(&client), ORDER_REPLY);
@@ -252,10 +262,11 @@
 
 // ======== client disconnects
 
-/// Guards: nothing more was read from a client with 512 commands that are not answered, so that its end was not seen after what
-/// it had written. Each answer let the next commands be read and forwarded, seconds after the client had disconnected.
+/// Guards against an undetected disconnect: nothing more was read from a client with 512 unanswered commands,
+/// so that the end of its connection after them was not read. Each reply let the next commands be read and
+/// forwarded, seconds after the client had disconnected.
 #[test]
-fn a_disconnect_after_many_pipelined_commands_is_noticed() {
+fn a_disconnect_after_many_pipelined_commands_is_detected() {
     let (backend, address) = free_listener();
     let commands = unresponsive_backend(backend);
     let gateway = gateway_with_backend("behind", address, |configuration| {
@@ -263,46 +274,48 @@
     });
     let mut client = gateway.connect();
     let requests: String = (0..4000).map(|_| request("order", 2900)).collect();
-    client.write_all(requests.as_bytes()).expect("the socket buffers hold it");
-    commands.recv_timeout(5 * SECOND).expect("the first one is forwarded");
+    client.write_all(requests.as_bytes()).expect("the socket buffers hold it all");
+    commands.recv_timeout(5 * SECOND).expect("the first request is forwarded");
     let start = Instant::now();
     drop(client);
     gateway.wait_for_log_line("client 2 ended: closed");
-    assert!(start.elapsed() < 2 * SECOND, "noticed after {:?}", start.elapsed());
+    assert!(start.elapsed() < 2 * SECOND, "detected after {:?}", start.elapsed());
     while commands.try_recv().is_ok() {}
     let late_command = commands.recv_timeout(4 * TENTH_OF_A_SECOND);
     assert!(late_command.is_err(), "forwarded for a client that had disconnected");
 }
 
-/// Guards: the disconnect of a client that waited for memory for a long body was not noticed until there was memory.
+/// Guards against a late detection: the disconnect of a client that waited for memory for a long body was not
+/// detected until there was memory.
 #[test]
-fn a_disconnect_while_a_long_body_waits_for_memory_is_noticed() {
-    const BODY: usize = 900_000;
+fn a_disconnect_while_a_long_body_waits_for_memory_is_detected() {
+    const BODY_LENGTH: usize = 900_000;
     let (_backend, address) = free_listener();
     let gateway = gateway_with_backend("room", address, |configuration| {
         configuration.replace("\"memory_mb\": 192", "\"memory_mb\": 1")
     });
     let partial_request = |body_sent: usize| {
-        let head = request("order", 2900).replace("$4\r\nbody\r\n", &format!("${BODY}\r\n"));
+        let head = request("order", 2900).replace("$4\r\nbody\r\n", &format!("${BODY_LENGTH}\r\n"));
         head + &"x".repeat(body_sent)
     };
-    let mut holds_memory = gateway.connect();
-    holds_memory.write_all(partial_request(400_000).as_bytes()).expect("the socket buffers hold it");
-    let mut waits = gateway.connect();
-    waits.write_all(partial_request(100_000).as_bytes()).expect("the socket buffers hold it");
-    // Once another client has its answer, both have been read as far as the memory allows.
-    let mut other = gateway.connect();
-    other.write_all(PING).expect("the gateway reads");
-    assert_eq!(read_reply(&other), "+PONG");
+    let mut first_client = gateway.connect();
+    first_client.write_all(partial_request(400_000).as_bytes()).expect("the socket buffers hold it all");
+    let mut waiting_client = gateway.connect();
+    waiting_client.write_all(partial_request(100_000).as_bytes()).expect("the socket buffers hold it all");
+    // Once another client has its reply, both bodies have been read as far as the memory allows.
+    let mut other_client = gateway.connect();
+    other_client.write_all(PING).expect("the gateway accepts input");
+    assert_eq!(read_reply(&other_client), "+PONG");
     let start = Instant::now();
-    drop(waits);
+    drop(waiting_client);
     gateway.wait_for_log_line("client 3 ended: closed");
-    assert!(start.elapsed() < 2 * SECOND, "noticed after {:?}", start.elapsed());
+    assert!(start.elapsed() < 2 * SECOND, "detected after {:?}", start.elapsed());
 }
 
 // ======== idle connections
 
-/// Guards: an idle client connection was closed although a command had just arrived on it.
+/// Guards against a lost command: an idle client connection was closed although a command had just arrived on
+/// it.
 #[test]
 fn an_idle_connection_on_which_a_command_has_arrived_is_not_closed() {
     let (_backend, address) = free_listener();
@@ -310,7 +323,8 @@
     let mut client = gateway.connect();
     sleep(SECOND);
     gateway.pause();
-    // The check for idle connections is due first, then the command arrives; the gateway finds both when it is resumed.
+    // The check for idle connections is due first, then the command arrives; the gateway handles both when it
+    // is resumed.
     sleep(2 * SECOND);
     client.write_all(PING).expect("an open connection");
     gateway.resume();
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 fn directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("quillramp-fleet-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     directory
 }
 
@@ -140,15 +140,15 @@
         let runs = [0, 1].map(|index| {
             let variant = &experiment.variants[index];
             let run_directory = directory.join(&variant.name);
-            std::fs::create_dir_all(&run_directory).expect("a directory");
+            std::fs::create_dir_all(&run_directory).expect("the directory is created");
             let experiment = &experiment;
             threads.spawn(move || {
                 run_variant(experiment, variant, 0, &run_directory).expect("the run completes")
             })
         });
-        runs.map(|run| most_beyond_quota(&run.join().expect("no panic")))
+        runs.map(|run| most_beyond_quota(&run.join().expect("no thread panics while it holds the lock")))
     });
-    std::fs::remove_dir_all(&directory).expect("the directory of this test");
+    std::fs::remove_dir_all(&directory).expect("the directory of this test is removed");
     let bound = 3.0 * SMALL_BURST + SMALL_RATE * (SPLIT_INSTANCES * HEARTBEAT_INTERVAL + 1.0);
     assert!(
         with < bound && with < 0.6 * without,
--- a/gateway/tests/identity.rs
+++ b/gateway/tests/identity.rs
@@ -1,5 +1,5 @@
-//! Authenticated callers at a gateway on loopback: keys that are rotated under load, tokens that are revoked, and which requests
-//! each caller may send.
+//! Authenticated callers at a gateway on loopback: keys that are rotated under load, tokens that are revoked,
+//! and the requests that each caller may send.
 use common::example_servers::read_reply;
 use common::{
     empty_directory, example_configuration, gateway_command, start_listed_backend, start_services,
@@ -22,15 +22,15 @@
 mod issuer;
 
 const TEAMS: u64 = 4;
-/// The time between two versions of the set of keys: a minute, scaled down.
+/// Time between two versions of the set of keys, scaled down from a minute.
 const ROTATION_INTERVAL: Duration = Duration::from_millis(250);
 
 fn unix_time() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs_f64()
 }
 
-/// An operator file with these keys and revoked tokens, and with a contract for each team, which may send requests of the
-/// customer with its number.
+/// Returns an operator file with these keys and revoked tokens, and with a contract for each team, which may
+/// send requests of the customer with the team's number.
 fn operator_file(keys: &[&Signer], revoked_tokens: &[&str]) -> String {
     let mut text = String::from("[broker]\ncapacity = 100000\nstrangers = \"refuse\"\n");
     for team in 1..=TEAMS {
@@ -46,13 +46,14 @@
     text
 }
 
-fn token(signer: &Signer, team: u64, id: &str) -> String {
+/// Returns a token for this team that is valid for 60 s.
+fn issue_token(signer: &Signer, team: u64, id: &str) -> String {
     let expires_at = unix_time() + 60.0;
     let claims = json!({"iss": "i", "aud": "a", "sub": format!("t{team}"), "jti": id, "exp": expires_at});
     signer.token(&claims)
 }
 
-/// A request of this customer.
+/// Encodes a request of this customer.
 fn request(customer: u64) -> String {
     static NEXT_ID: AtomicU64 = AtomicU64::new(1);
     let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
@@ -70,16 +71,16 @@
 
 impl Client {
     fn connect(gateway: SocketAddr) -> Client {
-        let writer = TcpStream::connect(gateway).expect("the gateway accepts");
+        let writer = TcpStream::connect(gateway).expect("the gateway accepts the connection");
         writer.set_nodelay(true).expect("an open socket");
         writer.set_read_timeout(Some(Duration::from_secs(5))).expect("an open socket");
-        let reader = BufReader::new(writer.try_clone().expect("a second handle"));
+        let reader = BufReader::new(writer.try_clone().expect("the socket handle is duplicated"));
         Client { writer, reader }
     }
 
     fn exchange(&mut self, command: &str) -> String {
-        self.writer.write_all(command.as_bytes()).expect("the gateway reads");
-        read_reply(&mut self.reader).expect("a reply")
+        self.writer.write_all(command.as_bytes()).expect("the gateway accepts input");
+        read_reply(&mut self.reader).expect("the gateway replies")
     }
 
     fn authenticate(&mut self, token: &str) -> String {
@@ -110,8 +111,8 @@
             );
         let configuration_file = directory.join("configuration.json");
         let operator_file = directory.join("operator.toml");
-        std::fs::write(&configuration_file, configuration).expect("a file");
-        std::fs::write(&operator_file, operator_settings).expect("a file");
+        std::fs::write(&configuration_file, configuration).expect("the configuration file is written");
+        std::fs::write(&operator_file, operator_settings).expect("the operator file is written");
         let mut command = gateway_command(&configuration_file);
         command
             .env("EDGE_OPERATOR", operator_file)
@@ -130,38 +131,41 @@
     /// Replaces the operator file atomically and has it read again.
     fn reload_operator_file(&self, settings: &str) {
         let new_file = self.directory.join("new.toml");
-        std::fs::write(&new_file, settings).expect("a file");
-        std::fs::rename(&new_file, self.directory.join("operator.toml")).expect("a file");
+        std::fs::write(&new_file, settings).expect("the file is written");
+        std::fs::rename(&new_file, self.directory.join("operator.toml"))
+            .expect("the operator file is replaced");
         self.process.signal(Signal::SIGHUP);
     }
 
-    /// The figures of each contract.
+    /// Returns the usage of each contract, as reported to operators.
     fn contract_usage(&self) -> Value {
-        let mut stream = TcpStream::connect(self.admin_address).expect("the gateway accepts");
-        write!(stream, "GET /contracts HTTP/1.1\r\nHost: x\r\n\r\n").expect("the gateway reads");
+        let mut stream = TcpStream::connect(self.admin_address).expect("the gateway accepts the connection");
+        write!(stream, "GET /contracts HTTP/1.1\r\nHost: x\r\n\r\n").expect("the gateway accepts input");
         let mut response = String::new();
-        stream.read_to_string(&mut response).expect("the response ends");
-        let (_, body) = response.split_once("\r\n\r\n").expect("a body");
-        serde_json::from_str(body).expect("figures")
+        stream.read_to_string(&mut response).expect("the response is complete");
+        let (_, body) = response.split_once("\r\n\r\n").expect("the response has a body");
+        serde_json::from_str(body).expect("the body is JSON")
     }
 
     fn remove_directory(self) {
-        std::fs::remove_dir_all(&self.directory).expect("the directory of this test");
+        std::fs::remove_dir_all(&self.directory).expect("the directory of this test is removed");
     }
 }
 
-/// Keys of which the newest one signs, and whether the test is over.
+/// A rotation of signing keys while clients use them.
 struct KeyRotation {
     signers: Vec<Signer>,
+    /// Index of the signer of new tokens.
     newest: AtomicUsize,
     is_over: AtomicBool,
 }
 
 impl KeyRotation {
-    /// Replaces the keys one after another, while clients use them.
+    /// Replaces the keys one after another.
     fn run(&self, gateway: &Gateway) {
         for i in 1..self.signers.len() {
-            // A key is trusted before tokens are signed by it, and until the connections with tokens of it have ended.
+            // A key is trusted before tokens are signed with it, and until the connections with such tokens
+            // have ended.
             let trusted: Vec<&Signer> = self.signers[i.saturating_sub(2)..=i].iter().collect();
             gateway.reload_operator_file(&operator_file(&trusted, &[]));
             sleep(ROTATION_INTERVAL / 2);
@@ -171,19 +175,20 @@
         self.is_over.store(true, Ordering::Relaxed);
     }
 
-    /// Sends requests of its own customer and of another team's until the rotation is over, on a new connection with a token of
-    /// the newest key for every twenty of each. Returns how many were served.
+    /// Sends requests of the team's own customer and of another team's until the rotation is over, on a new
+    /// connection with a token of the newest key for every twenty of each. Returns the number of requests
+    /// that were served.
     fn run_client(&self, gateway: &Gateway, team: u64) -> u64 {
         let (mut served, mut connections) = (0, 0);
         while !self.is_over.load(Ordering::Relaxed) {
             let mut client = gateway.connect();
             connections += 1;
             let signer = &self.signers[self.newest.load(Ordering::Relaxed)];
-            let token = token(signer, team, &format!("{team}-{connections}"));
+            let token = issue_token(signer, team, &format!("{team}-{connections}"));
             assert_eq!(client.authenticate(&token), "+OK");
             for _ in 0..20 {
                 let reply = client.exchange(&request(team));
-                // A rejection because the backends are full has nothing to do with the caller.
+                // A request may also be rejected because the backends are saturated.
                 assert!(reply.contains("look") || reply.starts_with("-BUSY"), "team {team}: {reply}");
                 served += u64::from(reply.contains("look"));
                 let other_team = 1 + team % TEAMS;
@@ -195,7 +200,8 @@
     }
 }
 
-/// No valid caller is rejected, and no request is counted for another team.
+/// Guards against two faults while keys are rotated: a valid caller is rejected, or a request is counted for
+/// another team.
 #[test]
 fn while_keys_are_rotated_under_load_each_caller_is_served_as_itself() {
     let rotation = KeyRotation {
@@ -214,7 +220,7 @@
     let usage = gateway.contract_usage();
     for (team, served) in (1..).zip(&served) {
         assert_eq!(usage[format!("t{team}")]["taken"], json!(served), "{usage}");
-        assert!(*served > 100, "{served}");
+        assert!(*served > 100, "team {team}: {served} served");
     }
     gateway.remove_directory();
 }
@@ -227,7 +233,7 @@
     assert!(client.exchange(&request(1)).starts_with("-NOAUTH"));
     assert_eq!(client.authenticate("not.a.token"), "-WRONGPASS no token that can be read");
     let other_key_with_the_same_id = Signer::ed("k1", 9);
-    let token = token(&other_key_with_the_same_id, 1, "x");
+    let token = issue_token(&other_key_with_the_same_id, 1, "x");
     assert!(client.authenticate(&token).starts_with("-WRONGPASS the signature"));
     gateway.remove_directory();
 }
@@ -237,7 +243,11 @@
     let (revoked_key, valid_key) = (Signer::ed("k1", 1), Signer::ed("k2", 2));
     let gateway = Gateway::start("identity-revoked", &operator_file(&[&revoked_key, &valid_key], &[]));
     let mut clients = [(); 3].map(|()| gateway.connect());
-    let tokens = [token(&revoked_key, 1, "one"), token(&valid_key, 2, "two"), token(&valid_key, 3, "three")];
+    let tokens = [
+        issue_token(&revoked_key, 1, "one"),
+        issue_token(&valid_key, 2, "two"),
+        issue_token(&valid_key, 3, "three"),
+    ];
     for (client, token) in clients.iter_mut().zip(&tokens) {
         assert_eq!(client.authenticate(token), "+OK");
     }
@@ -252,7 +262,7 @@
     assert_eq!(clients[2].exchange(&request(3)), "-NOAUTH it is revoked");
     assert_eq!(gateway.connect().authenticate(&tokens[2]), "-WRONGPASS it is revoked");
     // Another token of the same team is accepted.
-    assert_eq!(clients[2].authenticate(&token(&valid_key, 3, "four")), "+OK");
+    assert_eq!(clients[2].authenticate(&issue_token(&valid_key, 3, "four")), "+OK");
     assert!(clients[2].exchange(&request(3)).contains("look"));
     gateway.remove_directory();
 }
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -23,7 +23,7 @@
 
 /// The exit code and the output of an instance that can't start with this configuration.
 fn startup_failure(file: &Path, configuration: &str) -> (Option<i32>, String) {
-    std::fs::write(file, configuration).expect("a file");
+    std::fs::write(file, configuration).expect("the file is written");
     let mut process = start_gateway(file);
     let output = process.read_log();
     (process.exit_code(), output)
@@ -57,7 +57,7 @@
             .replace("127.0.0.1:7400", &address.to_string())
             .replace("\"memory_mb\": 192", "\"memory_mb\": 1");
         let configuration_file = temporary_file(&format!("loopback-{name}.json"));
-        std::fs::write(&configuration_file, &configuration).expect("a file");
+        std::fs::write(&configuration_file, &configuration).expect("the configuration file is written");
         let process = start_gateway(&configuration_file);
         wait_until_ready(&[address]);
         SingleInstance { process, address, configuration_file, configuration, counter }
@@ -70,7 +70,7 @@
 
     /// Replaces the configuration file and has it read again.
     fn reload(&self, configuration: &str) {
-        std::fs::write(&self.configuration_file, configuration).expect("a file");
+        std::fs::write(&self.configuration_file, configuration).expect("the configuration file is written");
         self.process.signal(Signal::SIGHUP);
         sleep(Duration::from_millis(100));
     }
@@ -116,10 +116,10 @@
 /// Two clients leave partial commands in the buffers; returns the reply to a third one. Its connection and theirs are closed.
 fn exhaust_buffers(instance: &SingleInstance) -> String {
     let partial_command = format!("*5\r\n$9\r\nCALL.POST\r\n$60000\r\n{}", "x".repeat(50_000));
-    let connect = |_| TcpStream::connect(instance.address).expect("the gateway accepts");
+    let connect = |_| TcpStream::connect(instance.address).expect("the gateway accepts the connection");
     let mut clients: Vec<_> = (0..2).map(connect).collect();
     for client in &mut clients {
-        client.write_all(partial_command.as_bytes()).expect("the gateway reads");
+        client.write_all(partial_command.as_bytes()).expect("the gateway accepts input");
     }
     sleep(Duration::from_millis(100));
     instance.exchange(&partial_command, 1)
@@ -235,7 +235,7 @@
             .replace("127.0.0.1:7400", &address.to_string())
             .replace("\"slot_no\": 0", &format!("\"slot_no\": {slot}"));
         let file = temporary_file(&format!("mixed-{name}-{slot}.json"));
-        std::fs::write(&file, configuration).expect("a file");
+        std::fs::write(&file, configuration).expect("the file is written");
         self.processes.push(start_gateway(&file));
         self.addresses.push(address);
     }
--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator file: the commands that check and show it, and reloads of it under load.
+//! The operator file: the commands that check and show it, and reloads under load.
 use expect_test::{expect, Expect};
 use quillramp_load::experiment::Experiment;
 use quillramp_load::generator::Outcome;
@@ -9,9 +9,9 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-fn directory(name: &str) -> PathBuf {
+fn create_directory(name: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("operator-{name}"));
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     directory
 }
 
@@ -25,22 +25,26 @@
     run_quillramp(arguments).status.code()
 }
 
-/// Compares the exit code and the output of a command, in which paths are shortened to their file names.
+/// Compares the exit code and the output of a command with the expected ones; paths in the output are
+/// shortened to their file names.
 fn assert_output(arguments: &[&str], expected: Expect) {
     let output = run_quillramp(arguments);
     let mut text =
         String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
     for path in arguments.iter().filter(|argument| argument.contains('/')) {
-        let file_name = Path::new(path).file_name().expect("a file").to_string_lossy();
+        let file_name = Path::new(path).file_name().expect("the path ends in a file name").to_string_lossy();
         text = text.replace(path, &file_name);
     }
     expected.assert_eq(&format!("{}\n{text}", output.status.code().expect("an exit code")));
 }
 
-const VALID: &str = "[[class]]\nname = \"short\"\nattempts = 2\nper_try = 0.3\ntimeout = 0.9\n\n\
+/// A valid operator file.
+const VALID_OPERATOR_FILE: &str =
+    "[[class]]\nname = \"short\"\nattempts = 2\nper_try = 0.3\ntimeout = 0.9\n\n\
                      [[route]]\noperations = [\"look\"]\nclass = \"short\"\n";
 
-/// A valid operator file, one that conflicts with the configuration, and the configuration; removed at the end of the test.
+/// Paths of a valid operator file, of one that conflicts with the configuration, and of the configuration.
+/// The files are removed at the end of the test.
 struct CommandLineFiles {
     directory: PathBuf,
     valid: String,
@@ -50,15 +54,15 @@
 
 impl CommandLineFiles {
     fn create(name: &str) -> CommandLineFiles {
-        let directory = directory(name);
+        let directory = create_directory(name);
         let write = |name: &str, text: &str| {
             let path = directory.join(name);
-            std::fs::write(&path, text).expect("a file");
+            std::fs::write(&path, text).expect("the file is written");
             path.to_string_lossy().into_owned()
         };
         CommandLineFiles {
-            valid: write("good.toml", VALID),
-            conflicting: write("bad.toml", &VALID.replace("look", "order")),
+            valid: write("good.toml", VALID_OPERATOR_FILE),
+            conflicting: write("bad.toml", &VALID_OPERATOR_FILE.replace("look", "order")),
             configuration: write("c.json", include_str!("../../examples/configuration.json")),
             directory,
         }
@@ -67,7 +71,7 @@
 
 impl Drop for CommandLineFiles {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.directory); // a panic in here would hide that of the test
+        let _ = std::fs::remove_dir_all(&self.directory); // a panic here would hide that of the test
     }
 }
 
@@ -173,7 +177,7 @@
     assert!(String::from_utf8_lossy(&completions).contains("_quillramp()"));
 }
 
-/// The command `serve` fails for the same reasons as the program without a command.
+/// The command `serve` reports the same error as the program without a command.
 #[test]
 fn serve_without_a_configuration_fails_at_startup() {
     assert_output(
@@ -197,7 +201,7 @@
     panic!("{}: the instance does not accept connections", configuration.display());
 }
 
-/// The address in a configuration file; `None` while the file is missing or incomplete.
+/// Returns the listen address in a configuration file; `None` while the file is missing or incomplete.
 fn listen_address(configuration: &Path) -> Option<String> {
     let text = std::fs::read(configuration).ok()?;
     let configuration = serde_json::from_slice::<serde_json::Value>(&text).ok()?;
@@ -206,7 +210,7 @@
 
 const RELOADS: u32 = 100;
 
-/// Two instances with this operator file, which read it again 100 times in all within 2 s.
+/// Returns an experiment with two instances that reload this operator file 100 times in total within 2 s.
 fn experiment_with_reloads(operator_file: &Path) -> Experiment {
     let program = env!("CARGO_BIN_EXE_quillramp");
     let mut text = format!(
@@ -228,7 +232,7 @@
         if run_is_over.load(Ordering::Relaxed) {
             return;
         }
-        std::fs::write(file, version).expect("a file");
+        std::fs::write(file, version).expect("the file is written");
         sleep(Duration::from_millis(7));
     }
 }
@@ -237,13 +241,14 @@
     result.rows.iter().filter(|row| row.outcome == outcome).count()
 }
 
-/// The file is valid, conflicting, truncated and empty in turn: no request is lost and no attempt repeated.
+/// Guards against requests that are lost, and attempts that are repeated, while the operator file is
+/// reloaded. The file is valid, conflicting, truncated and empty in turn.
 #[test]
 fn an_operator_file_that_is_reloaded_under_load_loses_no_request() {
-    let directory = directory("reload");
+    let directory = create_directory("reload");
     let file = directory.join("operator.toml");
-    let valid = VALID.to_owned() + "\n[log]\nform = \"json\"\n";
-    std::fs::write(&file, &valid).expect("a file");
+    let valid = VALID_OPERATOR_FILE.to_owned() + "\n[log]\nform = \"json\"\n";
+    std::fs::write(&file, &valid).expect("the file is written");
     let experiment = experiment_with_reloads(&file);
     let run_is_over = AtomicBool::new(false);
     let result = std::thread::scope(|scope| {
@@ -259,10 +264,10 @@
         result
     });
     let result = result.expect("the run succeeds");
-    std::fs::remove_dir_all(&directory).expect("the directory of this test");
+    std::fs::remove_dir_all(&directory).expect("the directory of this test is removed");
     assert_eq!((result.summary.duplicates, result.summary.died), (0, 0));
     assert!(result.rows.len() > 200);
     assert_eq!((count(&result, Outcome::NoAnswer), count(&result, Outcome::NotConnected)), (0, 0));
     let succeeded = count(&result, Outcome::Succeeded);
-    assert!(succeeded * 20 > result.rows.len() * 19, "{succeeded} of {}", result.rows.len());
+    assert!(succeeded * 20 > result.rows.len() * 19, "{succeeded} of {} succeeded", result.rows.len());
 }
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -35,7 +35,7 @@
         let configuration = example_configuration(list_service, unique_address(7402))
             .replace("127.0.0.1:7400", &address.to_string());
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("readiness-{name}.json"));
-        std::fs::write(&file, configuration).expect("a file");
+        std::fs::write(&file, configuration).expect("the file is written");
         ConfiguredInstance { file, address }
     }
 
@@ -116,7 +116,7 @@
 #[test]
 fn an_instance_is_ready_although_the_lock_of_the_shared_file_is_never_released() {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join("readiness-locked");
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     let lock = std::fs::File::create(directory.join("quillramp-n0.lock")).expect("a file");
     lock.lock().expect("no other process has it");
     let (_list_service, list_service_address) = free_listener();
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -34,7 +34,7 @@
             while read_command(&mut reader)?.is_some() {
                 let value = "v".repeat(VALUE_LENGTH);
                 write!(writer, "*3\r\n${VALUE_LENGTH}\r\n{}", &value[..FIRST_PART])?;
-                let _ = rest_requested.lock().expect("no panic").recv(); // the test may be over
+                let _ = rest_requested.lock().expect("no thread panics while it holds the lock").recv(); // fails if the test is over
                 for piece in value.as_bytes()[FIRST_PART..].chunks(VALUE_LENGTH / 64) {
                     writer.write_all(piece)?;
                     sleep(Duration::from_millis(50));
@@ -53,7 +53,7 @@
 
     fn connect_and_send_request(&self) -> TcpStream {
         let mut client = self.gateway.connect();
-        client.write_all(request("look", CLIENT_TIMEOUT_MS).as_bytes()).expect("the gateway reads");
+        client.write_all(request("look", CLIENT_TIMEOUT_MS).as_bytes()).expect("the gateway accepts input");
         client
     }
 
@@ -69,7 +69,10 @@
     let stream = StalledStream::start("silent");
     let start = Instant::now();
     let mut received = vec![];
-    stream.connect_and_send_request().read_to_end(&mut received).expect("an end, not a reset");
+    stream
+        .connect_and_send_request()
+        .read_to_end(&mut received)
+        .expect("the connection is closed without a reset");
     let given_up_after = start.elapsed();
     let length = received.len();
     assert!(length > FIRST_PART && length < VALUE_LENGTH, "cut off after {length} bytes");
@@ -104,11 +107,11 @@
     let mut client = stream.connect_and_send_request();
     stream.write_rest();
     let start = Instant::now();
-    let mut reader = BufReader::new(client.try_clone().expect("a second handle"));
+    let mut reader = BufReader::new(client.try_clone().expect("the socket handle is duplicated"));
     assert_eq!(read_reply(&mut reader).expect("a value").len(), VALUE_LENGTH);
     assert!(start.elapsed() > CLIENT_TIMEOUT * 5 / 4, "after its client's timeout");
     client.write_all(PING).expect("an open connection");
-    assert_eq!(read_reply(&mut reader).expect("a reply"), "+PONG");
+    assert_eq!(read_reply(&mut reader).expect("the gateway replies"), "+PONG");
 }
 
 /// Guards: after a pause of its own a gateway gave up a value whose backend had written meanwhile.
@@ -118,7 +121,7 @@
     let mut client = stream.connect_and_send_request();
     stream.write_rest();
     let start = Instant::now();
-    let mut reader = BufReader::new(client.try_clone().expect("a second handle"));
+    let mut reader = BufReader::new(client.try_clone().expect("the socket handle is duplicated"));
     let value = std::thread::spawn(move || read_reply(&mut reader));
     sleep(CLIENT_TIMEOUT);
     while start.elapsed() < CLIENT_TIMEOUT * 3 / 2 && !value.is_finished() {
@@ -127,7 +130,7 @@
         stream.gateway.resume();
         sleep(Duration::from_millis(20));
     }
-    let value = value.join().expect("no panic").expect("a value");
+    let value = value.join().expect("no thread panics while it holds the lock").expect("a value");
     assert_eq!(value.len(), VALUE_LENGTH);
     client.write_all(PING).expect("an open connection");
 }
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -70,7 +70,7 @@
         .replace("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}"));
     let directory = empty_directory(name);
     let file = directory.join("configuration.json");
-    std::fs::write(&file, configuration).expect("a file");
+    std::fs::write(&file, configuration).expect("the file is written");
     let process = GatewayProcess::spawn(gateway_command(&file).env("TMPDIR", directory));
     connect_when_listening(address);
     sleep(Duration::from_millis(200)); // until it has its endpoint list
@@ -79,7 +79,8 @@
 
 /// The peak of its resident memory, in kB.
 fn peak_memory(process: &GatewayProcess) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", process.id())).expect("it runs");
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", process.id())).expect("the process is running");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
     peak.trim().trim_end_matches(" kB").parse().expect("a number")
 }
@@ -90,9 +91,9 @@
 }
 
 fn send_request(address: SocketAddr, operation: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("the gateway accepts");
+    let mut stream = TcpStream::connect(address).expect("the gateway accepts the connection");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("an open socket");
-    stream.write_all(request(operation, 1400).as_bytes()).expect("the gateway reads");
+    stream.write_all(request(operation, 1400).as_bytes()).expect("the gateway accepts input");
     stream
 }
 
@@ -125,7 +126,7 @@
     let (_process, address) = start_with_memory("whole", 192);
     for pause_ms in [0, 2] {
         let mut client = send_request(address, "look");
-        client.write_all(PING).expect("the gateway reads"); // answered after the value
+        client.write_all(PING).expect("the gateway accepts input"); // answered after the value
         assert_complete(&read_until_pong(&client, 50_021, Duration::from_millis(pause_ms)));
     }
 }
@@ -134,7 +135,9 @@
 fn a_long_value_that_its_backend_breaks_off_ends_the_clients_connection() {
     let (_process, address) = start_with_memory("broken-off", 192);
     let mut received = vec![];
-    send_request(address, "fail").read_to_end(&mut received).expect("an end, not a reset");
+    send_request(address, "fail")
+        .read_to_end(&mut received)
+        .expect("the connection is closed without a reset");
     let length = received.len();
     assert!(length > 1_000_000 && length < VALUE_LENGTH, "cut off after {length} bytes");
 }
@@ -149,7 +152,7 @@
     assert_little_memory_was_used(&process);
     let mut complete = 0;
     for client in &mut clients {
-        client.write_all(PING).expect("the gateway reads");
+        client.write_all(PING).expect("the gateway accepts input");
         let replies = read_until_pong(client, 200_000, Duration::ZERO);
         if replies[0] == b'$' {
             assert_complete(&replies);
@@ -163,9 +166,9 @@
 fn send_long_body(address: SocketAddr, length: usize) -> String {
     let body = format!("${length}\r\n{}\r\n", "b".repeat(length));
     let request = request("order", 2900).replace("$4\r\nbody\r\n", &body);
-    let mut stream = TcpStream::connect(address).expect("the gateway accepts");
+    let mut stream = TcpStream::connect(address).expect("the gateway accepts the connection");
     for piece in request.as_bytes().chunks(70_001) {
-        stream.write_all(piece).expect("the gateway reads");
+        stream.write_all(piece).expect("the gateway accepts input");
         sleep(Duration::from_millis(1));
     }
     common::read_reply(&stream)
@@ -177,16 +180,19 @@
     const BODY_LENGTH: usize = 2 * 1024 * 1024;
     let (process, address) = start_with_memory("bodies", LITTLE_MEMORY_MB);
     let clients: Vec<_> = (0..30).map(|_| spawn(move || send_long_body(address, BODY_LENGTH))).collect();
-    let mut short = TcpStream::connect(address).expect("the gateway accepts");
+    let mut short = TcpStream::connect(address).expect("the gateway accepts the connection");
     let (first_part, second_part) = PING.split_at(PING.len() - "NG\r\n".len());
-    short.write_all(first_part).expect("the gateway reads");
+    short.write_all(first_part).expect("the gateway accepts input");
     sleep(Duration::from_millis(300));
-    short.write_all(second_part).expect("the gateway reads");
+    short.write_all(second_part).expect("the gateway accepts input");
     short.set_read_timeout(Some(Duration::from_millis(500))).expect("an open socket");
     assert_eq!(common::read_reply(&short), "+PONG");
 
     let expected = body_digest(&"b".repeat(BODY_LENGTH));
-    let replies: Vec<String> = clients.into_iter().map(|client| client.join().expect("no panic")).collect();
+    let replies: Vec<String> = clients
+        .into_iter()
+        .map(|client| client.join().expect("no thread panics while it holds the lock"))
+        .collect();
     let served = replies.iter().filter(|reply| **reply == expected).count();
     let is_served_or_rejected = |reply: &String| *reply == expected || reply.starts_with("-BUSY");
     assert!(served >= 20 && replies.iter().all(is_served_or_rejected), "{replies:?}");
@@ -198,8 +204,8 @@
     let (_process, address) = start_with_memory("body-length", LITTLE_MEMORY_MB);
     for (length, reason) in [("4194305", "4 MiB"), ("-5", "negative"), ("4e6", "no number")] {
         let request = request("order", 2900).replace("$4\r\nbody", &format!("${length}\r\nbody"));
-        let mut client = TcpStream::connect(address).expect("the gateway accepts");
-        client.write_all(request.as_bytes()).expect("the gateway reads");
+        let mut client = TcpStream::connect(address).expect("the gateway accepts the connection");
+        client.write_all(request.as_bytes()).expect("the gateway accepts input");
         let reply = common::read_reply(&client);
         assert!(reply.starts_with("-ERR protocol") && reply.contains(reason), "{reply}");
     }
