--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -202,7 +202,7 @@
 /// Guards against a busy loop: the process may have fewer descriptors than its configuration says, so that
 /// accepting fails.
 #[test]
-fn an_instance_without_free_descriptors_waits_without_using_the_processor_until_some_are_free() {
+fn an_instance_without_free_descriptors_waits_without_using_the_processor_and_serves_once_some_are_free() {
     let limits = DescriptorLimits { configured: 400, process: 60 };
     let gateway = LimitedGateway::start("descriptors", limits, None);
     let mut early_client = gateway.connect_from([127, 0, 0, 3]).expect("a free connection");
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -194,7 +194,7 @@
     configuration.replace(EMPTY_ENDPOINT_LIST, &endpoint_list(backends))
 }
 
-/// Sends requests on a new connection; returns this number of replies, one in a line.
+/// Sends requests on a new connection; returns this number of replies, one per line.
 pub fn exchange(address: SocketAddr, requests: &str, reply_count: usize) -> String {
     let mut stream = TcpStream::connect(address).expect("the gateway accepts the connection");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("an open socket");
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -74,8 +74,8 @@
 // ======== shutdown
 
 /// Guards against late requests that are not answered before the process is killed. The process exited 0.5 s
-/// after the longest timeout of a client, but after at least 3 s. The kill follows 0.7 s after that timeout,
-/// but after at most 3 s, which is too early for that exit if the timeouts are short.
+/// after the longest timeout of a client, but after at least 3 s; the kill follows 0.7 s after that timeout,
+/// but after at most 3 s. With short timeouts, the kill came before the exit.
 #[test]
 fn with_short_timeouts_every_request_is_answered_before_the_kill() {
     let (backend, address) = free_listener();
@@ -111,8 +111,8 @@
     );
 }
 
-/// Guards against requests in flight that are not answered before the process is killed: with timeouts over 3
-/// s, the process would have exited only after the kill.
+/// Guards against requests in flight that are not answered before the process is killed: with client timeouts
+/// over 3 s, the exit came after the kill.
 #[test]
 fn with_long_timeouts_every_request_is_answered_before_the_kill() {
     let (backend, address) = free_listener();
@@ -274,7 +274,7 @@
     });
     let mut client = gateway.connect();
     let requests: String = (0..4000).map(|_| request("order", 2900)).collect();
-    client.write_all(requests.as_bytes()).expect("the socket buffers hold it all");
+    client.write_all(requests.as_bytes()).expect("the socket buffers hold all commands");
     commands.recv_timeout(5 * SECOND).expect("the first request is forwarded");
     let start = Instant::now();
     drop(client);
@@ -299,9 +299,13 @@
         head + &"x".repeat(body_sent)
     };
     let mut first_client = gateway.connect();
-    first_client.write_all(partial_request(400_000).as_bytes()).expect("the socket buffers hold it all");
+    first_client
+        .write_all(partial_request(400_000).as_bytes())
+        .expect("the socket buffers hold the partial request");
     let mut waiting_client = gateway.connect();
-    waiting_client.write_all(partial_request(100_000).as_bytes()).expect("the socket buffers hold it all");
+    waiting_client
+        .write_all(partial_request(100_000).as_bytes())
+        .expect("the socket buffers hold the partial request");
     // Once another client has its reply, both bodies have been read as far as the memory allows.
     let mut other_client = gateway.connect();
     other_client.write_all(PING).expect("the gateway accepts input");
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! Gateway instances on loopback with the example backends: replies, limits on buffers, reload, shutdown, and instances with old
-//! and new settings next to each other.
+//! Gateway instances on loopback with the example backends: replies, limits on buffers, reloads, shutdowns,
+//! and fleets in which some instances have old settings and some have new ones.
 use expect_test::expect;
 use nix::sys::signal::Signal;
 use std::io::Write;
@@ -21,7 +21,7 @@
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-/// The exit code and the output of an instance that can't start with this configuration.
+/// Returns the exit code and the output of an instance that can't start with this configuration.
 fn startup_failure(file: &Path, configuration: &str) -> (Option<i32>, String) {
     std::fs::write(file, configuration).expect("the file is written");
     let mut process = start_gateway(file);
@@ -63,31 +63,32 @@
         SingleInstance { process, address, configuration_file, configuration, counter }
     }
 
-    /// Sends requests on a connection of their own and reads this number of replies.
+    /// Sends requests on a new connection; returns this number of replies.
     fn exchange(&self, requests: &str, reply_count: usize) -> String {
         exchange(self.address, requests, reply_count)
     }
 
-    /// Replaces the configuration file and has it read again.
+    /// Replaces the configuration file and makes the instance reload it.
     fn reload(&self, configuration: &str) {
         std::fs::write(&self.configuration_file, configuration).expect("the configuration file is written");
         self.process.signal(Signal::SIGHUP);
         sleep(Duration::from_millis(100));
     }
 
-    /// The log, once the process has exited after SIGTERM.
+    /// Waits until the process has exited after SIGTERM; returns its log.
     fn exit_log(mut self) -> String {
         assert_eq!(self.process.exit_code(), Some(0));
         self.process.read_log()
     }
 
+    /// Shuts the instance down; returns its log.
     fn shut_down(self) -> String {
         self.process.signal(Signal::SIGTERM);
         self.exit_log()
     }
 }
 
-/// The number of client connections whose end was logged with a reason.
+/// Returns the number of client connections whose end is logged with a reason.
 fn logged_client_count(log: &str) -> usize {
     log.matches("connection client").count()
 }
@@ -113,7 +114,8 @@
     assert_eq!(logged_client_count(&instance.shut_down()), 6);
 }
 
-/// Two clients leave partial commands in the buffers; returns the reply to a third one. Its connection and theirs are closed.
+/// Fills the buffers with partial commands of two clients; returns the reply to a third client's partial
+/// command. All three connections are closed then.
 fn exhaust_buffers(instance: &SingleInstance) -> String {
     let partial_command = format!("*5\r\n$9\r\nCALL.POST\r\n$60000\r\n{}", "x".repeat(50_000));
     let connect = |_| TcpStream::connect(instance.address).expect("the gateway accepts the connection");
@@ -143,15 +145,16 @@
     assert_eq!(logged_client_count(&instance.shut_down()), 2);
 }
 
-/// A configuration that can't be read leaves the old one in force; one with other addresses moves the list and counter
-/// connections. What earlier clients did to the process makes no difference.
+/// Guards against requests that fail because of a reload: an invalid configuration leaves the old one in
+/// force, and one with a new address moves the connections to that service. Earlier protocol errors and full
+/// buffers make no difference.
 #[test]
 fn requests_are_answered_across_reloads_and_while_the_instance_drains() {
     let instance = SingleInstance::start("reload");
-    let moved = instance.configuration.replace(&instance.counter.to_string(), "127.0.0.1:1");
+    let new_configuration = instance.configuration.replace(&instance.counter.to_string(), "127.0.0.1:1");
     let mut replies = instance.exchange("PING\r\n", 2);
     replies += &exhaust_buffers(&instance);
-    for configuration in ["{", &moved] {
+    for configuration in ["{", &new_configuration] {
         instance.reload(configuration);
         replies += &instance.exchange(&request("look", 1000), 1);
     }
@@ -176,26 +179,28 @@
 }
 
 const INSTANCES: usize = 4;
-/// The instances that know the plan with only a cap on requests in flight, and load reports.
+/// The instances with new settings: load reports, and the plan `capped`, which limits only the requests in
+/// flight.
 const NEW_INSTANCES: InstanceRange = InstanceRange { first: 2, count: 2 };
 const ALL_INSTANCES: InstanceRange = InstanceRange { first: 0, count: INSTANCES };
 
-/// Two instances with settings of the old form and two with settings of the new form, with the same two backends. The old ones
-/// know neither the plan `capped` nor load reports.
+/// Two instances with old settings and two with new settings, with the same two backends. The old settings
+/// have neither the plan `capped` nor load reports.
 struct MixedFleet {
     processes: Vec<GatewayProcess>,
     addresses: Vec<SocketAddr>,
     in_flight: InFlightByPlan,
 }
 
-/// The settings of the old form.
+/// Returns a configuration with the old settings.
 fn old_configuration(list_service: SocketAddr, counter: SocketAddr) -> String {
     example_configuration(list_service, counter)
         .replace("\"aim_us\": 400000", "\"aim_us\": 2000000") // no attempt is hedged
         .replace("\"balancers\": 1", "\"balancers\": 4")
 }
 
-/// The settings of the new form: load reports, and a plan with only a cap on requests in flight.
+/// Returns the configuration with the new settings: load reports, and a plan that limits only the requests in
+/// flight.
 fn new_configuration(old_configuration: &str) -> String {
     old_configuration
         .replace(
@@ -240,18 +245,18 @@
         self.addresses.push(address);
     }
 
-    /// Sends one request to an instance and reads the reply.
+    /// Sends one request to an instance; returns the reply.
     fn call(&self, slot: usize, request: &str) -> String {
         exchange(self.addresses[slot], request, 1)
     }
 
-    /// Sends one request to an instance on a thread of its own.
+    /// Sends one request to an instance on a new thread, which returns the reply.
     fn spawn_call(&self, slot: usize, request: String) -> JoinHandle<String> {
         let address = self.addresses[slot];
         std::thread::spawn(move || exchange(address, &request, 1))
     }
 
-    /// The most requests of a plan that the backends have held at once.
+    /// Returns the highest number of requests of a plan that were in flight at the backends at the same time.
     fn peak_in_flight(&self, plan: &str) -> usize {
         let in_flight = self.in_flight.lock().expect("no thread panics while it holds the lock");
         in_flight.get(plan).map_or(0, |requests| requests.peak)
@@ -265,8 +270,9 @@
     }
 }
 
-/// A customer's burst of 12 units is requested from all instances in turn, 6 units from each. A total may lag by an eighth, and
-/// after a late answer of the counter an instance has its even share.
+/// Guards against a quota that instances with different settings don't share: a customer with a burst of
+/// 12 units requests 6 units from each instance. A total may lag by an eighth, and after a late response of
+/// the counter an instance grants its even share.
 #[test]
 fn instances_with_old_and_new_settings_share_a_customers_quota() {
     let fleet = MixedFleet::start("quota");
@@ -276,17 +282,21 @@
         let reply = fleet.call(slot, &request_of_plan("small", ALL_INSTANCES, "look", 1000));
         served[slot] += usize::from(!reply.starts_with('-'));
     }
-    let regained = 2.0 * start.elapsed().as_secs_f64();
+    let refilled = 2.0 * start.elapsed().as_secs_f64();
     let (old, new) = (served[0] + served[1], served[2] + served[3]);
     let all = (old + new) as f64;
-    assert!(old >= 4 && new >= 4 && all <= 16.0 + regained, "{served:?}, {regained:.1} regained");
+    assert!(
+        old >= 4 && new >= 4 && all <= 16.0 + refilled,
+        "{served:?} served, {refilled:.1} units refilled"
+    );
     fleet.shut_down();
 }
 
-/// The plan's cap is 2 over both new instances. Requests beyond it are rejected at once, and each request has one answer, while
-/// the old instances go on serving.
+/// Guards against a limit that each instance applies separately: the plan allows 2 requests in flight over
+/// both new instances. Requests beyond the limit are rejected at once, each request gets one reply, and the
+/// old instances keep serving.
 #[test]
-fn a_cap_on_requests_in_flight_holds_across_the_instances_that_know_its_plan() {
+fn a_limit_on_requests_in_flight_holds_across_the_instances_that_have_its_plan() {
     let fleet = MixedFleet::start("capped");
     let capped_request =
         |operation, timeout_ms| request_of_plan("capped", NEW_INSTANCES, operation, timeout_ms);
@@ -294,18 +304,19 @@
         (0..8).map(|i| fleet.spawn_call(2 + i % 2, capped_request("slow", 1400))).collect();
     sleep(Duration::from_millis(20));
     let call_at_old_instance = fleet.spawn_call(0, request_of_plan("small", ALL_INSTANCES, "slow", 1400));
-    let replies: Vec<String> = capped_calls.into_iter().map(|call| call.join().expect("an answer")).collect();
+    let replies: Vec<String> =
+        capped_calls.into_iter().map(|call| call.join().expect("the gateway replies")).collect();
     let rejected = replies.iter().filter(|reply| reply.starts_with("-BUSY")).count();
     let peak = fleet.peak_in_flight("capped");
     assert!(
         (1..=2).contains(&peak) && rejected == 8 - peak,
         "{peak} in flight at once, {rejected} rejected: {replies:?}"
     );
-    assert!(!call_at_old_instance.join().expect("an answer").is_empty());
-    let later = fleet.call(3, &capped_request("look", 1400));
-    assert!(!later.starts_with('-'), "a permit is free again: {later}");
-    let unknown = fleet.call(0, &capped_request("look", 1000));
-    assert_eq!(unknown.trim(), "-ERR unknown plan");
+    assert!(!call_at_old_instance.join().expect("the gateway replies").is_empty());
+    let later_reply = fleet.call(3, &capped_request("look", 1400));
+    assert!(!later_reply.starts_with('-'), "a permit is free again: {later_reply}");
+    let unknown_plan_reply = fleet.call(0, &capped_request("look", 1000));
+    assert_eq!(unknown_plan_reply.trim(), "-ERR unknown plan");
     fleet.shut_down();
 }
 
--- a/gateway/tests/readiness.rs
+++ b/gateway/tests/readiness.rs
@@ -1,6 +1,6 @@
-//! When an instance answers its first `PING`: thirty are started at once while the list service is unresponsive, refuses
-//! connections or is slow, or one while another process holds the lock of the shared file. docs/list-service.md says what
-//! readiness waits for.
+//! Readiness: how long an instance takes until it answers its first `PING`. Thirty instances are started at
+//! once while the list service is unresponsive, refuses connections or is slow, and one while another process
+//! holds the lock of the shared file. docs/list-service.md says what readiness waits for.
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -16,14 +16,15 @@
 };
 
 const INSTANCES: usize = 30;
-/// Nine in ten instances must be ready within this time.
+/// Time within which nine in ten instances must be ready.
 const READY_WITHIN: Duration = Duration::from_secs(6);
-/// The longest that a start may wait for the lock of the shared file, and a margin for a busy machine.
-const LOCKED_START: Duration = Duration::from_secs(4);
-/// An instance that is not ready by then counts as one that never is.
+/// Time within which an instance must be ready although the shared file is locked: the longest wait for the
+/// lock, and a margin for a busy machine.
+const LOCKED_READY_WITHIN: Duration = Duration::from_secs(4);
+/// Time after which an instance counts as one that never becomes ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An instance whose configuration file is written, and that may have been started.
+/// An instance whose configuration file is written; its process may not have been started yet.
 struct ConfiguredInstance {
     file: PathBuf,
     address: SocketAddr,
@@ -51,7 +52,7 @@
     configured: ConfiguredInstance,
     _process: GatewayProcess,
     started_at: Instant,
-    /// From its start to its first `+PONG`.
+    /// Time from its start to its first `+PONG`.
     ready_after: Option<Duration>,
 }
 
@@ -69,7 +70,7 @@
     }
 }
 
-/// How long each instance took to become ready.
+/// Starts all instances at once; returns the time that each took to become ready.
 fn start_all_at_once(name: &str, list_service: SocketAddr) -> Vec<Duration> {
     let configure = |i| ConfiguredInstance::new(&format!("{name}-{i}"), list_service);
     let configured: Vec<_> = (0..INSTANCES).map(configure).collect();
@@ -88,14 +89,14 @@
     times.sort_unstable();
     println!("{name}: median {:?}, slowest {:?}", times[INSTANCES / 2], times[INSTANCES - 1]);
     let ready = times.iter().filter(|time| **time <= READY_WITHIN).count();
-    assert!(10 * ready >= 9 * INSTANCES, "{ready} of {INSTANCES} ready in {READY_WITHIN:?}: {times:?}");
+    assert!(10 * ready >= 9 * INSTANCES, "{ready} of {INSTANCES} ready within {READY_WITHIN:?}: {times:?}");
 }
 
-/// Guards: a start waits for nothing that needs the list service. One test for all cases, so that they run one after another:
-/// each starts thirty processes.
+/// Guards against a start that waits for the list service. One test covers all cases so that they run one
+/// after another, as each starts thirty processes.
 #[test]
-fn thirty_instances_started_at_once_are_ready_whatever_the_list_service_does() {
-    let (unresponsive, address) = free_listener(); // the operating system accepts connections; nothing is answered
+fn thirty_instances_started_at_once_are_ready_whatever_the_state_of_the_list_service() {
+    let (unresponsive, address) = free_listener(); // accepts connections but answers no call
     assert_nine_in_ten_are_ready("unresponsive", address);
     drop(unresponsive);
     assert_nine_in_ten_are_ready("refuses", unique_address(7401));
@@ -111,14 +112,15 @@
     assert_nine_in_ten_are_ready("slow", address);
 }
 
-/// Guards: with an admin address, the start waited without a limit for the lock of the file that two processes share. A process
-/// that was stopped while it held the lock kept the next one from ever serving.
+/// Guards against a start that never completes: with an address for operators' calls, the process waited
+/// without a limit for the lock of the shared file. A process that was stopped while it held the lock kept
+/// the next one from ever serving.
 #[test]
 fn an_instance_is_ready_although_the_lock_of_the_shared_file_is_never_released() {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join("readiness-locked");
     std::fs::create_dir_all(&directory).expect("the directory is created");
-    let lock = std::fs::File::create(directory.join("quillramp-n0.lock")).expect("a file");
-    lock.lock().expect("no other process has it");
+    let lock = std::fs::File::create(directory.join("quillramp-n0.lock")).expect("the lock file is created");
+    lock.lock().expect("no other process holds the lock");
     let (_list_service, list_service_address) = free_listener();
     let instance = ConfiguredInstance::new("locked", list_service_address);
     let mut command = gateway_command(&instance.file);
@@ -126,7 +128,7 @@
     let start = Instant::now();
     let _process = GatewayProcess::spawn(command.stderr(Stdio::null()));
     while !instance.is_ready() {
-        assert!(start.elapsed() < LOCKED_START, "not ready in {:?}", start.elapsed());
+        assert!(start.elapsed() < LOCKED_READY_WITHIN, "not ready within {:?}", start.elapsed());
         sleep(Duration::from_millis(10));
     }
     drop(lock);
--- a/gateway/tests/reducer/bench.rs
+++ b/gateway/tests/reducer/bench.rs
@@ -49,7 +49,7 @@
     pub now: f64,
     /// ID of the next request.
     pub next_request_id: u64,
-    /// The effects since the trace was last compared or cleared, one in a line.
+    /// The effects since the trace was last compared or cleared, one per line.
     pub trace: String,
 }
 
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -1,5 +1,5 @@
-//! Long values that stop in the middle, through a gateway on loopback: an unresponsive backend is distinguished from a client that
-//! reads late.
+//! Long values that stall half-way through a gateway on loopback: the gateway distinguishes an unresponsive
+//! backend from a client that reads late.
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
 use std::sync::mpsc::{channel, Sender};
@@ -12,12 +12,13 @@
 use common::{free_listener, serve_endpoints, with_initial_backends, ListedBackend, TestGateway, PING};
 
 const VALUE_LENGTH: usize = 4 * 1024 * 1024;
-/// The part of the value that the backend writes at once.
-const FIRST_PART: usize = VALUE_LENGTH / 2;
+/// Length of the part of the value that the backend writes at once.
+const FIRST_PART_LENGTH: usize = VALUE_LENGTH / 2;
 const CLIENT_TIMEOUT_MS: u64 = 1000;
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(CLIENT_TIMEOUT_MS);
 
-/// An instance with a backend that writes the first part of a long value at once, and the rest slowly when the test says so.
+/// An instance with a backend that writes the first part of a long value at once, and the rest slowly when
+/// the test triggers it.
 struct StalledStream {
     gateway: TestGateway,
     write_rest: Sender<()>,
@@ -33,9 +34,9 @@
             let (mut reader, mut writer) = (BufReader::new(stream.try_clone()?), stream);
             while read_command(&mut reader)?.is_some() {
                 let value = "v".repeat(VALUE_LENGTH);
-                write!(writer, "*3\r\n${VALUE_LENGTH}\r\n{}", &value[..FIRST_PART])?;
+                write!(writer, "*3\r\n${VALUE_LENGTH}\r\n{}", &value[..FIRST_PART_LENGTH])?;
                 let _ = rest_requested.lock().expect("no thread panics while it holds the lock").recv(); // fails if the test is over
-                for piece in value.as_bytes()[FIRST_PART..].chunks(VALUE_LENGTH / 64) {
+                for piece in value.as_bytes()[FIRST_PART_LENGTH..].chunks(VALUE_LENGTH / 64) {
                     writer.write_all(piece)?;
                     sleep(Duration::from_millis(50));
                 }
@@ -58,14 +59,14 @@
     }
 
     fn write_rest(&self) {
-        self.write_rest.send(()).expect("the backend runs");
+        self.write_rest.send(()).expect("the backend is running");
     }
 }
 
-/// Guards: a value was given up 30 s after its backend became unresponsive. Until then its client could not know that it would
-/// never be complete, and the replies after it waited.
+/// Guards against a long wait for a value that will never be complete: it was aborted only 30 s after its
+/// backend became unresponsive, and the replies after it waited.
 #[test]
-fn a_value_whose_backend_becomes_unresponsive_is_given_up_at_its_clients_timeout() {
+fn a_value_whose_backend_becomes_unresponsive_is_aborted_at_its_clients_timeout() {
     let stream = StalledStream::start("silent");
     let start = Instant::now();
     let mut received = vec![];
@@ -73,16 +74,16 @@
         .connect_and_send_request()
         .read_to_end(&mut received)
         .expect("the connection is closed without a reset");
-    let given_up_after = start.elapsed();
+    let aborted_after = start.elapsed();
     let length = received.len();
-    assert!(length > FIRST_PART && length < VALUE_LENGTH, "cut off after {length} bytes");
+    assert!(length > FIRST_PART_LENGTH && length < VALUE_LENGTH, "cut off after {length} bytes");
     assert!(
-        given_up_after > CLIENT_TIMEOUT * 9 / 10 && given_up_after < CLIENT_TIMEOUT * 3 / 2,
-        "given up after {given_up_after:?}"
+        aborted_after > CLIENT_TIMEOUT * 9 / 10 && aborted_after < CLIENT_TIMEOUT * 3 / 2,
+        "aborted after {aborted_after:?}"
     );
 }
 
-/// Guards: a value is not given up because its client reads late, after its timeout.
+/// Guards against a value that is aborted because its client reads late, after its timeout.
 #[test]
 fn a_value_is_delivered_complete_to_a_client_that_reads_after_its_timeout() {
     let stream = StalledStream::start("late");
@@ -92,7 +93,7 @@
     let reply_length = format!("${VALUE_LENGTH}\r\n").len() + VALUE_LENGTH + "\r\n".len();
     let (mut received, mut buffer) = (vec![], vec![0; 65_536]);
     while received.len() < reply_length {
-        let length = client.read(&mut buffer).expect("more of the value");
+        let length = client.read(&mut buffer).expect("the gateway sends more of the value");
         assert!(length > 0, "cut off after {} bytes", received.len());
         received.extend_from_slice(&buffer[..length]);
     }
@@ -100,7 +101,7 @@
     assert!(received.ends_with(b"v\r\n"));
 }
 
-/// Guards: a value is not given up because its backend writes slowly, past its client's timeout.
+/// Guards against a value that is aborted because its backend writes slowly, past its client's timeout.
 #[test]
 fn a_value_that_makes_progress_is_delivered_complete_after_its_clients_timeout() {
     let stream = StalledStream::start("moves");
@@ -108,15 +109,16 @@
     stream.write_rest();
     let start = Instant::now();
     let mut reader = BufReader::new(client.try_clone().expect("the socket handle is duplicated"));
-    assert_eq!(read_reply(&mut reader).expect("a value").len(), VALUE_LENGTH);
-    assert!(start.elapsed() > CLIENT_TIMEOUT * 5 / 4, "after its client's timeout");
+    assert_eq!(read_reply(&mut reader).expect("the gateway sends a value").len(), VALUE_LENGTH);
+    assert!(start.elapsed() > CLIENT_TIMEOUT * 5 / 4, "the value is complete after its client's timeout");
     client.write_all(PING).expect("an open connection");
     assert_eq!(read_reply(&mut reader).expect("the gateway replies"), "+PONG");
 }
 
-/// Guards: after a pause of its own a gateway gave up a value whose backend had written meanwhile.
+/// Guards against a value that is aborted because the gateway process was paused, although its backend has
+/// written meanwhile.
 #[test]
-fn a_value_is_not_given_up_for_a_pause_of_the_gateway() {
+fn a_value_is_not_aborted_because_of_a_pause_of_the_gateway() {
     let stream = StalledStream::start("paused");
     let mut client = stream.connect_and_send_request();
     stream.write_rest();
@@ -130,7 +132,7 @@
         stream.gateway.resume();
         sleep(Duration::from_millis(20));
     }
-    let value = value.join().expect("no thread panics while it holds the lock").expect("a value");
+    let value = value.join().expect("the reader does not panic").expect("the gateway sends a value");
     assert_eq!(value.len(), VALUE_LENGTH);
     client.write_all(PING).expect("an open connection");
 }
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Long values and long bodies through a gateway on loopback: complete, slow, many at once, and broken off.
+//! Long values and long bodies through a gateway on loopback: complete, slow, many at once, and aborted.
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread::{sleep, spawn};
@@ -12,15 +12,16 @@
 };
 
 const VALUE_LENGTH: usize = 4 * 1024 * 1024;
-/// The memory of an instance that is to hold far less than all that passes through it.
+/// Memory limit of an instance through which far more data passes at once, in MB.
 const LITTLE_MEMORY_MB: usize = 32;
 
+/// Returns the byte of the long value at this index.
 fn value_byte(index: usize) -> u8 {
     (index / 7 % 251) as u8
 }
 
-/// A backend that replies to `order` with the length and the sum of the body, breaks its reply to `fail` off half-way, and
-/// replies to everything else with a long value, written in pieces of an odd size.
+/// Starts a backend that replies to `order` with the length and the sum of the body, aborts its reply to
+/// `fail` half-way, and replies to everything else with a long value, written in pieces of an odd size.
 fn start_backend(listener: TcpListener) {
     let value: Vec<u8> = (0..VALUE_LENGTH).map(value_byte).collect();
     let reply =
@@ -35,12 +36,12 @@
                 write!(writer, "*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len())?;
                 continue;
             }
-            let is_broken_off = items[3].contains("c=fail");
-            let sent = if is_broken_off { &reply[..VALUE_LENGTH / 2] } else { &reply[..] };
+            let is_aborted = items[3].contains("c=fail");
+            let sent = if is_aborted { &reply[..VALUE_LENGTH / 2] } else { &reply[..] };
             for piece in sent.chunks(60_001) {
                 writer.write_all(piece)?;
             }
-            if is_broken_off {
+            if is_aborted {
                 return Ok(());
             }
         }
@@ -48,12 +49,13 @@
     });
 }
 
-/// The length of a body and the sum of its bytes.
+/// Returns the length of a body and the sum of its bytes.
 fn body_digest(body: &str) -> String {
     let sum: u64 = body.bytes().map(u64::from).sum();
     format!("{} {sum}", body.len())
 }
 
+/// Starts an instance with this memory limit, in MB.
 fn start_with_memory(name: &str, memory_mb: usize) -> (GatewayProcess, SocketAddr) {
     let (backend, backend_address) = free_listener();
     start_backend(backend);
@@ -66,28 +68,31 @@
         .replace("127.0.0.1:7403", "127.0.0.1:0")
         .replace("127.0.0.1:7404", "127.0.0.1:0")
         .replace("\"depth\": 12", "\"depth\": 400")
-        .replace("\"aim_us\": 400000", "\"aim_us\": 1400000") // on a busy machine a slow value is no overload
+        .replace("\"aim_us\": 400000", "\"aim_us\": 1400000") // on a busy machine, a slow value is not overload
         .replace("\"memory_mb\": 192", &format!("\"memory_mb\": {memory_mb}"));
     let directory = empty_directory(name);
     let file = directory.join("configuration.json");
     std::fs::write(&file, configuration).expect("the file is written");
     let process = GatewayProcess::spawn(gateway_command(&file).env("TMPDIR", directory));
     connect_when_listening(address);
-    sleep(Duration::from_millis(200)); // until it has its endpoint list
+    sleep(Duration::from_millis(200)); // until the instance has its endpoint list
     (process, address)
 }
 
-/// The peak of its resident memory, in kB.
+/// Returns the peak of the resident memory of a process, in kB.
 fn peak_memory(process: &GatewayProcess) -> usize {
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", process.id())).expect("the process is running");
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
+    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the status has a peak");
     peak.trim().trim_end_matches(" kB").parse().expect("a number")
 }
 
 fn assert_little_memory_was_used(process: &GatewayProcess) {
     let peak = peak_memory(process);
-    assert!(peak < LITTLE_MEMORY_MB * 1024, "a peak of {peak} kB");
+    assert!(
+        peak < LITTLE_MEMORY_MB * 1024,
+        "peak memory of {peak} kB, expected less than {LITTLE_MEMORY_MB} MB"
+    );
 }
 
 fn send_request(address: SocketAddr, operation: &str) -> TcpStream {
@@ -97,19 +102,20 @@
     stream
 }
 
-/// Reads replies up to that to a `PING`, in reads of at most this size, with a pause after each.
+/// Reads until the reply to a `PING`, in reads of at most this size with a pause after each; returns
+/// everything it read.
 fn read_until_pong(mut stream: &TcpStream, read_size: usize, pause: Duration) -> Vec<u8> {
     let (mut received, mut buffer) = (vec![], vec![0; read_size]);
     while !received.ends_with(b"+PONG\r\n") {
-        let length = stream.read(&mut buffer).expect("more of the replies");
-        assert!(length > 0, "it ended after {} bytes", received.len());
+        let length = stream.read(&mut buffer).expect("the gateway sends more of the replies");
+        assert!(length > 0, "the connection ended after {} bytes", received.len());
         received.extend_from_slice(&buffer[..length]);
         sleep(pause);
     }
     received
 }
 
-/// Checks that the replies are the complete long value and `PONG`.
+/// Asserts that the replies are the complete long value and `PONG`.
 fn assert_complete(replies: &[u8]) {
     let head = format!("${VALUE_LENGTH}\r\n");
     let start = &replies[..replies.len().min(60)];
@@ -120,7 +126,8 @@
     assert_eq!(rest, b"\r\n+PONG\r\n");
 }
 
-/// Guards: a value over 64 KiB broke the connection to its backend off, and its request failed.
+/// Guards against the loss of long values: a value over 64 KiB ended the connection to its backend, and its
+/// request failed.
 #[test]
 fn a_long_value_is_delivered_complete_to_fast_and_slow_clients() {
     let (_process, address) = start_with_memory("whole", 192);
@@ -132,7 +139,7 @@
 }
 
 #[test]
-fn a_long_value_that_its_backend_breaks_off_ends_the_clients_connection() {
+fn a_long_value_that_its_backend_aborts_closes_the_clients_connection() {
     let (_process, address) = start_with_memory("broken-off", 192);
     let mut received = vec![];
     send_request(address, "fail")
@@ -142,7 +149,7 @@
     assert!(length > 1_000_000 && length < VALUE_LENGTH, "cut off after {length} bytes");
 }
 
-/// Guards: what is buffered for clients that read slowly is bounded, however many there are.
+/// Guards against unbounded buffers for clients that read slowly, however many there are.
 #[test]
 fn many_long_values_at_once_stay_far_below_the_memory_limit() {
     const CLIENTS: usize = 60; // with 4 MiB each
@@ -159,7 +166,7 @@
             complete += 1;
         }
     }
-    assert!(complete > 2, "{complete} are complete, the others were rejected");
+    assert!(complete > 2, "{complete} values are complete, the others were rejected");
 }
 
 /// Sends an `order` with a long body in small pieces; returns the reply.
@@ -174,7 +181,8 @@
     common::read_reply(&stream)
 }
 
-/// Guards: a body over 64 KiB was rejected. Many at once wait for memory, each is served, and none takes the memory of others.
+/// Guards against the rejection of a body over 64 KiB. If many arrive at once, they wait for memory, and none
+/// takes the memory of others.
 #[test]
 fn long_bodies_wait_for_memory_and_are_served_while_short_commands_are_not_delayed() {
     const BODY_LENGTH: usize = 2 * 1024 * 1024;
@@ -189,10 +197,8 @@
     assert_eq!(common::read_reply(&short), "+PONG");
 
     let expected = body_digest(&"b".repeat(BODY_LENGTH));
-    let replies: Vec<String> = clients
-        .into_iter()
-        .map(|client| client.join().expect("no thread panics while it holds the lock"))
-        .collect();
+    let replies: Vec<String> =
+        clients.into_iter().map(|client| client.join().expect("the client does not panic")).collect();
     let served = replies.iter().filter(|reply| **reply == expected).count();
     let is_served_or_rejected = |reply: &String| *reply == expected || reply.starts_with("-BUSY");
     assert!(served >= 20 && replies.iter().all(is_served_or_rejected), "{replies:?}");
