--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -101,7 +101,7 @@
         let after_name = stat.rsplit(')').next().expect("fields follow the process name");
         let fields: Vec<&str> = after_name.split_whitespace().collect();
         let (user, system) = (fields[11], fields[12]);
-        [user, system].iter().map(|ticks| ticks.parse::<u64>().expect("a number")).sum()
+        [user, system].iter().map(|ticks| ticks.parse::<u64>().expect("the field is a number")).sum()
     }
 }
 
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -19,7 +19,7 @@
     Ipv4Addr::new(10, 0, 0, last_octet).into()
 }
 
-/// Guards against two faults: the connections of one address were not limited, so that a client of a known
+/// Guards against two faults: the connections of one address were not limited, and a client of a known
 /// address could not connect.
 #[test]
 fn a_rejected_client_gets_the_reason_and_a_known_address_its_reserved_connection() {
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -76,8 +76,9 @@
     "#]]);
 }
 
-/// Guards against two faults: the name, the index and the policy engine's record of a removed backend were
-/// kept for ever; or an index is used for another backend while something still refers to the first.
+/// Guards against records of removed backends that are never deleted: their name, their index and the policy
+/// engine's record were kept for ever. An index must not be used for another backend while something still
+/// refers to the first.
 #[test]
 fn removed_backends_are_forgotten_once_nothing_refers_to_them() {
     let mut bench = bench();
--- a/gateway/tests/stalled_streams.rs
+++ b/gateway/tests/stalled_streams.rs
@@ -35,7 +35,8 @@
             while read_command(&mut reader)?.is_some() {
                 let value = "v".repeat(VALUE_LENGTH);
                 write!(writer, "*3\r\n${VALUE_LENGTH}\r\n{}", &value[..FIRST_PART_LENGTH])?;
-                let _ = rest_requested.lock().expect("no thread panics while it holds the lock").recv(); // fails if the test is over
+                // Fails if the test is over.
+                let _ = rest_requested.lock().expect("no thread panics while it holds the lock").recv();
                 for piece in value.as_bytes()[FIRST_PART_LENGTH..].chunks(VALUE_LENGTH / 64) {
                     writer.write_all(piece)?;
                     sleep(Duration::from_millis(50));
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -84,7 +84,7 @@
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", process.id())).expect("the process is running");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the status has a peak");
-    peak.trim().trim_end_matches(" kB").parse().expect("a number")
+    peak.trim().trim_end_matches(" kB").parse().expect("the peak is a number")
 }
 
 fn assert_little_memory_was_used(process: &GatewayProcess) {
