--- a/load/src/scale/server_protocol.rs
+++ b/load/src/scale/server_protocol.rs
@@ -2,7 +2,7 @@
 //! Does no I/O.
 use super::counter_totals::CounterTotals;
 use super::endpoint_rotation::EndpointRotation;
-use crate::example_servers::number;
+use crate::example_servers::parse_query_number;
 use quillramp_gateway::wire::resp::{self, ClientCommand};
 use quillramp_gateway::wire::{Decoded, DecodedMessage, ProtocolError};
 use std::time::Duration;
@@ -43,15 +43,15 @@
     let Some(DecodedMessage { value: target, length }) = decode_target(bytes)? else { return Ok(None) };
     let path = target.split('?').next().unwrap_or_default();
     let key = path.strip_prefix("/counters/").unwrap_or_default();
-    let total = totals.add(now, key, number(&target, "by"));
+    let total = totals.add(now, key, parse_query_number(&target, "by"));
     Ok(Some(DecodedMessage { value: encode_response(&total.to_string()), length }))
 }
 
 /// Decodes the first request to the list service in `bytes`.
 pub fn decode_watch(bytes: &[u8]) -> Decoded<WatchRequest> {
     let Some(DecodedMessage { value: target, length }) = decode_target(bytes)? else { return Ok(None) };
-    let since = number(&target, "since") as u64;
-    let wait = Duration::from_millis(number(&target, "timeout_ms") as u64);
+    let since = parse_query_number(&target, "since") as u64;
+    let wait = Duration::from_millis(parse_query_number(&target, "timeout_ms") as u64);
     Ok(Some(DecodedMessage { value: WatchRequest { since, wait }, length }))
 }
 
