--- a/emulator/src/checker/drain.rs
+++ b/emulator/src/checker/drain.rs
@@ -30,13 +30,13 @@
             let response = decoded.value;
             let list = endpoints::decode(&response.body).ok().filter(|_| response.status == STATUS_OK);
             if let Some(list) = list {
-                return self.endpoints_known(now, process, &list);
+                return self.endpoint_list_received(now, process, &list);
             }
         }
     }
 
     /// A process knows this endpoint list from now on.
-    pub fn endpoints_known(&mut self, now: f64, process: usize, list: &endpoints::EndpointList) {
+    pub fn endpoint_list_received(&mut self, now: f64, process: usize, list: &endpoints::EndpointList) {
         let state = self.processes.entry(process).or_default();
         if list.snapshot {
             state.ready_names.values_mut().for_each(BTreeSet::clear);
--- a/emulator/src/gateway_process/mod.rs
+++ b/emulator/src/gateway_process/mod.rs
@@ -130,7 +130,7 @@
         reducer.update_shared_state(ctx.now, options.shared_state);
         reducer.apply_operator_update(ctx.now, options.operator_update);
         ctx.checker.process_started(index);
-        ctx.checker.endpoints_known(ctx.now, index, &endpoints);
+        ctx.checker.endpoint_list_received(ctx.now, index, &endpoints);
         ctx.schedule_in(0.0, ScheduledEvent::ProcessWake(index));
         GatewayProcess {
             index,
