--- a/emulator/src/checker/attempts.rs
+++ b/emulator/src/checker/attempts.rs
@@ -1,4 +1,4 @@
-//! Checks that nothing is executed twice, by what processes write to backends and by what backends execute.
+//! Checks the attempts that processes write to backends, and that backends execute no non-idempotent request twice.
 use super::request::{Attempt, RequestEvent, RequestRecord};
 use super::{CheckedLimits, Checker, Invariant, TOLERANCE};
 use crate::network::LinkId;
@@ -7,38 +7,38 @@
 use quillramp_gateway::wire::DecodedMessage;
 use std::collections::VecDeque;
 
-/// An attempt on a connection, by its request's id and its index among that request's attempts.
+/// Identifies an attempt by its request and its index among the request's attempts.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptRef {
-    /// The request's id.
+    /// Id of the request.
     pub request: u64,
-    /// The attempt's index.
+    /// Index of the attempt.
     pub attempt: usize,
 }
 
 /// A connection from a process to a backend.
 #[derive(Default)]
 pub(super) struct BackendConnection {
-    /// The backend, by index.
+    /// Index of the backend.
     backend: usize,
-    /// Bytes of the process that are no complete command yet.
+    /// Bytes from the process that do not form a complete command yet.
     request_bytes: Vec<u8>,
-    /// When the first byte of the command that is being written was written.
-    first_byte: f64,
-    /// Bytes of the backend that are no complete reply yet.
+    /// Time at which the first byte of `request_bytes` was written.
+    first_byte_at: f64,
+    /// Bytes from the backend that do not form a complete reply yet.
     pub reply_bytes: Vec<u8>,
     /// Attempts without a reply, in the order in which they were written.
     pub in_flight: VecDeque<AttemptRef>,
 }
 
-/// Where an attempt was written: the connection, and the process that wrote it.
+/// The process that wrote an attempt, and the connection on which it did so.
 #[derive(Clone, Copy)]
 struct Sender {
     link: LinkId,
     process: usize,
 }
 
-/// What an attempt violates.
+/// A violation caused by an attempt.
 struct Problem {
     invariant: Invariant,
     message: String,
@@ -51,16 +51,16 @@
 }
 
 impl Checker {
-    /// A process opens a connection to a backend.
+    /// Records that a process opened a connection to a backend.
     pub fn backend_connected(&mut self, link: LinkId, backend: usize) {
         self.backends.insert(link, BackendConnection { backend, ..BackendConnection::default() });
     }
 
-    /// These bytes have left a process for a backend.
+    /// Processes bytes that a process wrote to a backend, and checks each attempt that they complete.
     pub fn request_bytes_written(&mut self, now: f64, link: LinkId, process: usize, bytes: &[u8]) {
         let Some(connection) = self.backends.get_mut(&link) else { return };
         if connection.request_bytes.is_empty() {
-            connection.first_byte = now;
+            connection.first_byte_at = now;
         }
         connection.request_bytes.extend_from_slice(bytes);
         loop {
@@ -71,19 +71,20 @@
                 return;
             };
             connection.request_bytes.drain(..length);
-            let first_byte = connection.first_byte;
-            connection.first_byte = now;
-            let attempt = Attempt { backend: connection.backend, first_byte, outcome: None };
+            let first_byte_at = connection.first_byte_at;
+            connection.first_byte_at = now;
+            let attempt = Attempt { backend: connection.backend, first_byte_at, outcome: None };
             self.attempt_sent(now, Sender { link, process }, request.id, attempt);
             self.charge(now, request.id, request.units);
         }
     }
 
-    /// An attempt has been written completely.
+    /// Records and checks an attempt that was written completely.
     fn attempt_sent(&mut self, now: f64, sender: Sender, id: u64, attempt: Attempt) {
         self.coverage.attempts += 1;
         let Some(request) = self.requests.get_mut(&id) else {
-            let message = format!("backend {} is sent {id:016x}, which no client requested", attempt.backend);
+            let message =
+                format!("backend {} is sent request {id:016x}, which no client sent", attempt.backend);
             return self.record_request_violation(Invariant::SingleResponse, now, id, message);
         };
         self.coverage.repeated_attempts += u64::from(request.possibly_executed_attempt().is_some());
@@ -91,7 +92,7 @@
             .or_else(|| repeated_execution(&self.limits, request, id, &attempt))
             .or_else(|| disallowed_hedge(&self.limits, request, id))
             .or_else(|| too_many_attempts(&self.limits, request, id));
-        request.record(attempt.first_byte, RequestEvent::AttemptSent { backend: attempt.backend });
+        request.record(attempt.first_byte_at, RequestEvent::AttemptSent { backend: attempt.backend });
         request.attempts.push(attempt);
         let index = request.attempts.len() - 1;
         if let Some(connection) = self.backends.get_mut(&sender.link) {
@@ -103,41 +104,45 @@
         }
     }
 
-    /// An attempt for a backend that the process knows to be draining or removed.
+    /// Returns a problem if the attempt started after the grace period of a backend that is draining or removed. The period starts when
+    /// the process is notified.
     fn sent_past_drain_grace(&self, process: usize, id: u64, attempt: &Attempt) -> Option<Problem> {
-        let Attempt { backend, first_byte, .. } = *attempt;
-        let notified = self.processes.get(&process)?.not_ready_since.get(&backend).copied()?;
-        if first_byte <= notified + self.limits.drain_grace + TOLERANCE {
+        let Attempt { backend, first_byte_at, .. } = *attempt;
+        let notified_at = self.processes.get(&process)?.not_ready_since.get(&backend).copied()?;
+        if first_byte_at <= notified_at + self.limits.drain_grace + TOLERANCE {
             return None;
         }
         let message = format!(
-            "{id:016x} is sent to backend {backend} at {first_byte:.4}, notified at {notified:.4} that it drains or is removed"
+            "request {id:016x} is sent to backend {backend} at {first_byte_at:.4}; the process was notified at {notified_at:.4} that this backend is draining or removed"
         );
         Some(Problem { invariant: Invariant::DrainGrace, message })
     }
 
-    /// A backend has begun to execute a request.
+    /// Records that a backend started to execute a request, and checks that a non-idempotent request is executed only once.
     pub fn execution_started(&mut self, now: f64, backend: usize, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.record(now, RequestEvent::ExecutionStarted { backend });
         let idempotency = self.limits.operations[request.operation].idempotency;
         let first_execution = self.executed.insert(id);
         if idempotency == Idempotency::NonIdempotent && !first_execution {
-            let message = format!("non-idempotent {id:016x} is executed a second time, at backend {backend}");
+            let message =
+                format!("non-idempotent request {id:016x} is executed a second time, at backend {backend}");
             self.record_request_violation(Invariant::AtMostOnce, now, id, message);
         }
     }
 }
 
+/// Returns a problem if the attempt started after the request's final response.
 fn sent_after_response(request: &RequestRecord, id: u64, attempt: &Attempt) -> Option<Problem> {
-    if request.answered_at.is_none_or(|at| attempt.first_byte <= at) {
+    if request.answered_at.is_none_or(|at| attempt.first_byte_at <= at) {
         return None;
     }
     let message = format!("request {id:016x} is forwarded after its final response");
     Some(Problem { invariant: Invariant::SingleResponse, message })
 }
 
-/// A retry, or a hedged request, of what may have been executed and must not be executed there again.
+/// Returns a problem if an earlier attempt may have executed the request, and its operation's idempotency does not allow another
+/// execution at this backend.
 fn repeated_execution(
     limits: &CheckedLimits,
     request: &RequestRecord,
@@ -154,33 +159,35 @@
                 KeyScope::Zone => limits.backend_zones[backend] == limits.backend_zones[earlier.backend],
                 KeyScope::Cell => limits.backend_cells[backend] == limits.backend_cells[earlier.backend],
             };
-            if same_scope && attempt.first_byte <= earlier.first_byte + window + TOLERANCE {
+            if same_scope && attempt.first_byte_at <= earlier.first_byte_at + window + TOLERANCE {
                 return None;
             }
             Problem::at_most_once(format!(
-                "keyed {id:016x} may have been executed at backend {} and is sent to {backend}, {}",
+                "keyed request {id:016x} may have been executed at backend {} and is sent to backend {backend} {}",
                 earlier.backend,
-                if same_scope { "after its window" } else { "outside its scope" }
+                if same_scope { "after the window of its key" } else { "outside the scope of its key" }
             ))
         }
         Idempotency::NonIdempotent => Problem::at_most_once(format!(
-            "non-idempotent {id:016x} may have been executed at backend {} and is sent to {backend}",
+            "non-idempotent request {id:016x} may have been executed at backend {} and is sent to backend {backend}",
             earlier.backend
         )),
     }
 }
 
+/// Returns a problem if another attempt of the request is in flight and hedged requests are not allowed.
 fn disallowed_hedge(limits: &CheckedLimits, request: &RequestRecord, id: u64) -> Option<Problem> {
-    let attempt_open = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
-    if !attempt_open || limits.hedging {
+    let attempt_in_flight = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
+    if !attempt_in_flight || limits.hedging {
         return None;
     }
-    Problem::at_most_once(format!("a hedged request of {id:016x}, and none is allowed"))
+    Problem::at_most_once(format!("request {id:016x} is hedged, but hedged requests are not allowed"))
 }
 
+/// Returns a problem if the request has had the maximum number of attempts before this one.
 fn too_many_attempts(limits: &CheckedLimits, request: &RequestRecord, id: u64) -> Option<Problem> {
     if request.attempts.len() < limits.max_attempts {
         return None;
     }
-    Problem::at_most_once(format!("{id:016x} has more attempts than allowed"))
+    Problem::at_most_once(format!("request {id:016x} has more attempts than allowed"))
 }
--- a/emulator/src/checker/backend_replies.rs
+++ b/emulator/src/checker/backend_replies.rs
@@ -1,4 +1,4 @@
-//! Follows the replies of backends: which attempts were answered, rejected or lost with their connection.
+//! Decodes the replies of backends to determine which attempts were answered, rejected, or ended with their connection.
 use super::attempts::{AttemptRef, BackendConnection};
 use super::request::{AttemptOutcome, RequestEvent};
 use super::response::LINE_END;
@@ -7,20 +7,20 @@
 use quillramp_gateway::wire::resp;
 use quillramp_gateway::wire::DecodedMessage;
 
-/// What the bytes of a connection begin with.
-enum Decoded {
-    /// No complete reply yet.
+/// What the bytes received on a connection start with.
+enum DecodedReply {
+    /// An incomplete reply.
     Incomplete,
-    /// The head of a long value, whose rest has not arrived.
+    /// The head of a long value that has not arrived completely.
     LongValueStarted,
-    /// A reply, with whether it is a value.
-    Reply { outcome: AttemptOutcome, value: bool },
-    /// Bytes that are no reply: the rest can't be understood either.
+    /// A complete reply, and whether it is a value.
+    Reply { outcome: AttemptOutcome, is_value: bool },
+    /// Bytes that can't be parsed; all bytes received so far are discarded.
     Malformed,
 }
 
 impl Checker {
-    /// These bytes of a backend have arrived at a process.
+    /// Processes bytes of a backend that arrived at a process.
     pub fn backend_bytes_received(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
         let Some(connection) = self.backends.get_mut(&link) else { return };
         connection.reply_bytes.extend_from_slice(bytes);
@@ -29,27 +29,27 @@
             let decoded = connection.take_reply();
             let oldest = connection.in_flight.front().copied();
             match decoded {
-                Decoded::Incomplete => return,
-                Decoded::LongValueStarted => return self.value_received(oldest),
-                Decoded::Reply { outcome, value } => {
-                    if value {
+                DecodedReply::Incomplete => return,
+                DecodedReply::LongValueStarted => return self.value_received(oldest),
+                DecodedReply::Reply { outcome, is_value } => {
+                    if is_value {
                         self.value_received(oldest);
                     }
                     self.reply_received(now, link, outcome);
                 }
-                Decoded::Malformed => return self.reply_received(now, link, AttemptOutcome::Answered),
+                DecodedReply::Malformed => return self.reply_received(now, link, AttemptOutcome::Answered),
             }
         }
     }
 
-    /// A value has begun to arrive for the request of an attempt.
+    /// Records that at least the head of a value has arrived for the request of an attempt.
     fn value_received(&mut self, attempt: Option<AttemptRef>) {
         if let Some(request) = attempt.and_then(|attempt| self.requests.get_mut(&attempt.request)) {
             request.value_received = true;
         }
     }
 
-    /// The oldest attempt on a connection has its reply.
+    /// Records the reply to the oldest attempt in flight on a connection.
     fn reply_received(&mut self, now: f64, link: LinkId, outcome: AttemptOutcome) {
         let connection = self.backends.get_mut(&link);
         if let Some(attempt) = connection.and_then(|connection| connection.in_flight.pop_front()) {
@@ -57,15 +57,15 @@
         }
     }
 
-    fn attempt_ended(&mut self, now: f64, ended: AttemptRef, outcome: AttemptOutcome) {
-        let Some(request) = self.requests.get_mut(&ended.request) else { return };
-        let Some(attempt) = request.attempts.get_mut(ended.attempt) else { return };
+    fn attempt_ended(&mut self, now: f64, attempt_ref: AttemptRef, outcome: AttemptOutcome) {
+        let Some(request) = self.requests.get_mut(&attempt_ref.request) else { return };
+        let Some(attempt) = request.attempts.get_mut(attempt_ref.attempt) else { return };
         attempt.outcome = attempt.outcome.or(Some(outcome));
         let backend = attempt.backend;
         request.record(now, RequestEvent::AttemptEnded { backend, outcome });
     }
 
-    /// A connection to a backend has ended, and with it all attempts on it.
+    /// Records that a connection to a backend ended, and with it the attempts in flight on it.
     pub fn backend_disconnected(&mut self, now: f64, link: LinkId) {
         let Some(connection) = self.backends.remove(&link) else { return };
         for attempt in connection.in_flight {
@@ -75,18 +75,18 @@
 }
 
 impl BackendConnection {
-    /// Takes the first complete reply from the bytes that have arrived.
-    fn take_reply(&mut self) -> Decoded {
-        // A long value counts from its head on: it may be forwarded before all of it has arrived.
+    /// Decodes the first reply in the received bytes, and removes it if it is complete.
+    fn take_reply(&mut self) -> DecodedReply {
+        // The head of a long value is enough: a process may forward the value before all of it has arrived.
         let long_value = resp::decode_stream_head(&self.reply_bytes).ok().flatten();
         if let Some(head) = long_value {
             let value_end = head.length + head.value + LINE_END;
             let rest = self.reply_bytes.get(value_end..);
             let Some(Ok(Some(trailer))) = rest.map(resp::decode_trailer) else {
-                return Decoded::LongValueStarted;
+                return DecodedReply::LongValueStarted;
             };
             self.reply_bytes.drain(..value_end + trailer.length);
-            return Decoded::Reply { outcome: AttemptOutcome::Answered, value: true };
+            return DecodedReply::Reply { outcome: AttemptOutcome::Answered, is_value: true };
         }
         match resp::decode_reply(&self.reply_bytes) {
             Ok(Some(DecodedMessage { value: reply, length })) => {
@@ -95,12 +95,12 @@
                     resp::BackendReply::Rejected => AttemptOutcome::Rejected,
                     resp::BackendReply::Value { .. } | resp::BackendReply::Failed => AttemptOutcome::Answered,
                 };
-                Decoded::Reply { outcome, value: matches!(reply, resp::BackendReply::Value { .. }) }
+                DecodedReply::Reply { outcome, is_value: matches!(reply, resp::BackendReply::Value { .. }) }
             }
-            Ok(None) => Decoded::Incomplete,
+            Ok(None) => DecodedReply::Incomplete,
             Err(_) => {
                 self.reply_bytes.clear();
-                Decoded::Malformed
+                DecodedReply::Malformed
             }
         }
     }
--- a/emulator/src/checker/client_connection.rs
+++ b/emulator/src/checker/client_connection.rs
@@ -1,64 +1,64 @@
-//! What is known of a client's connection.
+//! The state of a client's connection.
 use std::collections::VecDeque;
 
-/// What a command is.
+/// The kind of a command.
 #[derive(Clone, Copy)]
 pub(super) enum CommandKind {
-    /// A request, by its id.
+    /// A request, with its id.
     Request(u64),
-    /// Another command.
+    /// Any other command.
     Other,
 }
 
 /// A command that has no response yet.
 #[derive(Clone, Copy)]
 pub(super) struct PendingCommand {
-    /// What it is.
+    /// Kind of the command.
     pub kind: CommandKind,
-    /// When its last byte arrived.
+    /// Time at which the last byte arrived.
     pub received_at: f64,
 }
 
-/// A request whose client got no response.
+/// A request that has no response when its connection ends.
 pub(super) struct LostRequest {
-    /// The request's id.
+    /// Id of the request.
     pub id: u64,
-    /// When its last byte arrived.
+    /// Time at which the last byte arrived.
     pub received_at: f64,
 }
 
 /// A client's connection.
 #[derive(Default)]
 pub(super) struct ClientConnection {
-    /// The process that it is connected to.
+    /// Index of the process that the client is connected to.
     pub process: usize,
-    /// The client sends what can't be parsed.
+    /// Whether the client is one that sends bytes that can't be parsed.
     pub malformed: bool,
-    /// Bytes of the client that are not decoded yet.
+    /// Bytes from the client that do not form a complete command yet.
     pub received: Vec<u8>,
-    /// Bytes for the client that are no complete response yet.
+    /// Bytes to the client that do not form a complete response yet.
     pub response_bytes: Vec<u8>,
-    /// The commands without a response, in order.
+    /// Commands without a response, oldest first.
     pub pending: VecDeque<PendingCommand>,
-    /// Since when the oldest command has been at the front of the pipeline.
+    /// Time since which the oldest pending command has been at the front of the pipeline.
     pub front_since: f64,
-    /// Nothing after this can be parsed.
+    /// Whether further bytes from the client are ignored, because earlier ones can't be parsed or the process rejected the connection.
     pub unparseable: bool,
-    /// When the client connected.
+    /// Time at which the client connected.
     pub connected_at: f64,
 }
 
 impl ClientConnection {
-    /// The request at the front of the pipeline, if that is one.
-    pub fn overdue_request(&self) -> Option<u64> {
+    /// Returns the id of the request at the front of the pipeline; none if the pipeline is empty or another command is at its front.
+    pub fn front_request(&self) -> Option<u64> {
         match self.pending.front()?.kind {
             CommandKind::Request(id) if !self.malformed => Some(id),
             _ => None,
         }
     }
 
-    /// The oldest request without a response; none where a response has begun, for the client can tell that a truncated one is not
-    /// complete.
+    /// Returns the oldest request without a response. None if a response was written in part: the client can detect that a truncated
+    /// response is incomplete.
     pub fn lost_request(&self) -> Option<LostRequest> {
         if !self.response_bytes.is_empty() {
             return None;
--- a/emulator/src/checker/client_responses.rs
+++ b/emulator/src/checker/client_responses.rs
@@ -1,4 +1,4 @@
-//! Checks that each command of a client gets one final response, in order; `deadlines` checks that it comes in time.
+//! Checks that each command of a client gets one final response, in order. `deadlines` checks that the response is not late.
 use super::client_connection::{ClientConnection, CommandKind, LostRequest, PendingCommand};
 use super::deadlines::{Deadline, MALFORMED_TIMEOUT};
 use super::request::{AttemptOutcome, RequestEvent, RequestRecord};
@@ -9,13 +9,13 @@
 use quillramp_gateway::wire::resp;
 use quillramp_gateway::wire::DecodedMessage;
 
-/// A value names its request within so many of its first bytes.
+/// Number of bytes at the start of a value that include the id of its request.
 const VALUE_HEAD_BYTES: usize = 64;
-/// Characters of a request id in hexadecimal.
+/// Length of a request id in hexadecimal characters.
 const ID_LENGTH: usize = 16;
 
 impl Checker {
-    /// A client has connected to a process; `malformed`: it will send what can't be parsed.
+    /// Records that a client connected to a process. `malformed` is whether the client will send bytes that can't be parsed.
     pub fn client_connected(&mut self, now: f64, link: LinkId, process: usize, malformed: bool) {
         let client =
             ClientConnection { process, malformed, connected_at: now, ..ClientConnection::default() };
@@ -25,20 +25,21 @@
         }
     }
 
-    /// A client's connection is rejected: all that it gets is an error and the end. A client with a known address may be rejected only
-    /// because that address has too many connections, or opens them too fast.
+    /// Records that a process rejects a client's connection: the client gets an error, and the connection is closed. A client with a known
+    /// address may be rejected only because that address has too many connections or opens them too fast.
     pub fn connection_rejected(&mut self, now: f64, link: LinkId, known_address: bool, reason: &str) {
         self.coverage.rejected_connections += 1;
         if let Some(client) = self.clients.get_mut(&link) {
             client.unparseable = true;
         }
         if known_address && reason == "full" {
-            let message = format!("connection {link}: a client with a known address is rejected: {reason}");
+            let message =
+                format!("connection {link}: a client with a known address is rejected, reason: {reason}");
             self.record_violation(Invariant::SingleResponse, now, message);
         }
     }
 
-    /// These bytes of a client have arrived at the gateway's machine.
+    /// Processes bytes of a client that arrived at the machine of a gateway process.
     pub fn client_bytes_received(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
         let Some(client) = self.clients.get_mut(&link).filter(|client| !client.unparseable) else { return };
         if client.malformed {
@@ -85,7 +86,7 @@
         self.requests.insert(request.id, record);
     }
 
-    /// These bytes have left a process for a client.
+    /// Processes bytes that a process wrote to a client, and checks each response that they complete.
     pub fn response_bytes_written(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
         let Some(client) = self.clients.get_mut(&link) else { return };
         if client.malformed {
@@ -102,25 +103,27 @@
         }
     }
 
-    /// A client that sent what can't be parsed gets an error, and nothing else.
+    /// Checks that a client that sent bytes that can't be parsed gets an error and nothing else.
     fn malformed_client_answered(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
         if bytes.starts_with(b"-") {
             self.clients.remove(&link);
         } else {
-            let message = format!("connection {link}: a client whose bytes can't be parsed gets no error");
+            let message = format!(
+                "connection {link}: expected an error for bytes that can't be parsed, found another response"
+            );
             self.record_violation(Invariant::SingleResponse, now, message);
         }
     }
 
-    /// A complete response has left a process: it belongs to the oldest command on the connection.
+    /// Matches a complete response to the oldest pending command on the connection.
     fn response_written(&mut self, now: f64, link: LinkId, kind: ResponseKind, response: &[u8]) {
         let Some(client) = self.clients.get_mut(&link) else { return };
         client.front_since = now;
         let Some(command) = client.pending.pop_front() else {
             let answers_malformed_bytes = client.unparseable && kind == ResponseKind::Error;
             if !answers_malformed_bytes {
-                let shown = escape(response);
-                let message = format!("connection {link}: a response without a command: {shown}");
+                let escaped = escape(response);
+                let message = format!("connection {link}: response without a pending command: {escaped}");
                 self.record_violation(Invariant::SingleResponse, now, message);
             }
             return;
@@ -149,35 +152,38 @@
             }
             ResponseKind::Error => self.coverage.errored += 1,
             ResponseKind::Other => {
-                let message = format!("request {id:016x} is answered by {}", escape(response));
+                let message = format!(
+                    "request {id:016x}: expected a value, BUSY or an error, found {}",
+                    escape(response)
+                );
                 self.record_request_violation(Invariant::SingleResponse, now, id, message);
             }
         }
     }
 
-    /// A value names the request that a backend made it for.
+    /// Checks that a value includes the id of its request, and that a backend sent a value for that request.
     fn check_value(&mut self, now: f64, id: u64, response: &[u8]) {
         let value_received = self.requests.get(&id).is_some_and(|request| request.value_received);
         let expected_id = format!("{id:016x}");
         let head = &response[..response.len().min(VALUE_HEAD_BYTES)];
-        let names_request = head.windows(ID_LENGTH).any(|window| window == expected_id.as_bytes());
-        if !names_request || !value_received {
-            let message = format!("request {id:016x} is answered by a value that no backend made for it");
+        let includes_id = head.windows(ID_LENGTH).any(|window| window == expected_id.as_bytes());
+        if !includes_id || !value_received {
+            let message = format!("request {id:016x} is answered with a value that no backend sent for it");
             self.record_request_violation(Invariant::SingleResponse, now, id, message);
         }
     }
 
-    /// Only what was not executed may be throttled, unless it is idempotent.
+    /// Checks that a throttled request is idempotent or was not executed.
     fn check_throttling(&mut self, now: f64, id: u64) {
         let Some(request) = self.requests.get(&id) else { return };
         let operation = &self.limits.operations[request.operation];
-        let rejected = |outcome| outcome == Some(AttemptOutcome::Rejected);
+        let is_rejected = |outcome| outcome == Some(AttemptOutcome::Rejected);
         let allowed = operation.idempotency == Idempotency::Idempotent
-            || request.attempts.iter().all(|attempt| rejected(attempt.outcome));
+            || request.attempts.iter().all(|attempt| is_rejected(attempt.outcome));
         if !allowed {
             let attempts: Vec<String> = request.attempts.iter().map(|attempt| attempt.describe()).collect();
             let message = format!(
-                "{} {id:016x} is throttled though it may have been executed: {}",
+                "{} {id:016x} is throttled although it may have been executed: {}",
                 operation.name,
                 attempts.join(", ")
             );
@@ -185,24 +191,26 @@
         }
     }
 
-    /// A client's connection has ended at the process's side, closed by the process itself or by others.
+    /// Records that a client's connection ended at the process's side, and checks that a process that closed the connection itself
+    /// (`by_gateway`) leaves no request without a response.
     pub fn client_disconnected(&mut self, now: f64, link: LinkId, by_gateway: bool) {
         let Some(client) = self.clients.remove(&link) else { return };
         let Some(process) = self.processes.get(&client.process) else { return };
         if !by_gateway || client.malformed || client.unparseable || process.ended {
             return;
         }
-        // Where a stall has only just ended, clients' timeouts have passed: what is closed then has failed, and is not lost.
+        // Client timeouts may have expired during a stall: requests on connections that are closed right after it have failed, and do
+        // not count as lost.
         if now <= process.stalled_until + TOLERANCE {
             return;
         }
-        let is_due = |lost: &LostRequest| {
+        let response_required = |lost: &LostRequest| {
             let received_at = lost.received_at.max(process.stalled_until);
             process.shutdown_requested.is_none_or(|at| received_at <= at + SHUTDOWN_INTAKE)
         };
-        if let Some(LostRequest { id, received_at }) = client.lost_request().filter(is_due) {
+        if let Some(LostRequest { id, received_at }) = client.lost_request().filter(response_required) {
             let message = format!(
-                "request {id:016x}, received at {received_at:.4}: its connection {link} is closed without a response"
+                "request {id:016x}, received at {received_at:.4}: the process closed its connection {link} without a response"
             );
             self.record_request_violation(Invariant::SingleResponse, now, id, message);
         }
--- a/emulator/src/checker/deadlines.rs
+++ b/emulator/src/checker/deadlines.rs
@@ -1,25 +1,25 @@
-//! Checks that each command of a client gets its response in time.
+//! Checks that each command of a client gets its response before a deadline.
 use super::client_connection::{ClientConnection, CommandKind, PendingCommand};
 use super::{Checker, Invariant, SHUTDOWN_INTAKE, TOLERANCE};
 use crate::network::LinkId;
 
-/// A client whose bytes can't be parsed gets an error, or the end of its connection, within so many seconds.
+/// Maximum number of seconds from the start of a connection to the error or the close for a client whose bytes can't be parsed.
 pub(super) const MALFORMED_TIMEOUT: f64 = 3.0;
-/// Time for the response to a command that is not a request, in seconds.
+/// Maximum number of seconds to the response to a command that is not a request.
 const COMMAND_TIMEOUT: f64 = 1.0;
-/// Time after which a response that arrives in pieces is looked at again, in seconds.
+/// Seconds until a response that has been written in part is checked again.
 const RECHECK_INTERVAL: f64 = 0.5;
 
-/// When a connection's oldest command is to be looked at.
+/// The time at which a connection's oldest pending command is checked.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Deadline {
-    /// Bits of the time: those of non-negative numbers sort as the numbers do.
+    /// Bits of the time in seconds. The bits of non-negative numbers have the same order as the numbers.
     at_bits: u64,
     link: LinkId,
 }
 
 impl Deadline {
-    /// A deadline at that time, in seconds.
+    /// Returns a deadline at a time in seconds.
     pub fn new(at: f64, link: LinkId) -> Deadline {
         Deadline { at_bits: at.to_bits(), link }
     }
@@ -30,7 +30,7 @@
 }
 
 impl Checker {
-    /// When the command at the front of a connection's pipeline must have its response.
+    /// Returns the time until which the command at the front of a connection's pipeline must get its response.
     fn response_deadline(&self, link: LinkId) -> Option<f64> {
         let client = self.clients.get(&link)?;
         let stalled_until = self.processes.get(&client.process).map_or(0.0, |process| process.stalled_until);
@@ -38,7 +38,7 @@
             return Some(client.connected_at.max(stalled_until) + MALFORMED_TIMEOUT);
         }
         let command = client.pending.front()?;
-        // What arrived during a stall counts from the stall's end: a process can't know how long bytes lay there.
+        // Bytes that arrived during a stall count as received at its end: a process can't determine when they arrived.
         let received_at = command.received_at.max(stalled_until);
         Some(match command.kind {
             CommandKind::Request(id) => {
@@ -49,19 +49,19 @@
         })
     }
 
-    /// Schedules the next look at a connection.
+    /// Schedules the next check of a connection.
     pub(super) fn schedule_deadline(&mut self, link: LinkId) {
         if let Some(at) = self.response_deadline(link) {
             self.deadlines.insert(Deadline::new(at, link));
         }
     }
 
-    /// The connection with the earliest deadline, if that has passed.
+    /// Returns the connection with the earliest deadline, if that deadline has passed.
     fn next_overdue(&self, now: f64) -> Option<LinkId> {
         self.deadlines.first().filter(|deadline| deadline.at() < now).map(|deadline| deadline.link)
     }
 
-    /// Finds the commands that should have had a response by now.
+    /// Checks the connections whose deadlines have passed, and records a violation for a command without a response.
     pub fn check_deadlines(&mut self, now: f64) {
         while let Some(link) = self.next_overdue(now) {
             self.deadlines.pop_first();
@@ -73,10 +73,10 @@
             if deadline >= now {
                 self.deadlines.insert(Deadline::new(deadline, link));
             } else if !client.response_bytes.is_empty() && !client.malformed {
-                // Its response is arriving in pieces.
+                // The response has been written in part.
                 self.deadlines.insert(Deadline::new(now + RECHECK_INTERVAL, link));
             } else if let Some(message) = self.overdue_message(link, client) {
-                match client.overdue_request() {
+                match client.front_request() {
                     Some(id) => self.record_request_violation(Invariant::SingleResponse, now, id, message),
                     None => self.record_violation(Invariant::SingleResponse, now, message),
                 }
@@ -84,21 +84,22 @@
         }
     }
 
-    /// What a connection's client waits for; none where it arrived too late before a shutdown.
+    /// Returns the message about a connection without a response in time. None if the command was received too late after a shutdown
+    /// request to require a response.
     fn overdue_message(&self, link: LinkId, client: &ClientConnection) -> Option<String> {
         if client.malformed {
             return Some(format!(
-                "connection {link}: neither an error nor a close within {MALFORMED_TIMEOUT} s of bytes that can't be parsed"
+                "connection {link}: expected an error or a close within {MALFORMED_TIMEOUT} s for bytes that can't be parsed, found neither"
             ));
         }
         let process = self.processes.get(&client.process);
-        let shutdown = process.and_then(|process| process.shutdown_requested);
+        let shutdown_at = process.and_then(|process| process.shutdown_requested);
         match client.pending.front() {
-            Some(command) if shutdown.is_some_and(|at| command.received_at > at + SHUTDOWN_INTAKE) => None,
+            Some(command) if shutdown_at.is_some_and(|at| command.received_at > at + SHUTDOWN_INTAKE) => None,
             Some(PendingCommand { kind: CommandKind::Request(id), received_at }) => Some(format!(
-                "request {id:016x}, received at {received_at:.4} on connection {link}, has no response in time"
+                "request {id:016x}, received at {received_at:.4} on connection {link}, got no response before its deadline"
             )),
-            _ => Some(format!("connection {link}: a command has no response in time")),
+            _ => Some(format!("connection {link}: a command got no response before its deadline")),
         }
     }
 }
--- a/emulator/src/checker/drain.rs
+++ b/emulator/src/checker/drain.rs
@@ -1,26 +1,27 @@
-//! Follows what each process was notified of by the discovery service, for the check on draining and removed backends.
+//! Tracks the endpoint lists that each process received, for the check on attempts to draining and removed backends in `attempts`.
 use super::Checker;
 use crate::network::LinkId;
 use quillramp::types::EndpointStatus;
 use quillramp_gateway::wire::{endpoints, http};
 use std::collections::BTreeSet;
 
-/// HTTP status of a usable response.
+/// HTTP status of responses with an endpoint list.
 const STATUS_OK: u16 = 200;
 
-/// A connection from a process to the discovery service.
+/// A connection from a process to the list service.
 pub(super) struct DiscoveryConnection {
     process: usize,
+    /// Received bytes that do not form a complete response yet.
     received: Vec<u8>,
 }
 
 impl Checker {
-    /// A process opens a connection to the discovery service.
+    /// Records that a process opened a connection to the list service.
     pub fn discovery_connected(&mut self, link: LinkId, process: usize) {
         self.discovery.insert(link, DiscoveryConnection { process, received: vec![] });
     }
 
-    /// These bytes of the discovery service have arrived at a process.
+    /// Processes bytes of the list service that arrived at a process.
     pub fn discovery_bytes_received(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
         let Some(connection) = self.discovery.get_mut(&link) else { return };
         let process = connection.process;
@@ -35,7 +36,7 @@
         }
     }
 
-    /// A process knows this endpoint list from now on.
+    /// Records which backends are ready according to an endpoint list that a process received.
     pub fn endpoint_list_received(&mut self, now: f64, process: usize, list: &endpoints::EndpointList) {
         let state = self.processes.entry(process).or_default();
         if list.snapshot {
--- a/emulator/src/checker/invariant.rs
+++ b/emulator/src/checker/invariant.rs
@@ -1,24 +1,24 @@
-//! What can be violated, a violation, and how much there was to check.
+//! The invariants, their violations, and how often each was checked.
 
 /// An invariant of the service that holds in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// One final response to each command in time, and nothing after it.
+    /// Each command gets exactly one final response, before its deadline.
     SingleResponse,
-    /// Nothing that is not idempotent is executed twice.
+    /// A request is only repeated as its operation's idempotency allows. A non-idempotent request is executed at most once.
     AtMostOnce,
-    /// Nothing new is sent to a draining or removed backend after the grace period.
+    /// No attempt is sent to a draining or removed backend after the grace period.
     DrainGrace,
-    /// No backend that is warming up is overloaded.
+    /// No backend is overloaded while it warms up.
     SlowStart,
-    /// No customer passes the ceiling of its plan.
+    /// No customer exceeds the ceiling of its plan.
     RateCeiling,
-    /// The processes of one gateway instance together hold no more descriptors than it may.
+    /// The processes of a gateway instance together hold no more descriptors than the instance's limit.
     DescriptorLimit,
 }
 
 impl Invariant {
-    /// All of them, in the order in which summaries list them.
+    /// All invariants, in the order of the summary.
     pub const ALL: [Invariant; 6] = [
         Invariant::SingleResponse,
         Invariant::AtMostOnce,
@@ -28,7 +28,7 @@
         Invariant::DescriptorLimit,
     ];
 
-    /// The name in summaries and result files.
+    /// Returns the name in summaries and result files.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::SingleResponse => "one answer",
@@ -41,48 +41,48 @@
     }
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which one.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When, in seconds of the virtual clock.
+    /// Time of the violation, in seconds of the virtual clock.
     pub at: f64,
-    /// What was wrong, for people.
+    /// Description of the violation.
     pub message: String,
-    /// What happened to the request that it is about, an event a line.
+    /// History of the request that caused the violation, one event per line. Empty if no single request caused it.
     pub history: Vec<String>,
 }
 
-/// How often each check had something to check, so that a run in which nothing could go wrong is recognised.
+/// Numbers of requests, attempts and checks. They reveal runs in which a check was never exercised.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Coverage {
-    /// Requests that gateway processes received.
+    /// Number of requests that gateway processes received.
     pub requests: u64,
-    /// Requests that were answered by a value.
+    /// Number of requests that were answered with a value.
     pub succeeded: u64,
-    /// Requests that were answered by `BUSY`.
+    /// Number of requests that were answered with `BUSY`.
     pub throttled: u64,
-    /// Requests that were answered by an error.
+    /// Number of requests that were answered with an error.
     pub errored: u64,
-    /// Attempts written to backends.
+    /// Number of attempts written to backends.
     pub attempts: u64,
-    /// Attempts of a request of which an earlier attempt may have been executed.
+    /// Number of attempts of requests that an earlier attempt may already have executed.
     pub repeated_attempts: u64,
-    /// Endpoints that processes were notified of as not ready.
+    /// Number of notifications to a process that an endpoint is not ready.
     pub drain_checks: u64,
-    /// Attempts that reached a backend that was warming up.
+    /// Number of attempts that arrived at a backend while it was warming up.
     pub slow_start_checks: u64,
-    /// Requests that were checked against a ceiling.
+    /// Number of requests that were checked against a ceiling.
     pub ceiling_checks: u64,
-    /// Client connections that processes rejected.
+    /// Number of client connections that processes rejected.
     pub rejected_connections: u64,
-    /// Checks of descriptors with more than half of them in use.
+    /// Number of checks of an instance's descriptors while more than half of its limit was in use.
     pub descriptor_checks: u64,
 }
 
 impl Coverage {
-    /// Adds the counts of another run.
+    /// Adds the numbers of another run.
     pub fn add(&mut self, other: &Coverage) {
         self.requests += other.requests;
         self.succeeded += other.succeeded;
--- a/emulator/src/checker/limits.rs
+++ b/emulator/src/checker/limits.rs
@@ -1,69 +1,69 @@
-//! The limits that a run is checked against: the same that its gateway instances are configured with.
+//! The limits that the checker verifies. The run's gateway instances are configured with the same limits.
 use quillramp::types::Idempotency;
 use std::collections::HashMap;
 
-/// An operation as the checks see it.
+/// The properties of an operation that the checks depend on.
 #[derive(Clone, Debug)]
 pub struct OperationSpec {
-    /// Its name in commands.
+    /// Name of the operation in commands.
     pub name: String,
-    /// Whether, and how, it may be repeated.
+    /// Whether a request may be executed more than once, and under which conditions.
     pub idempotency: Idempotency,
 }
 
-/// The most that one customer may have forwarded, by all gateway instances together.
+/// A limit on the units that all gateway instances together may forward for one customer: a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct Ceiling {
-    /// Units a second.
+    /// Refill rate, in units per second.
     pub rate: f64,
-    /// Units at once.
+    /// Size of the bucket, in units.
     pub burst: f64,
-    /// Units by which the ceiling may be passed.
+    /// Units by which a customer may exceed the ceiling.
     pub slack: f64,
 }
 
-/// The quota of a plan.
+/// The quota of a plan: a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaLimit {
-    /// Units a second.
+    /// Refill rate, in units per second.
     pub rate: f64,
-    /// Units at once.
+    /// Size of the bucket, in units.
     pub burst: f64,
 }
 
-/// What overloads a backend that is warming up, and what a warm one can do.
+/// The load above which a backend that is warming up is overloaded. Its capacity grows linearly from the start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartLimit {
-    /// The fraction of its capacity that a backend starts with.
+    /// Fraction of the full capacity that a backend has at its start.
     pub initial_fraction: f64,
-    /// Seconds until it has all of its capacity.
+    /// Seconds until a backend has its full capacity.
     pub duration: f64,
-    /// How many times its capacity overloads it.
+    /// Ratio of load to current capacity above which a backend is overloaded.
     pub overload_factor: f64,
-    /// For how long, in seconds.
+    /// Length of the time window over which the load is measured, in seconds.
     pub window: f64,
-    /// What a warm backend can do, in units a second.
+    /// Full capacity of a backend, in units per second.
     pub capacity: f64,
 }
 
-/// The limits of all checks.
+/// The limits that all checks depend on.
 pub struct CheckedLimits {
-    /// The operations that clients may ask for.
+    /// Operations that clients may request.
     pub operations: Vec<OperationSpec>,
-    /// Ceilings, by the plan's name.
+    /// Ceilings, by the name of the plan.
     pub ceilings: HashMap<String, Ceiling>,
-    /// Quotas, by the plan's name.
+    /// Quotas, by the name of the plan.
     pub quotas: HashMap<String, QuotaLimit>,
-    /// The limit of backends that are warming up.
+    /// Load limit of backends that are warming up.
     pub slow_start: SlowStartLimit,
-    /// Seconds in which a backend may still get attempts after the process was notified that it drains or is gone.
+    /// Seconds for which a process may still send attempts to a backend after it was notified that the backend is draining or removed.
     pub drain_grace: f64,
     /// Whether hedged requests are allowed.
     pub hedging: bool,
-    /// The most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Each backend's cell, by the backend's index.
+    /// Index of each backend's cell, by the backend's index.
     pub backend_cells: Vec<usize>,
-    /// Each backend's zone, by the backend's index.
+    /// Index of each backend's zone, by the backend's index.
     pub backend_zones: Vec<usize>,
 }
--- a/emulator/src/checker/mod.rs
+++ b/emulator/src/checker/mod.rs
@@ -1,17 +1,17 @@
-//! Checks the service's invariants against what passes over the network and what the models did, never against what a gateway
-//! process reports about itself. Every byte that a process reads or writes is shown to the [`Checker`].
+//! Checks the service's invariants. The [`Checker`] observes every byte that a gateway process reads or writes and the actions of the
+//! models. It never relies on what a process reports about itself.
 //!
-//! Each invariant has a module of its own that extends [`Checker`]:
+//! Each of these modules extends [`Checker`] with the checks of one invariant, or with observations that the checks need:
 //!
 //! | module | what it checks |
 //! | --- | --- |
-//! | `client_responses`, `deadlines` | one final response to each command, in time |
-//! | `attempts` | no execution twice: retries, hedged requests, rejections to clients |
-//! | `backend_replies` | which attempts the backends completed, rejected or lost |
-//! | `drain` | nothing new to a draining or removed backend after the grace period |
-//! | `slow_start` | no overload of a backend that is warming up |
-//! | `rate_ceiling` | no customer past its plan's ceiling |
-//! | `processes` | starts, stalls and ends of processes; descriptors in use |
+//! | `client_responses`, `deadlines` | one final response to each command, before its deadline |
+//! | `attempts` | at-most-once execution, and the limits on retries and hedged requests |
+//! | `backend_replies` | which attempts were answered, rejected, or ended without a reply |
+//! | `drain` | which backends the processes were notified of as draining or removed |
+//! | `slow_start` | no overload of backends that are warming up |
+//! | `rate_ceiling` | no customer exceeds the ceiling of its plan |
+//! | `processes` | the descriptor limit of each gateway instance; starts, stalls and ends of processes |
 mod attempts;
 mod backend_replies;
 mod client_connection;
@@ -43,17 +43,17 @@
 use slow_start::WarmingBackend;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// Tolerance added to each time limit, since sockets are slower than the virtual clock, in seconds.
+/// Seconds added to each time limit, because sockets are slower than the virtual clock.
 const TOLERANCE: f64 = 0.05;
-/// Commands received later than this after a shutdown request may go without a response, in seconds.
+/// Seconds after a shutdown request during which received commands still require a response.
 const SHUTDOWN_INTAKE: f64 = 0.7;
 
-/// The observer of a run. The first violation is kept, and ends the run.
+/// Observes a run and keeps the first violation, which ends the run. Times are in seconds of the virtual clock.
 pub struct Checker {
     limits: CheckedLimits,
-    /// The first violation found.
+    /// The first violation, if any.
     pub violation: Option<Violation>,
-    /// How often each check had something to check.
+    /// Numbers of requests, attempts and checks.
     pub coverage: Coverage,
     requests: HashMap<u64, RequestRecord>,
     clients: HashMap<LinkId, ClientConnection>,
@@ -63,18 +63,18 @@
     deadlines: BTreeSet<Deadline>,
     warming: HashMap<usize, WarmingBackend>,
     ceilings: HashMap<CustomerPlan, CeilingBucket>,
-    /// What each customer with a quota used of it.
+    /// Usage of each customer with a quota.
     pub quota_usage: HashMap<CustomerPlan, QuotaUsage>,
-    /// The requests that have begun to run at some backend.
+    /// Ids of the requests that a backend has started to execute.
     executed: HashSet<u64>,
-    /// Ceilings are not checked until then: two counters answer.
+    /// Time until which ceilings are not checked, because a second counter responds to some gateway instances.
     split_until: f64,
-    /// The backend, by index, that each endpoint name leads to.
+    /// Index of the backend that each endpoint name belongs to.
     pub backend_names: BTreeMap<String, usize>,
 }
 
 impl Checker {
-    /// A checker of a run that has not started.
+    /// Returns a checker for a run that has not started.
     pub fn new(limits: CheckedLimits) -> Checker {
         Checker {
             limits,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Keeps a violation that no single request is the cause of, if it is the first one.
+    /// Records a violation that is not about a single request. Only the first violation of a run is kept.
     fn record_violation(&mut self, invariant: Invariant, now: f64, message: String) {
         self.violation.get_or_insert(Violation { invariant, at: now, message, history: vec![] });
     }
 
-    /// Keeps a violation with the history of the request that it is about, if it is the first one.
+    /// Records a violation with the history of the request that caused it. Only the first violation of a run is kept.
     fn record_request_violation(&mut self, invariant: Invariant, now: f64, id: u64, message: String) {
         let history = self.requests.get(&id).map_or(vec![], RequestRecord::history_lines);
         self.violation.get_or_insert(Violation { invariant, at: now, message, history });
--- a/emulator/src/checker/processes.rs
+++ b/emulator/src/checker/processes.rs
@@ -1,60 +1,60 @@
-//! Follows the gateway's processes: starts, stalls, shutdown requests, ends, and the descriptors that they hold.
+//! Tracks the starts, stalls, shutdown requests and ends of gateway processes, and checks the number of descriptors that they hold.
 use super::{Checker, Invariant};
 use crate::network::LinkId;
 use std::collections::{BTreeSet, HashMap};
 
-/// What is known of a process from outside.
+/// The state of a process as observed from outside.
 #[derive(Default)]
 pub(super) struct ProcessState {
-    /// It was killed, or has exited.
+    /// Whether the process was killed or has exited.
     pub ended: bool,
-    /// When it was asked to shut down.
+    /// Time at which the process was asked to shut down.
     pub shutdown_requested: Option<f64>,
-    /// It stood still until then.
+    /// End of the latest stall, 0 without a stall.
     pub stalled_until: f64,
-    /// By backend, the endpoint names that it knows to be ready.
+    /// Names of each backend that are ready according to the endpoint lists that the process received, by the backend's index.
     pub ready_names: HashMap<usize, BTreeSet<String>>,
-    /// By backend, since when none of its names has been ready.
+    /// Time since which none of a backend's names has been ready, by the backend's index.
     pub not_ready_since: HashMap<usize, f64>,
 }
 
 impl Checker {
-    /// A process starts.
+    /// Records that a process started.
     pub fn process_started(&mut self, process: usize) {
         self.processes.entry(process).or_default();
     }
 
-    /// A process was killed: what it had in flight is not expected to be answered.
+    /// Records that a process was killed. Its requests in flight no longer require a response.
     pub fn process_killed(&mut self, process: usize) {
         self.processes.entry(process).or_default().ended = true;
     }
 
-    /// A process was asked to shut down.
+    /// Records that a process was asked to shut down. Repeated shutdown requests have no effect.
     pub fn shutdown_requested(&mut self, now: f64, process: usize) {
         self.processes.entry(process).or_default().shutdown_requested.get_or_insert(now);
     }
 
-    /// A process has exited by itself: requests that it has not answered are lost.
+    /// Records that a process exited by itself, and checks that it leaves no request without a response.
     pub fn process_exited(&mut self, now: f64, process: usize) {
-        let own_clients = self.clients.iter().filter(|(_, client)| client.process == process);
-        let links: BTreeSet<LinkId> = own_clients.map(|(link, _)| *link).collect();
+        let process_clients = self.clients.iter().filter(|(_, client)| client.process == process);
+        let links: BTreeSet<LinkId> = process_clients.map(|(link, _)| *link).collect();
         for link in links {
             self.client_disconnected(now, link, true);
         }
         self.process_killed(process);
     }
 
-    /// A process does nothing until then.
+    /// Records that a process is suspended until the time `until`.
     pub fn process_stalled(&mut self, until: f64, process: usize) {
         let stalled_until = &mut self.processes.entry(process).or_default().stalled_until;
         *stalled_until = stalled_until.max(until);
     }
 
-    /// The processes of one gateway instance together hold so many descriptors, of so many that they may.
+    /// Checks the number of descriptors that the processes of a gateway instance hold together against the instance's limit.
     pub fn descriptors_in_use(&mut self, now: f64, instance: usize, in_use: usize, limit: usize) {
         self.coverage.descriptor_checks += u64::from(2 * in_use > limit);
         if in_use > limit {
-            let message = format!("instance {instance} holds {in_use} descriptors and may hold {limit}");
+            let message = format!("instance {instance} holds {in_use} descriptors, limit {limit}");
             self.record_violation(Invariant::DescriptorLimit, now, message);
         }
     }
--- a/emulator/src/checker/rate_ceiling.rs
+++ b/emulator/src/checker/rate_ceiling.rs
@@ -1,24 +1,24 @@
-//! Checks that no customer passes its plan's ceiling, and keeps account of its quota.
+//! Checks that no customer exceeds the ceiling of its plan, and records the usage of quotas.
 use super::{Ceiling, Checker, Invariant};
 use crate::quota_usage::QuotaUsage;
 
-/// A customer on one of its plans: what quotas and ceilings are kept for.
+/// A customer on one of its plans. Quotas and ceilings apply to each customer and plan.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CustomerPlan {
-    /// The customer's id.
+    /// Id of the customer.
     pub customer: u64,
-    /// The plan's name.
+    /// Name of the plan.
     pub plan: String,
 }
 
-/// A token bucket that may be overdrawn.
+/// The token bucket of a ceiling. The number of tokens may become negative.
 pub(super) struct CeilingBucket {
     tokens: f64,
     updated_at: f64,
 }
 
 impl CeilingBucket {
-    /// Refills it up to now, and takes the units.
+    /// Refills the bucket up to now, then takes the units from it.
     fn take(&mut self, ceiling: &Ceiling, now: f64, units: f64) {
         let refilled = self.tokens + ceiling.rate * (now - self.updated_at);
         self.tokens = refilled.min(ceiling.burst) - units;
@@ -27,7 +27,7 @@
 }
 
 impl Checker {
-    /// Takes a request's units from its customer's quota and ceiling when it is forwarded for the first time.
+    /// Charges a request's units to the customer's quota and ceiling when the request is forwarded for the first time.
     pub(super) fn charge(&mut self, now: f64, id: u64, units: f64) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.charged) else { return };
         request.charged = true;
@@ -42,20 +42,20 @@
         let bucket = self.ceilings.entry(key.clone()).or_insert(full);
         bucket.take(&ceiling, now, units);
         if now <= self.split_until {
-            // What is allowed during a split is not to be made up for afterwards.
+            // The debt from a split is limited to the slack, since the customer need not make up for it afterwards.
             bucket.tokens = bucket.tokens.max(-ceiling.slack);
         }
         if bucket.tokens < -ceiling.slack {
             let message = format!(
-                "customer {:016x} on {} is {:.1} units past its ceiling, slack {:.1}",
+                "customer {:016x} on {} exceeds its ceiling by {:.1} units, slack {:.1}",
                 key.customer, key.plan, -bucket.tokens, ceiling.slack
             );
             self.record_violation(Invariant::RateCeiling, now, message);
         }
     }
 
-    /// Until then two counters answer, each as if it were the only one: together they grant a quota twice, and no gateway instance can know
-    /// it. Ceilings are not checked meanwhile; `docs/emulator.md` lists it among the open points.
+    /// Suspends the check of ceilings until the time `until`. Until then, two counters respond independently of each other. Together they
+    /// grant a quota twice, which no gateway instance can detect. `docs/emulator.md` lists this among the open points.
     pub fn counter_split_until(&mut self, until: f64) {
         self.split_until = self.split_until.max(until);
     }
--- a/emulator/src/checker/request.rs
+++ b/emulator/src/checker/request.rs
@@ -1,58 +1,58 @@
-//! What is known of one request: its attempts, and its history for the report of a violation.
+//! The record of one request: its attempts, and its history for the report of a violation.
 use super::ResponseKind;
 use crate::network::LinkId;
 
-/// How an attempt came to its end.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptOutcome {
-    /// The backend rejected it without executing it.
+    /// The backend rejected the attempt without executing it.
     Rejected,
-    /// The backend sent a reply, whether a value, a failure or one that can't be parsed.
+    /// The backend replied with a value, with a failure, or with bytes that can't be parsed.
     Answered,
-    /// Its connection ended.
+    /// The connection ended before a reply arrived.
     Ended,
 }
 
-/// An attempt that was written completely.
+/// An attempt that a process has written completely.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
-    /// The backend, by index.
+    /// Index of the backend.
     pub backend: usize,
-    /// When its first byte was written.
-    pub first_byte: f64,
-    /// How it ended; none while it is in flight.
+    /// Time at which its first byte was written.
+    pub first_byte_at: f64,
+    /// How the attempt ended; none while it is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
 impl Attempt {
-    /// For the message of a violation.
+    /// Returns a description for the message of a violation.
     pub fn describe(&self) -> String {
-        let Attempt { backend, first_byte, outcome } = self;
-        format!("sent to backend {backend} at {first_byte:.4}, {outcome:?}")
+        let Attempt { backend, first_byte_at, outcome } = self;
+        format!("sent to backend {backend} at {first_byte_at:.4}, outcome {outcome:?}")
     }
 }
 
-/// Something that happened to a request.
+/// An event in the history of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RequestEvent {
-    /// It was received on that connection.
+    /// A process received the request on this connection.
     Received(LinkId),
-    /// An attempt was written to a backend.
+    /// The first byte of an attempt was written to a backend.
     AttemptSent { backend: usize },
-    /// A backend has begun to execute it.
+    /// A backend started to execute the request.
     ExecutionStarted { backend: usize },
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnded { backend: usize, outcome: AttemptOutcome },
-    /// Its final response was written.
+    /// A process wrote the final response.
     Answered(ResponseKind),
 }
 
 impl RequestEvent {
     fn describe(self) -> String {
         match self {
-            RequestEvent::Received(link) => format!("received, on connection {link}"),
+            RequestEvent::Received(link) => format!("received on connection {link}"),
             RequestEvent::AttemptSent { backend } => format!("first byte of an attempt to backend {backend}"),
-            RequestEvent::ExecutionStarted { backend } => format!("execution starts at backend {backend}"),
+            RequestEvent::ExecutionStarted { backend } => format!("execution started at backend {backend}"),
             RequestEvent::AttemptEnded { backend, outcome } => {
                 format!("attempt to backend {backend}: {outcome:?}")
             }
@@ -61,7 +61,7 @@
     }
 }
 
-/// An event and when it happened.
+/// An event with its time.
 #[derive(Debug)]
 struct TimedEvent {
     at: f64,
@@ -71,27 +71,27 @@
 /// A request that a gateway process received.
 #[derive(Debug)]
 pub(super) struct RequestRecord {
-    /// Index into the operations of the limits.
+    /// Index of the operation in [`super::CheckedLimits::operations`].
     pub operation: usize,
-    /// The plan's name.
+    /// Name of the plan.
     pub plan: String,
-    /// The customer's id.
+    /// Id of the customer.
     pub customer: u64,
-    /// Seconds that the client waits.
+    /// Seconds that the client waits for the response.
     pub timeout: f64,
-    /// When its final response was written.
+    /// Time at which the final response was written.
     pub answered_at: Option<f64>,
-    /// Its attempts, in the order in which they were written.
+    /// The attempts, in the order in which they were written.
     pub attempts: Vec<Attempt>,
-    /// Its units have been taken from its customer's ceiling and quota.
+    /// Whether the request's units have been charged to the customer's quota and ceiling.
     pub charged: bool,
-    /// A value that a backend made for it has arrived.
+    /// Whether at least the head of a value from a backend has arrived for the request.
     pub value_received: bool,
     events: Vec<TimedEvent>,
 }
 
 impl RequestRecord {
-    /// A request that was just received.
+    /// Returns the record of a request without attempts and events.
     pub fn new(operation: usize, plan: String, customer: u64, timeout: f64) -> RequestRecord {
         RequestRecord {
             operation,
@@ -106,18 +106,18 @@
         }
     }
 
-    /// Adds to its history.
+    /// Adds an event to the history.
     pub fn record(&mut self, at: f64, event: RequestEvent) {
         self.events.push(TimedEvent { at, event });
     }
 
-    /// Its history, an event a line.
+    /// Returns the history, one event per line.
     pub fn history_lines(&self) -> Vec<String> {
         let line = |timed: &TimedEvent| format!("{:9.4} {}", timed.at, timed.event.describe());
         self.events.iter().map(line).collect()
     }
 
-    /// The earliest attempt that was not rejected: the backend may have executed it.
+    /// Returns the earliest attempt that was not rejected, so that the backend may have executed it.
     pub fn possibly_executed_attempt(&self) -> Option<Attempt> {
         self.attempts.iter().find(|attempt| attempt.outcome != Some(AttemptOutcome::Rejected)).copied()
     }
--- a/emulator/src/checker/slow_start.rs
+++ b/emulator/src/checker/slow_start.rs
@@ -2,18 +2,19 @@
 use super::{Checker, Invariant, SlowStartLimit};
 use std::collections::VecDeque;
 
-/// Work that reached a backend.
+/// The arrival of an attempt at a backend.
 #[derive(Clone, Copy)]
 struct Arrival {
     at: f64,
     units: f64,
 }
 
-/// A backend that was started not long ago.
+/// A backend that is warming up.
 #[derive(Default)]
 pub(super) struct WarmingBackend {
-    started: f64,
-    /// What arrived within the window of the limit.
+    /// Time at which the backend's process started.
+    started_at: f64,
+    /// Arrivals within the window of the limit.
     arrivals: VecDeque<Arrival>,
     units_in_window: f64,
 }
@@ -29,7 +30,7 @@
 }
 
 impl SlowStartLimit {
-    /// The most units that may arrive within one window at a backend of that age, in seconds.
+    /// Returns the maximum number of units that may arrive within one window at a backend of an age in seconds.
     fn max_units(&self, age: f64) -> f64 {
         let mid_window_age = (age - self.window / 2.0).max(0.0);
         let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * mid_window_age / self.duration;
@@ -38,16 +39,16 @@
 }
 
 impl Checker {
-    /// A backend's process starts, and has to warm up.
+    /// Records that a backend's process started and is warming up.
     pub fn backend_started(&mut self, now: f64, backend: usize) {
-        self.warming.insert(backend, WarmingBackend { started: now, ..WarmingBackend::default() });
+        self.warming.insert(backend, WarmingBackend { started_at: now, ..WarmingBackend::default() });
     }
 
-    /// An attempt has arrived at a backend completely.
+    /// Records that an attempt arrived completely at a backend, and checks that a backend that is warming up is not overloaded.
     pub fn attempt_arrived(&mut self, now: f64, backend: usize, units: f64) {
         let limit = self.limits.slow_start;
         let Some(warming) = self.warming.get_mut(&backend) else { return };
-        let age = now - warming.started;
+        let age = now - warming.started_at;
         if age > limit.duration {
             self.warming.remove(&backend);
             return;
@@ -57,7 +58,7 @@
         let max_units = limit.max_units(age);
         if age >= limit.window && warming.units_in_window > max_units {
             let message = format!(
-                "backend {backend}, started {age:.2} s ago, was sent {:.0} units in {} s and can bear {max_units:.0}",
+                "backend {backend}, started {age:.2} s ago, received {:.0} units within {} s, limit {max_units:.0}",
                 warming.units_in_window, limit.window
             );
             self.record_violation(Invariant::SlowStart, now, message);
