--- a/emulator/src/commands.rs
+++ b/emulator/src/commands.rs
@@ -40,7 +40,7 @@
     /// Several files that can't be read or are not valid scenarios.
     #[error("{}", join_lines(.0))]
     Scenarios(Vec<CommandError>),
-    /// A duration of the quota study's runs outside of [`QUOTA_STUDY_SECONDS`].
+    /// A duration of the quota study's runs outside of `QUOTA_STUDY_SECONDS`.
     #[error("--seconds: expected 10 to 600, found {0}")]
     Seconds(f64),
     /// The results of a sweep can't be written.
--- a/emulator/src/growth_study.rs
+++ b/emulator/src/growth_study.rs
@@ -1,6 +1,6 @@
 //! Runs the same traffic and backends with growing numbers of gateway instances, undisturbed and with half of the instances killed at
-//! once. The study shows what each instance of a large fleet costs the others, and how closely quotas hold. The figures come from the
-//! emulator's models and are meant to be compared with each other.
+//! once. The study shows the cost of each instance to the counter and the backends, and how closely quotas hold. The figures come from
+//! the emulator's models and are meant to be compared with each other.
 use crate::scenario::{Fault, FaultKind, Scenario, World};
 use crate::simulation::{simulate, Report};
 use crate::sweep;
--- a/emulator/src/results/charts.rs
+++ b/emulator/src/results/charts.rs
@@ -15,7 +15,7 @@
 pub(super) fn fault_chart(path: &Path, reports: &[Report]) -> Result<(), ChartError> {
     let kinds: Vec<(String, u64)> =
         count_faults(reports).into_iter().map(|(kind, counts)| (kind.name(), counts.occurrences)).collect();
-    let most = kinds.iter().map(|(_, occurrences)| *occurrences).max().unwrap_or(1);
+    let max_occurrences = kinds.iter().map(|(_, occurrences)| *occurrences).max().unwrap_or(1);
     let height = 60 + 18 * kinds.len().max(1) as u32;
     let root = SVGBackend::new(path, (760, height)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -24,7 +24,10 @@
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(150)
-        .build_cartesian_2d(0..most + most / 20 + 1, (0..kinds.len().max(1)).into_segmented())?;
+        .build_cartesian_2d(
+            0..max_occurrences + max_occurrences / 20 + 1,
+            (0..kinds.len().max(1)).into_segmented(),
+        )?;
     chart
         .configure_mesh()
         .disable_y_mesh()
@@ -46,13 +49,13 @@
 
 /// Draws a histogram of the length of the runs in steps.
 pub(super) fn step_chart(path: &Path, reports: &[Report]) -> Result<(), ChartError> {
-    let most = reports.iter().map(|report| report.steps).max().unwrap_or(1).max(1);
-    let width = most.div_ceil(STEP_BINS as u64).max(1);
+    let max_steps = reports.iter().map(|report| report.steps).max().unwrap_or(1).max(1);
+    let bin_width = max_steps.div_ceil(STEP_BINS as u64).max(1);
     let mut bins = [0u32; STEP_BINS + 1];
     for report in reports {
-        bins[((report.steps / width) as usize).min(STEP_BINS)] += 1;
+        bins[((report.steps / bin_width) as usize).min(STEP_BINS)] += 1;
     }
-    let highest = bins.iter().copied().max().unwrap_or(1);
+    let max_runs = bins.iter().copied().max().unwrap_or(1);
     let root = SVGBackend::new(path, (760, 320)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -60,11 +63,11 @@
         .margin(8)
         .x_label_area_size(32)
         .y_label_area_size(48)
-        .build_cartesian_2d(0..most + width, 0..highest + highest / 10 + 1)?;
+        .build_cartesian_2d(0..max_steps + bin_width, 0..max_runs + max_runs / 10 + 1)?;
     chart.configure_mesh().x_desc("steps").y_desc("runs").draw()?;
     chart.draw_series(bins.iter().enumerate().map(|(index, runs)| {
-        let start = index as u64 * width;
-        Rectangle::new([(start, 0), (start + width, *runs)], BAR_COLOR.filled())
+        let start = index as u64 * bin_width;
+        Rectangle::new([(start, 0), (start + bin_width, *runs)], BAR_COLOR.filled())
     }))?;
     root.present()?;
     Ok(())
--- a/emulator/src/shrinker.rs
+++ b/emulator/src/shrinker.rs
@@ -110,13 +110,13 @@
     }
 }
 
-/// Halves the duration of a fault. Returns false if the new duration is below the minimum, or the fault has no duration.
+/// Halves the duration of a fault. Returns whether the new duration is above the minimum; false without a duration.
 fn halve_duration(fault: &mut Fault) -> bool {
     fault.duration = fault.duration.map(halve);
     fault.duration.is_some_and(|seconds| seconds > MIN_DURATION)
 }
 
-/// Halves the severity of a fault. Returns false if the new severity is below the minimum, or the fault has no severity.
+/// Halves the severity of a fault. Returns whether the new severity is above the minimum; false without a severity.
 fn halve_severity(fault: &mut Fault) -> bool {
     let min_severity = fault.kind.severity_range().map_or(0.0, |range| range.min);
     fault.severity = fault.severity.map(halve);
