--- a/emulator/src/arguments.rs
+++ b/emulator/src/arguments.rs
@@ -51,7 +51,8 @@
     Shrink(ShrinkArguments),
     /// Run the same traffic with growing numbers of gateway instances, undisturbed and with half of them killed at once.
     Grow(GrowthArguments),
-    /// Measure the overshoot of quotas while the counter is faulty, with and without membership, and compare it with its bound.
+    /// Measure the overshoot of quotas while the counter is faulty for minutes, with and without membership, and compare it with its
+    /// bound.
     Quotas(QuotaArguments),
     /// Run fleets of about a hundred gateway instances during a mass restart, a zone loss or the replacement of most backends.
     Fleets(FleetArguments),
--- a/emulator/src/checker/attempts.rs
+++ b/emulator/src/checker/attempts.rs
@@ -1,4 +1,5 @@
-//! Checks the attempts that processes write to backends, and that backends execute no non-idempotent request twice.
+//! Checks that requests are repeated only as their operations' idempotency allows, and the limits on retries and hedged requests. The
+//! checks observe the attempts that processes write to backends, and the executions at backends.
 use super::request::{Attempt, RequestEvent, RequestRecord};
 use super::{CheckedLimits, Checker, Invariant, TOLERANCE};
 use crate::network::LinkId;
--- a/emulator/src/checker/client_responses.rs
+++ b/emulator/src/checker/client_responses.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Checks that a client that sent bytes that can't be parsed gets an error and nothing else.
+    /// Checks that the response to bytes that can't be parsed is an error.
     fn malformed_client_answered(&mut self, now: f64, link: LinkId, bytes: &[u8]) {
         if bytes.starts_with(b"-") {
             self.clients.remove(&link);
@@ -206,7 +206,7 @@
         }
         let response_required = |lost: &LostRequest| {
             let received_at = lost.received_at.max(process.stalled_until);
-            process.shutdown_requested.is_none_or(|at| received_at <= at + SHUTDOWN_INTAKE)
+            process.shutdown_at.is_none_or(|at| received_at <= at + SHUTDOWN_INTAKE)
         };
         if let Some(LostRequest { id, received_at }) = client.lost_request().filter(response_required) {
             let message = format!(
--- a/emulator/src/checker/deadlines.rs
+++ b/emulator/src/checker/deadlines.rs
@@ -19,7 +19,7 @@
 }
 
 impl Deadline {
-    /// Returns a deadline at a time in seconds.
+    /// Returns a deadline at the time `at`, in seconds.
     pub fn new(at: f64, link: LinkId) -> Deadline {
         Deadline { at_bits: at.to_bits(), link }
     }
@@ -30,7 +30,7 @@
 }
 
 impl Checker {
-    /// Returns the time until which the command at the front of a connection's pipeline must get its response.
+    /// Returns the time by which the command at the front of a connection's pipeline must get its response.
     fn response_deadline(&self, link: LinkId) -> Option<f64> {
         let client = self.clients.get(&link)?;
         let stalled_until = self.processes.get(&client.process).map_or(0.0, |process| process.stalled_until);
@@ -93,9 +93,9 @@
             ));
         }
         let process = self.processes.get(&client.process);
-        let shutdown_at = process.and_then(|process| process.shutdown_requested);
+        let shutdown_time = process.and_then(|process| process.shutdown_at);
         match client.pending.front() {
-            Some(command) if shutdown_at.is_some_and(|at| command.received_at > at + SHUTDOWN_INTAKE) => None,
+            Some(command) if shutdown_time.is_some_and(|at| command.received_at > at + SHUTDOWN_INTAKE) => None,
             Some(PendingCommand { kind: CommandKind::Request(id), received_at }) => Some(format!(
                 "request {id:016x}, received at {received_at:.4} on connection {link}, got no response before its deadline"
             )),
--- a/emulator/src/checker/processes.rs
+++ b/emulator/src/checker/processes.rs
@@ -9,7 +9,7 @@
     /// Whether the process was killed or has exited.
     pub ended: bool,
     /// Time at which the process was asked to shut down.
-    pub shutdown_requested: Option<f64>,
+    pub shutdown_at: Option<f64>,
     /// End of the latest stall, 0 without a stall.
     pub stalled_until: f64,
     /// Names of each backend that are ready according to the endpoint lists that the process received, by the backend's index.
@@ -31,7 +31,7 @@
 
     /// Records that a process was asked to shut down. Repeated shutdown requests have no effect.
     pub fn shutdown_requested(&mut self, now: f64, process: usize) {
-        self.processes.entry(process).or_default().shutdown_requested.get_or_insert(now);
+        self.processes.entry(process).or_default().shutdown_at.get_or_insert(now);
     }
 
     /// Records that a process exited by itself, and checks that it leaves no request without a response.
--- a/emulator/src/checker/rate_ceiling.rs
+++ b/emulator/src/checker/rate_ceiling.rs
@@ -42,7 +42,7 @@
         let bucket = self.ceilings.entry(key.clone()).or_insert(full);
         bucket.take(&ceiling, now, units);
         if now <= self.split_until {
-            // The debt from a split is limited to the slack, since the customer need not make up for it afterwards.
+            // Units granted beyond the ceiling during a split must not count against the customer afterwards.
             bucket.tokens = bucket.tokens.max(-ceiling.slack);
         }
         if bucket.tokens < -ceiling.slack {
--- a/emulator/src/checker/slow_start.rs
+++ b/emulator/src/checker/slow_start.rs
@@ -30,7 +30,7 @@
 }
 
 impl SlowStartLimit {
-    /// Returns the maximum number of units that may arrive within one window at a backend of an age in seconds.
+    /// Returns the maximum number of units that may arrive within one window at a backend that started `age` seconds ago.
     fn max_units(&self, age: f64) -> f64 {
         let mid_window_age = (age - self.window / 2.0).max(0.0);
         let fraction = self.initial_fraction + (1.0 - self.initial_fraction) * mid_window_age / self.duration;
--- a/emulator/src/operator_files.rs
+++ b/emulator/src/operator_files.rs
@@ -1,4 +1,4 @@
-//! Generates operator's files as text, and parses them with the gateway's code. A file that is rejected is generated again, so that the
+//! Generates operators' files as text, and parses them with the gateway's code. A file that is rejected is generated again, so that the
 //! validation of files is exercised too.
 use quillramp_gateway::process::operator;
 use quillramp_gateway::state::event::OperatorUpdate;
--- a/emulator/src/results/mod.rs
+++ b/emulator/src/results/mod.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Error of [`write`], with the path that can't be written.
+/// Error of [`write()`], with the path that can't be written.
 #[derive(Debug, thiserror::Error)]
 pub enum ResultsError {
     /// The directory can't be created, or the summary can't be written.
--- a/emulator/src/results/summary.rs
+++ b/emulator/src/results/summary.rs
@@ -21,7 +21,7 @@
     text
 }
 
-/// Returns the number of requests, attempts, endpoints or descriptor counts against which an invariant was checked.
+/// Returns how often an invariant was checked: the number of requests, attempts, endpoints or descriptor counts that it applied to.
 fn check_count(invariant: Invariant, coverage: &Coverage) -> u64 {
     match invariant {
         Invariant::SingleResponse => coverage.requests,
