--- a/gateway/src/process/shared_file.rs
+++ b/gateway/src/process/shared_file.rs
@@ -28,7 +28,7 @@
         source: std::io::Error,
     },
     /// Another process did not release the lock in time, or the file system has no locks.
-    #[error("{}: can't take the lock: {source}", path.display())]
+    #[error("{}: {source}", path.display())]
     Lock {
         /// The lock file.
         path: PathBuf,
@@ -36,7 +36,7 @@
         source: TryLockError,
     },
     /// The path is not a regular file, or the file is too long.
-    #[error("{}: not a file written by a gateway", path.display())]
+    #[error("{}: no file of ours", path.display())]
     NotASharedFile {
         /// The file.
         path: PathBuf,
--- a/gateway/src/state/admin.rs
+++ b/gateway/src/state/admin.rs
@@ -151,7 +151,7 @@
                 (200, "done\n".into())
             }
             Err(error) => {
-                let body = format!("in force, but not saved for the next process: {error}\n");
+                let body = format!("in force, but not kept: {error}\n");
                 self.log(LogMessage::SaveFailed { error });
                 (500, body)
             }
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -57,9 +57,7 @@
         let Some(authenticator) = &self.identity else { return Ok(None) };
         let client = self.clients.connections.get(&id);
         let Some(caller) = client.and_then(|client| client.caller.as_ref()) else {
-            return Err(ClientReply::Denied(
-                "NOAUTH authentication required: send a token by AUTH first".into(),
-            ));
+            return Err(ClientReply::Denied("NOAUTH a token first, by AUTH".into()));
         };
         if let Err(rejection) = authenticator.revalidate(now, caller) {
             return Err(ClientReply::Denied(format!("NOAUTH {rejection}")));
@@ -67,9 +65,7 @@
         // Either the token or a contract must limit the customers that the caller may act for.
         let limits_customers = caller.customers.is_some() || self.broker.is_some();
         if !limits_customers || !caller.may(&self.instance.operations[operation].name, command.customer) {
-            return Err(ClientReply::Denied(
-                "NOPERM the token does not permit this operation for this customer".into(),
-            ));
+            return Err(ClientReply::Denied("NOPERM not this operation, or not for this customer".into()));
         }
         Ok(Some(caller.team.clone()))
     }
--- a/gateway/src/state/validation.rs
+++ b/gateway/src/state/validation.rs
@@ -12,19 +12,19 @@
     #[error("unknown plan")]
     UnknownPlan,
     /// The verb does not fit the idempotency of the operation.
-    #[error("wrong command: expected CALL.GET for an idempotent operation, CALL.POST for any other")]
+    #[error("not by this command: CALL.GET is for what may be repeated, CALL.POST for all else")]
     WrongVerb,
     /// The range of instances is empty, too long, or starts behind the last instance.
-    #[error("first, spread: expected a range within the gateway instances")]
+    #[error("first and spread: no such front doors")]
     UnknownInstances,
     /// The units are outside the range that the settings allow.
-    #[error("units: expected more than 0 and at most {max_units}")]
+    #[error("units: expected more than 0, and {max_units} at the most")]
     UnitsOutOfRange { max_units: f64 },
     /// The timeout in milliseconds is outside the range that the operation allows.
     #[error("d: expected 1 to {max_timeout_ms} ms")]
     TimeoutOutOfRange { max_timeout_ms: f64 },
     /// A request with the same ID has not ended yet.
-    #[error("id: a request with this id is still open")]
+    #[error("id: an invocation under it is open")]
     IdInUse,
 }
 
--- a/gateway/tests/loopback.rs
+++ b/gateway/tests/loopback.rs
@@ -317,6 +317,6 @@
     let (exit_code, output) = startup_failure(&temporary_file("low.json"), &configuration);
     assert_eq!(
         (exit_code, output.trim()),
-        (Some(1), "quillramp: settings: tariff 'small': the ceiling is lower than the quota")
+        (Some(1), "quillramp: settings: tariff 'small': its ceiling lies under its quota")
     );
 }
--- a/gateway/tests/reducer/requests.rs
+++ b/gateway/tests/reducer/requests.rs
@@ -77,17 +77,17 @@
     bench.backend_replies(3, "served");
     bench.assert_trace(expect![[r#"
         0.050 client 1: $6 served
-        0.050 client 1: -ERR id: a request with this id is still open
-        0.050 client 1: -ERR units: expected more than 0 and at most 8
-        0.050 client 1: -ERR units: expected more than 0 and at most 8
-        0.050 client 1: -ERR first, spread: expected a range within the gateway instances
-        0.050 client 1: -ERR first, spread: expected a range within the gateway instances
-        0.050 client 1: -ERR first, spread: expected a range within the gateway instances
+        0.050 client 1: -ERR id: an invocation under it is open
+        0.050 client 1: -ERR units: expected more than 0, and 8 at the most
+        0.050 client 1: -ERR units: expected more than 0, and 8 at the most
+        0.050 client 1: -ERR first and spread: no such front doors
+        0.050 client 1: -ERR first and spread: no such front doors
+        0.050 client 1: -ERR first and spread: no such front doors
         0.050 client 1: -ERR d: expected 1 to 1500 ms
         0.050 client 1: -ERR d: expected 1 to 1500 ms
         0.050 client 1: -ERR unknown plan
         0.050 client 1: -ERR unknown operation
-        0.050 client 1: -ERR wrong command: expected CALL.GET for an idempotent operation, CALL.POST for any other
+        0.050 client 1: -ERR not by this command: CALL.GET is for what may be repeated, CALL.POST for all else
     "#]]);
 }
 
--- a/simulator-adapter/src/frame/error.rs
+++ b/simulator-adapter/src/frame/error.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
     /// The frame is shorter than its own header.
-    #[error("frame length of {length} bytes is less than the header length of {header} bytes")]
+    #[error("frame length {length} is less than its header's {header}")]
     FrameLength {
         /// Length that the header announces, in bytes.
         length: usize,
@@ -13,7 +13,7 @@
         header: usize,
     },
     /// The frame is too short for its records.
-    #[error("header announces {announced} records, but the frame has room for {capacity}")]
+    #[error("header tells {announced} records, the frame holds {capacity}")]
     RecordCount {
         /// Number of records that the header announces.
         announced: usize,
@@ -36,16 +36,16 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecordError {
     /// No earlier record of the frame selects an instance.
-    #[error("no earlier record selects an instance")]
+    #[error("no instance was named before it")]
     NoInstance,
     /// The instance has not started, or has stopped.
-    #[error("instance {0} is not running")]
+    #[error("instance {0} has not started")]
     InstanceNotStarted(u32),
     /// The code of the record is unknown.
-    #[error("unknown event code")]
+    #[error("unknown code")]
     UnknownCode,
     /// The record refers to bytes outside the tail of the frame.
-    #[error("{items} items of {item_bytes} bytes at offset {offset} exceed the tail of {tail_bytes} bytes")]
+    #[error("offset {offset} with {items} x {item_bytes} bytes lies outside the tail of {tail_bytes}")]
     OutsideTail {
         /// Offset of the first item in the tail, in bytes.
         offset: usize,
@@ -63,10 +63,10 @@
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
     /// The kind of an endpoint list is unknown.
-    #[error("unknown kind of endpoint list {0}")]
+    #[error("unknown kind of list {0}")]
     UnknownListKind(u8),
     /// The status of an endpoint is unknown.
-    #[error("endpoint {entry}: unknown status {status}")]
+    #[error("entry {entry}: unknown state {status}")]
     UnknownEndpointStatus {
         /// Position of the endpoint in its list, counted from 0.
         entry: usize,
@@ -74,7 +74,7 @@
         status: u8,
     },
     /// The operation is not in the settings.
-    #[error("operation {operation} is out of range; the settings have {operations} operations")]
+    #[error("operation {operation} of {operations}")]
     UnknownOperation {
         /// Index of the operation.
         operation: usize,
@@ -82,7 +82,7 @@
         operations: usize,
     },
     /// The plan is not in the settings.
-    #[error("plan {plan} is out of range; the settings have {plans} plans")]
+    #[error("plan {plan} of {plans}")]
     UnknownPlan {
         /// Index of the plan.
         plan: usize,
@@ -90,13 +90,13 @@
         plans: usize,
     },
     /// The units of a request are negative or not finite.
-    #[error("invalid number of units {0}; expected a finite number of at least 0")]
+    #[error("{0} units")]
     InvalidUnits(f64),
     /// The request is unknown, or has already ended.
-    #[error("unknown request {0}")]
+    #[error("invocation {0} is not held")]
     UnknownRequest(u32),
     /// The request has no such attempt.
-    #[error("attempt {attempt} is out of range; the request has had {attempts} attempts")]
+    #[error("delivery {attempt} of {attempts}")]
     UnknownAttempt {
         /// Index of the attempt.
         attempt: usize,
@@ -104,9 +104,9 @@
         attempts: usize,
     },
     /// The backend was never in an endpoint list.
-    #[error("backend {0:?} was never in an endpoint list")]
+    #[error("backend {0:?} was never listed")]
     UnknownBackend([u8; ADDRESS_BYTES]),
     /// The body of a peer's message is not valid gossip.
-    #[error("peer message is not valid gossip")]
+    #[error("no word of ours")]
     InvalidGossip,
 }
--- a/simulator-adapter/tests/malformed.rs
+++ b/simulator-adapter/tests/malformed.rs
@@ -62,9 +62,9 @@
         frame::read(&mut &[1u8, 0, 0][..]).map(|_| ()).expect_err("a truncated header is an error");
     errors += &format!("fatal: {truncated}\n");
     expect![[r#"
-        malformed: record 0 (code 120): no earlier record selects an instance
-        malformed: record 1 (code 120): instance 3 is not running
-        malformed: record 1 (code 60): 9 items of 1 bytes at offset 0 exceed the tail of 5 bytes
+        malformed: record 0 (code 120): no instance was named before it
+        malformed: record 1 (code 120): instance 3 has not started
+        malformed: record 1 (code 60): offset 0 with 9 x 1 bytes lies outside the tail of 5
         malformed: record 1 (code 60): settings: expected value at line 1 column 1
         malformed: record 1 (code 60): settings: missing field `balancers` at line 1 column 13
         fatal: truncated frame header: received 3 of 16 bytes
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -16,7 +16,7 @@
         value: String,
     },
     /// The zone of this instance does not exist, although attempts that leave the zone have a price.
-    #[error("settings: zone: index {index} is out of range; there are {count} zones")]
+    #[error("settings: zone {index} of {count}")]
     UnknownZone {
         /// Index of the instance's zone.
         index: usize,
@@ -24,7 +24,7 @@
         count: usize,
     },
     /// The hard ceiling of a plan is lower than its quota.
-    #[error("settings: tariff '{plan}': the ceiling is lower than the quota")]
+    #[error("settings: tariff '{plan}': its ceiling lies under its quota")]
     CeilingBelowQuota {
         /// Name of the plan.
         plan: String,
--- a/src/settings/file.rs
+++ b/src/settings/file.rs
@@ -1,11 +1,12 @@
 //! The settings as they are written: a JSON object whose keys the deployment defines.
 //!
-//! Unknown keys are ignored. The `expecting` text of a struct is part of the error message for a value of the wrong type.
+//! Unknown keys are ignored. The error message for a value of the wrong type contains the `expecting` text of a struct, or its name if
+//! it has no such text. The simulator receives this message, so the text stays when a struct is renamed.
 use serde::Deserialize;
 
 /// All settings.
 #[derive(Deserialize)]
-#[serde(expecting = "the settings object")]
+#[serde(expecting = "struct Told")]
 pub(super) struct SettingsFile {
     /// Number of gateway instances; 0 is treated as 1.
     #[serde(rename = "balancers")]
@@ -46,7 +47,7 @@
 
 /// Limits and capabilities of the deployment. Durations are in microseconds.
 #[derive(Deserialize)]
-#[serde(expecting = "an object for `caps`")]
+#[serde(expecting = "struct Caps")]
 pub(super) struct Capabilities {
     /// Whether attempts in flight can be cancelled.
     #[serde(rename = "cancel")]
@@ -76,7 +77,7 @@
 
 /// An operation. Durations are in microseconds.
 #[derive(Deserialize)]
-#[serde(expecting = "an object in `classes`")]
+#[serde(expecting = "struct Class")]
 pub(super) struct OperationEntry {
     /// Target latency; a later answer is worth less.
     #[serde(rename = "aim_us")]
@@ -101,7 +102,7 @@
 
 /// The counter service, and gossip between instances.
 #[derive(Deserialize)]
-#[serde(expecting = "an object for `extra`")]
+#[serde(expecting = "struct Extra")]
 pub(super) struct SharedServices {
     /// Whether the deployment has a counter service.
     #[serde(rename = "counter")]
@@ -118,7 +119,6 @@
 
 /// Prices of what attempts use.
 #[derive(Deserialize, Default)]
-#[serde(expecting = "an object for `charges`")]
 pub(super) struct Charges {
     /// Price of an attempt that leaves the instance's zone; 0 if it is free.
     #[serde(default)]
@@ -127,7 +127,7 @@
 
 /// Load reports of the backends.
 #[derive(Deserialize, Default)]
-#[serde(expecting = "an object for `feedback`")]
+#[serde(expecting = "struct Feedback")]
 pub(super) struct LoadReporting {
     /// Names of the values of a report, in order.
     #[serde(default)]
@@ -138,7 +138,7 @@
 
 /// Slow start: how a backend's capacity grows after its start.
 #[derive(Deserialize)]
-#[serde(expecting = "an object for `rules`")]
+#[serde(expecting = "struct Rules")]
 pub(super) struct SlowStartRules {
     /// Fraction of its full capacity that a backend has when it starts.
     #[serde(rename = "cold_from")]
@@ -150,7 +150,7 @@
 
 /// A customer's plan.
 #[derive(Deserialize)]
-#[serde(expecting = "an object in `tariffs`")]
+#[serde(expecting = "struct Tariff")]
 pub(super) struct PlanEntry {
     /// Refill rate of the hard ceiling's token bucket, in units per second; 0 for no ceiling.
     pub ceiling_rate: f64,
