--- a/src/types/log_message.rs
+++ b/src/types/log_message.rs
@@ -47,7 +47,7 @@
         match self {
             PolicyLogMessage::CounterUnresponsive { missed_calls, gap } => write!(
                 formatter,
-                "counter unresponsive: {missed_calls} calls missed in {gap:.2} s; even shares stand in"
+                "counter unresponsive: {missed_calls} calls missed in {gap:.2} s; using even shares"
             ),
             PolicyLogMessage::CounterRecovered { gap } => {
                 write!(formatter, "counter recovered after {gap:.2} s; leases resume")
