--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -54,7 +54,7 @@
 
 /// Error of starting the thread that reads and writes the shared file.
 #[derive(Debug, thiserror::Error)]
-#[error(transparent)]
+#[error("can't start the thread for the shared file: {0}")]
 pub struct StoreThreadError(#[from] std::io::Error);
 
 /// The shared state at the start of a process.
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -70,7 +70,7 @@
     #[error(transparent)]
     SharedStateStore(#[from] StoreThreadError),
     /// The driver's coroutine can't be started.
-    #[error("{0}")]
+    #[error("can't start the driver's coroutine: {0}")]
     Driver(std::io::Error),
 }
 
--- a/gateway/src/sockets/driver.rs
+++ b/gateway/src/sockets/driver.rs
@@ -139,7 +139,7 @@
 
 /// Flushes the log and exits the process.
 pub(super) fn exit() -> ! {
-    tracing::info!("stopped");
+    tracing::info!("gateway stopped");
     logger::flush();
     std::process::exit(0)
 }
--- a/gateway/src/state/log_message.rs
+++ b/gateway/src/state/log_message.rs
@@ -157,7 +157,7 @@
             LogMessage::DatagramsDropped { count } => {
                 write!(
                     formatter,
-                    "datagrams dropped, malformed or from unknown peers, since the start: {count}"
+                    "datagrams dropped since the process started (malformed or from unknown peers): {count}"
                 )
             }
             LogMessage::DrainStarted => {
@@ -183,11 +183,11 @@
             LogMessage::SaveFailed { error } => {
                 write!(
                     formatter,
-                    "change by an operator in force, but not saved for the next process: {error}"
+                    "an operator's change is in force, but not saved for the next process: {error}"
                 )
             }
             LogMessage::ShutdownStarted => {
-                write!(formatter, "shutting down: still serving, then closing connections")
+                write!(formatter, "shutting down: still serving clients, then closing their connections")
             }
             LogMessage::ShutdownWithHandover => write!(
                 formatter,
--- a/gateway/tests/reducer/admin.rs
+++ b/gateway/tests/reducer/admin.rs
@@ -69,7 +69,7 @@
     bench.assert_trace(expect![[r#"
         0.000 log: drain started by an operator: closing connections
         0.000 save SetDrained(true)
-        0.000 log: change by an operator in force, but not saved for the next process: shared.json: no file of ours
+        0.000 log: an operator's change is in force, but not saved for the next process: shared.json: no file of ours
         0.000 operator 1: 500 in force, but not kept: shared.json: no file of ours
         0.000 operator 2: 503 draining
     "#]]);
--- a/gateway/tests/reducer/peers.rs
+++ b/gateway/tests/reducer/peers.rs
@@ -24,9 +24,9 @@
     });
     bench.event(Event::Datagram { from: peer, body: vec![] });
     bench.assert_trace(expect![[r#"
-        0.000 log: datagrams dropped, malformed or from unknown peers, since the start: 1
-        0.000 log: datagrams dropped, malformed or from unknown peers, since the start: 2
-        0.000 log: datagrams dropped, malformed or from unknown peers, since the start: 4
+        0.000 log: datagrams dropped since the process started (malformed or from unknown peers): 1
+        0.000 log: datagrams dropped since the process started (malformed or from unknown peers): 2
+        0.000 log: datagrams dropped since the process started (malformed or from unknown peers): 4
     "#]]);
 }
 
--- a/gateway/tests/reducer/shutdown.rs
+++ b/gateway/tests/reducer/shutdown.rs
@@ -24,7 +24,7 @@
         .event(Event::Shutdown)
         .event(Event::IdleClientClosed { client: 1, reason: CloseReason::Stopping });
     bench.assert_trace(expect![[r#"
-        0.000 log: shutting down: still serving, then closing connections
+        0.000 log: shutting down: still serving clients, then closing their connections
         0.300 connect Counter(2) to 127.0.0.1:7007
         0.316 connect Backend(3) to 127.0.0.1:7011
         0.350 backend connection 3: look for 749 ms
@@ -153,7 +153,7 @@
             2.000 log: drain started by an operator: closing connections
             2.000 save SetDrained(true)
             2.000 operator 6: 200 done
-            2.400 log: shutting down: still serving, then closing connections
+            2.400 log: shutting down: still serving clients, then closing their connections
             2.600 log: connection operator 4 ended: called
             2.600 log: connection operator 5 ended: called
             2.900 stop accepting
@@ -251,7 +251,7 @@
         .event(Event::IdleClientClosed { client: 2, reason: CloseReason::Stopping })
         .event(Event::IdleClientClosed { client: 3, reason: CloseReason::Stopping });
     bench.assert_trace(expect![[r#"
-        0.000 log: shutting down: still serving, then closing connections
+        0.000 log: shutting down: still serving clients, then closing their connections
         0.000 client 2: -ERR draining
         0.500 stop accepting
         0.500 close client 1 if idle
