--- a/gateway/tests/broker.rs
+++ b/gateway/tests/broker.rs
@@ -90,7 +90,7 @@
         sent > 1200 && succeeded * 4 < sent,
         "{succeeded} of {sent}: the flooding team has its contract and what it may borrow"
     );
-    assert_eq!((flooded.summary.duplicates, flooded.summary.died), (0, 0));
+    assert_eq!((flooded.summary.duplicates, flooded.summary.crashed), (0, 0));
     assert_eq!(count(&flooded, Outcome::NoAnswer), 0);
 }
 
@@ -141,7 +141,7 @@
         result.expect("the run succeeds")
     });
     std::fs::remove_dir_all(&directory).expect("the directory of this test");
-    assert_eq!((result.summary.duplicates, result.summary.died), (0, 0));
+    assert_eq!((result.summary.duplicates, result.summary.crashed), (0, 0));
     assert_eq!((count(&result, Outcome::NoAnswer), count(&result, Outcome::NotConnected)), (0, 0));
     let (succeeded, sent) = (count(&result, Outcome::Succeeded), result.rows.len());
     assert!(succeeded * 10 > sent * 9, "{succeeded} of {sent}");
--- a/gateway/tests/fleet.rs
+++ b/gateway/tests/fleet.rs
@@ -25,7 +25,7 @@
     let run = run_variant(&experiment, &experiment.variants[0], 0, &directory).expect("the run completes");
     std::fs::remove_dir_all(&directory).expect("the directory of this run");
     assert_eq!(run.summary.duplicates, 0);
-    assert_eq!(run.summary.died, 0);
+    assert_eq!(run.summary.crashed, 0);
     run
 }
 
--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -260,7 +260,7 @@
     });
     let result = result.expect("the run succeeds");
     std::fs::remove_dir_all(&directory).expect("the directory of this test");
-    assert_eq!((result.summary.duplicates, result.summary.died), (0, 0));
+    assert_eq!((result.summary.duplicates, result.summary.crashed), (0, 0));
     assert!(result.rows.len() > 200);
     assert_eq!((count(&result, Outcome::NoAnswer), count(&result, Outcome::NotConnected)), (0, 0));
     let succeeded = count(&result, Outcome::Succeeded);
--- a/load/src/bin/quillramp-load.rs
+++ b/load/src/bin/quillramp-load.rs
@@ -79,14 +79,14 @@
     lines.join("\n")
 }
 
-fn read(path: &Path) -> Result<Experiment, CommandError> {
+fn read_experiment(path: &Path) -> Result<Experiment, CommandError> {
     let file = |source| CommandError::File { path: path.to_owned(), source };
     let text = std::fs::read_to_string(path).map_err(file)?;
     Experiment::read(&text).map_err(|error| CommandError::Experiment { path: path.to_owned(), error })
 }
 
 fn run(path: &Path, folder: &Path) -> Result<ExitCode, CommandError> {
-    let experiment = read(path)?;
+    let experiment = read_experiment(path)?;
     let file = |source| CommandError::File { path: folder.to_owned(), source };
     std::fs::create_dir_all(folder).map_err(file)?;
     let mut session = Session::default();
@@ -95,8 +95,13 @@
     for repetition in 0..experiment.repetitions {
         for variant in &experiment.variants {
             let done = session.runs.len();
-            let left = time_left(start, done, all);
-            eprintln!("run {} of {all}: {}, repetition {}{left}", done + 1, variant.name, repetition + 1);
+            let remaining = remaining_time(start, done, all);
+            eprintln!(
+                "run {} of {all}: {}, repetition {}{remaining}",
+                done + 1,
+                variant.name,
+                repetition + 1
+            );
             match run_variant(&experiment, variant, repetition, folder) {
                 Ok(result) => session.add(result),
                 Err(error) => {
@@ -110,12 +115,12 @@
         }
     }
     let _ = writeln!(std::io::stdout(), "{}", results::summary(&session));
-    let bad = session.runs.iter().any(|run| run.duplicates > 0 || run.died > 0);
+    let bad = session.runs.iter().any(|run| run.duplicates > 0 || run.crashed > 0);
     Ok(if bad { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
 /// How long the remaining runs will take, once one is done.
-fn time_left(start: Instant, done: usize, all: usize) -> String {
+fn remaining_time(start: Instant, done: usize, all: usize) -> String {
     if done == 0 {
         return String::new();
     }
@@ -130,7 +135,7 @@
 }
 
 fn check(paths: &[PathBuf]) -> Result<ExitCode, CommandError> {
-    let errors: Vec<CommandError> = paths.iter().filter_map(|path| read(path).err()).collect();
+    let errors: Vec<CommandError> = paths.iter().filter_map(|path| read_experiment(path).err()).collect();
     if errors.is_empty() {
         Ok(ExitCode::SUCCESS)
     } else {
--- a/load/src/bin/quillramp-relay.rs
+++ b/load/src/bin/quillramp-relay.rs
@@ -15,11 +15,11 @@
 use std::time::Duration;
 
 /// Spreads consecutive numbers over 64 bits.
-const MIX_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Bulk strings of a backend's reply; the first one is the value.
 const REPLY_PARTS: usize = 3;
 /// Bytes of a line's end.
-const LINE_END: usize = 2;
+const LINE_END_BYTES: usize = 2;
 
 struct Backend {
     address: SocketAddr,
@@ -40,7 +40,7 @@
 
 impl Policy {
     /// The policy of that name; without a known one it is `least-out`.
-    fn named(name: &str) -> Policy {
+    fn from_name(name: &str) -> Policy {
         match name {
             "round-robin" => Policy::RoundRobin,
             "random" => Policy::Random,
@@ -58,13 +58,13 @@
     /// Time that each command waits.
     delay: Duration,
     /// Each command that is not idempotent is sent twice.
-    duplicates: bool,
+    send_duplicates: bool,
 }
 
 impl Relay {
     fn random(&self) -> usize {
         let pick = self.picks.fetch_add(1, Ordering::Relaxed) as u64;
-        let mixed = (pick ^ (pick >> 7)).wrapping_mul(MIX_MULTIPLIER);
+        let mixed = (pick ^ (pick >> 7)).wrapping_mul(HASH_MULTIPLIER);
         (mixed >> 33) as usize % self.backends.len()
     }
 
@@ -83,7 +83,7 @@
 
     /// How often a command is sent.
     fn copies(&self, command: &[u8]) -> usize {
-        if self.duplicates && contains(command, b"CALL.POST") {
+        if self.send_duplicates && contains(command, b"CALL.POST") {
             2
         } else {
             1
@@ -96,42 +96,42 @@
 }
 
 /// The number of a line behind its first byte, such as `$16`.
-fn line_number<T: std::str::FromStr>(line: &[u8]) -> Option<T> {
+fn parse_line_number<T: std::str::FromStr>(line: &[u8]) -> Option<T> {
     std::str::from_utf8(&line[1..]).ok().and_then(|text| text.trim().parse().ok())
 }
 
 /// Reads one complete command, as it is on the wire; none at the end of the connection.
-fn read_command(from: &mut impl BufRead) -> Result<Option<Vec<u8>>> {
+fn read_command(reader: &mut impl BufRead) -> Result<Option<Vec<u8>>> {
     let mut command = Vec::new();
-    if from.read_until(b'\n', &mut command)? == 0 {
+    if reader.read_until(b'\n', &mut command)? == 0 {
         return Ok(None);
     }
-    let parts: usize = line_number(&command).ok_or(ErrorKind::InvalidData)?;
+    let parts: usize = parse_line_number(&command).ok_or(ErrorKind::InvalidData)?;
     for _ in 0..parts {
         let head = command.len();
-        from.read_until(b'\n', &mut command)?;
-        let length: usize = line_number(&command[head..]).ok_or(ErrorKind::InvalidData)?;
+        reader.read_until(b'\n', &mut command)?;
+        let length: usize = parse_line_number(&command[head..]).ok_or(ErrorKind::InvalidData)?;
         let body = command.len();
-        command.resize(body + length + LINE_END, 0);
-        from.read_exact(&mut command[body..])?;
+        command.resize(body + length + LINE_END_BYTES, 0);
+        reader.read_exact(&mut command[body..])?;
     }
     Ok(Some(command))
 }
 
 /// Reads a backend's reply: its value, or the error line in its place.
-fn read_reply(from: &mut impl BufRead) -> Result<Vec<u8>> {
+fn read_reply(reader: &mut impl BufRead) -> Result<Vec<u8>> {
     let mut line = Vec::new();
-    from.read_until(b'\n', &mut line)?;
+    reader.read_until(b'\n', &mut line)?;
     if line.first() != Some(&b'*') {
         return if line.is_empty() { Err(ErrorKind::UnexpectedEof.into()) } else { Ok(line) };
     }
     let mut value = Vec::new();
     for part in 0..REPLY_PARTS {
         let mut head = Vec::new();
-        from.read_until(b'\n', &mut head)?;
-        let length: i64 = line_number(&head).unwrap_or(-1);
-        let mut body = vec![0; if length < 0 { 0 } else { length as usize + LINE_END }];
-        from.read_exact(&mut body)?;
+        reader.read_until(b'\n', &mut head)?;
+        let length: i64 = parse_line_number(&head).unwrap_or(-1);
+        let mut body = vec![0; if length < 0 { 0 } else { length as usize + LINE_END_BYTES }];
+        reader.read_exact(&mut body)?;
         if part == 0 {
             value = [head, body].concat();
         }
@@ -172,9 +172,9 @@
 /// Serves a client's connection.
 fn serve(relay: &Relay, mut client: TcpStream) -> Result<()> {
     client.set_nodelay(true)?;
-    let mut from = BufReader::new(client.try_clone()?);
+    let mut reader = BufReader::new(client.try_clone()?);
     let mut connections: Vec<Option<BackendConnection>> = relay.backends.iter().map(|_| None).collect();
-    while let Some(command) = read_command(&mut from)? {
+    while let Some(command) = read_command(&mut reader)? {
         if contains(&command, b"PING") {
             client.write_all(b"+PONG\r\n")?;
             continue;
@@ -224,10 +224,10 @@
     let variable = |name: &str| std::env::var(name).unwrap_or_default();
     let relay = Arc::new(Relay {
         backends,
-        policy: Policy::named(&variable("RELAY_POLICY")),
+        policy: Policy::from_name(&variable("RELAY_POLICY")),
         picks: AtomicUsize::new(0),
         delay: Duration::from_millis(variable("RELAY_DELAY_MS").parse().unwrap_or(0)),
-        duplicates: !variable("RELAY_TWICE").is_empty(),
+        send_duplicates: !variable("RELAY_TWICE").is_empty(),
     });
     for stream in TcpListener::bind(listen)?.incoming().flatten() {
         let relay = relay.clone();
--- a/load/src/charts.rs
+++ b/load/src/charts.rs
@@ -1,7 +1,7 @@
 //! Charts of a session, by plotters: latency by percentile, service over time, load by backend over time.
 use crate::generator::Outcome;
 use crate::results::{histogram, quantile_ms, record, Session, WriteResult};
-use crate::test_bed::COLUMN_SECONDS;
+use crate::test_bed::INTERVAL_SECONDS;
 use hdrhistogram::Histogram;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -9,14 +9,14 @@
 use std::path::Path;
 
 /// Width of a chart, and height of a chart that has its file to itself, pixels.
-const WIDTH: u32 = 760;
-const HEIGHT: u32 = 420;
+const WIDTH_PIXELS: u32 = 760;
+const HEIGHT_PIXELS: u32 = 420;
 /// Height of one of several charts in a file, pixels.
-const STACKED_HEIGHT: u32 = 300;
+const STACKED_HEIGHT_PIXELS: u32 = 300;
 /// The least length of an axis.
-const LEAST_AXIS: f64 = 0.001;
+const MIN_AXIS_LENGTH: f64 = 0.001;
 /// Room above the highest point, as a factor.
-const HEADROOM: f64 = 1.05;
+const HEADROOM_FACTOR: f64 = 1.05;
 
 /// A line of a chart.
 struct Line {
@@ -42,8 +42,8 @@
 where
     B::ErrorType: 'static,
 {
-    let x_max = axes.x.max.max(LEAST_AXIS);
-    let y_max = axes.y.max.max(LEAST_AXIS) * HEADROOM;
+    let x_max = axes.x.max.max(MIN_AXIS_LENGTH);
+    let y_max = axes.y.max.max(MIN_AXIS_LENGTH) * HEADROOM_FACTOR;
     let mut chart = ChartBuilder::on(area)
         .caption(&axes.title, ("sans-serif", 16))
         .margin(8)
@@ -62,8 +62,8 @@
 }
 
 /// Draws a chart that has its file to itself.
-fn draw_file(path: &Path, axes: &Axes, lines: &[Line]) -> WriteResult {
-    let root = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
+fn draw_to_file(path: &Path, axes: &Axes, lines: &[Line]) -> WriteResult {
+    let root = SVGBackend::new(path, (WIDTH_PIXELS, HEIGHT_PIXELS)).into_drawing_area();
     root.fill(&WHITE)?;
     draw(&root, axes, lines)?;
     root.present()?;
@@ -71,14 +71,14 @@
 }
 
 /// Latency by percentile, a line for each variant.
-pub(crate) fn percentiles(path: &Path, session: &Session) -> WriteResult {
+pub(crate) fn latency_percentiles(path: &Path, session: &Session) -> WriteResult {
     let mut latencies: BTreeMap<&str, Histogram<u64>> = BTreeMap::new();
     for name in session.variants() {
         latencies.insert(name, histogram());
     }
     for row in session.rows.iter().filter(|row| row.outcome == Outcome::Succeeded) {
         if let Some(histogram) = latencies.get_mut(row.variant.as_str()) {
-            record(histogram, row.took);
+            record(histogram, row.latency);
         }
     }
     let max = latencies.values().map(|histogram| histogram.value_at_quantile(0.999)).max().unwrap_or(1)
@@ -97,33 +97,35 @@
         x: Axis { label: "percentile", max: 100.0 },
         y: Axis { label: "ms", max },
     };
-    draw_file(path, &axes, &lines)
+    draw_to_file(path, &axes, &lines)
 }
 
 /// The outcomes of the requests in one column of time.
 #[derive(Clone, Copy, Default)]
-struct ColumnCounts {
-    all: f64,
+struct IntervalCounts {
+    requests: f64,
     succeeded: f64,
     throttled: f64,
 }
 
 /// By time of arrival: the fractions that succeeded and that were throttled, over all repetitions.
-pub(crate) fn service(path: &Path, session: &Session) -> WriteResult {
-    let last = session.rows.iter().map(|row| row.at).fold(0.0, f64::max);
-    let columns = column(last) + 1;
+pub(crate) fn outcomes_over_time(path: &Path, session: &Session) -> WriteResult {
+    let last_time = session.rows.iter().map(|row| row.at).fold(0.0, f64::max);
+    let intervals = interval_index(last_time) + 1;
     let mut lines: Vec<Line> = vec![];
     for name in session.variants() {
-        let mut counts = vec![ColumnCounts::default(); columns];
+        let mut counts = vec![IntervalCounts::default(); intervals];
         for row in session.rows.iter().filter(|row| row.variant == name) {
-            let count = &mut counts[column(row.at)];
-            count.all += 1.0;
+            let count = &mut counts[interval_index(row.at)];
+            count.requests += 1.0;
             count.succeeded += f64::from(u8::from(row.outcome == Outcome::Succeeded));
             count.throttled += f64::from(u8::from(row.outcome == Outcome::Throttled));
         }
-        let points = |value: &dyn Fn(&ColumnCounts) -> f64| {
-            let seen = counts.iter().enumerate().filter(|(_, count)| count.all > 0.0);
-            seen.map(|(i, count)| (i as f64 * COLUMN_SECONDS, value(count) / count.all)).collect::<Vec<_>>()
+        let points = |value: &dyn Fn(&IntervalCounts) -> f64| {
+            let nonempty = counts.iter().enumerate().filter(|(_, count)| count.requests > 0.0);
+            nonempty
+                .map(|(i, count)| (i as f64 * INTERVAL_SECONDS, value(count) / count.requests))
+                .collect::<Vec<_>>()
         };
         let succeeded = points(&|count| count.succeeded);
         lines.push(Line { name: format!("{name}: succeeded"), thin: false, points: succeeded });
@@ -134,15 +136,15 @@
     }
     let axes = Axes {
         title: "Outcomes of requests, by time of arrival".into(),
-        x: Axis { label: "seconds", max: last },
+        x: Axis { label: "seconds", max: last_time },
         y: Axis { label: "share", max: 1.0 },
     };
-    draw_file(path, &axes, &lines)
+    draw_to_file(path, &axes, &lines)
 }
 
 /// The column of time that a time in seconds belongs to.
-fn column(at: f64) -> usize {
-    (at / COLUMN_SECONDS) as usize
+fn interval_index(at: f64) -> usize {
+    (at / INTERVAL_SECONDS) as usize
 }
 
 /// The chart of one variant's backends.
@@ -153,38 +155,39 @@
 }
 
 /// The load of a variant's backends, the mean of its repetitions.
-fn backend_chart<'a>(session: &Session, variant: &'a str, columns: usize) -> BackendChart<'a> {
+fn backend_chart<'a>(session: &Session, variant: &'a str, intervals: usize) -> BackendChart<'a> {
     let runs = session.runs.iter().filter(|run| run.variant == variant).count().max(1) as f64;
     let mut by_backend: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
     for load in session.loads.iter().filter(|load| load.variant == variant) {
-        let units = by_backend.entry(load.backend).or_insert_with(|| vec![0.0; columns]);
-        units[column(load.at)] += load.units / runs;
+        let units = by_backend.entry(load.backend).or_insert_with(|| vec![0.0; intervals]);
+        units[interval_index(load.at)] += load.units / runs;
     }
     let max = by_backend.values().flatten().copied().fold(0.0, f64::max);
     let line = |(backend, units): (usize, Vec<f64>)| {
-        let point = |(i, units): (usize, &f64)| (i as f64 * COLUMN_SECONDS, units / COLUMN_SECONDS);
+        let point = |(i, units): (usize, &f64)| (i as f64 * INTERVAL_SECONDS, units / INTERVAL_SECONDS);
         let points = units.iter().enumerate().map(point).collect();
         Line { name: format!("backend {backend}"), thin: true, points }
     };
     let lines = by_backend.into_iter().map(line).collect();
-    BackendChart { variant, lines, max: max / COLUMN_SECONDS }
+    BackendChart { variant, lines, max: max / INTERVAL_SECONDS }
 }
 
 /// Units that each backend began, a chart for each variant.
-pub(crate) fn backends(path: &Path, session: &Session) -> WriteResult {
+pub(crate) fn backend_loads(path: &Path, session: &Session) -> WriteResult {
     let variants = session.variants();
-    let last = session.loads.iter().map(|load| load.at).fold(0.0, f64::max);
-    let columns = column(last) + 1;
+    let last_time = session.loads.iter().map(|load| load.at).fold(0.0, f64::max);
+    let intervals = interval_index(last_time) + 1;
     let charts: Vec<BackendChart> =
-        variants.iter().map(|variant| backend_chart(session, variant, columns)).collect();
+        variants.iter().map(|variant| backend_chart(session, variant, intervals)).collect();
     let max = charts.iter().map(|chart| chart.max).fold(0.0, f64::max);
     let count = charts.len().max(1);
-    let root = SVGBackend::new(path, (WIDTH, STACKED_HEIGHT * count as u32)).into_drawing_area();
+    let root =
+        SVGBackend::new(path, (WIDTH_PIXELS, STACKED_HEIGHT_PIXELS * count as u32)).into_drawing_area();
     root.fill(&WHITE)?;
     for (area, chart) in root.split_evenly((count, 1)).iter().zip(&charts) {
         let axes = Axes {
             title: format!("Load by backend: {}", chart.variant),
-            x: Axis { label: "seconds", max: last },
+            x: Axis { label: "seconds", max: last_time },
             y: Axis { label: "units a second", max },
         };
         draw(area, &axes, &chart.lines)?;
--- a/load/src/experiment/check.rs
+++ b/load/src/experiment/check.rs
@@ -4,17 +4,17 @@
 use quillramp_emulator::scenario::{Fault, FaultKind};
 
 /// The longest traffic, seconds.
-const LONGEST_SECONDS: f64 = 300.0;
+const MAX_TRAFFIC_SECONDS: f64 = 300.0;
 /// The highest rate, requests a second.
-const HIGHEST_RATE: f64 = 20_000.0;
+const MAX_REQUESTS_PER_SECOND: f64 = 20_000.0;
 /// The largest fleet that one machine can carry.
 const MAX_INSTANCES: usize = 300;
 /// The most threads of the generator that one machine can carry.
-const MAX_THREADS: usize = 12_000;
+const MAX_GENERATOR_THREADS: usize = 12_000;
 /// The most backends.
 const MAX_BACKENDS: usize = 64;
 /// The least number of descriptors of an instance.
-const LEAST_DESCRIPTORS: usize = 1024;
+const MIN_DESCRIPTORS: usize = 1024;
 
 /// Collects what is wrong, a line each.
 #[derive(Default)]
@@ -47,11 +47,11 @@
     fn check_traffic(&self, violations: &mut Violations) {
         let traffic = &self.traffic;
         violations.require(
-            traffic.seconds > 0.0 && traffic.seconds <= LONGEST_SECONDS,
+            traffic.seconds > 0.0 && traffic.seconds <= MAX_TRAFFIC_SECONDS,
             "traffic.seconds: expected more than 0, 300 at the most",
         );
         violations.require(
-            (0.0..=HIGHEST_RATE).contains(&traffic.rate),
+            (0.0..=MAX_REQUESTS_PER_SECOND).contains(&traffic.rate),
             "traffic.rate: expected 0 (closed loop) to 20000",
         );
         violations.require(
@@ -66,10 +66,12 @@
     fn check_flood(&self, flood: &Flood, violations: &mut Violations) {
         let within = 0.0..self.traffic.seconds;
         violations.require(self.is_open_loop(), "traffic.flood: a closed loop has no room for one");
+        violations.require(
+            (0.1..=MAX_REQUESTS_PER_SECOND).contains(&flood.rate),
+            "traffic.flood.rate: expected 0.1 to 20000",
+        );
         violations
-            .require((0.1..=HIGHEST_RATE).contains(&flood.rate), "traffic.flood.rate: expected 0.1 to 20000");
-        violations
-            .require(within.contains(&flood.from), "traffic.flood.from: expected a time within the run");
+            .require(within.contains(&flood.start), "traffic.flood.from: expected a time within the run");
         violations.require(
             flood.customer < self.world.customers as u64,
             "traffic.flood.customer: they are counted from 0",
@@ -89,16 +91,16 @@
     fn check_sizes(&self, prefix: &str, violations: &mut Violations) {
         let traffic = &self.traffic;
         let instances = self.world.instances;
-        let descriptors = self.world.max_descriptors.max(LEAST_DESCRIPTORS);
-        let connections = traffic.connections + traffic.idle;
+        let descriptors = self.world.max_descriptors.max(MIN_DESCRIPTORS);
+        let connections = traffic.connections + traffic.idle_connections;
         violations.require(
             (1..=MAX_INSTANCES).contains(&instances),
             format!("{prefix}world.doors: expected 1 to {MAX_INSTANCES}, found {instances}"),
         );
         violations.require(
-            traffic.connections > 0 && traffic.connections * instances <= MAX_THREADS,
+            traffic.connections > 0 && traffic.connections * instances <= MAX_GENERATOR_THREADS,
             format!(
-                "{prefix}traffic.connections: expected 1 or more, {MAX_THREADS} at all instances at the most"
+                "{prefix}traffic.connections: expected 1 or more, {MAX_GENERATOR_THREADS} at all instances at the most"
             ),
         );
         violations.require(
@@ -115,11 +117,11 @@
             format!("variant {number}: expected a name of its own"),
         );
         violations.require(
-            variant.slowed >= 1.0 && variant.slowed.is_finite(),
+            variant.service_time_factor >= 1.0 && variant.service_time_factor.is_finite(),
             format!("variant {number}: slowed: expected 1 or more"),
         );
-        if variant.instances.or(variant.connections).or(variant.idle).is_some() {
-            self.of(variant).check_sizes(&format!("variant {number}: "), violations);
+        if variant.instances.or(variant.connections).or(variant.idle_connections).is_some() {
+            self.for_variant(variant).check_sizes(&format!("variant {number}: "), violations);
         }
     }
 
--- a/load/src/experiment/mod.rs
+++ b/load/src/experiment/mod.rs
@@ -46,8 +46,8 @@
     /// Connections to each instance. Closed loop: each sends again as soon as it is answered.
     pub connections: usize,
     /// Connections to each instance beside these, that have sent one command and then nothing.
-    #[serde(default)]
-    pub idle: usize,
+    #[serde(default, rename = "idle")]
+    pub idle_connections: usize,
     /// The fraction of requests that are not idempotent.
     #[serde(default, rename = "orders")]
     pub non_idempotent: f64,
@@ -67,8 +67,8 @@
     /// Requests a second, beside what it sends as all others do.
     pub rate: f64,
     /// When it begins, seconds.
-    #[serde(default)]
-    pub from: f64,
+    #[serde(default, rename = "from")]
+    pub start: f64,
 }
 
 /// What is run: a build, with another world where that is what differs.
@@ -85,21 +85,22 @@
     #[serde(default)]
     pub environment: BTreeMap<String, String>,
     /// Factor on the backends' work, for a variant that is slower by a known amount.
-    #[serde(default = "default_slowed")]
-    pub slowed: f64,
+    #[serde(default = "default_service_time_factor", rename = "slowed")]
+    pub service_time_factor: f64,
     /// Instances, if other than the experiment's.
     #[serde(rename = "doors")]
     pub instances: Option<usize>,
     /// Connections to each instance, if other than the experiment's.
     pub connections: Option<usize>,
     /// Idle connections to each instance, if other than the experiment's.
-    pub idle: Option<usize>,
+    #[serde(rename = "idle")]
+    pub idle_connections: Option<usize>,
     /// It is run without faults and without the flood.
-    #[serde(default)]
-    pub spared: bool,
+    #[serde(default, rename = "spared")]
+    pub without_faults: bool,
 }
 
-fn default_slowed() -> f64 {
+fn default_service_time_factor() -> f64 {
     1.0
 }
 
@@ -132,23 +133,24 @@
 impl Experiment {
     /// Reads an experiment from TOML and checks it.
     pub fn read(text: &str) -> Result<Experiment, ExperimentError> {
-        let read: Experiment = toml::from_str(text)?;
-        let violations = read.check();
+        let experiment: Experiment = toml::from_str(text)?;
+        let violations = experiment.check();
         if violations.is_empty() {
-            Ok(read)
+            Ok(experiment)
         } else {
             Err(ExperimentError::Invalid(violations))
         }
     }
 
     /// What a variant runs: the experiment with what the variant changes.
-    pub fn of(&self, variant: &Variant) -> Experiment {
+    pub fn for_variant(&self, variant: &Variant) -> Experiment {
         let mut changed = self.clone();
         changed.world.instances = variant.instances.unwrap_or(changed.world.instances);
-        changed.world.service_time *= variant.slowed;
+        changed.world.service_time *= variant.service_time_factor;
         changed.traffic.connections = variant.connections.unwrap_or(changed.traffic.connections);
-        changed.traffic.idle = variant.idle.unwrap_or(changed.traffic.idle);
-        if variant.spared {
+        changed.traffic.idle_connections =
+            variant.idle_connections.unwrap_or(changed.traffic.idle_connections);
+        if variant.without_faults {
             changed.faults.clear();
             changed.traffic.flood = None;
         }
--- a/load/src/fault_schedule.rs
+++ b/load/src/fault_schedule.rs
@@ -3,7 +3,7 @@
 use quillramp_emulator::scenario::{Fault, FaultKind, World};
 
 /// The least part of its capacity that a backend has while it is warming up.
-const LEAST_CAPACITY: f64 = 0.01;
+const MIN_WARM_UP_CAPACITY: f64 = 0.01;
 
 /// Whether this tool can inject the kind; the others are the emulator's alone.
 pub fn is_supported(kind: FaultKind) -> bool {
@@ -58,8 +58,11 @@
         for target in targets(fault, world) {
             let magnitude = fault.severity.unwrap_or(1.0);
             let step = FaultStep { at: fault.at, kind, begins: true, target, magnitude };
-            let end =
-                fault.duration.map(|lasts| FaultStep { at: fault.at + lasts, begins: false, ..step.clone() });
+            let end = fault.duration.map(|duration| FaultStep {
+                at: fault.at + duration,
+                begins: false,
+                ..step.clone()
+            });
             steps.push(step);
             steps.extend(end);
         }
@@ -90,6 +93,8 @@
 
 /// The part of its capacity that a backend has, by the seconds since its start.
 pub fn warm_capacity(world: &World, age: Option<f64>) -> f64 {
-    let from = world.slow_start_fraction;
-    age.map_or(1.0, |age| (from + (1.0 - from) * age / world.slow_start_duration).clamp(LEAST_CAPACITY, 1.0))
+    let initial = world.slow_start_fraction;
+    age.map_or(1.0, |age| {
+        (initial + (1.0 - initial) * age / world.slow_start_duration).clamp(MIN_WARM_UP_CAPACITY, 1.0)
+    })
 }
--- a/load/src/fleet/configuration.rs
+++ b/load/src/fleet/configuration.rs
@@ -13,7 +13,7 @@
 /// Memory that an instance believes to have, MB.
 const MEMORY_MB: u64 = 192;
 /// The least number of descriptors of an instance.
-const LEAST_DESCRIPTORS: usize = 1024;
+const MIN_DESCRIPTORS: usize = 1024;
 
 /// Where the services of the test bed are.
 pub struct Services {
@@ -26,11 +26,11 @@
 }
 
 /// Configuration files, one for each instance.
-pub(super) struct Written {
+pub(super) struct ConfigurationFiles {
     /// Where the instances are to listen.
     pub addresses: Vec<SocketAddr>,
     /// The files, in the same order.
-    pub files: Vec<PathBuf>,
+    pub paths: Vec<PathBuf>,
 }
 
 /// Writes the configuration files, and starts the relay for gossip where instances have peers.
@@ -38,32 +38,32 @@
     experiment: &Experiment,
     folder: &Path,
     services: &Services,
-) -> Result<Written, RunError> {
+) -> Result<ConfigurationFiles, RunError> {
     let world = &experiment.world;
     let mut settings = gateway_settings(world, None);
-    let clients: Vec<SocketAddr> = (0..world.instances).map(|_| reserve_address()).collect();
-    let gossip: Vec<SocketAddr> = (0..world.instances).map(|_| reserve_address()).collect();
+    let client_addresses: Vec<SocketAddr> = (0..world.instances).map(|_| reserve_address()).collect();
+    let gossip_addresses: Vec<SocketAddr> = (0..world.instances).map(|_| reserve_address()).collect();
     let relay = bind_datagram()?;
     if world.gossip {
-        peer_relay::start(relay.socket, gossip.clone());
+        peer_relay::start(relay.socket, gossip_addresses.clone());
     }
-    let peers: Vec<SocketAddr> = gossip.iter().copied().chain([relay.address]).collect();
-    let mut files = vec![];
+    let peers: Vec<SocketAddr> = gossip_addresses.iter().copied().chain([relay.address]).collect();
+    let mut paths = vec![];
     for index in 0..world.instances {
         settings["slot_no"] = json!(index);
         let seed = format!("{:016x}", experiment.seed + index as u64);
-        let mut text = json!({"name": format!("n{index}"), "listen": clients[index],
+        let mut configuration = json!({"name": format!("n{index}"), "listen": client_addresses[index],
             "discovery": services.discovery, "seed": seed,
-            "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": world.max_descriptors.max(LEAST_DESCRIPTORS)},
+            "limits": {"cores": CORES, "memory_mb": MEMORY_MB, "sockets": world.max_descriptors.max(MIN_DESCRIPTORS)},
             "counter": services.counters[index % 2], "known": services.endpoints, "settings": settings});
         if world.gossip {
-            text["peer_listen"] = json!(gossip[index]);
-            text["peers"] = json!(peers);
-            text["peers_all"] = json!(relay.address);
+            configuration["peer_listen"] = json!(gossip_addresses[index]);
+            configuration["peers"] = json!(peers);
+            configuration["peers_all"] = json!(relay.address);
         }
-        let file = folder.join(format!("door-{index}.json"));
-        std::fs::write(&file, text.to_string()).map_err(RunError::file(&file))?;
-        files.push(file);
+        let path = folder.join(format!("door-{index}.json"));
+        std::fs::write(&path, configuration.to_string()).map_err(RunError::file(&path))?;
+        paths.push(path);
     }
-    Ok(Written { addresses: clients, files })
+    Ok(ConfigurationFiles { addresses: client_addresses, paths })
 }
--- a/load/src/fleet/mod.rs
+++ b/load/src/fleet/mod.rs
@@ -26,38 +26,38 @@
 /// Longest for an instance to accept connections after its start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often a starting instance is dialled.
-const START_POLL: Duration = Duration::from_millis(10);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time for all instances to settle once the last one accepts.
-const SETTLE: Duration = Duration::from_millis(200);
+const SETTLE_TIME: Duration = Duration::from_millis(200);
 /// How often an ending process is looked at.
-const EXIT_POLL: Duration = Duration::from_millis(2);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// How often a restart looks whether the old process is gone.
-const RESTART_POLL: Duration = Duration::from_millis(5);
+const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-struct Member {
+struct InstanceProcess {
     process: Option<Child>,
     configuration: PathBuf,
     /// A fault or the end of the run ends it.
-    end_expected: bool,
+    exit_expected: bool,
 }
 
 /// The instances of one run.
 pub struct Fleet {
-    members: Arc<Vec<Mutex<Member>>>,
+    instances: Arc<Vec<Mutex<InstanceProcess>>>,
     launcher: Launcher,
     /// Where the instances are, and which take requests.
     pub routes: Arc<Routes>,
     /// Seconds of processor time of processes that have ended on purpose.
-    ended_processor: Arc<Mutex<f64>>,
+    ended_processor_seconds: Arc<Mutex<f64>>,
 }
 
 /// What all instances of a run have used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetUsage {
     /// Seconds of processor time.
-    pub processor: f64,
+    pub processor_seconds: f64,
     /// Resident memory now, MiB.
-    pub memory_mb: f64,
+    pub memory_mib: f64,
 }
 
 impl Fleet {
@@ -69,44 +69,44 @@
         services: &Services,
     ) -> Result<Fleet, RunError> {
         let launcher = Launcher::new(variant);
-        let written = configuration::write(experiment, folder, services)?;
-        let mut members = vec![];
-        for configuration in written.files {
-            let member = Member { process: None, configuration, end_expected: false };
-            members.push(Mutex::new(member));
+        let files = configuration::write(experiment, folder, services)?;
+        let mut instances = vec![];
+        for configuration in files.paths {
+            let instance = InstanceProcess { process: None, configuration, exit_expected: false };
+            instances.push(Mutex::new(instance));
         }
         let fleet = Fleet {
-            members: Arc::new(members),
+            instances: Arc::new(instances),
             launcher,
-            routes: Arc::new(Routes::new(written.addresses)),
-            ended_processor: Arc::default(),
+            routes: Arc::new(Routes::new(files.addresses)),
+            ended_processor_seconds: Arc::default(),
         };
-        for member in fleet.members.iter() {
-            let mut member = lock(member);
-            member.process = Some(fleet.launcher.launch(&member.configuration)?);
+        for instance in fleet.instances.iter() {
+            let mut instance = lock(instance);
+            instance.process = Some(fleet.launcher.launch(&instance.configuration)?);
         }
         fleet.wait_until_accepting()?;
-        sleep(SETTLE);
+        sleep(SETTLE_TIME);
         Routes::spawn_health_checks(&fleet.routes);
         Ok(fleet)
     }
 
     fn wait_until_accepting(&self) -> Result<(), RunError> {
         let program = &self.launcher.program;
-        let until = Instant::now() + START_TIMEOUT;
-        for (address, member) in self.routes.addresses.iter().zip(self.members.iter()) {
+        let deadline = Instant::now() + START_TIMEOUT;
+        for (address, instance) in self.routes.addresses.iter().zip(self.instances.iter()) {
             while TcpStream::connect(address).is_err() {
-                let mut member = lock(member);
-                let ended = member.process.as_mut().and_then(|p| p.try_wait().ok().flatten());
+                let mut instance = lock(instance);
+                let ended = instance.process.as_mut().and_then(|p| p.try_wait().ok().flatten());
                 if let Some(status) = ended {
-                    let last_line = process::last_log_line(&member.configuration);
+                    let last_line = process::last_log_line(&instance.configuration);
                     return Err(RunError::EndedAtStart { program: program.clone(), status, last_line });
                 }
-                drop(member);
-                if Instant::now() > until {
+                drop(instance);
+                if Instant::now() > deadline {
                     return Err(RunError::NotAccepting { program: program.clone(), address: *address });
                 }
-                sleep(START_POLL);
+                sleep(START_POLL_INTERVAL);
             }
         }
         Ok(())
@@ -118,10 +118,10 @@
             (FaultKind::Stall, true) => self.signal(step.target, Signal::SIGSTOP),
             (FaultKind::Stall, false) => self.signal(step.target, Signal::SIGCONT),
             (FaultKind::ReloadConfiguration, true) => self.signal(step.target, Signal::SIGHUP),
-            (FaultKind::Kill, true) => self.end(step.target, Duration::ZERO),
+            (FaultKind::Kill, true) => self.await_exit(step.target, Duration::ZERO),
             (FaultKind::Terminate, true) => {
                 self.signal(step.target, Signal::SIGTERM);
-                self.end(step.target, TERM_TIMEOUT);
+                self.await_exit(step.target, TERM_TIMEOUT);
             }
             (FaultKind::Kill | FaultKind::Terminate, false) => self.restart(step.target),
             _ => {}
@@ -129,7 +129,7 @@
     }
 
     fn signal(&self, index: usize, signal: Signal) {
-        let pid = lock(&self.members[index]).process.as_ref().map(Child::id);
+        let pid = lock(&self.instances[index]).process.as_ref().map(Child::id);
         if let Some(pid) = pid {
             let _ = kill(Pid::from_raw(pid as i32), signal); // it may have ended
         }
@@ -137,71 +137,72 @@
 
     /// Starts an instance again, once the old process is gone: the new one has its address.
     fn restart(&self, index: usize) {
-        let members = self.members.clone();
+        let instances = self.instances.clone();
         let launcher = self.launcher.clone();
         spawn(move || {
-            while lock(&members[index]).process.is_some() {
-                sleep(RESTART_POLL);
+            while lock(&instances[index]).process.is_some() {
+                sleep(RESTART_POLL_INTERVAL);
             }
-            let mut member = lock(&members[index]);
-            member.process = launcher.launch(&member.configuration).ok();
-            member.end_expected = false;
+            let mut instance = lock(&instances[index]);
+            instance.process = launcher.launch(&instance.configuration).ok();
+            instance.exit_expected = false;
         });
     }
 
     /// Waits for the end of a process, and kills it when the time is over.
-    fn end(&self, index: usize, patience: Duration) {
-        lock(&self.members[index]).end_expected = true;
-        let members = self.members.clone();
-        let ended_processor = self.ended_processor.clone();
+    fn await_exit(&self, index: usize, timeout: Duration) {
+        lock(&self.instances[index]).exit_expected = true;
+        let instances = self.instances.clone();
+        let ended_processor_seconds = self.ended_processor_seconds.clone();
         spawn(move || {
-            let until = Instant::now() + patience;
+            let deadline = Instant::now() + timeout;
             loop {
-                let mut member = lock(&members[index]);
-                let Some(process) = &mut member.process else { return };
-                let so_far = process::usage(process.id()).processor;
-                if Instant::now() >= until {
+                let mut instance = lock(&instances[index]);
+                let Some(process) = &mut instance.process else { return };
+                let used_seconds = process::usage(process.id()).processor_seconds;
+                if Instant::now() >= deadline {
                     let _ = process.kill(); // it may have ended
                 }
                 if matches!(process.try_wait(), Ok(Some(_))) {
-                    *lock(&ended_processor) += so_far;
-                    member.process = None;
+                    *lock(&ended_processor_seconds) += used_seconds;
+                    instance.process = None;
                     return;
                 }
-                drop(member);
-                sleep(EXIT_POLL);
+                drop(instance);
+                sleep(EXIT_POLL_INTERVAL);
             }
         });
     }
 
     /// How many have ended by themselves.
-    pub fn died(&self) -> usize {
-        let died = |member: &Mutex<Member>| {
-            let mut member = lock(member);
-            let expected = member.end_expected;
-            !expected && member.process.as_mut().is_none_or(|p| matches!(p.try_wait(), Ok(Some(_))))
+    pub fn crashed_instances(&self) -> usize {
+        let has_crashed = |instance: &Mutex<InstanceProcess>| {
+            let mut instance = lock(instance);
+            let expected = instance.exit_expected;
+            !expected && instance.process.as_mut().is_none_or(|p| matches!(p.try_wait(), Ok(Some(_))))
         };
-        self.members.iter().filter(|member| died(member)).count()
+        self.instances.iter().filter(|instance| has_crashed(instance)).count()
     }
 
     /// What all of them have used, those that ended on purpose included.
     pub fn usage(&self) -> FleetUsage {
-        let of = |member: &Mutex<Member>| {
-            lock(member).process.as_ref().map_or(FleetUsage::default(), |p| process::usage(p.id()))
+        let of = |instance: &Mutex<InstanceProcess>| {
+            lock(instance).process.as_ref().map_or(FleetUsage::default(), |p| process::usage(p.id()))
         };
-        let all: Vec<FleetUsage> = self.members.iter().map(of).collect();
-        let processor = *lock(&self.ended_processor) + all.iter().map(|u| u.processor).sum::<f64>();
-        FleetUsage { processor, memory_mb: all.iter().map(|u| u.memory_mb).sum() }
+        let all: Vec<FleetUsage> = self.instances.iter().map(of).collect();
+        let processor_seconds =
+            *lock(&self.ended_processor_seconds) + all.iter().map(|u| u.processor_seconds).sum::<f64>();
+        FleetUsage { processor_seconds, memory_mib: all.iter().map(|u| u.memory_mib).sum() }
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.routes.stop_health_checks();
-        for member in self.members.iter() {
-            let mut member = lock(member);
-            member.end_expected = true;
-            if let Some(mut process) = member.process.take() {
+        for instance in self.instances.iter() {
+            let mut instance = lock(instance);
+            instance.exit_expected = true;
+            if let Some(mut process) = instance.process.take() {
                 let _ = process.kill(); // it may have ended
                 let _ = process.wait();
             }
--- a/load/src/fleet/process.rs
+++ b/load/src/fleet/process.rs
@@ -51,10 +51,10 @@
 }
 
 /// What a process has used; zeros where it is gone.
-pub(super) fn usage(process: u32) -> FleetUsage {
-    let stat = process_stat::read(process);
+pub(super) fn usage(pid: u32) -> FleetUsage {
+    let stat = process_stat::read(pid);
     FleetUsage {
-        processor: (stat.user_ticks + stat.system_ticks) / TICKS_PER_SECOND,
-        memory_mb: stat.resident_kib / KIB_PER_MIB,
+        processor_seconds: (stat.user_ticks + stat.system_ticks) / TICKS_PER_SECOND,
+        memory_mib: stat.resident_kib / KIB_PER_MIB,
     }
 }
--- a/load/src/generator/client.rs
+++ b/load/src/generator/client.rs
@@ -12,13 +12,13 @@
 /// The plans of the customers, in turns by the customer's number.
 const PLANS: [&str; 2] = ["small", "large"];
 /// Longest that a client waits, seconds.
-const CLIENT_TIMEOUT: f64 = 1.4;
+const CLIENT_TIMEOUT_SECONDS: f64 = 1.4;
 /// Seconds after the client's timeout until it gives the connection up.
-const READ_GRACE: f64 = 1.0;
+const READ_GRACE_SECONDS: f64 = 1.0;
 /// Read buffer of a connection, bytes.
 const READ_BUFFER_BYTES: usize = 512;
 /// Spreads consecutive request ids over 64 bits.
-const ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+const REQUEST_ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Numbers the requests of this process.
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
@@ -27,19 +27,19 @@
 pub(super) struct CustomerRoutes<'a> {
     /// Where the instances are.
     pub routes: &'a Routes,
-    /// Instances of each customer.
+    /// Number of instances that each customer uses.
     pub spread: usize,
 }
 
 impl CustomerRoutes<'_> {
     /// The first of a customer's instances.
-    fn first(&self, customer: u64) -> usize {
+    fn first_instance(&self, customer: u64) -> usize {
         customer as usize % self.routes.addresses.len()
     }
 }
 
 /// The outcome of a request, and the instance that it comes from.
-pub(super) struct Answer {
+pub(super) struct RequestResult {
     /// Index of the instance.
     pub instance: usize,
     /// How the request ended.
@@ -56,32 +56,35 @@
     fn open(address: SocketAddr, instance: usize) -> Result<Connection> {
         let writer = TcpStream::connect(address)?;
         writer.set_nodelay(true)?;
-        writer.set_read_timeout(Some(Duration::from_secs_f64(CLIENT_TIMEOUT + READ_GRACE)))?;
+        writer
+            .set_read_timeout(Some(Duration::from_secs_f64(CLIENT_TIMEOUT_SECONDS + READ_GRACE_SECONDS)))?;
         let reader = BufReader::with_capacity(READ_BUFFER_BYTES, writer.try_clone()?);
         Ok(Connection { instance, writer, reader })
     }
 
     /// Sends a request and reads what comes back.
-    fn exchange(&mut self, text: &str) -> Exchange {
+    fn exchange(&mut self, text: &str) -> AttemptOutcome {
         let sent = self.writer.write_all(text.as_bytes());
-        let Ok(reply) = sent.and_then(|()| read_reply(&mut self.reader)) else { return Exchange::Lost };
+        let Ok(reply) = sent.and_then(|()| read_reply(&mut self.reader)) else {
+            return AttemptOutcome::NoAnswer;
+        };
         match reply.kind {
-            b'$' => Exchange::Answered(Outcome::Succeeded),
-            b'-' if reply.bytes.starts_with(b"-BUSY") => Exchange::Answered(Outcome::Throttled),
-            b'-' if reply.bytes.starts_with(b"-ERR draining") => Exchange::Draining,
-            _ => Exchange::Answered(Outcome::Errored),
+            b'$' => AttemptOutcome::Answered(Outcome::Succeeded),
+            b'-' if reply.bytes.starts_with(b"-BUSY") => AttemptOutcome::Answered(Outcome::Throttled),
+            b'-' if reply.bytes.starts_with(b"-ERR draining") => AttemptOutcome::Draining,
+            _ => AttemptOutcome::Answered(Outcome::Errored),
         }
     }
 }
 
 /// The outcome of one attempt on a connection.
-enum Exchange {
+enum AttemptOutcome {
     /// The instance answered.
     Answered(Outcome),
     /// The instance is about to stop and took nothing.
     Draining,
     /// The connection ended, or the time was up.
-    Lost,
+    NoAnswer,
 }
 
 /// A client; its connection stays open from one request to the next.
@@ -96,26 +99,26 @@
     }
 
     /// Sends a request to an instance of the customer's that is up.
-    pub fn send(&mut self, to: &CustomerRoutes, arrival: &Arrival) -> Answer {
-        let text = encode_request(arrival, to);
-        let first = to.first(arrival.customer);
+    pub fn send(&mut self, customer_routes: &CustomerRoutes, arrival: &Arrival) -> RequestResult {
+        let text = encode_request(arrival, customer_routes);
+        let first = customer_routes.first_instance(arrival.customer);
         let mut instance = arrival.instance;
-        for _ in 0..=to.spread {
-            instance = to.routes.pick(arrival.instance, first, to.spread);
-            let Some(connection) = self.connect(to.routes, instance) else { continue };
+        for _ in 0..=customer_routes.spread {
+            instance = customer_routes.routes.pick(arrival.instance, first, customer_routes.spread);
+            let Some(connection) = self.connect(customer_routes.routes, instance) else { continue };
             match connection.exchange(&text) {
-                Exchange::Answered(outcome) => return Answer { instance, outcome },
-                Exchange::Draining => {
-                    to.routes.mark_down(instance);
+                AttemptOutcome::Answered(outcome) => return RequestResult { instance, outcome },
+                AttemptOutcome::Draining => {
+                    customer_routes.routes.mark_down(instance);
                     self.connection = None;
                 }
-                Exchange::Lost => {
+                AttemptOutcome::NoAnswer => {
                     self.connection = None;
-                    return Answer { instance, outcome: Outcome::NoAnswer };
+                    return RequestResult { instance, outcome: Outcome::NoAnswer };
                 }
             }
         }
-        Answer { instance, outcome: Outcome::NotConnected }
+        RequestResult { instance, outcome: Outcome::NotConnected }
     }
 
     /// The connection to an instance, opened if need be; none where the instance cannot be reached.
@@ -134,20 +137,20 @@
 }
 
 /// A request as a client writes it. A customer's instances begin at its own number.
-fn encode_request(arrival: &Arrival, to: &CustomerRoutes) -> String {
+fn encode_request(arrival: &Arrival, customer_routes: &CustomerRoutes) -> String {
     let (verb, words, name, body) = if arrival.non_idempotent {
         ("CALL.POST", 5, "order", "$1\r\nx\r\n")
     } else {
         ("CALL.GET", 4, "look", "")
     };
     let plan = PLANS[arrival.customer as usize % PLANS.len()];
-    let timeout_ms = (CLIENT_TIMEOUT * 1e3) as u64;
-    let first = to.first(arrival.customer);
+    let timeout_ms = (CLIENT_TIMEOUT_SECONDS * 1e3) as u64;
+    let first = customer_routes.first_instance(arrival.customer);
     let attributes = format!(
         "c={name},t={plan},d={timeout_ms},units={},spread={},first={first}",
-        arrival.units, to.spread
+        arrival.units, customer_routes.spread
     );
-    let id = NEXT_ID.fetch_add(1, Ordering::Relaxed).wrapping_mul(ID_MULTIPLIER);
+    let id = NEXT_ID.fetch_add(1, Ordering::Relaxed).wrapping_mul(REQUEST_ID_MULTIPLIER);
     format!(
         "*{words}\r\n${}\r\n{verb}\r\n$16\r\n{:016x}\r\n$16\r\n{id:016x}\r\n${}\r\n{attributes}\r\n{body}",
         verb.len(),
@@ -157,20 +160,23 @@
 }
 
 /// Connections that have sent one command and then nothing; open as long as the result is held.
-pub fn open_idle_connections(routes: &Routes, each: usize) -> std::result::Result<Vec<TcpStream>, RunError> {
-    let mut all = vec![];
+pub fn open_idle_connections(
+    routes: &Routes,
+    per_instance: usize,
+) -> std::result::Result<Vec<TcpStream>, RunError> {
+    let mut connections = vec![];
     for (instance, address) in routes.addresses.iter().enumerate() {
-        for _ in 0..each {
-            let number = all.len() + 1;
+        for _ in 0..per_instance {
+            let number = connections.len() + 1;
             let opened = open_idle(*address, instance);
-            all.push(opened.map_err(|source| RunError::IdleConnection {
+            connections.push(opened.map_err(|source| RunError::IdleConnection {
                 number,
                 address: *address,
                 source,
             })?);
         }
     }
-    Ok(all)
+    Ok(connections)
 }
 
 fn open_idle(address: SocketAddr, instance: usize) -> Result<TcpStream> {
--- a/load/src/generator/mod.rs
+++ b/load/src/generator/mod.rs
@@ -19,7 +19,7 @@
 const STACK_BYTES: usize = 96 * 1024;
 
 /// Sets the seeds of one repetition's clients apart from those of another.
-const REPETITION_SEED: u64 = 104_729;
+const REPETITION_SEED_FACTOR: u64 = 104_729;
 
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,9 +48,11 @@
     /// The intended start, since the start of the traffic.
     pub at: f64,
     /// By how much the generator itself was late.
-    pub late: f64,
+    #[serde(rename = "late")]
+    pub send_delay: f64,
     /// From the intended start to the answer.
-    pub took: f64,
+    #[serde(rename = "took")]
+    pub latency: f64,
     /// Index of the instance that was asked last.
     #[serde(rename = "door")]
     pub instance: usize,
@@ -73,11 +75,11 @@
 }
 
 /// Where the requests of a client come from.
-enum Source {
+enum ArrivalSource {
     /// Open loop: a queue that is filled at the intended times.
     Queue(Arc<Mutex<mpsc::Receiver<Arrival>>>),
     /// Closed loop: the next one as soon as the last one is answered.
-    Drawn(Box<ChaCha8Rng>),
+    Random(Box<ChaCha8Rng>),
 }
 
 /// One thread of the generator: a client with one connection.
@@ -89,7 +91,7 @@
     start: Instant,
     /// The instance whose queue or whose customers it serves.
     instance: usize,
-    source: Source,
+    source: ArrivalSource,
     /// Takes the outcome of each request.
     rows: mpsc::Sender<RequestRow>,
 }
@@ -108,16 +110,16 @@
 
     /// Sends a request and waits for its outcome.
     fn send(&self, client: &mut Client, arrival: &Arrival) -> RequestRow {
-        let late = self.elapsed() - arrival.at;
+        let send_delay = self.elapsed() - arrival.at;
         let customer_routes = CustomerRoutes { routes: &self.routes, spread: self.experiment.spread() };
         let answer = client.send(&customer_routes, arrival);
-        let took = self.elapsed() - arrival.at;
+        let latency = self.elapsed() - arrival.at;
         RequestRow {
             variant: self.label.variant.clone(),
             repetition: self.label.repetition,
             at: arrival.at,
-            late,
-            took,
+            send_delay,
+            latency,
             instance: answer.instance,
             customer: arrival.customer,
             non_idempotent: arrival.non_idempotent,
@@ -133,18 +135,19 @@
     fn next(&mut self) -> Option<Arrival> {
         let now = self.elapsed();
         match &mut self.source {
-            Source::Queue(queue) => lock(queue).recv().ok(),
-            Source::Drawn(_) if now >= self.experiment.traffic.seconds => None,
-            Source::Drawn(rng) => {
+            ArrivalSource::Queue(queue) => lock(queue).recv().ok(),
+            ArrivalSource::Random(_) if now >= self.experiment.traffic.seconds => None,
+            ArrivalSource::Random(rng) => {
                 let arrival = self.experiment.draw_arrival(rng, now);
-                let instance = if self.serves(arrival.customer) { self.instance } else { arrival.instance };
+                let instance =
+                    if self.serves_customer(arrival.customer) { self.instance } else { arrival.instance };
                 Some(Arrival { instance, ..arrival })
             }
         }
     }
 
     /// Whether the worker's own instance is one of the customer's: these are consecutive ones from its first.
-    fn serves(&self, customer: u64) -> bool {
+    fn serves_customer(&self, customer: u64) -> bool {
         let instances = self.routes.addresses.len();
         let first = customer as usize % instances;
         (self.instance + instances - first) % instances < self.experiment.spread()
@@ -177,9 +180,9 @@
         let new_worker = |index: usize| {
             let instance = index % routes.addresses.len();
             let source = if experiment.is_open_loop() {
-                Source::Queue(receivers[instance].clone())
+                ArrivalSource::Queue(receivers[instance].clone())
             } else {
-                Source::Drawn(worker_rng(experiment, label.repetition, index))
+                ArrivalSource::Random(worker_rng(experiment, label.repetition, index))
             };
             Worker {
                 experiment: experiment.clone(),
@@ -201,7 +204,7 @@
     }
 
     /// Puts each arrival into the queue of its instance at its time.
-    fn feed(&self, arrivals: Vec<Arrival>) -> Result<(), RunError> {
+    fn enqueue(&self, arrivals: Vec<Arrival>) -> Result<(), RunError> {
         for arrival in arrivals {
             let wait = arrival.at - self.start.elapsed().as_secs_f64();
             if wait > 0.0 {
@@ -226,8 +229,10 @@
 }
 
 fn worker_rng(experiment: &Experiment, repetition: usize, index: usize) -> Box<ChaCha8Rng> {
-    let seed =
-        experiment.seed.wrapping_add(REPETITION_SEED * (repetition as u64 + 1)).wrapping_add(index as u64);
+    let seed = experiment
+        .seed
+        .wrapping_add(REPETITION_SEED_FACTOR * (repetition as u64 + 1))
+        .wrapping_add(index as u64);
     Box::new(ChaCha8Rng::seed_from_u64(seed))
 }
 
@@ -239,7 +244,7 @@
 ) -> Result<Vec<RequestRow>, RunError> {
     let workers = Workers::start(experiment, label, routes)?;
     if experiment.is_open_loop() {
-        workers.feed(experiment.arrivals(label.repetition))?;
+        workers.enqueue(experiment.arrivals(label.repetition))?;
     }
     workers.finish()
 }
--- a/load/src/results/comparison.rs
+++ b/load/src/results/comparison.rs
@@ -4,9 +4,9 @@
 use std::fmt::Write;
 
 /// The least number of pairs that a difference is concluded from.
-const LEAST_PAIRS: usize = 3;
+const MIN_PAIRS: usize = 3;
 /// Standard errors that a difference beyond the noise has at least.
-const STANDARD_ERRORS: f64 = 2.0;
+const MIN_STANDARD_ERRORS: f64 = 2.0;
 
 /// How one figure differs between two variants.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -23,14 +23,14 @@
     let differences: Vec<f64> = first.iter().zip(second).map(|(first, second)| second - first).collect();
     let pairs = differences.len() as f64;
     let mean_difference = differences.iter().sum::<f64>() / pairs.max(1.0);
-    if differences.len() < LEAST_PAIRS {
+    if differences.len() < MIN_PAIRS {
         return Comparison { mean_difference, significant: false };
     }
     let squares = differences.iter().map(|difference| (difference - mean_difference).powi(2)).sum::<f64>();
-    let error = (squares / (pairs - 1.0) / pairs).sqrt();
+    let standard_error = (squares / (pairs - 1.0) / pairs).sqrt();
     let one_sign = differences.iter().all(|difference| *difference > 0.0)
         || differences.iter().all(|difference| *difference < 0.0);
-    let significant = one_sign && mean_difference.abs() > STANDARD_ERRORS * error;
+    let significant = one_sign && mean_difference.abs() > MIN_STANDARD_ERRORS * standard_error;
     Comparison { mean_difference, significant }
 }
 
--- a/load/src/results/figures.rs
+++ b/load/src/results/figures.rs
@@ -4,13 +4,13 @@
 use hdrhistogram::Histogram;
 
 /// The longest time that a histogram tells from longer ones, microseconds.
-const LONGEST_MICROSECONDS: u64 = 60_000_000;
+const MAX_LATENCY_MICROSECONDS: u64 = 60_000_000;
 /// Microseconds of a second, milliseconds of a second, and microseconds of a millisecond.
-const MICROSECONDS: f64 = 1e6;
-const MILLISECONDS: f64 = 1e3;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
 /// The shortest span that a rate is calculated over, seconds.
-const LEAST_SECONDS: f64 = 0.001;
+const MIN_RUN_SECONDS: f64 = 0.001;
 
 /// Figures of one run.
 #[derive(Clone, Debug, Default)]
@@ -22,25 +22,25 @@
     /// Fraction of requests that errored or got no answer.
     pub failed: f64,
     /// Median latency of those that succeeded, milliseconds.
-    pub median: f64,
+    pub median_latency_ms: f64,
     /// 99th percentile of the latency of those that succeeded, milliseconds.
-    pub p99: f64,
+    pub p99_latency_ms: f64,
     /// Succeeded a second.
-    pub rate: f64,
+    pub succeeded_per_second: f64,
     /// By how much the generator was late, 99th percentile, milliseconds: latencies below it mean nothing.
-    pub late: f64,
+    pub send_delay_p99_ms: f64,
     /// Processor time of the instances for one request, milliseconds.
-    pub processor: f64,
+    pub processor_ms_per_request: f64,
     /// Memory of one instance, MiB.
-    pub memory: f64,
+    pub memory_mib_per_instance: f64,
     /// Executions at backends for one request.
-    pub deliveries: f64,
+    pub executions_per_request: f64,
     /// Counter calls for one request.
-    pub counter_calls: f64,
+    pub counter_calls_per_request: f64,
     /// Connections to backends that one instance made.
-    pub connections: f64,
+    pub connections_per_instance: f64,
     /// Fraction of the units that ran beyond quotas.
-    pub beyond_quota: f64,
+    pub beyond_quota_fraction: f64,
     /// The worst customer's fraction above its quota.
     pub worst_excess: f64,
 }
@@ -62,27 +62,27 @@
     named("succeeded, share", |f| f.succeeded),
     named("throttled, share", |f| f.throttled),
     named("failed, share", |f| f.failed),
-    named("median, ms", |f| f.median),
-    named("99th percentile, ms", |f| f.p99),
-    named("succeeded per second", |f| f.rate),
-    named("generator late, 99th percentile, ms", |f| f.late),
-    named("processor time of instances, ms per request", |f| f.processor),
-    named("memory of an instance, MB", |f| f.memory),
-    named("executions per request", |f| f.deliveries),
-    named("counter calls per request", |f| f.counter_calls),
-    named("backend connections per instance", |f| f.connections),
-    named("units beyond quotas, share", |f| f.beyond_quota),
+    named("median, ms", |f| f.median_latency_ms),
+    named("99th percentile, ms", |f| f.p99_latency_ms),
+    named("succeeded per second", |f| f.succeeded_per_second),
+    named("generator late, 99th percentile, ms", |f| f.send_delay_p99_ms),
+    named("processor time of instances, ms per request", |f| f.processor_ms_per_request),
+    named("memory of an instance, MB", |f| f.memory_mib_per_instance),
+    named("executions per request", |f| f.executions_per_request),
+    named("counter calls per request", |f| f.counter_calls_per_request),
+    named("backend connections per instance", |f| f.connections_per_instance),
+    named("units beyond quotas, share", |f| f.beyond_quota_fraction),
     named("worst customer above its quota, share", |f| f.worst_excess),
 ];
 
 /// Microseconds up to a minute, to three digits.
 pub(crate) fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_MICROSECONDS, 3).expect("bounds that hold")
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROSECONDS, 3).expect("bounds that hold")
 }
 
 /// Records a time in seconds.
 pub(crate) fn record(histogram: &mut Histogram<u64>, seconds: f64) {
-    histogram.saturating_record((seconds * MICROSECONDS) as u64 + 1);
+    histogram.saturating_record((seconds * MICROSECONDS_PER_SECOND) as u64 + 1);
 }
 
 /// A quantile in milliseconds.
@@ -97,31 +97,31 @@
     let requests = run_rows.len().max(1) as f64;
     let instances = run.instances.max(1) as f64;
     let fraction = |of: Outcome| run_rows.iter().filter(|row| row.outcome == of).count() as f64 / requests;
-    let mut took = histogram();
-    let mut late = histogram();
+    let mut latencies = histogram();
+    let mut send_delays = histogram();
     for row in &run_rows {
-        record(&mut late, row.late.max(0.0));
+        record(&mut send_delays, row.send_delay.max(0.0));
         if row.outcome == Outcome::Succeeded {
-            record(&mut took, row.took);
+            record(&mut latencies, row.latency);
         }
     }
-    let seconds = run_rows.iter().map(|row| row.at).fold(0.0, f64::max).max(LEAST_SECONDS);
+    let seconds = run_rows.iter().map(|row| row.at).fold(0.0, f64::max).max(MIN_RUN_SECONDS);
     let succeeded = fraction(Outcome::Succeeded);
     let throttled = fraction(Outcome::Throttled);
     Figures {
         succeeded,
         throttled,
         failed: 1.0 - succeeded - throttled,
-        median: quantile_ms(&took, 0.5),
-        p99: quantile_ms(&took, 0.99),
-        rate: succeeded * run_rows.len() as f64 / seconds,
-        late: quantile_ms(&late, 0.99),
-        processor: MILLISECONDS * run.processor / requests,
-        memory: run.memory_mb / instances,
-        deliveries: run.deliveries as f64 / requests,
-        counter_calls: run.counter_calls as f64 / requests,
-        connections: run.connections as f64 / instances,
-        beyond_quota: run.beyond_quota / run.units.max(1.0),
+        median_latency_ms: quantile_ms(&latencies, 0.5),
+        p99_latency_ms: quantile_ms(&latencies, 0.99),
+        succeeded_per_second: succeeded * run_rows.len() as f64 / seconds,
+        send_delay_p99_ms: quantile_ms(&send_delays, 0.99),
+        processor_ms_per_request: MILLISECONDS_PER_SECOND * run.processor_seconds / requests,
+        memory_mib_per_instance: run.memory_mib / instances,
+        executions_per_request: run.executions as f64 / requests,
+        counter_calls_per_request: run.counter_calls as f64 / requests,
+        connections_per_instance: run.connections as f64 / instances,
+        beyond_quota_fraction: run.beyond_quota / run.units.max(1.0),
         worst_excess: run.worst_excess,
     }
 }
--- a/load/src/results/mod.rs
+++ b/load/src/results/mod.rs
@@ -15,7 +15,7 @@
 use crate::usage::CustomerUsage;
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
-use summary::INTERRUPTED;
+use summary::INTERRUPTED_MARK;
 
 /// All that was run in a session, or is read back from a folder.
 #[derive(Clone, Debug, Default)]
@@ -79,9 +79,9 @@
         write("backends.csv", &|path| write_table(path, &self.loads))?;
         write("customers.csv", &|path| write_table(path, &self.customers))?;
         write("summary.md", &|path| std::fs::write(path, summary(self)).map_err(Into::into))?;
-        write("percentiles.svg", &|path| charts::percentiles(path, self))?;
-        write("service.svg", &|path| charts::service(path, self))?;
-        write("backends.svg", &|path| charts::backends(path, self))
+        write("percentiles.svg", &|path| charts::latency_percentiles(path, self))?;
+        write("service.svg", &|path| charts::outcomes_over_time(path, self))?;
+        write("backends.svg", &|path| charts::backend_loads(path, self))
     }
 
     /// Reads a folder back.
@@ -92,7 +92,7 @@
             rows: read_table(folder.join("rows.csv"))?,
             loads: read_table(folder.join("backends.csv"))?,
             customers: read_table(folder.join("customers.csv"))?,
-            complete: !summary.is_empty() && !summary.contains(INTERRUPTED),
+            complete: !summary.is_empty() && !summary.contains(INTERRUPTED_MARK),
         })
     }
 
--- a/load/src/results/summary.rs
+++ b/load/src/results/summary.rs
@@ -6,9 +6,9 @@
 use std::fmt::Write;
 
 /// Marks the summary of a session that is not complete; a session that is read back is told by it.
-pub(super) const INTERRUPTED: &str = "Interrupted";
+pub(super) const INTERRUPTED_MARK: &str = "Interrupted";
 /// Lateness of the generator from which the summary warns, milliseconds.
-const LATE_WARNING: f64 = 5.0;
+const SEND_DELAY_WARNING_MS: f64 = 5.0;
 
 /// The middle of some values, and how far the least and the greatest lie apart.
 struct MedianSpread {
@@ -37,16 +37,20 @@
         "# Results of quillramp-load\n\nMeasured with stand-in servers on one machine: compare them only with other results of this program.\n\n",
     );
     if !session.complete {
-        let _ = writeln!(text, "**{INTERRUPTED}: the runs made until then.**\n");
+        let _ = writeln!(text, "**{INTERRUPTED_MARK}: the runs made until then.**\n");
     }
     write_figures(&mut text, &all);
     write_sums(&mut text, &all, &session.runs);
     if let Some((first, others)) = all.split_first() {
         others.iter().for_each(|other| text += &section(first, other));
     }
-    let latest = all.iter().flat_map(|variant| &variant.runs).map(|figures| figures.late).fold(0.0, f64::max);
-    if latest > LATE_WARNING {
-        let _ = writeln!(text, "\nThe generator was late by up to {latest:.1} ms (99th percentile of a run): it has too few cores.");
+    let max_send_delay_ms = all
+        .iter()
+        .flat_map(|variant| &variant.runs)
+        .map(|figures| figures.send_delay_p99_ms)
+        .fold(0.0, f64::max);
+    if max_send_delay_ms > SEND_DELAY_WARNING_MS {
+        let _ = writeln!(text, "\nThe generator was late by up to {max_send_delay_ms:.1} ms (99th percentile of a run): it has too few cores.");
     }
     text
 }
@@ -84,5 +88,5 @@
     let _ = writeln!(text, "| requests | {} |", sum(&|run| run.sent));
     let _ = writeln!(text, "| counter calls | {} |", sum(&|run| run.counter_calls));
     let _ = writeln!(text, "| effects twice | {} |", sum(&|run| run.duplicates));
-    let _ = writeln!(text, "| instances that crashed | {} |", sum(&|run| run.died as u64));
+    let _ = writeln!(text, "| instances that crashed | {} |", sum(&|run| run.crashed as u64));
 }
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -36,7 +36,8 @@
     /// Calls that the counters received.
     pub counter_calls: u64,
     /// Requests that backends executed, duplicates included.
-    pub deliveries: u64,
+    #[serde(rename = "deliveries")]
+    pub executions: u64,
     /// Connections that instances made to backends.
     pub connections: u64,
     /// Effects beyond the first, of requests that are not idempotent.
@@ -51,11 +52,14 @@
     #[serde(rename = "worst")]
     pub worst_excess: f64,
     /// Seconds of processor time of all instances.
-    pub processor: f64,
+    #[serde(rename = "processor")]
+    pub processor_seconds: f64,
     /// Memory of all instances at the end, MiB.
-    pub memory_mb: f64,
+    #[serde(rename = "memory_mb")]
+    pub memory_mib: f64,
     /// Instances that ended by themselves.
-    pub died: usize,
+    #[serde(rename = "died")]
+    pub crashed: usize,
     /// Deliveries of each backend, separated by blanks.
     pub by_backend: String,
 }
@@ -79,7 +83,7 @@
     repetition: usize,
     folder: &Path,
 ) -> Result<RunResult, RunError> {
-    let experiment = &experiment.of(variant);
+    let experiment = &experiment.for_variant(variant);
     let test_bed = start_backends(experiment, repetition)?;
     let services = start_services(&test_bed)?;
     let run = Run { experiment, variant, repetition, test_bed: &test_bed };
@@ -124,13 +128,14 @@
 impl Run<'_> {
     fn measure(&self, folder: &Path, services: &Services) -> Result<RunResult, RunError> {
         let fleet = Fleet::start(self.experiment, self.variant, folder, services)?;
-        let _idle = generator::open_idle_connections(&fleet.routes, self.experiment.traffic.idle)?;
+        let _idle =
+            generator::open_idle_connections(&fleet.routes, self.experiment.traffic.idle_connections)?;
         let rows = self.drive(&fleet)?;
-        let died = fleet.died();
-        let used = fleet.usage();
+        let crashed = fleet.crashed_instances();
+        let fleet_usage = fleet.usage();
         drop(fleet);
-        let customers = self.customers();
-        let summary = self.summary(rows.len(), died, used, &customers);
+        let customers = self.customer_usage();
+        let summary = self.summary(rows.len(), crashed, fleet_usage, &customers);
         let loads = lock(&self.test_bed.executions).loads(&self.variant.name, self.repetition);
         Ok(RunResult { summary, customers: customers.rows, rows, loads })
     }
@@ -168,36 +173,40 @@
         }
     }
 
-    fn customers(&self) -> usage::FleetQuotas {
+    fn customer_usage(&self) -> usage::FleetQuotaUsage {
         let label = RunLabel { variant: self.variant.name.clone(), repetition: self.repetition };
-        usage::against_quotas(&self.experiment.world, &label, &lock(&self.test_bed.executions).units)
+        usage::compare_with_quotas(
+            &self.experiment.world,
+            &label,
+            &lock(&self.test_bed.executions).customer_units,
+        )
     }
 
     fn summary(
         &self,
         sent: usize,
-        died: usize,
-        used: FleetUsage,
-        customers: &usage::FleetQuotas,
+        crashed: usize,
+        fleet_usage: FleetUsage,
+        customers: &usage::FleetQuotaUsage,
     ) -> RunSummary {
         let counter_calls = *lock(&self.test_bed.counter_calls);
         let executions = lock(&self.test_bed.executions);
-        let by_backend: Vec<String> = executions.by_backend.iter().map(u64::to_string).collect();
+        let by_backend: Vec<String> = executions.total_by_backend.iter().map(u64::to_string).collect();
         RunSummary {
             variant: self.variant.name.clone(),
             repetition: self.repetition,
             instances: self.experiment.world.instances,
             sent: sent as u64,
             counter_calls,
-            deliveries: executions.deliveries,
+            executions: executions.total,
             connections: executions.connections,
             duplicates: executions.duplicates,
             units: customers.units,
             beyond_quota: customers.beyond_quota,
             worst_excess: customers.worst_excess,
-            processor: used.processor,
-            memory_mb: used.memory_mb,
-            died,
+            processor_seconds: fleet_usage.processor_seconds,
+            memory_mib: fleet_usage.memory_mib,
+            crashed,
             by_backend: by_backend.join(" "),
         }
     }
--- a/load/src/test_bed/backend.rs
+++ b/load/src/test_bed/backend.rs
@@ -12,8 +12,8 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// How often something that waits for a fault to end looks again.
-const POLL: Duration = Duration::from_millis(5);
+/// Interval at which a thread checks again whether a fault has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The slots of a backend: requests beyond them wait.
 struct Slots {
@@ -52,11 +52,11 @@
         }
         let Some(open) = listener.take() else {
             if test_bed.condition(index).down {
-                sleep(POLL);
-            } else if let Ok(again) = TcpListener::bind(address) {
-                listener = Some(again);
+                sleep(POLL_INTERVAL);
+            } else if let Ok(reopened) = TcpListener::bind(address) {
+                listener = Some(reopened);
             } else {
-                sleep(POLL);
+                sleep(POLL_INTERVAL);
             }
             continue;
         };
@@ -84,7 +84,7 @@
     let listener = listener.try_clone()?;
     spawn(move || {
         while !test_bed.condition(index).down {
-            sleep(POLL);
+            sleep(POLL_INTERVAL);
         }
         process_ended.store(true, Ordering::Relaxed);
         let _ = socket2::SockRef::from(&listener).shutdown(Shutdown::Both);
@@ -101,14 +101,14 @@
 
 impl Connection {
     fn serve(&self, mut stream: TcpStream) -> Result<()> {
-        let process = self.process();
-        let mut from = BufReader::new(stream.try_clone()?);
-        while let Some(words) = command(&mut from)? {
+        let process_number = self.process_number();
+        let mut reader = BufReader::new(stream.try_clone()?);
+        while let Some(words) = command(&mut reader)? {
             // An unresponsive machine does nothing either; its connections end when it is back.
             while self.test_bed.condition(self.index).unresponsive && !self.test_bed.finished() {
-                sleep(POLL);
+                sleep(POLL_INTERVAL);
             }
-            if self.process() != process {
+            if self.process_number() != process_number {
                 return Ok(());
             }
             if words.first().is_some_and(|word| word == "PING") {
@@ -123,21 +123,21 @@
                     continue;
                 }
                 BackendOutcome::Serve(work)
-                | BackendOutcome::Swallow(work)
+                | BackendOutcome::LeaveUnanswered(work)
                 | BackendOutcome::Malformed(work)
                 | BackendOutcome::Fail(work) => work,
             };
-            if !self.execute(process, &request, work) {
+            if !self.execute(process_number, &request, work) {
                 return Ok(());
             }
-            answer(&mut stream, outcome, &words[2], request.units)?;
+            write_reply(&mut stream, outcome, &words[2], request.units)?;
         }
         Ok(())
     }
 
     /// Counts the processes of this backend.
-    fn process(&self) -> u64 {
-        self.test_bed.condition(self.index).process
+    fn process_number(&self) -> u64 {
+        self.test_bed.condition(self.index).process_number
     }
 
     fn outcome(&self, units: f64) -> BackendOutcome {
@@ -149,15 +149,15 @@
     }
 
     /// Works on a request in a slot; not where the process has ended meanwhile, which is `false`.
-    fn execute(&self, process: u64, request: &BackendRequest, work: Duration) -> bool {
+    fn execute(&self, process_number: u64, request: &BackendRequest, work: Duration) -> bool {
         self.slots.acquire();
-        let alive = self.process() == process;
-        if alive {
+        let is_running = self.process_number() == process_number;
+        if is_running {
             self.test_bed.record_execution(self.index, request);
             sleep(work);
         }
         self.slots.release();
-        alive
+        is_running
     }
 }
 
@@ -177,9 +177,9 @@
     })
 }
 
-fn answer(stream: &mut TcpStream, outcome: BackendOutcome, id: &str, units: f64) -> Result<()> {
+fn write_reply(stream: &mut TcpStream, outcome: BackendOutcome, id: &str, units: f64) -> Result<()> {
     match outcome {
-        BackendOutcome::Swallow(_) => Ok(()),
+        BackendOutcome::LeaveUnanswered(_) => Ok(()),
         BackendOutcome::Fail(_) => stream.write_all(b"-ERR failed\r\n"),
         BackendOutcome::Malformed(_) => stream.write_all(b"?what\r\n"),
         BackendOutcome::Serve(_) | BackendOutcome::Reject => {
--- a/load/src/test_bed/condition.rs
+++ b/load/src/test_bed/condition.rs
@@ -9,21 +9,21 @@
     /// It is unresponsive: it reads nothing and writes nothing.
     pub unresponsive: bool,
     /// Factor on the time of its work.
-    pub slow: f64,
+    pub work_factor: f64,
     /// Fraction of requests that are executed and not answered.
-    pub swallow: f64,
+    pub unanswered_fraction: f64,
     /// Fraction of requests that are answered with a malformed reply.
-    pub malformed: f64,
+    pub malformed_fraction: f64,
     /// Fraction of requests that fail.
-    pub fail: f64,
+    pub failed_fraction: f64,
     /// Fraction of requests that are rejected.
-    pub reject: f64,
+    pub rejected_fraction: f64,
     /// It is draining: all requests are rejected.
     pub draining: bool,
     /// When it last started, seconds since the start of the run; none if long before.
-    pub started: Option<f64>,
+    pub started_at: Option<f64>,
     /// Counts its processes; a connection of an earlier one is over.
-    pub process: u64,
+    pub process_number: u64,
 }
 
 impl Default for BackendCondition {
@@ -31,14 +31,14 @@
         BackendCondition {
             down: false,
             unresponsive: false,
-            slow: 1.0,
-            swallow: 0.0,
-            malformed: 0.0,
-            fail: 0.0,
-            reject: 0.0,
+            work_factor: 1.0,
+            unanswered_fraction: 0.0,
+            malformed_fraction: 0.0,
+            failed_fraction: 0.0,
+            rejected_fraction: 0.0,
             draining: false,
-            started: None,
-            process: 0,
+            started_at: None,
+            process_number: 0,
         }
     }
 }
@@ -51,11 +51,11 @@
     /// It is unresponsive.
     pub unresponsive: bool,
     /// Seconds to an answer.
-    pub delay: f64,
+    pub delay_seconds: f64,
     /// Fraction of calls that are added and not answered.
-    pub unanswered: f64,
+    pub unanswered_fraction: f64,
     /// Fraction of calls that are rejected.
-    pub reject: f64,
+    pub rejected_fraction: f64,
     /// Every other instance reaches a second set of counts.
     pub split: bool,
 }
@@ -66,7 +66,7 @@
     /// Executed and answered.
     Serve(Duration),
     /// Executed and not answered.
-    Swallow(Duration),
+    LeaveUnanswered(Duration),
     /// Executed and answered with a malformed reply.
     Malformed(Duration),
     /// Executed and answered with an error.
--- a/load/src/test_bed/counter.rs
+++ b/load/src/test_bed/counter.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// How often an unresponsive counter looks whether the fault is over.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Which of the two counters: while they are split, the second one has counts of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 pub fn start(listener: TcpListener, instance: CounterInstance, test_bed: Arc<TestBed>) {
     spawn(move || {
         for stream in listener.incoming().flatten() {
-            if lock(&test_bed.counter).down {
+            if lock(&test_bed.counter_condition).down {
                 continue; // it ends at once
             }
             let test_bed = test_bed.clone();
@@ -35,24 +35,24 @@
 }
 
 fn serve(mut stream: TcpStream, instance: CounterInstance, test_bed: &TestBed) -> Result<()> {
-    let mut from = BufReader::new(stream.try_clone()?);
-    while let Some(target) = target(&mut from)? {
-        let condition = lock(&test_bed.counter).clone();
+    let mut reader = BufReader::new(stream.try_clone()?);
+    while let Some(target) = target(&mut reader)? {
+        let condition = lock(&test_bed.counter_condition).clone();
         if condition.down {
             return Ok(());
         }
-        while lock(&test_bed.counter).unresponsive && !test_bed.finished() {
-            sleep(POLL);
+        while lock(&test_bed.counter_condition).unresponsive && !test_bed.finished() {
+            sleep(POLL_INTERVAL);
         }
-        sleep(Duration::from_secs_f64(condition.delay));
+        sleep(Duration::from_secs_f64(condition.delay_seconds));
         *lock(&test_bed.counter_calls) += 1;
-        if test_bed.draw_counter_fault(condition.reject) {
+        if test_bed.draw_counter_fault(condition.rejected_fraction) {
             stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")?;
             continue;
         }
         let uses_second_set = instance == CounterInstance::Second && condition.split;
         let total = add(test_bed, &target, usize::from(uses_second_set)).to_string();
-        if test_bed.draw_counter_fault(condition.unanswered) {
+        if test_bed.draw_counter_fault(condition.unanswered_fraction) {
             return Ok(());
         }
         write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{total}", total.len())?;
@@ -63,8 +63,8 @@
 /// Adds to the count that the target names, in one of the two sets; the new total.
 fn add(test_bed: &TestBed, target: &str, set: usize) -> f64 {
     let name = target.split('?').next().unwrap_or("").to_owned();
-    let mut counts = lock(&test_bed.counts);
-    let total = counts[set].entry(name).or_default();
+    let mut totals = lock(&test_bed.counter_totals);
+    let total = totals[set].entry(name).or_default();
     *total += number(target, "by");
     *total
 }
--- a/load/src/test_bed/discovery.rs
+++ b/load/src/test_bed/discovery.rs
@@ -19,8 +19,8 @@
 }
 
 fn serve(mut stream: TcpStream, test_bed: &TestBed) -> Result<()> {
-    let mut from = BufReader::new(stream.try_clone()?);
-    while let Some(target) = target(&mut from)? {
+    let mut reader = BufReader::new(stream.try_clone()?);
+    while let Some(target) = target(&mut reader)? {
         let since = number(&target, "since") as u64;
         let wait = Duration::from_millis(number(&target, "timeout_ms") as u64);
         let answer =
--- a/load/src/test_bed/endpoint_list.rs
+++ b/load/src/test_bed/endpoint_list.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The longest that a watch waits.
-const LONGEST_WATCH: Duration = Duration::from_secs(60);
+const MAX_WATCH_DURATION: Duration = Duration::from_secs(60);
 
 /// The status of an endpoint, as the list names it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     status: Status,
     since_ms: u64,
     /// The index of the list's last change of this entry.
-    changed: u64,
+    changed_at_index: u64,
 }
 
 impl Entry {
@@ -56,7 +56,7 @@
     index: u64,
     entries: Vec<Entry>,
     /// Names that were given, to give each new process one of its own.
-    names: usize,
+    assigned_names: usize,
     down: bool,
 }
 
@@ -77,10 +77,10 @@
             group: backend % world.cells.max(1),
             status: Status::Serving,
             since_ms: 0,
-            changed: 1,
+            changed_at_index: 1,
         };
         let entries = backends.iter().enumerate().map(entry).collect();
-        let state = State { index: 1, entries, names: backends.len(), down: false };
+        let state = State { index: 1, entries, assigned_names: backends.len(), down: false };
         EndpointList { state: Mutex::new(state), changed: Condvar::new() }
     }
 
@@ -94,19 +94,19 @@
 
     /// What has changed after an index, or nothing once the wait is over; none while the list service is down.
     pub fn watch(&self, since: u64, wait: Duration) -> Option<Value> {
-        let until = Instant::now() + wait.min(LONGEST_WATCH);
+        let deadline = Instant::now() + wait.min(MAX_WATCH_DURATION);
         let mut state = lock(&self.state);
         loop {
             if state.down {
                 return None;
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if state.index > since || left.is_zero() {
-                let changed = state.entries.iter().filter(|e| e.changed > since);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if state.index > since || remaining.is_zero() {
+                let changed = state.entries.iter().filter(|e| e.changed_at_index > since);
                 let endpoints: Vec<Value> = changed.map(Entry::to_json).collect();
                 return Some(json!({"index": state.index, "snapshot": false, "endpoints": endpoints}));
             }
-            state = self.changed.wait_timeout(state, left).unwrap_or_else(|e| e.into_inner()).0;
+            state = self.changed.wait_timeout(state, remaining).unwrap_or_else(|e| e.into_inner()).0;
         }
     }
 
@@ -128,9 +128,9 @@
         let since_ms = unix_ms();
         self.update(|state| {
             let index = state.index;
-            let Some(entry) = state.live(backend) else { return };
+            let Some(entry) = state.live_entry(backend) else { return };
             entry.status = status;
-            entry.changed = index;
+            entry.changed_at_index = index;
             if restarted {
                 entry.since_ms = since_ms;
             }
@@ -142,12 +142,12 @@
         let since_ms = unix_ms();
         self.update(|state| {
             let index = state.index;
-            let name = format!("s{}", state.names);
-            let Some(old) = state.live(backend) else { return };
+            let name = format!("s{}", state.assigned_names);
+            let Some(old) = state.live_entry(backend) else { return };
             old.status = Status::Deleted;
-            old.changed = index;
+            old.changed_at_index = index;
             let new = Entry { name, status, since_ms, ..old.clone() };
-            state.names += 1;
+            state.assigned_names += 1;
             state.entries.push(new);
         });
     }
@@ -155,7 +155,7 @@
 
 impl State {
     /// The entry of a backend that is not deleted.
-    fn live(&mut self, backend: usize) -> Option<&mut Entry> {
+    fn live_entry(&mut self, backend: usize) -> Option<&mut Entry> {
         self.entries.iter_mut().find(|e| e.backend == backend && e.status != Status::Deleted)
     }
 }
--- a/load/src/test_bed/executions.rs
+++ b/load/src/test_bed/executions.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 /// Seconds of one column of the charts over time.
-pub const COLUMN_SECONDS: f64 = 0.25;
+pub const INTERVAL_SECONDS: f64 = 0.25;
 
 /// An request as a backend reads it.
 #[derive(Clone, Copy, Debug)]
@@ -42,58 +42,62 @@
 #[derive(Default)]
 pub struct Executions {
     /// How often a request took effect, by its id.
-    times: HashMap<u64, u32>,
+    execution_counts: HashMap<u64, u32>,
     /// Effects beyond the first, of requests that are not idempotent.
     pub duplicates: u64,
     /// Requests that were executed, duplicates included.
-    pub deliveries: u64,
+    pub total: u64,
     /// Connections that were made.
     pub connections: u64,
     /// Deliveries by backend.
-    pub by_backend: Vec<u64>,
-    /// When the traffic began, seconds since the start of the run: the columns count from then.
+    pub total_by_backend: Vec<u64>,
+    /// When the traffic began, seconds since the start of the run: the intervals count from then.
     pub traffic_start: f64,
     /// Units by backend and column of time.
-    pub columns: Vec<Vec<f64>>,
+    pub units_by_interval: Vec<Vec<f64>>,
     /// When units of a customer were first executed.
-    pub units: HashMap<CustomerPlan, Vec<TimedUnits>>,
+    pub customer_units: HashMap<CustomerPlan, Vec<TimedUnits>>,
 }
 
 impl Executions {
     /// Nothing was executed yet.
     pub fn new(backends: usize) -> Executions {
-        Executions { by_backend: vec![0; backends], columns: vec![vec![]; backends], ..Executions::default() }
+        Executions {
+            total_by_backend: vec![0; backends],
+            units_by_interval: vec![vec![]; backends],
+            ..Executions::default()
+        }
     }
 
     /// Records an execution. Its units count for the customer when it is the first of this request.
     pub fn record(&mut self, at: f64, backend: usize, request: &BackendRequest) {
-        self.deliveries += 1;
-        self.by_backend[backend] += 1;
-        let column = ((at - self.traffic_start).max(0.0) / COLUMN_SECONDS) as usize;
-        let columns = &mut self.columns[backend];
-        if columns.len() <= column {
-            columns.resize(column + 1, 0.0);
+        self.total += 1;
+        self.total_by_backend[backend] += 1;
+        let interval = ((at - self.traffic_start).max(0.0) / INTERVAL_SECONDS) as usize;
+        let intervals = &mut self.units_by_interval[backend];
+        if intervals.len() <= interval {
+            intervals.resize(interval + 1, 0.0);
         }
-        columns[column] += request.units;
-        let times = self.times.entry(request.id).or_default();
-        *times += 1;
-        let times = *times;
-        self.duplicates += u64::from(request.non_idempotent && times > 1);
-        if times == 1 {
+        intervals[interval] += request.units;
+        let count = self.execution_counts.entry(request.id).or_default();
+        *count += 1;
+        let count = *count;
+        self.duplicates += u64::from(request.non_idempotent && count > 1);
+        if count == 1 {
             let key = CustomerPlan { customer: request.customer, plan: request.plan.to_owned() };
-            self.units.entry(key).or_default().push(TimedUnits { at, units: request.units });
+            self.customer_units.entry(key).or_default().push(TimedUnits { at, units: request.units });
         }
     }
 
     /// What each backend executed over time.
     pub fn loads(&self, variant: &str, repetition: usize) -> Vec<BackendLoad> {
         let mut loads = vec![];
-        for (backend, columns) in self.columns.iter().enumerate() {
-            for (column, units) in columns.iter().enumerate() {
+        for (backend, intervals) in self.units_by_interval.iter().enumerate() {
+            for (interval, units) in intervals.iter().enumerate() {
                 loads.push(BackendLoad {
                     variant: variant.to_owned(),
                     repetition,
-                    at: column as f64 * COLUMN_SECONDS,
+                    at: interval as f64 * INTERVAL_SECONDS,
                     backend,
                     units: *units,
                 });
--- a/load/src/test_bed/inject.rs
+++ b/load/src/test_bed/inject.rs
@@ -8,20 +8,22 @@
 use std::collections::HashMap;
 
 /// Seconds of a millisecond, the unit of a slow counter's delay.
-const MILLISECOND: f64 = 0.001;
+const SECONDS_PER_MILLISECOND: f64 = 0.001;
 
 impl TestBed {
     /// Carries out a step that concerns stand-ins; steps of instances are carried out by the fleet.
     pub fn inject(&self, step: &FaultStep) {
         let magnitude = if step.begins { step.magnitude } else { 0.0 };
         match step.kind {
-            FaultKind::Slow => self.change(step, |c| c.slow = if step.begins { step.magnitude } else { 1.0 }),
-            FaultKind::LostResponses => self.change(step, |c| c.swallow = magnitude),
-            FaultKind::MalformedResponses => self.change(step, |c| c.malformed = magnitude),
-            FaultKind::Errors => self.change(step, |c| c.fail = magnitude),
-            FaultKind::Rejections => self.change(step, |c| c.reject = magnitude),
+            FaultKind::Slow => {
+                self.change(step, |c| c.work_factor = if step.begins { step.magnitude } else { 1.0 })
+            }
+            FaultKind::LostResponses => self.change(step, |c| c.unanswered_fraction = magnitude),
+            FaultKind::MalformedResponses => self.change(step, |c| c.malformed_fraction = magnitude),
+            FaultKind::Errors => self.change(step, |c| c.failed_fraction = magnitude),
+            FaultKind::Rejections => self.change(step, |c| c.rejected_fraction = magnitude),
             FaultKind::Crash => self.crash(step),
-            FaultKind::Unresponsive => self.vanish(step),
+            FaultKind::Unresponsive => self.make_unresponsive(step),
             FaultKind::Drain => self.drain(step),
             FaultKind::DiscoveryDown => self.endpoints.set_down(step.begins),
             _ => self.inject_at_counter(step, magnitude),
@@ -30,16 +32,18 @@
 
     fn inject_at_counter(&self, step: &FaultStep, magnitude: f64) {
         match step.kind {
-            FaultKind::CounterDown => lock(&self.counter).down = step.begins,
-            FaultKind::CounterUnresponsive => lock(&self.counter).unresponsive = step.begins,
-            FaultKind::CounterSlow => lock(&self.counter).delay = MILLISECOND * magnitude,
-            FaultKind::CounterLostResponses => lock(&self.counter).unanswered = magnitude,
-            FaultKind::CounterRejections => lock(&self.counter).reject = magnitude,
-            FaultKind::CounterReset => lock(&self.counts).iter_mut().for_each(HashMap::clear),
+            FaultKind::CounterDown => lock(&self.counter_condition).down = step.begins,
+            FaultKind::CounterUnresponsive => lock(&self.counter_condition).unresponsive = step.begins,
+            FaultKind::CounterSlow => {
+                lock(&self.counter_condition).delay_seconds = SECONDS_PER_MILLISECOND * magnitude
+            }
+            FaultKind::CounterLostResponses => lock(&self.counter_condition).unanswered_fraction = magnitude,
+            FaultKind::CounterRejections => lock(&self.counter_condition).rejected_fraction = magnitude,
+            FaultKind::CounterReset => lock(&self.counter_totals).iter_mut().for_each(HashMap::clear),
             FaultKind::CounterSplit => {
-                lock(&self.counter).split = step.begins;
-                let mut counts = lock(&self.counts);
-                counts[1] = counts[0].clone();
+                lock(&self.counter_condition).split = step.begins;
+                let mut totals = lock(&self.counter_totals);
+                totals[1] = totals[0].clone();
             }
             _ => {}
         }
@@ -54,16 +58,16 @@
         self.change_process(step, |c| c.down = step.begins);
         self.end_connections(step.target);
         if !step.begins {
-            self.list_restarted(step.target);
+            self.list_as_serving(step.target);
         }
     }
 
     /// The machine becomes unresponsive, so its connections stay; or a new process starts.
-    fn vanish(&self, step: &FaultStep) {
+    fn make_unresponsive(&self, step: &FaultStep) {
         self.change_process(step, |c| c.unresponsive = step.begins);
         if !step.begins {
             self.end_connections(step.target);
-            self.list_restarted(step.target);
+            self.list_as_serving(step.target);
         }
     }
 
@@ -71,9 +75,9 @@
     fn change_process(&self, step: &FaultStep, change: impl FnOnce(&mut BackendCondition)) {
         let now = self.now();
         self.change(step, |c| {
-            c.process += 1;
+            c.process_number += 1;
             change(c);
-            c.started = if step.begins { c.started } else { Some(now) };
+            c.started_at = if step.begins { c.started_at } else { Some(now) };
         });
     }
 
@@ -81,22 +85,22 @@
     fn drain(&self, step: &FaultStep) {
         if step.begins {
             self.change(step, |c| c.draining = true);
-            let restarted = self.condition(step.target).started.is_some();
+            let restarted = self.condition(step.target).started_at.is_some();
             self.endpoints.set_status(step.target, Status::Draining, restarted);
             return;
         }
         let now = self.now();
         self.change(step, |c| {
             c.draining = false;
-            c.started = Some(now);
-            c.process += 1;
+            c.started_at = Some(now);
+            c.process_number += 1;
         });
         self.end_connections(step.target);
         self.endpoints.replace(step.target, Status::Serving);
     }
 
-    fn list_restarted(&self, backend: usize) {
-        let restarted = self.condition(backend).started.is_some();
+    fn list_as_serving(&self, backend: usize) {
+        let restarted = self.condition(backend).started_at.is_some();
         self.endpoints.set_status(backend, Status::Serving, restarted);
     }
 }
--- a/load/src/test_bed/loopback.rs
+++ b/load/src/test_bed/loopback.rs
@@ -72,15 +72,15 @@
 }
 
 /// Reads one reply of an instance.
-pub fn read_reply(from: &mut impl BufRead) -> Result<Reply> {
+pub fn read_reply(reader: &mut impl BufRead) -> Result<Reply> {
     let mut line = Vec::new();
-    if from.read_until(b'\n', &mut line)? == 0 {
+    if reader.read_until(b'\n', &mut line)? == 0 {
         return Err(Error::from(ErrorKind::UnexpectedEof));
     }
     if line[0] == b'$' {
         let length = std::str::from_utf8(&line[1..]).ok().and_then(|t| t.trim().parse::<usize>().ok());
         let mut value = vec![0; length.unwrap_or(0) + 2];
-        from.read_exact(&mut value)?;
+        reader.read_exact(&mut value)?;
         return Ok(Reply { kind: b'$', bytes: value });
     }
     Ok(Reply { kind: line[0], bytes: line })
--- a/load/src/test_bed/mod.rs
+++ b/load/src/test_bed/mod.rs
@@ -15,7 +15,7 @@
 
 pub use condition::{BackendCondition, BackendOutcome, CounterCondition};
 pub use endpoint_list::EndpointList;
-pub use executions::{BackendLoad, BackendRequest, CustomerPlan, Executions, TimedUnits, COLUMN_SECONDS};
+pub use executions::{BackendLoad, BackendRequest, CustomerPlan, Executions, TimedUnits, INTERVAL_SECONDS};
 
 use crate::fault_schedule;
 use crate::sync::lock;
@@ -29,7 +29,7 @@
 use std::time::{Duration, Instant};
 
 /// The longest work of a backend for one request, seconds.
-const LONGEST_WORK: f64 = 60.0;
+const MAX_WORK_SECONDS: f64 = 60.0;
 
 /// State shared by the stand-ins of one run.
 pub struct TestBed {
@@ -42,9 +42,9 @@
     /// Connections that are open at each backend, to end them with its process.
     connections: Vec<Mutex<Vec<TcpStream>>>,
     /// The condition of both counters.
-    pub counter: Mutex<CounterCondition>,
+    pub counter_condition: Mutex<CounterCondition>,
     /// Two sets of counts; the second is in use while they are split.
-    pub counts: Mutex<[HashMap<String, f64>; 2]>,
+    pub counter_totals: Mutex<[HashMap<String, f64>; 2]>,
     /// Calls that the counters received.
     pub counter_calls: Mutex<u64>,
     /// The list that the list service serves.
@@ -58,7 +58,7 @@
 impl TestBed {
     /// A test bed whose backends listen at these addresses.
     pub fn new(world: &World, seed: u64, backends: &[SocketAddr]) -> Arc<TestBed> {
-        let number = backends.len();
+        let backend_count = backends.len();
         let rng = |index: usize| {
             let seed = seed ^ (index as u64 + 1) << 32;
             Mutex::new(ChaCha8Rng::seed_from_u64(seed))
@@ -66,15 +66,15 @@
         Arc::new(TestBed {
             world: world.clone(),
             start: Instant::now(),
-            conditions: (0..number).map(|_| Mutex::default()).collect(),
-            rngs: (0..=number).map(rng).collect(),
-            connections: (0..number).map(|_| Mutex::default()).collect(),
-            counter: Mutex::default(),
-            counts: Mutex::default(),
+            conditions: (0..backend_count).map(|_| Mutex::default()).collect(),
+            rngs: (0..=backend_count).map(rng).collect(),
+            connections: (0..backend_count).map(|_| Mutex::default()).collect(),
+            counter_condition: Mutex::default(),
+            counter_totals: Mutex::default(),
             counter_calls: Mutex::default(),
             endpoints: EndpointList::new(world, backends),
             finished: AtomicBool::new(false),
-            executions: Mutex::new(Executions::new(number)),
+            executions: Mutex::new(Executions::new(backend_count)),
         })
     }
 
@@ -119,21 +119,21 @@
     /// Draws the outcome of a request that a backend has just begun.
     pub fn draw_outcome(&self, backend: usize, units: f64) -> BackendOutcome {
         let condition = self.condition(backend);
-        let age = condition.started.map(|started| self.now() - started);
-        let seconds = units * self.world.service_time * condition.slow
+        let age = condition.started_at.map(|started_at| self.now() - started_at);
+        let seconds = units * self.world.service_time * condition.work_factor
             / fault_schedule::warm_capacity(&self.world, age);
-        let work = Duration::from_secs_f64(seconds.min(LONGEST_WORK));
+        let work = Duration::from_secs_f64(seconds.min(MAX_WORK_SECONDS));
         let drawn = self.random(backend);
-        let mut upto = 0.0;
+        let mut cumulative = 0.0;
         let outcomes = [
-            (condition.reject, BackendOutcome::Reject),
-            (condition.fail, BackendOutcome::Fail(work)),
-            (condition.malformed, BackendOutcome::Malformed(work)),
-            (condition.swallow, BackendOutcome::Swallow(work)),
+            (condition.rejected_fraction, BackendOutcome::Reject),
+            (condition.failed_fraction, BackendOutcome::Fail(work)),
+            (condition.malformed_fraction, BackendOutcome::Malformed(work)),
+            (condition.unanswered_fraction, BackendOutcome::LeaveUnanswered(work)),
         ];
         for (fraction, outcome) in outcomes {
-            upto += fraction;
-            if drawn < upto {
+            cumulative += fraction;
+            if drawn < cumulative {
                 return outcome;
             }
         }
--- a/load/src/usage.rs
+++ b/load/src/usage.rs
@@ -30,7 +30,7 @@
 }
 
 /// What all customers used.
-pub(crate) struct FleetQuotas {
+pub(crate) struct FleetQuotaUsage {
     /// Units of all customers.
     pub units: f64,
     /// Units beyond quotas.
@@ -59,25 +59,25 @@
 }
 
 /// Compares the units executed with the quotas of the world's plans.
-pub(crate) fn against_quotas(
+pub(crate) fn compare_with_quotas(
     world: &World,
     label: &RunLabel,
     units: &HashMap<CustomerPlan, Vec<TimedUnits>>,
-) -> FleetQuotas {
+) -> FleetQuotaUsage {
     let settings = gateway_settings(world, None);
-    let mut all = FleetQuotas { units: 0.0, beyond_quota: 0.0, worst_excess: 0.0, rows: vec![] };
+    let mut fleet_usage = FleetQuotaUsage { units: 0.0, beyond_quota: 0.0, worst_excess: 0.0, rows: vec![] };
     for (key, executed) in units {
         let Quota { rate, burst } = Quota::of(&settings, &key.plan);
-        all.units += executed.iter().map(|units| units.units).sum::<f64>();
+        fleet_usage.units += executed.iter().map(|units| units.units).sum::<f64>();
         if rate <= 0.0 {
             continue;
         }
         let samples: Vec<(f64, f64)> = executed.iter().map(|units| (units.at, units.units)).collect();
         let usage = QuotaUsage::from_samples(&samples, rate, burst);
-        all.beyond_quota += usage.excess_units;
-        all.worst_excess = all.worst_excess.max(usage.worst_overshoot);
+        fleet_usage.beyond_quota += usage.excess_units;
+        fleet_usage.worst_excess = fleet_usage.worst_excess.max(usage.worst_overshoot);
         let span = usage.span();
-        all.rows.push(CustomerUsage {
+        fleet_usage.rows.push(CustomerUsage {
             variant: label.variant.clone(),
             repetition: label.repetition,
             customer: key.customer,
@@ -87,6 +87,6 @@
             overshoot: usage.excess_units / (burst + rate * span),
         });
     }
-    all.rows.sort_by_key(|row| row.customer);
-    all
+    fleet_usage.rows.sort_by_key(|row| row.customer);
+    fleet_usage
 }
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -7,7 +7,7 @@
 use quillramp_load::generator::Outcome;
 use quillramp_load::results::{compare, compare_sessions, figures, summary, Session};
 use quillramp_load::run::{run_variant, RunResult};
-use quillramp_load::test_bed::{BackendRequest, Executions, TestBed, COLUMN_SECONDS};
+use quillramp_load::test_bed::{BackendRequest, Executions, TestBed, INTERVAL_SECONDS};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 use std::thread::sleep;
@@ -80,10 +80,10 @@
     let [usual, delayed] = [&runs[0], &runs[1]].map(|run| figures(&run.summary, &run.rows));
     assert_eq!(usual.failed, 0.0);
     assert_eq!(delayed.failed, 0.0);
-    let added_ms = delayed.median - usual.median;
+    let added_ms = delayed.median_latency_ms - usual.median_latency_ms;
     assert!((38.0..60.0).contains(&added_ms), "{added_ms:.1} ms more; {usual:?} {delayed:?}");
     assert_eq!(runs[0].summary.duplicates, 0);
-    assert_eq!(runs[0].summary.died, 0);
+    assert_eq!(runs[0].summary.crashed, 0);
 }
 
 #[test]
@@ -191,10 +191,10 @@
     executions.traffic_start = traffic_start;
     let request = BackendRequest { id: 1, customer: 1, plan: "small", units: 2.0, non_idempotent: false };
     executions.record(traffic_start + 0.1, 0, &request);
-    executions.record(traffic_start + COLUMN_SECONDS + 0.1, 0, &request);
+    executions.record(traffic_start + INTERVAL_SECONDS + 0.1, 0, &request);
     let loads = executions.loads("one", 0);
-    let columns: Vec<(f64, f64)> = loads.iter().map(|load| (load.at, load.units)).collect();
-    assert_eq!(columns, [(0.0, 2.0), (COLUMN_SECONDS, 2.0)]);
+    let intervals: Vec<(f64, f64)> = loads.iter().map(|load| (load.at, load.units)).collect();
+    assert_eq!(intervals, [(0.0, 2.0), (INTERVAL_SECONDS, 2.0)]);
 }
 
 /// The units that a backend executed in a range of time.
@@ -225,7 +225,7 @@
 fn a_killed_instance_serves_no_requests_until_it_has_restarted() {
     let kill = "[[fault]]\nat = 0.4\nkind = \"kill\"\ndoor = 0\nlasts = 0.4\n";
     let run = run_first_variant(&experiment(&(variant("one", "") + kill)), "kill");
-    assert_eq!(run.summary.died, 0, "an instance that was killed on purpose does not count");
+    assert_eq!(run.summary.crashed, 0, "an instance that was killed on purpose does not count");
     let succeeded = |instance: usize, time: Range<f64>| {
         let rows = run.rows.iter().filter(|row| row.instance == instance && time.contains(&row.at));
         rows.filter(|row| row.outcome == Outcome::Succeeded).count()
@@ -247,10 +247,10 @@
     let stall = "[[fault]]\nat = 0.4\nkind = \"stall\"\ndoor = 0\nlasts = 1.0\n";
     let run = run_first_variant(&experiment(&(variant("one", "") + stall)), "stall");
     let early = run.rows.iter().filter(|row| row.instance == 0 && EARLY.contains(&row.at));
-    let delayed = early.filter(|row| row.took > LONG).count();
+    let delayed = early.filter(|row| row.latency > LONG).count();
     assert!(delayed > 3, "{delayed}");
     let at_other_instance = run.rows.iter().filter(|row| row.instance != 0);
-    let longest = at_other_instance.map(|row| row.took).fold(0.0, f64::max);
+    let longest = at_other_instance.map(|row| row.latency).fold(0.0, f64::max);
     assert!(longest < LONG, "{longest} s at the other instance");
 }
 
--- a/load/tests/parallel_runs.rs
+++ b/load/tests/parallel_runs.rs
@@ -30,7 +30,7 @@
         for thread in 0..PARALLEL_RUNS {
             threads.spawn(move || {
                 for _ in 0..CONSECUTIVE_RUNS {
-                    assert_eq!(start_fleet(thread).died, 0);
+                    assert_eq!(start_fleet(thread).crashed, 0);
                 }
             });
         }
