--- a/load/src/experiment/arrivals.rs
+++ b/load/src/experiment/arrivals.rs
@@ -1,20 +1,21 @@
-//! When which request arrives, drawn from the experiment's seed.
+//! The arrival times of requests, drawn at random from the experiment's seed.
 use super::{Arrival, Experiment, Flood};
 use crate::fault_schedule;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
 
-/// Sets the seeds of repetitions apart.
+/// Factor on the repetition in the seed of its arrivals, so that repetitions differ.
 const REPETITION_SEED_FACTOR: u64 = 7919;
-/// Sets the seeds of the flood apart, from repetition to repetition and from all others' arrivals.
+/// Factor on the repetition in the seed of the flood, so that its repetitions differ.
 const FLOOD_REPETITION_SEED_FACTOR: u64 = 31;
+/// Added to the seed of the flood, so that it differs from the seed of the other arrivals.
 const FLOOD_SEED_OFFSET: u64 = 17;
-/// The least rate that arrivals are drawn by, requests a second.
+/// Minimum rate for drawing arrivals, requests per second; a rate of 0 has no finite interarrival time.
 const MIN_REQUESTS_PER_SECOND: f64 = 1e-9;
 
 impl Experiment {
-    /// The arrivals of an open loop, of one repetition: the same for all variants of one size.
+    /// Returns the arrivals of one repetition of an open loop; variants with the same number of instances get the same arrivals.
     pub fn arrivals(&self, repetition: usize) -> Vec<Arrival> {
         let seed = self.seed.wrapping_add(REPETITION_SEED_FACTOR * repetition as u64);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -36,7 +37,8 @@
         arrivals
     }
 
-    /// The flood has random numbers of its own: what all others send is the same with and without it.
+    /// Adds the arrivals of the flood. They come from a separate random number generator, so that the other arrivals are the same with
+    /// and without the flood.
     fn add_flood(&self, arrivals: &mut Vec<Arrival>, flood: &Flood, repetition: usize) {
         let Ok(interarrival_time) = Exp::new(flood.rate) else { return };
         let seed =
@@ -50,7 +52,7 @@
         arrivals.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
 
-    /// An arrival of any customer at a time, seconds from the start.
+    /// Draws an arrival of a random customer; `at` is in seconds since the start of the traffic.
     pub fn draw_arrival(&self, rng: &mut ChaCha8Rng, at: f64) -> Arrival {
         let customer = rng.gen_range(0..self.world.customers as u64);
         self.draw_customer_arrival(rng, at, customer)
--- a/load/src/experiment/check.rs
+++ b/load/src/experiment/check.rs
@@ -1,22 +1,22 @@
-//! The ranges of an experiment's values.
+//! Checks that the values of an experiment are in their ranges.
 use super::{Experiment, Flood, Variant};
 use crate::fault_schedule;
 use quillramp_emulator::scenario::{Fault, FaultKind};
 
-/// The longest traffic, seconds.
+/// Maximum duration of the traffic, seconds.
 const MAX_TRAFFIC_SECONDS: f64 = 300.0;
-/// The highest rate, requests a second.
+/// Maximum rate, requests per second.
 const MAX_REQUESTS_PER_SECOND: f64 = 20_000.0;
-/// The largest fleet that one machine can carry.
+/// Maximum number of instances that one machine can run.
 const MAX_INSTANCES: usize = 300;
-/// The most threads of the generator that one machine can carry.
+/// Maximum number of generator threads that one machine can run.
 const MAX_GENERATOR_THREADS: usize = 12_000;
-/// The most backends.
+/// Maximum number of backends.
 const MAX_BACKENDS: usize = 64;
-/// The least number of descriptors of an instance.
+/// Minimum descriptor limit of an instance, whatever the experiment sets.
 const MIN_DESCRIPTORS: usize = 1024;
 
-/// Collects what is wrong, a line each.
+/// The violations found so far, one line of text each.
 #[derive(Default)]
 struct Violations(Vec<String>);
 
@@ -29,7 +29,7 @@
 }
 
 impl Experiment {
-    /// What is wrong with the values, a line each.
+    /// Returns the violations of the ranges, one line of text each; empty if the experiment is valid.
     pub fn check(&self) -> Vec<String> {
         let mut violations = Violations::default();
         self.check_traffic(&mut violations);
@@ -48,7 +48,7 @@
         let traffic = &self.traffic;
         violations.require(
             traffic.seconds > 0.0 && traffic.seconds <= MAX_TRAFFIC_SECONDS,
-            "traffic.seconds: expected more than 0, 300 at the most",
+            "traffic.seconds: expected more than 0 and at most 300",
         );
         violations.require(
             (0.0..=MAX_REQUESTS_PER_SECOND).contains(&traffic.rate),
@@ -56,7 +56,7 @@
         );
         violations.require(
             (0.0..=1.0).contains(&traffic.non_idempotent),
-            "traffic.orders: expected a share, 0 to 1",
+            "traffic.orders: expected a fraction from 0 to 1",
         );
         if let Some(flood) = &traffic.flood {
             self.check_flood(flood, violations);
@@ -65,29 +65,32 @@
 
     fn check_flood(&self, flood: &Flood, violations: &mut Violations) {
         let within = 0.0..self.traffic.seconds;
-        violations.require(self.is_open_loop(), "traffic.flood: a closed loop has no room for one");
+        violations
+            .require(self.is_open_loop(), "traffic.flood: requires an open loop (traffic.rate above 0)");
         violations.require(
             (0.1..=MAX_REQUESTS_PER_SECOND).contains(&flood.rate),
             "traffic.flood.rate: expected 0.1 to 20000",
         );
-        violations
-            .require(within.contains(&flood.start), "traffic.flood.from: expected a time within the run");
+        violations.require(
+            within.contains(&flood.start),
+            "traffic.flood.from: expected a time before the end of the traffic",
+        );
         violations.require(
             flood.customer < self.world.customers as u64,
-            "traffic.flood.customer: they are counted from 0",
+            "traffic.flood.customer: expected a number from 0 to world.customers - 1",
         );
     }
 
     fn check_world(&self, violations: &mut Violations) {
         let world = &self.world;
         violations.require((1..=100).contains(&self.repetitions), "repetitions: expected 1 to 100");
-        violations.require(!self.variants.is_empty(), "variant: expected one at least");
+        violations.require(!self.variants.is_empty(), "variant: expected at least one");
         violations.require((1..=MAX_BACKENDS).contains(&world.backends), "world.backends: expected 1 to 64");
         violations.require(world.zones > 0, "world.zones: expected 1 or more");
         violations.require(world.customers > 0, "world.customers: expected 1 or more");
     }
 
-    /// The sizes that variants may change; `prefix` names the variant.
+    /// Checks the sizes that a variant can override; `prefix` names the variant in the messages.
     fn check_sizes(&self, prefix: &str, violations: &mut Violations) {
         let traffic = &self.traffic;
         let instances = self.world.instances;
@@ -100,12 +103,12 @@
         violations.require(
             traffic.connections > 0 && traffic.connections * instances <= MAX_GENERATOR_THREADS,
             format!(
-                "{prefix}traffic.connections: expected 1 or more, {MAX_GENERATOR_THREADS} at all instances at the most"
+                "{prefix}traffic.connections: expected at least 1, and at most {MAX_GENERATOR_THREADS} over all instances"
             ),
         );
         violations.require(
             connections < descriptors,
-            format!("{prefix}traffic: {connections} connections to an instance of {descriptors} descriptors"),
+            format!("{prefix}traffic: expected fewer connections per instance than its {descriptors} descriptors, found {connections}"),
         );
     }
 
@@ -114,7 +117,7 @@
         let duplicate = self.variants[..index].iter().any(|other| other.name == variant.name);
         violations.require(
             !variant.name.is_empty() && !duplicate,
-            format!("variant {number}: expected a name of its own"),
+            format!("variant {number}: expected a name that no earlier variant has"),
         );
         violations.require(
             variant.service_time_factor >= 1.0 && variant.service_time_factor.is_finite(),
@@ -129,11 +132,11 @@
         let at = format!("fault {} ({})", index + 1, fault.kind.name());
         violations.require(
             fault_schedule::is_supported(fault.kind),
-            format!("{at}: only the emulator has this kind"),
+            format!("{at}: only the emulator supports this kind"),
         );
         violations.require(
             fault.kind != FaultKind::TrafficBurst || self.is_open_loop(),
-            format!("{at}: a closed loop has no rate that could grow"),
+            format!("{at}: requires an open loop (traffic.rate above 0)"),
         );
         violations.0.extend(fault.problems(&at, self.traffic.seconds, &self.world));
     }
--- a/load/src/experiment/mod.rs
+++ b/load/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! An experiment: a world, its traffic, its faults, variants that are compared with each other, and how often each is run. Read from
-//! TOML and checked.
+//! Reads an experiment from TOML and checks it. An experiment defines a deployment, its traffic and faults, the variants to compare, and
+//! the number of repetitions.
 mod arrivals;
 mod check;
 
@@ -11,21 +11,21 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Seed of all random draws.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How often each variant is run; the variants take turns.
+    /// Number of runs of each variant; each repetition runs all variants in turn.
     #[serde(default = "default_repetitions")]
     pub repetitions: usize,
-    /// The deployment, as in the emulator: instances, backends, their work, the customers. What it defines of the network is
-    /// the emulator's alone.
+    /// The deployment, in the emulator's format: instances, backends and their service time, customers. Its network settings apply in
+    /// the emulator only.
     #[serde(default)]
     pub world: World,
-    /// What clients send.
+    /// The requests and connections of the clients.
     pub traffic: Traffic,
-    /// Faults, as in the emulator's scripts; `fault_schedule::is_supported` has the kinds.
+    /// Faults, in the emulator's format; `fault_schedule::is_supported` says which kinds are allowed.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// What is compared.
+    /// The variants to run and compare.
     #[serde(default, rename = "variant")]
     pub variants: Vec<Variant>,
 }
@@ -34,68 +34,68 @@
     3
 }
 
-/// What clients send.
+/// The requests and connections of the clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// How long they send, seconds.
+    /// Duration of the traffic, seconds.
     pub seconds: f64,
-    /// Open loop: requests a second, at times that do not wait for answers; closed loop: 0.
+    /// Open loop: requests per second, sent without waiting for earlier answers. 0 selects a closed loop.
     #[serde(default)]
     pub rate: f64,
-    /// Connections to each instance. Closed loop: each sends again as soon as it is answered.
+    /// Active connections per instance. In a closed loop each one sends its next request as soon as the last one is answered.
     pub connections: usize,
-    /// Connections to each instance beside these, that have sent one command and then nothing.
+    /// Additional connections per instance that send one command and are idle after that.
     #[serde(default, rename = "idle")]
     pub idle_connections: usize,
-    /// The fraction of requests that are not idempotent.
+    /// Fraction of requests that are not idempotent, from 0 to 1.
     #[serde(default, rename = "orders")]
     pub non_idempotent: f64,
-    /// Instances that a customer's requests come in through; 0: all.
+    /// Number of instances that a customer's requests are spread over; 0 means all.
     #[serde(default)]
     pub spread: usize,
-    /// One customer sends more beside all this; open loop only.
+    /// Additional requests of one customer; open loop only.
     pub flood: Option<Flood>,
 }
 
-/// More requests of one customer.
+/// Additional requests of one customer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Flood {
-    /// The customer's number, from 0.
+    /// Number of the customer, from 0.
     pub customer: u64,
-    /// Requests a second, beside what it sends as all others do.
+    /// Additional requests per second.
     pub rate: f64,
-    /// When it begins, seconds.
+    /// Start of the flood, seconds since the start of the traffic.
     #[serde(default, rename = "from")]
     pub start: f64,
 }
 
-/// What is run: a build, with another world where that is what differs.
+/// One of the alternatives that an experiment compares: a program with its settings, and the sizes that differ from the experiment's.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name in the results.
+    /// Name in the results; unique in the experiment.
     pub name: String,
-    /// The instance's program; else `target/release/quillramp`.
+    /// Program of the instances; `target/release/quillramp` if absent.
     pub program: Option<String>,
-    /// An operator's file for it.
+    /// Path of the operator file, which the instances get as `EDGE_OPERATOR`.
     pub operator: Option<String>,
-    /// More of its environment.
+    /// Additional environment variables of the instances.
     #[serde(default)]
     pub environment: BTreeMap<String, String>,
-    /// Factor on the backends' work, for a variant that is slower by a known amount.
+    /// Factor on the backends' service time, at least 1, for a variant that is slower by a known amount.
     #[serde(default = "default_service_time_factor", rename = "slowed")]
     pub service_time_factor: f64,
-    /// Instances, if other than the experiment's.
+    /// Number of instances, if it differs from the experiment's.
     #[serde(rename = "doors")]
     pub instances: Option<usize>,
-    /// Connections to each instance, if other than the experiment's.
+    /// Active connections per instance, if they differ from the experiment's.
     pub connections: Option<usize>,
-    /// Idle connections to each instance, if other than the experiment's.
+    /// Idle connections per instance, if they differ from the experiment's.
     #[serde(rename = "idle")]
     pub idle_connections: Option<usize>,
-    /// It is run without faults and without the flood.
+    /// Whether the variant is run without the experiment's faults and flood.
     #[serde(default, rename = "spared")]
     pub without_faults: bool,
 }
@@ -104,34 +104,34 @@
     1.0
 }
 
-/// One request to come.
+/// A request that a client will send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Seconds from the start.
+    /// Intended start, seconds since the start of the traffic.
     pub at: f64,
-    /// Index of the instance that it is sent to first.
+    /// Index of the preferred instance.
     pub instance: usize,
-    /// The customer's number.
+    /// Number of the customer.
     pub customer: u64,
-    /// Its cost in units.
+    /// Cost in units.
     pub units: u32,
-    /// It is not idempotent.
+    /// Whether the request is not idempotent.
     pub non_idempotent: bool,
 }
 
-/// Why a text is no experiment.
+/// The reasons for which an experiment is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// It is no TOML, or has wrong fields.
+    /// The text is not valid TOML, or a field is unknown, missing or of the wrong type.
     #[error("{}", .0.to_string().trim_end())]
     Syntax(#[from] toml::de::Error),
-    /// Values are out of their ranges; a line for each.
+    /// Values are out of their ranges; one line of text for each.
     #[error("{}", .0.join("\n"))]
     Invalid(Vec<String>),
 }
 
 impl Experiment {
-    /// Reads an experiment from TOML and checks it.
+    /// Parses an experiment from TOML and checks the ranges of its values.
     pub fn read(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text)?;
         let violations = experiment.check();
@@ -142,7 +142,7 @@
         }
     }
 
-    /// What a variant runs: the experiment with what the variant changes.
+    /// Returns a copy of the experiment with the variant's overrides applied.
     pub fn for_variant(&self, variant: &Variant) -> Experiment {
         let mut changed = self.clone();
         changed.world.instances = variant.instances.unwrap_or(changed.world.instances);
@@ -157,12 +157,12 @@
         changed
     }
 
-    /// Whether requests come at times that do not wait for answers.
+    /// Whether requests are sent at given times, without waiting for earlier answers.
     pub fn is_open_loop(&self) -> bool {
         self.traffic.rate > 0.0
     }
 
-    /// Instances of each customer.
+    /// Number of instances that each customer's requests are spread over.
     pub fn spread(&self) -> usize {
         let all = self.world.instances;
         if self.traffic.spread == 0 {
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -346,13 +346,13 @@
                 [[fault]]\nat = 1.0\nkind = \"upgrade\"\ndoor = 0\n\
                 [[fault]]\nat = 3.0\nkind = \"burst\"\nlasts = 1.0\nby = 2.0\n";
     expect![[r#"
-        traffic: 5090 connections to an instance of 1024 descriptors
+        traffic: expected fewer connections per instance than its 1024 descriptors, found 5090
         variant 2: world.doors: expected 1 to 300, found 301
-        variant 2: traffic.connections: expected 1 or more, 12000 at all instances at the most
-        variant 2: traffic: 5090 connections to an instance of 1024 descriptors
-        fault 1 (upgrade): only the emulator has this kind
+        variant 2: traffic.connections: expected at least 1, and at most 12000 over all instances
+        variant 2: traffic: expected fewer connections per instance than its 1024 descriptors, found 5090
+        fault 1 (upgrade): only the emulator supports this kind
         fault 1 (upgrade): this kind requires world.passed = true
-        fault 2 (burst): a closed loop has no rate that could grow
+        fault 2 (burst): requires an open loop (traffic.rate above 0)
         fault 2 (burst): at: expected at least 0 and less than 2, found 3"#]]
     .assert_eq(&Experiment::read(text).expect_err("an invalid experiment").to_string());
 }
