--- a/load/src/fleet/configuration.rs
+++ b/load/src/fleet/configuration.rs
@@ -8,32 +8,32 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Processor cores that an instance believes to have.
+/// Configured processor cores of an instance.
 const CORES: f64 = 1.0;
-/// Memory that an instance believes to have, MB.
+/// Configured memory of an instance, MB.
 const MEMORY_MB: u64 = 192;
-/// The least number of descriptors of an instance.
+/// Minimum descriptor limit of an instance, whatever the experiment sets.
 const MIN_DESCRIPTORS: usize = 1024;
 
-/// Where the services of the test bed are.
+/// Addresses of the test bed's services, and the initial endpoint list.
 pub struct Services {
-    /// The two counters; instances use them in turns.
+    /// The two counters: instances with an even index use the first one, the others the second.
     pub counters: [SocketAddr; 2],
-    /// The list service.
+    /// Address of the list service.
     pub discovery: SocketAddr,
-    /// The endpoint list that the instances know at their start.
+    /// Endpoint list in the instances' configuration, which they use at startup.
     pub endpoints: Value,
 }
 
-/// Configuration files, one for each instance.
+/// The configuration files of a fleet, one per instance.
 pub(super) struct ConfigurationFiles {
-    /// Where the instances are to listen.
+    /// Client address of each instance.
     pub addresses: Vec<SocketAddr>,
-    /// The files, in the same order.
+    /// Path of each instance's file, in the order of the addresses.
     pub paths: Vec<PathBuf>,
 }
 
-/// Writes the configuration files, and starts the relay for gossip where instances have peers.
+/// Writes the configuration files, and starts the gossip relay if the experiment uses gossip.
 pub(super) fn write(
     experiment: &Experiment,
     folder: &Path,
--- a/load/src/fleet/mod.rs
+++ b/load/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The instances of one run: processes that are started, killed, stopped, suspended and started again, and what they used.
+//! The instance processes of one run: starts, signals, kills and restarts them, and measures their processor time and memory.
 mod configuration;
 mod process;
 mod routes;
@@ -21,23 +21,25 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A process that was asked to terminate is killed after so long.
+/// Time after SIGTERM until a process that still runs is killed.
 const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
-/// Longest for an instance to accept connections after its start.
+/// Maximum time until a started instance accepts connections.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a starting instance is dialled.
+/// Interval of the connection attempts to a starting instance.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time for all instances to settle once the last one accepts.
+/// Pause between the last instance's first accepted connection and the start of the traffic, so that startup work is over.
 const SETTLE_TIME: Duration = Duration::from_millis(200);
-/// How often an ending process is looked at.
+/// Interval of the checks whether a process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How often a restart looks whether the old process is gone.
+/// Interval at which a restart checks whether the old process has exited.
 const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
+/// The process of one instance.
 struct InstanceProcess {
+    /// `None` before the start, and after a fault has ended the process.
     process: Option<Child>,
     configuration: PathBuf,
-    /// A fault or the end of the run ends it.
+    /// Whether a fault or the end of the run ends the process, so that its exit is no crash.
     exit_expected: bool,
 }
 
@@ -45,23 +47,24 @@
 pub struct Fleet {
     instances: Arc<Vec<Mutex<InstanceProcess>>>,
     launcher: Launcher,
-    /// Where the instances are, and which take requests.
+    /// Addresses of the instances, and which of them take requests.
     pub routes: Arc<Routes>,
-    /// Seconds of processor time of processes that have ended on purpose.
+    /// Processor time of the processes that faults have ended, seconds.
     ended_processor_seconds: Arc<Mutex<f64>>,
 }
 
-/// What all instances of a run have used.
+/// Processor time and memory of all instances of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetUsage {
-    /// Seconds of processor time.
+    /// Processor time in user and kernel mode, seconds.
     pub processor_seconds: f64,
-    /// Resident memory now, MiB.
+    /// Current resident memory, MiB.
     pub memory_mib: f64,
 }
 
 impl Fleet {
-    /// Writes the configuration files into the folder, starts the instances, and waits until all of them accept connections.
+    /// Writes the configuration files into the folder, starts the instances, and waits until all of them accept connections. Fails if
+    /// a file can't be written, or an instance can't be launched, exits, or doesn't accept connections in time.
     pub fn start(
         experiment: &Experiment,
         variant: &Variant,
@@ -112,7 +115,7 @@
         Ok(())
     }
 
-    /// Carries out a step that concerns an instance.
+    /// Executes a fault step that targets an instance; ignores other steps.
     pub fn inject(&self, step: &FaultStep) {
         match (step.kind, step.begins) {
             (FaultKind::Stall, true) => self.signal(step.target, Signal::SIGSTOP),
@@ -131,11 +134,11 @@
     fn signal(&self, index: usize, signal: Signal) {
         let pid = lock(&self.instances[index]).process.as_ref().map(Child::id);
         if let Some(pid) = pid {
-            let _ = kill(Pid::from_raw(pid as i32), signal); // it may have ended
+            let _ = kill(Pid::from_raw(pid as i32), signal); // fails if the process has exited already
         }
     }
 
-    /// Starts an instance again, once the old process is gone: the new one has its address.
+    /// Restarts an instance on a new thread once the old process has exited, because the new process binds the same address.
     fn restart(&self, index: usize) {
         let instances = self.instances.clone();
         let launcher = self.launcher.clone();
@@ -149,7 +152,7 @@
         });
     }
 
-    /// Waits for the end of a process, and kills it when the time is over.
+    /// Waits on a new thread until a process exits, and kills it after the timeout.
     fn await_exit(&self, index: usize, timeout: Duration) {
         lock(&self.instances[index]).exit_expected = true;
         let instances = self.instances.clone();
@@ -161,7 +164,7 @@
                 let Some(process) = &mut instance.process else { return };
                 let used_seconds = process::usage(process.id()).processor_seconds;
                 if Instant::now() >= deadline {
-                    let _ = process.kill(); // it may have ended
+                    let _ = process.kill(); // fails if the process has exited already
                 }
                 if matches!(process.try_wait(), Ok(Some(_))) {
                     *lock(&ended_processor_seconds) += used_seconds;
@@ -174,7 +177,7 @@
         });
     }
 
-    /// How many have ended by themselves.
+    /// Returns the number of instances that exited although no fault ended them.
     pub fn crashed_instances(&self) -> usize {
         let has_crashed = |instance: &Mutex<InstanceProcess>| {
             let mut instance = lock(instance);
@@ -184,7 +187,7 @@
         self.instances.iter().filter(|instance| has_crashed(instance)).count()
     }
 
-    /// What all of them have used, those that ended on purpose included.
+    /// Returns the usage of all instances; processes that faults have ended are included in the processor time.
     pub fn usage(&self) -> FleetUsage {
         let of = |instance: &Mutex<InstanceProcess>| {
             lock(instance).process.as_ref().map_or(FleetUsage::default(), |p| process::usage(p.id()))
@@ -203,7 +206,7 @@
             let mut instance = lock(instance);
             instance.exit_expected = true;
             if let Some(mut process) = instance.process.take() {
-                let _ = process.kill(); // it may have ended
+                let _ = process.kill(); // fails if the process has exited already
                 let _ = process.wait();
             }
         }
--- a/load/src/fleet/process.rs
+++ b/load/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! The process of an instance: how it is launched, and what it has used.
+//! Launches the process of an instance, and reads its usage and log.
 use super::FleetUsage;
 use crate::error::RunError;
 use crate::experiment::Variant;
@@ -7,25 +7,25 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// The program of an instance, where a variant names no other.
+/// Program of the instances of a variant that names none.
 const DEFAULT_PROGRAM: &str = "target/release/quillramp";
 
 /// Launches the instances of a variant.
 #[derive(Clone)]
 pub(super) struct Launcher {
-    /// The program of the instances.
+    /// Path of the program.
     pub program: String,
     variant: Variant,
 }
 
 impl Launcher {
-    /// The launcher of a variant's program, with its environment.
+    /// Creates a launcher for the variant's program and environment.
     pub fn new(variant: &Variant) -> Launcher {
         let program = variant.program.clone().unwrap_or_else(|| DEFAULT_PROGRAM.into());
         Launcher { program, variant: variant.clone() }
     }
 
-    /// Starts an instance with this configuration file. Its log is written beside that.
+    /// Starts an instance with this configuration file. The log is written next to that file.
     pub fn launch(&self, configuration: &Path) -> Result<Child, RunError> {
         let log_path = log_path(configuration);
         let log = File::create(&log_path).map_err(RunError::file(&log_path))?;
@@ -39,18 +39,18 @@
     }
 }
 
-/// The log of the instance that has this configuration file.
+/// Returns the path of the log of the instance with this configuration file.
 fn log_path(configuration: &Path) -> PathBuf {
     configuration.with_extension("log")
 }
 
-/// The last line that the instance with this configuration file has logged; empty if there is none.
+/// Returns the last log line of the instance with this configuration file; empty if there is none.
 pub(super) fn last_log_line(configuration: &Path) -> String {
     let log = std::fs::read_to_string(log_path(configuration)).unwrap_or_default();
     log.lines().last().unwrap_or_default().to_owned()
 }
 
-/// What a process has used; zeros where it is gone.
+/// Returns the processor time and memory of a process; zeros if it has exited.
 pub(super) fn usage(pid: u32) -> FleetUsage {
     let stat = process_stat::read(pid);
     FleetUsage {
--- a/load/src/fleet/routes.rs
+++ b/load/src/fleet/routes.rs
@@ -1,4 +1,4 @@
-//! Where the instances are, and which of them take requests: what a load balancer before them would know.
+//! The addresses of the instances and which of them take requests: the routing state of a load balancer in front of them.
 use crate::test_bed::loopback::read_reply;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,12 +7,12 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// How often an instance that was found down is checked again; also the longest to connect to it.
+/// Interval of the health checks of an instance that is down; also the timeout for connecting to it.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest for the answer to a health check.
+/// Timeout for the reply to a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The addresses of the instances, and which are up.
+/// The addresses of the instances, and which of them are up.
 pub struct Routes {
     /// The address of each instance.
     pub addresses: Vec<SocketAddr>,
@@ -21,13 +21,14 @@
 }
 
 impl Routes {
-    /// All are up.
+    /// Creates routes on which all instances are up.
     pub(super) fn new(addresses: Vec<SocketAddr>) -> Routes {
         let up = addresses.iter().map(|_| AtomicBool::new(true)).collect();
         Routes { addresses, up, stopped: AtomicBool::new(false) }
     }
 
-    /// The preferred instance, or the next one that is up of the `spread` ones from `first` on.
+    /// Returns the preferred instance if it is up, else the next one that is up among the `spread` consecutive instances from `first` on.
+    /// Returns the preferred one if none of them is up.
     pub fn pick(&self, preferred: usize, first: usize, spread: usize) -> usize {
         let all = self.addresses.len();
         let position = (preferred + all - first) % all;
@@ -35,12 +36,12 @@
         candidates.find(|index| self.up[*index].load(Ordering::Relaxed)).unwrap_or(preferred)
     }
 
-    /// An instance did not connect: nothing is sent there until it answers a health check.
+    /// Marks an instance as down: it gets no requests until it passes a health check.
     pub fn mark_down(&self, index: usize) {
         self.up[index].store(false, Ordering::Relaxed);
     }
 
-    /// Checks the instances that were found down until the checks are stopped.
+    /// Checks the instances that are down on a new thread, until `stop_health_checks` is called.
     pub(super) fn spawn_health_checks(routes: &Arc<Routes>) {
         let routes = routes.clone();
         spawn(move || {
@@ -60,7 +61,7 @@
     }
 }
 
-/// Whether an instance answers PING with PONG, so it takes requests.
+/// Whether an instance replies PONG to PING, and so takes requests.
 fn is_healthy(address: SocketAddr) -> bool {
     let ping = || -> std::io::Result<bool> {
         let mut to = TcpStream::connect_timeout(&address, HEALTH_CHECK_INTERVAL)?;
