--- a/load/src/generator/client.rs
+++ b/load/src/generator/client.rs
@@ -1,4 +1,4 @@
-//! A client of the instances: one connection, one request after another.
+//! A client of the instances: sends one request after another on one connection.
 use super::Outcome;
 use crate::error::RunError;
 use crate::experiment::Arrival;
@@ -9,36 +9,36 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The plans of the customers, in turns by the customer's number.
+/// Plan names; the customer's number modulo their count selects the customer's plan.
 const PLANS: [&str; 2] = ["small", "large"];
-/// Longest that a client waits, seconds.
+/// Time that a client allows for a request, seconds.
 const CLIENT_TIMEOUT_SECONDS: f64 = 1.4;
-/// Seconds after the client's timeout until it gives the connection up.
+/// Time after the client's timeout until it closes the connection, seconds.
 const READ_GRACE_SECONDS: f64 = 1.0;
-/// Read buffer of a connection, bytes.
+/// Size of a connection's read buffer, bytes.
 const READ_BUFFER_BYTES: usize = 512;
-/// Spreads consecutive request ids over 64 bits.
+/// Multiplier that spreads consecutive numbers over the 64 bits of a request id.
 const REQUEST_ID_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Numbers the requests of this process.
+/// Number of the next request of this process.
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// The instances as a customer uses them.
+/// The routes to the instances, and how many of them each customer uses.
 pub(super) struct CustomerRoutes<'a> {
-    /// Where the instances are.
+    /// Addresses and states of the instances.
     pub routes: &'a Routes,
-    /// Number of instances that each customer uses.
+    /// Number of instances that each customer's requests are spread over.
     pub spread: usize,
 }
 
 impl CustomerRoutes<'_> {
-    /// The first of a customer's instances.
+    /// Returns the index of the first of a customer's consecutive instances.
     fn first_instance(&self, customer: u64) -> usize {
         customer as usize % self.routes.addresses.len()
     }
 }
 
-/// The outcome of a request, and the instance that it comes from.
+/// The outcome of a request, and the instance that it was last sent to.
 pub(super) struct RequestResult {
     /// Index of the instance.
     pub instance: usize,
@@ -46,6 +46,7 @@
     pub outcome: Outcome,
 }
 
+/// An open connection to an instance.
 struct Connection {
     instance: usize,
     writer: TcpStream,
@@ -62,7 +63,7 @@
         Ok(Connection { instance, writer, reader })
     }
 
-    /// Sends a request and reads what comes back.
+    /// Sends an encoded request and reads the reply.
     fn exchange(&mut self, text: &str) -> AttemptOutcome {
         let sent = self.writer.write_all(text.as_bytes());
         let Ok(reply) = sent.and_then(|()| read_reply(&mut self.reader)) else {
@@ -79,26 +80,26 @@
 
 /// The outcome of one attempt on a connection.
 enum AttemptOutcome {
-    /// The instance answered.
+    /// The instance replied with the final answer.
     Answered(Outcome),
-    /// The instance is about to stop and took nothing.
+    /// The instance is draining and did not accept the request.
     Draining,
-    /// The connection ended, or the time was up.
+    /// The connection ended, or the read timed out, before a reply.
     NoAnswer,
 }
 
-/// A client; its connection stays open from one request to the next.
+/// A client that keeps its connection open between requests to the same instance.
 pub(super) struct Client {
     connection: Option<Connection>,
 }
 
 impl Client {
-    /// A client without a connection.
+    /// Creates a client without a connection.
     pub fn new() -> Client {
         Client { connection: None }
     }
 
-    /// Sends a request to an instance of the customer's that is up.
+    /// Sends a request to one of the customer's instances that is up, and to the next one if an instance is draining or can't be reached.
     pub fn send(&mut self, customer_routes: &CustomerRoutes, arrival: &Arrival) -> RequestResult {
         let text = encode_request(arrival, customer_routes);
         let first = customer_routes.first_instance(arrival.customer);
@@ -121,7 +122,8 @@
         RequestResult { instance, outcome: Outcome::NotConnected }
     }
 
-    /// The connection to an instance, opened if need be; none where the instance cannot be reached.
+    /// Returns the connection to an instance, opening it if necessary. Returns `None` and marks the instance as down if it can't be
+    /// reached.
     fn connect(&mut self, routes: &Routes, instance: usize) -> Option<&mut Connection> {
         if self.connection.as_ref().is_none_or(|open| open.instance != instance) {
             match Connection::open(routes.addresses[instance], instance) {
@@ -136,7 +138,7 @@
     }
 }
 
-/// A request as a client writes it. A customer's instances begin at its own number.
+/// Encodes a request as a RESP command. Its attributes name the first of the customer's instances and their number.
 fn encode_request(arrival: &Arrival, customer_routes: &CustomerRoutes) -> String {
     let (verb, words, name, body) = if arrival.non_idempotent {
         ("CALL.POST", 5, "order", "$1\r\nx\r\n")
@@ -159,7 +161,7 @@
     )
 }
 
-/// Connections that have sent one command and then nothing; open as long as the result is held.
+/// Opens idle connections, which have sent one command each. They stay open until the returned streams are dropped.
 pub fn open_idle_connections(
     routes: &Routes,
     per_instance: usize,
@@ -179,6 +181,7 @@
     Ok(connections)
 }
 
+/// Opens one connection and exchanges a PING on it.
 fn open_idle(address: SocketAddr, instance: usize) -> Result<TcpStream> {
     let mut connection = Connection::open(address, instance)?;
     connection.writer.write_all(b"*1\r\n$4\r\nPING\r\n")?;
--- a/load/src/generator/mod.rs
+++ b/load/src/generator/mod.rs
@@ -1,4 +1,5 @@
-//! The load generator: clients send requests at given times, or as fast as they are answered, and the outcome of each one is a row.
+//! The load generator: clients send requests at given times (open loop) or as soon as the last one is answered (closed loop), and each
+//! request yields a row with its outcome.
 mod client;
 
 pub use client::open_idle_connections;
@@ -15,10 +16,10 @@
 use std::thread::{sleep, Builder, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Stack of a thread that is one client, bytes.
+/// Stack size of a client's thread, bytes.
 const STACK_BYTES: usize = 96 * 1024;
 
-/// Sets the seeds of one repetition's clients apart from those of another.
+/// Factor on the repetition in the seeds of the closed loop's clients, so that repetitions differ.
 const REPETITION_SEED_FACTOR: u64 = 104_729;
 
 /// How a request ended, as its client sees it.
@@ -27,45 +28,45 @@
 pub enum Outcome {
     /// Answered with a value.
     Succeeded,
-    /// Rejected.
+    /// Rejected with BUSY.
     Throttled,
     /// Answered with an error.
     Errored,
-    /// The connection ended, or the time was up, without an answer.
+    /// Not answered: the connection ended, or the read timed out.
     NoAnswer,
-    /// No instance of the customer's could be reached.
+    /// Not sent: none of the customer's instances accepted it.
     NotConnected,
 }
 
-/// A row of `rows.csv`: the outcome of one request. Times are seconds; `took` counts from the intended start, so that no stall
-/// of an instance is hidden.
+/// A row of `rows.csv`: the outcome of one request. Latency is measured from the intended start instead of the actual one, so that a
+/// stall of an instance also shows in the requests that wait behind it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestRow {
     /// Name of the variant.
     pub variant: String,
     /// Repetition, from 0.
     pub repetition: usize,
-    /// The intended start, since the start of the traffic.
+    /// Intended start, seconds since the start of the traffic.
     pub at: f64,
-    /// By how much the generator itself was late.
+    /// Time from the intended start until the generator sent the request, seconds.
     #[serde(rename = "late")]
     pub send_delay: f64,
-    /// From the intended start to the answer.
+    /// Time from the intended start to the answer, seconds.
     #[serde(rename = "took")]
     pub latency: f64,
-    /// Index of the instance that was asked last.
+    /// Index of the instance that the request was last sent to.
     #[serde(rename = "door")]
     pub instance: usize,
-    /// The customer's number.
+    /// Number of the customer.
     pub customer: u64,
-    /// It is not idempotent.
+    /// Whether the request is not idempotent.
     #[serde(rename = "order")]
     pub non_idempotent: bool,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// Which run the rows belong to.
+/// Identifies the run that a row belongs to.
 #[derive(Clone, Debug)]
 pub struct RunLabel {
     /// Name of the variant.
@@ -74,11 +75,11 @@
     pub repetition: usize,
 }
 
-/// Where the requests of a client come from.
+/// Where a client gets its requests from.
 enum ArrivalSource {
-    /// Open loop: a queue that is filled at the intended times.
+    /// Open loop: a queue, which gets each request at its intended start.
     Queue(Arc<Mutex<mpsc::Receiver<Arrival>>>),
-    /// Closed loop: the next one as soon as the last one is answered.
+    /// Closed loop: drawn at random as soon as the last one is answered.
     Random(Box<ChaCha8Rng>),
 }
 
@@ -89,15 +90,15 @@
     routes: Arc<Routes>,
     /// When the traffic starts.
     start: Instant,
-    /// The instance whose queue or whose customers it serves.
+    /// Index of the instance whose queue the worker serves in an open loop, and that it prefers in a closed loop.
     instance: usize,
     source: ArrivalSource,
-    /// Takes the outcome of each request.
+    /// Receives the outcome of each request.
     rows: mpsc::Sender<RequestRow>,
 }
 
 impl Worker {
-    /// Sends requests until there are no more, or nobody takes the rows.
+    /// Sends requests until there are no more, or the receiver of the rows is gone.
     fn run(mut self) {
         let mut client = Client::new();
         while let Some(arrival) = self.next() {
@@ -127,11 +128,12 @@
         }
     }
 
+    /// Seconds since the start of the traffic.
     fn elapsed(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// The next request; none at the end of the run.
+    /// Returns the next request, or `None` at the end of the run.
     fn next(&mut self) -> Option<Arrival> {
         let now = self.elapsed();
         match &mut self.source {
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Whether the worker's own instance is one of the customer's: these are consecutive ones from its first.
+    /// Whether the worker's instance is one of the customer's, which are `spread` consecutive ones.
     fn serves_customer(&self, customer: u64) -> bool {
         let instances = self.routes.addresses.len();
         let first = customer as usize % instances;
@@ -156,9 +158,9 @@
 
 /// The threads of the generator, and the queues of an open loop.
 struct Workers {
-    /// By instance: one that stalls holds up nobody else's requests.
+    /// One queue per instance, so that a stalled instance delays only its own requests.
     queues: Vec<mpsc::Sender<Arrival>>,
-    /// Held so that a queue takes arrivals also when its threads have panicked; that is reported at the end.
+    /// Keep the queues open when their threads have panicked; `finish` reports the panic.
     _receivers: Vec<Arc<Mutex<mpsc::Receiver<Arrival>>>>,
     threads: Vec<JoinHandle<()>>,
     rows: mpsc::Receiver<RequestRow>,
@@ -203,7 +205,7 @@
         Ok(Workers { queues, _receivers: receivers, threads, rows, start })
     }
 
-    /// Puts each arrival into the queue of its instance at its time.
+    /// Puts each arrival into the queue of its instance at its intended start.
     fn enqueue(&self, arrivals: Vec<Arrival>) -> Result<(), RunError> {
         for arrival in arrivals {
             let wait = arrival.at - self.start.elapsed().as_secs_f64();
@@ -216,7 +218,7 @@
         Ok(())
     }
 
-    /// Waits until all is answered; the rows in the order of their intended starts.
+    /// Waits for the outcomes of all requests, and returns the rows in the order of their intended starts. Fails if a thread panicked.
     fn finish(self) -> Result<Vec<RequestRow>, RunError> {
         drop(self.queues);
         let mut rows: Vec<RequestRow> = self.rows.into_iter().collect();
@@ -228,6 +230,7 @@
     }
 }
 
+/// Creates the random number generator of a closed-loop worker.
 fn worker_rng(experiment: &Experiment, repetition: usize, index: usize) -> Box<ChaCha8Rng> {
     let seed = experiment
         .seed
@@ -236,7 +239,7 @@
     Box::new(ChaCha8Rng::seed_from_u64(seed))
 }
 
-/// Drives the instances through one run.
+/// Sends the traffic of one run to the instances and returns a row per request.
 pub fn drive(
     experiment: &Experiment,
     label: &RunLabel,
