--- a/load/src/test_bed/backend.rs
+++ b/load/src/test_bed/backend.rs
@@ -1,4 +1,4 @@
-//! A backend of the test bed: a fixed number of slots, and work in proportion to a request's units.
+//! Stand-in for a backend: executes a limited number of requests at a time, each for a time in proportion to its units.
 use super::condition::BackendOutcome;
 use super::executions::BackendRequest;
 use super::loopback::spawn_connection;
@@ -12,16 +12,17 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// Interval at which a thread checks again whether a fault has ended.
+/// Interval at which a waiting thread checks the condition of the backend again.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The slots of a backend: requests beyond them wait.
+/// Limits the requests that a backend executes at a time; further requests wait.
 struct Slots {
     free: Mutex<usize>,
     freed: Condvar,
 }
 
 impl Slots {
+    /// Takes a slot, waiting until one is free.
     fn acquire(&self) {
         let mut free = lock(&self.free);
         while *free == 0 {
@@ -36,12 +37,13 @@
     }
 }
 
-/// Serves a backend; while its process is gone its address refuses connections.
+/// Starts a backend on new threads. While the condition of the backend is down, its address refuses connections.
 pub fn start(listener: TcpListener, index: usize, test_bed: Arc<TestBed>) {
     let slots = Arc::new(Slots { free: Mutex::new(test_bed.world.slots), freed: Condvar::new() });
     spawn(move || listen(listener, index, &test_bed, &slots));
 }
 
+/// Accepts connections until the run is over; listens again when a crashed backend restarts.
 fn listen(listener: TcpListener, index: usize, test_bed: &Arc<TestBed>, slots: &Arc<Slots>) -> Result<()> {
     let address = listener.local_addr()?;
     let mut listener = Some(listener);
@@ -74,7 +76,7 @@
     }
 }
 
-/// Shuts the listener down when the process goes, which wakes its accept.
+/// Shuts the listener down once the backend is down, which wakes the thread that waits in `accept`.
 fn close_when_down(
     listener: &TcpListener,
     index: usize,
@@ -92,7 +94,7 @@
     Ok(())
 }
 
-/// A connection of an instance to this backend.
+/// A connection from an instance to the backend.
 struct Connection {
     index: usize,
     test_bed: Arc<TestBed>,
@@ -104,7 +106,7 @@
         let process_number = self.process_number();
         let mut reader = BufReader::new(stream.try_clone()?);
         while let Some(words) = command(&mut reader)? {
-            // An unresponsive machine does nothing either; its connections end when it is back.
+            // Wait while the machine is unresponsive; its connections end when a new process starts.
             while self.test_bed.condition(self.index).unresponsive && !self.test_bed.finished() {
                 sleep(POLL_INTERVAL);
             }
@@ -135,11 +137,12 @@
         Ok(())
     }
 
-    /// Counts the processes of this backend.
+    /// Returns the number of the backend's current process.
     fn process_number(&self) -> u64 {
         self.test_bed.condition(self.index).process_number
     }
 
+    /// Returns the outcome of a request; a draining backend rejects all of them.
     fn outcome(&self, units: f64) -> BackendOutcome {
         if self.test_bed.condition(self.index).draining {
             BackendOutcome::Reject
@@ -148,7 +151,7 @@
         }
     }
 
-    /// Works on a request in a slot; not where the process has ended meanwhile, which is `false`.
+    /// Executes a request in a slot. Returns `false`, without executing it, if the process has ended while the request waited.
     fn execute(&self, process_number: u64, request: &BackendRequest, work: Duration) -> bool {
         self.slots.acquire();
         let is_running = self.process_number() == process_number;
@@ -161,7 +164,7 @@
     }
 }
 
-/// The request of a command; none where words are missing.
+/// Decodes a request from the words of a command; returns `None` if words are missing.
 fn decode_request(words: &[String]) -> Option<BackendRequest<'_>> {
     let customer = words.get(1)?;
     let id = words.get(2)?;
@@ -177,6 +180,7 @@
     })
 }
 
+/// Writes the reply that the outcome of a request demands; some faults demand none.
 fn write_reply(stream: &mut TcpStream, outcome: BackendOutcome, id: &str, units: f64) -> Result<()> {
     match outcome {
         BackendOutcome::LeaveUnanswered(_) => Ok(()),
--- a/load/src/test_bed/condition.rs
+++ b/load/src/test_bed/condition.rs
@@ -1,28 +1,28 @@
-//! What faults have made of a backend and of the counter.
+//! The condition of backends and counters under faults, and the outcomes that it leads to.
 use std::time::Duration;
 
-/// A backend at one time.
+/// The condition of a backend at one time.
 #[derive(Clone, Debug)]
 pub struct BackendCondition {
-    /// Its process is gone: connections are refused.
+    /// Whether the process has ended, so that connections are refused.
     pub down: bool,
-    /// It is unresponsive: it reads nothing and writes nothing.
+    /// Whether the machine is unresponsive: connections stay open, and nothing is read or written.
     pub unresponsive: bool,
-    /// Factor on the time of its work.
+    /// Factor on the service time.
     pub work_factor: f64,
-    /// Fraction of requests that are executed and not answered.
+    /// Fraction of requests that are executed and left unanswered.
     pub unanswered_fraction: f64,
     /// Fraction of requests that are answered with a malformed reply.
     pub malformed_fraction: f64,
-    /// Fraction of requests that fail.
+    /// Fraction of requests that are executed and answered with an error.
     pub failed_fraction: f64,
-    /// Fraction of requests that are rejected.
+    /// Fraction of requests that are rejected without execution.
     pub rejected_fraction: f64,
-    /// It is draining: all requests are rejected.
+    /// Whether the backend is draining, so that all requests are rejected.
     pub draining: bool,
-    /// When it last started, seconds since the start of the run; none if long before.
+    /// Last start of the process, seconds since the start of the run; `None` if it was long before the run.
     pub started_at: Option<f64>,
-    /// Counts its processes; a connection of an earlier one is over.
+    /// Number of the backend's process. A connection ends when it belongs to an earlier process.
     pub process_number: u64,
 }
 
@@ -43,24 +43,24 @@
     }
 }
 
-/// The counter at one time.
+/// The condition of the counters at one time.
 #[derive(Clone, Debug, Default)]
 pub struct CounterCondition {
-    /// Connections end at once.
+    /// Whether the counters are down, so that connections end at once.
     pub down: bool,
-    /// It is unresponsive.
+    /// Whether the counters are unresponsive, so that calls wait until the fault ends.
     pub unresponsive: bool,
-    /// Seconds to an answer.
+    /// Delay of each answer, seconds.
     pub delay_seconds: f64,
-    /// Fraction of calls that are added and not answered.
+    /// Fraction of calls that are added to the total and left unanswered.
     pub unanswered_fraction: f64,
     /// Fraction of calls that are rejected.
     pub rejected_fraction: f64,
-    /// Every other instance reaches a second set of counts.
+    /// Whether the second counter uses a separate set of totals. Instances with an odd index use that counter.
     pub split: bool,
 }
 
-/// The outcome of one request at a backend, with the duration of the work.
+/// The outcome of one request at a backend; the durations are those of the work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendOutcome {
     /// Executed and answered.
@@ -71,6 +71,6 @@
     Malformed(Duration),
     /// Executed and answered with an error.
     Fail(Duration),
-    /// Not executed: the backend is busy.
+    /// Answered with BUSY and not executed.
     Reject,
 }
--- a/load/src/test_bed/counter.rs
+++ b/load/src/test_bed/counter.rs
@@ -1,4 +1,4 @@
-//! The counters of the test bed.
+//! Stand-in for the counter: adds to totals over HTTP, subject to the injected faults.
 use super::loopback::spawn_connection;
 use super::TestBed;
 use crate::example_servers::{number, target};
@@ -9,24 +9,24 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// How often an unresponsive counter looks whether the fault is over.
+/// Interval at which an unresponsive counter checks whether the fault has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Which of the two counters: while they are split, the second one has counts of its own.
+/// Selects one of the two counters, which have separate totals while they are split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterInstance {
-    /// Uses the first set of counts.
+    /// Always uses the first set of totals.
     First,
-    /// Uses the second set of counts while the counters are split.
+    /// Uses the second set of totals while the counters are split, else the first one.
     Second,
 }
 
-/// Serves a counter.
+/// Starts a counter on new threads.
 pub fn start(listener: TcpListener, instance: CounterInstance, test_bed: Arc<TestBed>) {
     spawn(move || {
         for stream in listener.incoming().flatten() {
             if lock(&test_bed.counter_condition).down {
-                continue; // it ends at once
+                continue; // drops the connection
             }
             let test_bed = test_bed.clone();
             spawn_connection(stream, move |stream| serve(stream, instance, &test_bed));
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// Adds to the count that the target names, in one of the two sets; the new total.
+/// Adds to the total that the request target names, in one of the two sets, and returns the new total.
 fn add(test_bed: &TestBed, target: &str, set: usize) -> f64 {
     let name = target.split('?').next().unwrap_or("").to_owned();
     let mut totals = lock(&test_bed.counter_totals);
--- a/load/src/test_bed/discovery.rs
+++ b/load/src/test_bed/discovery.rs
@@ -1,4 +1,4 @@
-//! The list service of the test bed.
+//! Stand-in for the list service: serves the endpoint list over HTTP, as a snapshot or as a watch.
 use super::loopback::spawn_connection;
 use super::TestBed;
 use crate::example_servers::{number, target};
@@ -8,7 +8,7 @@
 use std::thread::spawn;
 use std::time::Duration;
 
-/// Serves the endpoint list.
+/// Starts the list service on new threads.
 pub fn start(listener: TcpListener, test_bed: Arc<TestBed>) {
     spawn(move || {
         for stream in listener.incoming().flatten() {
--- a/load/src/test_bed/endpoint_list.rs
+++ b/load/src/test_bed/endpoint_list.rs
@@ -6,21 +6,22 @@
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The longest that a watch waits.
+/// Maximum time that a watch waits for a change.
 const MAX_WATCH_DURATION: Duration = Duration::from_secs(60);
 
-/// The status of an endpoint, as the list names it.
+/// The status of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It takes requests.
+    /// The endpoint takes requests.
     Serving,
-    /// It is about to stop.
+    /// The endpoint takes no new requests and is about to stop.
     Draining,
-    /// It is gone for good.
+    /// The endpoint has been removed.
     Deleted,
 }
 
 impl Status {
+    /// The name in the list.
     fn name(self) -> &'static str {
         match self {
             Status::Serving => "SERVING",
@@ -30,17 +31,19 @@
     }
 }
 
+/// An endpoint in the list.
 #[derive(Clone)]
 struct Entry {
     name: String,
-    /// The stand-in that listens at the address.
+    /// Index of the stand-in backend that listens at the address.
     backend: usize,
     address: SocketAddr,
     zone: String,
     group: usize,
     status: Status,
+    /// Unix time of the start of the process, milliseconds; 0 if it started before the run.
     since_ms: u64,
-    /// The index of the list's last change of this entry.
+    /// Index of the list at the last change of this entry.
     changed_at_index: u64,
 }
 
@@ -51,23 +54,26 @@
     }
 }
 
+/// The entries, and the state of the list service.
 #[derive(Default)]
 struct State {
+    /// Version of the list, which grows with each change.
     index: u64,
     entries: Vec<Entry>,
-    /// Names that were given, to give each new process one of its own.
+    /// Number of names assigned so far; each new process gets a new name.
     assigned_names: usize,
+    /// Whether the list service is down.
     down: bool,
 }
 
-/// The list, and whoever waits for its changes.
+/// The endpoint list, which watches wait on.
 pub struct EndpointList {
     state: Mutex<State>,
     changed: Condvar,
 }
 
 impl EndpointList {
-    /// All backends serve.
+    /// Creates a list in which all backends are serving.
     pub fn new(world: &World, backends: &[SocketAddr]) -> EndpointList {
         let entry = |(backend, address): (usize, &SocketAddr)| Entry {
             name: format!("s{backend}"),
@@ -84,7 +90,7 @@
         EndpointList { state: Mutex::new(state), changed: Condvar::new() }
     }
 
-    /// A snapshot of the list; none while the list service is down.
+    /// Returns a snapshot of the list, or `None` while the list service is down.
     pub fn snapshot(&self) -> Option<Value> {
         let state = lock(&self.state);
         let live = state.entries.iter().filter(|e| e.status != Status::Deleted);
@@ -92,7 +98,8 @@
         (!state.down).then(|| json!({"index": state.index, "snapshot": true, "endpoints": endpoints}))
     }
 
-    /// What has changed after an index, or nothing once the wait is over; none while the list service is down.
+    /// Waits for changes after an index and returns the changed entries; the list is empty if the wait is over before a change. Returns
+    /// `None` while the list service is down.
     pub fn watch(&self, since: u64, wait: Duration) -> Option<Value> {
         let deadline = Instant::now() + wait.min(MAX_WATCH_DURATION);
         let mut state = lock(&self.state);
@@ -115,6 +122,7 @@
         self.update(|state| state.down = down);
     }
 
+    /// Applies a change under the next index, and wakes the watches.
     fn update(&self, change: impl FnOnce(&mut State)) {
         let mut state = lock(&self.state);
         state.index += 1;
@@ -123,7 +131,7 @@
         self.changed.notify_all();
     }
 
-    /// Sets the status of the newest endpoint of a backend; `restarted` dates it from now.
+    /// Sets the status of a backend's endpoint; `restarted` also sets its start time to now.
     pub fn set_status(&self, backend: usize, status: Status, restarted: bool) {
         let since_ms = unix_ms();
         self.update(|state| {
@@ -137,7 +145,7 @@
         });
     }
 
-    /// A new process, with a new name, takes the place of a backend's endpoint.
+    /// Deletes a backend's endpoint and adds one with a new name at the same address, as for a new process.
     pub fn replace(&self, backend: usize, status: Status) {
         let since_ms = unix_ms();
         self.update(|state| {
@@ -154,13 +162,13 @@
 }
 
 impl State {
-    /// The entry of a backend that is not deleted.
+    /// Returns the entry of a backend that has not been deleted.
     fn live_entry(&mut self, backend: usize) -> Option<&mut Entry> {
         self.entries.iter_mut().find(|e| e.backend == backend && e.status != Status::Deleted)
     }
 }
 
-/// Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
--- a/load/src/test_bed/executions.rs
+++ b/load/src/test_bed/executions.rs
@@ -1,66 +1,66 @@
-//! What the backends executed, all together.
+//! The record of the requests that the backends executed.
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Seconds of one column of the charts over time.
+/// Length of the intervals that executions and outcomes are summed up by, seconds.
 pub const INTERVAL_SECONDS: f64 = 0.25;
 
-/// An request as a backend reads it.
+/// A request as a backend receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendRequest<'a> {
-    /// The request id.
+    /// Request id.
     pub id: u64,
-    /// The customer's number.
+    /// Number of the customer.
     pub customer: u64,
-    /// The name of the customer's plan.
+    /// Name of the customer's plan.
     pub plan: &'a str,
-    /// Its cost in units.
+    /// Cost in units.
     pub units: f64,
-    /// It is not idempotent: it must take effect once at the most.
+    /// Whether the request is not idempotent, so that it must be executed at most once.
     pub non_idempotent: bool,
 }
 
-/// Units executed at one time.
+/// Units that were executed at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedUnits {
     /// Seconds since the start of the run.
     pub at: f64,
-    /// Units.
+    /// Executed units.
     pub units: f64,
 }
 
-/// A customer under one of its plans.
+/// A customer and the plan that a request of it names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CustomerPlan {
-    /// The customer's number.
+    /// Number of the customer.
     pub customer: u64,
-    /// The name of the plan.
+    /// Name of the plan.
     pub plan: String,
 }
 
-/// What all backends executed.
+/// The executions at all backends.
 #[derive(Default)]
 pub struct Executions {
-    /// How often a request took effect, by its id.
+    /// Number of executions by request id.
     execution_counts: HashMap<u64, u32>,
-    /// Effects beyond the first, of requests that are not idempotent.
+    /// Repeated executions of requests that are not idempotent.
     pub duplicates: u64,
-    /// Requests that were executed, duplicates included.
+    /// Number of executions, repeated ones included.
     pub total: u64,
-    /// Connections that were made.
+    /// Number of connections that instances opened.
     pub connections: u64,
-    /// Deliveries by backend.
+    /// Number of executions by backend, repeated ones included.
     pub total_by_backend: Vec<u64>,
-    /// When the traffic began, seconds since the start of the run: the intervals count from then.
+    /// Start of the traffic and of the first interval, seconds since the start of the run.
     pub traffic_start: f64,
-    /// Units by backend and column of time.
+    /// Executed units by backend and interval, repeated executions included.
     pub units_by_interval: Vec<Vec<f64>>,
-    /// When units of a customer were first executed.
+    /// Units and time of the first execution of each request, by customer.
     pub customer_units: HashMap<CustomerPlan, Vec<TimedUnits>>,
 }
 
 impl Executions {
-    /// Nothing was executed yet.
+    /// Creates an empty record for a number of backends.
     pub fn new(backends: usize) -> Executions {
         Executions {
             total_by_backend: vec![0; backends],
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Records an execution. Its units count for the customer when it is the first of this request.
+    /// Records an execution; `at` is in seconds since the start of the run. Only the first execution of a request counts as usage of
+    /// its customer.
     pub fn record(&mut self, at: f64, backend: usize, request: &BackendRequest) {
         self.total += 1;
         self.total_by_backend[backend] += 1;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// What each backend executed over time.
+    /// Returns the units of each backend by interval, as table rows.
     pub fn loads(&self, variant: &str, repetition: usize) -> Vec<BackendLoad> {
         let mut loads = vec![];
         for (backend, intervals) in self.units_by_interval.iter().enumerate() {
@@ -107,17 +108,17 @@
     }
 }
 
-/// A row of `backends.csv`: what one backend executed in one column of time.
+/// A row of `backends.csv`: the units that one backend executed in one interval.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendLoad {
     /// Name of the variant.
     pub variant: String,
     /// Repetition, from 0.
     pub repetition: usize,
-    /// Start of the column, seconds since the start of the traffic.
+    /// Start of the interval, seconds since the start of the traffic.
     pub at: f64,
-    /// The backend's index.
+    /// Index of the backend.
     pub backend: usize,
-    /// Units that it executed.
+    /// Units that the backend executed.
     pub units: f64,
 }
--- a/load/src/test_bed/inject.rs
+++ b/load/src/test_bed/inject.rs
@@ -1,4 +1,4 @@
-//! Carries out the fault steps that concern stand-ins.
+//! Applies the fault steps that target stand-in servers.
 use super::condition::BackendCondition;
 use super::endpoint_list::Status;
 use super::TestBed;
@@ -7,11 +7,11 @@
 use quillramp_emulator::scenario::FaultKind;
 use std::collections::HashMap;
 
-/// Seconds of a millisecond, the unit of a slow counter's delay.
+/// Converts the delay of a slow counter, which is given in milliseconds.
 const SECONDS_PER_MILLISECOND: f64 = 0.001;
 
 impl TestBed {
-    /// Carries out a step that concerns stand-ins; steps of instances are carried out by the fleet.
+    /// Applies a fault step that targets a stand-in. Steps that target instances are executed by `Fleet::inject`.
     pub fn inject(&self, step: &FaultStep) {
         let magnitude = if step.begins { step.magnitude } else { 0.0 };
         match step.kind {
@@ -49,11 +49,12 @@
         }
     }
 
+    /// Changes the condition of the backend that a step targets.
     fn change(&self, step: &FaultStep, change: impl FnOnce(&mut BackendCondition)) {
         change(&mut lock(&self.conditions[step.target]));
     }
 
-    /// The process ends and refuses connections, or a new one starts.
+    /// Ends the process, so that connections are refused, or starts a new one.
     fn crash(&self, step: &FaultStep) {
         self.change_process(step, |c| c.down = step.begins);
         self.end_connections(step.target);
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The machine becomes unresponsive, so its connections stay; or a new process starts.
+    /// Makes the machine unresponsive, with its connections left open, or starts a new process.
     fn make_unresponsive(&self, step: &FaultStep) {
         self.change_process(step, |c| c.unresponsive = step.begins);
         if !step.begins {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Changes a backend together with its process, which is new when the fault ends.
+    /// Changes the condition of a backend and its process number. The end of the fault is the start of a new process.
     fn change_process(&self, step: &FaultStep, change: impl FnOnce(&mut BackendCondition)) {
         let now = self.now();
         self.change(step, |c| {
@@ -81,7 +82,7 @@
         });
     }
 
-    /// The backend drains, or a new one with a new name takes its place.
+    /// Starts draining the backend, or replaces it by a new process with a new name.
     fn drain(&self, step: &FaultStep) {
         if step.begins {
             self.change(step, |c| c.draining = true);
@@ -99,6 +100,7 @@
         self.endpoints.replace(step.target, Status::Serving);
     }
 
+    /// Lists the backend as serving, with a new start time if it has restarted in this run.
     fn list_as_serving(&self, backend: usize) {
         let restarted = self.condition(backend).started_at.is_some();
         self.endpoints.set_status(backend, Status::Serving, restarted);
--- a/load/src/test_bed/loopback.rs
+++ b/load/src/test_bed/loopback.rs
@@ -1,34 +1,34 @@
-//! Loopback sockets, and the protocol's replies as a client reads them.
+//! Sockets and addresses on loopback, and a reader for the instances' replies.
 use crate::error::RunError;
 use std::io::{BufRead, Error, ErrorKind, Result};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Stack of a thread that serves one connection, bytes.
+/// Stack size of a thread that serves one connection, bytes.
 const STACK_BYTES: usize = 128 * 1024;
-/// The first port that is reserved for instances, above the ports of listed backends of a scale run.
+/// First port that is reserved for instances; the backends that a scale run only lists have lower ports.
 const FIRST_RESERVED_PORT: u16 = 20_000;
-/// Number of ports that are reserved in turns; they end below those that the system chooses by itself, from 32768 on.
+/// Number of ports that are reserved in turn. All are below the system's ephemeral ports, which begin at 32768.
 const RESERVED_PORTS: usize = 12_000;
 
-/// Serves a connection on a small thread of its own.
+/// Serves a connection on a new thread with a small stack.
 pub fn spawn_connection(stream: TcpStream, serve: impl FnOnce(TcpStream) -> Result<()> + Send + 'static) {
-    let _ = stream.set_nodelay(true); // replies in several writes would wait for each other
+    let _ = stream.set_nodelay(true); // Nagle's algorithm would delay a reply that takes several writes
     let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
-    let _ = thread.spawn(move || serve(stream)); // it ends with its connection; with no thread left it ends now
+    let _ = thread.spawn(move || serve(stream)); // if no thread can be started, the connection is closed
 }
 
-/// A loopback address that no other process of these runs uses: neither another process nor an outgoing connection, which has
-/// 127.0.0.1, takes a port on it.
+/// Returns a loopback address that is derived from the process id, so that parallel test processes use different ones. Outgoing
+/// connections, which use 127.0.0.1, take no port on it either.
 pub fn own_loopback() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high.wrapping_add(1), middle, low)
 }
 
-/// An address for an instance to bind later: on this process's own loopback address, and nobody listens there.
+/// Returns an address that an instance can bind later: on this process's loopback address, at a port where no socket listens.
 ///
-/// It is not bound here to find it. A listener that was bound and closed again stays open for a moment where another thread is
-/// starting a process just then: until its exec, that process has a copy of every descriptor. The instance would fail to bind.
+/// The search doesn't bind the port. If another thread is starting a process while a listener is bound and closed here, the new process
+/// has a copy of the listener's descriptor until its exec, and the instance would fail to bind.
 pub fn reserve_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     loop {
@@ -43,35 +43,35 @@
 
 /// A bound socket with its address.
 pub struct Bound<S> {
-    /// The socket.
+    /// The bound socket.
     pub socket: S,
-    /// Where it is bound.
+    /// Local address of the socket.
     pub address: SocketAddr,
 }
 
-/// A listener at any free port.
+/// Binds a listener to any free port of 127.0.0.1.
 pub fn bind_listener() -> std::result::Result<Bound<TcpListener>, RunError> {
     let socket = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(RunError::Port)?;
     let address = socket.local_addr().map_err(RunError::Port)?;
     Ok(Bound { socket, address })
 }
 
-/// A datagram socket at any free port.
+/// Binds a UDP socket to any free port of 127.0.0.1.
 pub fn bind_datagram() -> std::result::Result<Bound<UdpSocket>, RunError> {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).map_err(RunError::Port)?;
     let address = socket.local_addr().map_err(RunError::Port)?;
     Ok(Bound { socket, address })
 }
 
-/// A reply of an instance.
+/// A RESP reply of an instance.
 pub struct Reply {
-    /// Its first byte: `$` a value, `-` an error, `+` a status.
+    /// First byte: `$` for a value, `-` for an error, `+` for a status.
     pub kind: u8,
-    /// The value, or for the other kinds the whole line.
+    /// The value with its line end, or the whole line for the other kinds.
     pub bytes: Vec<u8>,
 }
 
-/// Reads one reply of an instance.
+/// Reads one reply of an instance. Fails at the end of the connection.
 pub fn read_reply(reader: &mut impl BufRead) -> Result<Reply> {
     let mut line = Vec::new();
     if reader.read_until(b'\n', &mut line)? == 0 {
--- a/load/src/test_bed/mod.rs
+++ b/load/src/test_bed/mod.rs
@@ -1,8 +1,8 @@
-//! The test bed of one run: the state shared by the stand-in servers that surround the instances on loopback, that is the clock, the
-//! condition of each backend and of the counter, the endpoint list, and what the backends executed.
+//! The test bed of one run: the state that the stand-in servers around the instances share. It includes the clock, the condition of
+//! each backend and of the counters, the endpoint list, and the executions at the backends.
 //!
-//! The servers (`backend`, `counter`, `discovery`, `peer_relay`) use a thread for each connection. The scale runs have stand-ins of
-//! their own (`scale::stand_ins`), which serve thousands of backends from one event loop.
+//! The servers (`backend`, `counter`, `discovery`, `peer_relay`) use a thread for each connection. The scale runs use
+//! `scale::stand_ins` instead, which serve thousands of backends from one event loop.
 pub(crate) mod backend;
 mod condition;
 pub(crate) mod counter;
@@ -28,35 +28,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The longest work of a backend for one request, seconds.
+/// Maximum time that a backend works on one request, seconds.
 const MAX_WORK_SECONDS: f64 = 60.0;
 
-/// State shared by the stand-ins of one run.
+/// The state that the stand-in servers of one run share.
 pub struct TestBed {
-    /// The deployment that is run.
+    /// The deployment.
     pub world: World,
     start: Instant,
     conditions: Vec<Mutex<BackendCondition>>,
-    /// One source of random numbers for each backend, and the last one for the counter.
+    /// Random number generators: one per backend, and the last one for the counters.
     rngs: Vec<Mutex<ChaCha8Rng>>,
-    /// Connections that are open at each backend, to end them with its process.
+    /// Open connections of each backend, which end with its process.
     connections: Vec<Mutex<Vec<TcpStream>>>,
-    /// The condition of both counters.
+    /// Condition of both counters.
     pub counter_condition: Mutex<CounterCondition>,
-    /// Two sets of counts; the second is in use while they are split.
+    /// Two sets of totals by counter key; the second one is used only while the counters are split.
     pub counter_totals: Mutex<[HashMap<String, f64>; 2]>,
-    /// Calls that the counters received.
+    /// Number of calls that the counters received.
     pub counter_calls: Mutex<u64>,
-    /// The list that the list service serves.
+    /// The endpoint list that the list service serves.
     pub endpoints: EndpointList,
-    /// The run is over: threads that wait for something end.
+    /// Whether the run is over; waiting threads then end.
     finished: AtomicBool,
-    /// What all backends executed.
+    /// Requests that all backends executed.
     pub executions: Mutex<Executions>,
 }
 
 impl TestBed {
-    /// A test bed whose backends listen at these addresses.
+    /// Creates a test bed whose backends listen at these addresses.
     pub fn new(world: &World, seed: u64, backends: &[SocketAddr]) -> Arc<TestBed> {
         let backend_count = backends.len();
         let rng = |index: usize| {
@@ -83,7 +83,7 @@
         self.finished.load(Ordering::Relaxed)
     }
 
-    /// Ends all that the stand-ins still do.
+    /// Ends the run: stops the backends and the list service.
     pub fn finish(&self) {
         self.finished.store(true, Ordering::Relaxed);
         for backend in 0..self.conditions.len() {
@@ -93,30 +93,30 @@
         self.endpoints.set_down(true);
     }
 
-    /// Seconds since the start of the run.
+    /// Returns the seconds since the start of the run.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// The traffic begins now, and with it the time of faults and of the columns of what backends executed. Seconds since the start
-    /// of the run.
+    /// Marks the start of the traffic, which fault times and the intervals of the executions count from. Returns it in seconds since the
+    /// start of the run.
     pub fn begin_traffic(&self) -> f64 {
         let now = self.now();
         lock(&self.executions).traffic_start = now;
         now
     }
 
-    /// The condition of a backend now.
+    /// Returns the current condition of a backend.
     pub fn condition(&self, backend: usize) -> BackendCondition {
         lock(&self.conditions[backend]).clone()
     }
 
-    /// A random number from 0 to 1, of a backend or, with the index after the last backend, of the counter.
+    /// Draws a random number from 0 to 1 from the generator of a backend, or of the counters if the index is the number of backends.
     fn random(&self, index: usize) -> f64 {
         lock(&self.rngs[index]).gen_range(0.0..1.0)
     }
 
-    /// Draws the outcome of a request that a backend has just begun.
+    /// Draws the outcome of a request at a backend, with the duration of the work.
     pub fn draw_outcome(&self, backend: usize, units: f64) -> BackendOutcome {
         let condition = self.condition(backend);
         let age = condition.started_at.map(|started_at| self.now() - started_at);
@@ -140,18 +140,18 @@
         BackendOutcome::Serve(work)
     }
 
-    /// Whether a fault that concerns this fraction of the counter's calls concerns this one.
+    /// Draws whether a counter fault that affects this fraction of the calls affects this call.
     pub fn draw_counter_fault(&self, fraction: f64) -> bool {
         fraction > 0.0 && self.random(self.conditions.len()) < fraction
     }
 
-    /// Records that a request took effect at a backend.
+    /// Records that a backend executed a request.
     pub fn record_execution(&self, backend: usize, request: &BackendRequest) {
         let at = self.now();
         lock(&self.executions).record(at, backend, request);
     }
 
-    /// Records a new connection to a backend.
+    /// Counts a new connection to a backend, and keeps it to end it with the process.
     pub fn record_connection(&self, backend: usize, stream: &TcpStream) {
         lock(&self.executions).connections += 1;
         let mut connections = lock(&self.connections[backend]);
@@ -161,7 +161,7 @@
 
     fn end_connections(&self, backend: usize) {
         for stream in lock(&self.connections[backend]).drain(..) {
-            let _ = stream.shutdown(Shutdown::Both); // it may have ended
+            let _ = stream.shutdown(Shutdown::Both); // fails if the connection has ended already
         }
     }
 }
