--- a/load/src/scale/stand_ins/mod.rs
+++ b/load/src/scale/stand_ins/mod.rs
@@ -11,7 +11,7 @@
 use super::operating_point::OperatingPoint;
 use super::server_load::{Role, ServerLoads};
 use crate::sync::lock;
-use crate::test_bed::loopback::own_loopback;
+use crate::test_bed::loopback::process_loopback;
 use event_loop::{EventLoop, Listener, Setup};
 use mio::net::TcpListener;
 use mio::{Interest, Poll, Registry, Token};
@@ -142,12 +142,12 @@
 
 /// Addresses of backends at which nothing listens.
 fn unserved_addresses(backends: usize) -> Vec<SocketAddr> {
-    let address = |index: usize| SocketAddr::from((own_loopback(), FIRST_LISTED_PORT + index as u16));
+    let address = |index: usize| SocketAddr::from((process_loopback(), FIRST_LISTED_PORT + index as u16));
     (0..backends).map(address).collect()
 }
 
 fn listen(registry: &Registry, token: usize) -> Result<TcpListener, ScaleError> {
-    let address = SocketAddr::from((own_loopback(), 0));
+    let address = SocketAddr::from((process_loopback(), 0));
     let mut listener = TcpListener::bind(address).map_err(ScaleError::Port)?;
     registry.register(&mut listener, Token(token), Interest::READABLE).map_err(ScaleError::Port)?;
     Ok(listener)
--- a/load/src/test_bed/loopback.rs
+++ b/load/src/test_bed/loopback.rs
@@ -20,7 +20,7 @@
 
 /// Returns a loopback address that is derived from the process id, so that parallel test processes use different ones. Outgoing
 /// connections, which use 127.0.0.1, take no port on it either.
-pub fn own_loopback() -> Ipv4Addr {
+pub fn process_loopback() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high.wrapping_add(1), middle, low)
 }
@@ -34,7 +34,7 @@
     loop {
         let turn = NEXT.fetch_add(1, Ordering::Relaxed) % RESERVED_PORTS;
         let port = FIRST_RESERVED_PORT + turn as u16;
-        let address = SocketAddr::from((own_loopback(), port));
+        let address = SocketAddr::from((process_loopback(), port));
         if TcpStream::connect(address).is_err() {
             return address;
         }
