--- a/load/src/charts.rs
+++ b/load/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts of a session, by plotters: latency by percentile, service over time, load by backend over time.
+//! Draws the charts of a session: latency by percentile, outcomes over time, and load by backend over time.
 use crate::generator::Outcome;
 use crate::results::{histogram, quantile_ms, record, Session, WriteResult};
 use crate::test_bed::INTERVAL_SECONDS;
@@ -8,36 +8,39 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Width of a chart, and height of a chart that has its file to itself, pixels.
+/// Width of a chart.
 const WIDTH_PIXELS: u32 = 760;
+/// Height of a chart that is alone in its file.
 const HEIGHT_PIXELS: u32 = 420;
-/// Height of one of several charts in a file, pixels.
+/// Height of each chart in a file with several charts.
 const STACKED_HEIGHT_PIXELS: u32 = 300;
-/// The least length of an axis.
+/// Minimum length of an axis, in the axis' unit; prevents an empty range.
 const MIN_AXIS_LENGTH: f64 = 0.001;
-/// Room above the highest point, as a factor.
+/// Length of the vertical axis relative to the highest point.
 const HEADROOM_FACTOR: f64 = 1.05;
 
 /// A line of a chart.
 struct Line {
     name: String,
     thin: bool,
+    /// Coordinates on the two axes.
     points: Vec<(f64, f64)>,
 }
 
-/// An axis that begins at 0.
+/// An axis from 0 to `max`.
 struct Axis {
     label: &'static str,
     max: f64,
 }
 
+/// The axes and the title of a chart.
 struct Axes {
     title: String,
     x: Axis,
     y: Axis,
 }
 
-/// Draws lines over two axes.
+/// Draws a chart of lines, with a legend.
 fn draw<B: DrawingBackend>(area: &DrawingArea<B, Shift>, axes: &Axes, lines: &[Line]) -> WriteResult
 where
     B::ErrorType: 'static,
@@ -61,7 +64,7 @@
     Ok(())
 }
 
-/// Draws a chart that has its file to itself.
+/// Draws a chart as the only one in an SVG file.
 fn draw_to_file(path: &Path, axes: &Axes, lines: &[Line]) -> WriteResult {
     let root = SVGBackend::new(path, (WIDTH_PIXELS, HEIGHT_PIXELS)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -70,7 +73,7 @@
     Ok(())
 }
 
-/// Latency by percentile, a line for each variant.
+/// Draws the latency of the requests that succeeded by percentile, a line for each variant.
 pub(crate) fn latency_percentiles(path: &Path, session: &Session) -> WriteResult {
     let mut latencies: BTreeMap<&str, Histogram<u64>> = BTreeMap::new();
     for name in session.variants() {
@@ -100,7 +103,7 @@
     draw_to_file(path, &axes, &lines)
 }
 
-/// The outcomes of the requests in one column of time.
+/// Numbers of requests by outcome in one interval.
 #[derive(Clone, Copy, Default)]
 struct IntervalCounts {
     requests: f64,
@@ -108,7 +111,7 @@
     throttled: f64,
 }
 
-/// By time of arrival: the fractions that succeeded and that were throttled, over all repetitions.
+/// Draws the fractions of requests that succeeded and that were throttled by intended start, over all repetitions.
 pub(crate) fn outcomes_over_time(path: &Path, session: &Session) -> WriteResult {
     let last_time = session.rows.iter().map(|row| row.at).fold(0.0, f64::max);
     let intervals = interval_index(last_time) + 1;
@@ -142,19 +145,20 @@
     draw_to_file(path, &axes, &lines)
 }
 
-/// The column of time that a time in seconds belongs to.
+/// Returns the index of the interval that a time belongs to; `at` is in seconds since the start of the traffic.
 fn interval_index(at: f64) -> usize {
     (at / INTERVAL_SECONDS) as usize
 }
 
-/// The chart of one variant's backends.
+/// The chart of the load of one variant's backends.
 struct BackendChart<'a> {
     variant: &'a str,
     lines: Vec<Line>,
+    /// Highest load, units per second.
     max: f64,
 }
 
-/// The load of a variant's backends, the mean of its repetitions.
+/// Computes the load of each backend of a variant, as the mean over the repetitions.
 fn backend_chart<'a>(session: &Session, variant: &'a str, intervals: usize) -> BackendChart<'a> {
     let runs = session.runs.iter().filter(|run| run.variant == variant).count().max(1) as f64;
     let mut by_backend: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
@@ -172,7 +176,7 @@
     BackendChart { variant, lines, max: max / INTERVAL_SECONDS }
 }
 
-/// Units that each backend began, a chart for each variant.
+/// Draws the units per second that each backend executed, a chart for each variant.
 pub(crate) fn backend_loads(path: &Path, session: &Session) -> WriteResult {
     let variants = session.variants();
     let last_time = session.loads.iter().map(|load| load.at).fold(0.0, f64::max);
--- a/load/src/results/comparison.rs
+++ b/load/src/results/comparison.rs
@@ -1,24 +1,24 @@
-//! Comparisons: one variant with another, and one session with another.
+//! Compares variants with each other, and sessions with each other.
 use super::figures::{by_variant, Figures, VariantFigures, FIGURES};
 use super::{Session, SessionError};
 use std::fmt::Write;
 
-/// The least number of pairs that a difference is concluded from.
+/// Minimum number of pairs for a significant difference.
 const MIN_PAIRS: usize = 3;
-/// Standard errors that a difference beyond the noise has at least.
+/// A significant difference is larger than this number of standard errors.
 const MIN_STANDARD_ERRORS: f64 = 2.0;
 
-/// How one figure differs between two variants.
+/// The difference of one figure between two variants.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
-    /// Mean difference over the pairs of runs, second minus first.
+    /// Mean difference over the pairs of runs, second minus first variant.
     pub mean_difference: f64,
-    /// The difference lies beyond the noise.
+    /// Whether the difference is beyond the noise.
     pub significant: bool,
 }
 
-/// Compares runs in pairs: a difference is significant when all pairs differ in one direction and the mean is more than two standard
-/// errors from 0. With fewer than three pairs none is.
+/// Compares the values of two variants in pairs. The difference is significant if all pairs differ in the same direction and the mean is
+/// more than two standard errors from 0. With fewer than three pairs no difference is significant.
 pub fn compare(first: &[f64], second: &[f64]) -> Comparison {
     let differences: Vec<f64> = first.iter().zip(second).map(|(first, second)| second - first).collect();
     let pairs = differences.len() as f64;
@@ -34,7 +34,7 @@
     Comparison { mean_difference, significant }
 }
 
-/// One variant's runs against another's, figure by figure, as a section of a summary.
+/// Returns a Markdown section that compares the runs of two variants, figure by figure.
 pub(super) fn section(first: &VariantFigures, second: &VariantFigures) -> String {
     let mut text = format!(
         "\n## {} against {}\n\n| figure | difference | beyond the noise |\n| --- | --- | --- |\n",
@@ -49,12 +49,13 @@
     text
 }
 
-/// Compares two sessions: each variant that both have run, in pairs by repetition.
+/// Compares each variant that both sessions have run, in pairs by repetition, and returns the comparison as Markdown. Fails if the
+/// sessions have no variant in common.
 pub fn compare_sessions(first: &Session, second: &Session) -> Result<String, SessionError> {
     let mut text = String::from("# Comparison of two sessions\n\nThe sessions were run at different times: a drift of the machine between them counts as a difference.\n");
     for (which, session) in [("first", first), ("second", second)] {
         if !session.complete {
-            let _ = writeln!(text, "\nThe {which} session was interrupted.");
+            let _ = writeln!(text, "\nThe {which} session was interrupted: not all of its runs were made.");
         }
     }
     let in_second = second.variants();
--- a/load/src/results/figures.rs
+++ b/load/src/results/figures.rs
@@ -1,55 +1,54 @@
-//! The figures of a run, which are summed up and compared.
+//! Computes the figures of a run, which summaries and comparisons show.
 use crate::generator::{Outcome, RequestRow};
 use crate::run::RunSummary;
 use hdrhistogram::Histogram;
 
-/// The longest time that a histogram tells from longer ones, microseconds.
+/// Maximum value of a histogram, microseconds (one minute); longer times count as this value.
 const MAX_LATENCY_MICROSECONDS: u64 = 60_000_000;
-/// Microseconds of a second, milliseconds of a second, and microseconds of a millisecond.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1e3;
-/// The shortest span that a rate is calculated over, seconds.
+/// Minimum duration that rates are computed over, seconds; prevents a division by 0.
 const MIN_RUN_SECONDS: f64 = 0.001;
 
-/// Figures of one run.
+/// The figures of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     /// Fraction of requests that succeeded.
     pub succeeded: f64,
-    /// Fraction of requests that were rejected.
+    /// Fraction of requests that were throttled.
     pub throttled: f64,
-    /// Fraction of requests that errored or got no answer.
+    /// Fraction of requests that ended in an error, were not answered, or reached no instance.
     pub failed: f64,
-    /// Median latency of those that succeeded, milliseconds.
+    /// Median latency of the requests that succeeded, milliseconds.
     pub median_latency_ms: f64,
-    /// 99th percentile of the latency of those that succeeded, milliseconds.
+    /// 99th percentile of the latency of the requests that succeeded, milliseconds.
     pub p99_latency_ms: f64,
-    /// Succeeded a second.
+    /// Requests that succeeded, per second.
     pub succeeded_per_second: f64,
-    /// By how much the generator was late, 99th percentile, milliseconds: latencies below it mean nothing.
+    /// 99th percentile of the generator's delay in sending a request, milliseconds. Latencies below it are not meaningful.
     pub send_delay_p99_ms: f64,
-    /// Processor time of the instances for one request, milliseconds.
+    /// Processor time of all instances per request, milliseconds.
     pub processor_ms_per_request: f64,
-    /// Memory of one instance, MiB.
+    /// Mean resident memory of an instance, MiB.
     pub memory_mib_per_instance: f64,
-    /// Executions at backends for one request.
+    /// Executions at backends per request.
     pub executions_per_request: f64,
-    /// Counter calls for one request.
+    /// Counter calls per request.
     pub counter_calls_per_request: f64,
-    /// Connections to backends that one instance made.
+    /// Mean number of connections to backends that an instance opened.
     pub connections_per_instance: f64,
-    /// Fraction of the units that ran beyond quotas.
+    /// Fraction of the executed units that were beyond quotas.
     pub beyond_quota_fraction: f64,
-    /// The worst customer's fraction above its quota.
+    /// Highest overshoot of a customer over any span of time, as a fraction of the units that its quota allowed in that span.
     pub worst_excess: f64,
 }
 
-/// A figure by its name in summaries.
+/// A figure with its name in summaries.
 pub struct NamedFigure {
-    /// The name, with its unit.
+    /// Name, with the unit.
     pub name: &'static str,
-    /// Its value.
+    /// Returns the figure's value.
     pub value: fn(&Figures) -> f64,
 }
 
@@ -57,7 +56,7 @@
     NamedFigure { name, value }
 }
 
-/// What is summed up and compared, by name.
+/// All figures, in the order of the summary's rows.
 pub const FIGURES: [NamedFigure; 14] = [
     named("succeeded, share", |f| f.succeeded),
     named("throttled, share", |f| f.throttled),
@@ -75,22 +74,22 @@
     named("worst customer above its quota, share", |f| f.worst_excess),
 ];
 
-/// Microseconds up to a minute, to three digits.
+/// Creates a histogram of microseconds up to one minute, with three significant digits.
 pub(crate) fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY_MICROSECONDS, 3).expect("bounds that hold")
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROSECONDS, 3).expect("the bounds of the histogram are valid")
 }
 
-/// Records a time in seconds.
+/// Records a time, given in seconds.
 pub(crate) fn record(histogram: &mut Histogram<u64>, seconds: f64) {
     histogram.saturating_record((seconds * MICROSECONDS_PER_SECOND) as u64 + 1);
 }
 
-/// A quantile in milliseconds.
+/// Returns a quantile in milliseconds.
 pub(crate) fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / MICROSECONDS_PER_MILLISECOND
 }
 
-/// The figures of a run; of the rows, those of other runs are passed over.
+/// Computes the figures of a run; ignores the rows of other runs.
 pub fn figures(run: &RunSummary, rows: &[RequestRow]) -> Figures {
     let is_of_run = |row: &&RequestRow| row.variant == run.variant && row.repetition == run.repetition;
     let run_rows: Vec<&RequestRow> = rows.iter().filter(is_of_run).collect();
@@ -134,7 +133,7 @@
     pub runs: Vec<Figures>,
 }
 
-/// The figures by variant, in the order in which the variants were first run.
+/// Computes the figures by variant, in the order in which the variants were first run.
 pub(super) fn by_variant<'a>(runs: &'a [RunSummary], rows: &[RequestRow]) -> Vec<VariantFigures<'a>> {
     let mut all: Vec<VariantFigures> = vec![];
     for run in runs {
--- a/load/src/results/mod.rs
+++ b/load/src/results/mod.rs
@@ -1,4 +1,5 @@
-//! The results of a session in a folder: raw rows, a row for each run, load by backend, a summary with median and spread, and charts.
+//! Writes the results of a session into a folder and reads them back. The folder has tables of requests, runs, backend loads and customers,
+//! a summary with the median and the spread of each figure, and charts.
 mod comparison;
 mod figures;
 mod summary;
@@ -17,46 +18,46 @@
 use std::path::{Path, PathBuf};
 use summary::INTERRUPTED_MARK;
 
-/// All that was run in a session, or is read back from a folder.
+/// The results of a session: of all its runs so far.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     /// A row for each run.
     pub runs: Vec<RunSummary>,
     /// A row for each request.
     pub rows: Vec<RequestRow>,
-    /// What the backends executed over time.
+    /// Executed units by backend and interval.
     pub loads: Vec<BackendLoad>,
-    /// What the customers used.
+    /// Usage of each customer with a quota, by run.
     pub customers: Vec<CustomerUsage>,
-    /// All runs that were intended were made.
+    /// Whether all intended runs were made.
     pub complete: bool,
 }
 
-/// Why a session could not be written, read or compared.
+/// The reasons for which a session can't be written, read or compared.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
-    /// A file of the folder could not be written.
-    #[error("{}: {source}", path.display())]
+    /// A file of the folder can't be written.
+    #[error("cannot write {}: {source}", path.display())]
     Write {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system, the table's writer or the chart's backend said.
+        /// Error of the file system, the CSV writer or the chart library.
         source: Box<dyn std::error::Error>,
     },
-    /// A table of the folder could not be read.
-    #[error("{}: {source}", path.display())]
+    /// A table of the folder can't be read.
+    #[error("cannot read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the table's reader said.
+        /// Error of the CSV reader.
         source: csv::Error,
     },
-    /// Two sessions have nothing to compare.
-    #[error("no variant is in both")]
+    /// The sessions have no variant in common.
+    #[error("the two sessions have no variant in common")]
     NoCommonVariant,
 }
 
-/// What a file's writer returns.
+/// Result of writing a file.
 pub(crate) type WriteResult = Result<(), Box<dyn std::error::Error>>;
 
 impl Session {
@@ -68,7 +69,7 @@
         self.customers.extend(result.customers);
     }
 
-    /// Writes all of it into the folder.
+    /// Writes the tables, the summary and the charts into the folder.
     pub fn write(&self, folder: &Path) -> Result<(), SessionError> {
         let write = |name: &str, write: &dyn Fn(&Path) -> WriteResult| {
             let path = folder.join(name);
@@ -84,7 +85,7 @@
         write("backends.svg", &|path| charts::backend_loads(path, self))
     }
 
-    /// Reads a folder back.
+    /// Reads the tables of a folder that `write` has written.
     pub fn read(folder: &Path) -> Result<Session, SessionError> {
         let summary = std::fs::read_to_string(folder.join("summary.md")).unwrap_or_default();
         Ok(Session {
@@ -96,7 +97,7 @@
         })
     }
 
-    /// Variants in the order in which they were first run.
+    /// Returns the names of the variants, in the order in which they were first run.
     pub fn variants(&self) -> Vec<&str> {
         let mut names: Vec<&str> = vec![];
         for run in &self.runs {
--- a/load/src/results/summary.rs
+++ b/load/src/results/summary.rs
@@ -1,16 +1,17 @@
-//! The summary of a session: median and spread of each figure by variant, and each variant against the first one.
+//! Summarizes a session in Markdown: the median and the spread of each figure by variant, and comparisons of the variants with the first
+//! one.
 use super::comparison::section;
 use super::figures::{by_variant, VariantFigures, FIGURES};
 use super::Session;
 use crate::run::RunSummary;
 use std::fmt::Write;
 
-/// Marks the summary of a session that is not complete; a session that is read back is told by it.
+/// Word in the summary of an incomplete session; a session that is read back counts as incomplete if its summary has it.
 pub(super) const INTERRUPTED_MARK: &str = "Interrupted";
-/// Lateness of the generator from which the summary warns, milliseconds.
+/// Delay of the generator above which the summary has a warning, milliseconds.
 const SEND_DELAY_WARNING_MS: f64 = 5.0;
 
-/// The middle of some values, and how far the least and the greatest lie apart.
+/// The median of some values, and the difference between the maximum and the minimum.
 struct MedianSpread {
     median: f64,
     spread: f64,
@@ -30,14 +31,14 @@
     }
 }
 
-/// The summary as Markdown.
+/// Returns the summary of a session as Markdown.
 pub fn summary(session: &Session) -> String {
     let all = by_variant(&session.runs, &session.rows);
     let mut text = String::from(
-        "# Results of quillramp-load\n\nMeasured with stand-in servers on one machine: compare them only with other results of this program.\n\n",
+        "# Results of quillramp-load\n\nMeasured with stand-in servers on one machine. Compare these results only with other results of this program.\n\n",
     );
     if !session.complete {
-        let _ = writeln!(text, "**{INTERRUPTED_MARK}: the runs made until then.**\n");
+        let _ = writeln!(text, "**{INTERRUPTED_MARK}: not all runs were made; the results are those of the runs before the interruption.**\n");
     }
     write_figures(&mut text, &all);
     write_sums(&mut text, &all, &session.runs);
@@ -50,12 +51,12 @@
         .map(|figures| figures.send_delay_p99_ms)
         .fold(0.0, f64::max);
     if max_send_delay_ms > SEND_DELAY_WARNING_MS {
-        let _ = writeln!(text, "\nThe generator was late by up to {max_send_delay_ms:.1} ms (99th percentile of a run): it has too few cores.");
+        let _ = writeln!(text, "\nThe generator sent requests up to {max_send_delay_ms:.1} ms late (99th percentile of a run): it has too few processor cores.");
     }
     text
 }
 
-/// The head of the table, and a line for each figure.
+/// Writes the header of the table and a row for each figure.
 fn write_figures(text: &mut String, all: &[VariantFigures]) {
     let names: Vec<&str> = all.iter().map(|variant| variant.name).collect();
     let _ = writeln!(
@@ -75,7 +76,7 @@
     }
 }
 
-/// The lines that sum up the runs of each variant.
+/// Writes the rows with sums over the runs of each variant.
 fn write_sums(text: &mut String, all: &[VariantFigures], runs: &[RunSummary]) {
     let sum = |value: &dyn Fn(&RunSummary) -> u64| {
         let of = |variant: &VariantFigures| {
--- a/load/src/usage.rs
+++ b/load/src/usage.rs
@@ -1,5 +1,5 @@
-//! What the customers used, compared with their quotas: calculated after a run from what the backends executed, by an exact token bucket
-//! for each customer.
+//! Compares the customers' usage with their quotas after a run. An exact token bucket for each customer is applied to the executions at
+//! the backends.
 use crate::generator::RunLabel;
 use crate::test_bed::{CustomerPlan, TimedUnits};
 use quillramp_emulator::deployment::gateway_settings;
@@ -9,47 +9,48 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// A row of `customers.csv`: what one customer with a quota used.
+/// A row of `customers.csv`: the usage of one customer with a quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CustomerUsage {
     /// Name of the variant.
     pub variant: String,
     /// Repetition, from 0.
     pub repetition: usize,
-    /// The customer's number.
+    /// Number of the customer.
     pub customer: u64,
-    /// The name of its plan.
+    /// Name of the customer's plan.
     pub plan: String,
-    /// Units that were executed.
+    /// Executed units.
     pub units: f64,
-    /// Units beyond its quota.
+    /// Executed units beyond the quota.
     #[serde(rename = "beyond")]
     pub beyond_quota: f64,
-    /// Units beyond its quota, as a fraction of what the quota allowed in the time.
+    /// Units beyond the quota as a fraction of the units that it allowed between the first and the last execution.
     pub overshoot: f64,
 }
 
-/// What all customers used.
+/// The usage of all customers.
 pub(crate) struct FleetQuotaUsage {
-    /// Units of all customers.
+    /// Executed units of all customers, those without a quota included.
     pub units: f64,
-    /// Units beyond quotas.
+    /// Executed units beyond quotas.
     pub beyond_quota: f64,
-    /// The worst customer's fraction above what its quota allowed.
+    /// Highest overshoot of a customer over any span of time, as a fraction of the units that its quota allowed in that span.
     pub worst_excess: f64,
-    /// The customers with a quota, by their numbers.
+    /// Usage of the customers with a quota, in the order of their numbers.
     pub rows: Vec<CustomerUsage>,
 }
 
-/// A plan's quota, as the settings of the instances have it.
+/// The quota of a plan in the instances' settings.
 struct Quota {
-    /// Units a second; 0: unlimited.
+    /// Units per second; 0 means unlimited.
     rate: f64,
-    /// Units at once.
+    /// Capacity of the token bucket, units.
     burst: f64,
 }
 
 impl Quota {
+    /// Returns the quota of the plan of this name; unlimited if the settings have no such plan.
     fn of(settings: &Value, plan: &str) -> Quota {
         let plans = settings["tariffs"].as_array();
         let plan = plans.and_then(|all| all.iter().find(|listed| listed["name"] == plan));
@@ -58,7 +59,7 @@
     }
 }
 
-/// Compares the units executed with the quotas of the world's plans.
+/// Compares the executed units with the quotas of the deployment's plans.
 pub(crate) fn compare_with_quotas(
     world: &World,
     label: &RunLabel,
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -172,7 +172,7 @@
         run.variant = "another".into();
     }
     let error = compare_sessions(&written, &other).map_err(|error| error.to_string());
-    assert_eq!(error, Err("no variant is in both".into()));
+    assert_eq!(error, Err("the two sessions have no variant in common".into()));
 
     remove_directory(&directory);
     let error = Session::read(&directory).expect_err("there is no session").to_string();
