--- a/load/src/bin/quillramp-load.rs
+++ b/load/src/bin/quillramp-load.rs
@@ -1,4 +1,4 @@
-//! quillramp-load: runs experiments and writes their results.
+//! quillramp-load: runs load experiments and writes their results.
 use clap::{Parser, Subcommand};
 use quillramp_load::error::RunError;
 use quillramp_load::experiment::{Experiment, ExperimentError};
@@ -11,10 +11,10 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Starts gateway instances on loopback, sends them requests and measures them.
+/// Starts gateway instances on loopback, sends them requests and measures the outcomes.
 ///
-/// Exit codes: 0 success; 1 a non-idempotent request was executed twice, or an instance crashed; 2 a file or a command line that
-/// can't be understood, or a run that could not be made.
+/// Exit codes: 0 success; 1 a non-idempotent request was executed twice, or an instance crashed; 2 a file or the command line is
+/// invalid, or a run failed.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -24,9 +24,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run an experiment: all variants in turn, as many times as the experiment says.
+    /// Run an experiment: all variants in turn, for the experiment's number of repetitions.
     Run {
-        /// The experiment, a TOML file.
+        /// Experiment file, TOML.
         experiment: PathBuf,
         /// Directory to write rows (CSV), the summary and charts to; it is created if necessary.
         #[arg(long, value_name = "DIRECTORY")]
@@ -34,17 +34,17 @@
     },
     /// Compare the results of two sessions, variant by variant.
     Compare {
-        /// The directory that the first session was written to.
+        /// Directory of the first session's results.
         first: PathBuf,
-        /// The directory that the second session was written to.
+        /// Directory of the second session's results.
         second: PathBuf,
     },
-    /// Check experiments without running them.
+    /// Check experiment files without running them.
     Check {
-        /// The experiments, TOML files.
+        /// Experiment files, TOML.
         experiments: Vec<PathBuf>,
     },
-    /// Measure what one gateway instance of a large fleet costs.
+    /// Measure the resource usage of one gateway instance of a large fleet.
     Scale {
         /// What to measure.
         #[command(subcommand)]
@@ -52,19 +52,19 @@
     },
 }
 
-/// Why a command failed; what is printed to the user.
+/// The reasons for which a command fails, as they are printed to the user.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// A file or folder could not be read or made.
+    /// A file can't be read, or the output directory can't be created.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: std::io::Error },
-    /// A file is no experiment; each line names the file.
+    /// A file is not a valid experiment; each line of the message names the file.
     #[error("{}", prefix_lines(path, error))]
     Experiment { path: PathBuf, error: ExperimentError },
-    /// A variant could not be run; the runs until then are kept.
-    #[error("{variant}: {error}; the results of {done} runs are in {}", folder.display())]
+    /// A run of a variant failed; the results of the earlier runs have been written.
+    #[error("variant {variant}: {error}; the results of the {done} earlier runs are in {}", folder.display())]
     Run { variant: String, error: RunError, done: usize, folder: PathBuf },
-    /// Several experiments are wrong.
+    /// One or more experiments are invalid.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Check(Vec<CommandError>),
     #[error(transparent)]
@@ -73,6 +73,7 @@
     Scale(#[from] ScaleError),
 }
 
+/// Prefixes each line of the error with the path.
 fn prefix_lines(path: &Path, error: &ExperimentError) -> String {
     let text = error.to_string();
     let lines: Vec<String> = text.lines().map(|line| format!("{}: {line}", path.display())).collect();
@@ -85,6 +86,7 @@
     Experiment::read(&text).map_err(|error| CommandError::Experiment { path: path.to_owned(), error })
 }
 
+/// Runs all variants of an experiment, and writes the results after each run.
 fn run(path: &Path, folder: &Path) -> Result<ExitCode, CommandError> {
     let experiment = read_experiment(path)?;
     let file = |source| CommandError::File { path: folder.to_owned(), source };
@@ -105,7 +107,7 @@
             match run_variant(&experiment, variant, repetition, folder) {
                 Ok(result) => session.add(result),
                 Err(error) => {
-                    session.write(folder)?; // the summary says that the session was interrupted
+                    session.write(folder)?; // the summary marks the session as interrupted
                     let variant = variant.name.clone();
                     return Err(CommandError::Run { variant, error, done, folder: folder.to_owned() });
                 }
@@ -119,7 +121,7 @@
     Ok(if bad { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-/// How long the remaining runs will take, once one is done.
+/// Returns the estimated time for the remaining runs as text; empty before the first run has ended.
 fn remaining_time(start: Instant, done: usize, all: usize) -> String {
     if done == 0 {
         return String::new();
--- a/load/src/bin/quillramp-relay.rs
+++ b/load/src/bin/quillramp-relay.rs
@@ -1,12 +1,12 @@
-//! quillramp-relay: a baseline, not the gateway. Reads the same configuration (`EDGE_CONFIG` names the file) and forwards each command
-//! to a backend by a plain textbook policy, with no quota, no retries and no health checks. To compare with, and for tests: it can be
-//! slowed, and it can send duplicates.
+//! quillramp-relay: a baseline for comparisons with the gateway, and a test double in its place. Reads the same configuration
+//! (`EDGE_CONFIG` names the file) and forwards each command to a backend by a simple load balancing policy, with no quotas, retries or
+//! health checks. It can delay commands and send duplicates.
 //!
 //! | environment variable | meaning | default |
 //! | --- | --- | --- |
-//! | `RELAY_POLICY` | `round-robin`, `random`, `two-choices` or `least-out`: how a backend is picked | `least-out` |
-//! | `RELAY_DELAY_MS` | milliseconds that each command waits | 0 |
-//! | `RELAY_TWICE` | not empty: commands that are not idempotent are sent twice | empty |
+//! | `RELAY_POLICY` | `round-robin`, `random`, `two-choices` or `least-out`: the load balancing policy | `least-out` |
+//! | `RELAY_DELAY_MS` | delay of each command, milliseconds | 0 |
+//! | `RELAY_TWICE` | if not empty, commands that are not idempotent are sent twice | empty |
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Error, ErrorKind, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,32 +14,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Spreads consecutive numbers over 64 bits.
+/// Multiplier of the hash that makes random numbers of consecutive ones.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Bulk strings of a backend's reply; the first one is the value.
+/// Number of bulk strings in a backend's reply; the first one is the value.
 const REPLY_PARTS: usize = 3;
-/// Bytes of a line's end.
+/// Length of CR LF.
 const LINE_END_BYTES: usize = 2;
 
+/// A backend of the endpoint list.
 struct Backend {
     address: SocketAddr,
-    /// Commands in flight.
+    /// Number of commands in flight.
     in_flight: AtomicUsize,
 }
 
-/// How a backend is picked.
+/// The load balancing policy.
 #[derive(Clone, Copy)]
 enum Policy {
     RoundRobin,
     Random,
-    /// The one with fewer commands in flight of two drawn at random.
+    /// Two backends drawn at random; the one with fewer commands in flight is picked.
     TwoChoices,
-    /// The one with the fewest commands in flight.
+    /// The backend with the fewest commands in flight.
     LeastInFlight,
 }
 
 impl Policy {
-    /// The policy of that name; without a known one it is `least-out`.
+    /// Returns the policy of this name; `least-out` if there is none.
     fn from_name(name: &str) -> Policy {
         match name {
             "round-robin" => Policy::RoundRobin,
@@ -50,25 +51,27 @@
     }
 }
 
+/// The backends and the settings from the environment.
 struct Relay {
     backends: Vec<Backend>,
     policy: Policy,
-    /// Counts the picks.
+    /// Number of picks so far; round robin and the random numbers use it.
     picks: AtomicUsize,
-    /// Time that each command waits.
+    /// Delay of each command.
     delay: Duration,
-    /// Each command that is not idempotent is sent twice.
+    /// Whether commands that are not idempotent are sent twice.
     send_duplicates: bool,
 }
 
 impl Relay {
+    /// Returns the index of a pseudo-random backend.
     fn random(&self) -> usize {
         let pick = self.picks.fetch_add(1, Ordering::Relaxed) as u64;
         let mixed = (pick ^ (pick >> 7)).wrapping_mul(HASH_MULTIPLIER);
         (mixed >> 33) as usize % self.backends.len()
     }
 
-    /// The index of the backend for the next command.
+    /// Returns the index of the backend for the next command.
     fn pick(&self) -> usize {
         let in_flight = |index: &usize| self.backends[*index].in_flight.load(Ordering::Relaxed);
         match self.policy {
@@ -81,7 +84,7 @@
         }
     }
 
-    /// How often a command is sent.
+    /// Returns how many times a command is sent.
     fn copies(&self, command: &[u8]) -> usize {
         if self.send_duplicates && contains(command, b"CALL.POST") {
             2
@@ -95,12 +98,12 @@
     bytes.windows(text.len()).any(|window| window == text)
 }
 
-/// The number of a line behind its first byte, such as `$16`.
+/// Parses the number after the first byte of a line, such as `$16`.
 fn parse_line_number<T: std::str::FromStr>(line: &[u8]) -> Option<T> {
     std::str::from_utf8(&line[1..]).ok().and_then(|text| text.trim().parse().ok())
 }
 
-/// Reads one complete command, as it is on the wire; none at the end of the connection.
+/// Reads one command in its wire format; returns `None` at the end of the connection.
 fn read_command(reader: &mut impl BufRead) -> Result<Option<Vec<u8>>> {
     let mut command = Vec::new();
     if reader.read_until(b'\n', &mut command)? == 0 {
@@ -118,7 +121,7 @@
     Ok(Some(command))
 }
 
-/// Reads a backend's reply: its value, or the error line in its place.
+/// Reads a backend's reply and returns its value in the wire format, or the whole line of an error.
 fn read_reply(reader: &mut impl BufRead) -> Result<Vec<u8>> {
     let mut line = Vec::new();
     reader.read_until(b'\n', &mut line)?;
@@ -152,13 +155,14 @@
         Ok(BackendConnection { reader: BufReader::new(writer.try_clone()?), writer })
     }
 
+    /// Sends a command and reads the reply.
     fn exchange(&mut self, command: &[u8]) -> Result<Vec<u8>> {
         self.writer.write_all(command)?;
         read_reply(&mut self.reader)
     }
 }
 
-/// Forwards a command on a connection, which is opened if necessary and dropped after an error.
+/// Forwards a command on a connection and returns the reply. Opens the connection if necessary, and drops it after an error.
 fn forward(connection: &mut Option<BackendConnection>, backend: &Backend, command: &[u8]) -> Result<Vec<u8>> {
     let mut open = match connection.take() {
         Some(open) => open,
@@ -169,7 +173,7 @@
     Ok(reply)
 }
 
-/// Serves a client's connection.
+/// Serves the commands on a client's connection.
 fn serve(relay: &Relay, mut client: TcpStream) -> Result<()> {
     client.set_nodelay(true)?;
     let mut reader = BufReader::new(client.try_clone()?);
@@ -200,26 +204,33 @@
     Error::new(ErrorKind::InvalidInput, reason.to_owned())
 }
 
+/// Parses a socket address from a JSON string.
 fn address(value: &Value) -> Option<SocketAddr> {
     value.as_str().and_then(|text| text.parse().ok())
 }
 
-/// The backends of the endpoint list that the configuration has.
+/// Returns the backends of the endpoint list in the configuration.
 fn backends(configuration: &Value) -> Result<Vec<Backend>> {
     let endpoints = configuration["known"]["endpoints"].as_array();
-    let endpoints = endpoints.ok_or_else(|| invalid_input("known.endpoints is missing"))?;
+    let endpoints =
+        endpoints.ok_or_else(|| invalid_input("configuration: known.endpoints is missing or not a list"))?;
     let addresses = endpoints.iter().filter_map(|endpoint| address(&endpoint["address"]));
     Ok(addresses.map(|address| Backend { address, in_flight: AtomicUsize::new(0) }).collect())
 }
 
 fn run() -> Result<()> {
     let path = std::env::var("EDGE_CONFIG");
-    let path = path.map_err(|_| invalid_input("EDGE_CONFIG names no configuration file"))?;
+    let path = path.map_err(|_| {
+        invalid_input(
+            "environment variable EDGE_CONFIG is not set: expected the path of a configuration file",
+        )
+    })?;
     let configuration: Value = serde_json::from_slice(&std::fs::read(path)?)?;
     let backends = backends(&configuration)?;
-    let listen = address(&configuration["listen"]).ok_or_else(|| invalid_input("listen is no address"))?;
+    let listen = address(&configuration["listen"])
+        .ok_or_else(|| invalid_input("configuration: listen is missing or not a socket address"))?;
     if backends.is_empty() {
-        return Err(invalid_input("no backend is known"));
+        return Err(invalid_input("configuration: known.endpoints has no endpoint with a valid address"));
     }
     let variable = |name: &str| std::env::var(name).unwrap_or_default();
     let relay = Arc::new(Relay {
@@ -231,7 +242,7 @@
     });
     for stream in TcpListener::bind(listen)?.incoming().flatten() {
         let relay = relay.clone();
-        std::thread::spawn(move || serve(&relay, stream)); // it ends with its connection
+        std::thread::spawn(move || serve(&relay, stream)); // the thread ends with its connection
     }
     Ok(())
 }
--- a/load/src/error.rs
+++ b/load/src/error.rs
@@ -1,77 +1,79 @@
-//! Why an experiment could not be run.
+//! The errors of an experiment's runs.
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitStatus;
 
-/// Why a variant could not be run.
+/// The reasons for which a run of a variant fails.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// No loopback port could be bound.
-    #[error("a port: {0}")]
+    /// No loopback port can be bound.
+    #[error("cannot bind a loopback port: {0}")]
     Port(#[source] io::Error),
-    /// A configuration file could not be written.
-    #[error("{}: {source}", path.display())]
+    /// A configuration file or log can't be created.
+    #[error("cannot write {}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The program of the instances could not be started.
-    #[error("{program}: {source}")]
+    /// The program of the instances can't be started.
+    #[error("cannot start {program}: {source}")]
     Launch {
-        /// The program.
+        /// Path of the program.
         program: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// An instance ended before it accepted connections.
-    #[error("an instance of {program} ended at its start: {status}: {last_line}")]
+    #[error(
+        "an instance of {program} ended before it accepted connections: {status}; last log line: {last_line}"
+    )]
     EndedAtStart {
-        /// The program.
+        /// Path of the program.
         program: String,
-        /// How it ended.
+        /// Exit status of the process.
         status: ExitStatus,
-        /// The last line of its log.
+        /// Last line of the instance's log; empty if there is none.
         last_line: String,
     },
     /// An instance did not accept connections in time.
-    #[error("an instance of {program} does not accept at {address}")]
+    #[error("an instance of {program} accepted no connection at {address} in time")]
     NotAccepting {
-        /// The program.
+        /// Path of the program.
         program: String,
-        /// Where it was to listen.
+        /// Client address of the instance.
         address: SocketAddr,
     },
-    /// An idle connection could not be opened.
-    #[error("idle connection {number} at {address}: {source}")]
+    /// An idle connection can't be opened.
+    #[error("cannot open idle connection {number} to {address}: {source}")]
     IdleConnection {
-        /// Counted from 1, over all instances.
+        /// Number of the connection, from 1, over all instances.
         number: usize,
-        /// The instance.
+        /// Client address of the instance.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A thread of the generator could not be started.
-    #[error("thread {number} of the generator: {source}")]
+    /// A thread of the generator can't be started.
+    #[error("cannot start generator thread {number}: {source}")]
     GeneratorThread {
-        /// Counted from 1.
+        /// Number of the thread, from 1.
         number: usize,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// All threads of the generator ended before the last request.
-    #[error("the generator's threads have ended")]
+    #[error("all threads of the generator ended before the last request")]
     GeneratorEnded,
     /// A thread of the generator panicked.
-    #[error("a thread of the generator has ended badly")]
+    #[error("a thread of the generator panicked")]
     GeneratorPanicked,
 }
 
 impl RunError {
-    /// The error of a file.
+    /// Returns a function that converts an I/O error at this path.
     pub(crate) fn file(path: &Path) -> impl FnOnce(io::Error) -> RunError + '_ {
         move |source| RunError::File { path: path.to_owned(), source }
     }
