--- a/load/src/fault_schedule.rs
+++ b/load/src/fault_schedule.rs
@@ -1,11 +1,12 @@
-//! When which fault of an experiment begins and ends: the emulator's fault kinds, as far as sockets and processes can have them. No I/O:
-//! the schedule is computed here, and carried out by `test_bed::TestBed::inject` and `fleet::Fleet::inject`.
+//! Computes the times at which the faults of an experiment begin and end. Supports those of the emulator's fault kinds that can be
+//! injected into real sockets and processes. This module does no I/O: `test_bed::TestBed::inject` and `fleet::Fleet::inject` execute
+//! the steps.
 use quillramp_emulator::scenario::{Fault, FaultKind, World};
 
-/// The least part of its capacity that a backend has while it is warming up.
+/// Minimum capacity of a backend that is warming up, as a fraction of its full capacity.
 const MIN_WARM_UP_CAPACITY: f64 = 0.01;
 
-/// Whether this tool can inject the kind; the others are the emulator's alone.
+/// Whether this tool can inject faults of the kind; only the emulator supports the others.
 pub fn is_supported(kind: FaultKind) -> bool {
     use FaultKind::*;
     matches!(
@@ -35,22 +36,23 @@
     )
 }
 
-/// A fault begins or ends.
+/// The beginning or the end of a fault at one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultStep {
     /// Seconds since the start of the traffic.
     pub at: f64,
-    /// The kind of the fault.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Whether it begins, or else ends.
+    /// Whether the fault begins; otherwise it ends.
     pub begins: bool,
-    /// The index of the backend or the instance, where it concerns one.
+    /// Index of the affected backend or instance; 0 if the kind affects neither.
     pub target: usize,
-    /// How strong it is, as its kind has it: a factor or a fraction.
+    /// Severity of the fault; the kind decides whether it is a factor, a fraction or a delay in milliseconds.
     pub magnitude: f64,
 }
 
-/// All steps in their order; of two at one time, the one that ends a fault comes first.
+/// Returns all steps in the order of their times; at the same time, ends of faults precede beginnings. Traffic bursts have no steps:
+/// `burst_factor` applies them.
 pub fn schedule(faults: &[Fault], world: &World) -> Vec<FaultStep> {
     let mut steps = vec![];
     for fault in faults.iter().filter(|fault| fault.kind != FaultKind::TrafficBurst) {
@@ -71,7 +73,7 @@
     steps
 }
 
-/// The backends or the instance that a fault concerns.
+/// Returns the indices of the backends or of the instance that a fault affects.
 fn targets(fault: &Fault, world: &World) -> Vec<usize> {
     match fault.kind {
         FaultKind::ZoneLoss => {
@@ -81,7 +83,7 @@
     }
 }
 
-/// Factor on the rate of requests at a time, seconds since the start of the traffic.
+/// Returns the factor of the active traffic bursts on the request rate; `at` is in seconds since the start of the traffic.
 pub fn burst_factor(faults: &[Fault], at: f64) -> f64 {
     let active = |fault: &&Fault| {
         fault.kind == FaultKind::TrafficBurst
@@ -91,7 +93,8 @@
     faults.iter().filter(active).map(|fault| fault.severity.unwrap_or(1.0)).product()
 }
 
-/// The part of its capacity that a backend has, by the seconds since its start.
+/// Returns the capacity of a backend as a fraction of its full capacity; `age` is in seconds since its start. It grows linearly while the
+/// backend is warming up.
 pub fn warm_capacity(world: &World, age: Option<f64>) -> f64 {
     let initial = world.slow_start_fraction;
     age.map_or(1.0, |age| {
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -1,12 +1,12 @@
-//! Drives gateway instances over their protocol, among stand-in servers of its own on loopback, by experiments that are files; keeps
-//! rows, summaries and charts. Its figures are called by its name. Experiment files, tables and the command line call an instance a
-//! door or front door, and a run a play.
+//! Load tests of gateway instances on loopback. An experiment file defines the stand-in servers, the traffic and the faults; the results
+//! are tables, a summary and charts. Experiment files, tables and the command line use "door" or "front door" for an instance, and
+//! "play" for a run.
 //!
-//! * `experiment` reads an experiment and draws the arrivals of its requests; `fault_schedule` computes when which fault begins and ends.
-//! * `run` makes one run of a variant: the stand-ins of `test_bed`, the processes of `fleet`, the clients of `generator`; `usage` holds
-//!   what the customers used against their quotas.
-//! * `results` writes, reads, sums up and compares the runs of a session; `charts` draws them.
-//! * `scale` measures what one instance of a large fleet costs.
+//! * `experiment` reads an experiment and draws the arrivals of its requests; `fault_schedule` computes when its faults begin and end.
+//! * `run` runs a variant with the stand-in servers of `test_bed`, the processes of `fleet` and the clients of `generator`; `usage`
+//!   compares the customers' usage with their quotas.
+//! * `results` writes, reads, summarizes and compares the results of a session; `charts` draws them.
+//! * `scale` measures the resource usage of one instance of a large fleet.
 mod charts;
 pub mod error;
 pub mod experiment;
@@ -21,7 +21,7 @@
 pub mod test_bed;
 pub mod usage;
 
-/// The servers of the example deployment serve here too.
+/// The servers of the example deployment, whose protocol functions the stand-ins use.
 #[allow(dead_code)]
 #[path = "../../examples/example_backend.rs"]
 mod example_servers;
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -1,5 +1,4 @@
-//! One run of one variant: stand-ins and instances start, clients send at their times, faults begin and end, and the results are
-//! collected.
+//! Runs one variant once: starts the stand-ins and the instances, sends the traffic, injects the faults, and collects the results.
 use crate::error::RunError;
 use crate::experiment::{Experiment, Variant};
 use crate::fault_schedule::{self, FaultStep};
@@ -18,65 +17,66 @@
 use std::thread::{scope, sleep};
 use std::time::Duration;
 
-/// How often the injection of faults looks whether the next step is due.
+/// Interval at which the injector checks whether the next fault step is due.
 const FAULT_POLL: Duration = Duration::from_millis(2);
 
-/// A row of `plays.csv`: the figures of one run.
+/// A row of `plays.csv`: the totals of one run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RunSummary {
     /// Name of the variant.
     pub variant: String,
     /// Repetition, from 0.
     pub repetition: usize,
-    /// Instances of the fleet.
+    /// Number of instances.
     #[serde(rename = "doors")]
     pub instances: usize,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub sent: u64,
-    /// Calls that the counters received.
+    /// Number of calls that the counters received.
     pub counter_calls: u64,
-    /// Requests that backends executed, duplicates included.
+    /// Number of executions at backends, repeated ones included.
     #[serde(rename = "deliveries")]
     pub executions: u64,
-    /// Connections that instances made to backends.
+    /// Number of connections that instances opened to backends.
     pub connections: u64,
-    /// Effects beyond the first, of requests that are not idempotent.
+    /// Repeated executions of requests that are not idempotent.
     #[serde(rename = "twice")]
     pub duplicates: u64,
-    /// Units that were executed.
+    /// Executed units; repeated executions of a request do not count.
     pub units: f64,
-    /// Units beyond the customers' quotas.
+    /// Executed units beyond the customers' quotas.
     #[serde(rename = "beyond")]
     pub beyond_quota: f64,
-    /// The worst customer's fraction above what its quota allowed.
+    /// Highest overshoot of a customer over any span of time, as a fraction of the units that its quota allowed in that span.
     #[serde(rename = "worst")]
     pub worst_excess: f64,
-    /// Seconds of processor time of all instances.
+    /// Processor time of all instances, seconds.
     #[serde(rename = "processor")]
     pub processor_seconds: f64,
-    /// Memory of all instances at the end, MiB.
+    /// Resident memory of all instances at the end of the traffic, MiB.
     #[serde(rename = "memory_mb")]
     pub memory_mib: f64,
-    /// Instances that ended by themselves.
+    /// Number of instances that exited although no fault ended them.
     #[serde(rename = "died")]
     pub crashed: usize,
-    /// Deliveries of each backend, separated by blanks.
+    /// Number of executions at each backend, separated by spaces.
     pub by_backend: String,
 }
 
 /// The results of a run.
 pub struct RunResult {
-    /// Figures of the run.
+    /// Totals of the run.
     pub summary: RunSummary,
-    /// What each customer with a quota used.
+    /// Usage of each customer with a quota.
     pub customers: Vec<CustomerUsage>,
     /// The outcome of each request.
     pub rows: Vec<RequestRow>,
-    /// What each backend executed over time.
+    /// Executed units by backend and interval.
     pub loads: Vec<BackendLoad>,
 }
 
-/// Runs one variant once. The folder gets the configuration files of the instances.
+/// Runs one variant once. The configuration files and logs of the instances are written into the folder. Fails if the stand-ins, the
+/// instances or the clients can't be started, or the generator's threads end early.
 pub fn run_variant(
     experiment: &Experiment,
     variant: &Variant,
@@ -92,6 +92,7 @@
     result
 }
 
+/// Starts the stand-in backends on free ports.
 fn start_backends(experiment: &Experiment, repetition: usize) -> Result<Arc<TestBed>, RunError> {
     let world = &experiment.world;
     let mut listeners = vec![];
@@ -106,6 +107,7 @@
     Ok(test_bed)
 }
 
+/// Starts both counters and the list service on free ports.
 fn start_services(test_bed: &Arc<TestBed>) -> Result<Services, RunError> {
     let first = bind_listener()?;
     let second = bind_listener()?;
@@ -117,7 +119,7 @@
     Ok(Services { counters: [first.address, second.address], discovery: list.address, endpoints })
 }
 
-/// A run among stand-ins that are started.
+/// A run whose stand-ins have been started.
 struct Run<'a> {
     experiment: &'a Experiment,
     variant: &'a Variant,
@@ -126,6 +128,7 @@
 }
 
 impl Run<'_> {
+    /// Starts the instances, drives the traffic and collects the results.
     fn measure(&self, folder: &Path, services: &Services) -> Result<RunResult, RunError> {
         let fleet = Fleet::start(self.experiment, self.variant, folder, services)?;
         let _idle =
@@ -140,7 +143,7 @@
         Ok(RunResult { summary, customers: customers.rows, rows, loads })
     }
 
-    /// Sends the requests, and injects the faults meanwhile.
+    /// Sends the requests while another thread injects the faults.
     fn drive(&self, fleet: &Fleet) -> Result<Vec<RequestRow>, RunError> {
         let start = self.test_bed.begin_traffic();
         let steps = fault_schedule::schedule(&self.experiment.faults, &self.experiment.world);
@@ -154,7 +157,8 @@
         })
     }
 
-    /// Carries the steps out at their times; those that are not due when the traffic ends are dropped.
+    /// Injects the fault steps at their times; drops those that are not due before the traffic ends. `start` is the start of the traffic,
+    /// in seconds since the start of the run.
     fn inject(&self, steps: &[FaultStep], fleet: &Fleet, start: f64, finished: &AtomicBool) {
         for step in steps {
             while self.test_bed.now() < start + step.at {
