--- a/load/src/experiment/arrivals.rs
+++ b/load/src/experiment/arrivals.rs
@@ -61,7 +61,7 @@
     fn draw_customer_arrival(&self, rng: &mut ChaCha8Rng, at: f64, customer: u64) -> Arrival {
         let instance = (customer as usize + rng.gen_range(0..self.spread())) % self.world.instances;
         let units = rng.gen_range(1..=2);
-        let non_idempotent = rng.gen_bool(self.traffic.non_idempotent);
+        let non_idempotent = rng.gen_bool(self.traffic.non_idempotent_fraction);
         Arrival { at, instance, customer, units, non_idempotent }
     }
 }
--- a/load/src/experiment/check.rs
+++ b/load/src/experiment/check.rs
@@ -55,7 +55,7 @@
             "traffic.rate: expected 0 (closed loop) to 20000",
         );
         violations.require(
-            (0.0..=1.0).contains(&traffic.non_idempotent),
+            (0.0..=1.0).contains(&traffic.non_idempotent_fraction),
             "traffic.orders: expected a fraction from 0 to 1",
         );
         if let Some(flood) = &traffic.flood {
--- a/load/src/experiment/mod.rs
+++ b/load/src/experiment/mod.rs
@@ -50,7 +50,7 @@
     pub idle_connections: usize,
     /// Fraction of requests that are not idempotent, from 0 to 1.
     #[serde(default, rename = "orders")]
-    pub non_idempotent: f64,
+    pub non_idempotent_fraction: f64,
     /// Number of instances that a customer's requests are spread over; 0 means all.
     #[serde(default)]
     pub spread: usize,
--- a/load/src/fleet/mod.rs
+++ b/load/src/fleet/mod.rs
@@ -39,7 +39,7 @@
     /// `None` before the start, and after a fault has ended the process.
     process: Option<Child>,
     configuration: PathBuf,
-    /// Whether a fault or the end of the run ends the process, so that its exit is no crash.
+    /// Whether a fault or the end of the run is ending the process, so that its exit does not count as a crash.
     exit_expected: bool,
 }
 
--- a/load/src/generator/mod.rs
+++ b/load/src/generator/mod.rs
@@ -113,7 +113,7 @@
     fn send(&self, client: &mut Client, arrival: &Arrival) -> RequestRow {
         let send_delay = self.elapsed() - arrival.at;
         let customer_routes = CustomerRoutes { routes: &self.routes, spread: self.experiment.spread() };
-        let answer = client.send(&customer_routes, arrival);
+        let result = client.send(&customer_routes, arrival);
         let latency = self.elapsed() - arrival.at;
         RequestRow {
             variant: self.label.variant.clone(),
@@ -121,10 +121,10 @@
             at: arrival.at,
             send_delay,
             latency,
-            instance: answer.instance,
+            instance: result.instance,
             customer: arrival.customer,
             non_idempotent: arrival.non_idempotent,
-            outcome: answer.outcome,
+            outcome: result.outcome,
         }
     }
 
--- a/load/src/test_bed/condition.rs
+++ b/load/src/test_bed/condition.rs
@@ -20,7 +20,7 @@
     pub rejected_fraction: f64,
     /// Whether the backend is draining, so that all requests are rejected.
     pub draining: bool,
-    /// Last start of the process, seconds since the start of the run; `None` if it was long before the run.
+    /// Last start of the process, seconds since the start of the run; `None` for the initial process, which has warmed up.
     pub started_at: Option<f64>,
     /// Number of the backend's process. A connection ends when it belongs to an earlier process.
     pub process_number: u64,
--- a/load/src/usage.rs
+++ b/load/src/usage.rs
@@ -51,7 +51,7 @@
 
 impl Quota {
     /// Returns the quota of the plan of this name; unlimited if the settings have no such plan.
-    fn of(settings: &Value, plan: &str) -> Quota {
+    fn from_settings(settings: &Value, plan: &str) -> Quota {
         let plans = settings["tariffs"].as_array();
         let plan = plans.and_then(|all| all.iter().find(|listed| listed["name"] == plan));
         let figure = |name: &str| plan.and_then(|plan| plan[name].as_f64()).unwrap_or(0.0);
@@ -68,7 +68,7 @@
     let settings = gateway_settings(world, None);
     let mut fleet_usage = FleetQuotaUsage { units: 0.0, beyond_quota: 0.0, worst_excess: 0.0, rows: vec![] };
     for (key, executed) in units {
-        let Quota { rate, burst } = Quota::of(&settings, &key.plan);
+        let Quota { rate, burst } = Quota::from_settings(&settings, &key.plan);
         fleet_usage.units += executed.iter().map(|units| units.units).sum::<f64>();
         if rate <= 0.0 {
             continue;
