--- a/load/tests/parallel_runs.rs
+++ b/load/tests/parallel_runs.rs
@@ -1,13 +1,13 @@
-//! Runs that are made at the same time, in one process.
+//! Runs at the same time in one process.
 use quillramp_load::experiment::Experiment;
 use quillramp_load::run::{run_variant, RunSummary};
 
-/// Runs at the same time.
+/// Number of threads that run at the same time.
 const PARALLEL_RUNS: usize = 8;
-/// Runs of each thread, one after the other.
+/// Number of consecutive runs of each thread.
 const CONSECUTIVE_RUNS: usize = 4;
 
-/// A run of six relays with hardly any traffic: it is about their start.
+/// Runs six relays with little traffic, because the test is about their start.
 fn start_fleet(thread: usize) -> RunSummary {
     let program = env!("CARGO_BIN_EXE_quillramp-relay");
     let text = format!(
@@ -18,12 +18,13 @@
     let experiment = Experiment::read(&text).expect("a valid experiment");
     let directory =
         std::env::temp_dir().join(format!("quillramp-load-parallel-{thread}-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory can be created");
     let result = run_variant(&experiment, &experiment.variants[0], 0, &directory).expect("the fleet starts");
-    std::fs::remove_dir_all(&directory).expect("the directory of this test");
+    std::fs::remove_dir_all(&directory).expect("the directory exists");
     result.summary
 }
 
+/// Guards against addresses that two runs take at the same time, so that an instance can't bind and its run fails.
 #[test]
 fn parallel_runs_do_not_take_each_others_addresses() {
     std::thread::scope(|threads| {
