--- a/counter/tests/agreement.rs
+++ b/counter/tests/agreement.rs
@@ -1,4 +1,5 @@
-//! Model checks of the replication: all orders of events in small clusters, with elections, lost and late messages, and crashes.
+//! Model checks of the replication: explores the orders of events in small clusters, with elections, lost and delayed messages, and
+//! crashes.
 use quillramp_counter::log::{HardState, LogPosition};
 use quillramp_counter::raft::{Effects, Fault, Message, Node, NodeId, OutgoingMessage};
 use stateright::{Checker, Model, Property};
@@ -13,10 +14,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ClusterState {
     members: Vec<Node<Command>>,
     /// Messages in flight: each may be delivered at any time, or never.
     in_flight: BTreeSet<(NodeId, NodeId, Message<Command>)>,
+    /// Number of commands that were proposed.
     proposed: u8,
     crashes: u8,
     /// Every entry that was ever committed, by index.
@@ -37,16 +39,22 @@
     Drop(NodeId, NodeId, Message<Command>),
 }
 
+/// Limits of the explored states.
 struct ClusterModel {
     members: usize,
+    /// Maximum term.
     terms: u64,
+    /// Maximum length of a log.
     entries: u64,
+    /// Maximum number of proposed commands.
     commands: u8,
+    /// Maximum number of restarts of members.
     crashes: u8,
+    /// Fault that is injected into each member.
     fault: Fault,
 }
 
-impl World {
+impl ClusterState {
     /// Executes the effects of a member's step and checks the safety properties.
     fn execute(&mut self, member: usize, effects: Effects<Command>) {
         let id = self.members[member].id;
@@ -63,7 +71,9 @@
                 let Some(entry) = self.members[member].entry(index) else { continue };
                 let committed = CommittedEntry { term: entry.term, command: entry.command };
                 match self.committed.get(&index) {
-                    Some(earlier) if *earlier != committed => self.violation = Some("agreed on twice"),
+                    Some(earlier) if *earlier != committed => {
+                        self.violation = Some("two different entries were committed at one index")
+                    }
                     Some(_) => {}
                     None => drop(self.committed.insert(index, committed)),
                 }
@@ -72,35 +82,35 @@
         if self.members[member].is_leader() {
             let term = self.members[member].hard_state.term;
             if *self.leaders.entry(term).or_insert(id) != id {
-                self.violation = Some("two leaders of one term");
+                self.violation = Some("two leaders were elected in one term");
             }
-            // A leader has every entry that was committed before its term.
-            let lacks = |(index, committed): (&u64, &CommittedEntry)| {
+            // The log of a leader has every entry that was committed in an earlier term.
+            let is_missing = |(index, committed): (&u64, &CommittedEntry)| {
                 let local = self.members[member].entry(*index);
-                let is_in_log = *index > self.members[member].snapshot_position.index; // else the snapshot includes it
+                let is_in_log = *index > self.members[member].snapshot_position.index; // earlier entries are in the snapshot
                 let differs = local
                     .is_none_or(|entry| entry.term != committed.term || entry.command != committed.command);
                 is_in_log && committed.term < term && differs
             };
-            if self.committed.iter().any(lacks) {
-                self.violation = Some("a leader without what was agreed on");
+            if self.committed.iter().any(is_missing) {
+                self.violation = Some("a leader lacks an entry that was committed in an earlier term");
             }
         }
     }
 }
 
 impl Model for ClusterModel {
-    type State = World;
+    type State = ClusterState;
     type Action = Event;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ClusterState> {
         let ids: Vec<NodeId> = (1..=self.members as u64).collect();
         let member = |id: &NodeId| {
             let mut node = Node::new(*id, &ids, HardState::default(), LogPosition::default(), vec![]);
             node.fault = self.fault;
             node
         };
-        vec![World {
+        vec![ClusterState {
             members: ids.iter().map(member).collect(),
             in_flight: BTreeSet::new(),
             proposed: 0,
@@ -111,103 +121,114 @@
         }]
     }
 
-    fn actions(&self, world: &World, events: &mut Vec<Event>) {
-        if world.violation.is_some() {
+    fn actions(&self, cluster: &ClusterState, events: &mut Vec<Event>) {
+        if cluster.violation.is_some() {
             return;
         }
-        for (member, node) in world.members.iter().enumerate() {
+        for (member, node) in cluster.members.iter().enumerate() {
             if !node.is_leader() && node.hard_state.term < self.terms {
                 events.push(Event::ElectionTimeout(member));
             }
             if node.is_leader() {
                 events.push(Event::Heartbeat(member));
-                if world.proposed < self.commands && node.last_position().index < self.entries {
+                if cluster.proposed < self.commands && node.last_position().index < self.entries {
                     events.push(Event::Propose(member));
                 }
             }
-            if world.crashes < self.crashes {
+            if cluster.crashes < self.crashes {
                 events.push(Event::Restart(member));
             }
         }
-        for (from, to, message) in &world.in_flight {
+        for (from, to, message) in &cluster.in_flight {
             events.push(Event::Deliver(*from, *to, message.clone()));
             events.push(Event::Drop(*from, *to, message.clone()));
         }
     }
 
-    fn next_state(&self, world: &World, event: Event) -> Option<World> {
-        let mut world = world.clone();
+    fn next_state(&self, cluster: &ClusterState, event: Event) -> Option<ClusterState> {
+        let mut cluster = cluster.clone();
         let mut effects = Effects::default();
         let member = match event {
             Event::ElectionTimeout(member) => {
-                world.members[member].election_timeout(&mut effects);
+                cluster.members[member].election_timeout(&mut effects);
                 member
             }
             Event::Heartbeat(member) => {
-                world.members[member].heartbeat(&mut effects);
+                cluster.members[member].heartbeat(&mut effects);
                 member
             }
             Event::Propose(member) => {
-                world.proposed += 1;
-                world.members[member].propose(world.proposed, &mut effects)?;
-                world.members[member].replicate(&mut effects);
+                cluster.proposed += 1;
+                cluster.members[member].propose(cluster.proposed, &mut effects)?;
+                cluster.members[member].replicate(&mut effects);
                 member
             }
             Event::Restart(member) => {
-                world.crashes += 1;
-                world.members[member].restart();
+                cluster.crashes += 1;
+                cluster.members[member].restart();
                 member
             }
             Event::Deliver(from, to, message) => {
-                world.in_flight.remove(&(from, to, message.clone()));
+                cluster.in_flight.remove(&(from, to, message.clone()));
                 let member = to as usize - 1;
-                world.members[member].step(from, message, &mut effects);
+                cluster.members[member].step(from, message, &mut effects);
                 member
             }
             Event::Drop(from, to, message) => {
-                world.in_flight.remove(&(from, to, message));
-                return Some(world);
+                cluster.in_flight.remove(&(from, to, message));
+                return Some(cluster);
             }
         };
-        world.execute(member, effects);
-        Some(world)
+        cluster.execute(member, effects);
+        Some(cluster)
     }
 
     fn properties(&self) -> Vec<Property<ClusterModel>> {
         vec![
-            Property::always("one leader a term, one history", |_, world: &World| world.violation.is_none()),
-            Property::always("logs that agree at an index agree before it", |_, world: &World| {
-                let pairs = world.members.iter().flat_map(|a| world.members.iter().map(move |b| (a, b)));
-                pairs.into_iter().all(|(a, b)| {
-                    let shared = (1..=a.last_position().index.min(b.last_position().index)).rev();
-                    let same_term = |index: &u64| {
-                        a.entry(*index).map(|entry| entry.term) == b.entry(*index).map(|entry| entry.term)
-                    };
-                    let mut agreeing = shared.skip_while(|index| !same_term(index));
-                    agreeing.all(|index| a.entry(index) == b.entry(index))
-                })
+            Property::always(
+                "one leader per term, and one entry per committed index",
+                |_, cluster: &ClusterState| cluster.violation.is_none(),
+            ),
+            Property::always(
+                "logs with the same term at an index have the same entries before it",
+                |_, cluster: &ClusterState| {
+                    let pairs =
+                        cluster.members.iter().flat_map(|a| cluster.members.iter().map(move |b| (a, b)));
+                    pairs.into_iter().all(|(a, b)| {
+                        let shared = (1..=a.last_position().index.min(b.last_position().index)).rev();
+                        let same_term = |index: &u64| {
+                            a.entry(*index).map(|entry| entry.term) == b.entry(*index).map(|entry| entry.term)
+                        };
+                        let mut agreeing = shared.skip_while(|index| !same_term(index));
+                        agreeing.all(|index| a.entry(index) == b.entry(index))
+                    })
+                },
+            ),
+            Property::sometimes("a command is committed", |_, cluster: &ClusterState| {
+                cluster.committed.values().any(|entry| entry.command.is_some())
             }),
-            Property::sometimes("a command is agreed on", |_, world: &World| {
-                world.committed.values().any(|entry| entry.command.is_some())
+            Property::sometimes("two terms have had a leader", |_, cluster: &ClusterState| {
+                cluster.leaders.len() > 1
             }),
-            Property::sometimes("two terms have led", |_, world: &World| world.leaders.len() > 1),
         ]
     }
 
-    fn within_boundary(&self, world: &World) -> bool {
-        world.in_flight.len() <= 4
-            && world
+    fn within_boundary(&self, cluster: &ClusterState) -> bool {
+        cluster.in_flight.len() <= 4
+            && cluster
                 .members
                 .iter()
                 .all(|node| node.hard_state.term <= self.terms && node.last_position().index <= self.entries)
     }
 }
 
+/// Explores the model up to a number of states. Returns the number of unique states, whether all states were explored, and the violated
+/// properties.
 fn check(model: ClusterModel, max_states: usize) -> (usize, bool, Vec<&'static str>) {
     let checker = model.checker().threads(6).target_state_count(max_states).spawn_bfs().join();
-    let found =
-        checker.discoveries().into_keys().filter(|n| !n.contains("is agreed on") && !n.contains("two terms"));
-    (checker.unique_state_count(), checker.is_done(), found.collect())
+    let violations =
+        checker.discoveries().into_keys().filter(|n| !n.contains("is committed") && !n.contains("two terms"));
+    (checker.unique_state_count(), checker.is_done(), violations.collect())
 }
 
 const THREE_MEMBERS: ClusterModel =
@@ -215,28 +236,29 @@
 
 #[test]
 fn safety_holds_in_every_order_of_events_of_three_members() {
-    let (states, _, broken) = check(THREE_MEMBERS, 150_000);
-    assert_eq!(broken, Vec::<&str>::new());
+    let (states, _, violations) = check(THREE_MEMBERS, 150_000);
+    assert_eq!(violations, Vec::<&str>::new());
     assert!(states > 50_000, "{states}");
-    let (states, _, broken) = check(ClusterModel { crashes: 1, terms: 3, ..THREE_MEMBERS }, 150_000);
-    assert_eq!(broken, Vec::<&str>::new());
+    let (states, _, violations) = check(ClusterModel { crashes: 1, terms: 3, ..THREE_MEMBERS }, 150_000);
+    assert_eq!(violations, Vec::<&str>::new());
     assert!(states > 50_000, "{states}");
 }
 
 #[test]
 fn safety_holds_for_one_and_two_members() {
     for members in [1, 2] {
-        let (states, is_done, broken) = check(ClusterModel { members, crashes: 1, ..THREE_MEMBERS }, 400_000);
-        assert_eq!((is_done, broken), (true, vec![]), "{members}: {states}");
+        let (states, is_done, violations) =
+            check(ClusterModel { members, crashes: 1, ..THREE_MEMBERS }, 400_000);
+        assert_eq!((is_done, violations), (true, vec![]), "{members}: {states}");
     }
 }
 
-/// The checks detect injected faults.
+/// Guards against checks that pass whatever the implementation does.
 #[test]
 fn injected_faults_are_detected() {
     let votes_blindly = ClusterModel { fault: Fault::VotesBlindly, commands: 0, ..THREE_MEMBERS };
-    let (_, _, broken) = check(votes_blindly, 400_000);
-    assert!(!broken.is_empty(), "blind votes");
+    let (_, _, violations) = check(votes_blindly, 400_000);
+    assert!(!violations.is_empty(), "votes for candidates whose log is not up to date were not detected");
     let forgets = ClusterModel {
         fault: Fault::ForgetsVote,
         crashes: 1,
@@ -245,26 +267,26 @@
         commands: 0,
         ..THREE_MEMBERS
     };
-    let (_, _, broken) = check(forgets, 400_000);
-    assert!(!broken.is_empty(), "a forgotten vote");
+    let (_, _, violations) = check(forgets, 400_000);
+    assert!(!violations.is_empty(), "a vote that was lost in a restart was not detected");
 }
 
-/// Where a random walk ended.
+/// The result of a random walk.
 struct Walk {
     violation: Option<&'static str>,
     /// Number of committed entries.
     committed: usize,
 }
 
-/// A random walk through a larger cluster: more terms, more commands, crashes, and reordered messages.
+/// Walks at random through the states of a larger model: more terms, more commands, crashes, and reordered messages.
 fn random_walk(fault: Fault, seed: u64) -> Walk {
     use rand::{Rng, SeedableRng};
     let model = ClusterModel { members: 3, terms: 40, entries: 60, commands: 40, crashes: 20, fault };
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-    let mut world = model.init_states().remove(0);
+    let mut cluster = model.init_states().remove(0);
     for _ in 0..1500 {
         let mut events = vec![];
-        model.actions(&world, &mut events);
+        model.actions(&cluster, &mut events);
         // Timeouts and crashes are rare; fewer messages are lost than delivered.
         events.retain(|event| match event {
             Event::ElectionTimeout(_) => rng.gen_bool(0.05),
@@ -276,15 +298,15 @@
             continue;
         }
         let event = events.swap_remove(rng.gen_range(0..events.len()));
-        world = model.next_state(&world, event).unwrap_or(world);
-        // Now and then a member takes a snapshot and compacts its log.
+        cluster = model.next_state(&cluster, event).unwrap_or(cluster);
+        // Occasionally a member takes a snapshot and compacts its log.
         if rng.gen_bool(0.02) {
             let member = rng.gen_range(0..3);
-            let commit = world.members[member].commit_index;
-            world.members[member].compact(commit);
+            let commit = cluster.members[member].commit_index;
+            cluster.members[member].compact(commit);
         }
     }
-    Walk { violation: world.violation, committed: world.committed.len() }
+    Walk { violation: cluster.violation, committed: cluster.committed.len() }
 }
 
 #[test]
@@ -305,8 +327,9 @@
     }
 }
 
-/// Regression test: each response of a follower reset `next_index` to what that response covered, so that all entries in flight
-/// were sent again. With hundreds of pending calls two members answered 2,400 calls a second, and three let the calls time out.
+/// Guards against entries that are sent twice: each response of a follower reset `next_index` to the index after the entries that it
+/// acknowledged, so that all entries in flight were sent again. With hundreds of pending calls two members answered 2,400 calls per
+/// second, and with three members the calls timed out.
 #[test]
 fn entries_in_flight_are_not_sent_again() {
     let ids = [1, 2, 3];
@@ -320,17 +343,17 @@
         leader.propose(command, &mut effects);
         leader.replicate(&mut effects);
     }
-    // Delivers every message of the leader to the follower and every response to the leader, until none is left.
+    // Delivers the leader's messages to the follower and the responses to the leader, until no message is in flight.
     let mut sent = 0;
     let mut in_flight: std::collections::VecDeque<_> = effects.messages.into();
     while let Some(OutgoingMessage { to, message }) = in_flight.pop_front() {
         let (Message::AppendEntries { entries, .. }, 2) = (&message, to) else { continue };
         sent += entries.len();
         let mut responses = Effects::default();
-        let mut more = Effects::default();
+        let mut further = Effects::default();
         follower.step(1, message, &mut responses);
-        responses.messages.into_iter().for_each(|response| leader.step(2, response.message, &mut more));
-        in_flight.extend(more.messages);
+        responses.messages.into_iter().for_each(|response| leader.step(2, response.message, &mut further));
+        in_flight.extend(further.messages);
     }
     assert_eq!(
         (sent, follower.last_position(), leader.commit_index),
--- a/counter/tests/help/mod.rs
+++ b/counter/tests/help/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures that the tests of the counter share; each test file uses a part of them.
+//! Shared fixtures of the counter's tests; each test file uses some of them.
 #![allow(dead_code)]
 use quillramp_counter::disk::{Directory, MemoryDisk};
 use quillramp_counter::log::{Entry, Log};
@@ -19,7 +19,7 @@
 }
 
 pub fn log(disk: MemoryDisk) -> Log<MemoryDisk> {
-    Log::open::<quillramp_counter::totals::Totals, Add>(disk).expect("it opens").0
+    Log::open::<quillramp_counter::totals::Totals, Add>(disk).expect("the log opens").0
 }
 
 pub fn directory(name: &str) -> PathBuf {
@@ -28,18 +28,18 @@
     directory
 }
 
-/// The outcome of a call as its client sees it.
+/// The outcome of a call, as the client observes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Committed; the total after it.
+    /// The amount was committed; holds the total after it.
     Total(f64),
-    /// Nothing was added.
-    Nothing,
-    /// The connection ended without a response.
+    /// The call was rejected, or not sent because the member refused the connection: nothing was added.
+    NotAdded,
+    /// The connection ended without a valid response: the amount may have been added.
     Unknown,
 }
 
-/// A client with one connection, which it opens again after it ended.
+/// A client with one connection, which it opens again after an error.
 pub struct Client {
     address: SocketAddr,
     connection: Option<(TcpStream, BufReader<TcpStream>)>,
@@ -51,24 +51,24 @@
     }
 
     pub fn add(&mut self, name: &str, amount: f64) -> Outcome {
-        self.raw(&format!(
+        self.call(&format!(
             "POST /counters/{name}?by={amount}&expire_ms=60000 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
         ))
     }
 
-    pub fn raw(&mut self, call: &str) -> Outcome {
+    pub fn call(&mut self, request: &str) -> Outcome {
         if self.connection.is_none() {
             let Ok(stream) = TcpStream::connect_timeout(&self.address, Duration::from_millis(200)) else {
-                return Outcome::Nothing;
+                return Outcome::NotAdded;
             };
-            stream.set_nodelay(true).expect("a socket");
-            stream.set_read_timeout(Some(Duration::from_secs(3))).expect("a socket");
-            let reader = BufReader::new(stream.try_clone().expect("a second handle"));
+            stream.set_nodelay(true).expect("the socket option is set");
+            stream.set_read_timeout(Some(Duration::from_secs(3))).expect("the socket option is set");
+            let reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
             self.connection = Some((stream, reader));
         }
-        let (stream, reader) = self.connection.as_mut().expect("just made");
+        let (stream, reader) = self.connection.as_mut().expect("the connection has been opened");
         let outcome = stream
-            .write_all(call.as_bytes())
+            .write_all(request.as_bytes())
             .and_then(|()| read_response(reader))
             .unwrap_or(Outcome::Unknown);
         if outcome == Outcome::Unknown {
@@ -100,12 +100,12 @@
     let total = String::from_utf8_lossy(&body).parse().ok();
     Ok(match (status, total) {
         (200, Some(total)) => Outcome::Total(total),
-        (503 | 400, _) => Outcome::Nothing,
+        (503 | 400, _) => Outcome::NotAdded,
         _ => Outcome::Unknown,
     })
 }
 
-/// Members on loopback, each with a directory of its own.
+/// Members on loopback, each with a separate directory.
 pub struct Cluster {
     /// Peer address of each member.
     pub peer_addresses: BTreeMap<u64, SocketAddr>,
@@ -116,23 +116,23 @@
 }
 
 impl Cluster {
-    pub fn start(name: &str, number: u64) -> Cluster {
+    pub fn start(name: &str, members: u64) -> Cluster {
         let mut peer_addresses = BTreeMap::new();
         let mut client_addresses = BTreeMap::new();
         let mut reserved = vec![];
-        for id in 1..=number {
-            let for_peers = any_port();
-            let for_clients = any_port();
-            peer_addresses.insert(id, for_peers.local_addr().expect("an address"));
-            client_addresses.insert(id, for_clients.local_addr().expect("an address"));
-            // All ports are reserved until each member has its own.
-            reserved.push((for_peers, for_clients));
+        for id in 1..=members {
+            let peer_listener = bind_any_port();
+            let client_listener = bind_any_port();
+            peer_addresses.insert(id, peer_listener.local_addr().expect("the listener has an address"));
+            client_addresses.insert(id, client_listener.local_addr().expect("the listener has an address"));
+            // Keep all ports bound until each member has been assigned different ones.
+            reserved.push((peer_listener, client_listener));
         }
         drop(reserved);
         let mut cluster =
             Cluster { peer_addresses, client_addresses, servers: BTreeMap::new(), name: name.into() };
-        (1..=number).for_each(|id| drop(std::fs::remove_dir_all(cluster.directory(id))));
-        (1..=number).for_each(|id| cluster.start_member(id));
+        (1..=members).for_each(|id| drop(std::fs::remove_dir_all(cluster.directory(id))));
+        (1..=members).for_each(|id| cluster.start_member(id));
         cluster
     }
 
@@ -146,10 +146,11 @@
             client_address: self.client_addresses[&id],
             peer_addresses: self.peer_addresses.clone(),
         };
-        let disk = Directory::new(&self.directory(id)).expect("a directory");
+        let disk = Directory::new(&self.directory(id)).expect("the directory can be opened");
         let listeners =
             Listeners { clients: bind(self.client_addresses[&id]), peers: bind(self.peer_addresses[&id]) };
-        let server = Server::start(disk, config, Timing::default(), listeners, 7 * id).expect("it starts");
+        let server =
+            Server::start(disk, config, Timing::default(), listeners, 7 * id).expect("the member starts");
         self.servers.insert(id, server);
     }
 
@@ -164,12 +165,15 @@
     /// Waits until a call at a member is answered with a total.
     pub fn wait_until_ready(&self, id: u64) -> f64 {
         let mut client = self.client(id);
-        let began = Instant::now();
+        let start = Instant::now();
         loop {
             if let Outcome::Total(total) = client.add("ready", 0.0) {
                 return total;
             }
-            assert!(began.elapsed() < Duration::from_secs(15), "member {id} answers no call");
+            assert!(
+                start.elapsed() < Duration::from_secs(15),
+                "member {id} answered no call with a total for 15 s"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -182,16 +186,16 @@
     }
 }
 
-fn any_port() -> TcpListener {
+fn bind_any_port() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
 fn bind(address: SocketAddr) -> TcpListener {
-    let began = Instant::now();
+    let start = Instant::now();
     loop {
         match TcpListener::bind(address) {
             Ok(listener) => return listener,
-            Err(error) => assert!(began.elapsed() < Duration::from_secs(10), "{address}: {error}"),
+            Err(error) => assert!(start.elapsed() < Duration::from_secs(10), "{address}: {error}"),
         }
         std::thread::sleep(Duration::from_millis(10));
     }
--- a/counter/tests/service.rs
+++ b/counter/tests/service.rs
@@ -1,4 +1,4 @@
-//! Real members on loopback: ordered calls, leaders killed under load, a lost majority, and the inspection of files.
+//! Members on loopback: totals over restarts, leaders that are stopped under load, a lost quorum, and the inspection of files.
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{scope, sleep};
@@ -36,35 +36,40 @@
         "POST /other HTTP/1.1\r\n\r\n",
         "POST /counters/x?by=nan&expire_ms=5 HTTP/1.1\r\n\r\n",
     ] {
-        assert_eq!(client.raw(bad), Outcome::Nothing, "{bad}");
+        assert_eq!(client.call(bad), Outcome::NotAdded, "{bad}");
     }
-    assert_eq!(client.raw("no http at all\r\n\r\n"), Outcome::Unknown, "its connection ends");
+    assert_eq!(
+        client.call("no http at all\r\n\r\n"),
+        Outcome::Unknown,
+        "the connection of an invalid request ends"
+    );
     cluster.stop_member(1);
     cluster.start_member(1);
     cluster.wait_until_ready(1);
     assert_eq!(cluster.client(1).add("x", 0.0), Outcome::Total(1.5));
 }
 
-/// The total is the sum of all acknowledged calls and of some whose outcome is unknown; no call is counted twice, whoever leads.
+/// The total is the sum of all acknowledged calls and of some calls whose outcome is unknown. No call is counted twice, whichever member
+/// is the leader.
 #[test]
 fn no_acknowledged_call_is_lost_or_doubled_while_leaders_fail() {
     let mut cluster = Cluster::start("killed", 3);
     cluster.wait_until_ready(1);
-    let is_over = AtomicBool::new(false);
+    let is_finished = AtomicBool::new(false);
     let client_addresses: Vec<_> = cluster.client_addresses.values().copied().collect();
     let CallCounts { acknowledged, unknown } = scope(|scope| {
         let clients: Vec<_> = client_addresses
             .iter()
             .map(|address| {
-                let is_over = &is_over;
+                let is_finished = &is_finished;
                 scope.spawn(move || {
                     let mut client = help::Client::new(*address);
                     let mut counts = CallCounts::default();
-                    while !is_over.load(Ordering::Relaxed) {
+                    while !is_finished.load(Ordering::Relaxed) {
                         match client.add("x", 1.0) {
                             Outcome::Total(_) => counts.acknowledged += 1.0,
                             Outcome::Unknown => counts.unknown += 1.0,
-                            Outcome::Nothing => sleep(Duration::from_millis(2)),
+                            Outcome::NotAdded => sleep(Duration::from_millis(2)),
                         }
                     }
                     counts
@@ -79,19 +84,19 @@
             cluster.start_member(id);
         }
         sleep(Duration::from_millis(300));
-        is_over.store(true, Ordering::Relaxed);
+        is_finished.store(true, Ordering::Relaxed);
         clients
             .into_iter()
-            .map(|client| client.join().expect("a caller"))
+            .map(|client| client.join().expect("the client does not panic"))
             .fold(CallCounts::default(), CallCounts::plus)
     });
     cluster.wait_until_ready(2);
     let Outcome::Total(total) = cluster.client(2).add("x", 0.0) else { panic!("no total") };
     assert!(
         total >= acknowledged && total <= acknowledged + unknown,
-        "{total}: {acknowledged} answered, {unknown} unknown"
+        "total {total}: {acknowledged} calls acknowledged, {unknown} with an unknown outcome"
     );
-    assert!(acknowledged > 300.0, "{acknowledged}");
+    assert!(acknowledged > 300.0, "expected more than 300 acknowledged calls, found {acknowledged}");
     for id in 1..=3 {
         cluster.wait_until_ready(id);
     }
@@ -106,37 +111,41 @@
     cluster.stop_member(2);
     cluster.stop_member(3);
     // The remaining member detects that it has lost its quorum.
-    let began = Instant::now();
+    let start = Instant::now();
     let mut client = cluster.client(1);
-    while client.add("x", 1.0) != Outcome::Nothing {
-        assert!(began.elapsed() < Duration::from_secs(10), "it goes on granting");
+    while client.add("x", 1.0) != Outcome::NotAdded {
+        assert!(
+            start.elapsed() < Duration::from_secs(10),
+            "calls are not rejected 10 s after the loss of the quorum"
+        );
     }
-    let began = Instant::now();
-    assert!((0..20).all(|_| client.add("x", 1.0) == Outcome::Nothing));
-    assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
+    let start = Instant::now();
+    assert!((0..20).all(|_| client.add("x", 1.0) == Outcome::NotAdded));
+    assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
     cluster.start_member(2);
     cluster.wait_until_ready(1);
-    // What was proposed without a majority may be committed by now or not; all members agree on it.
+    // Calls that were proposed without a quorum may have been committed since. All members have the same total.
     let Outcome::Total(total) = cluster.client(1).add("x", 0.0) else { panic!("no total") };
     assert_eq!(cluster.client(2).add("x", 0.0), Outcome::Total(total));
 }
 
-/// How the program ended.
-struct Ended {
+/// Exit code and output of the program.
+struct ProgramOutput {
     code: Option<i32>,
-    /// What it wrote, standard output first.
+    /// Standard output, followed by standard error.
     text: String,
 }
 
-fn run(arguments: &[&str]) -> Ended {
+/// Runs the program until it exits.
+fn run(arguments: &[&str]) -> ProgramOutput {
     let program = env!("CARGO_BIN_EXE_quillramp-counter");
-    let output = Command::new(program).args(arguments).output().expect("it starts");
+    let output = Command::new(program).args(arguments).output().expect("the program starts");
     let text =
         String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
-    Ended { code: output.status.code(), text }
+    ProgramOutput { code: output.status.code(), text }
 }
 
-/// A cluster of one member, which has stopped after twenty totals `n0` to `n19` were added to.
+/// A cluster of one member that is stopped after calls for the twenty totals `n0` to `n19`.
 fn stopped_cluster(name: &str) -> Cluster {
     let mut cluster = Cluster::start(name, 1);
     cluster.wait_until_ready(1);
@@ -152,10 +161,10 @@
 fn files_are_verified_and_shown() {
     let cluster = stopped_cluster("looked-at");
     let directory = cluster.directory(1).to_string_lossy().into_owned();
-    let Ended { code, text } = run(&["verify", &directory]);
+    let ProgramOutput { code, text } = run(&["verify", &directory]);
     assert_eq!(code, Some(0), "{text}");
     assert!(text.contains("all checksums fit") && text.contains("21 names"), "{text}");
-    let Ended { text, .. } = run(&["show", &directory, "--names"]);
+    let ProgramOutput { text, .. } = run(&["show", &directory, "--names"]);
     assert!(text.contains("\nn7 7\n"), "{text}");
 }
 
@@ -167,7 +176,7 @@
     let mut bytes = std::fs::read(&file).expect("readable");
     bytes[60] ^= 4;
     std::fs::write(&file, bytes).expect("written");
-    let Ended { code, text } = run(&["verify", &directory]);
+    let ProgramOutput { code, text } = run(&["verify", &directory]);
     assert!(code == Some(1) && text.contains("damaged at byte"), "{text}");
     assert_eq!(run(&["verify", "/nowhere"]).code, Some(1));
 }
@@ -178,6 +187,6 @@
     let cluster = stopped_cluster("no-such-member");
     let directory = cluster.directory(1).to_string_lossy().into_owned();
     let options = ["--listen", "127.0.0.1:0", "--data", &directory, "--id", "4", "--member", "1=127.0.0.1:1"];
-    let Ended { code, text } = run(&[&["serve"], &options[..]].concat());
+    let ProgramOutput { code, text } = run(&[&["serve"], &options[..]].concat());
     assert!(code == Some(1) && text.contains("no --member has it"), "{text}");
 }
