--- a/counter/examples/measure.rs
+++ b/counter/examples/measure.rs
@@ -160,7 +160,7 @@
     }
     let snapshot = Snapshot { last_included: LogPosition { index: NAMES as u64, term: 1 }, state };
     let start = Instant::now();
-    log.snapshot::<Totals, Add>(&snapshot, HardState::default(), &[]).expect("the snapshot is written");
+    log.snapshot::<Totals, Add>(&snapshot, HardState::default(), &[]).expect("written");
     println!("\nwrote a snapshot of {NAMES} names in {:.2} s", start.elapsed().as_secs_f64());
     drop(log);
     let start = Instant::now();
