--- a/load/src/fleet/mod.rs
+++ b/load/src/fleet/mod.rs
@@ -189,10 +189,10 @@
 
     /// Returns the usage of all instances; processes that faults have ended are included in the processor time.
     pub fn usage(&self) -> FleetUsage {
-        let of = |instance: &Mutex<InstanceProcess>| {
+        let instance_usage = |instance: &Mutex<InstanceProcess>| {
             lock(instance).process.as_ref().map_or(FleetUsage::default(), |p| process::usage(p.id()))
         };
-        let all: Vec<FleetUsage> = self.instances.iter().map(of).collect();
+        let all: Vec<FleetUsage> = self.instances.iter().map(instance_usage).collect();
         let processor_seconds =
             *lock(&self.ended_processor_seconds) + all.iter().map(|u| u.processor_seconds).sum::<f64>();
         FleetUsage { processor_seconds, memory_mib: all.iter().map(|u| u.memory_mib).sum() }
--- a/load/src/results/figures.rs
+++ b/load/src/results/figures.rs
@@ -95,7 +95,8 @@
     let run_rows: Vec<&RequestRow> = rows.iter().filter(is_of_run).collect();
     let requests = run_rows.len().max(1) as f64;
     let instances = run.instances.max(1) as f64;
-    let fraction = |of: Outcome| run_rows.iter().filter(|row| row.outcome == of).count() as f64 / requests;
+    let fraction =
+        |outcome: Outcome| run_rows.iter().filter(|row| row.outcome == outcome).count() as f64 / requests;
     let mut latencies = histogram();
     let mut send_delays = histogram();
     for row in &run_rows {
--- a/load/src/results/mod.rs
+++ b/load/src/results/mod.rs
@@ -18,7 +18,7 @@
 use std::path::{Path, PathBuf};
 use summary::INTERRUPTED_MARK;
 
-/// The results of a session: of all its runs so far.
+/// The results of a session, with all runs made so far.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     /// A row for each run.
--- a/load/src/results/summary.rs
+++ b/load/src/results/summary.rs
@@ -79,11 +79,11 @@
 /// Writes the rows with sums over the runs of each variant.
 fn write_sums(text: &mut String, all: &[VariantFigures], runs: &[RunSummary]) {
     let sum = |value: &dyn Fn(&RunSummary) -> u64| {
-        let of = |variant: &VariantFigures| {
+        let variant_sum = |variant: &VariantFigures| {
             let variant_runs = runs.iter().filter(|run| run.variant == variant.name);
             variant_runs.map(value).sum::<u64>().to_string()
         };
-        all.iter().map(of).collect::<Vec<_>>().join(" | ")
+        all.iter().map(variant_sum).collect::<Vec<_>>().join(" | ")
     };
     let _ = writeln!(text, "| runs | {} |", sum(&|_| 1));
     let _ = writeln!(text, "| requests | {} |", sum(&|run| run.sent));
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Interval at which the injector checks whether the next fault step is due.
-const FAULT_POLL: Duration = Duration::from_millis(2);
+const FAULT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A row of `plays.csv`: the totals of one run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -165,7 +165,7 @@
                 if finished.load(Ordering::Relaxed) {
                     return;
                 }
-                sleep(FAULT_POLL);
+                sleep(FAULT_POLL_INTERVAL);
             }
             match step.kind {
                 FaultKind::Kill
--- a/load/src/test_bed/backend.rs
+++ b/load/src/test_bed/backend.rs
@@ -49,7 +49,7 @@
     let mut listener = Some(listener);
     let process_ended = Arc::new(AtomicBool::new(false));
     loop {
-        if test_bed.finished() {
+        if test_bed.is_finished() {
             return Ok(());
         }
         let Some(open) = listener.take() else {
@@ -107,7 +107,7 @@
         let mut reader = BufReader::new(stream.try_clone()?);
         while let Some(words) = command(&mut reader)? {
             // Wait while the machine is unresponsive; its connections end when a new process starts.
-            while self.test_bed.condition(self.index).unresponsive && !self.test_bed.finished() {
+            while self.test_bed.condition(self.index).unresponsive && !self.test_bed.is_finished() {
                 sleep(POLL_INTERVAL);
             }
             if self.process_number() != process_number {
--- a/load/src/test_bed/counter.rs
+++ b/load/src/test_bed/counter.rs
@@ -41,7 +41,7 @@
         if condition.down {
             return Ok(());
         }
-        while lock(&test_bed.counter_condition).unresponsive && !test_bed.finished() {
+        while lock(&test_bed.counter_condition).unresponsive && !test_bed.is_finished() {
             sleep(POLL_INTERVAL);
         }
         sleep(Duration::from_secs_f64(condition.delay_seconds));
--- a/load/src/test_bed/mod.rs
+++ b/load/src/test_bed/mod.rs
@@ -79,7 +79,7 @@
     }
 
     /// Whether the run is over.
-    pub fn finished(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.finished.load(Ordering::Relaxed)
     }
 
@@ -123,7 +123,7 @@
         let seconds = units * self.world.service_time * condition.work_factor
             / fault_schedule::warm_capacity(&self.world, age);
         let work = Duration::from_secs_f64(seconds.min(MAX_WORK_SECONDS));
-        let drawn = self.random(backend);
+        let random = self.random(backend);
         let mut cumulative = 0.0;
         let outcomes = [
             (condition.rejected_fraction, BackendOutcome::Reject),
@@ -133,7 +133,7 @@
         ];
         for (fraction, outcome) in outcomes {
             cumulative += fraction;
-            if drawn < cumulative {
+            if random < cumulative {
                 return outcome;
             }
         }
