--- a/load/src/results/summary.rs
+++ b/load/src/results/summary.rs
@@ -1,16 +1,17 @@
-//! The summary of a session: median and spread of each figure by variant, and each variant against the first one.
+//! Summarizes a session in Markdown: the median and the spread of each figure by variant, and comparisons of the variants with the first
+//! one.
 use super::comparison::section;
 use super::figures::{by_variant, VariantFigures, FIGURES};
 use super::Session;
 use crate::run::RunSummary;
 use std::fmt::Write;
 
-/// Marks the summary of a session that is not complete; a session that is read back is told by it.
-pub(super) const INTERRUPTED: &str = "Interrupted";
-/// Lateness of the generator from which the summary warns, milliseconds.
-const LATE_WARNING: f64 = 5.0;
+/// Word in the summary of an incomplete session; a session that is read back counts as incomplete if its summary has it.
+pub(super) const INTERRUPTED_MARK: &str = "Interrupted";
+/// Delay of the generator above which the summary has a warning, milliseconds.
+const SEND_DELAY_WARNING_MS: f64 = 5.0;
 
-/// The middle of some values, and how far the least and the greatest lie apart.
+/// The median of some values, and the difference between the maximum and the minimum.
 struct MedianSpread {
     median: f64,
     spread: f64,
@@ -30,28 +31,32 @@
     }
 }
 
-/// The summary as Markdown.
+/// Returns the summary of a session as Markdown.
 pub fn summary(session: &Session) -> String {
     let all = by_variant(&session.runs, &session.rows);
     let mut text = String::from(
-        "# Results of quillramp-load\n\nMeasured with stand-in servers on one machine: compare them only with other results of this program.\n\n",
+        "# Results of quillramp-load\n\nMeasured with stand-in servers on one machine. Compare these results only with other results of this program.\n\n",
     );
     if !session.complete {
-        let _ = writeln!(text, "**{INTERRUPTED}: the runs made until then.**\n");
+        let _ = writeln!(text, "**{INTERRUPTED_MARK}: not all runs were made; the results are those of the runs before the interruption.**\n");
     }
     write_figures(&mut text, &all);
     write_sums(&mut text, &all, &session.runs);
     if let Some((first, others)) = all.split_first() {
         others.iter().for_each(|other| text += &section(first, other));
     }
-    let latest = all.iter().flat_map(|variant| &variant.runs).map(|figures| figures.late).fold(0.0, f64::max);
-    if latest > LATE_WARNING {
-        let _ = writeln!(text, "\nThe generator was late by up to {latest:.1} ms (99th percentile of a run): it has too few cores.");
+    let max_send_delay_ms = all
+        .iter()
+        .flat_map(|variant| &variant.runs)
+        .map(|figures| figures.send_delay_p99_ms)
+        .fold(0.0, f64::max);
+    if max_send_delay_ms > SEND_DELAY_WARNING_MS {
+        let _ = writeln!(text, "\nThe generator sent requests up to {max_send_delay_ms:.1} ms late (99th percentile of a run): it has too few processor cores.");
     }
     text
 }
 
-/// The head of the table, and a line for each figure.
+/// Writes the header of the table and a row for each figure.
 fn write_figures(text: &mut String, all: &[VariantFigures]) {
     let names: Vec<&str> = all.iter().map(|variant| variant.name).collect();
     let _ = writeln!(
@@ -71,18 +76,18 @@
     }
 }
 
-/// The lines that sum up the runs of each variant.
+/// Writes the rows with sums over the runs of each variant.
 fn write_sums(text: &mut String, all: &[VariantFigures], runs: &[RunSummary]) {
     let sum = |value: &dyn Fn(&RunSummary) -> u64| {
-        let of = |variant: &VariantFigures| {
+        let variant_sum = |variant: &VariantFigures| {
             let variant_runs = runs.iter().filter(|run| run.variant == variant.name);
             variant_runs.map(value).sum::<u64>().to_string()
         };
-        all.iter().map(of).collect::<Vec<_>>().join(" | ")
+        all.iter().map(variant_sum).collect::<Vec<_>>().join(" | ")
     };
     let _ = writeln!(text, "| runs | {} |", sum(&|_| 1));
     let _ = writeln!(text, "| requests | {} |", sum(&|run| run.sent));
     let _ = writeln!(text, "| counter calls | {} |", sum(&|run| run.counter_calls));
     let _ = writeln!(text, "| effects twice | {} |", sum(&|run| run.duplicates));
-    let _ = writeln!(text, "| instances that crashed | {} |", sum(&|run| run.died as u64));
+    let _ = writeln!(text, "| instances that crashed | {} |", sum(&|run| run.crashed as u64));
 }
--- a/load/src/test_bed/condition.rs
+++ b/load/src/test_bed/condition.rs
@@ -1,29 +1,29 @@
-//! What faults have made of a backend and of the counter.
+//! The condition of backends and counters under faults, and the outcomes that it leads to.
 use std::time::Duration;
 
-/// A backend at one time.
+/// The condition of a backend at one time.
 #[derive(Clone, Debug)]
 pub struct BackendCondition {
-    /// Its process is gone: connections are refused.
+    /// Whether the process has ended, so that connections are refused.
     pub down: bool,
-    /// It is unresponsive: it reads nothing and writes nothing.
+    /// Whether the machine is unresponsive: connections stay open, and nothing is read or written.
     pub unresponsive: bool,
-    /// Factor on the time of its work.
-    pub slow: f64,
-    /// Fraction of requests that are executed and not answered.
-    pub swallow: f64,
+    /// Factor on the service time.
+    pub work_factor: f64,
+    /// Fraction of requests that are executed and left unanswered.
+    pub unanswered_fraction: f64,
     /// Fraction of requests that are answered with a malformed reply.
-    pub malformed: f64,
-    /// Fraction of requests that fail.
-    pub fail: f64,
-    /// Fraction of requests that are rejected.
-    pub reject: f64,
-    /// It is draining: all requests are rejected.
+    pub malformed_fraction: f64,
+    /// Fraction of requests that are executed and answered with an error.
+    pub failed_fraction: f64,
+    /// Fraction of requests that are rejected without execution.
+    pub rejected_fraction: f64,
+    /// Whether the backend is draining, so that all requests are rejected.
     pub draining: bool,
-    /// When it last started, seconds since the start of the run; none if long before.
-    pub started: Option<f64>,
-    /// Counts its processes; a connection of an earlier one is over.
-    pub process: u64,
+    /// Last start of the process, seconds since the start of the run; `None` for the initial process, which has warmed up.
+    pub started_at: Option<f64>,
+    /// Number of the backend's process. A connection ends when it belongs to an earlier process.
+    pub process_number: u64,
 }
 
 impl Default for BackendCondition {
@@ -31,46 +31,46 @@
         BackendCondition {
             down: false,
             unresponsive: false,
-            slow: 1.0,
-            swallow: 0.0,
-            malformed: 0.0,
-            fail: 0.0,
-            reject: 0.0,
+            work_factor: 1.0,
+            unanswered_fraction: 0.0,
+            malformed_fraction: 0.0,
+            failed_fraction: 0.0,
+            rejected_fraction: 0.0,
             draining: false,
-            started: None,
-            process: 0,
+            started_at: None,
+            process_number: 0,
         }
     }
 }
 
-/// The counter at one time.
+/// The condition of the counters at one time.
 #[derive(Clone, Debug, Default)]
 pub struct CounterCondition {
-    /// Connections end at once.
+    /// Whether the counters are down, so that connections end at once.
     pub down: bool,
-    /// It is unresponsive.
+    /// Whether the counters are unresponsive, so that calls wait until the fault ends.
     pub unresponsive: bool,
-    /// Seconds to an answer.
-    pub delay: f64,
-    /// Fraction of calls that are added and not answered.
-    pub unanswered: f64,
+    /// Delay of each answer, seconds.
+    pub delay_seconds: f64,
+    /// Fraction of calls that are added to the total and left unanswered.
+    pub unanswered_fraction: f64,
     /// Fraction of calls that are rejected.
-    pub reject: f64,
-    /// Every other instance reaches a second set of counts.
+    pub rejected_fraction: f64,
+    /// Whether the second counter uses a separate set of totals. Instances with an odd index use that counter.
     pub split: bool,
 }
 
-/// The outcome of one request at a backend, with the duration of the work.
+/// The outcome of one request at a backend; the durations are those of the work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendOutcome {
     /// Executed and answered.
     Serve(Duration),
     /// Executed and not answered.
-    Swallow(Duration),
+    LeaveUnanswered(Duration),
     /// Executed and answered with a malformed reply.
     Malformed(Duration),
     /// Executed and answered with an error.
     Fail(Duration),
-    /// Not executed: the backend is busy.
+    /// Answered with BUSY and not executed.
     Reject,
 }
--- a/load/src/test_bed/discovery.rs
+++ b/load/src/test_bed/discovery.rs
@@ -1,4 +1,4 @@
-//! The list service of the test bed.
+//! Stand-in for the list service: serves the endpoint list over HTTP, as a snapshot or as a watch.
 use super::loopback::spawn_connection;
 use super::TestBed;
 use crate::example_servers::{parse_query_number, read_target};
@@ -8,7 +8,7 @@
 use std::thread::spawn;
 use std::time::Duration;
 
-/// Serves the endpoint list.
+/// Starts the list service on new threads.
 pub fn start(listener: TcpListener, test_bed: Arc<TestBed>) {
     spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -19,8 +19,8 @@
 }
 
 fn serve(mut stream: TcpStream, test_bed: &TestBed) -> Result<()> {
-    let mut from = BufReader::new(stream.try_clone()?);
-    while let Some(target) = read_target(&mut from)? {
+    let mut reader = BufReader::new(stream.try_clone()?);
+    while let Some(target) = read_target(&mut reader)? {
         let since = parse_query_number(&target, "since") as u64;
         let wait = Duration::from_millis(parse_query_number(&target, "timeout_ms") as u64);
         let answer =
--- a/load/src/usage.rs
+++ b/load/src/usage.rs
@@ -1,5 +1,5 @@
-//! What the customers used, compared with their quotas: calculated after a run from what the backends executed, by an exact token bucket
-//! for each customer.
+//! Compares the customers' usage with their quotas after a run. An exact token bucket for each customer is applied to the executions at
+//! the backends.
 use crate::generator::RunLabel;
 use crate::test_bed::{CustomerPlan, TimedUnits};
 use quillramp_emulator::deployment::gateway_settings;
@@ -9,48 +9,49 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// A row of `customers.csv`: what one customer with a quota used.
+/// A row of `customers.csv`: the usage of one customer with a quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CustomerUsage {
     /// Name of the variant.
     pub variant: String,
     /// Repetition, from 0.
     pub repetition: usize,
-    /// The customer's number.
+    /// Number of the customer.
     pub customer: u64,
-    /// The name of its plan.
+    /// Name of the customer's plan.
     pub plan: String,
-    /// Units that were executed.
+    /// Executed units.
     pub units: f64,
-    /// Units beyond its quota.
+    /// Executed units beyond the quota.
     #[serde(rename = "beyond")]
     pub beyond_quota: f64,
-    /// Units beyond its quota, as a fraction of what the quota allowed in the time.
+    /// Units beyond the quota as a fraction of the units that it allowed between the first and the last execution.
     pub overshoot: f64,
 }
 
-/// What all customers used.
-pub(crate) struct FleetQuotas {
-    /// Units of all customers.
+/// The usage of all customers.
+pub(crate) struct FleetQuotaUsage {
+    /// Executed units of all customers, those without a quota included.
     pub units: f64,
-    /// Units beyond quotas.
+    /// Executed units beyond quotas.
     pub beyond_quota: f64,
-    /// The worst customer's fraction above what its quota allowed.
+    /// Highest overshoot of a customer over any span of time, as a fraction of the units that its quota allowed in that span.
     pub worst_excess: f64,
-    /// The customers with a quota, by their numbers.
+    /// Usage of the customers with a quota, in the order of their numbers.
     pub rows: Vec<CustomerUsage>,
 }
 
-/// A plan's quota, as the settings of the instances have it.
+/// The quota of a plan in the instances' settings.
 struct Quota {
-    /// Units a second; 0: unlimited.
+    /// Units per second; 0 means unlimited.
     rate: f64,
-    /// Units at once.
+    /// Capacity of the token bucket, units.
     burst: f64,
 }
 
 impl Quota {
-    fn of(settings: &Value, plan: &str) -> Quota {
+    /// Returns the quota of the plan of this name; unlimited if the settings have no such plan.
+    fn from_settings(settings: &Value, plan: &str) -> Quota {
         let plans = settings["tariffs"].as_array();
         let plan = plans.and_then(|all| all.iter().find(|listed| listed["name"] == plan));
         let figure = |name: &str| plan.and_then(|plan| plan[name].as_f64()).unwrap_or(0.0);
@@ -58,26 +59,26 @@
     }
 }
 
-/// Compares the units executed with the quotas of the world's plans.
-pub(crate) fn against_quotas(
+/// Compares the executed units with the quotas of the deployment's plans.
+pub(crate) fn compare_with_quotas(
     world: &World,
     label: &RunLabel,
     units: &HashMap<CustomerPlan, Vec<TimedUnits>>,
-) -> FleetQuotas {
+) -> FleetQuotaUsage {
     let settings = gateway_settings(world, None);
-    let mut all = FleetQuotas { units: 0.0, beyond_quota: 0.0, worst_excess: 0.0, rows: vec![] };
+    let mut fleet_usage = FleetQuotaUsage { units: 0.0, beyond_quota: 0.0, worst_excess: 0.0, rows: vec![] };
     for (key, executed) in units {
-        let Quota { rate, burst } = Quota::of(&settings, &key.plan);
-        all.units += executed.iter().map(|units| units.units).sum::<f64>();
+        let Quota { rate, burst } = Quota::from_settings(&settings, &key.plan);
+        fleet_usage.units += executed.iter().map(|units| units.units).sum::<f64>();
         if rate <= 0.0 {
             continue;
         }
         let samples: Vec<(f64, f64)> = executed.iter().map(|units| (units.at, units.units)).collect();
         let usage = QuotaUsage::from_samples(&samples, rate, burst);
-        all.beyond_quota += usage.excess_units;
-        all.worst_excess = all.worst_excess.max(usage.worst_overshoot);
+        fleet_usage.beyond_quota += usage.excess_units;
+        fleet_usage.worst_excess = fleet_usage.worst_excess.max(usage.worst_overshoot);
         let span = usage.span();
-        all.rows.push(CustomerUsage {
+        fleet_usage.rows.push(CustomerUsage {
             variant: label.variant.clone(),
             repetition: label.repetition,
             customer: key.customer,
@@ -87,6 +88,6 @@
             overshoot: usage.excess_units / (burst + rate * span),
         });
     }
-    all.rows.sort_by_key(|row| row.customer);
-    all
+    fleet_usage.rows.sort_by_key(|row| row.customer);
+    fleet_usage
 }
