--- a/simulator-adapter/src/frame/reply.rs
+++ b/simulator-adapter/src/frame/reply.rs
@@ -4,7 +4,7 @@
 
 /// Size of the header of an action frame, in bytes.
 const HEADER_BYTES: usize = 8;
-/// Maximum duration that a field is given, in microseconds: 4,200 s, which fits in four bytes.
+/// Maximum duration that is written to a field, in microseconds: 4,200 s, which fits in four bytes.
 const MAX_MICROSECONDS: f64 = 4_200_000_000.0;
 /// Offset of the tail reference in a record without other fields.
 const TAIL_OFFSET: usize = 1;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -210,8 +210,8 @@
         self.backends.add_attempt(index, units);
     }
 
-    /// Handles a request that no backend can take now. It waits, or gets its final answer if it has waited
-    /// too long and has no attempt in flight.
+    /// Handles a request that no backend can take now. It waits, or gets its final answer if it arrived too
+    /// long ago and has no attempt in flight.
     fn wait_for_capacity(&mut self, now: f64, index: RequestIndex, context: &AttemptContext) -> Decision {
         let objective = context.latency_objective;
         if context.in_flight == 0 && context.elapsed > objective * CAPACITY_WAIT_FRACTION {
@@ -238,8 +238,8 @@
     }
 }
 
-/// Returns the zone or cell that a retry must stay in so that its idempotency key is recognized, if there is
-/// one.
+/// Returns the zone or cell that a retry must stay in so that its idempotency key is recognized, or `None` if
+/// the retry may go to any backend.
 fn affinity(idempotency: Idempotency, first_run: &Attempt) -> Option<Affinity> {
     match idempotency {
         Idempotency::Keyed { scope, .. } if scope != KeyScope::All => {
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -18,7 +18,7 @@
 pub(super) struct ConcurrencyLimit {
     /// Current limit, in units.
     pub limit: f64,
-    /// Whether more than half of the limit was in flight when a backend was last selected.
+    /// Whether more than half of the limit that applied to the last selection of a backend was in flight.
     pub over_half_used: bool,
     /// Time when the limit was last reached, in seconds.
     pub reached_at: f64,
--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -71,7 +71,7 @@
 pub(super) struct CallRequest {
     /// Amount to add, in units or permits.
     pub delta: f64,
-    /// Part of `delta` that reports units spent earlier.
+    /// Part of `delta` that reports debt: units spent earlier, less units returned.
     pub debt_repaid: f64,
     /// Purpose of the call.
     pub purpose: CallPurpose,
--- a/src/policy/counter_health.rs
+++ b/src/policy/counter_health.rs
@@ -1,7 +1,7 @@
 //! Health of the shared counter: how often it may be called, and when it counts as unresponsive.
 //!
 //! All instances together share a rate of calls. The capacity of the counter is unknown, so each instance
-//! adapts its rate: an answer raises the rate while it limits the calls, and a missed call lowers it.
+//! adapts its rate: an answer raises the rate while call tokens are short, and a missed call lowers the rate.
 use crate::state::update_fraction;
 use crate::types::{CounterSettings, PolicyLogMessage};
 
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -11,7 +11,8 @@
     /// Applies the endpoint list or changes to it. Backends that a snapshot does not list are removed.
     pub fn update_endpoints(&mut self, now: f64, is_snapshot: bool, endpoints: &[Endpoint]) {
         if self.backends.is_empty() {
-            // The first endpoint list is the first call that passes the time.
+            // `PolicyEngine::new` gets neither the number of backends nor the time, so the state that depends
+            // on them is initialized here.
             self.concurrency.reset(endpoints.len(), self.instances);
             self.counter.start(now);
         }
--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -13,7 +13,7 @@
 pub(super) const MIN_CALL_UNITS: f64 = 0.5;
 /// Fraction of the burst by which a total may lag behind without a correction.
 const TOLERATED_LAG_FRACTION: f64 = 1.0 / 8.0;
-/// Fraction of the burst below which the units left are gossiped to the customer's other instances.
+/// Fraction of the burst. If fewer units are left, the total is gossiped to the customer's other instances.
 const NEARLY_EXHAUSTED_FRACTION: f64 = 0.1;
 
 /// A total returned by the counter, and the total that was expected. Amounts are units.
@@ -159,8 +159,8 @@
     let refilled = account.refill_rate * (now - f64::from(call.series) * COUNTER_WINDOW).max(0.0);
     let before = total - call.delta;
     let was_empty = before < MIN_CALL_UNITS;
-    // The total should be at least the refill. A counter that is new or has lost its value should also have
-    // the total that was last observed.
+    // The total should be at least the refill. If the counter is new or has lost its value, the total should
+    // also be at least the one that was last observed.
     let last_observed = account.observed_total.filter(|_| is_current && was_empty);
     let expected = refilled.max(last_observed.unwrap_or(0.0));
     let lag = (expected - before - call.debt_repaid - call.peer_estimate()).max(0.0);
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -13,14 +13,14 @@
 /// Interval at which the summary that samples are drawn from is updated for backends that have warmed up, in
 /// seconds.
 const WARMING_CHECK_INTERVAL: f64 = 1.0;
-/// Number of consecutive good outcomes from which on a backend is preferred as much as one with a longer
-/// streak.
+/// Number of consecutive good outcomes at which a backend is proven: longer streaks are not preferred to this
+/// one.
 const PROVEN_STREAK: u32 = 3;
 /// Maximum backlog of a backend: the time that its units in flight take at its throughput, as a fraction of
 /// the latency objective.
 const MAX_BACKLOG_FRACTION: f64 = 0.15;
-/// Factor on the load of a backend whose zone is charged for, applied again if there is no idle connection to
-/// it.
+/// Factor on the load of a backend, applied once if attempts to its zone are charged for, and once if no idle
+/// connection to it can be reused.
 const LOAD_PENALTY: f64 = 1.5;
 /// Lower bound of the slowness that a backend's load is multiplied by.
 const MIN_SLOWNESS: f64 = 0.5;
@@ -54,7 +54,8 @@
 /// Backends that may get an attempt.
 #[derive(Default)]
 struct Candidates {
-    /// Responsive backends with a short backlog that the request has not tried.
+    /// Responsive backends with a short backlog that the request has not tried, including ejected ones that
+    /// are due for a trial.
     preferred: Vec<BackendIndex>,
     /// Ejected, unresponsive or already tried backends, for use if there are no others.
     fallback: Vec<BackendIndex>,
@@ -207,9 +208,10 @@
         candidates
     }
 
-    /// Returns the backends to draw from. If good outcomes of the connection, the operation or the plan are
-    /// scarce, these are the preferred backends with the longest recent streaks of them. If no backend is
-    /// preferred or saturated, these are the fallback backends that were not tried yet, or else all of them.
+    /// Returns the backends to draw from. These are the preferred ones; if good outcomes of the connection,
+    /// the operation or the plan are scarce, only those with the longest recent streaks of them. If no
+    /// backend is preferred or saturated, these are the fallback backends that were not tried yet, or else
+    /// all fallback backends.
     fn prefer_proven(&self, now: f64, selection: &Selection, candidates: Candidates) -> Vec<BackendIndex> {
         let Candidates { mut preferred, fallback, has_saturated } = candidates;
         let since = now - self.attempt_settings.connection_idle_timeout;
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -6,12 +6,13 @@
 /// How long before its client's deadline a request is checked for the last time, in seconds. It gets its
 /// final answer then unless an attempt is in flight.
 pub(super) const FINAL_CHECK_LEAD: f64 = 0.005;
-/// Minimum time that a request waits for the counter, as a fraction of its latency objective.
+/// Lower bound of the time that a request may wait for the counter, as a fraction of its latency objective.
 const COUNTER_WAIT_OBJECTIVE_FRACTION: f64 = 0.04;
-/// Minimum time that a request waits for the counter, as a multiple of the counter's fastest answer. The
-/// longer of the two minimums applies.
+/// Lower bound of the time that a request may wait for the counter, as a multiple of the counter's fastest
+/// answer. The longer of the two lower bounds applies.
 const COUNTER_WAIT_FASTEST_ANSWERS: f64 = 3.0;
-/// Maximum time that a request waits for the counter, as a fraction of the time until its client's deadline.
+/// Upper bound of the time that a request may wait for the counter, as a fraction of the time until its
+/// client's deadline. It takes precedence over the lower bounds.
 const COUNTER_WAIT_CLIENT_FRACTION: f64 = 0.25;
 
 /// An ended attempt, and the state of its request at that time.
@@ -57,7 +58,7 @@
         self.timers.schedule(final_check_at, TimerKind::Request(index));
     }
 
-    /// Returns the maximum time that a request waits for the counter, in seconds.
+    /// Returns the time that a request may wait for the counter, in seconds.
     fn counter_wait(&self, now: f64, attributes: &RequestAttributes) -> f64 {
         let time_left = attributes.deadline - now;
         let max_wait = self.counter.timeout().min(time_left * COUNTER_WAIT_CLIENT_FRACTION);
--- a/src/state/account.rs
+++ b/src/state/account.rs
@@ -88,7 +88,7 @@
     pub free_permits: Vec<u32>,
     /// Requests that wait for a permit, in the order of arrival.
     pub permit_waiters: Vec<RequestIndex>,
-    /// When the even share of permits has a free permit again.
+    /// Earliest time at which the next permit of the even share may be taken.
     pub next_local_permit_at: f64,
     /// Until this time the cap on requests in flight is assumed to be reached.
     pub permits_exhausted_until: f64,
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -40,7 +40,7 @@
     pub in_flight: usize,
     /// Total units of the attempts in flight.
     pub in_flight_units: f64,
-    /// Ratio of its 95th percentile of answer times to that of all backends.
+    /// Ratio of the 95th percentile of its latency to that of all backends.
     pub slowness: f64,
     /// When the backend last answered, or was sent an attempt while it had none in flight.
     pub last_progress_at: f64,
@@ -58,7 +58,7 @@
     pub answered_units: f64,
     /// When the backend last answered.
     pub answered_at: f64,
-    /// When this run of the backend was first listed.
+    /// When the backend was first listed, or first listed after its last restart.
     pub listed_at: f64,
     /// When its recovery was last sent to or received from other instances by gossip.
     pub recovery_gossiped_at: f64,
--- a/src/state/estimate.rs
+++ b/src/state/estimate.rs
@@ -1,13 +1,13 @@
 //! Running estimates of quantiles and fractions.
 
-/// Estimates of the answer times of one operation over all backends, in seconds.
+/// Estimates of the latency of one operation over all backends, in seconds.
 #[derive(Clone, Copy)]
 pub struct LatencyEstimate {
-    /// 95th percentile of the time per unit.
+    /// 95th percentile of the latency per unit.
     pub p95: f64,
-    /// Median of all answers, regardless of their units.
+    /// Median latency of all answers, regardless of their units.
     pub median: f64,
-    /// Lowest recent median: the answer time without queueing.
+    /// Lowest recent median: the latency without queueing.
     pub least_median: f64,
 }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -25,7 +25,8 @@
     pub attributes: RequestAttributes,
     /// When the request was first routed.
     pub arrived_at: f64,
-    /// Random number from 0 to 1, drawn once. Only backends with more than this fraction of their capacity may get the request.
+    /// Random number from 0 to 1, drawn once. Only backends with at least this fraction of their capacity may
+    /// get the request.
     pub slow_start_draw: f64,
     /// When the request is checked for the last time before its client gives up, regardless of what it waits for.
     pub final_check_at: f64,
