--- a/tests/policy/concurrency_limit.rs
+++ b/tests/policy/concurrency_limit.rs
@@ -22,8 +22,8 @@
         30.270 1: throttled, 1.00 s"#]]);
 }
 
-/// Guards against a limit that falls too slowly, by a quarter for each slow answer, while all backends are
-/// fully loaded.
+/// Guards against a limit that falls by only a quarter of a unit for each slow answer while all backends are
+/// fully loaded, and so reaches the right value seconds too late.
 #[test]
 fn slow_answers_of_backends_that_report_full_load_halve_the_limit() {
     let with_idle_processors = forwarded_after_slow_answers(0.5);
--- a/tests/policy/counter.rs
+++ b/tests/policy/counter.rs
@@ -92,7 +92,7 @@
 }
 
 /// Guards against a fixed maximum of 2,400 calls per second for all instances together, whatever the
-/// counter's capacity. On calm days of 300 instances no call was missed, and six in ten requests were
+/// counter's capacity. On calm days of 300 instances no call was missed, yet six in ten requests were
 /// admitted without a call.
 #[test]
 fn the_counter_is_called_as_often_as_it_answers() {
--- a/tests/policy/even_shares.rs
+++ b/tests/policy/even_shares.rs
@@ -139,8 +139,8 @@
         36.000 1 submitted: pending; count 1: +8.21; 2 submitted: pending; count 1: +8.20; 3 submitted: pending; count 1: +8.19; 4 submitted: pending; count 1: +8.18; 5 submitted: to 343; 6 submitted: to 296"#]]);
 }
 
-/// Guards against a full even share smaller than the request that goes into debt for a nearly empty token
-/// bucket although the counter answers: each of the customer's instances admitted one request that way. On
+/// Guards against a full even share smaller than the request that goes into debt although the counter answers
+/// and the token bucket is nearly empty: each of the customer's instances admitted one request that way. On
 /// calm days of 300 instances a third of these requests was beyond quotas.
 #[test]
 fn with_a_responsive_counter_a_small_even_share_goes_into_debt_only_for_a_bucket_observed_full() {
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -35,8 +35,8 @@
     );
 }
 
-/// A backend put back into service gets the fraction of requests of one that has just started if it is the
-/// only backend, unless the endpoint list says that it started long before.
+/// The only backend, once put back into service, gets the fraction of the requests that a backend gets just
+/// after its start, unless the endpoint list says that it started long before.
 #[test]
 fn after_a_manual_ejection_the_slow_start_counts_from_the_listed_start() {
     let without_listed_start = forwarded_after_manual_ejection(None);
--- a/tests/policy/permits.rs
+++ b/tests/policy/permits.rs
@@ -1,4 +1,4 @@
-//! Permits: the cap on a plan's attempts in flight, leased from a separate counter.
+//! Permits: the cap on a plan's requests in flight, leased from a separate counter.
 use crate::fixtures::*;
 use crate::harness::*;
 use expect_test::expect;
@@ -6,7 +6,7 @@
 use AttemptResult::*;
 use CounterResult::*;
 
-/// Creates a harness with three backends and one plan that has a cap on attempts in flight and no quota.
+/// Creates a harness with three backends and one plan that has a cap on requests in flight and no quota.
 fn with_cap(max_in_flight: usize) -> EngineHarness {
     let operations = vec![operation(Idempotency::Idempotent)];
     let capped = Plan { rate: 0.0, max_in_flight, ..plan() };
