--- a/tests/policy/quota.rs
+++ b/tests/policy/quota.rs
@@ -70,13 +70,13 @@
         60.000 1 submitted: pending; count 2: +1.00; count 2: +6.00; 1: to 2"#]]);
 }
 
-/// Guards against throttling of the most expensive plans within their quotas: the even share of the ceiling
-/// applies only to units that no lease covers.
+/// Guards against throttling of the most expensive plans within their quotas: except in a new window of the
+/// counter, the even share of the ceiling applies only to units that no lease covers.
 #[test]
-fn the_ceiling_limits_only_spending_without_a_lease_to_an_even_share_that_starts_empty() {
+fn the_ceiling_limits_spending_without_a_lease_to_an_even_share_that_does_not_start_full() {
     let with_ceiling = Plan { ceiling_rate: 4.0, ceiling_burst: 16.0, ceiling_slack: 2.0, ..plan() };
     let mut harness = idempotent_under_plan(with_ceiling);
-    // The counter's window has just begun.
+    // The counter's window has just begun, so the ceiling still limits units that a lease covers.
     harness.submit(30.0, 0, 1.0);
     harness.answer_counter_calls(30.0);
     harness.submit(35.0, 0, 1.0);
