--- a/admission/src/audit.rs
+++ b/admission/src/audit.rs
@@ -71,7 +71,7 @@
     fn audit_commands(&self, from: IpAddr, address: &Address) -> Result<(), AuditError> {
         let pending = address.pending;
         // Fairness admits customers below their part beyond the limit, but never beyond twice the limit.
-        let max_pending = 2 * self.limits.unfinished.max(1);
+        let max_pending = 2 * self.limits.pending_commands.max(1);
         if address.pending_by_customer.total() > pending || pending > max_pending {
             let by_customer = address.pending_by_customer.values();
             return Err(AuditError::Commands { from, pending, by_customer });
--- a/admission/src/connection.rs
+++ b/admission/src/connection.rs
@@ -10,9 +10,9 @@
     /// The address of the client.
     pub from: IpAddr,
     /// Whether it has sent a complete command or greeting.
-    pub has_spoken: bool,
+    pub has_sent_command: bool,
     /// The customers of its pending commands, one entry for each command.
-    pub unanswered: Vec<CustomerId>,
+    pub pending: Vec<CustomerId>,
 }
 
 /// An open connection.
@@ -23,7 +23,7 @@
     /// The customer of its last command.
     pub customer: Option<CustomerId>,
     /// Whether it has sent a complete command or greeting.
-    pub has_spoken: bool,
+    pub has_sent_command: bool,
     /// The customers of its pending commands, one entry for each command.
     pub pending: Vec<CustomerId>,
     /// Commands that were read and not yet passed to the controller for a verdict.
@@ -40,7 +40,7 @@
         Connection {
             from,
             customer: None,
-            has_spoken: false,
+            has_sent_command: false,
             pending: vec![],
             queued: 0,
             partial_since: None,
@@ -52,7 +52,7 @@
     pub fn command_received(&mut self, now: f64) {
         self.partial_since = None;
         self.last_active = now;
-        self.has_spoken = true;
+        self.has_sent_command = true;
     }
 
     /// Whether it has no pending command, as far as the controller knows.
@@ -62,6 +62,6 @@
 
     /// Whether it is idle and has sent nothing, not even an incomplete command.
     pub fn is_silent(&self) -> bool {
-        !self.has_spoken && self.partial_since.is_none() && self.is_idle()
+        !self.has_sent_command && self.partial_since.is_none() && self.is_idle()
     }
 }
--- a/admission/src/controller.rs
+++ b/admission/src/controller.rs
@@ -51,7 +51,7 @@
     /// Adds a connection that was open before the controller was created; it is kept even beyond the limits.
     pub fn add_open(&mut self, now: f64, open: OpenConnection) {
         self.now = now;
-        let OpenConnection { id, from, has_spoken, unanswered: pending } = open;
+        let OpenConnection { id, from, has_sent_command, pending } = open;
         let customer = pending.last().copied();
         let address = self.address_or_new(now, from);
         address.connections.insert(id);
@@ -60,7 +60,7 @@
         address.count_connection(customer);
         let is_known = address.is_known(now);
         self.unknown_connections += usize::from(!is_known);
-        let connection = Connection { customer, has_spoken, pending, ..Connection::new(now, from) };
+        let connection = Connection { customer, has_sent_command, pending, ..Connection::new(now, from) };
         self.connections.insert(id, connection);
     }
 
@@ -182,8 +182,8 @@
         // Max-min fairness: at the limit, customers below their part are still served. Together that is at most twice the limit.
         let pending_of_customer = address.pending_by_customer.count(customer);
         let customers = address.pending_by_customer.customers() + usize::from(pending_of_customer == 0);
-        let part = (self.limits.unfinished / customers.max(1)).max(1);
-        if address.pending >= self.limits.unfinished && pending_of_customer >= part {
+        let part = (self.limits.pending_commands / customers.max(1)).max(1);
+        if address.pending >= self.limits.pending_commands && pending_of_customer >= part {
             self.metrics.deferred_commands += 1;
             return CommandVerdict::RetryAfter(DEFERRED_RETRY_DELAY);
         }
@@ -224,8 +224,8 @@
         let address = self.addresses.get(&from)?;
         if address.connections.len() >= self.limits.per_address {
             Some(RejectReason::Address)
-        } else if address.unidentified >= self.limits.strangers {
-            Some(RejectReason::Strangers)
+        } else if address.unidentified >= self.limits.unidentified {
+            Some(RejectReason::Unidentified)
         } else {
             None
         }
--- a/admission/src/eviction.rs
+++ b/admission/src/eviction.rs
@@ -12,7 +12,7 @@
     /// An incomplete command.
     PartialCommand,
     /// A complete command or greeting.
-    HasSpoken,
+    CompleteCommand,
 }
 
 /// The eviction order of idle connections, as `docs/admission.md` declares it; lower ranks go first. The order of the fields
@@ -83,7 +83,7 @@
     }
 
     fn is_late(&self, now: f64, connection: &Connection) -> bool {
-        connection.last_active <= now - self.limits.first_word
+        connection.last_active <= now - self.limits.first_command_timeout
     }
 
     fn first_to_evict(&self, now: f64, includes: impl Fn(IpAddr) -> bool) -> Option<ConnectionId> {
@@ -99,10 +99,10 @@
 
     fn rank(&self, now: f64, connection: &Connection) -> EvictionRank {
         let address = self.addresses.get(&connection.from);
-        let progress = match (connection.has_spoken, connection.partial_since) {
+        let progress = match (connection.has_sent_command, connection.partial_since) {
             (false, None) => Progress::Silent,
             (_, Some(_)) => Progress::PartialCommand,
-            (true, None) => Progress::HasSpoken,
+            (true, None) => Progress::CompleteCommand,
         };
         EvictionRank {
             is_known: address.is_some_and(|address| address.is_known(now)),
--- a/admission/src/limits.rs
+++ b/admission/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limits. Fields are named like the keys of the operator's file.
+//! The limits of admission control. A field is named like its key in the operator's file unless its comment names the key.
 use crate::Network;
 
 /// The limits of admission control. Numbers are counts unless a unit is given.
@@ -10,25 +10,25 @@
     pub reserve: usize,
     /// Connections of one address.
     pub per_address: usize,
-    /// Of `per_address`, those that may be open before their first command.
-    pub strangers: usize,
-    /// Refill rate of an address's token bucket, new connections per second.
+    /// Of `per_address`, those that may be open before their first command (key `strangers`).
+    pub unidentified: usize,
+    /// Refill rate of an address's token bucket, new connections per second (key `new_per_second`).
     pub rate: f64,
     /// Capacity of an address's token bucket, new connections.
     pub burst: f64,
-    /// Pending commands of one address.
-    pub unfinished: usize,
-    /// Time for the first command of a connection, seconds.
-    pub first_word: f64,
+    /// Pending commands of one address (key `unfinished`).
+    pub pending_commands: usize,
+    /// Time for the first command of a connection, seconds (key `first_word`).
+    pub first_command_timeout: f64,
     /// Time for which an address stays known after a command of it was served, seconds; 0: only listed networks are known.
     pub known_for: f64,
-    /// The networks that are always known.
-    pub known: Vec<Network>,
+    /// Networks whose addresses are always known (key `known`).
+    pub known_networks: Vec<Network>,
 }
 
 impl Limits {
     /// Whether an address lies in a listed network.
     pub(crate) fn lists(&self, address: std::net::IpAddr) -> bool {
-        self.known.iter().any(|network| network.holds(address))
+        self.known_networks.iter().any(|network| network.contains(address))
     }
 }
--- a/admission/src/metrics.rs
+++ b/admission/src/metrics.rs
@@ -12,8 +12,8 @@
     pub full: u64,
     /// Rejected with [`RejectReason::Address`].
     pub address: u64,
-    /// Rejected with [`RejectReason::Strangers`].
-    pub strangers: u64,
+    /// Rejected with [`RejectReason::Unidentified`].
+    pub unidentified: u64,
     /// Rejected with [`RejectReason::Rate`].
     pub rate: u64,
     /// Commands that clients were told to retry later.
@@ -26,7 +26,7 @@
         let counter = match reason {
             RejectReason::Full => &mut self.full,
             RejectReason::Address => &mut self.address,
-            RejectReason::Strangers => &mut self.strangers,
+            RejectReason::Unidentified => &mut self.unidentified,
             RejectReason::Rate => &mut self.rate,
         };
         *counter += 1;
--- a/admission/src/network.rs
+++ b/admission/src/network.rs
@@ -20,7 +20,7 @@
     Malformed(String),
     /// The prefix is longer than an address.
     #[error("'{text}': {max_bits} bits at the most")]
-    TooManyBits {
+    PrefixTooLong {
         /// The text.
         text: String,
         /// The length of such an address, bits.
@@ -28,7 +28,7 @@
     },
     /// Bits of the address are set after the prefix.
     #[error("'{text}': bits are set behind the first {prefix_bits}")]
-    BitsBehindPrefix {
+    HostBitsSet {
         /// The text.
         text: String,
         /// The length of the prefix, bits.
@@ -38,7 +38,7 @@
 
 impl Network {
     /// Whether an address lies in the network; an IPv4-mapped IPv6 address counts as IPv4.
-    pub fn holds(&self, address: IpAddr) -> bool {
+    pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         let differing = left_aligned(self.address) ^ left_aligned(address);
         self.address.is_ipv4() == address.is_ipv4() && leading_bits(differing, self.prefix_bits) == 0
@@ -74,10 +74,10 @@
         let max_bits = if address.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
         let prefix_bits: u8 = bits.map_or(Ok(max_bits), str::parse).map_err(|_| malformed())?;
         if prefix_bits > max_bits {
-            return Err(NetworkError::TooManyBits { text: text.to_owned(), max_bits });
+            return Err(NetworkError::PrefixTooLong { text: text.to_owned(), max_bits });
         }
         if bits_after(left_aligned(address), prefix_bits) != 0 {
-            return Err(NetworkError::BitsBehindPrefix { text: text.to_owned(), prefix_bits });
+            return Err(NetworkError::HostBitsSet { text: text.to_owned(), prefix_bits });
         }
         Ok(Network { address, prefix_bits })
     }
--- a/admission/src/verdict.rs
+++ b/admission/src/verdict.rs
@@ -20,7 +20,7 @@
     /// Its address has reached its limit of connections.
     Address,
     /// Its address has reached its limit of connections before their first command.
-    Strangers,
+    Unidentified,
     /// Its address opens connections faster than its rate limit.
     Rate,
 }
@@ -31,7 +31,7 @@
         match self {
             RejectReason::Full => "full",
             RejectReason::Address => "too many connections of this address",
-            RejectReason::Strangers => "too many connections of this address on which nothing was asked",
+            RejectReason::Unidentified => "too many connections of this address on which nothing was asked",
             RejectReason::Rate => "too many new connections of this address",
         }
     }
--- a/admission/tests/common/mod.rs
+++ b/admission/tests/common/mod.rs
@@ -12,13 +12,13 @@
         connections: 10,
         reserve: 4,
         per_address: 6,
-        strangers: 4,
+        unidentified: 4,
         rate: 10.0,
         burst: 20.0,
-        unfinished: 4,
-        first_word: 1.0,
+        pending_commands: 4,
+        first_command_timeout: 1.0,
         known_for: 60.0,
-        known: vec![network("10.0.0.1"), network("10.0.0.2/32")],
+        known_networks: vec![network("10.0.0.1"), network("10.0.0.2/32")],
     }
 }
 
--- a/admission/tests/controller.rs
+++ b/admission/tests/controller.rs
@@ -20,7 +20,7 @@
 const ACCEPT: ConnectionVerdict = ConnectionVerdict::Accept;
 const REJECT_FULL: ConnectionVerdict = ConnectionVerdict::Reject(RejectReason::Full);
 const REJECT_RATE: ConnectionVerdict = ConnectionVerdict::Reject(RejectReason::Rate);
-const REJECT_STRANGERS: ConnectionVerdict = ConnectionVerdict::Reject(RejectReason::Strangers);
+const REJECT_UNIDENTIFIED: ConnectionVerdict = ConnectionVerdict::Reject(RejectReason::Unidentified);
 
 /// Limits with a rate of new connections that no test reaches.
 fn limits_without_rate() -> Limits {
@@ -63,7 +63,7 @@
         assert_eq!(controller.admit_connection(0.0, id, address(UNKNOWN)), ACCEPT);
     }
     for id in 4..6 {
-        assert_eq!(controller.admit_connection(0.0, id, address(UNKNOWN)), REJECT_STRANGERS);
+        assert_eq!(controller.admit_connection(0.0, id, address(UNKNOWN)), REJECT_UNIDENTIFIED);
     }
     for id in 0..4 {
         assert_eq!(controller.admit_command(0.0, id, id), CommandVerdict::Accept);
@@ -114,7 +114,7 @@
     for id in 0..4 {
         assert_eq!(controller.admit_connection(0.0, id, address(UNKNOWN)), ACCEPT);
     }
-    assert_eq!(controller.admit_connection(0.5, 4, address(UNKNOWN)), REJECT_STRANGERS);
+    assert_eq!(controller.admit_connection(0.5, 4, address(UNKNOWN)), REJECT_UNIDENTIFIED);
     assert_eq!(controller.overdue(0.9), Vec::<ConnectionId>::new());
     // The time for a first command is over: each new connection replaces one.
     let verdict = controller.admit_connection(1.0, 5, address(UNKNOWN));
@@ -189,7 +189,7 @@
     let mut controller = controller();
     open_connections(&mut controller, 0.0, address(UNKNOWN), 1, 0..6);
     open_connections(&mut controller, 0.0, address(KNOWN), 2, 10..14);
-    let lowered = Limits { connections: 3, reserve: 1, per_address: 2, strangers: 1, ..limits() };
+    let lowered = Limits { connections: 3, reserve: 1, per_address: 2, unidentified: 1, ..limits() };
     controller.set_limits(1.0, lowered);
     assert_eq!(controller.sizes().connections, 10);
     assert_eq!(controller.admit_connection(1.0, 20, address(OTHER_UNKNOWN)), REJECT_FULL);
@@ -206,7 +206,7 @@
         connections: 1000,
         reserve: 100,
         per_address: 400,
-        strangers: 300,
+        unidentified: 300,
         ..limits_without_rate()
     });
     let unknown_address = |id: ConnectionId| address(10 + (id % 40) as u8);
@@ -226,8 +226,8 @@
         connections: 3000,
         reserve: 0,
         per_address: 2000,
-        strangers: 500,
-        unfinished: 1200,
+        unidentified: 500,
+        pending_commands: 1200,
         ..limits_without_rate()
     });
     for id in 0..900 {
@@ -248,11 +248,11 @@
 
 #[test]
 fn networks_are_parsed() {
-    let holds = |text: &str, address: &str| network(text).holds(address.parse().expect("an address"));
-    assert!(holds("10.2.0.0/16", "10.2.255.1"));
-    assert!(!holds("10.2.0.0/16", "10.3.0.1"));
-    assert!(holds("2001:db8::/32", "2001:db8:1::5"));
-    assert!(holds("0.0.0.0/0", "::ffff:9.9.9.9"));
+    let contains = |text: &str, address: &str| network(text).contains(address.parse().expect("an address"));
+    assert!(contains("10.2.0.0/16", "10.2.255.1"));
+    assert!(!contains("10.2.0.0/16", "10.3.0.1"));
+    assert!(contains("2001:db8::/32", "2001:db8:1::5"));
+    assert!(contains("0.0.0.0/0", "::ffff:9.9.9.9"));
     for invalid in ["10.2.0.0/33", "10.2.0.1/16", "ten", "10.2.0.0/", "::/129"] {
         assert!(invalid.parse::<Network>().is_err(), "{invalid}");
     }
--- a/counter/src/raft/election.rs
+++ b/counter/src/raft/election.rs
@@ -37,7 +37,7 @@
         effects: &mut Effects<C>,
     ) {
         let is_up_to_date = candidate_last.is_as_recent_as(self.last_position());
-        let is_acceptable = is_up_to_date || self.fault == Fault::VotesBlindly;
+        let is_acceptable = is_up_to_date || self.fault == Fault::VotesForStaleLog;
         let is_free = self.hard_state.vote.is_none_or(|vote| vote == candidate);
         let granted = !is_stale && is_acceptable && is_free && !self.is_leader();
         if granted && self.hard_state.vote.is_none() {
--- a/counter/src/raft/fault.rs
+++ b/counter/src/raft/fault.rs
@@ -7,9 +7,9 @@
     #[default]
     None,
     /// Votes for every candidate, even if its log is not up to date.
-    VotesBlindly,
+    VotesForStaleLog,
     /// Commits entries without a quorum.
-    CommitsAlone,
+    CommitsWithoutQuorum,
     /// Loses its vote in a restart.
-    ForgetsVote,
+    LosesVote,
 }
--- a/counter/src/raft/mod.rs
+++ b/counter/src/raft/mod.rs
@@ -148,7 +148,7 @@
 
     /// Restarts after a crash: keeps only the persisted state.
     pub fn restart(&mut self) {
-        if self.fault == Fault::ForgetsVote {
+        if self.fault == Fault::LosesVote {
             self.hard_state.vote = None;
         }
         self.role = Role::Follower { leader: None };
--- a/counter/src/raft/replication.rs
+++ b/counter/src/raft/replication.rs
@@ -217,7 +217,7 @@
         indexes.push(self.last_position().index);
         indexes.sort_unstable();
         let highest = indexes.len() - 1;
-        let quorum = if self.fault == Fault::CommitsAlone { highest } else { highest / 2 };
+        let quorum = if self.fault == Fault::CommitsWithoutQuorum { highest } else { highest / 2 };
         let index = indexes[quorum];
         if self.term_at(index) == Some(self.hard_state.term) {
             self.commit_up_to(index, effects);
--- a/counter/tests/agreement.rs
+++ b/counter/tests/agreement.rs
@@ -234,11 +234,11 @@
 /// The checks detect injected faults.
 #[test]
 fn injected_faults_are_detected() {
-    let votes_blindly = ClusterModel { fault: Fault::VotesBlindly, commands: 0, ..THREE_MEMBERS };
+    let votes_blindly = ClusterModel { fault: Fault::VotesForStaleLog, commands: 0, ..THREE_MEMBERS };
     let (_, _, broken) = check(votes_blindly, 400_000);
     assert!(!broken.is_empty(), "blind votes");
     let forgets = ClusterModel {
-        fault: Fault::ForgetsVote,
+        fault: Fault::LosesVote,
         crashes: 1,
         terms: 1,
         entries: 1,
@@ -300,7 +300,7 @@
 
 #[test]
 fn injected_faults_are_detected_in_long_random_walks() {
-    for fault in [Fault::CommitsAlone, Fault::VotesBlindly] {
+    for fault in [Fault::CommitsWithoutQuorum, Fault::VotesForStaleLog] {
         assert!((0..200).any(|seed| random_walk(fault, seed).violation.is_some()), "{fault:?}");
     }
 }
--- a/emulator/src/deployment.rs
+++ b/emulator/src/deployment.rs
@@ -165,12 +165,12 @@
         connections,
         reserve: connections / 2,
         per_address: connections,
-        strangers: connections / 3,
+        unidentified: connections / 3,
         rate: 60.0,
         burst: 90.0,
-        unfinished: 4 * connections,
-        first_word: 1.0,
+        pending_commands: 4 * connections,
+        first_command_timeout: 1.0,
         known_for: 0.0,
-        known: vec![KNOWN_NETWORK.parse().expect("KNOWN_NETWORK is a valid network")],
+        known_networks: vec![KNOWN_NETWORK.parse().expect("KNOWN_NETWORK is a valid network")],
     }
 }
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -31,8 +31,8 @@
         for (id, client) in &self.clients.connections {
             let Some(from) = client.address else { continue };
             let pending = client.requests().filter_map(|request| self.requests.get(request));
-            let unanswered = pending.map(|pending| pending.command.customer).collect();
-            let open = OpenConnection { id: *id, from, has_spoken: client.has_sent_command, unanswered };
+            let pending = pending.map(|pending| pending.command.customer).collect();
+            let open = OpenConnection { id: *id, from, has_sent_command: client.has_sent_command, pending };
             admission.add_open(now, open);
         }
         admission
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -66,7 +66,9 @@
         }
         // Either the token or a contract must limit the customers that the caller may act for.
         let limits_customers = caller.customers.is_some() || self.broker.is_some();
-        if !limits_customers || !caller.may(&self.instance.operations[operation].name, command.customer) {
+        if !limits_customers
+            || !caller.is_allowed(&self.instance.operations[operation].name, command.customer)
+        {
             return Err(ClientReply::Denied(
                 "NOPERM the token does not permit this operation for this customer".into(),
             ));
--- a/gateway/tests/reducer/operator_file.rs
+++ b/gateway/tests/reducer/operator_file.rs
@@ -9,7 +9,10 @@
 /// Capacity for three clients, one of them reserved for the known address.
 fn bench_with_admission() -> Bench {
     let mut bench = bench_configured(1024, false, false);
-    bench.set_admission_limits(Limits { known: vec!["10.0.0.1".parse().expect("an address")], ..LIMITS });
+    bench.set_admission_limits(Limits {
+        known_networks: vec!["10.0.0.1".parse().expect("an address")],
+        ..LIMITS
+    });
     bench.trace.clear();
     bench
 }
@@ -86,7 +89,7 @@
 #[test]
 fn commands_that_were_read_before_their_connection_was_admitted_are_counted() {
     let mut bench = bench_with_descriptors(32 + 4);
-    let limits = Limits { connections: 30, reserve: 0, per_address: 30, strangers: 30, ..LIMITS };
+    let limits = Limits { connections: 30, reserve: 0, per_address: 30, unidentified: 30, ..LIMITS };
     bench.set_admission_limits(limits).client_connects(1).client_connects(2).run_until(0.5).trace.clear();
     bench.batch(vec![
         Event::ClientAccepted { client: 3, address: HERE },
--- a/identity/src/caller.rs
+++ b/identity/src/caller.rs
@@ -20,7 +20,7 @@
 
 impl Caller {
     /// Whether its token allows an operation for a customer.
-    pub fn may(&self, operation: &str, customer: u64) -> bool {
+    pub fn is_allowed(&self, operation: &str, customer: u64) -> bool {
         let allows_operation = self.operations.as_ref().is_none_or(|names| names.contains(operation));
         let allows_customer = self.customers.as_ref().is_none_or(|ids| ids.contains(&customer));
         allows_operation && allows_customer
--- a/identity/tests/tokens.rs
+++ b/identity/tests/tokens.rs
@@ -70,9 +70,9 @@
         let caller = caller(&mut authenticator, NOW, &signer.token(&claims));
         assert_eq!(caller.team, TEAM);
         assert_eq!(caller.key_id, signer.id);
-        assert!(caller.may("look", 0xb4d65521));
-        assert!(!caller.may("order", 0xb4d65521), "another operation");
-        assert!(!caller.may("look", 1), "another customer");
+        assert!(caller.is_allowed("look", 0xb4d65521));
+        assert!(!caller.is_allowed("order", 0xb4d65521), "another operation");
+        assert!(!caller.is_allowed("look", 1), "another customer");
     }
 }
 
--- a/operator/src/admission.rs
+++ b/operator/src/admission.rs
@@ -6,9 +6,9 @@
 /// itself.
 const OTHER_DESCRIPTORS: usize = 64;
 /// Default of `strangers`: one in so many connections of an address may be without a command.
-const CONNECTIONS_PER_STRANGER: usize = 4;
+const CONNECTIONS_PER_UNIDENTIFIED: usize = 4;
 /// Default of `unfinished`: pending commands of an address for each of its connections.
-const UNFINISHED_PER_CONNECTION: usize = 4;
+const PENDING_COMMANDS_PER_CONNECTION: usize = 4;
 
 /// The range and the default of a number.
 struct Setting {
@@ -42,21 +42,21 @@
         section.report("reserve", "leaves no connection to others than the known");
     }
     let per_address = count(&section, "per_address", connection_limit, connection_limit);
-    let default_unfinished = per_address.saturating_mul(UNFINISHED_PER_CONNECTION);
-    let default_strangers = (per_address / CONNECTIONS_PER_STRANGER).max(1);
+    let default_pending_commands = per_address.saturating_mul(PENDING_COMMANDS_PER_CONNECTION);
+    let default_unidentified = (per_address / CONNECTIONS_PER_UNIDENTIFIED).max(1);
     let limits = Limits {
         connections: connection_limit,
         reserve,
         per_address,
-        strangers: count(&section, "strangers", per_address, default_strangers),
-        unfinished: count(&section, "unfinished", usize::MAX, default_unfinished),
+        unidentified: count(&section, "strangers", per_address, default_unidentified),
+        pending_commands: count(&section, "unfinished", usize::MAX, default_pending_commands),
         rate: number(&section, "new_per_second", RATE),
         burst: number(&section, "burst", BURST),
-        first_word: number(&section, "first_word", FIRST_COMMAND_TIMEOUT),
+        first_command_timeout: number(&section, "first_word", FIRST_COMMAND_TIMEOUT),
         known_for: number(&section, "known_for", KNOWN_FOR),
-        known: networks(&section),
+        known_networks: networks(&section),
     };
-    if reserve > 0 && limits.known.is_empty() && limits.known_for <= 0.0 {
+    if reserve > 0 && limits.known_networks.is_empty() && limits.known_for <= 0.0 {
         let message = "nobody can be known: name networks in known, or let known_for be more than 0";
         section.report("reserve", message);
     }
--- a/operator/src/show/sections.rs
+++ b/operator/src/show/sections.rs
@@ -23,19 +23,19 @@
         connections,
         reserve,
         per_address,
-        strangers,
+        unidentified,
         rate,
         burst,
-        unfinished,
-        first_word,
+        pending_commands,
+        first_command_timeout,
         known_for,
-        known,
+        known_networks,
     } = limits;
     format!(
         "admission: {connections} connections, {reserve} kept for known addresses; of one address {per_address}, \
-         {rate} new a second, {burst} at once, {unfinished} unfinished commands; {strangers} strangers, \
-         first word within {first_word} s; known for {known_for} s, and {} networks",
-        known.len()
+         {rate} new a second, {burst} at once, {pending_commands} unfinished commands; {unidentified} strangers, \
+         first word within {first_command_timeout} s; known for {known_for} s, and {} networks",
+        known_networks.len()
     )
 }
 
--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -42,13 +42,13 @@
     let limits = operator.expect("a valid file").admission.expect("admission is on");
     assert_eq!(limits.reserve, 0);
     assert_eq!(limits.per_address, 400);
-    assert_eq!(limits.strangers, 100);
-    assert_eq!(limits.unfinished, 1600);
+    assert_eq!(limits.unidentified, 100);
+    assert_eq!(limits.pending_commands, 1600);
     assert_eq!(limits.rate, 50.0);
     assert_eq!(limits.burst, 100.0);
-    assert_eq!(limits.first_word, 2.0);
+    assert_eq!(limits.first_command_timeout, 2.0);
     assert_eq!(limits.known_for, 600.0);
-    assert!(limits.known[0].holds("10.2.3.4".parse().expect("an address")));
+    assert!(limits.known_networks[0].contains("10.2.3.4".parse().expect("an address")));
 }
 
 #[test]
