--- a/admission/src/network.rs
+++ b/admission/src/network.rs
@@ -12,32 +12,32 @@
     prefix_bits: u8,
 }
 
-/// Why a text is not a network.
+/// The reason why a string is not a network.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum NetworkError {
     /// The address or the prefix length can't be parsed.
-    #[error("'{0}': expected an address, or one and its bits: 10.2.0.0/16")]
+    #[error("expected an IP address or a network such as 10.2.0.0/16, found '{0}'")]
     Malformed(String),
-    /// The prefix is longer than an address.
-    #[error("'{text}': {max_bits} bits at the most")]
+    /// The prefix length exceeds the length of the address.
+    #[error("expected a prefix length of at most {max_bits} bits, found '{text}'")]
     PrefixTooLong {
-        /// The text.
+        /// The string that was parsed.
         text: String,
-        /// The length of such an address, bits.
+        /// Length of the address, bits.
         max_bits: u8,
     },
-    /// Bits of the address are set after the prefix.
-    #[error("'{text}': bits are set behind the first {prefix_bits}")]
+    /// The address has bits set after the prefix.
+    #[error("expected zeros after the first {prefix_bits} bits, found '{text}'")]
     HostBitsSet {
-        /// The text.
+        /// The string that was parsed.
         text: String,
-        /// The length of the prefix, bits.
+        /// Length of the prefix, bits.
         prefix_bits: u8,
     },
 }
 
 impl Network {
-    /// Whether an address lies in the network; an IPv4-mapped IPv6 address counts as IPv4.
+    /// Returns whether an address lies in the network; an IPv4-mapped IPv6 address counts as IPv4.
     pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         let differing = left_aligned(self.address) ^ left_aligned(address);
@@ -45,7 +45,7 @@
     }
 }
 
-/// The bits of an address, aligned to the most significant bit.
+/// Returns the bits of an address, aligned to the most significant bit.
 fn left_aligned(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(address) => u128::from(address.to_bits()) << (IPV6_BITS - IPV4_BITS),
--- a/broker/src/contract/conflict.rs
+++ b/broker/src/contract/conflict.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Conflict {
     /// Two contracts of a team have the same version.
-    #[error("a version of this team's has this number already")]
+    #[error("expected a new version number, found that of another contract of the same team")]
     DuplicateVersion {
         /// Index of the earlier contract.
         first: usize,
@@ -12,7 +12,9 @@
         second: usize,
     },
     /// Two teams have the same customer at the same time.
-    #[error("customer {customer:016x} is another team's at the same time")]
+    #[error(
+        "expected each customer in one team at a time, found {customer:016x} in a contract of another team"
+    )]
     SharedCustomer {
         /// The customer.
         customer: u64,
@@ -23,7 +25,7 @@
     },
     /// Together the contracts promise more than the capacity.
     #[error(
-        "contracts in force at {at} promise {promised} units a second together, of {capacity} that there are"
+        "expected rates up to the capacity of {capacity} units per second in total, found {promised} in force at Unix time {at}"
     )]
     Oversold {
         /// Sum of the rates of all contracts in force, units per second.
--- a/gateway/tests/admission.rs
+++ b/gateway/tests/admission.rs
@@ -230,8 +230,8 @@
         (process.exit_code(), output.trim()),
         (
             Some(1),
-            "quillramp: FILE: line 2: admission.connections: expected 1 to 960, as 1024 descriptors are allowed and 64 \
-             serve else, found 5000; FILE: line 3: admission.strangers: expected 1 to 5000, found 0"
+            "quillramp: FILE: line 2: admission.connections: expected 1 to 960 (1024 file descriptors minus 64 for other \
+             uses), found 5000; FILE: line 3: admission.strangers: expected 1 to 5000, found 0"
         )
     );
 }
--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -92,8 +92,8 @@
         &["check", &files.conflicting, "--configuration", &files.configuration],
         expect![[r#"
         1
-        quillramp: bad.toml: line 3: class 'short'.attempts: 'order' is non-idempotent: a second delivery could have its effect twice (by the route on line 7)
-        quillramp: bad.toml: line 4: class 'short'.per_try: 'order' is not idempotent: a delivery of it that is out is not given up for another (by the route on line 7)
+        quillramp: bad.toml: line 3: class 'short'.attempts: expected 1, as a retry of the non-idempotent 'order' could take effect twice, found 2 (route on line 7)
+        quillramp: bad.toml: line 4: class 'short'.per_try: expected no such key, as attempts of 'order', which is not idempotent, are not abandoned (route on line 7)
     "#]],
     );
 }
@@ -106,9 +106,9 @@
         expect![[r#"
             0
             admission: off
-            log: plain, levels as usual
+            log: Plain, default levels
             membership on the counter: off
-            callers: need not be known
+            callers: no authentication
             broker: off
 
             look, idempotent
@@ -118,28 +118,28 @@
                 per try 0.3 s (line 4)
                 latency objective 0.4 s (configuration)
                 integration timeout 0.9 s (line 5)
-              all else: as configured
+              all other requests: as in the configuration
                 attempts 5 (configuration)
                 second copies yes (configuration)
                 latency objective 0.4 s (configuration)
                 integration timeout 1.5 s (configuration)
 
             slow, idempotent
-              all else: as configured
+              all other requests: as in the configuration
                 attempts 5 (configuration)
                 second copies yes (configuration)
                 latency objective 0.4 s (configuration)
                 integration timeout 1.5 s (configuration)
 
             order, non-idempotent
-              all else: as configured
+              all other requests: as in the configuration
                 attempts 5 (configuration)
                 second copies no (configuration)
                 latency objective 1 s (configuration)
                 integration timeout 3 s (configuration)
 
             fail, non-idempotent
-              all else: as configured
+              all other requests: as in the configuration
                 attempts 5 (configuration)
                 second copies no (configuration)
                 latency objective 1 s (configuration)
--- a/operator/src/admission.rs
+++ b/operator/src/admission.rs
@@ -2,15 +2,15 @@
 use crate::document::Section;
 use quillramp_admission::{Limits, Network};
 
-/// File descriptors that are not for clients: those of backends, the counter, discovery, the admin interface and the process
+/// File descriptors that clients cannot use: those for backends, the counter, discovery, the admin interface and the process
 /// itself.
 const OTHER_DESCRIPTORS: usize = 64;
-/// Default of `strangers`: one in so many connections of an address may be without a command.
+/// Connections of an address for each that may be open before its first command, which gives the default of `strangers`.
 const CONNECTIONS_PER_UNIDENTIFIED: usize = 4;
-/// Default of `unfinished`: pending commands of an address for each of its connections.
+/// Pending commands of an address for each of its connections, which gives the default of `unfinished`.
 const PENDING_COMMANDS_PER_CONNECTION: usize = 4;
 
-/// The range and the default of a number.
+/// The minimum and the default of a number.
 struct Setting {
     min: f64,
     default: f64,
@@ -22,24 +22,26 @@
 const BURST: Setting = Setting { min: 1.0, default: 100.0 };
 /// Time for the first command of a connection, seconds.
 const FIRST_COMMAND_TIMEOUT: Setting = Setting { min: 0.05, default: 2.0 };
-/// Time for which an address stays known, seconds.
+/// Time for which an address stays known after a served command, seconds.
 const KNOWN_FOR: Setting = Setting { min: 0.0, default: 600.0 };
 
-/// Reads the limits; `descriptors` is the limit of file descriptors of a gateway instance, if it is known. None if `connections` is
-/// missing or invalid; faults are reported to the section's document.
+/// Reads the limits; `descriptors` is the file descriptor limit of a gateway instance, if one is given. Returns `None` if
+/// `connections` is missing or not an integer above 0; reports errors to the section's document.
 pub(crate) fn read(section: Section, descriptors: Option<usize>) -> Option<Limits> {
     let available =
         descriptors.map_or(usize::MAX, |descriptors| descriptors.saturating_sub(OTHER_DESCRIPTORS).max(1));
     section.require(&["connections"]);
     let connections = section.integer("connections", 1..=usize::MAX).map(|integer| integer.value);
     if let (Some(found), Some(descriptors)) = (connections.filter(|found| *found > available), descriptors) {
-        let reason = format!("as {descriptors} descriptors are allowed and {OTHER_DESCRIPTORS} serve else");
-        section.report("connections", format!("expected 1 to {available}, {reason}, found {found}"));
+        let reason = format!("{descriptors} file descriptors minus {OTHER_DESCRIPTORS} for other uses");
+        section.report("connections", format!("expected 1 to {available} ({reason}), found {found}"));
     }
     let connection_limit = connections.unwrap_or(available);
     let reserve = section.integer("reserve", 0..=usize::MAX).map_or(0, |integer| integer.value);
     if reserve >= connection_limit {
-        section.report("reserve", "leaves no connection to others than the known");
+        let message =
+            format!("expected less than {connection_limit}, the value of 'connections', found {reserve}");
+        section.report("reserve", message);
     }
     let per_address = count(&section, "per_address", connection_limit, connection_limit);
     let default_pending_commands = per_address.saturating_mul(PENDING_COMMANDS_PER_CONNECTION);
@@ -57,7 +59,7 @@
         known_networks: networks(&section),
     };
     if reserve > 0 && limits.known_networks.is_empty() && limits.known_for <= 0.0 {
-        let message = "nobody can be known: name networks in known, or let known_for be more than 0";
+        let message = "expected networks in 'known' or 'known_for' above 0 for a reserve, found neither";
         section.report("reserve", message);
     }
     section.finish();
--- a/operator/src/broker.rs
+++ b/operator/src/broker.rs
@@ -8,16 +8,16 @@
 
 /// Maximum lifetime of a name on the platform's counter, seconds.
 const COUNTER_LIFETIME: f64 = 60.0;
-/// Accepted rates (units per second) and bursts (units).
+/// Accepted rates, units per second, and bursts, units.
 const RATES: RangeInclusive<f64> = 0.001..=1e9;
-/// Accepted weights of contracts.
+/// Accepted weights of contracts, without a unit.
 const WEIGHTS: RangeInclusive<f64> = 0.001..=1e6;
 /// Accepted units of a budget.
 const BUDGET_UNITS: RangeInclusive<f64> = 1.0..=1e15;
 /// Accepted periods of a budget, seconds: up to a year.
 const BUDGET_PERIODS: RangeInclusive<f64> = 1.0..=3.2e7;
 
-/// What `strangers` may be: whether requests of customers without a team pass.
+/// Accepted values of `strangers`: whether requests of customers without a team are admitted.
 const UNKNOWN_CUSTOMERS: [Choice<bool>; 2] =
     [Choice { name: "pass", value: true }, Choice { name: "refuse", value: false }];
 
@@ -28,11 +28,11 @@
     pub contracts: Contracts,
     /// Capacity of all gateway instances together, units per second.
     pub capacity: f64,
-    /// Whether requests of customers that no contract names pass as if there were no broker.
+    /// Whether requests of customers that no contract names are admitted as without a broker.
     pub admits_unknown_customers: bool,
 }
 
-/// The facts against which contracts are checked.
+/// The data against which contracts are checked.
 struct ContractCheck<'a> {
     document: &'a Document,
     platform: Option<&'a Platform>,
@@ -40,8 +40,8 @@
     counter_lifetime: f64,
 }
 
-/// Reads the settings. None without a section `[broker]`, or if something in it or in a contract is invalid; faults are reported to
-/// the document. `counter_lifetime` is the maximum lifetime of a name on the counter, seconds.
+/// Reads the settings and reports errors to the document. Returns `None` without a section `[broker]`, or if a value in it or in a
+/// contract is missing or invalid. `counter_lifetime` is the maximum lifetime of a name on the counter, seconds.
 pub(crate) fn read(
     document: &Document,
     file: &Section,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reports a conflict between contracts at the line of the later one.
+/// Reports a conflict between contracts at the line of the later contract.
 fn report_conflict(document: &Document, lines: &[usize], conflict: &Conflict) {
     let line = match conflict {
         Conflict::DuplicateVersion { second, .. } | Conflict::SharedCustomer { second, .. } => lines[*second],
@@ -84,10 +84,10 @@
 }
 
 impl ContractCheck<'_> {
-    /// Reports that contracts need a section `[broker]`, and all other faults in them.
+    /// Reports that contracts need a section `[broker]`, and all other errors in them.
     fn read_without_broker(&self, sections: Vec<Section>) {
         if let Some(first) = sections.first() {
-            let message = "there is no section [broker] that would hold anybody to it";
+            let message = "expected a section [broker], which enforces contracts, found none";
             self.document.report(first.line, "contract", message);
         }
         for section in sections {
@@ -99,7 +99,7 @@
         section.require(&["team", "rate"]);
         let team = section.string("team").map(|team| team.value);
         if team.as_ref().is_some_and(String::is_empty) {
-            section.report("team", "expected a name");
+            section.report("team", "expected a non-empty name, found an empty string");
         }
         let version =
             section.integer("version", 1..=u32::MAX as usize).map_or(1, |version| version.value as u32);
@@ -132,7 +132,8 @@
         let operations = section.strings("operations").unwrap_or_default();
         if let Some(platform) = self.platform {
             for pattern in operations.iter().filter(|pattern| !is_operation(platform, pattern)) {
-                let message = format!("no operation is called '{}'", pattern.value);
+                let message =
+                    format!("expected a pattern that matches an operation, found '{}'", pattern.value);
                 self.document.report(pattern.line, "operations", message);
             }
         }
@@ -148,8 +149,7 @@
             let lifetime = self.counter_lifetime;
             if needed > lifetime {
                 let message = format!(
-                    "a count of {} s has to live for {needed} s, and the counter lets a name live for {lifetime} s \
-                     (counter.longest_life)",
+                    "expected a counter.longest_life of at least {needed} s for a period of {} s, found {lifetime} s",
                     period.value
                 );
                 section.report("period", message);
@@ -179,18 +179,22 @@
         let burst = section.number("burst", RATES).map(|burst| burst.value);
         if let (Some(rate), Some(contract_rate)) = (rate, contract_rate) {
             if rate > contract_rate {
-                section.report("rate", format!("{rate} is more than the contract's {contract_rate}"));
+                section.report(
+                    "rate",
+                    format!("expected at most {contract_rate}, the contract's rate, found {rate}"),
+                );
             }
         }
         if let Some(operation) = operation {
             if !seen.insert(operation.clone()) {
-                section.report("operation", format!("'{operation}' stands here twice"));
+                section
+                    .report("operation", format!("expected each operation once, found '{operation}' again"));
             }
             let is_in_contract = operations.is_empty()
                 || matches_any(operations, &operation)
                 || operations.contains(&operation);
             if !is_in_contract {
-                let message = format!("'{operation}' is not among the contract's operations");
+                let message = format!("expected one of the contract's operations, found '{operation}'");
                 section.report("operation", message);
             }
             limits.extend(rate.map(|rate| OperationLimit { operation, rate, burst: burst.unwrap_or(rate) }));
--- a/operator/src/document/diagnostic.rs
+++ b/operator/src/document/diagnostic.rs
@@ -1,6 +1,6 @@
-//! Diagnostics about a file.
+//! Diagnostics of an operator's file.
 
-/// A fault in an operator's file.
+/// An error in an operator's file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("line {line}: {}{message}", key_prefix(.key))]
 pub struct Diagnostic {
@@ -8,7 +8,7 @@
     pub line: usize,
     /// Path of the key, such as `class[2].attempts`; empty if the file as a whole can't be read.
     pub key: String,
-    /// The reason.
+    /// What was expected and what was found.
     pub message: String,
 }
 
--- a/operator/src/document/mod.rs
+++ b/operator/src/document/mod.rs
@@ -1,5 +1,5 @@
-//! Reads TOML key by key and collects every fault with its line, its key and the reason. (serde stops at the first error;
-//! `toml_edit`, on which the `toml` crate is built, keeps the position of every item.)
+//! Reads TOML key by key and collects a diagnostic with line, key and reason for every error. serde stops at the first error;
+//! `toml_edit`, on which the `toml` crate is built, keeps the position of every item.
 mod diagnostic;
 mod section;
 mod timestamp;
@@ -22,7 +22,7 @@
 }
 
 impl Document {
-    /// Parses a file; the error is the syntax error, with its line.
+    /// Parses a file. Fails with the diagnostic of the first syntax error.
     pub fn parse(text: &str) -> Result<Document, Vec<Diagnostic>> {
         let line_ends: Vec<usize> = text.match_indices('\n').map(|(offset, _)| offset).collect();
         let toml = ImDocument::parse(text.to_owned()).map_err(|error| {
@@ -44,7 +44,7 @@
         self.diagnostics.borrow_mut().push(diagnostic);
     }
 
-    /// All diagnostics, by line.
+    /// Returns all diagnostics, by line.
     pub fn into_diagnostics(self) -> Vec<Diagnostic> {
         let mut diagnostics = self.diagnostics.into_inner();
         diagnostics.sort_by_key(|diagnostic| diagnostic.line);
--- a/operator/src/document/section.rs
+++ b/operator/src/document/section.rs
@@ -6,20 +6,20 @@
 use std::ops::Range;
 use toml_edit::{Item, TableLike, Value};
 
-/// A table of the file. Every key that is read counts as known; [`finish`](Section::finish) reports all others.
+/// A table of the file. It records each key that is read; [`finish`](Section::finish) reports all others as unknown.
 pub(crate) struct Section<'a> {
     pub(super) document: &'a Document,
     /// Path of its key in the file; empty for the top level.
     path: String,
     pub(super) table: &'a dyn TableLike,
-    /// The line on which it begins, counted from 1.
+    /// The line on which the table begins, counted from 1.
     pub line: usize,
-    /// Keys that were read.
+    /// Keys that were read, which are the keys that the section may have.
     known_keys: RefCell<Vec<&'static str>>,
 }
 
 impl<'a> Section<'a> {
-    /// A section of a document, none of whose keys was read.
+    /// Creates the section of a table.
     pub(super) fn new(
         document: &'a Document,
         path: String,
@@ -29,7 +29,7 @@
         Section { document, path, table, line, known_keys: RefCell::default() }
     }
 
-    /// Adds a diagnostic about a key: its value is invalid, or it is missing.
+    /// Adds a diagnostic about a key that is missing or has an invalid value.
     pub fn report(&self, key: &str, message: impl Into<String>) {
         self.document.report(self.line_of(key), self.path_of(key), message);
     }
@@ -48,7 +48,7 @@
         self.table.contains_key(key)
     }
 
-    /// The table under a key; none if it is missing, or if it is no table, which is reported.
+    /// Returns the table under a key; `None` if the key is missing. A value that is not a table is reported.
     pub fn section(&self, key: &'static str) -> Option<Section<'a>> {
         let item = self.item(key)?;
         let path = self.path_of(key);
@@ -60,7 +60,7 @@
         Some(Section::new(self.document, path, table, line))
     }
 
-    /// The tables of a list of tables, in order; empty if it is missing, or if it is no such list, which is reported.
+    /// Returns the tables of a list of tables, in order; empty if the key is missing. A value that is not a list of tables is reported.
     pub fn sections(&self, key: &'static str) -> Vec<Section<'a>> {
         let Some(item) = self.item(key) else { return vec![] };
         let Some(tables) = tables_of(item) else {
@@ -72,32 +72,32 @@
         tables.into_iter().enumerate().map(element).collect()
     }
 
-    /// Reports unknown keys. To be called once all keys that the section may have were read.
+    /// Reports unknown keys. The caller must have read every key that the section may have.
     pub fn finish(self) {
         let known: BTreeSet<&str> = self.known_keys.borrow().iter().copied().collect();
         let quoted: Vec<String> = known.iter().map(|key| format!("'{key}'")).collect();
         for (key, item) in self.table.iter().filter(|(key, _)| !known.contains(key)) {
             let key_span = self.table.get_key_value(key).and_then(|(key, _)| key.span());
             let line = self.document.line_of(key_span.or(item.span()), self.line);
-            let message = format!("nothing here has this name; known are {}", quoted.join(", "));
+            let message = format!("unknown key; expected one of {}", quoted.join(", "));
             self.document.report(line, self.path_of(key), message);
         }
     }
 
-    /// The line of a key, or of the section if the key is missing.
+    /// Returns the line of a key, or of the section if the key is missing.
     pub fn line_of(&self, key: &str) -> usize {
         let entry = self.table.get_key_value(key);
         let span = entry.and_then(|(key, item)| key.span().or(item.span()));
         self.document.line_of(span, self.line)
     }
 
-    /// The item of a key, which counts as known from now on.
+    /// Returns the item of a key and records the key as known.
     pub(super) fn item(&self, key: &'static str) -> Option<&'a Item> {
         self.known_keys.borrow_mut().push(key);
         self.table.get(key)
     }
 
-    /// The full path of a key.
+    /// Returns the full path of a key.
     pub(super) fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -118,7 +118,7 @@
     span: Option<Range<usize>>,
 }
 
-/// The tables of `[[key]]`, or of a list of inline tables.
+/// Returns the tables of `[[key]]` or of a list of inline tables; `None` for any other item.
 fn tables_of<'a>(item: &'a Item) -> Option<Vec<TableInFile<'a>>> {
     if let Some(tables) = item.as_array_of_tables() {
         return Some(tables.iter().map(|table| TableInFile { table, span: table.span() }).collect());
--- a/operator/src/document/timestamp.rs
+++ b/operator/src/document/timestamp.rs
@@ -5,7 +5,7 @@
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
-/// A date as Unix seconds; none if it lacks a date, a time or an offset, or if there is no such day.
+/// Returns a TOML date-time as Unix seconds; `None` if it lacks a date, a time or an offset, or if the day does not exist.
 pub(super) fn unix_seconds(datetime: &Datetime) -> Option<f64> {
     let date = datetime.date?;
     let time = datetime.time?;
--- a/operator/src/document/values.rs
+++ b/operator/src/document/values.rs
@@ -1,13 +1,13 @@
-//! Typed access to the values of a section. All accessors return none if the key is missing, and report values of another type.
+//! Typed access to the values of a section. Each accessor returns `None` if the key is missing, and reports a value of another type.
 use super::timestamp::unix_seconds;
 use super::Section;
 use std::ops::RangeInclusive;
 use toml_edit::{Array, Item, Value};
 
-/// Hexadecimal digits of a customer's id.
+/// Number of hexadecimal digits of a customer's id.
 const CUSTOMER_DIGITS: usize = 16;
 
-/// A value with the line on which it stands.
+/// A value and its line in the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Located<T> {
     /// The value.
@@ -16,7 +16,7 @@
     pub line: usize,
 }
 
-/// One of the names that a key accepts, with the value it stands for.
+/// A name that a key accepts, and the value that it denotes.
 pub(crate) struct Choice<T> {
     /// The name in the file.
     pub name: &'static str,
@@ -26,9 +26,9 @@
 
 /// A period of validity, Unix seconds.
 pub(crate) struct Validity {
-    /// Its start.
+    /// Start of the period.
     pub from: f64,
-    /// Its end, exclusive; infinite if there is none.
+    /// End of the period, exclusive; infinite if the file sets none.
     pub until: f64,
 }
 
@@ -53,7 +53,7 @@
 
     /// An integer within bounds.
     pub fn integer(&self, key: &'static str, bounds: RangeInclusive<usize>) -> Option<Located<usize>> {
-        let found = self.value(key, "a whole number", Value::as_integer)?;
+        let found = self.value(key, "an integer", Value::as_integer)?;
         let value = usize::try_from(found.value).ok().filter(|value| bounds.contains(value));
         if value.is_none() {
             let min = bounds.start();
@@ -72,10 +72,10 @@
 
     /// A string.
     pub fn string(&self, key: &'static str) -> Option<Located<String>> {
-        self.value(key, "a text in quotes", |value| value.as_str().map(str::to_owned))
+        self.value(key, "a string", |value| value.as_str().map(str::to_owned))
     }
 
-    /// The value of one of several names.
+    /// The value that one of several names denotes.
     pub fn choice<T: Copy>(&self, key: &'static str, choices: &[Choice<T>]) -> Option<Located<T>> {
         let found = self.string(key)?;
         let Some(choice) = choices.iter().find(|choice| choice.name == found.value) else {
@@ -86,48 +86,49 @@
         Some(Located { value: choice.value, line: found.line })
     }
 
-    /// A date with time and offset, as Unix seconds.
+    /// A date-time with an offset, as Unix seconds.
     pub fn timestamp(&self, key: &'static str) -> Option<Located<f64>> {
-        let expected = "a date with time and offset, 2026-12-01T00:00:00Z";
+        let expected = "a date-time with an offset, such as 2026-12-01T00:00:00Z";
         self.value(key, expected, |value| unix_seconds(value.as_datetime()?))
     }
 
-    /// The period between the keys `from` and `until`, either of which may be missing. One that ends before it begins is reported.
+    /// The period between the keys `from` and `until`, either of which may be missing. An empty period is reported.
     pub fn validity(&self) -> Validity {
         let from = self.timestamp("from").map_or(0.0, |time| time.value);
         let until = self.timestamp("until").map_or(f64::INFINITY, |time| time.value);
         if until <= from {
-            self.report("until", "it ends before it begins");
+            let message = format!("expected a time after 'from' (Unix time {from}), found Unix time {until}");
+            self.report("until", message);
         }
         Validity { from, until }
     }
 
-    /// A list of strings; none if the key is missing, or if an element is no string.
+    /// A list of strings; `None` if the key is missing or any element is not a string.
     pub fn strings(&self, key: &'static str) -> Option<Vec<Located<String>>> {
         let item = self.item(key)?;
         let Some(array) = item.as_array() else {
-            self.report(key, format!("expected a list of texts, found {}", type_name(item)));
+            self.report(key, format!("expected a list of strings, found {}", type_name(item)));
             return None;
         };
-        // Every element that is no string is reported, not only the first.
+        // Collected first, so that every element that is not a string is reported and not only the first.
         let strings: Vec<Option<Located<String>>> =
             array.iter().enumerate().map(|(index, value)| self.string_at(key, index, value)).collect();
         strings.into_iter().collect()
     }
 
-    /// Whether the value of a key is an empty list.
+    /// Returns whether the value of a key is an empty list.
     pub fn is_empty_list(&self, key: &str) -> bool {
         self.table.get(key).and_then(Item::as_array).is_some_and(Array::is_empty)
     }
 
-    /// A list of customer ids, 16 hexadecimal digits each; invalid ones are reported and left out.
+    /// A list of customer ids, 16 lowercase hexadecimal digits each; invalid ids are reported and left out.
     pub fn customers(&self, key: &'static str) -> Vec<u64> {
         let mut customers = vec![];
         for text in self.strings(key).unwrap_or_default() {
             match parse_customer(&text.value) {
                 Some(customer) => customers.push(customer),
                 None => {
-                    let message = format!("'{}': expected 16 hex digits", text.value);
+                    let message = format!("expected 16 lowercase hexadecimal digits, found '{}'", text.value);
                     self.document.report(text.line, key, message);
                 }
             }
@@ -154,7 +155,7 @@
         let Some(text) = value.as_str() else {
             let found = type_name(&Item::Value(value.clone()));
             let path = format!("{}[{index}]", self.path_of(key));
-            self.document.report(line, path, format!("expected a text in quotes, found {found}"));
+            self.document.report(line, path, format!("expected a string, found {found}"));
             return None;
         };
         Some(Located { value: text.to_owned(), line })
@@ -169,17 +170,17 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// The type of an item, as diagnostics name it.
+/// Returns the type of an item, as diagnostics name it.
 pub(super) fn type_name(item: &Item) -> &'static str {
     match item {
-        Item::Value(Value::String(_)) => "a text",
-        Item::Value(Value::Integer(_)) => "a whole number",
-        Item::Value(Value::Float(_)) => "a number",
-        Item::Value(Value::Boolean(_)) => "true or false",
-        Item::Value(Value::Datetime(_)) => "a date",
+        Item::Value(Value::String(_)) => "a string",
+        Item::Value(Value::Integer(_)) => "an integer",
+        Item::Value(Value::Float(_)) => "a floating-point number",
+        Item::Value(Value::Boolean(_)) => "a boolean",
+        Item::Value(Value::Datetime(_)) => "a date or time",
         Item::Value(Value::Array(_)) => "a list",
         Item::Value(Value::InlineTable(_)) | Item::Table(_) => "a section",
-        Item::ArrayOfTables(_) => "several sections",
-        Item::None => "nothing",
+        Item::ArrayOfTables(_) => "a list of sections",
+        Item::None => "no value",
     }
 }
--- a/operator/src/identity.rs
+++ b/operator/src/identity.rs
@@ -1,25 +1,25 @@
-//! The section `[identity]`: against what the tokens of callers are checked.
+//! The section `[identity]`: issuer, keys and rules for the tokens of callers.
 use crate::document::{Choice, Section};
 use quillramp_identity::{Key, SignatureAlgorithm, Trust};
 use std::ops::RangeInclusive;
 
 /// Accepted tolerances for clock skew, seconds.
 const LEEWAYS: RangeInclusive<f64> = 0.0..=60.0;
-/// Default tolerance for clock skew, seconds: clocks that NTP keeps differ by less.
+/// Default tolerance for clock skew, seconds: clocks synchronized by NTP differ by less.
 const DEFAULT_LEEWAY: f64 = 2.0;
 /// Accepted maximum lifetimes of a token, seconds.
 const MAX_LIFETIMES: RangeInclusive<f64> = 1.0..=1e7;
 /// Default maximum lifetime of a token, seconds.
 const DEFAULT_MAX_LIFETIME: f64 = 3600.0;
 
-/// The signature algorithms by their names in the file.
+/// Signature algorithms and their names in the file.
 const ALGORITHMS: [Choice<SignatureAlgorithm>; 2] = [
     Choice { name: "EdDSA", value: SignatureAlgorithm::EdDsa },
     Choice { name: "ES256", value: SignatureAlgorithm::Es256 },
 ];
 
-/// Reads the issuer, the keys and the rules for tokens. None if `issuer` or `audience` is missing; faults are reported to the
-/// section's document.
+/// Reads the issuer, the keys and the rules for tokens, and reports errors to the section's document. Returns `None` if `issuer` or
+/// `audience` is missing.
 pub(crate) fn read(section: Section) -> Option<Trust> {
     let issuer = read_name(&section, "issuer");
     let audience = read_name(&section, "audience");
@@ -38,7 +38,7 @@
     section.require(&[key]);
     let name = section.string(key)?.value;
     if name.is_empty() {
-        section.report(key, "expected a name");
+        section.report(key, "expected a non-empty name, found an empty string");
     }
     Some(name)
 }
@@ -46,13 +46,13 @@
 fn read_keys(section: &Section) -> Vec<Key> {
     let sections = section.sections("key");
     if sections.is_empty() {
-        section.report("key", "without a key nobody can be known");
+        section.report("key", "expected at least one section [[identity.key]], found none");
     }
     let mut keys: Vec<Key> = vec![];
     for section in sections {
         if let Some(key) = read_key(&section) {
             if keys.iter().any(|other| other.id == key.id) {
-                section.report("id", format!("'{}' stands here twice", key.id));
+                section.report("id", format!("expected a unique id, found '{}' again", key.id));
             }
             if let Err(error) = key.check() {
                 section.report(error.component.name(), error.problem.to_string());
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operator's file: one TOML file with a section for each optional part. A part without a section keeps its default behavior.
-//! The parser is a pure function from the text to the settings, or to the complete list of faults.
+//! The operator's file: a TOML file with a section for each optional component. A component without a section keeps its default
+//! behavior. The parser is a pure function from the text to the settings, or to the complete list of diagnostics.
 #![warn(missing_docs)]
 mod admission;
 pub mod broker;
@@ -20,30 +20,30 @@
 use quillramp_identity::Trust;
 use routes::{Platform, Routes};
 
-/// The longest file, bytes.
+/// Maximum size of a file, bytes.
 pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 
 /// The settings of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// Limits of connections; none: no admission control.
+    /// Limits of connections; `None` without admission control.
     pub admission: Option<Limits>,
-    /// Settings of the log; none: the defaults.
+    /// Settings of the log; `None` for the defaults.
     pub log: Option<LogSettings>,
     /// Limits of requests.
     pub routes: Routes,
-    /// Heartbeat interval of the membership on the counter, seconds; none: no membership.
+    /// Heartbeat interval of the membership on the counter, seconds; `None` without membership.
     pub membership_interval: Option<f64>,
-    /// Contracts between teams; none: no broker.
+    /// Contracts between teams; `None` without a broker.
     pub broker: Option<BrokerSettings>,
-    /// Issuer, keys and rules for the tokens of callers; none: callers need no token.
+    /// Issuer, keys and rules for the tokens of callers; `None` if callers need no token.
     pub identity: Option<Trust>,
 }
 
-/// Reads a file and checks it, against a platform's configuration if it is given. The error has all faults, by line.
+/// Parses a file and checks it, also against a platform's configuration if one is given. The error has all diagnostics, by line.
 pub fn read(text: &str, platform: Option<&Platform>) -> Result<OperatorSettings, Vec<Diagnostic>> {
     if text.len() > MAX_FILE_BYTES {
-        let message = format!("the file has {} bytes, {MAX_FILE_BYTES} at the most", text.len());
+        let message = format!("expected at most {MAX_FILE_BYTES} bytes, found {}", text.len());
         return Err(vec![Diagnostic { line: 1, key: String::new(), message }]);
     }
     let document = Document::parse(text)?;
--- a/operator/src/log.rs
+++ b/operator/src/log.rs
@@ -13,7 +13,7 @@
     Json,
 }
 
-/// The least severe level of lines that are logged.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
     /// No lines.
@@ -24,14 +24,14 @@
     Warn,
     /// Events of normal operation.
     Info,
-    /// Details that help to find a fault.
+    /// Details for debugging.
     Debug,
     /// Everything.
     Trace,
 }
 
 impl Level {
-    /// Its name in the file.
+    /// Returns the name of the level in the file.
     pub fn name(self) -> &'static str {
         match self {
             Level::Off => "off",
@@ -44,12 +44,12 @@
     }
 }
 
-/// The level of the lines of some modules.
+/// The level for all modules whose path has a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LevelRule {
     /// Prefix of the modules' paths; empty: all modules of the project.
     pub prefix: String,
-    /// The least severe level that they log.
+    /// The least severe level that these modules log.
     pub level: Level,
 }
 
@@ -62,7 +62,7 @@
     pub levels: Vec<LevelRule>,
 }
 
-/// The formats by their names in the file.
+/// Formats and their names in the file.
 const FORMATS: [Choice<Format>; 3] = [
     Choice { name: "plain", value: Format::Plain },
     Choice { name: "key-value", value: Format::KeyValue },
@@ -71,10 +71,10 @@
 
 const LEVELS: [Level; 6] = [Level::Off, Level::Error, Level::Warn, Level::Info, Level::Debug, Level::Trace];
 
-/// Characters that a prefix may not contain, because they separate the rules of a filter.
+/// Characters that a prefix must not contain, because they separate the rules of a log filter.
 const SEPARATORS: [char; 3] = [',', '=', ' '];
 
-/// Reads the settings; faults are reported to the section's document.
+/// Reads the settings and reports errors to the section's document.
 pub(crate) fn read(section: Section) -> LogSettings {
     let format = section.choice("form", &FORMATS).map(|format| format.value).unwrap_or_default();
     let mut levels = vec![];
@@ -96,7 +96,7 @@
     let prefix = prefix?.value;
     let level = level?;
     if prefix.is_empty() || prefix.contains(SEPARATORS) {
-        section.report("from", format!("'{prefix}': expected the beginning of where lines come from"));
+        section.report("from", format!("expected the prefix of a module path, found '{prefix}'"));
     }
     Some(LevelRule { prefix, level })
 }
--- a/operator/src/routes/check.rs
+++ b/operator/src/routes/check.rs
@@ -7,20 +7,20 @@
 
 /// The check of one class for one operation.
 pub(super) struct ClassCheck<'a> {
-    /// Takes the diagnostics.
+    /// Receives the diagnostics.
     pub document: &'a Document,
     /// The class to check.
     pub class: &'a Class,
-    /// The line of the first route that leads to it.
+    /// The line of the first route that assigns the operation to the class.
     pub route_line: usize,
-    /// The operation that is routed to it.
+    /// The operation that is routed to the class.
     pub operation: &'a Operation,
-    /// The configuration that it may only narrow.
+    /// The configuration that the class may only narrow.
     pub platform: &'a Platform,
 }
 
 impl ClassCheck<'_> {
-    /// Reports every limit that the retry rules or the platform's configuration do not allow.
+    /// Reports every limit that the retry rules or the platform's configuration forbid.
     pub fn run(&self) {
         self.check_attempts();
         self.check_hedging();
@@ -41,13 +41,19 @@
         };
         if self.operation.idempotency == Idempotency::NonIdempotent {
             let name = &self.operation.name;
-            let message =
-                format!("'{name}' is non-idempotent: a second delivery could have its effect twice");
+            let message = format!(
+                "expected 1, as a retry of the non-idempotent '{name}' could take effect twice, found {}",
+                attempts.value
+            );
             self.report(attempts.line, "attempts", &message);
         }
         let allowed = self.platform.max_attempts;
         if attempts.value > allowed {
-            self.report(attempts.line, "attempts", &format!("the configuration allows {allowed}"));
+            self.report(
+                attempts.line,
+                "attempts",
+                &format!("expected at most {allowed} as in the configuration, found {}", attempts.value),
+            );
         }
     }
 
@@ -56,11 +62,13 @@
         let name = &self.operation.name;
         let message = match self.operation.idempotency {
             Idempotency::NonIdempotent => {
-                format!("'{name}' is non-idempotent: a second copy could have its effect twice")
+                format!("expected false, as a copy of the non-idempotent '{name}' could take effect twice, found true")
+            }
+            Idempotency::Keyed { .. } => {
+                format!("expected false, as '{name}' is keyed and only idempotent operations are hedged, found true")
             }
-            Idempotency::Keyed { .. } => format!("'{name}' is tokened: only what is idempotent is copied"),
             Idempotency::Idempotent if self.platform.hedging => return,
-            Idempotency::Idempotent => "the configuration allows none".into(),
+            Idempotency::Idempotent => "expected false as in the configuration, found true".into(),
         };
         self.report(hedging.line, "second_copies", &message);
     }
@@ -70,7 +78,7 @@
         if self.operation.idempotency != Idempotency::Idempotent {
             let name = &self.operation.name;
             let message = format!(
-                "'{name}' is not idempotent: a delivery of it that is out is not given up for another"
+                "expected no such key, as attempts of '{name}', which is not idempotent, are not abandoned"
             );
             self.report(attempt_timeout.line, "per_try", &message);
         }
@@ -79,22 +87,25 @@
     fn check_keyed_retries(&self, scope: KeyScope, window: f64) {
         let name = &self.operation.name;
         if let Some(within) = self.class.retry_window.as_ref().filter(|within| within.value > window) {
-            let message =
-                format!("the token of '{name}' is remembered for {window} s, not for {} s", within.value);
+            let message = format!(
+                "expected at most {window} s, the lifetime of an idempotency key of '{name}', found {} s",
+                within.value
+            );
             self.report(within.line, "repeat_within", &message);
         }
         if let Some(declared) = self.class.key_scope.as_ref().filter(|declared| declared.value != scope) {
             let actual = group_name(scope);
             let other = group_name(declared.value);
             let message = format!(
-                "a repeat of '{name}' is known within its own group, which is '{actual}', not '{other}'"
+                "expected '{actual}', the group that shares the idempotency keys of '{name}', found '{other}'"
             );
             self.report(declared.line, "repeat_group", &message);
         }
     }
 
     fn check_no_retries(&self) {
-        let message = format!("'{}' is non-idempotent: it has no repeats", self.operation.name);
+        let message =
+            format!("expected no such key, as the non-idempotent '{}' is not retried", self.operation.name);
         if let Some(within) = &self.class.retry_window {
             self.report(within.line, "repeat_within", &message);
         }
@@ -105,7 +116,10 @@
 
     fn check_idempotent_retries(&self) {
         if let Some(scope) = &self.class.key_scope {
-            let message = format!("'{}' is idempotent: its repeats may go anywhere", self.operation.name);
+            let message = format!(
+                "expected no such key, as the idempotent '{}' is retried on any backend",
+                self.operation.name
+            );
             self.report(scope.line, "repeat_group", &message);
         }
     }
@@ -116,7 +130,10 @@
             return;
         };
         let name = &self.operation.name;
-        let message = format!("clients of '{name}' give up after {longest} s: {} s is later", timeout.value);
+        let message = format!(
+            "expected at most {longest} s, when clients of '{name}' give up, found {} s",
+            timeout.value
+        );
         self.report(timeout.line, "timeout", &message);
     }
 
@@ -125,11 +142,14 @@
         let Operation { name, latency_objective: longest, .. } = self.operation;
         let timeout = self.timeout();
         if objective.value > *longest {
-            let message =
-                format!("the latency objective of '{name}' is {longest} s: a file can only narrow it");
+            let message = format!(
+                "expected at most {longest} s, the configured objective of '{name}', found {} s",
+                objective.value
+            );
             self.report(objective.line, "objective", &message);
         } else if objective.value > timeout {
-            let message = format!("lies past the time-out of '{name}', {timeout} s");
+            let message =
+                format!("expected at most {timeout} s, the timeout of '{name}', found {} s", objective.value);
             self.report(objective.line, "objective", &message);
         }
     }
@@ -145,28 +165,28 @@
         let is_declared = self.class.max_attempts.is_some();
         if attempts > 1 && attempt_timeout.value >= timeout {
             let message = format!(
-                "{} s leaves no time for another try before clients of '{name}' give up at {timeout} s",
+                "expected less than {timeout} s, the timeout of '{name}', to leave time for a retry, found {} s",
                 attempt_timeout.value
             );
             self.report(attempt_timeout.line, "per_try", &message);
         } else if is_declared && attempt_timeout.value * attempts as f64 > timeout {
             let message = format!(
-                "{attempts} attempts of {} s cannot end before clients of '{name}' give up at {timeout} s",
+                "expected all attempts to fit in {timeout} s, the timeout of '{name}', found {attempts} of {} s",
                 attempt_timeout.value
             );
             self.report(attempt_timeout.line, "per_try", &message);
         }
     }
 
-    /// Time after which a request gets its final answer, seconds.
+    /// Returns the time after which a request gets its final answer, seconds.
     fn timeout(&self) -> f64 {
         value_or(&self.class.timeout, f64::INFINITY).min(self.operation.timeout)
     }
 
-    /// Reports a limit of the class.
+    /// Reports a limit of the class and the line of its route.
     fn report(&self, line: usize, key: &str, message: &str) {
         let key = format!("class '{}'.{key}", self.class.name);
-        let message = format!("{message} (by the route on line {})", self.route_line);
+        let message = format!("{message} (route on line {})", self.route_line);
         self.document.report(line, key, message);
     }
 }
--- a/operator/src/routes/class.rs
+++ b/operator/src/routes/class.rs
@@ -3,21 +3,22 @@
 use quillramp::types::{KeyScope, RequestLimits};
 use std::collections::BTreeMap;
 
-/// The most attempts that a class may declare.
+/// Maximum number of attempts that a class may declare.
 const MAX_ATTEMPTS: usize = 32;
 /// The shortest time that a class may declare, seconds.
 const MIN_SECONDS: f64 = 0.001;
 /// The longest time that a class may declare, seconds.
 const MAX_SECONDS: f64 = 600.0;
 
-/// Limits of the requests that are routed to it. Limits that are none are those of the platform's configuration. Times are seconds.
+/// Limits of the requests that are routed to a class. A limit that is `None` is that of the platform's configuration. Times are
+/// seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// The name by which routes refer to it.
+    /// The name by which routes refer to the class.
     pub name: String,
-    /// The line on which it begins, counted from 1.
+    /// The line on which the class begins, counted from 1.
     pub line: usize,
-    /// The most attempts of a request, the first one included.
+    /// Maximum number of attempts of a request, including the first one.
     pub max_attempts: Option<Located<usize>>,
     /// Whether a hedged request may be sent while the first attempt is in flight.
     pub hedging: Option<Located<bool>>,
@@ -29,12 +30,12 @@
     pub timeout: Option<Located<f64>>,
     /// Time after the first attempt within which a request may be retried.
     pub retry_window: Option<Located<f64>>,
-    /// The group of backends in which an idempotency key is known.
+    /// The group of backends that shares idempotency keys.
     pub key_scope: Option<Located<KeyScope>>,
 }
 
 impl Class {
-    /// The limits in the form that the policy engine takes.
+    /// Returns the limits in the form that the policy engine takes.
     pub fn limits(&self) -> RequestLimits {
         let default = RequestLimits::default();
         RequestLimits {
@@ -47,12 +48,12 @@
     }
 }
 
-/// The value of a limit, or a default if it is not declared.
+/// Returns the value of a limit, or a default if the limit is not declared.
 pub(crate) fn value_or<T: Copy>(located: &Option<Located<T>>, default: T) -> T {
     located.as_ref().map_or(default, |located| located.value)
 }
 
-/// Reads all classes; faults are reported to the document.
+/// Reads all classes and reports errors to the document.
 pub(super) fn read_all(file: &Section) -> Vec<Class> {
     let mut classes: Vec<Class> = vec![];
     let mut lines: BTreeMap<String, usize> = BTreeMap::new();
@@ -91,7 +92,10 @@
 fn check(section: &Section, class: &Class) {
     if let (Some(objective), Some(timeout)) = (&class.latency_objective, &class.timeout) {
         if objective.value > timeout.value {
-            let message = format!("{} s lies past the time-out of {} s", objective.value, timeout.value);
+            let message = format!(
+                "expected at most {1} s, the value of 'timeout', found {0} s",
+                objective.value, timeout.value
+            );
             section.report("objective", message);
         }
     }
@@ -100,11 +104,14 @@
         return;
     }
     if value_or(&class.hedging, false) {
-        section.report("second_copies", "a second copy is a second attempt, and attempts = 1");
+        section.report(
+            "second_copies",
+            "expected false with attempts = 1, as a second copy is a second attempt; found true",
+        );
     }
     for key in ["per_try", "repeat_within", "repeat_group"] {
         if section.contains(key) {
-            section.report(key, "attempts = 1 leaves nothing that this could be about");
+            section.report(key, "expected no such key with attempts = 1, which excludes retries");
         }
     }
 }
@@ -113,13 +120,16 @@
     if !section.contains("name") {
         section.report("name", "is missing");
     } else if class.name.is_empty() {
-        section.report("name", "expected a name");
+        section.report("name", "expected a non-empty name, found an empty string");
     } else if let Some(line) = lines.insert(class.name.clone(), class.line) {
-        section.report("name", format!("'{}' stands on line {line} already", class.name));
+        section.report(
+            "name",
+            format!("expected a unique name, found '{}' again (first on line {line})", class.name),
+        );
     }
 }
 
-/// The index of the class that a route names; none if it names none that exists, which is reported.
+/// Returns the index of the class that a route names; `None` if the key is missing or the class does not exist, which is reported.
 pub(super) fn find(section: &Section, classes: &[Class]) -> Option<usize> {
     let Some(name) = section.string("class") else {
         if !section.contains("class") {
@@ -129,7 +139,7 @@
     };
     let index = classes.iter().position(|class| class.name == name.value);
     if index.is_none() {
-        section.report("class", format!("no class is called '{}'", name.value));
+        section.report("class", format!("expected the name of a [[class]], found '{}'", name.value));
     }
     index
 }
--- a/operator/src/routes/mod.rs
+++ b/operator/src/routes/mod.rs
@@ -1,5 +1,5 @@
-//! Classes of request limits and the routes that lead to them. Both are checked against the retry rules and the platform's
-//! configuration, which a class can only narrow. The policy engine (`quillramp::policy`) applies the limits to requests.
+//! Classes of request limits, and the routes that assign requests to them. Both are checked against the retry rules and the
+//! platform's configuration, which a class can only narrow. The policy engine (`quillramp::policy`) applies the limits to requests.
 mod check;
 mod class;
 mod platform;
@@ -26,7 +26,7 @@
     pub routes: Vec<Route>,
 }
 
-/// Reads classes and routes; faults are reported to the document. Names are checked only against a given platform.
+/// Reads classes and routes, and reports errors to the document. Names are checked only if a platform is given.
 pub(crate) fn read(document: &Document, file: &Section, platform: Option<&Platform>) -> Routes {
     let classes = class::read_all(file);
     let routes = route::read_all(document, file, &classes, platform);
@@ -37,7 +37,7 @@
     routes
 }
 
-/// Checks each class for each operation that is routed to it, once however many routes lead there.
+/// Checks each class once for each operation that any route assigns to it.
 fn check_routed(document: &Document, routes: &Routes, platform: &Platform) {
     let mut checked = HashSet::new();
     for route in &routes.routes {
--- a/operator/src/routes/platform.rs
+++ b/operator/src/routes/platform.rs
@@ -1,35 +1,35 @@
-//! The part of the platform's configuration against which a file is checked.
+//! The subset of the platform's configuration against which a file is checked.
 use quillramp::types::{Idempotency, KeyScope};
 
 /// An operation of the platform's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
-    /// Its name.
+    /// Name of the operation.
     pub name: String,
-    /// Whether it may be retried.
+    /// Whether and where requests may be retried.
     pub idempotency: Idempotency,
-    /// Its latency objective, seconds.
+    /// Latency objective, seconds.
     pub latency_objective: f64,
-    /// Time after which its clients give up, seconds.
+    /// Time after which clients give up, seconds.
     pub timeout: f64,
 }
 
-/// The platform's configuration.
+/// The settings of the platform that a file can only narrow, and the names that it may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
     /// All operations.
     pub operations: Vec<Operation>,
     /// Names of all plans.
     pub plans: Vec<String>,
-    /// The most attempts of a request, the first one included.
+    /// Maximum number of attempts of a request, including the first one.
     pub max_attempts: usize,
     /// Whether hedged requests are allowed.
     pub hedging: bool,
-    /// File descriptors that a gateway instance may have.
+    /// File descriptor limit of a gateway instance.
     pub descriptors: usize,
 }
 
-/// The name in the file of a group of backends that shares idempotency keys.
+/// Returns the name in the file of a group of backends that shares idempotency keys.
 pub(crate) fn group_name(scope: KeyScope) -> &'static str {
     match scope {
         KeyScope::All => "all",
--- a/operator/src/routes/route.rs
+++ b/operator/src/routes/route.rs
@@ -1,17 +1,18 @@
-//! The sections `[[route]]`: to which requests a class applies.
+//! The sections `[[route]]`: the requests to which a class applies.
 use super::class::{self, Class};
 use super::Platform;
 use crate::document::{Document, Located, Section};
 use quillramp_broker::contract::matches_any;
 use std::collections::{HashMap, HashSet};
 
-/// The diagnostic about a list without elements.
-const EMPTY_LIST_MESSAGE: &str = "an empty list takes nothing; leave it out to take all";
+/// Diagnostic for an empty list.
+const EMPTY_LIST_MESSAGE: &str =
+    "expected at least one element, found an empty list; omit the key to match everything";
 
-/// Matches requests by operation, plan and customer; an empty list matches all.
+/// A rule that matches requests by operation, plan and customer; an empty list matches all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Route {
-    /// The line on which it begins, counted from 1.
+    /// The line on which the route begins, counted from 1.
     pub line: usize,
     /// Patterns of operations, see [`matches_any`].
     pub operations: Vec<String>,
@@ -19,12 +20,12 @@
     pub plans: Vec<String>,
     /// Ids of customers.
     pub customers: Vec<u64>,
-    /// The index of its class in [`Routes::classes`](super::Routes::classes).
+    /// The index of the route's class in [`Routes::classes`](super::Routes::classes).
     pub class: usize,
 }
 
 impl Route {
-    /// Whether it matches every request that a later route matches.
+    /// Returns whether the route matches every request that a later route matches.
     fn covers(&self, later: &Route) -> bool {
         let covers_customers = self.customers.is_empty()
             || !later.customers.is_empty() && later.customers.iter().all(|id| self.customers.contains(id));
@@ -40,7 +41,7 @@
     patterns.is_empty() || !later.is_empty() && later.iter().all(covers)
 }
 
-/// Reads all routes; faults, also routes that can't be reached, are reported to the document.
+/// Reads all routes and reports errors to the document, including routes that an earlier route makes unreachable.
 pub(super) fn read_all(
     document: &Document,
     file: &Section,
@@ -51,7 +52,7 @@
     for section in file.sections("route") {
         if let Some(route) = read(document, &section, classes, platform) {
             if let Some(line) = routes.line_that_covers(&route) {
-                let message = format!("is never reached: the route on line {line} takes all of it");
+                let message = format!("is unreachable: the route on line {line} matches all of its requests");
                 document.report(route.line, "route", message);
             }
             routes.push(route);
@@ -61,16 +62,16 @@
     routes.routes
 }
 
-/// Routes in the order of the file, indexed by the customers that they name: files may have thousands.
+/// Routes in the order of the file, indexed by the customers that they name, because a file may have thousands of routes.
 #[derive(Default)]
 struct RouteIndex {
     routes: Vec<Route>,
-    /// Indexes of the routes that name a customer; under none, of those that name no customer.
+    /// Indexes of the routes that name a customer; under `None`, of the routes that name no customer.
     by_customer: HashMap<Option<u64>, Vec<usize>>,
 }
 
 impl RouteIndex {
-    /// The line of the first route that matches every request of a later one.
+    /// Returns the line of the first route that matches every request of a later route.
     fn line_that_covers(&self, later: &Route) -> Option<usize> {
         // Only routes that name no customer, or the first customer of the later one, can cover it.
         let for_all = self.by_customer.get(&None);
@@ -128,7 +129,7 @@
     }
     let mut seen = HashSet::new();
     if let Some(repeated) = customers.iter().find(|customer| !seen.insert(**customer)) {
-        section.report("customers", format!("'{repeated:016x}' stands here twice"));
+        section.report("customers", format!("expected each id once, found '{repeated:016x}' again"));
     }
     customers
 }
@@ -136,7 +137,7 @@
 fn report_duplicates(document: &Document, key: &str, names: &[Located<String>]) {
     let mut seen = HashSet::new();
     for name in names.iter().filter(|name| !seen.insert(&name.value)) {
-        document.report(name.line, key, format!("'{}' stands here twice", name.value));
+        document.report(name.line, key, format!("expected each name once, found '{}' again", name.value));
     }
 }
 
@@ -145,8 +146,11 @@
     for pattern in patterns {
         let is_known = names.iter().any(|name| matches_any(std::slice::from_ref(&pattern.value), name));
         if !is_known {
-            let message =
-                format!("no operation is called '{}'; there are {}", pattern.value, names.join(", "));
+            let message = format!(
+                "expected a pattern that matches one of {1}, found '{0}'",
+                pattern.value,
+                names.join(", ")
+            );
             document.report(pattern.line, "operations", message);
         }
     }
@@ -155,7 +159,7 @@
 fn check_plans(document: &Document, plans: &[Located<String>], platform: &Platform) {
     for plan in plans.iter().filter(|plan| !platform.plans.contains(&plan.value)) {
         let known = platform.plans.join(", ");
-        let message = format!("no plan is called '{}'; there are {known}", plan.value);
+        let message = format!("expected one of {known}, found '{}'", plan.value);
         document.report(plan.line, "plans", message);
     }
 }
--- a/operator/src/routes/table.rs
+++ b/operator/src/routes/table.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-/// The limits of a request that a route matches.
+/// Limits of a request that a route matches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EffectiveLimits {
     /// The limits that the policy engine applies.
@@ -24,7 +24,7 @@
 /// Indexes of the classes for one operation and plan.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct CustomerRoutes {
-    /// For customers that a route names.
+    /// By customer, for customers that a route names.
     named: HashMap<u64, usize>,
     /// For all other customers.
     others: Option<usize>,
@@ -42,7 +42,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let classes = self.routes.values().flat_map(|routes| routes.named.values().chain(&routes.others));
         let reached: HashSet<usize> = classes.copied().collect();
-        write!(f, "{} classes, for {} pairs of operation and plan", reached.len(), self.routes.len())
+        write!(f, "{} classes for {} pairs of operation and plan", reached.len(), self.routes.len())
     }
 }
 
@@ -60,7 +60,7 @@
         table
     }
 
-    /// The limits of a request; none if no route matches it.
+    /// Returns the limits of a request; `None` if no route matches it.
     pub fn lookup(&self, operation: usize, plan: usize, customer: u64) -> Option<EffectiveLimits> {
         let routes = self.routes.get(&OperationAndPlan { operation, plan })?;
         let class = routes.named.get(&customer).copied().or(routes.others)?;
@@ -82,7 +82,7 @@
 
 impl CustomerRoutes {
     fn add(&mut self, route: &Route) {
-        // A route for all customers hides the routes after it.
+        // A route for all customers makes the routes after it unreachable.
         if self.others.is_some() {
             return;
         }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Indexes of the names that match.
+/// Returns the indexes of the names that match a pattern.
 fn matching_indexes<'a>(names: impl Iterator<Item = &'a str>, patterns: &[String]) -> Vec<usize> {
     let matching = names.enumerate().filter(|(_, name)| matches_any(patterns, name));
     matching.map(|(index, _)| index).collect()
--- a/operator/src/show/mod.rs
+++ b/operator/src/show/mod.rs
@@ -14,7 +14,7 @@
             let classes = settings.routes.classes.len();
             let routes = settings.routes.routes.len();
             text += &format!(
-                "limits: {classes} classes, {routes} routes; name a configuration to see what holds\n"
+                "limits: {classes} classes, {routes} routes; add --configuration to show the limits of each operation\n"
             );
         }
     }
--- a/operator/src/show/operations.rs
+++ b/operator/src/show/operations.rs
@@ -4,7 +4,7 @@
 use quillramp::types::Idempotency;
 use quillramp_broker::contract::matches_any;
 
-/// The lines for each operation of the platform.
+/// Returns the lines for each operation of the platform.
 pub(super) fn show(routes: &Routes, platform: &Platform) -> String {
     platform.operations.iter().map(|operation| show_operation(routes, operation, platform)).collect()
 }
@@ -18,7 +18,7 @@
         text += &format!("  {}: class '{}' (route on line {line})\n", customers(route), class.name);
         text += &limits(operation, class, platform);
     }
-    text += "  all else: as configured\n";
+    text += "  all other requests: as in the configuration\n";
     text += &limits(operation, &Class::default(), platform);
     text
 }
@@ -28,12 +28,12 @@
         Idempotency::Idempotent => "idempotent".into(),
         Idempotency::NonIdempotent => "non-idempotent".into(),
         Idempotency::Keyed { scope, window } => {
-            format!("tokened, in group '{}' for {window} s", group_name(scope))
+            format!("keyed, in group '{}' for {window} s", group_name(scope))
         }
     }
 }
 
-/// The plans and customers that a route matches.
+/// Describes the plans and customers that a route matches.
 fn customers(route: &Route) -> String {
     let plans = if route.plans.is_empty() { "all plans".into() } else { route.plans.join(", ") };
     match route.customers[..] {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A line for each limit: its effective value and its source.
+/// Returns a line for each limit, with its effective value and the source of the value.
 fn limits(operation: &Operation, class: &Class, platform: &Platform) -> String {
     let attempts = value_or(&class.max_attempts, platform.max_attempts).min(platform.max_attempts);
     let allows_hedging = platform.hedging && operation.idempotency == Idempotency::Idempotent;
@@ -59,7 +59,7 @@
     text
 }
 
-/// The line of a limit in seconds that exists only if it is declared.
+/// Returns the line of a limit in seconds; empty unless the class declares it.
 fn declared_limit(name: &str, seconds: &Option<Located<f64>>) -> String {
     match seconds {
         Some(located) => limit(name, &format!("{} s", located.value), seconds),
--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -66,22 +66,23 @@
         "[admission]\nconnections = 1000\nreserve = 1000\nper_address = 2000\nstrangers = 0\nnew_per_second = -1.0\n\
          burst = 0.5\nfirst_word = 0.0\nknown_for = 0.0\nknown = [\"10.2.0.1/16\", \"ten\"]\nspeed = 3\n",
         expect![[r#"
-            line 2: admission.connections: expected 1 to 960, as 1024 descriptors are allowed and 64 serve else, found 1000
-            line 3: admission.reserve: leaves no connection to others than the known
-            line 3: admission.reserve: nobody can be known: name networks in known, or let known_for be more than 0
+            line 2: admission.connections: expected 1 to 960 (1024 file descriptors minus 64 for other uses), found 1000
+            line 3: admission.reserve: expected less than 1000, the value of 'connections', found 1000
+            line 3: admission.reserve: expected networks in 'known' or 'known_for' above 0 for a reserve, found neither
             line 4: admission.per_address: expected 1 to 1000, found 2000
             line 5: admission.strangers: expected 1 to 1000, found 0
             line 6: admission.new_per_second: expected 0.001 or more, found -1
             line 7: admission.burst: expected 1 or more, found 0.5
             line 8: admission.first_word: expected 0.05 or more, found 0
-            line 10: admission.known: '10.2.0.1/16': bits are set behind the first 16
-            line 10: admission.known: 'ten': expected an address, or one and its bits: 10.2.0.0/16
-            line 11: admission.speed: nothing here has this name; known are 'burst', 'connections', 'first_word', 'known', 'known_for', 'new_per_second', 'per_address', 'reserve', 'strangers', 'unfinished'
+            line 10: admission.known: expected zeros after the first 16 bits, found '10.2.0.1/16'
+            line 10: admission.known: expected an IP address or a network such as 10.2.0.0/16, found 'ten'
+            line 11: admission.speed: unknown key; expected one of 'burst', 'connections', 'first_word', 'known', 'known_for', 'new_per_second', 'per_address', 'reserve', 'strangers', 'unfinished'
         "#]],
     );
 }
 
-/// Guards: without a configuration the number of connections has no bound, and the default of four times as many overflowed.
+/// Guards against an overflow: without a configuration the number of connections is unbounded, and the default of `unfinished` is
+/// four times as many.
 #[test]
 fn a_missing_connections_key_is_reported() {
     let diagnostics = read("[admission]\n", None).expect_err("an invalid file");
@@ -188,7 +189,7 @@
     text += &"#".repeat(MAX_FILE_BYTES - text.len());
     assert!(read_file(&text).is_ok());
     text += "#";
-    let error = format!("line 1: the file has {} bytes, {MAX_FILE_BYTES} at the most\n", MAX_FILE_BYTES + 1);
+    let error = format!("line 1: expected at most {MAX_FILE_BYTES} bytes, found {}\n", MAX_FILE_BYTES + 1);
     assert_eq!(read_file(&text), Err(error));
 }
 
--- a/operator/tests/shown_settings.rs
+++ b/operator/tests/shown_settings.rs
@@ -29,7 +29,7 @@
         admission: off
         log: Json, levels warn, quillramp_gateway::memory debug
         membership on the counter: off
-        callers: need not be known
+        callers: no authentication
         broker: off"#]]
     .assert_eq(sections);
     assert!(operations.ends_with('\n'), "{operations}");
@@ -54,7 +54,7 @@
             per try 0.3 s (line 12)
             latency objective 0.3 s (line 13)
             integration timeout 1 s (line 14)
-          all else: as configured
+          all other requests: as in the configuration
             attempts 5 (configuration)
             second copies yes (configuration)
             latency objective 0.4 s (configuration)
@@ -73,7 +73,7 @@
             per try 0.3 s (line 12)
             latency objective 0.3 s (line 13)
             integration timeout 1 s (line 14)
-          all else: as configured
+          all other requests: as in the configuration
             attempts 5 (configuration)
             second copies yes (configuration)
             latency objective 0.4 s (configuration)
@@ -85,14 +85,14 @@
 #[test]
 fn limits_of_a_keyed_operation_are_shown_with_their_group() {
     expect![[r#"
-        hold, tokened, in group 'cell' for 1.5 s
+        hold, keyed, in group 'cell' for 1.5 s
           all plans, all customers: class 'held' (route on line 35)
             attempts 5 (configuration)
             second copies no (configuration)
             latency objective 0.6 s (configuration)
             integration timeout 2 s (configuration)
             repeats within 1 s (line 22)
-          all else: as configured
+          all other requests: as in the configuration
             attempts 5 (configuration)
             second copies no (configuration)
             latency objective 0.6 s (configuration)
@@ -104,8 +104,8 @@
 #[test]
 fn an_operation_without_a_route_is_shown_as_configured() {
     expect![[r#"
-        note, tokened, in group 'all' for 1.5 s
-          all else: as configured
+        note, keyed, in group 'all' for 1.5 s
+          all other requests: as in the configuration
             attempts 5 (configuration)
             second copies no (configuration)
             latency objective 0.6 s (configuration)
@@ -123,7 +123,7 @@
             second copies no (configuration)
             latency objective 1 s (configuration)
             integration timeout 3 s (configuration)
-          all else: as configured
+          all other requests: as in the configuration
             attempts 5 (configuration)
             second copies no (configuration)
             latency objective 1 s (configuration)
@@ -139,9 +139,9 @@
         admission: off
         log: Json, levels warn, quillramp_gateway::memory debug
         membership on the counter: off
-        callers: need not be known
+        callers: no authentication
         broker: off
-        limits: 3 classes, 4 routes; name a configuration to see what holds
+        limits: 3 classes, 4 routes; add --configuration to show the limits of each operation
     "#]]
     .assert_eq(&show(&operator, None));
 }
