--- a/admission/src/address.rs
+++ b/admission/src/address.rs
@@ -1,5 +1,5 @@
-//! The state of one client address: its connections, its pending commands and its token bucket. It outlives the last connection
-//! until nothing would be lost by forgetting it.
+//! The state of one client address: its connections, its pending commands and its token bucket. The state is kept after the last
+//! connection has closed until removing it would have no effect on later verdicts.
 use crate::{ConnectionId, CustomerId, Limits};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -7,26 +7,26 @@
 /// The state of one client address.
 #[derive(Debug)]
 pub(crate) struct Address {
-    /// Its open connections.
+    /// Open connections of the address.
     pub connections: BTreeSet<ConnectionId>,
-    /// Number of its connections that have not sent a command yet.
+    /// Number of connections that have not sent a command yet.
     pub unidentified: usize,
-    /// Number of its pending commands.
+    /// Number of pending commands.
     pub pending: usize,
-    /// Its pending commands by customer.
+    /// Pending commands by customer.
     pub pending_by_customer: Counts,
-    /// Its connections by the customer of their last command.
+    /// Connections by the customer of their last command.
     pub connections_by_customer: Counts,
     /// Rate limit of new connections.
     pub bucket: TokenBucket,
-    /// Whether it lies in a network that the operator listed.
+    /// Whether the address lies in a network that the operator listed.
     pub is_listed: bool,
-    /// Time until which it is known because a command of it was served, seconds.
+    /// Time until which the address is known because a command from it was served, seconds.
     pub known_until: f64,
 }
 
 impl Address {
-    /// An address without connections, with a full bucket.
+    /// Creates an address without connections and with a full bucket.
     pub fn new(now: f64, from: IpAddr, limits: &Limits) -> Address {
         Address {
             connections: BTreeSet::new(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts a connection by the customer of its last command; none if it has sent no command yet.
+    /// Counts a connection by the customer of its last command; `None` before its first command.
     pub fn count_connection(&mut self, customer: Option<CustomerId>) {
         match customer {
             None => self.unidentified += 1,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Whether it is listed, or a command of it was served lately.
+    /// Returns whether the address is listed, or had a command served recently.
     pub fn is_known(&self, now: f64) -> bool {
         self.is_listed || now < self.known_until
     }
 
-    /// Whether nothing is lost by forgetting it: it has no connection, is not known, and its bucket is full.
+    /// Returns whether the state can be removed: the address has no connection, is not known, and its bucket is full.
     pub fn is_forgettable(&self, now: f64, limits: &Limits) -> bool {
         self.connections.is_empty() && !self.is_known(now) && self.bucket.is_full(now, limits)
     }
@@ -76,14 +76,14 @@
 }
 
 impl TokenBucket {
-    /// Adds the tokens since the last refill, up to the burst.
+    /// Adds the tokens accrued since the last refill, up to the burst.
     pub fn refill(&mut self, now: f64, limits: &Limits) {
         let gained = limits.rate * (now - self.refilled_at).max(0.0);
         self.tokens = (self.tokens + gained).min(limits.burst);
         self.refilled_at = now;
     }
 
-    /// Takes one token; false if there is less than one.
+    /// Takes one token; false if the bucket has less than one.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -102,27 +102,27 @@
 pub(crate) struct Counts(BTreeMap<CustomerId, usize>);
 
 impl Counts {
-    /// The count of a customer.
+    /// Returns the count of a customer.
     pub fn count(&self, customer: CustomerId) -> usize {
         self.0.get(&customer).copied().unwrap_or(0)
     }
 
-    /// Number of customers with a count.
+    /// Returns the number of customers with a count.
     pub fn customers(&self) -> usize {
         self.0.len()
     }
 
-    /// The sum of all counts.
+    /// Returns the sum of all counts.
     pub fn total(&self) -> usize {
         self.0.values().sum()
     }
 
-    /// The counts, by customer.
+    /// Returns the counts, ordered by customer.
     pub fn values(&self) -> Vec<usize> {
         self.0.values().copied().collect()
     }
 
-    /// The customer with the highest count; of several the one with the lowest id.
+    /// Returns the customer with the highest count; among equal counts the one with the lowest id.
     pub fn highest(&self) -> Option<CustomerCount> {
         let by_count = |(customer, count): &(&CustomerId, &usize)| (**count, std::cmp::Reverse(**customer));
         let (customer, count) = self.0.iter().max_by_key(by_count)?;
@@ -145,10 +145,10 @@
     }
 }
 
-/// A customer and its count.
+/// A customer with its count.
 pub(crate) struct CustomerCount {
     /// The customer.
     pub customer: CustomerId,
-    /// Its count, above 0.
+    /// The count, above 0.
     pub count: usize,
 }
--- a/admission/src/audit.rs
+++ b/admission/src/audit.rs
@@ -7,30 +7,30 @@
 /// An inconsistency between counts.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum AuditError {
-    /// The connections of an address.
-    #[error("{from}: {open} connections, {counted} known of, {unidentified} strangers")]
+    /// The connections of an address are counted wrongly.
+    #[error("{from}: expected {open} connections, {unidentified} of them without a command, found {counted} counted")]
     Connections {
         /// The address.
         from: IpAddr,
-        /// Open connections that come from it.
+        /// Open connections from the address.
         open: usize,
         /// Connections that the address counts.
         counted: usize,
         /// Open connections that have not sent a command yet.
         unidentified: usize,
     },
-    /// The pending commands of an address.
-    #[error("{from}: {pending} unfinished, by caller {by_customer:?}")]
+    /// The pending commands of an address are counted wrongly or exceed the limit.
+    #[error("{from}: found {pending} pending commands, by customer {by_customer:?}")]
     Commands {
         /// The address.
         from: IpAddr,
         /// Pending commands that the address counts.
         pending: usize,
-        /// The same by customer.
+        /// Pending commands by customer.
         by_customer: Vec<usize>,
     },
-    /// There are more connections of unknown addresses than open connections.
-    #[error("{unknown} unknown of {open}")]
+    /// More connections of unknown addresses are counted than are open.
+    #[error("expected at most {open} connections of unknown addresses, found {unknown}")]
     Unknown {
         /// Connections of unknown addresses.
         unknown: usize,
@@ -40,7 +40,7 @@
 }
 
 impl AdmissionController {
-    /// Checks that the counts are consistent with the open connections.
+    /// Checks that the counts are consistent with the open connections. Fails with the first inconsistency.
     pub fn audit(&self, now: f64) -> Result<(), AuditError> {
         for (from, address) in &self.addresses {
             self.audit_connections(*from, address)?;
@@ -70,7 +70,7 @@
 
     fn audit_commands(&self, from: IpAddr, address: &Address) -> Result<(), AuditError> {
         let pending = address.pending;
-        // Fairness admits customers below their part beyond the limit, but never beyond twice the limit.
+        // Fairness admits customers below their share beyond the limit, but never beyond twice the limit.
         let max_pending = 2 * self.limits.pending_commands.max(1);
         if address.pending_by_customer.total() > pending || pending > max_pending {
             let by_customer = address.pending_by_customer.values();
--- a/admission/src/connection.rs
+++ b/admission/src/connection.rs
@@ -5,13 +5,13 @@
 /// A connection that was open before the controller was created.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenConnection {
-    /// Its id.
+    /// Id of the connection.
     pub id: ConnectionId,
     /// The address of the client.
     pub from: IpAddr,
-    /// Whether it has sent a complete command or greeting.
+    /// Whether the client has sent a complete command or greeting.
     pub has_sent_command: bool,
-    /// The customers of its pending commands, one entry for each command.
+    /// Customers of the pending commands, one entry for each command.
     pub pending: Vec<CustomerId>,
 }
 
@@ -20,22 +20,22 @@
 pub(crate) struct Connection {
     /// The address of the client.
     pub from: IpAddr,
-    /// The customer of its last command.
+    /// The customer of the last command; `None` before the first.
     pub customer: Option<CustomerId>,
-    /// Whether it has sent a complete command or greeting.
+    /// Whether the client has sent a complete command or greeting.
     pub has_sent_command: bool,
-    /// The customers of its pending commands, one entry for each command.
+    /// Customers of the pending commands, one entry for each command.
     pub pending: Vec<CustomerId>,
-    /// Commands that were read and not yet passed to the controller for a verdict.
+    /// Number of commands that were read and are not decided on yet.
     pub queued: usize,
     /// Time at which the beginning of an incomplete command was read, seconds.
     pub partial_since: Option<f64>,
-    /// Time of its opening, its last response or its last complete command, seconds.
+    /// Time of the latest of opening, response and complete command, seconds.
     pub last_active: f64,
 }
 
 impl Connection {
-    /// A connection that has sent nothing.
+    /// Creates a connection that has sent nothing.
     pub fn new(now: f64, from: IpAddr) -> Connection {
         Connection {
             from,
@@ -48,19 +48,19 @@
         }
     }
 
-    /// A complete command or greeting of it is about to be decided on.
+    /// Records a complete command or greeting that is about to be decided on.
     pub fn command_received(&mut self, now: f64) {
         self.partial_since = None;
         self.last_active = now;
         self.has_sent_command = true;
     }
 
-    /// Whether it has no pending command, as far as the controller knows.
+    /// Returns whether the connection has no pending and no queued command.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.queued == 0
     }
 
-    /// Whether it is idle and has sent nothing, not even an incomplete command.
+    /// Returns whether the connection is idle and has sent nothing, not even an incomplete command.
     pub fn is_silent(&self) -> bool {
         !self.has_sent_command && self.partial_since.is_none() && self.is_idle()
     }
--- a/admission/src/controller.rs
+++ b/admission/src/controller.rs
@@ -1,4 +1,4 @@
-//! The admission controller: the events that are reported to it, and its verdicts.
+//! The admission controller: handles events on connections and decides on connections and commands.
 use crate::address::Address;
 use crate::connection::Connection;
 use crate::{
@@ -8,9 +8,10 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// Addresses above which those without a connection are forgotten; bounds the memory.
+/// Number of addresses above which the state of those without a connection is removed, to bound the memory.
 const MAX_ADDRESSES: usize = 4096;
-/// Delay after which a deferred command may be retried, seconds: long compared to a response, short compared to a client's timeout.
+/// Delay after which a deferred command may be retried, seconds: long compared to a response time, short compared to a client's
+/// timeout.
 const DEFERRED_RETRY_DELAY: f64 = 0.05;
 
 /// Decides which connections and commands of clients are admitted. All times are seconds.
@@ -20,13 +21,13 @@
     pub(crate) addresses: BTreeMap<IpAddr, Address>,
     /// Number of connections from unknown addresses.
     unknown_connections: usize,
-    /// The time of the latest event, seconds.
+    /// Time of the latest event, seconds.
     now: f64,
-    /// Counters of its decisions.
+    /// Counters of the verdicts.
     pub metrics: Metrics,
 }
 
-/// The amount of state of a controller.
+/// Amount of state of a controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sizes {
     /// Open connections.
@@ -36,7 +37,7 @@
 }
 
 impl AdmissionController {
-    /// A controller without connections.
+    /// Creates a controller without connections.
     pub fn new(limits: Limits) -> AdmissionController {
         AdmissionController {
             limits,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Adds a connection that was open before the controller was created; it is kept even beyond the limits.
+    /// Adds a connection that was open before the controller was created, even beyond the limits.
     pub fn add_open(&mut self, now: f64, open: OpenConnection) {
         self.now = now;
         let OpenConnection { id, from, has_sent_command, pending } = open;
@@ -73,14 +74,14 @@
         self.refresh_known(now);
     }
 
-    /// Reports that complete commands were read from a connection; their verdicts follow later.
+    /// Counts complete commands that were read from a connection and are not decided on yet.
     pub fn commands_read(&mut self, id: ConnectionId, commands: usize) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.queued += commands;
         }
     }
 
-    /// Reports that one of the commands read is about to be decided on.
+    /// Records that the next command of a connection is about to be decided on.
     pub fn command_started(&mut self, now: f64, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.queued = connection.queued.saturating_sub(1);
@@ -88,14 +89,14 @@
         }
     }
 
-    /// Reports that an incomplete command was read.
+    /// Records that an incomplete command was read.
     pub fn partial_command(&mut self, now: f64, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.partial_since = connection.partial_since.or(Some(now));
         }
     }
 
-    /// Reports the final response of a command; `served` if it was successful, which makes the address known.
+    /// Records the final answer of a command; `served` if the command succeeded, which makes the address known.
     pub fn command_answered(&mut self, now: f64, id: ConnectionId, customer: CustomerId, served: bool) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.last_active = now;
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Reports that a connection is closed, by whichever side. Its pending commands no longer count against its address.
+    /// Removes a connection that either side has closed. Its pending commands no longer count against its address.
     pub fn connection_closed(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(connection) = self.connections.remove(&id) else { return };
@@ -135,14 +136,14 @@
         }
     }
 
-    /// Recounts the connections of unknown addresses: an address becomes unknown by the passing of time. To be called periodically.
+    /// Recounts the connections of unknown addresses, because known addresses expire. The caller has to call it periodically.
     pub fn refresh_known(&mut self, now: f64) {
         self.now = now;
         let unknown = self.addresses.values().filter(|address| !address.is_known(now));
         self.unknown_connections = unknown.map(|address| address.connections.len()).sum();
     }
 
-    /// Decides on a new connection; an accepted one counts from now on.
+    /// Decides on a new connection; an accepted one counts against the limits at once.
     pub fn admit_connection(&mut self, now: f64, id: ConnectionId, from: IpAddr) -> ConnectionVerdict {
         self.now = now;
         let limits = &self.limits;
@@ -179,11 +180,11 @@
             address.discount_connection(previous);
             address.count_connection(Some(customer));
         }
-        // Max-min fairness: at the limit, customers below their part are still served. Together that is at most twice the limit.
+        // Max-min fairness: at the limit, commands of customers below their share are accepted, up to twice the limit in total.
         let pending_of_customer = address.pending_by_customer.count(customer);
         let customers = address.pending_by_customer.customers() + usize::from(pending_of_customer == 0);
-        let part = (self.limits.pending_commands / customers.max(1)).max(1);
-        if address.pending >= self.limits.pending_commands && pending_of_customer >= part {
+        let share = (self.limits.pending_commands / customers.max(1)).max(1);
+        if address.pending >= self.limits.pending_commands && pending_of_customer >= share {
             self.metrics.deferred_commands += 1;
             return CommandVerdict::RetryAfter(DEFERRED_RETRY_DELAY);
         }
@@ -193,12 +194,12 @@
         CommandVerdict::Accept
     }
 
-    /// The amount of state that it holds.
+    /// Returns the amount of state of the controller.
     pub fn sizes(&self) -> Sizes {
         Sizes { connections: self.connections.len(), addresses: self.addresses.len() }
     }
 
-    /// Finds the connection to close so that a new one fits; none if there is capacity. Fails if there is neither.
+    /// Returns the connection to close for a new one; `None` if capacity is free. Fails if no connection can be closed.
     fn find_replaced(
         &self,
         now: f64,
@@ -206,7 +207,7 @@
         is_known: bool,
     ) -> Result<Option<ConnectionId>, RejectReason> {
         match self.address_limit(from) {
-            // The connection replaces one of its own address: a silent one, or one of a customer that has more than its part.
+            // The new connection replaces one of the same address: a silent one, or one of a customer with more than its share.
             Some(RejectReason::Address) => {
                 let replaced = self.silent_of(now, from).or_else(|| self.idlest_of_largest_customer(from));
                 replaced.map(Some).ok_or(RejectReason::Address)
@@ -219,7 +220,7 @@
         }
     }
 
-    /// The limit per address that an address has reached, if one.
+    /// Returns the limit per address that an address has reached, if any.
     fn address_limit(&self, from: IpAddr) -> Option<RejectReason> {
         let address = self.addresses.get(&from)?;
         if address.connections.len() >= self.limits.per_address {
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Whether there is a free connection, outside of the reserve unless the address is known.
+    /// Returns whether a connection is free, outside of the reserve unless the address is known.
     fn has_capacity(&self, is_known: bool) -> bool {
         let unreserved = self.limits.connections.saturating_sub(self.limits.reserve);
         let is_free = self.connections.len() < self.limits.connections;
@@ -248,8 +249,8 @@
         self.addresses.entry(from).or_insert_with(|| Address::new(now, from, limits))
     }
 
-    /// Forgets addresses without connections: all that lose nothing; if these are too few, also the one known for the shortest
-    /// time.
+    /// Removes all addresses whose removal has no effect on verdicts. If too many remain, also removes the address without a
+    /// connection that stays known for the shortest time.
     fn forget_addresses(&mut self, now: f64) {
         let limits = &self.limits;
         self.addresses.retain(|_, address| !address.is_forgettable(now, limits));
--- a/admission/src/eviction.rs
+++ b/admission/src/eviction.rs
@@ -4,7 +4,7 @@
 use std::cmp::Ordering;
 use std::net::IpAddr;
 
-/// What a connection has sent; lower values are evicted first.
+/// What a client has sent on a connection; lower values are evicted first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Progress {
     /// Nothing.
@@ -15,13 +15,13 @@
     CompleteCommand,
 }
 
-/// The eviction order of idle connections, as `docs/admission.md` declares it; lower ranks go first. The order of the fields
-/// matters.
+/// The eviction order of idle connections, as documented in `docs/admission.md`; lower ranks are evicted first. The derived
+/// comparison depends on the order of the fields.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     is_known: bool,
     progress: Progress,
-    /// Connections of the address: addresses with many go first.
+    /// Number of connections of the address: addresses with many come first.
     connections: std::cmp::Reverse<usize>,
 }
 
@@ -33,39 +33,41 @@
 }
 
 impl AdmissionController {
-    /// Selects the idle connection to close when descriptors run short, in the order of `docs/admission.md`, and stops counting it.
-    /// None if all connections have pending commands.
+    /// Removes and returns the idle connection to close when file descriptors run short, in the order of `docs/admission.md`.
+    /// Returns `None` if all connections have pending commands.
     pub fn evict(&mut self, now: f64) -> Option<ConnectionId> {
         let evicted = self.first_to_evict(now, |_| true)?;
         self.connection_closed(evicted);
         Some(evicted)
     }
 
-    /// Connections that exceeded the time for their first command. They count until they are closed.
+    /// Returns the connections that exceeded the time for their first command. They count against the limits until they are closed.
     pub fn overdue(&self, now: f64) -> Vec<ConnectionId> {
-        let late = |connection: &Connection| connection.is_silent() && self.is_late(now, connection);
-        self.connections.iter().filter(|(_, connection)| late(connection)).map(|(id, _)| *id).collect()
+        let is_overdue =
+            |connection: &Connection| connection.is_silent() && self.is_inactive(now, connection);
+        self.connections.iter().filter(|(_, connection)| is_overdue(connection)).map(|(id, _)| *id).collect()
     }
 
-    /// The connection of an unknown address that is evicted first.
+    /// Returns the connection of an unknown address that is evicted first.
     pub(crate) fn first_unknown(&self, now: f64) -> Option<ConnectionId> {
         let is_known = |from: IpAddr| self.addresses.get(&from).is_some_and(|address| address.is_known(now));
         self.first_to_evict(now, |from| !is_known(from))
     }
 
-    /// The connection of an address that has been silent longest, beyond the time for a first command.
+    /// Returns the connection of an address that has been silent longest, if that exceeds the time for a first command.
     pub(crate) fn silent_of(&self, now: f64, from: IpAddr) -> Option<ConnectionId> {
         let silent = self.connections_of(from).filter(|candidate| candidate.connection.is_silent());
-        longest_inactive(silent.filter(|candidate| self.is_late(now, candidate.connection)))
+        longest_inactive(silent.filter(|candidate| self.is_inactive(now, candidate.connection)))
     }
 
-    /// The longest idle connection of the customer with most connections from an address, if these are more than its part.
+    /// Returns the longest idle connection of the customer with the most connections from an address, if the customer has more than
+    /// its share.
     pub(crate) fn idlest_of_largest_customer(&self, from: IpAddr) -> Option<ConnectionId> {
         let address = self.addresses.get(&from)?;
         let largest = address.connections_by_customer.highest()?;
-        let sharing = (address.connections_by_customer.customers() + 1).max(2);
-        let part = address.connections.len() / sharing;
-        if largest.count <= part {
+        let customer_count = (address.connections_by_customer.customers() + 1).max(2);
+        let share = address.connections.len() / customer_count;
+        if largest.count <= share {
             return None;
         }
         let is_replaceable = |candidate: &Candidate| {
@@ -82,7 +84,7 @@
         ids.filter_map(|id| Some(Candidate { id: *id, connection: self.connections.get(id)? }))
     }
 
-    fn is_late(&self, now: f64, connection: &Connection) -> bool {
+    fn is_inactive(&self, now: f64, connection: &Connection) -> bool {
         connection.last_active <= now - self.limits.first_command_timeout
     }
 
@@ -116,7 +118,7 @@
     candidates.min_by(by_inactivity).map(|candidate| candidate.id)
 }
 
-/// The longest inactive first, then the lowest id.
+/// Orders by last activity, the longest inactive first, then by id.
 fn by_inactivity(a: &Candidate, b: &Candidate) -> Ordering {
     a.connection.last_active.total_cmp(&b.connection.last_active).then(a.id.cmp(&b.id))
 }
--- a/admission/src/lib.rs
+++ b/admission/src/lib.rs
@@ -1,12 +1,13 @@
 //! Admission control: which connections and commands are accepted, and which idle connection is evicted when file descriptors run
-//! short. There is no I/O here: the caller reports events to [`AdmissionController`] and asks it for verdicts by
+//! short. There is no I/O here: the caller reports events to [`AdmissionController`] and gets verdicts from
 //! [`admit_connection`](AdmissionController::admit_connection),
 //! [`admit_command`](AdmissionController::admit_command) and [`evict`](AdmissionController::evict). The caller owns the
 //! connections and the timers. Times are seconds of any monotonic clock.
 //!
-//! An address is known if it lies in a network that the operator listed, or if commands from it were served lately. Customers
-//! behind one address (a gateway of their own) share its limits by max-min fairness; they are identified by the customer that their
-//! commands name. A connection has no customer before its first command, and an address may have only a few of those.
+//! An address is known if it lies in a network that the operator listed, or if commands from it were served recently. Customers
+//! behind one address, for example behind their own gateway, share its limits by max-min fairness; a connection belongs to the
+//! customer that its last command names. Before its first command a connection has no customer; an address may have only a few
+//! such connections.
 #![warn(missing_docs)]
 mod address;
 mod audit;
--- a/admission/src/limits.rs
+++ b/admission/src/limits.rs
@@ -20,14 +20,14 @@
     pub pending_commands: usize,
     /// Time for the first command of a connection, seconds (key `first_word`).
     pub first_command_timeout: f64,
-    /// Time for which an address stays known after a command of it was served, seconds; 0: only listed networks are known.
+    /// Time for which an address stays known after a command from it was served, seconds; with 0 only listed networks are known.
     pub known_for: f64,
     /// Networks whose addresses are always known (key `known`).
     pub known_networks: Vec<Network>,
 }
 
 impl Limits {
-    /// Whether an address lies in a listed network.
+    /// Returns whether an address lies in a listed network.
     pub(crate) fn lists(&self, address: std::net::IpAddr) -> bool {
         self.known_networks.iter().any(|network| network.contains(address))
     }
--- a/admission/src/metrics.rs
+++ b/admission/src/metrics.rs
@@ -6,17 +6,17 @@
 pub struct Metrics {
     /// Connections that were accepted.
     pub accepted: u64,
-    /// Of these, those that replaced another connection.
+    /// Accepted connections that replaced another connection.
     pub replaced: u64,
-    /// Rejected with [`RejectReason::Full`].
+    /// Connections rejected with [`RejectReason::Full`].
     pub full: u64,
-    /// Rejected with [`RejectReason::Address`].
+    /// Connections rejected with [`RejectReason::Address`].
     pub address: u64,
-    /// Rejected with [`RejectReason::Unidentified`].
+    /// Connections rejected with [`RejectReason::Unidentified`].
     pub unidentified: u64,
-    /// Rejected with [`RejectReason::Rate`].
+    /// Connections rejected with [`RejectReason::Rate`].
     pub rate: u64,
-    /// Commands that clients were told to retry later.
+    /// Commands that were deferred.
     pub deferred_commands: u64,
 }
 
--- a/admission/src/verdict.rs
+++ b/admission/src/verdict.rs
@@ -4,29 +4,29 @@
 /// The verdict on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionVerdict {
-    /// Accept it.
+    /// Accept the connection.
     Accept,
-    /// Accept it, and close the connection with this id, which has no pending commands.
+    /// Accept the connection, and close the one with this id, which has no pending commands.
     Replace(ConnectionId),
-    /// Reject it.
+    /// Reject the connection.
     Reject(RejectReason),
 }
 
 /// Why a connection is rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RejectReason {
-    /// All connections but those reserved for known addresses are taken.
+    /// All connections except those reserved for known addresses are in use.
     Full,
-    /// Its address has reached its limit of connections.
+    /// The client's address has reached its limit of connections.
     Address,
-    /// Its address has reached its limit of connections before their first command.
+    /// The client's address has reached its limit of connections before their first command.
     Unidentified,
-    /// Its address opens connections faster than its rate limit.
+    /// The client's address opens connections faster than its rate limit.
     Rate,
 }
 
 impl RejectReason {
-    /// The text that is sent to the client.
+    /// Returns the text that is sent to the client.
     pub fn message(self) -> &'static str {
         match self {
             RejectReason::Full => "full",
@@ -40,8 +40,8 @@
 /// The verdict on a command.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandVerdict {
-    /// Accept it.
+    /// Accept the command.
     Accept,
-    /// Defer it; the client may retry after this time, seconds.
+    /// Defer the command; the client may retry after this time, seconds.
     RetryAfter(f64),
 }
--- a/admission/tests/common/mod.rs
+++ b/admission/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The limits of these tests, and a controller with them.
+//! Limits of the tests, and a controller with these limits.
 use quillramp_admission::{AdmissionController, Limits, Network};
 use std::net::{IpAddr, Ipv4Addr};
 
--- a/admission/tests/consistency.rs
+++ b/admission/tests/consistency.rs
@@ -95,7 +95,7 @@
     fn send_command(&mut self, index: usize, customer: u64) {
         let Some(id) = self.select(index).map(|connection| connection.id) else { return };
         if self.controller.admit_command(self.now, id, customer) == CommandVerdict::Accept {
-            self.select(index).expect("it is open").pending.push(customer);
+            self.select(index).expect("an open connection").pending.push(customer);
         }
     }
 
@@ -111,7 +111,7 @@
     fn remove_idle(&mut self, id: ConnectionId) -> Result<(), TestCaseError> {
         let index = self.open.iter().position(|connection| connection.id == id).expect("an open connection");
         let removed = self.open.remove(index);
-        prop_assert!(removed.pending.is_empty(), "it had a pending command");
+        prop_assert!(removed.pending.is_empty(), "the closed connection had a pending command");
         Ok(())
     }
 }
--- a/admission/tests/controller.rs
+++ b/admission/tests/controller.rs
@@ -48,7 +48,7 @@
     open_connections(&mut controller, 0.0, address(UNKNOWN), 1, 0..6);
     assert_eq!(controller.admit_connection(0.0, 6, address(OTHER_UNKNOWN)), REJECT_FULL);
     open_connections(&mut controller, 0.0, address(KNOWN), 2, 10..14);
-    // At the limit a known address replaces the idlest connection of an unknown one; another unknown address is rejected.
+    // At the limit a known address replaces the longest idle connection of an unknown one; another unknown address is rejected.
     let verdict = controller.admit_connection(1.0, 14, address(ALSO_KNOWN));
     assert_eq!(verdict, ConnectionVerdict::Replace(0));
     assert_eq!(controller.admit_connection(1.0, 15, address(OTHER_UNKNOWN)), REJECT_FULL);
@@ -140,7 +140,7 @@
     }
     let verdict = controller.admit_command(0.0, 1, BUSY);
     assert!(matches!(verdict, CommandVerdict::RetryAfter(seconds) if seconds > 0.0), "{verdict:?}");
-    // The other customer gets its part although the limit is reached, but no more.
+    // The other customer gets its share although the limit is reached, but no more.
     assert_eq!(controller.admit_command(0.0, 2, OTHER), CommandVerdict::Accept);
     assert_eq!(controller.admit_command(0.0, 2, OTHER), CommandVerdict::Accept);
     let verdict = controller.admit_command(0.0, 2, OTHER);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_thousand_customers_are_served_beside_one_that_takes_what_it_can_behind_the_same_address() {
+fn a_greedy_customer_does_not_starve_a_thousand_others_behind_the_same_address() {
     const GREEDY: u64 = 5000;
     let mut controller = AdmissionController::new(Limits {
         connections: 3000,
@@ -240,7 +240,7 @@
         let verdict = controller.admit_connection(now, id, address(UNKNOWN));
         assert!(!matches!(verdict, ConnectionVerdict::Reject(_)), "customer {customer}: {verdict:?}");
         let verdict = controller.admit_command(now, id, customer);
-        assert_eq!(verdict, CommandVerdict::Accept, "customer {customer} has its part");
+        assert_eq!(verdict, CommandVerdict::Accept, "customer {customer} gets its share");
         controller.command_answered(now + 0.01, id, customer, true);
     }
     assert_eq!(controller.audit(5.0), Ok(()));
--- a/broker/examples/cost.rs
+++ b/broker/examples/cost.rs
@@ -1,14 +1,14 @@
-//! Measures the cost of a request to the broker by the number of contracts, with a hundred active teams, one of which floods.
-//! Prints a table.
+//! Measures the cost of a broker request by the number of contracts, with a hundred active teams, one of which floods. Prints a
+//! table.
 use quillramp_broker::contract::{Contract, Contracts};
 use quillramp_broker::{Broker, Request, Verdict};
 use std::time::Instant;
 
-/// Requests of each measurement.
+/// Number of requests of each measurement.
 const REQUESTS: usize = 1_000_000;
 
 fn main() {
-    println!("| contracts | ns a question | all taken up in, ms |\n| --- | --- | --- |");
+    println!("| contracts | ns per request | registration of all, ms |\n| --- | --- | --- |");
     for number in [10, 1_000, 100_000] {
         let contract = |team: usize| Contract {
             team: format!("team-{team}"),
@@ -24,8 +24,8 @@
             budget: None,
         };
         let began = Instant::now();
-        let contracts =
-            Contracts::new((0..number).map(contract).collect(), 11.0 * number as f64).expect("they can be");
+        let contracts = Contracts::new((0..number).map(contract).collect(), 11.0 * number as f64)
+            .expect("contracts without a conflict");
         let mut broker = Broker::new(0.0, contracts, 1, 11.0 * number as f64);
         let load_seconds = began.elapsed().as_secs_f64();
         let active_teams = number.min(100) as u64;
@@ -33,7 +33,7 @@
         let began = Instant::now();
         for sequence in 0..REQUESTS {
             let now = sequence as f64 * 1e-4;
-            // Every other request is of the flooding team.
+            // Every other request comes from the flooding team.
             let customer = if sequence % 2 == 0 { 0 } else { sequence as u64 * 7919 % active_teams };
             if let Some(team) = broker.team_of_customer(now, customer) {
                 let request = Request { operation: "lookup", customer, units: 1.0 };
--- a/broker/src/broker.rs
+++ b/broker/src/broker.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Decides on requests of teams by their contracts. Times are Unix seconds.
+/// Decides on the requests of teams according to their contracts. Times are Unix seconds.
 pub struct Broker {
     contracts: Arc<Contracts>,
     /// Number of gateway instances that share the contracts.
@@ -18,12 +18,12 @@
     next_change: f64,
 }
 
-/// The state of one team; it lasts, also while the team has no contract.
+/// The state of one team, which is kept while the team has no contract.
 struct Team {
     name: String,
-    /// The version of its contract that is in force.
+    /// Version of the team's contract in force; `None` without a contract.
     version: Option<u32>,
-    /// Limits on single operations, by their index in the contract.
+    /// Limiter of single operations, by the index of the limit in the contract.
     operation_limiter: FairShareLimiter,
     budget: BudgetAccount,
     usage: Usage,
@@ -42,7 +42,8 @@
 }
 
 impl Broker {
-    /// A broker for one of `instances` that share the contracts; `capacity` is that of all instances together, units per second.
+    /// Creates the broker of one of `instances` gateway instances that share the contracts; `capacity` is that of all instances
+    /// together, units per second.
     pub fn new(now: f64, contracts: Contracts, instances: usize, capacity: f64) -> Broker {
         let instances = instances.max(1);
         let mut broker = Broker {
@@ -57,8 +58,8 @@
         broker
     }
 
-    /// Replaces all contracts. Existing grants are settled under the version that granted them. What a team has spent in a budget
-    /// period stays spent, even if it had no contract in between.
+    /// Replaces all contracts. Existing grants are settled under the version that granted them. Units that a team has spent in a
+    /// budget period stay spent, even if the team had no contract in between.
     pub fn set_contracts(&mut self, now: f64, contracts: Contracts, capacity: f64) {
         self.contracts = Arc::new(contracts);
         self.limiter.set_capacity(now, capacity / self.instances as f64);
@@ -71,7 +72,7 @@
         self.apply_versions(now);
     }
 
-    /// The id of a team; a new name gets a new id.
+    /// Returns the id of a team; a new name gets a new id.
     pub fn team_id(&mut self, name: &str) -> TeamId {
         if let Some(team) = self.by_name.get(name) {
             return *team;
@@ -82,18 +83,18 @@
         id
     }
 
-    /// The team whose contract in force names a customer.
+    /// Returns the team whose contract in force names a customer.
     pub fn team_of_customer(&self, now: f64, customer: u64) -> Option<TeamId> {
         let name = self.contracts.team_of_customer(customer, now)?;
         self.by_name.get(name).copied()
     }
 
-    /// The name of a team; none for an unknown id.
+    /// Returns the name of a team; `None` for an unknown id.
     pub fn team_name(&self, team: TeamId) -> Option<&str> {
         self.teams.get(team).map(|team| team.name.as_str())
     }
 
-    /// Decides on a request. The caller has to make the counter call of the response, if there is one, whatever the verdict.
+    /// Decides on a request. The caller has to make the counter call of the response, if one is due, regardless of the verdict.
     pub fn request(&mut self, now: f64, id: TeamId, request: Request) -> Response {
         if now >= self.next_change {
             self.apply_versions(now);
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Corrects a grant to the units that its request took in the end.
+    /// Corrects the units of a grant to those that its request used.
     pub fn settle(&mut self, now: f64, grant: &Grant, units: f64) {
         let difference = units - grant.units;
         if difference != 0.0 {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Reports the total that a call on a team's budget returned, or none if it failed. Returns a further call that is due.
+    /// Handles the total that a call on a team's budget returned; `None` if the call failed. Returns a further call that is due.
     pub fn call_answered(
         &mut self,
         now: f64,
@@ -148,7 +149,7 @@
         team.budget.call_answered(now, &budget, period, total)
     }
 
-    /// The usage of each team.
+    /// Returns the usage of each team.
     pub fn usage(&self) -> impl Iterator<Item = TeamUsage<'_>> {
         self.teams.iter().map(|team| TeamUsage {
             team: &team.name,
@@ -157,7 +158,7 @@
         })
     }
 
-    /// The units that a team could have now of its contract's rate.
+    /// Returns the units that are available to a team now under its contract's rate.
     pub fn available(&self, team: TeamId) -> Available {
         self.limiter.available(team)
     }
@@ -183,8 +184,8 @@
         }
     }
 
-    /// Takes units from the operation's limit, the contract's rate and its budget, in this order. If one has none, those before it
-    /// are refunded.
+    /// Takes units from the operation's limit, the contract's rate and its budget, in this order. If one of them lacks units, the
+    /// units taken before are refunded.
     fn request_units(&mut self, now: f64, id: TeamId, contract: &Contract, request: Request) -> Response {
         let units = request.units;
         let operation_limit = contract.operation_limit(request.operation);
@@ -223,7 +224,7 @@
     }
 }
 
-/// The contract in force, if it allows the request; else the reason why not.
+/// Returns the contract in force if it permits the request, otherwise the reason for the denial.
 fn contract_for<'a>(
     contracts: &'a Contracts,
     now: f64,
@@ -240,7 +241,7 @@
     Ok(contract)
 }
 
-/// One instance's fraction of a contract's terms; zero without a contract.
+/// Returns one instance's fraction of a contract's terms; rate and burst are 0 without a contract.
 fn contract_terms(contract: Option<&Contract>, instance_fraction: f64) -> Terms {
     match contract {
         Some(contract) => Terms {
--- a/broker/src/budget.rs
+++ b/broker/src/budget.rs
@@ -1,17 +1,17 @@
 //! A team's budget for a period, shared by all gateway instances. Each instance leases parts of it from a count per team and period
-//! on the counter, like the quotas of customers. While the counter is unreachable, an instance spends an even share of what was
-//! left when the counter last answered. In a new period instances lease on demand, which avoids a thundering herd.
+//! on the counter, like the quotas of customers. While the counter is unreachable, an instance spends an even share of the
+//! units that were left when the counter last answered. In a new period instances lease on demand, which avoids a thundering herd.
 use crate::contract::Budget;
 
-/// Size of a lease as a fraction of an instance's even share: small, so that little is leased and unspent at any time.
+/// Size of a lease as a fraction of an instance's even share: small, so that few units are leased and unspent at any time.
 const LEASE_FRACTION: f64 = 1.0 / 16.0;
 /// Fraction of a lease below which the next one is requested.
 const LOW_LEASE_FRACTION: f64 = 1.0 / 4.0;
-/// Delay after which a request may be retried while a call is pending, seconds: longer than the counter usually takes.
+/// Delay after which a request may be retried while a call is pending, seconds: longer than a call usually takes.
 const PENDING_RETRY_AFTER: f64 = 0.05;
-/// Timeout of a call, and the pause after a failed one, seconds.
+/// Timeout of a call, and pause after a failed call, seconds.
 const CALL_TIMEOUT: f64 = 1.0;
-/// Lifetime of a period's count, in periods: it has to outlast its period.
+/// Lifetime of a period's count, in periods: the count has to outlast its period.
 pub const COUNT_LIFETIME_PERIODS: f64 = 1.5;
 
 /// A call on the count of a team's period.
@@ -25,7 +25,7 @@
     pub lifetime: f64,
 }
 
-/// Whether a budget has units for a request.
+/// The verdict of a budget on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BudgetVerdict {
     /// The units are granted and count as spent.
@@ -42,7 +42,7 @@
     },
 }
 
-/// The verdict on a request, and a counter call that is due.
+/// The response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetResponse {
     /// The verdict.
@@ -58,11 +58,11 @@
     period: u64,
     /// Units that are leased and unspent; negative if requests took more than was granted.
     leased: f64,
-    /// Units that all instances have leased, as of the counter's last answer.
+    /// Units that all instances have leased, according to the counter's last answer.
     total_leased: f64,
     /// Whether the counter has answered in this period.
     has_total: bool,
-    /// Units of the even share that were spent without a lease and still have to be added to the count.
+    /// Units of the even share that were spent without a lease and have to be added to the count.
     debt: f64,
     outstanding: Option<OutstandingCall>,
     /// Earliest time of the next call, seconds.
@@ -83,7 +83,7 @@
 }
 
 impl BudgetAccount {
-    /// Spends units for a request, if the account has or may take them.
+    /// Decides on a request; its units are spent if the lease or the even share covers them.
     pub fn request(&mut self, now: f64, budget: &Budget, instances: usize, units: f64) -> BudgetResponse {
         self.enter_period(now, budget);
         if let Some(excess) = self.take_excess(budget) {
@@ -99,7 +99,7 @@
         self.request_unleased(now, budget, instances, units)
     }
 
-    /// Reports the total that a call returned, or none if it failed. Returns a further call that is due.
+    /// Handles the total that a call returned; `None` if the call failed. Returns a further call that is due.
     pub fn call_answered(
         &mut self,
         now: f64,
@@ -133,7 +133,7 @@
         self.spent -= units;
     }
 
-    /// Corrects the account by the difference between the units that a request took and those granted; may be negative.
+    /// Adds to the spent units the difference between the units that a request used and those granted; may be negative.
     pub fn adjust(&mut self, difference: f64) {
         self.leased -= difference;
         self.spent += difference;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Removes the leased units that exceed a budget that was lowered.
+    /// Removes and returns the leased units that exceed a budget after it was lowered.
     fn take_excess(&mut self, budget: &Budget) -> Option<f64> {
         let excess = (self.total_leased - budget.units).clamp(0.0, self.leased.max(0.0));
         if excess <= 0.0 {
--- a/broker/src/contract/conflict.rs
+++ b/broker/src/contract/conflict.rs
@@ -23,7 +23,7 @@
         /// Index of the later contract.
         second: usize,
     },
-    /// Together the contracts promise more than the capacity.
+    /// The rates of all contracts in force exceed the capacity.
     #[error(
         "expected rates up to the capacity of {capacity} units per second in total, found {promised} in force at Unix time {at}"
     )]
--- a/broker/src/contract/mod.rs
+++ b/broker/src/contract/mod.rs
@@ -7,13 +7,13 @@
 /// One version of a team's contract. Times are Unix seconds; rates are those of all gateway instances together, units per second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Contract {
-    /// The team's name.
+    /// Name of the team.
     pub team: String,
-    /// Its version; of several valid versions the highest is in force.
+    /// Version; the highest of several valid versions is in force.
     pub version: u32,
-    /// Start of its validity.
+    /// Start of the validity.
     pub valid_from: f64,
-    /// End of its validity, exclusive.
+    /// End of the validity, exclusive.
     pub valid_until: f64,
     /// Patterns of the operations that the team may use, see [`matches_any`].
     pub operations: Vec<String>,
@@ -23,18 +23,18 @@
     pub rate: f64,
     /// The burst, units.
     pub burst: f64,
-    /// Lower limits on single operations.
+    /// Additional limits on single operations.
     pub operation_limits: Vec<OperationLimit>,
-    /// Its weight among teams that borrow unused capacity.
+    /// Weight of the team among those that borrow unused capacity.
     pub weight: f64,
-    /// A limit over a longer period.
+    /// Limit over a longer period; `None` for no limit.
     pub budget: Option<Budget>,
 }
 
 /// A limit on the operations that a pattern matches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperationLimit {
-    /// A name, or a prefix with a star.
+    /// Name of an operation, or a prefix followed by `*`.
     pub operation: String,
     /// The rate, units per second.
     pub rate: f64,
@@ -52,28 +52,28 @@
 }
 
 impl Contract {
-    /// Whether it is valid at a time.
+    /// Returns whether the contract is valid at a time.
     pub fn is_valid_at(&self, now: f64) -> bool {
         now >= self.valid_from && now < self.valid_until
     }
 
-    /// Whether the team may use an operation.
+    /// Returns whether the team may use an operation.
     pub fn allows(&self, operation: &str) -> bool {
         matches_any(&self.operations, operation)
     }
 
-    /// The index in `operation_limits` of the first limit that matches an operation.
+    /// Returns the index in `operation_limits` of the first limit that matches an operation.
     pub fn operation_limit(&self, operation: &str) -> Option<usize> {
         self.operation_limits.iter().position(|limit| matches(&limit.operation, operation))
     }
 
-    /// Whether there is a time at which both are valid.
+    /// Returns whether both contracts are valid at some time.
     fn overlaps(&self, other: &Contract) -> bool {
         other.valid_from < self.valid_until && self.valid_from < other.valid_until
     }
 }
 
-/// Whether one of these patterns, each a name or a prefix with a star, matches a name. An empty list matches all.
+/// Returns whether any pattern matches a name; a pattern is a name, or a prefix followed by `*`. An empty list matches all names.
 pub fn matches_any(patterns: &[String], name: &str) -> bool {
     patterns.is_empty() || patterns.iter().any(|pattern| matches(pattern, name))
 }
--- a/broker/src/contract/registry.rs
+++ b/broker/src/contract/registry.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Relative tolerance when promised rates are compared to the capacity: sums of rates are not exact.
+/// Relative tolerance of the comparison of promised rates and capacity, because sums of rates are not exact.
 const ROUNDING: f64 = 1e-9;
 
 /// All contracts, free of conflicts.
@@ -25,7 +25,7 @@
 }
 
 impl Contracts {
-    /// Registers contracts. `capacity` is in units per second. The error has all conflicts.
+    /// Registers contracts. `capacity` is in units per second. Fails with all conflicts.
     pub fn new(contracts: Vec<Contract>, capacity: f64) -> Result<Contracts, Vec<Conflict>> {
         let mut registry = Contracts::default();
         let mut conflicts = vec![];
@@ -41,13 +41,13 @@
         }
     }
 
-    /// The version of a team's contract that is in force at a time.
+    /// Returns the version of a team's contract that is in force at a time.
     pub fn in_force(&self, team: &str, now: f64) -> Option<&Contract> {
         let mut versions = self.by_team.get(team)?.iter().map(|index| &self.contracts[*index]);
         versions.find(|contract| contract.is_valid_at(now))
     }
 
-    /// The team whose contract in force names a customer.
+    /// Returns the team whose contract in force names a customer.
     pub fn team_of_customer(&self, customer: u64, now: f64) -> Option<&str> {
         let mut naming = self.by_customer.get(&customer)?.iter().map(|index| &self.contracts[*index]);
         let is_in_force = |contract: &&Contract| {
@@ -56,7 +56,7 @@
         naming.find(is_in_force).map(|contract| contract.team.as_str())
     }
 
-    /// Whether a contract includes a customer; one that names no customers includes all.
+    /// Returns whether a contract includes a customer; a contract that names no customers includes all.
     pub fn covers(&self, contract: &Contract, customer: u64) -> bool {
         let is_same = |index: &usize| {
             let other = &self.contracts[*index];
@@ -66,17 +66,17 @@
         contract.customers.is_empty() || names_customer()
     }
 
-    /// The names of all teams, in arbitrary order.
+    /// Returns the names of all teams, in arbitrary order.
     pub fn teams(&self) -> impl Iterator<Item = &str> {
         self.by_team.keys().map(String::as_str)
     }
 
-    /// All contracts, in the order in which they were registered.
+    /// Returns all contracts, in the order of registration.
     pub fn all(&self) -> &[Contract] {
         &self.contracts
     }
 
-    /// The next time at which a contract begins or ends, Unix seconds; infinite if there is none.
+    /// Returns the next time at which a contract begins or ends, Unix seconds; infinite if no contract does.
     pub fn next_change(&self, now: f64) -> f64 {
         self.changes().filter(|at| *at > now).fold(f64::INFINITY, f64::min)
     }
@@ -92,7 +92,7 @@
         for customer in &contract.customers {
             let naming = self.by_customer.entry(*customer).or_default();
             let is_shared = |other: &&usize| {
-                // A contract that names a customer twice finds itself, which is not registered yet.
+                // If a contract names a customer twice, `other` is its own index, which is not registered yet.
                 let other = self.contracts.get(**other);
                 other.is_some_and(|other| other.team != contract.team && other.overlaps(&contract))
             };
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The conflict at the time with the highest promised rate, if that exceeds the capacity.
+    /// Returns the conflict at the time of the highest promised rate, if that rate exceeds the capacity.
     fn oversold(&self, capacity: f64) -> Option<Conflict> {
         // The promised rate changes only when a contract begins or ends.
         let mut changes: Vec<f64> = self.changes().filter(|at| at.is_finite()).collect();
--- a/broker/src/fair_share.rs
+++ b/broker/src/fair_share.rs
@@ -1,35 +1,35 @@
 //! Fair sharing of capacity. Each team has a token bucket that is refilled at its contract's rate. The overflow of full buckets is
-//! divided among the teams that need more than their own, by weighted max-min fairness: what one of them does not need goes to the
-//! others.
+//! divided among the teams that need more than their own rate, by weighted max-min fairness: units that one borrower does not need
+//! go to the others.
 //!
-//! What a contract promises is therefore always available at once: only units that their owner's bucket could not hold are lent.
+//! Only units that overflow their owner's bucket are lent, so the units of a contract are always available to its team.
 use crate::TeamId;
 use std::collections::BTreeSet;
 
-/// Time for which a team takes part in the division after it needed more than its own, seconds.
+/// Time for which a team counts as a borrower after its own bucket lacked units, seconds.
 const BORROWING_TIME: f64 = 1.0;
-/// Limit on the borrowed units that all borrowers together accumulate, in seconds of the total capacity. It bounds what is still
-/// taken from lent capacity once the owner uses its own again.
+/// Maximum of the unspent units of all borrowers together, in seconds of the total capacity. It bounds the lent units that are
+/// still spent after their owner uses its capacity again.
 pub const MAX_BORROWED_SECONDS: f64 = 0.05;
-/// The shortest refill step, seconds: a shorter one is not worth a pass over the buckets.
+/// Minimum refill step, seconds: a shorter step is not worth a pass over the buckets.
 const MIN_STEP: f64 = 0.001;
-/// The smallest weight, which keeps quotients finite.
+/// Minimum weight, which keeps quotients finite.
 const MIN_WEIGHT: f64 = 1e-6;
-/// Remainder below which a division ends, units: it is a rounding error.
+/// Remainder below which a division ends, units: a smaller remainder is a rounding error.
 const NEGLIGIBLE_UNITS: f64 = 1e-9;
 
-/// What a team's contract promises at this instance.
+/// Terms of a team's contract at this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Refill rate of its bucket, units per second.
+    /// Refill rate of the team's bucket, units per second.
     pub rate: f64,
-    /// Capacity of its bucket, units.
+    /// Capacity of the team's bucket, units.
     pub burst: f64,
-    /// Its weight beside other borrowers.
+    /// Weight of the team among the borrowers.
     pub weight: f64,
 }
 
-/// The source of units, to which they are refunded.
+/// The source of granted units, to which they are refunded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Source {
     /// The team's own bucket.
@@ -38,20 +38,20 @@
     Borrowed,
 }
 
-/// The units that a team could have now.
+/// Units that are available to a team now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Available {
-    /// Units in its own bucket; negative if it is in debt.
+    /// Units in the team's own bucket; negative if it is in debt.
     pub own: f64,
     /// Units borrowed from other teams.
     pub borrowed: f64,
 }
 
-/// No units are available now.
+/// The error of a request for which no units are available now.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-#[error("no units for {retry_after} s")]
+#[error("the requested units are available in {retry_after} s")]
 pub struct NoUnits {
-    /// Time until the team's own bucket has them, seconds; infinite if it never will.
+    /// Time until the team's own bucket has the units, seconds; infinite if it never has them.
     pub retry_after: f64,
 }
 
@@ -62,13 +62,13 @@
     rate: f64,
     /// Capacity, units.
     burst: f64,
-    /// Weight beside other borrowers.
+    /// Weight among the borrowers.
     weight: f64,
-    /// Units in it; negative if it is in debt.
+    /// Units in the bucket; negative if it is in debt.
     level: f64,
-    /// Borrowed units.
+    /// Borrowed units that are unspent.
     borrowed: f64,
-    /// Time until which the team takes part in the division, seconds.
+    /// Time until which the team is a borrower, seconds.
     borrows_until: f64,
 }
 
@@ -77,7 +77,7 @@
         self.level >= self.burst
     }
 
-    /// Refills it for a time in seconds and returns the overflow.
+    /// Refills the bucket for a time in seconds and returns the overflow, units.
     fn refill(&mut self, seconds: f64) -> f64 {
         let level = self.level + self.rate * seconds;
         self.level = level.min(self.burst);
@@ -93,29 +93,29 @@
     buckets: Vec<Bucket>,
     /// Teams whose bucket is not full.
     filling: BTreeSet<TeamId>,
-    /// Sum of the rates of full buckets, units per second: all of it overflows.
+    /// Sum of the rates of full buckets, all of which overflows, units per second.
     full_rate: f64,
     /// Sum of all rates, units per second.
     promised_rate: f64,
-    /// Teams that take part in the division.
+    /// Teams among which the overflow is divided.
     borrowers: BTreeSet<TeamId>,
     /// Time up to which the buckets are refilled, seconds.
     advanced_to: f64,
 }
 
 impl FairShareLimiter {
-    /// A limiter without teams; `capacity` in units per second.
+    /// Creates a limiter without teams; `capacity` is in units per second.
     pub fn new(now: f64, capacity: f64) -> FairShareLimiter {
         FairShareLimiter { capacity, advanced_to: now, ..FairShareLimiter::default() }
     }
 
-    /// Changes the capacity, units per second.
+    /// Sets the capacity, units per second.
     pub fn set_capacity(&mut self, now: f64, capacity: f64) {
         self.advance(now);
         self.capacity = capacity;
     }
 
-    /// Changes a team's terms. A new team starts with a full bucket; an existing one keeps its level, up to the new burst.
+    /// Sets a team's terms. A new team starts with a full bucket; an existing one keeps its level, up to the new burst.
     pub fn set_terms(&mut self, now: f64, team: TeamId, terms: Terms) {
         self.advance(now);
         if self.buckets.len() <= team {
@@ -134,7 +134,7 @@
         self.update_filling(team);
     }
 
-    /// Takes units from the team's own bucket, or else from its borrowed units.
+    /// Takes units from the team's own bucket, otherwise from its borrowed units.
     pub fn try_take(&mut self, now: f64, team: TeamId, units: f64) -> Result<Source, NoUnits> {
         self.advance(now);
         let Some(bucket) = self.buckets.get_mut(team).filter(|bucket| bucket.rate > 0.0) else {
@@ -156,7 +156,7 @@
         Err(NoUnits { retry_after: (needed - bucket.level) / bucket.rate })
     }
 
-    /// Returns units that were taken and not used.
+    /// Returns units that were taken and not used to their source.
     pub fn refund(&mut self, team: TeamId, units: f64, source: Source) {
         let Some(bucket) = self.buckets.get_mut(team) else { return };
         match source {
@@ -166,7 +166,7 @@
         self.update_filling(team);
     }
 
-    /// Corrects a bucket by the difference between the units that a request used and those taken for it; may be negative.
+    /// Subtracts from a bucket the difference between the units that a request used and those taken for it; may be negative.
     pub fn adjust(&mut self, now: f64, team: TeamId, difference: f64) {
         self.advance(now);
         if let Some(bucket) = self.buckets.get_mut(team) {
@@ -175,13 +175,13 @@
         }
     }
 
-    /// The units that a team could have now.
+    /// Returns the units that are available to a team now.
     pub fn available(&self, team: TeamId) -> Available {
         let available = |bucket: &Bucket| Available { own: bucket.level, borrowed: bucket.borrowed };
         self.buckets.get(team).map_or(Available::default(), available)
     }
 
-    /// Updates the sets of full and of filling buckets for a team.
+    /// Updates `filling` and `full_rate` for a team's bucket.
     fn update_filling(&mut self, team: TeamId) {
         let bucket = &self.buckets[team];
         if bucket.is_full() && self.filling.remove(&team) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Advances the time: refills the buckets and divides the overflow.
+    /// Refills the buckets up to a time and divides the overflow.
     fn advance(&mut self, now: f64) {
         let step = now - self.advanced_to;
         if step < MIN_STEP {
@@ -213,7 +213,7 @@
         self.divide(overflow);
     }
 
-    /// Ends the borrowing of teams that have lately needed no more than their own.
+    /// Removes the borrowers whose own bucket has had enough units for [`BORROWING_TIME`], and their borrowed units.
     fn end_borrowing(&mut self, now: f64) {
         let buckets = &mut self.buckets;
         self.borrowers.retain(|team| {
@@ -226,34 +226,34 @@
         });
     }
 
-    /// Divides units among the borrowers by weighted max-min fairness: what one can't hold goes to the others.
+    /// Divides units among the borrowers by weighted max-min fairness: units beyond the headroom of one go to the others.
     fn divide(&mut self, mut units: f64) {
         let total_weight: f64 = self.borrowers.iter().map(|team| self.buckets[*team].weight).sum();
         let max_borrowed = self.capacity * MAX_BORROWED_SECONDS;
-        let mut open: Vec<TeamId> = self.borrowers.iter().copied().collect();
-        let mut open_weight = total_weight;
-        while units > NEGLIGIBLE_UNITS && !open.is_empty() {
-            let units_per_weight = units / open_weight;
-            let weight_before = open_weight;
-            let mut given = 0.0;
-            let mut still_open = vec![];
-            for team in open {
+        let mut unfilled: Vec<TeamId> = self.borrowers.iter().copied().collect();
+        let mut unfilled_weight = total_weight;
+        while units > NEGLIGIBLE_UNITS && !unfilled.is_empty() {
+            let units_per_weight = units / unfilled_weight;
+            let weight_before = unfilled_weight;
+            let mut allocated = 0.0;
+            let mut still_unfilled = vec![];
+            for team in unfilled {
                 let bucket = &mut self.buckets[team];
                 let headroom = (max_borrowed * bucket.weight / total_weight - bucket.borrowed).max(0.0);
-                let part = units_per_weight * bucket.weight;
-                bucket.borrowed += part.min(headroom);
-                given += part.min(headroom);
-                if part < headroom {
-                    still_open.push(team);
+                let share = units_per_weight * bucket.weight;
+                bucket.borrowed += share.min(headroom);
+                allocated += share.min(headroom);
+                if share < headroom {
+                    still_unfilled.push(team);
                 } else {
-                    open_weight -= bucket.weight;
+                    unfilled_weight -= bucket.weight;
                 }
             }
-            units -= given;
-            if open_weight >= weight_before {
-                break; // every borrower could hold its part
+            units -= allocated;
+            if unfilled_weight >= weight_before {
+                break; // no borrower reached its headroom
             }
-            open = still_open;
+            unfilled = still_unfilled;
         }
     }
 }
--- a/broker/src/lib.rs
+++ b/broker/src/lib.rs
@@ -1,6 +1,6 @@
 //! A broker between teams. Each team has a contract that states which operations it may use, for which customers, at which rate and
-//! within which budget. A team that exceeds its contract is told when to retry, and the other teams are not affected. Unused
-//! capacity is lent.
+//! within which budget. A team that exceeds its contract gets a delay after which to retry, and other teams are not affected.
+//! Unused capacity is lent.
 //!
 //! There is no I/O and no clock here. Backends, retries and the quotas of customers belong to the policy engine
 //! (`quillramp::policy`): the broker decides on a request first, and a grant that the engine then rejects is refunded.
--- a/broker/src/usage.rs
+++ b/broker/src/usage.rs
@@ -10,16 +10,16 @@
     pub granted: u64,
     /// Units that were granted.
     pub units: f64,
-    /// Of these, units borrowed from other teams.
+    /// Units, of those granted, that were borrowed from other teams.
     pub borrowed: f64,
-    /// Requests that were told to retry later.
+    /// Requests that were deferred.
     pub deferred: u64,
     /// Requests that were denied.
     pub denied: u64,
 }
 
 impl Usage {
-    /// Counts the verdict on a request of so many units.
+    /// Counts the verdict on a request for a number of units.
     pub(crate) fn record(&mut self, verdict: &Verdict, units: f64) {
         match verdict {
             Verdict::Grant(grant) => {
@@ -38,10 +38,10 @@
 /// The usage of one team.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamUsage<'a> {
-    /// Its name.
+    /// Name of the team.
     pub team: &'a str,
-    /// The version of its contract that is in force.
+    /// Version of the team's contract in force; `None` without a contract.
     pub version: Option<u32>,
-    /// Its usage.
+    /// Usage of the team.
     pub usage: &'a Usage,
 }
--- a/broker/src/verdict.rs
+++ b/broker/src/verdict.rs
@@ -10,7 +10,7 @@
     pub operation: &'a str,
     /// The customer.
     pub customer: u64,
-    /// Units that it is expected to take.
+    /// Units that the request is expected to use.
     pub units: f64,
 }
 
@@ -19,7 +19,7 @@
 pub struct Response {
     /// The verdict.
     pub verdict: Verdict,
-    /// A call on the count of the team's budget that is due, whatever the verdict.
+    /// A call on the count of the team's budget that is due, regardless of the verdict.
     pub counter_call: Option<CounterCall>,
 }
 
@@ -35,14 +35,14 @@
 pub enum Verdict {
     /// Granted.
     Grant(Grant),
-    /// Deferred: not now.
+    /// Deferred: the request may be retried later.
     RetryAfter {
         /// Delay after which to retry, seconds.
         seconds: f64,
         /// The limit that is used up.
         reason: Reason,
     },
-    /// Denied: not under the team's contract.
+    /// Denied: the team's contract does not permit the request.
     Deny(Reason),
 }
 
@@ -55,16 +55,16 @@
     Operation,
     /// The contract does not include the customer.
     Customer,
-    /// The rate of its contract is used up.
+    /// The rate of the team's contract is used up.
     Rate,
     /// The rate of the operation is used up.
     OperationRate,
-    /// The budget of its contract is used up.
+    /// The budget of the team's contract is used up.
     Budget,
 }
 
 impl Reason {
-    /// The text that is sent to the caller.
+    /// Returns the text that is sent to the caller.
     pub fn message(self) -> &'static str {
         match self {
             Reason::NoContract => "no contract in force",
@@ -82,12 +82,12 @@
 pub struct Grant {
     /// The team.
     pub team: TeamId,
-    /// The version of the contract that granted them.
+    /// Version of the contract that granted the units.
     pub version: u32,
     /// Number of units.
     pub units: f64,
     /// The source of the units.
     pub(crate) source: Source,
-    /// Index of the operation limit that they count against as well.
+    /// Index of the operation limit that the units also count against.
     pub(crate) operation_limit: Option<usize>,
 }
--- a/broker/tests/broker.rs
+++ b/broker/tests/broker.rs
@@ -48,20 +48,20 @@
 
 /// Teams of the flood, each with the same contract.
 const TEAMS: usize = 20;
-/// Units per second that the contract of each has.
+/// Units per second in the contract of each team.
 const TEAM_RATE: f64 = 10.0;
 const TEAM_BURST: f64 = 20.0;
-/// Units per second for all of them.
+/// Units per second of all teams together.
 const CAPACITY: f64 = 250.0;
-/// Seconds of requests, and the steps of the clock in them.
+/// Duration of the requests in seconds, and in steps of the clock.
 const FLOOD_DURATION: f64 = 60.0;
 const STEPS: u32 = 6000;
-/// Seconds of one step.
+/// Duration of one step, seconds.
 const STEP: f64 = 0.01;
 /// Steps between two requests of a team within its contract: about nine requests a second.
 const STEPS_PER_REQUEST: f64 = 11.0;
 
-/// The units that each team is granted, where the first one sends this multiple of what the others send.
+/// Returns the units granted to each team if the first team sends requests at this multiple of the others' rate.
 fn granted_units(first_team_factor: f64) -> Vec<u64> {
     let all = (0..TEAMS).map(|team| contract(&format!("t{team:02}"), TEAM_RATE, TEAM_BURST)).collect();
     let mut broker = new_broker(all, CAPACITY);
@@ -71,7 +71,7 @@
         let now = START + STEP * step;
         for (team, granted) in granted.iter_mut().enumerate() {
             let factor = if team == 0 { first_team_factor } else { 1.0 };
-            // Each team has a phase of its own.
+            // Each team has a different phase.
             let sent_by = |step: f64| (step + 0.5 * team as f64) * factor / STEPS_PER_REQUEST;
             let sent = sent_by(step) as u64;
             let sent_before = sent_by(step - 1.0).max(0.0) as u64;
@@ -89,11 +89,18 @@
     let with_flood = granted_units(80.0);
     assert_eq!(with_flood[1..], without_flood[1..], "the other teams are granted the same to the unit");
     let flooding_team = with_flood[0];
-    assert!(flooding_team > 2 * without_flood[0], "{flooding_team}, {} without a flood", without_flood[0]);
+    assert!(
+        flooding_team > 2 * without_flood[0],
+        "the flooding team got {flooding_team} units, {} without a flood",
+        without_flood[0]
+    );
     // The other teams use nine units a second each; the bursts and a margin of a twentieth come on top.
     let unused_rate = CAPACITY - 19.0 * 9.0;
     let bound = FLOOD_DURATION * unused_rate * 1.05 + TEAM_BURST + CAPACITY * MAX_BORROWED_SECONDS;
-    assert!((flooding_team as f64) < bound, "{flooding_team} of at most {bound}");
+    assert!(
+        (flooding_team as f64) < bound,
+        "the flooding team got {flooding_team} units, expected less than {bound}"
+    );
 }
 
 #[test]
@@ -107,7 +114,7 @@
     let mut granted = [0.0; 4];
     for step in 1..=20_000 {
         let now = 0.001 * f64::from(step);
-        // Two teams request without end, the third a little more than its rate, the fourth nothing.
+        // Two teams request all they can get, the third slightly more than its rate, the fourth nothing.
         for team in [0, 1] {
             while limiter.try_take(now, team, UNITS).is_ok() {
                 granted[team] += UNITS;
@@ -118,13 +125,13 @@
         }
     }
     let rates = granted.map(|units| units / SECONDS);
-    // The third team's 12.5 leave 87.5: the first two have their rates of 10, and the other 67.5 at one to three.
+    // The third team's 12.5 leave 87.5: the first two get their rates of 10 each, and the other 67.5 in the ratio one to three.
     assert!((rates[2] - 12.5).abs() < 0.3, "{rates:?}");
     assert!((rates[0] - (10.0 + 67.5 * 0.25)).abs() < 1.0, "{rates:?}");
     assert!((rates[1] - (10.0 + 67.5 * 0.75)).abs() < 1.0, "{rates:?}");
 }
 
-/// Takes units for a team as long as there are any; returns how many.
+/// Takes all units that are available to a team; returns their number.
 fn drain(limiter: &mut FairShareLimiter, now: f64, team: usize) -> f64 {
     const UNITS: f64 = 0.5;
     let mut drained = 0.0;
@@ -134,7 +141,8 @@
     drained
 }
 
-/// Lent capacity is available to its owner at once: a full bucket. Meanwhile borrowers take no more than the documented bound.
+/// An owner whose capacity was lent has its full bucket at once. In the second after that, borrowers take no more than the
+/// documented bound.
 #[test]
 fn an_owner_that_requests_again_has_its_full_burst() {
     const OWNER: usize = 0;
@@ -147,10 +155,13 @@
         drain(&mut limiter, 0.01 * f64::from(step), BORROWER);
     }
     let burst = drain(&mut limiter, 10.01, OWNER);
-    assert!((20.0..=20.5).contains(&burst), "{burst}");
+    assert!((20.0..=20.5).contains(&burst), "the owner got {burst} units");
     let second_after = (0..100).map(|step| 10.02 + 0.01 * f64::from(step));
     let borrowed: f64 = second_after.map(|now| drain(&mut limiter, now, BORROWER)).sum();
-    assert!(borrowed <= 10.0 + 20.0 * MAX_BORROWED_SECONDS + 0.5, "{borrowed} in the second after");
+    assert!(
+        borrowed <= 10.0 + 20.0 * MAX_BORROWED_SECONDS + 0.5,
+        "borrowed {borrowed} units in the second after"
+    );
 }
 
 #[test]
@@ -228,7 +239,7 @@
         self.broker.set_contracts(now, contracts(all, Self::CAPACITY), Self::CAPACITY);
     }
 
-    /// Requests units, and again as long as the broker waited for the counter.
+    /// Requests units, and retries while the verdict depends on a pending counter call.
     fn spend(&mut self, now: f64, units: f64) -> Verdict {
         let request = Request { operation: "look", customer: 1, units };
         loop {
@@ -250,7 +261,7 @@
         }
     }
 
-    /// Answers a call to the counter, and those that its answers cause.
+    /// Answers a counter call and the calls that follow from the answers.
     fn answer_counter_calls(&mut self, now: f64, first: Option<CounterCall>) {
         let mut next = first;
         while let Some(call) = next {
@@ -270,7 +281,7 @@
     let mut team = BudgetedTeam::new(version_1.clone());
     let grant = team.spend_granted(1000.0, 30.0);
     assert_eq!(grant.version, 1);
-    // A budget below what is spent: no more units in this period.
+    // A budget below the spent units: no more units in this period.
     let version_2 = Contract { version: 2, budget: budget(20.0), ..version_1.clone() };
     team.set_contracts(1001.0, vec![version_1.clone(), version_2]);
     let verdict = team.spend(1001.0, 30.0);
@@ -280,7 +291,7 @@
     team.broker.set_contracts(1002.0, Contracts::default(), BudgetedTeam::CAPACITY);
     assert_eq!(team.spend(1002.0, 1.0), Verdict::Deny(Reason::NoContract));
     team.broker.settle(1002.0, &grant, 25.0);
-    // With a contract and a larger budget again, what was spent stays spent.
+    // With a contract and a larger budget again, the spent units stay spent.
     let version_3 = Contract { version: 3, budget: budget(60.0), ..version_1 };
     team.set_contracts(1003.0, vec![version_3]);
     let mut granted = 0.0;
@@ -310,7 +321,7 @@
     assert_eq!(verdict, Verdict::Deny(Reason::NoContract));
 }
 
-/// A contract of these customers. Two of them promise more than the capacity of 100 units per second.
+/// A contract for these customers. Two such contracts exceed the capacity of 100 units per second.
 fn contract_for(team: &str, customers: Vec<u64>) -> Contract {
     Contract { customers, ..contract(team, 60.0, 1.0) }
 }
--- a/broker/tests/budget.rs
+++ b/broker/tests/budget.rs
@@ -1,4 +1,4 @@
-//! One budget of several gateway instances, which lease units of it from a shared total on a simulated clock.
+//! A budget shared by several gateway instances, which lease its units from a total on the counter, on a simulated clock.
 use quillramp_broker::budget::{BudgetAccount, BudgetVerdict};
 use quillramp_broker::contract::Budget;
 
@@ -11,7 +11,7 @@
 /// Requests of one unit that each instance sends in a round.
 const REQUESTS_PER_ROUND: usize = 8;
 
-/// Gateway instances with one budget, and its total on the counter.
+/// Gateway instances that share a budget, and its total on the counter.
 struct Fleet {
     budget: Budget,
     accounts: Vec<BudgetAccount>,
@@ -19,7 +19,7 @@
 }
 
 impl Fleet {
-    /// Requests a unit at an instance and carries out the calls to the counter that it causes.
+    /// Requests a unit at an instance and answers the resulting counter calls.
     fn request(&mut self, now: f64, instance: usize, is_unreachable: bool) -> BudgetVerdict {
         let instances = self.accounts.len();
         let account = &mut self.accounts[instance];
@@ -37,7 +37,7 @@
     }
 }
 
-/// The units that gateway instances spend of one budget; the counter may be unreachable for some of them.
+/// Returns the units of one budget that gateway instances spend; the counter may be unreachable for some of them.
 fn spend_budget(instances: usize, units: f64, is_unreachable: impl Fn(usize, f64) -> bool) -> f64 {
     let budget = Budget { units, period: PERIOD };
     let mut fleet = Fleet { budget, accounts: vec![BudgetAccount::default(); instances], total: 0.0 };
@@ -62,12 +62,11 @@
 }
 
 #[test]
-fn where_the_counter_was_never_reached_each_instance_spends_an_even_share() {
+fn without_a_reachable_counter_each_instance_spends_an_even_share() {
     assert_eq!(spend_budget(5, 1000.0, |_, _| true), 1000.0);
 }
 
-/// Two of six instances reach the counter no more from the middle on: these spend their even shares of what was left, and no
-/// more.
+/// Two of six instances lose the counter halfway through: they spend at most their even shares of the units that were left.
 #[test]
 fn instances_that_lose_the_counter_spend_no_more_than_their_even_shares_of_the_rest() {
     let spent = spend_budget(6, 3000.0, |instance, now| instance < 2 && now > START + 2.0);
--- a/broker/tests/fair_share.rs
+++ b/broker/tests/fair_share.rs
@@ -2,12 +2,12 @@
 use proptest::prelude::*;
 use quillramp_broker::fair_share::{FairShareLimiter, Source, Terms, MAX_BORROWED_SECONDS};
 
-/// Longest that the limiter may lag behind a token bucket, seconds.
+/// Maximum time by which the limiter may lag behind a token bucket, seconds.
 const TOLERANCE: f64 = 0.002;
-/// Most units of one request.
+/// Maximum units of one request.
 const MAX_REQUEST_UNITS: f64 = 6.0;
 
-/// A token bucket of a team's contract, as reference.
+/// The reference: a token bucket with the terms of a team's contract.
 struct ReferenceBucket {
     terms: Terms,
     level: f64,
@@ -24,7 +24,7 @@
         self.refilled_at = now;
     }
 
-    /// Whether units are within the contract, by more than the tolerance.
+    /// Returns whether units are within the contract by more than the tolerance.
     fn covers(&self, units: f64) -> bool {
         units <= self.terms.burst && self.level - self.terms.rate * TOLERANCE >= units
     }
@@ -51,7 +51,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// For arbitrary requests: what is within its contract is always granted to a team, and all grants together never exceed the
+    /// For arbitrary requests: a request within its team's contract is always granted, and all grants together never exceed the
     /// capacity.
     #[test]
     fn requests_within_contracts_are_granted_and_the_capacity_is_never_exceeded(
@@ -74,7 +74,7 @@
             let bucket = &mut buckets[team];
             bucket.refill(now);
             let taken = limiter.try_take(now, team, units);
-            prop_assert!(!bucket.covers(units) || taken.is_ok(), "{units} of {} rejected", bucket.level);
+            prop_assert!(!bucket.covers(units) || taken.is_ok(), "{units} units rejected although {} are available", bucket.level);
             if taken.is_ok() {
                 granted += units;
             }
@@ -82,7 +82,7 @@
                 bucket.level -= units;
             }
             let max_granted = capacity * (now + MAX_BORROWED_SECONDS) + bursts + MAX_REQUEST_UNITS;
-            prop_assert!(granted <= max_granted, "{} of {}", granted, max_granted);
+            prop_assert!(granted <= max_granted, "granted {} units, expected at most {}", granted, max_granted);
         }
     }
 }
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -31,8 +31,13 @@
         for (id, client) in &self.clients.connections {
             let Some(from) = client.address else { continue };
             let pending = client.requests().filter_map(|request| self.requests.get(request));
-            let pending = pending.map(|pending| pending.command.customer).collect();
-            let open = OpenConnection { id: *id, from, has_sent_command: client.has_sent_command, pending };
+            let customers = pending.map(|pending| pending.command.customer).collect();
+            let open = OpenConnection {
+                id: *id,
+                from,
+                has_sent_command: client.has_sent_command,
+                pending: customers,
+            };
             admission.add_open(now, open);
         }
         admission
--- a/gateway/tests/operator.rs
+++ b/gateway/tests/operator.rs
@@ -106,7 +106,7 @@
         expect![[r#"
             0
             admission: off
-            log: Plain, default levels
+            log: Plain; levels: default
             membership on the counter: off
             callers: no authentication
             broker: off
--- a/identity/src/authenticator.rs
+++ b/identity/src/authenticator.rs
@@ -6,25 +6,25 @@
 use jsonwebtoken::{DecodingKey, Validation};
 use std::collections::BTreeMap;
 
-/// The longest token, bytes.
+/// Maximum length of a token, bytes.
 pub const MAX_TOKEN_BYTES: usize = 4096;
 
 /// Authenticates callers by their tokens. Times are Unix seconds.
 pub struct Authenticator {
     trust: Trust,
-    /// Usable keys by id.
+    /// Valid keys by id.
     keys: BTreeMap<String, TrustedKey>,
     used_tokens: UsedTokens,
 }
 
-/// A key in the form in which signatures are verified.
+/// A key with its form for the verification of signatures.
 struct TrustedKey {
     key: Key,
     decoding_key: DecodingKey,
 }
 
 impl Authenticator {
-    /// An authenticator for this trust; invalid keys are left out, see [`Key::check`].
+    /// Creates an authenticator; invalid keys are left out, see [`Key::check`].
     pub fn new(trust: Trust) -> Authenticator {
         let keys = trusted_keys(&trust);
         Authenticator { trust, keys, used_tokens: UsedTokens::default() }
@@ -36,12 +36,12 @@
         self.trust = trust;
     }
 
-    /// The issuer, keys and rules against which tokens are checked.
+    /// Returns the issuer, keys and rules against which tokens are checked.
     pub fn trust(&self) -> &Trust {
         &self.trust
     }
 
-    /// Authenticates the bearer of a token. With single use, a token counts as used only if it is accepted.
+    /// Authenticates the bearer of a token. A single-use token counts as used only if it is accepted.
     pub fn authenticate(&mut self, now: f64, token: &[u8]) -> Result<Caller, Rejection> {
         if token.len() > MAX_TOKEN_BYTES {
             return Err(Rejection::TooLong);
@@ -73,8 +73,8 @@
         })
     }
 
-    /// Checks that an authenticated caller may continue: its token has not expired, its key is still trusted, and neither token nor
-    /// team is revoked.
+    /// Checks that an authenticated caller is still valid: its token has not expired, its key is still trusted, and neither
+    /// the token nor the team is revoked.
     pub fn revalidate(&self, now: f64, caller: &Caller) -> Result<(), Rejection> {
         let trusted = self.keys.get(&caller.key_id).ok_or(Rejection::UnknownKey)?;
         if now - self.trust.leeway >= trusted.key.valid_until {
@@ -117,7 +117,7 @@
     }
 }
 
-/// The usable keys by id; of several with the same id the last.
+/// Returns the valid keys by id; of several keys with the same id, the last.
 fn trusted_keys(trust: &Trust) -> BTreeMap<String, TrustedKey> {
     let trusted = |key: &Key| {
         let decoding_key = key.decoding_key()?;
--- a/identity/src/caller.rs
+++ b/identity/src/caller.rs
@@ -4,22 +4,22 @@
 /// The authenticated caller of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Caller {
-    /// Its team.
+    /// Team of the caller.
     pub team: String,
-    /// The id of its token.
+    /// Id of the caller's token.
     pub token_id: String,
-    /// The id of the key that signed it.
+    /// Id of the key that signed the token.
     pub key_id: String,
-    /// The operations that it may use; none: all that its team's contract includes.
+    /// Operations that the caller may use; `None` for all in its team's contract.
     pub operations: Option<BTreeSet<String>>,
-    /// The customers for which it may send requests; none: all that its team's contract includes.
+    /// Customers for which the caller may send requests; `None` for all in its team's contract.
     pub customers: Option<BTreeSet<u64>>,
-    /// Expiry of its token plus the leeway, Unix seconds.
+    /// Expiry of the token plus the leeway, Unix seconds.
     pub valid_until: f64,
 }
 
 impl Caller {
-    /// Whether its token allows an operation for a customer.
+    /// Returns whether the token allows an operation for a customer.
     pub fn is_allowed(&self, operation: &str, customer: u64) -> bool {
         let allows_operation = self.operations.as_ref().is_none_or(|names| names.contains(operation));
         let allows_customer = self.customers.as_ref().is_none_or(|ids| ids.contains(&customer));
--- a/identity/src/claims.rs
+++ b/identity/src/claims.rs
@@ -3,9 +3,9 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-/// The most names in a list of a token.
+/// Maximum number of names in a list of a token.
 const MAX_NAMES: usize = 256;
-/// Hexadecimal digits of a customer's id.
+/// Number of hexadecimal digits of a customer's id.
 const CUSTOMER_DIGITS: usize = 16;
 
 /// The claims under their names in RFC 7519; `ops` and `customers` are private claims.
@@ -26,9 +26,9 @@
     pub nbf: f64,
     /// Time of issue, Unix seconds.
     pub iat: Option<f64>,
-    /// Names of the operations that the caller may use; none: no restriction.
+    /// Names of the operations that the caller may use; `None` for no restriction.
     pub ops: Option<Vec<String>>,
-    /// Ids of the customers, in hexadecimal; none: no restriction.
+    /// Ids of the customers, in hexadecimal; `None` for no restriction.
     pub customers: Option<Vec<String>>,
 }
 
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// The customers as numbers; none if the token has no list of customers.
+    /// Returns the customers as numbers; `None` if the token has no list of customers.
     pub fn customer_ids(&self) -> Result<Option<BTreeSet<u64>>, Rejection> {
         let Some(customers) = &self.customers else { return Ok(None) };
         let ids: Option<BTreeSet<u64>> = customers.iter().map(|text| customer_id(text)).collect();
--- a/identity/src/key.rs
+++ b/identity/src/key.rs
@@ -4,7 +4,7 @@
 use jsonwebtoken::{Algorithm, DecodingKey};
 use std::fmt;
 
-/// Size of a coordinate in both kinds of keys, bytes.
+/// Size of a coordinate of Ed25519 and P-256 keys, bytes.
 const COORDINATE_BYTES: usize = 32;
 
 /// A signature algorithm.
@@ -19,17 +19,17 @@
 /// A public key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Key {
-    /// Its id, which tokens name.
+    /// Id of the key, which tokens name in their header.
     pub id: String,
-    /// The algorithm of its signatures.
+    /// Algorithm of the signatures.
     pub algorithm: SignatureAlgorithm,
     /// The x coordinate, base64url without padding.
     pub x: String,
     /// The y coordinate, base64url without padding; empty for EdDSA.
     pub y: String,
-    /// Start of its validity, Unix seconds.
+    /// Start of the validity, Unix seconds.
     pub valid_from: f64,
-    /// End of its validity, exclusive, Unix seconds.
+    /// End of the validity, exclusive, Unix seconds.
     pub valid_until: f64,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl KeyComponent {
-    /// Its name in JSON Web Keys and in the operator's file.
+    /// Returns the name of the component in JSON Web Keys and in the operator's file.
     pub fn name(self) -> &'static str {
         match self {
             KeyComponent::X => "x",
@@ -61,14 +61,14 @@
 /// Why a component of a key is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyProblem {
-    /// It is not base64url.
+    /// The component is not base64url.
     #[error("expected base64url without padding")]
     Encoding,
-    /// It has the wrong number of bytes.
+    /// The component has the wrong number of bytes.
     #[error("expected 32 bytes, found {0}")]
     Length(usize),
     /// Keys of this algorithm have no such component.
-    #[error("an EdDSA key has none")]
+    #[error("an EdDSA key has no such coordinate")]
     Superfluous,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The key in the form in which signatures are verified; none if its components are invalid.
+    /// Returns the key in the form that verification needs; `None` if a component is invalid.
     pub(crate) fn decoding_key(&self) -> Option<DecodingKey> {
         match self.algorithm {
             SignatureAlgorithm::EdDsa => DecodingKey::from_ed_components(&self.x).ok(),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The algorithm that the header of its tokens has to name.
+    /// Returns the algorithm that the header of a token has to name.
     pub(crate) fn token_algorithm(&self) -> Algorithm {
         match self.algorithm {
             SignatureAlgorithm::EdDsa => Algorithm::EdDSA,
--- a/identity/src/lib.rs
+++ b/identity/src/lib.rs
@@ -1,6 +1,6 @@
 //! Authentication of callers by signed tokens (RFC 7519, following the best practices of RFC 8725). A token states the caller's
 //! team, its customers, and the operations that it may use. Keys can be replaced at run time; tokens are revoked by their id, by
-//! their team or with their key. There is no I/O and no clock here; times are Unix seconds.
+//! their team or together with their key. There is no I/O and no clock here; times are Unix seconds.
 #![warn(missing_docs)]
 mod authenticator;
 mod caller;
--- a/identity/src/rejection.rs
+++ b/identity/src/rejection.rs
@@ -3,49 +3,49 @@
 /// Why a token is rejected. A reason never includes contents of the token, which may be a misplaced secret.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum Rejection {
-    /// It is longer than [`MAX_TOKEN_BYTES`](crate::MAX_TOKEN_BYTES).
+    /// The token is longer than [`MAX_TOKEN_BYTES`](crate::MAX_TOKEN_BYTES).
     #[error("the token is too long")]
     TooLong,
-    /// It is no token, or a claim is missing or of the wrong type.
+    /// The string is not a token, or a claim is missing or has the wrong type.
     #[error("no token that can be read")]
     Malformed,
-    /// It names no key, or one that is not trusted.
+    /// The token names no key, or a key that is not trusted.
     #[error("no key of this id is trusted")]
     UnknownKey,
-    /// It names another algorithm than that of its key.
+    /// The token names an algorithm other than that of its key.
     #[error("the key signs in another way")]
     Algorithm,
-    /// Its key is not valid yet.
+    /// The key of the token is not valid yet.
     #[error("the key does not hold yet")]
     KeyNotYetValid,
-    /// Its key is not valid any more.
+    /// The key of the token has expired.
     #[error("the key is over")]
     KeyExpired,
-    /// The signature is not that of its key.
+    /// The key does not verify the signature.
     #[error("the signature does not fit")]
     Signature,
-    /// It is of another issuer.
+    /// The token names another issuer.
     #[error("another issuer's")]
     Issuer,
-    /// It is for another audience.
+    /// The token names another audience.
     #[error("meant for somebody else")]
     Audience,
-    /// It is not valid yet.
+    /// The token is not valid yet.
     #[error("it does not hold yet")]
     NotYetValid,
-    /// It has expired.
+    /// The token has expired.
     #[error("it is over")]
     Expired,
-    /// It is valid for longer than a token may be.
+    /// The remaining lifetime of the token exceeds the maximum.
     #[error("it lasts for too long")]
     LifetimeTooLong,
-    /// Its id or its team is revoked.
+    /// The token's id or its team is revoked.
     #[error("it is revoked")]
     Revoked,
-    /// It is for single use and was used before.
+    /// The single-use token was used before.
     #[error("it was used before")]
     AlreadyUsed,
-    /// The memory of used single-use tokens is full.
+    /// The set of used tokens is full.
     #[error("too many tokens at once")]
     TooManyTokens,
 }
--- a/identity/src/trust.rs
+++ b/identity/src/trust.rs
@@ -1,4 +1,4 @@
-//! The trust configuration: against what tokens are checked.
+//! The trust configuration against which tokens are checked.
 use crate::Key;
 use std::collections::BTreeSet;
 
@@ -15,14 +15,14 @@
     pub revoked: BTreeSet<String>,
     /// Tolerance for clock skew, seconds.
     pub leeway: f64,
-    /// The longest time for which a token may still be valid, seconds.
+    /// Maximum remaining lifetime of a token, seconds.
     pub max_lifetime: f64,
     /// Whether a token is accepted only once.
     pub single_use: bool,
 }
 
 impl Trust {
-    /// Whether a token's id or its team is revoked.
+    /// Returns whether a token's id or its team is revoked.
     pub(crate) fn revokes(&self, token_id: &str, team: &str) -> bool {
         self.revoked.contains(token_id) || self.revoked.contains(team)
     }
--- a/identity/src/used_tokens.rs
+++ b/identity/src/used_tokens.rs
@@ -1,20 +1,20 @@
-//! The memory of single-use tokens that were used.
+//! The set of single-use tokens that were used.
 use crate::Rejection;
 use std::collections::{BTreeSet, HashSet};
 
-/// The most tokens in the memory; beyond, single-use tokens are rejected until some have expired.
+/// Maximum number of tokens in the set; beyond it, single-use tokens are rejected until some have expired.
 const MAX_TOKENS: usize = 1 << 16;
 
-/// When a token expires; ordered by time.
+/// Expiry of a token; ordered by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
-    /// Rounded up to a Unix second.
+    /// Time of the expiry, rounded up to a Unix second.
     at: u64,
     /// The id of the token.
     id: String,
 }
 
-/// Ids of used tokens, until they expire.
+/// Ids of used tokens until their expiry.
 #[derive(Default)]
 pub(crate) struct UsedTokens {
     ids: HashSet<String>,
@@ -23,10 +23,9 @@
 }
 
 impl UsedTokens {
-    /// Marks a token as used; fails if it was used before, or if the memory is full. Tokens that expired before `oldest` are
-    /// forgotten.
+    /// Marks a token as used. Fails if it was used before, or if the set is full. Tokens that expired before `oldest` are removed.
     pub fn insert(&mut self, oldest: f64, id: &str, expires_at: f64) -> Result<(), Rejection> {
-        self.forget_before(oldest);
+        self.remove_expired(oldest);
         if self.ids.contains(id) {
             return Err(Rejection::AlreadyUsed);
         }
@@ -38,7 +37,7 @@
         Ok(())
     }
 
-    fn forget_before(&mut self, oldest: f64) {
+    fn remove_expired(&mut self, oldest: f64) {
         while self.by_expiry.first().is_some_and(|expiry| (expiry.at as f64) < oldest) {
             if let Some(expiry) = self.by_expiry.pop_first() {
                 self.ids.remove(&expiry.id);
--- a/identity/tests/tokens.rs
+++ b/identity/tests/tokens.rs
@@ -251,7 +251,7 @@
     let too_short = error(Key { x: "AAAA".into(), ..valid.clone() });
     assert!(too_short.contains("32 bytes, found 3"), "{too_short}");
     let with_y = error(Key { y: valid.x.clone(), ..valid.clone() });
-    assert!(with_y.contains("has none"), "{with_y}");
+    assert!(with_y.contains("has no such coordinate"), "{with_y}");
     let without_y = error(Key { algorithm: SignatureAlgorithm::Es256, ..valid });
     assert!(without_y.starts_with("y: "), "{without_y}");
 }
--- a/membership/src/group.rs
+++ b/membership/src/group.rs
@@ -1,30 +1,30 @@
 //! Groups of instances that share a count.
 
-/// Instances of a group; each has one decimal digit of the total, which is exact to seven digits.
+/// Instances of a group; each uses one decimal digit of the total, and totals are exact to seven digits.
 pub(crate) const GROUP_SIZE: usize = 6;
-/// Base of the digits.
-const BASE: u64 = 10;
+/// Base of the digits of a total.
+const DIGIT_BASE: u64 = 10;
 /// Consecutive missed heartbeats after which an instance counts as absent: a single call may be lost.
-const MISSED_WHEN_ABSENT: u8 = 2;
+const MISSED_HEARTBEATS_WHEN_ABSENT: u8 = 2;
 /// Age beyond which a reading is ignored, intervals.
 const MAX_READING_AGE: u64 = 3;
 
-/// The group that an instance is in.
+/// Returns the group of an instance.
 pub(crate) fn group_of(instance: usize) -> usize {
     instance / GROUP_SIZE
 }
 
-/// The heartbeat of an instance: the amount that it adds to the count of its group.
+/// Returns the heartbeat of an instance: the amount that it adds to the count of its group.
 pub(crate) fn heartbeat_amount(instance: usize) -> f64 {
-    (BASE as f64).powi(digit_of(instance) as i32)
+    (DIGIT_BASE as f64).powi(digit_of(instance) as i32)
 }
 
-/// The digit of an instance, counted from the lowest.
+/// Returns the digit of an instance in the total, counted from the lowest.
 fn digit_of(instance: usize) -> usize {
     instance % GROUP_SIZE
 }
 
-/// What the readings of one group have shown.
+/// Results of the readings of one group.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Group {
     /// The last interval that was read.
@@ -32,16 +32,16 @@
     /// Consecutive missed heartbeats of each instance.
     missed: [u8; GROUP_SIZE],
     /// The last interval in which the group is read.
-    pub wanted_until: u64,
+    pub watched_until: u64,
 }
 
 impl Group {
-    /// A group without readings, to be read until an interval.
-    pub fn wanted_until(interval: u64) -> Group {
-        Group { wanted_until: interval, ..Group::default() }
+    /// Creates a group without readings that is read until an interval.
+    pub fn watched_until(interval: u64) -> Group {
+        Group { watched_until: interval, ..Group::default() }
     }
 
-    /// Whether an interval, or a later one, was read.
+    /// Returns whether an interval or a later one was read.
     pub fn has_read(&self, interval: u64) -> bool {
         self.last_read.is_some_and(|read| read >= interval)
     }
@@ -51,8 +51,8 @@
         let is_consecutive = self.last_read.is_some_and(|read| read + 1 == interval);
         let mut digits = total.max(0.0).round() as u64;
         for missed in &mut self.missed {
-            let is_present = !digits.is_multiple_of(BASE);
-            digits /= BASE;
+            let is_present = !digits.is_multiple_of(DIGIT_BASE);
+            digits /= DIGIT_BASE;
             *missed = if is_present { 0 } else { missed.saturating_add(1) };
         }
         if !is_consecutive {
@@ -62,14 +62,14 @@
         self.last_read = Some(interval);
     }
 
-    /// Whether an instance's heartbeat was missing in the last reading.
+    /// Returns whether an instance's heartbeat was missing in the last reading.
     pub fn is_missing(&self, instance: usize) -> bool {
         self.missed[digit_of(instance)] > 0
     }
 
-    /// Whether an instance is absent. Without a recent reading it is not.
+    /// Returns whether an instance is absent; false without a recent reading.
     pub fn is_absent(&self, interval: u64, instance: usize) -> bool {
         let is_recent = self.last_read.is_some_and(|read| read + MAX_READING_AGE >= interval);
-        is_recent && self.missed[digit_of(instance)] >= MISSED_WHEN_ABSENT
+        is_recent && self.missed[digit_of(instance)] >= MISSED_HEARTBEATS_WHEN_ABSENT
     }
 }
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,18 +1,18 @@
-//! The membership as one instance sees it.
+//! The membership from the view of one instance.
 use crate::group::{group_of, heartbeat_amount, Group, GROUP_SIZE};
 use crate::{Count, CounterCall};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The shortest interval, seconds: in a shorter one the calls would take a notable part.
+/// Minimum interval, seconds: in a shorter interval the calls would take a notable fraction of the time.
 const MIN_INTERVAL: f64 = 0.5;
 /// Fraction of an interval over which the calls of all instances are spread.
 const SPREAD: f64 = 0.6;
-/// Intervals for which a group is read after it was last watched.
-const WANTED_INTERVALS: u64 = 30;
-/// Lifetime of a count, in intervals: it is read in the interval after its own.
+/// Number of intervals for which a group is read after it was last watched.
+const WATCH_INTERVALS: u64 = 30;
+/// Lifetime of a count, in intervals: a count is read in the interval after its own.
 const LIFETIME_INTERVALS: f64 = 4.0;
 
-/// One instance's view of the others.
+/// One instance's view of the other instances.
 #[derive(Clone, Debug)]
 pub struct Membership {
     /// Number of all instances.
@@ -31,12 +31,12 @@
     groups: BTreeMap<usize, Group>,
     /// Number of readings that lacked this instance's heartbeat although the counter had accepted it: the counter lost data.
     pub lost_heartbeats: u64,
-    /// The first of the consecutive intervals in which the counter accepted this instance's heartbeat.
+    /// The first of the latest consecutive intervals in which the counter accepted this instance's heartbeat.
     accepted_since: Option<u64>,
 }
 
 impl Membership {
-    /// The view of instance `local` of `instances`; `interval` in seconds, at least 0.5.
+    /// Creates the view of instance `local` of `instances`; `interval` is in seconds, at least 0.5.
     pub fn new(instances: usize, local: usize, interval: f64) -> Membership {
         let instances = instances.max(1);
         Membership {
@@ -46,22 +46,22 @@
             phase: SPREAD * local as f64 / instances as f64,
             last_heartbeat: None,
             last_reading: None,
-            groups: BTreeMap::from([(group_of(local), Group::wanted_until(u64::MAX))]),
+            groups: BTreeMap::from([(group_of(local), Group::watched_until(u64::MAX))]),
             lost_heartbeats: 0,
             accepted_since: None,
         }
     }
 
-    /// Watches `number` consecutive instances from `first` on, wrapping around: their groups are read for a while.
+    /// Watches `number` consecutive instances from `first` on, wrapping around: their groups are read for the next 30 intervals.
     pub fn watch(&mut self, now: f64, first: usize, number: usize) {
-        let until = self.interval_at(now) + WANTED_INTERVALS;
+        let until = self.interval_at(now) + WATCH_INTERVALS;
         for instance in self.instances_from(first, number.min(self.instances)) {
             let group = self.groups.entry(group_of(instance)).or_default();
-            group.wanted_until = group.wanted_until.max(until);
+            group.watched_until = group.watched_until.max(until);
         }
     }
 
-    /// Reports the total that a call returned, or none if it failed.
+    /// Handles the total that a call returned; `None` if the call failed.
     pub fn call_answered(&mut self, now: f64, count: Count, total: Option<f64>) {
         let current = self.interval_at(now);
         let interval = full_interval_index(count.interval, current);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The calls that are due; each is returned once.
+    /// Returns the calls that are due, each call once.
     pub fn due_calls(&mut self, now: f64) -> Vec<CounterCall> {
         let interval = self.interval_at(now);
         if now < self.calls_at(interval) {
@@ -98,7 +98,7 @@
         calls
     }
 
-    /// Time at which the next call is due, seconds on the clock of `now`.
+    /// Returns the time at which the next call is due, seconds on the clock of `now`.
     pub fn next_call(&self, now: f64) -> f64 {
         let interval = self.interval_at(now);
         let in_this_interval = self.calls_at(interval);
@@ -109,21 +109,21 @@
         }
     }
 
-    /// Whether an instance is absent from the counter. Without a recent reading no instance counts as absent.
+    /// Returns whether an instance is absent from the counter. Without a recent reading no instance counts as absent.
     pub fn is_absent(&self, now: f64, instance: usize) -> bool {
         let group = self.groups.get(&group_of(instance));
         instance != self.local && group.is_some_and(|group| group.is_absent(self.interval_at(now), instance))
     }
 
-    /// The fraction, from 0 to 1, of `number` consecutive instances from `first` on that are present; this instance counts as
-    /// present.
+    /// Returns the fraction, from 0 to 1, of `number` consecutive instances from `first` on that are present; this instance counts
+    /// as present.
     pub fn present_fraction(&self, now: f64, first: usize, number: usize) -> f64 {
         let number = number.clamp(1, self.instances);
         let present = self.instances_from(first, number).filter(|instance| !self.is_absent(now, *instance));
         present.count().max(1) as f64 / number as f64
     }
 
-    /// The absent instances among the groups that are read.
+    /// Returns the absent instances among the groups that are read.
     pub fn absent(&self, now: f64) -> BTreeSet<usize> {
         let members = |group: &usize| group * GROUP_SIZE..((group + 1) * GROUP_SIZE).min(self.instances);
         let all = self.groups.keys().flat_map(members);
@@ -137,9 +137,9 @@
         self.call(group_of(self.local), interval, heartbeat_amount(self.local))
     }
 
-    /// Reads of the previous interval, for each group that is still wanted.
+    /// Returns the calls that read the previous interval of each group that is still watched.
     fn readings(&mut self, interval: u64) -> Vec<CounterCall> {
-        self.groups.retain(|_, group| group.wanted_until >= interval);
+        self.groups.retain(|_, group| group.watched_until >= interval);
         self.groups.keys().map(|group| self.call(*group, interval - 1, 0.0)).collect()
     }
 
@@ -161,12 +161,12 @@
         }
     }
 
-    /// The index of the interval at a time.
+    /// Returns the index of the interval at a time.
     fn interval_at(&self, now: f64) -> u64 {
         (now / self.interval) as u64
     }
 
-    /// Time of this instance's calls in an interval.
+    /// Returns the time of this instance's calls in an interval, seconds.
     fn calls_at(&self, interval: u64) -> f64 {
         (interval as f64 + self.phase) * self.interval
     }
@@ -177,7 +177,7 @@
     }
 }
 
-/// The index of an interval that is not after the current one, from its low 32 bits.
+/// Returns the index of an interval from its low 32 bits; the interval is not after the current one.
 fn full_interval_index(lower: u32, current: u64) -> u64 {
     let age = (current as u32).wrapping_sub(lower);
     current.saturating_sub(u64::from(age))
--- a/membership/tests/membership.rs
+++ b/membership/tests/membership.rs
@@ -7,7 +7,7 @@
 const START: f64 = 1000.0;
 /// Seconds between two heartbeats of an instance.
 const INTERVAL: f64 = 1.0;
-/// Seconds between two looks at the calls that are due.
+/// Seconds between two polls for due calls.
 const STEP: f64 = 0.05;
 
 /// No instances.
@@ -22,7 +22,7 @@
 
 const COUNTERS: [Counter; 2] = [Counter::First, Counter::Second];
 
-/// Gateway instances, each with the counter that it reaches, if it reaches one.
+/// Gateway instances, each with the counter that it reaches, if any.
 struct Fleet {
     memberships: Vec<Membership>,
     /// Totals on each counter.
@@ -73,12 +73,12 @@
         }
     }
 
-    /// The instances that this one takes for absent.
+    /// The instances that count as absent for this one.
     fn absent(&self, instance: usize) -> Vec<usize> {
         self.memberships[instance].absent(self.now).into_iter().collect()
     }
 
-    /// The instances that any of these takes for absent.
+    /// The instances that count as absent for any of these.
     fn absent_for_any(&self, viewers: impl IntoIterator<Item = usize>) -> Vec<usize> {
         viewers.into_iter().flat_map(|instance| self.absent(instance)).collect()
     }
@@ -88,7 +88,7 @@
         self.memberships[instance].present_fraction(self.now, range.first, range.count)
     }
 
-    /// The instances that reach this counter, or none.
+    /// The instances that reach this counter; with `None`, those that reach no counter.
     fn side(&self, counter: Option<Counter>) -> Vec<usize> {
         (0..self.instances()).filter(|instance| self.reached[*instance] == counter).collect()
     }
@@ -159,7 +159,7 @@
     fleet.reached[2] = None;
     fleet.run_until(START + 11.0);
     assert_eq!(fleet.absent(0), [2]);
-    // The unreachable instance has no recent reading, so it takes no other for absent.
+    // The unreachable instance has no recent reading, so no other instance counts as absent for it.
     assert_eq!(fleet.absent(2), NONE);
 }
 
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn groups_that_nobody_watches_are_no_longer_read() {
+fn groups_that_are_not_watched_are_no_longer_read() {
     let mut membership = Membership::new(300, 7, INTERVAL);
     membership.watch(START, 290, 20);
     let called_groups = |membership: &mut Membership, now: f64| -> BTreeSet<_> {
--- a/operator/src/document/section.rs
+++ b/operator/src/document/section.rs
@@ -60,7 +60,7 @@
         Some(Section::new(self.document, path, table, line))
     }
 
-    /// Returns the tables of a list of tables, in order; empty if the key is missing. A value that is not a list of tables is reported.
+    /// Returns the tables of a list of tables, in order; empty if the key is missing. Reports a value that is not a list of tables.
     pub fn sections(&self, key: &'static str) -> Vec<Section<'a>> {
         let Some(item) = self.item(key) else { return vec![] };
         let Some(tables) = tables_of(item) else {
--- a/operator/src/document/values.rs
+++ b/operator/src/document/values.rs
@@ -1,4 +1,4 @@
-//! Typed access to the values of a section. Each accessor returns `None` if the key is missing, and reports a value of another type.
+//! Typed access to the values of a section. Each accessor returns `None` for a missing key, and reports a value of another type.
 use super::timestamp::unix_seconds;
 use super::Section;
 use std::ops::RangeInclusive;
@@ -181,6 +181,6 @@
         Item::Value(Value::Array(_)) => "a list",
         Item::Value(Value::InlineTable(_)) | Item::Table(_) => "a section",
         Item::ArrayOfTables(_) => "a list of sections",
-        Item::None => "no value",
+        Item::None => "nothing",
     }
 }
--- a/operator/src/show/sections.rs
+++ b/operator/src/show/sections.rs
@@ -10,7 +10,7 @@
 pub(super) fn show(settings: &OperatorSettings) -> String {
     let lines = [
         settings.admission.as_ref().map_or("admission: off".into(), admission),
-        settings.log.as_ref().map_or("log: Plain, default levels".into(), log),
+        settings.log.as_ref().map_or("log: Plain; levels: default".into(), log),
         settings.membership_interval.map_or("membership on the counter: off".into(), membership),
         settings.identity.as_ref().map_or("callers: no authentication".into(), identity),
         settings.broker.as_ref().map_or("broker: off".into(), broker),
@@ -42,9 +42,8 @@
 
 fn log(settings: &LogSettings) -> String {
     let levels: Vec<String> = settings.levels.iter().map(level).collect();
-    let levels =
-        if levels.is_empty() { "default levels".into() } else { format!("levels {}", levels.join(", ")) };
-    format!("log: {:?}, {levels}", settings.format)
+    let levels = if levels.is_empty() { "default".into() } else { levels.join(", ") };
+    format!("log: {:?}; levels: {levels}", settings.format)
 }
 
 fn level(rule: &LevelRule) -> String {
--- a/operator/tests/shown_settings.rs
+++ b/operator/tests/shown_settings.rs
@@ -27,7 +27,7 @@
     let (sections, operations) = text.split_once("\n\n").expect("operations follow");
     expect![[r#"
         admission: off
-        log: Json, levels warn, quillramp_gateway::memory debug
+        log: Json; levels: warn, quillramp_gateway::memory debug
         membership on the counter: off
         callers: no authentication
         broker: off"#]]
@@ -137,7 +137,7 @@
     let operator = read_file(VALID_FILE).expect("a valid file");
     expect![[r#"
         admission: off
-        log: Json, levels warn, quillramp_gateway::memory debug
+        log: Json; levels: warn, quillramp_gateway::memory debug
         membership on the counter: off
         callers: no authentication
         broker: off
