--- a/counter/src/disk/directory.rs
+++ b/counter/src/disk/directory.rs
@@ -7,7 +7,7 @@
 /// A directory of the file system; no other process may write there.
 pub struct Directory {
     path: PathBuf,
-    /// The file that was appended to last; it stays open.
+    /// The file that was used last; it stays open.
     open_file: Option<OpenFile>,
 }
 
--- a/counter/src/disk/memory.rs
+++ b/counter/src/disk/memory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
-/// The value of [`MemoryDisk::surviving_unsynced`] that stands for all unsynced bytes.
+/// The value of [`MemoryDisk::surviving_unsynced`] with which all unsynced bytes survive.
 const ALL_UNSYNCED: usize = 255;
 
 #[derive(Clone, Debug, Default)]
@@ -15,27 +15,27 @@
     synced: usize,
 }
 
-/// An in-memory disk that counts its operations and can be made to fail at one of them. After such a crash unsynced bytes survive
-/// in part or not at all.
+/// An in-memory disk that counts its operations and can be configured to fail from one of them on. After such a crash all, some or
+/// none of the unsynced bytes survive.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     files: BTreeMap<String, MemoryFile>,
-    /// The directory as it was last synced, which is what survives a crash.
+    /// The directory at its last sync, which survives a crash.
     synced_names: BTreeMap<String, MemoryFile>,
-    /// Operations until now that change something.
+    /// Number of operations so far, without reads.
     steps: u64,
-    /// Files created until now; the source of their ids.
+    /// Number of files created so far, from which ids are assigned.
     created: u64,
-    /// The step from which on every operation fails.
+    /// The operation, counted from 1, from which every operation but reads fails; `None` to never fail.
     pub fails_at_step: Option<u64>,
-    /// Share of the unsynced bytes that survive a crash, in 255ths.
+    /// Fraction of the unsynced bytes that survive a crash, in 255ths.
     pub surviving_unsynced: u8,
-    /// Capacity of the disk, bytes; unlimited if none.
+    /// Capacity of the disk, bytes; `None` if unlimited.
     pub capacity: Option<usize>,
 }
 
 impl MemoryDisk {
-    /// A disk that fails from a step on; `surviving_unsynced` of the unsynced bytes, in 255ths, survive the crash.
+    /// Creates a disk that fails from an operation on; `surviving_unsynced` 255ths of the unsynced bytes survive the crash.
     pub fn failing_at(step: u64, surviving_unsynced: u8) -> MemoryDisk {
         MemoryDisk { fails_at_step: Some(step), surviving_unsynced, ..MemoryDisk::default() }
     }
@@ -50,12 +50,12 @@
         self.sync_directory()
     }
 
-    /// Number of operations until now that change something; reads are not counted.
+    /// Returns the number of operations so far; reads are not counted.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// The disk as it is found after a crash: the synced prefix of each file, and a share of the unsynced bytes.
+    /// Returns the disk after a crash: the synced prefix of each file, and a fraction of its unsynced bytes.
     pub fn after_crash(&self) -> MemoryDisk {
         let survives = |(name, synced): (&String, &MemoryFile)| (name.clone(), self.survivor(synced));
         let files: BTreeMap<String, MemoryFile> = self.synced_names.iter().map(survives).collect();
@@ -76,13 +76,13 @@
         }
     }
 
-    /// Size of a file, bytes.
+    /// Returns the size of a file, bytes; 0 if it does not exist.
     pub fn size(&self, name: &str) -> usize {
         self.files.get(name).map_or(0, |file| file.bytes.len())
     }
 
     fn survivor(&self, synced: &MemoryFile) -> MemoryFile {
-        // The file may have been renamed since the directory was synced: its id finds it.
+        // Looked up by id, because the file may have been renamed since the directory was synced.
         let latest = self.files.values().find(|file| file.id == synced.id).unwrap_or(synced);
         let unsynced = latest.bytes.len() - latest.synced;
         let length = latest.synced + unsynced * usize::from(self.surviving_unsynced) / ALL_UNSYNCED;
@@ -92,7 +92,7 @@
     fn step(&mut self) -> io::Result<()> {
         self.steps += 1;
         if self.fails_at_step.is_some_and(|step| self.steps >= step) {
-            return Err(io::Error::other("the machine is gone"));
+            return Err(io::Error::other("injected disk failure"));
         }
         Ok(())
     }
@@ -127,7 +127,7 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let fitting = self.fitting(bytes.len());
         let step = self.step();
-        // The bytes of the failing step are written too, unsynced: a crash may keep a part of them.
+        // The bytes of the failing operation are written too, unsynced: some of them may survive the crash.
         self.file_or_new(name).bytes.extend_from_slice(&bytes[..fitting]);
         step?;
         if fitting < bytes.len() {
--- a/counter/src/disk/mod.rs
+++ b/counter/src/disk/mod.rs
@@ -7,9 +7,9 @@
 
 use std::io;
 
-/// The files of one directory, by name. Written bytes are durable once their file was synced, names once the directory was.
+/// The files of one directory, by name. Written bytes are durable once their file is synced, names once the directory is synced.
 pub trait Disk {
-    /// Names of all files.
+    /// Returns the names of all files.
     fn names(&mut self) -> io::Result<Vec<String>>;
     /// Reads a complete file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
@@ -19,7 +19,7 @@
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Makes the bytes of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Renames a file, atomically; a file that has the new name is replaced.
+    /// Renames a file atomically; replaces an existing file with the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
--- a/counter/src/error.rs
+++ b/counter/src/error.rs
@@ -1,18 +1,18 @@
 //! The errors of this package.
 use std::io;
 
-/// A fault after which the counter can't continue.
+/// A failure after which the counter can't continue.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The disk or a socket failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A file is damaged where it had been synced already: the damage can't be an unfinished write.
+    /// A file is damaged at a place that was already synced, so the damage can't be an unfinished write.
     #[error("{file}: damaged at byte {offset}: {reason}")]
     Corrupt {
         /// Name of the file, without its directory.
         file: String,
-        /// Where the damaged record begins, in bytes.
+        /// Offset of the damaged record, bytes.
         offset: u64,
         /// The kind of damage.
         reason: Damage,
@@ -23,13 +23,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
     /// A record is incomplete or does not match its checksum.
-    #[error("its checksum does not fit")]
+    #[error("the checksum does not match")]
     ChecksumMismatch,
-    /// A record decodes to no value of the expected type.
-    #[error("it is of another kind")]
+    /// A record is not an encoded value of the expected type.
+    #[error("the record has an unexpected type")]
     WrongType,
-    /// A snapshot file goes on after its only record.
-    #[error("there is something behind it")]
+    /// A snapshot file has bytes after its only record.
+    #[error("expected the end of the file after the record, found more bytes")]
     TrailingBytes,
     /// The index of an entry does not follow that of the entry before it.
     #[error("an entry is missing before it")]
--- a/counter/src/frame.rs
+++ b/counter/src/frame.rs
@@ -6,23 +6,23 @@
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 const HEADER_BYTES: usize = LENGTH_BYTES + CHECKSUM_BYTES;
-/// The longest frame: a complete snapshot has to fit, so four times the largest record of the log.
+/// Maximum length of a frame, bytes: four times the largest record of the log, because a frame has to hold a complete snapshot.
 const MAX_FRAME_BYTES: usize = 256 << 20;
 
-/// Why a frame could not be read.
+/// The reason why a frame could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The header announces more bytes than a frame may have.
+    /// The length in the header exceeds the maximum.
     #[error("frame too long")]
     TooLong,
     /// The body does not match its checksum.
     #[error("checksum")]
     ChecksumMismatch,
     /// The body is not an encoded value of the expected type.
-    #[error("no message")]
+    #[error("frame has an unexpected type")]
     Undecodable,
 }
 
@@ -34,7 +34,7 @@
     out.extend(body);
 }
 
-/// Reads the next frame; none at the end of the stream, also where it ends within a frame.
+/// Reads the next frame; `None` at the end of the stream, even within a frame.
 pub fn read<T: DeserializeOwned>(reader: &mut impl Read) -> Result<Option<T>, FrameError> {
     let mut header = [0; HEADER_BYTES];
     match reader.read_exact(&mut header) {
--- a/counter/src/http.rs
+++ b/counter/src/http.rs
@@ -1,26 +1,26 @@
-//! The calls of the platform's counter over HTTP/1.1: decodes requests and encodes responses.
+//! The HTTP/1.1 interface of the counter: decodes requests and encodes responses.
 use std::io::{self, BufRead, Read};
 
-/// The longest head, and the longest body, of a request, bytes: a call is a request line and a few headers.
+/// Maximum size of the head and of the body of a request, bytes each: a call is a request line and a few headers.
 const MAX_PART_BYTES: usize = 8 * 1024;
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 32;
 const MILLISECONDS_PER_SECOND: f64 = 1e3;
 
-/// Why no request could be read; the connection can't go on after it.
+/// The reason why no request could be read; the connection can't be used any more.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The head is not one of HTTP/1.1.
-    #[error("no HTTP")]
+    /// The head is not valid HTTP/1.1.
+    #[error("malformed HTTP request")]
     Malformed,
-    /// The head is longer than accepted, or the stream ended within it.
-    #[error("head too long or cut off")]
+    /// The head exceeds the maximum size, or the stream ended within it.
+    #[error("request head too long or incomplete")]
     IncompleteHead,
-    /// The declared body is longer than accepted.
-    #[error("body too long")]
+    /// The declared body exceeds the maximum size.
+    #[error("request body too long")]
     BodyTooLong,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Response {
-    /// Appends the encoded response; false if there is none and the connection has to be closed.
+    /// Appends the encoded response; false if the call gets no response and the connection has to be closed.
     pub fn encode(&self, out: &mut Vec<u8>) -> bool {
         let (status, body) = match self {
             Response::Total(total) => ("200 OK", total.to_string()),
@@ -68,7 +68,7 @@
     }
 }
 
-/// Reads the next request of a connection; none at its end.
+/// Reads the next request of a connection; `None` at the end of the stream.
 pub fn read_request(reader: &mut impl BufRead) -> Result<Option<Request>, RequestError> {
     let Some(head) = read_head(reader)? else { return Ok(None) };
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -99,7 +99,7 @@
     }
 }
 
-/// Length of the body, bytes; 0 if the header is missing or not a number.
+/// Returns the length of the body, bytes; 0 if the header is missing or not a number.
 fn content_length(headers: &[httparse::Header]) -> u64 {
     let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
     let value = header.and_then(|header| std::str::from_utf8(header.value).ok());
--- a/counter/src/inspect.rs
+++ b/counter/src/inspect.rs
@@ -6,13 +6,13 @@
 use std::fmt;
 use std::path::Path;
 
-/// Why a directory can't be inspected.
+/// The reason why a directory can't be inspected.
 #[derive(Debug, thiserror::Error)]
 pub enum InspectError {
-    /// There is no such directory.
-    #[error("{0}: no such folder")]
+    /// The directory does not exist.
+    #[error("{0}: no such directory")]
     NoDirectory(String),
-    /// Its files can't be read, or are damaged.
+    /// A file of the directory can't be read or is damaged.
     #[error("{directory}: {source}")]
     Unreadable { directory: String, source: Error },
 }
@@ -31,7 +31,7 @@
 }
 
 impl Contents {
-    /// One line per name, with its total.
+    /// Returns a line for each name, with its total.
     pub fn names(&self) -> String {
         let line = |(name, total): (&[u8], f64)| format!("\n{} {total}", String::from_utf8_lossy(name));
         self.totals.iter().map(line).collect()
@@ -41,8 +41,8 @@
 impl fmt::Display for Contents {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let Contents { directory, hard_state, snapshot_index, entries, unfinished_bytes, totals } = self;
-        write!(f, "{directory}: {hard_state}; a state up to entry {snapshot_index}, ")?;
-        write!(f, "{entries} entries behind it, {} names", totals.len())?;
+        write!(f, "{directory}: {hard_state}; snapshot up to entry {snapshot_index}, ")?;
+        write!(f, "{entries} entries after it, {} names", totals.len())?;
         if *unfinished_bytes > 0 {
             write!(f, "; {unfinished_bytes} bytes of an unfinished write at the end")?;
         }
--- a/counter/src/log/files.rs
+++ b/counter/src/log/files.rs
@@ -1,13 +1,13 @@
-//! Names of the files of a log: a prefix for the kind, and the index at which the file begins.
+//! Names of the files of a log: a prefix for the kind, and the index of the file.
 
-/// Entries and hard states from an index on.
+/// Prefix of a file with the entries and hard states from an index on.
 pub(super) const LOG: &str = "log-";
-/// The state after the entry with an index.
+/// Prefix of a file with the state after the entry with an index.
 pub(super) const SNAPSHOT: &str = "snapshot-";
-/// A file that is still being written.
+/// Prefix, before the name, of a file that is still being written.
 pub(super) const UNFINISHED: &str = "new-";
 
-/// A file whose name carries the index at which it begins.
+/// A file with an index in its name.
 pub(super) struct IndexedFile {
     /// The index in the name.
     pub index: u64,
@@ -15,12 +15,12 @@
     pub name: String,
 }
 
-/// The name of the file of a kind that begins at an index.
+/// Returns the name of the file of a kind with an index.
 pub(super) fn name(kind: &str, index: u64) -> String {
     format!("{kind}{index:020}")
 }
 
-/// Files of a kind by ascending index.
+/// Returns the files of a kind by ascending index.
 pub(super) fn of_kind(names: &[String], kind: &str) -> Vec<IndexedFile> {
     let indexed = |name: &String| {
         let index = name.strip_prefix(kind)?.parse().ok()?;
--- a/counter/src/log/mod.rs
+++ b/counter/src/log/mod.rs
@@ -15,22 +15,23 @@
 /// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry<C> {
-    /// Its index in the log, counted from 1.
+    /// Index of the entry in the log, counted from 1.
     pub index: u64,
-    /// The term in which it was proposed.
+    /// The term in which the entry was proposed.
     pub term: u64,
-    /// The command; none in the entry with which a leader begins its term.
+    /// The command; `None` in the entry with which a leader begins its term.
     pub command: Option<C>,
 }
 
 impl<C> Entry<C> {
-    /// Its index and term.
+    /// Returns the index and the term of the entry.
     pub fn position(&self) -> LogPosition {
         LogPosition { index: self.index, term: self.term }
     }
 }
 
-/// Identifies an entry: two logs with the same position have the same entries up to it. The default comes before the first entry.
+/// Identifies an entry: two logs with an entry at the same position have the same entries up to it. The default precedes the first
+/// entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
     /// Index of the entry.
@@ -40,19 +41,19 @@
 }
 
 impl LogPosition {
-    /// Whether a log that ends here is at least as up to date as one that ends at the other position: the later term decides, then
-    /// the longer log.
+    /// Returns whether a log that ends at this position is at least as up to date as one that ends at the other: the later term
+    /// decides, then the longer log.
     pub fn is_as_recent_as(self, other: LogPosition) -> bool {
         (self.term, self.index) >= (other.term, other.index)
     }
 }
 
-/// What a node has to persist beside its entries (the hard state of Raft).
+/// The state that a node has to persist besides its entries (the hard state of Raft).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term the node has seen.
+    /// The latest term that the node has seen.
     pub term: u64,
-    /// The node that it voted for in this term.
+    /// The node that received this node's vote in this term.
     pub vote: Option<u64>,
 }
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// The state after an entry; it replaces the entries up to that one.
+/// The state after an entry; it replaces the entries up to and including that entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot<S> {
     /// The last entry that the state includes.
@@ -117,13 +118,13 @@
         self.pending.extend(record::encode(&Record::<()>::HardState(hard_state)));
     }
 
-    /// Truncates the entries from an index on, with the next flush.
+    /// Buffers the truncation of the entries from an index on until the next flush.
     pub fn truncate_from(&mut self, index: u64) {
         self.pending.extend(record::encode(&Record::<()>::TruncateFrom(index)));
     }
 
-    /// Writes and syncs the buffered records, which are durable once this returns. After an error the end of the file is unknown
-    /// and the log has to be reopened.
+    /// Writes and syncs the buffered records, which are durable on success. After an error the end of the file is unknown and the
+    /// log has to be reopened.
     pub fn flush(&mut self) -> Result<()> {
         if self.pending.is_empty() {
             return Ok(());
@@ -135,13 +136,13 @@
         Ok(())
     }
 
-    /// Size of the file in use, bytes.
+    /// Returns the size of the file in use, bytes.
     pub fn size(&self) -> u64 {
         self.size
     }
 
-    /// Replaces all entries up to a snapshot by it; `following` are the entries after it. Atomic: recovery after a crash finds
-    /// either the files as they were before or the snapshot.
+    /// Replaces all entries that a snapshot includes by the snapshot; `following` are the entries after it. Atomic: recovery after
+    /// a crash finds either the previous files or the snapshot.
     pub fn snapshot<S: Serialize, C: Serialize + Clone>(
         &mut self,
         snapshot: &Snapshot<S>,
@@ -151,7 +152,7 @@
         self.flush()?;
         let index = snapshot.last_included.index;
         let before = self.disk.names()?;
-        // The new log file comes first: until the snapshot exists it only repeats entries of the file before.
+        // The new log file is written first: until the snapshot exists it only repeats entries of the previous file.
         let next = files::name(files::LOG, index + 1);
         if next != self.file {
             self.begin_file(next, hard_state, following)?;
@@ -193,7 +194,7 @@
         Ok(())
     }
 
-    /// Writes a file that exists either complete or not at all.
+    /// Writes a file atomically: after a crash it is either complete or absent.
     fn write_atomically(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
         let unfinished = format!("{}{name}", files::UNFINISHED);
         if self.disk.names()?.contains(&unfinished) {
--- a/counter/src/log/record.rs
+++ b/counter/src/log/record.rs
@@ -7,7 +7,8 @@
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 const HEADER_BYTES: usize = LENGTH_BYTES + CHECKSUM_BYTES;
-/// The longest record, bytes; a longer one is treated as damage. A log file grows to this size before a snapshot replaces it.
+/// Maximum length of a record, bytes; a longer record is treated as damage. A log file grows to this size before a snapshot
+/// replaces it.
 const MAX_RECORD_BYTES: usize = 64 << 20;
 
 /// A change of the persistent state. The encoding follows the order of the variants, which must not change.
@@ -39,7 +40,7 @@
     bytes
 }
 
-/// The record that begins at an offset, if it is complete and its checksum matches.
+/// Returns the record at an offset; `None` if it is incomplete or its checksum does not match.
 pub(super) fn locate(bytes: &[u8], offset: usize) -> Option<Located<'_>> {
     let length = read_u32(bytes, offset)? as usize;
     let expected = read_u32(bytes, offset + LENGTH_BYTES)?;
@@ -61,7 +62,7 @@
     })
 }
 
-/// The length is part of what the checksum covers.
+/// Returns the checksum of a body, which also covers its length.
 fn checksum(body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&(body.len() as u32).to_le_bytes());
--- a/counter/src/log/recovery.rs
+++ b/counter/src/log/recovery.rs
@@ -6,7 +6,7 @@
 use crate::{Damage, Error, Result};
 use serde::de::DeserializeOwned;
 
-/// What a log held when it was opened.
+/// Contents of a log when it was opened.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered<S, C> {
     /// The last term and vote.
@@ -23,13 +23,13 @@
 pub(super) struct Recovery<S, C> {
     /// The recovered state.
     pub recovered: Recovered<S, C>,
-    /// The newest log file, if there is one.
+    /// The newest log file, if any.
     pub newest_log: Option<String>,
-    /// Its size, bytes.
+    /// Size of that file, bytes.
     pub newest_log_size: u64,
 }
 
-/// Reads all files. The end of a write that was cut short is dropped; any other damage is an error.
+/// Reads all files. Drops an unfinished write at the end; any other damage is an error.
 pub(super) fn recover<D, S, C>(disk: &mut D) -> Result<Recovery<S, C>>
 where
     D: Disk,
@@ -78,7 +78,7 @@
     record::decode(located.body, &name, 0)
 }
 
-/// Replays a log file; returns its size after a dropped end, bytes.
+/// Replays a log file; returns its size without a dropped end, bytes.
 fn read_log<D: Disk, S, C: DeserializeOwned>(
     disk: &mut D,
     file: &IndexedFile,
@@ -89,7 +89,7 @@
     let mut offset = 0;
     while offset < bytes.len() {
         let Some(located) = record::locate(&bytes, offset) else {
-            // The log appends only after the write before was synced, so no complete record follows an unfinished one.
+            // The log appends only after the previous write was synced, so no complete record follows an unfinished one.
             let is_unfinished_write = is_newest && !has_record_after(&bytes, offset);
             if !is_unfinished_write {
                 return Err(corrupt_at(&file.name, offset, Damage::ChecksumMismatch));
@@ -114,13 +114,13 @@
     Error::Corrupt { file: file.to_owned(), offset: offset as u64, reason }
 }
 
-/// Applies a record to what was recovered so far.
+/// Applies a record to the contents recovered so far.
 fn replay<S, C>(recovered: &mut Recovered<S, C>, record: Record<C>) -> std::result::Result<(), Damage> {
     match record {
         Record::HardState(hard_state) => recovered.hard_state = hard_state,
         Record::TruncateFrom(index) => recovered.entries.retain(|entry| entry.index < index),
         Record::Entry(entry) => {
-            // A log file that was begun by a snapshot repeats the last entries of the file before it.
+            // A log file that was created for a snapshot repeats the last entries of the previous file.
             recovered.entries.retain(|earlier| earlier.index < entry.index);
             let last = recovered.entries.last();
             if last.is_some_and(|last| last.index + 1 != entry.index) {
--- a/counter/src/main.rs
+++ b/counter/src/main.rs
@@ -12,8 +12,8 @@
 
 /// A counter service: named totals in a durable log, alone or replicated by Raft.
 ///
-/// Exit codes: 0 success; 1 an option, a socket, the disk or a file is not usable, which standard error names; 2 a command line
-/// that can't be understood.
+/// Exit codes: 0 success; 1 an option, a socket, the disk or a file is not usable (standard error names it); 2 invalid command
+/// line.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -34,38 +34,38 @@
         /// The id of this replica among the members.
         #[arg(long, default_value_t = 1)]
         id: u64,
-        /// A replica and the address on which it accepts its peers; given once for each of two or three replicas, this one
-        /// included [default: this replica runs alone]
+        /// A replica and the address on which it accepts its peers; given once for each of two or three replicas, including
+        /// this one [default: this replica runs alone]
         #[arg(long = "member", value_name = "ID=IP:PORT", value_parser = parse_member)]
         members: Vec<Member>,
-        /// The shortest election timeout, 0.02 to 60 seconds: a replica that has heard nothing from the leader for once to twice
-        /// this time, drawn at random, stands for election.
+        /// Minimum election timeout, 0.02 to 60 seconds: a replica starts an election when no message from a leader has arrived
+        /// for a time drawn at random between one and two times this value.
         #[arg(long = "patience", value_name = "SECONDS", default_value_t = Timing::default().election_timeout)]
         election_timeout: f64,
-        /// The longest time for which a name and its total are kept, 1 to 1e8 seconds; at least the longest budget period.
+        /// Maximum time for which a name and its total are kept, 1 to 1e8 seconds; at least 1.5 times the longest budget period.
         #[arg(long = "longest-life", value_name = "SECONDS", default_value_t = Timing::default().max_lifetime)]
         max_lifetime: f64,
     },
-    /// Check the files of a replica: whether they can be read and all checksums match.
+    /// Check that the files of a replica can be read and that all checksums match.
     Verify {
         /// The directory of the replica's log.
         #[arg(value_name = "DIRECTORY")]
         data: PathBuf,
     },
-    /// Print what the files of a replica contain.
+    /// Print a summary of the files of a replica.
     Show {
         /// The directory of the replica's log.
         #[arg(value_name = "DIRECTORY")]
         data: PathBuf,
-        /// Print every name and its total as well.
+        /// Also print every name and its total.
         #[arg(long)]
         names: bool,
     },
 }
 
-/// The text of a `--member` option that is not of the form ID=ADDRESS.
+/// A `--member` option that does not have the form ID=IP:PORT.
 #[derive(Debug, thiserror::Error)]
-#[error("'{0}': expected ID=ADDRESS")]
+#[error("expected ID=IP:PORT, found '{0}'")]
 struct InvalidMember(String);
 
 fn parse_member(text: &str) -> Result<Member, InvalidMember> {
@@ -91,7 +91,7 @@
         }
         Command::Verify { data } => {
             let contents = inspect::read(&data)?;
-            Ok(format!("{contents}; all checksums fit"))
+            Ok(format!("{contents}; all checksums match"))
         }
         Command::Show { data, names } => {
             let contents = inspect::read(&data)?;
@@ -104,7 +104,7 @@
 fn main() -> ExitCode {
     match run(Cli::parse().command) {
         Ok(text) => {
-            let _ = writeln!(std::io::stdout(), "{text}"); // a reader that has gone stops nothing
+            let _ = writeln!(std::io::stdout(), "{text}"); // a closed pipe is not an error
             ExitCode::SUCCESS
         }
         Err(error) => {
--- a/counter/src/raft/effects.rs
+++ b/counter/src/raft/effects.rs
@@ -1,4 +1,4 @@
-//! The effects of a step, which the caller of a node has to execute.
+//! Effects of a step, which the caller of a node has to execute.
 use super::{Message, NodeId};
 use crate::log::{Entry, HardState, LogPosition};
 
@@ -7,7 +7,7 @@
 pub struct Effects<C> {
     /// The term and vote to persist.
     pub hard_state: Option<HardState>,
-    /// Entries from this index on are to be truncated, before `entries` are persisted.
+    /// Index from which entries have to be truncated before `entries` are persisted.
     pub truncate_from: Option<u64>,
     /// Entries to persist.
     pub entries: Vec<Entry<C>>,
--- a/counter/src/raft/election.rs
+++ b/counter/src/raft/election.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl<C: Clone + PartialEq> Node<C> {
-    /// The election timeout has passed without a message of a leader: begins an election as a candidate.
+    /// Starts an election, because the election timeout has passed without a message from a leader.
     pub fn election_timeout(&mut self, effects: &mut Effects<C>) {
         if self.is_leader() {
             return;
@@ -19,7 +19,8 @@
         self.become_leader_if_elected(effects);
     }
 
-    /// Steps down if no quorum has responded since the last call. To be called once per longest election timeout of the followers.
+    /// Steps down if no quorum has responded since the last call. The caller has to call it once per maximum election timeout of
+    /// the followers.
     pub fn check_quorum(&mut self) {
         let Role::Leader { active, .. } = &mut self.role else { return };
         let active_nodes = std::mem::take(active).len() + 1;
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Grants a candidate the vote of the term if it is free and the candidate's log is up to date.
+    /// Grants a candidate the vote of the current term if the vote is free and the candidate's log is up to date.
     pub(super) fn handle_request_vote(
         &mut self,
         candidate: NodeId,
--- a/counter/src/raft/fault.rs
+++ b/counter/src/raft/fault.rs
@@ -1,4 +1,4 @@
-//! Fault injection: deliberate faults with which tests show that their checks detect them.
+//! Fault injection: deliberate faults, which tests use to show that their checks detect them.
 
 /// A deliberate fault of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
--- a/counter/src/raft/message.rs
+++ b/counter/src/raft/message.rs
@@ -5,7 +5,7 @@
 /// A message between nodes; `term` is the sender's term. The encoding follows the order of the variants, which must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message<C> {
-    /// A candidate asks for a vote.
+    /// A candidate requests a vote.
     RequestVote {
         /// The candidate's term.
         term: u64,
@@ -16,14 +16,14 @@
     Vote {
         /// The voter's term.
         term: u64,
-        /// Whether the candidate has the vote.
+        /// Whether the candidate gets the vote.
         granted: bool,
     },
-    /// A leader's entries; without any it is a heartbeat.
+    /// A leader's entries; a message without entries is a heartbeat.
     AppendEntries {
         /// The leader's term.
         term: u64,
-        /// The entry that comes before the first of `entries`.
+        /// Position of the entry before the first of `entries`.
         previous: LogPosition,
         /// Consecutive entries.
         entries: Vec<ReplicatedEntry<C>>,
@@ -34,7 +34,7 @@
     AppendResponse {
         /// The follower's term.
         term: u64,
-        /// Highest index up to which the follower's log matches the leader's; none if the entries conflict.
+        /// Highest index up to which the follower's log matches the leader's; `None` if the entries conflict.
         match_index: Option<u64>,
         /// Index from which the leader has to retry if the entries conflict.
         retry_from: u64,
@@ -55,7 +55,7 @@
 pub struct ReplicatedEntry<C> {
     /// Term in which the entry was proposed.
     pub term: u64,
-    /// The command; none in the entry with which a leader begins its term.
+    /// The command; `None` in the entry with which a leader begins its term.
     pub command: Option<C>,
 }
 
--- a/counter/src/raft/mod.rs
+++ b/counter/src/raft/mod.rs
@@ -21,15 +21,15 @@
 pub enum Role {
     /// Accepts the entries of a leader.
     Follower {
-        /// The leader of the current term, once it is known.
+        /// The leader of the current term; `None` until one is known.
         leader: Option<NodeId>,
     },
-    /// Stands for election.
+    /// Requests votes to become the leader.
     Candidate {
-        /// Nodes that voted for this one, itself included.
+        /// Nodes that voted for this node, including itself.
         votes: BTreeSet<NodeId>,
     },
-    /// Proposes and replicates entries.
+    /// Proposes entries and replicates them.
     Leader {
         /// Index of the entry to send next, by follower.
         next_index: BTreeMap<NodeId, u64>,
@@ -48,7 +48,7 @@
     peers: Vec<NodeId>,
     /// Term and vote, which have to be persisted.
     pub hard_state: HardState,
-    /// Its role in the current term.
+    /// Role of the node in its current term.
     pub role: Role,
     /// Position of the last entry that the snapshot includes; entries up to it are not in the log.
     pub snapshot_position: LogPosition,
@@ -60,7 +60,7 @@
 }
 
 impl<C: Clone + PartialEq> Node<C> {
-    /// A follower with the state that was recovered from the log; `members` includes this node.
+    /// Creates a follower with the state that was recovered from the log; `members` includes this node.
     pub fn new(
         id: NodeId,
         members: &[NodeId],
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Whether this node is the leader of its term, as far as it knows.
+    /// Returns whether this node is the leader of its term; a later term may have another leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader { .. })
     }
 
-    /// The leader of the current term, if it is known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<NodeId> {
         match self.role {
             Role::Leader { .. } => Some(self.id),
@@ -94,18 +94,18 @@
         }
     }
 
-    /// Position of the last entry of its log.
+    /// Returns the position of the last entry of the log.
     pub fn last_position(&self) -> LogPosition {
         self.entries.last().map_or(self.snapshot_position, Entry::position)
     }
 
-    /// The entry with an index, if it is in the log.
+    /// Returns the entry with an index; `None` if it is not in the log.
     pub fn entry(&self, index: u64) -> Option<&Entry<C>> {
         let offset = index.checked_sub(self.snapshot_position.index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// The entries after an index.
+    /// Returns the entries after an index.
     pub fn entries_after(&self, index: u64) -> &[Entry<C>] {
         let offset = index.saturating_sub(self.snapshot_position.index) as usize;
         &self.entries[offset.min(self.entries.len())..]
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Restarts after a crash: keeps only the persisted state.
+    /// Simulates a restart after a crash: keeps only the persisted state.
     pub fn restart(&mut self) {
         if self.fault == Fault::LosesVote {
             self.hard_state.vote = None;
--- a/counter/src/raft/replication.rs
+++ b/counter/src/raft/replication.rs
@@ -2,19 +2,19 @@
 use super::{Effects, Fault, InstalledSnapshot, Message, Node, NodeId, ReplicatedEntry, Role};
 use crate::log::{Entry, LogPosition};
 
-/// The most entries of one message: about 50 KB with the longest names, so that a heartbeat is not delayed behind it for long.
+/// Maximum number of entries of one message: about 50 KB with the longest names, so that a message delays a heartbeat only briefly.
 const MAX_ENTRIES_PER_MESSAGE: usize = 512;
 
 /// The outcome of appending a leader's entries.
 enum AppendOutcome {
     /// The log matches the leader's up to `index`.
     Matched { index: u64 },
-    /// The log conflicts with the leader's, which has to retry from `retry_from`.
+    /// The log conflicts with the leader's; the leader has to retry from `retry_from`.
     Conflict { retry_from: u64 },
 }
 
 impl<C: Clone + PartialEq> Node<C> {
-    /// Appends a command on the leader and returns the index at which it may be committed. None if this node is not the leader.
+    /// Appends a command on the leader and returns the index at which it may be committed; `None` if this node is not the leader.
     pub fn propose(&mut self, command: C, effects: &mut Effects<C>) -> Option<u64> {
         if !self.is_leader() {
             return None;
@@ -22,7 +22,7 @@
         Some(self.append(Some(command), effects))
     }
 
-    /// Replicates proposed commands; to be called once for a batch of proposals.
+    /// Replicates proposed commands. The caller has to call it once for each batch of proposals.
     pub fn replicate(&mut self, effects: &mut Effects<C>) {
         if self.is_leader() {
             self.heartbeat(effects);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends each follower the entries that it lacks; without any the message is a heartbeat.
+    /// Sends each follower the entries that it lacks; a message without entries is a heartbeat.
     pub fn heartbeat(&mut self, effects: &mut Effects<C>) {
         for peer in self.peers.clone() {
             self.send_entries(peer, effects);
@@ -77,7 +77,7 @@
         effects.send(to, message);
     }
 
-    /// Rejects entries or a snapshot of a stale leader, which learns of the newer term by the response.
+    /// Rejects entries or a snapshot of a stale leader; the response carries the newer term.
     pub(super) fn reject_append(&mut self, leader: NodeId, effects: &mut Effects<C>) {
         self.respond(leader, AppendOutcome::Conflict { retry_from: 0 }, effects);
     }
@@ -96,7 +96,7 @@
         self.respond(leader, outcome, effects);
     }
 
-    /// Records a follower's progress, and sends it further entries if it lacks some.
+    /// Records a follower's progress, and sends further entries if the follower lacks some.
     pub(super) fn handle_append_response(
         &mut self,
         follower: NodeId,
@@ -111,11 +111,11 @@
             self.send_entries(follower, effects);
             return;
         };
-        let known = matched.entry(follower).or_default();
-        *known = (*known).max(index);
+        let matched_index = matched.entry(follower).or_default();
+        *matched_index = (*matched_index).max(index);
         // Entries in flight are not sent again.
         let next = next_index.entry(follower).or_insert(1);
-        *next = (*next).max(*known + 1);
+        *next = (*next).max(*matched_index + 1);
         let lacks_entries = *next <= self.last_position().index;
         self.advance_commit_index(effects);
         if lacks_entries {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Replaces the log up to a snapshot of the leader, unless the entries in it are committed here already, and responds.
+    /// Replaces the log up to a snapshot of the leader, unless this node has committed the included entries already, and responds.
     pub(super) fn handle_install_snapshot(
         &mut self,
         leader: NodeId,
@@ -183,7 +183,7 @@
         AppendOutcome::Matched { index }
     }
 
-    /// The index from which the leader has to retry, if the log has no entry at this position.
+    /// Returns the index from which the leader has to retry; `None` if the log has the entry at this position.
     fn conflict_at(&self, position: LogPosition) -> Option<u64> {
         let Some(term) = self.term_at(position.index) else {
             return Some(self.last_position().index + 1);
@@ -197,7 +197,7 @@
         Some(first.max(self.snapshot_position.index + 1).min(position.index))
     }
 
-    /// Appends an entry; conflicting entries of another leader are truncated from its index on.
+    /// Appends an entry and truncates conflicting entries of another leader from its index on.
     fn replace_from(&mut self, entry: Entry<C>, effects: &mut Effects<C>) {
         let index = entry.index;
         if self.entry(index).is_some() {
@@ -209,7 +209,8 @@
         effects.entries.push(entry);
     }
 
-    /// Commits the entries that a quorum has. Only an entry of the leader's own term is committed directly; those before it follow.
+    /// Commits the entries that a quorum has. Only an entry of the leader's own term is committed directly, together with all
+    /// entries before it.
     fn advance_commit_index(&mut self, effects: &mut Effects<C>) {
         let Role::Leader { match_index, .. } = &self.role else { return };
         let replicated = |peer: &NodeId| match_index.get(peer).copied().unwrap_or(0);
--- a/counter/src/serve.rs
+++ b/counter/src/serve.rs
@@ -1,4 +1,4 @@
-//! The `serve` command: checks its options, binds the sockets and runs a server until a signal ends it.
+//! The `serve` command: checks its options, binds the sockets and runs a server until a signal stops it.
 use quillramp_counter::disk::Directory;
 use quillramp_counter::server::{Listeners, ReplicaConfig, Server, Timing};
 use quillramp_counter::Error;
@@ -11,21 +11,21 @@
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The most replicas: larger clusters are not supported.
+/// Maximum number of replicas: larger clusters are not supported.
 const MAX_MEMBERS: usize = 3;
-/// Accepted election timeouts, seconds: longer than a sync of the disk, shorter than clients wait.
+/// Accepted election timeouts, seconds: longer than a sync of the disk, shorter than the timeouts of clients.
 const ELECTION_TIMEOUTS: RangeInclusive<f64> = 0.02..=60.0;
 /// Accepted maximum lifetimes, seconds: up to about three years.
 const MAX_LIFETIMES: RangeInclusive<f64> = 1.0..=1e8;
-/// Heartbeats of a leader within the shortest election timeout: several, so that a few may be lost.
+/// Number of heartbeats of a leader within the minimum election timeout: several, so that a few may be lost.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: f64 = 7.0;
 
-/// A replica, as the option `--member` names it.
+/// A replica, as given by the option `--member`.
 #[derive(Clone, Copy)]
 pub struct Member {
-    /// Its id.
+    /// Id of the replica.
     pub id: u64,
-    /// The address on which it accepts its peers.
+    /// The address on which the replica accepts its peers.
     pub address: SocketAddr,
 }
 
@@ -35,21 +35,21 @@
     pub id: u64,
     /// The address on which clients are accepted.
     pub client_address: SocketAddr,
-    /// The ids and peer addresses of all replicas, this one included; empty if it runs alone.
+    /// Ids and peer addresses of all replicas, including this one; empty if it runs alone.
     pub members: Vec<Member>,
     /// The directory of the log.
     pub directory: PathBuf,
-    /// The shortest election timeout, seconds.
+    /// Minimum election timeout, seconds.
     pub election_timeout: f64,
     /// The maximum lifetime of a name, seconds.
     pub max_lifetime: f64,
 }
 
-/// Why the command does not serve, or stopped serving.
+/// The reason why the command could not serve, or stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// An id is given twice, or there are too many members.
-    #[error("--member: expected each id once, three at the most")]
+    /// Two members have the same id, or there are too many members.
+    #[error("--member: expected at most three members with different ids")]
     Members,
     /// The election timeout is out of range, seconds.
     #[error("--patience: expected 0.02 to 60 seconds, found {0}")]
@@ -58,7 +58,7 @@
     #[error("--longest-life: expected 1 to 1e8 seconds, found {0}")]
     MaxLifetime(f64),
     /// The id of this replica is not among the members.
-    #[error("--id {0}: no --member has it")]
+    #[error("--id: expected the id of a --member, found {0}")]
     UnknownId(u64),
     /// A socket can't be bound.
     #[error("{address}: {source}")]
--- a/counter/src/server/acceptor.rs
+++ b/counter/src/server/acceptor.rs
@@ -5,10 +5,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Pause after a failed accept, for example when descriptors ran out.
+/// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_RETRY: Duration = Duration::from_millis(5);
 
-/// The open connections of a server, so that it can close them on shutdown.
+/// Open connections of a server, which are closed on shutdown.
 #[derive(Clone, Default)]
 pub(super) struct OpenConnections(Arc<Mutex<Vec<TcpStream>>>);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Accepts connections until shutdown; each is served by a thread of its own.
+/// Accepts connections until shutdown and serves each in a separate thread.
 pub(super) fn spawn(
     listener: TcpListener,
     connections: OpenConnections,
--- a/counter/src/server/client.rs
+++ b/counter/src/server/client.rs
@@ -1,4 +1,5 @@
-//! Client connections: pipelined calls go to the replica as they are read, responses are written in the order of the calls.
+//! Client connections: pipelined calls are passed to the replica as they are read, and responses are written in the order of the
+//! calls.
 use super::Event;
 use crate::http::{self, Request, Response};
 use crate::totals::Add;
@@ -9,7 +10,7 @@
 use std::thread::spawn;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Takes the response of one call and keeps its position in the order of the connection.
+/// Accepts the response of one call and keeps its position in the order of the connection.
 #[derive(Clone)]
 pub(super) struct ResponseSlot {
     responses: Sender<OrderedResponse>,
@@ -22,13 +23,13 @@
 }
 
 impl ResponseSlot {
-    /// Sends the response; false if the connection has ended.
+    /// Sends the response; false if the connection is closed.
     pub(super) fn respond(&self, response: Response) -> bool {
         self.responses.send(OrderedResponse { sequence: self.sequence, response }).is_ok()
     }
 }
 
-/// Serves a connection until it ends. `max_lifetime` caps the lifetime of a call, seconds.
+/// Serves a connection until it closes. `max_lifetime` caps the lifetime in a call, seconds.
 pub(super) fn serve(stream: TcpStream, replica: &Sender<Event>, max_lifetime: f64) {
     let Ok(output) = stream.try_clone() else { return };
     let (responses, received) = channel();
@@ -58,7 +59,7 @@
     }
 }
 
-/// The command of a request, if the request is a valid call.
+/// Returns the command of a request; `None` if the request is not a valid call.
 fn command(request: Request, max_lifetime: f64) -> Option<Add> {
     let Request::Add { name, amount, lifetime } = request else { return None };
     let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
@@ -88,5 +89,5 @@
         }
         bytes.clear();
     }
-    let _ = output.shutdown(Shutdown::Both); // it may have ended
+    let _ = output.shutdown(Shutdown::Both); // the connection may be closed already
 }
--- a/counter/src/server/config.rs
+++ b/counter/src/server/config.rs
@@ -11,7 +11,7 @@
     pub id: NodeId,
     /// The address on which clients are accepted.
     pub client_address: SocketAddr,
-    /// The address on which each replica accepts its peers, by id; this one included.
+    /// The address on which each replica, including this one, accepts its peers, by id.
     pub peer_addresses: BTreeMap<NodeId, SocketAddr>,
 }
 
@@ -28,9 +28,10 @@
 pub struct Timing {
     /// Interval between the heartbeats of a leader.
     pub heartbeat_interval: f64,
-    /// The shortest election timeout; the one in use is drawn between once and twice this value.
+    /// Minimum election timeout; the timeout in use is drawn between one and two times this value.
     pub election_timeout: f64,
-    /// A call that is not committed within this time is abandoned: its connection is closed, because it may still be committed.
+    /// Time after which an uncommitted call is abandoned: its connection is closed without a response, because the call may still
+    /// be committed.
     pub request_timeout: f64,
     /// The maximum lifetime of a name.
     pub max_lifetime: f64,
--- a/counter/src/server/mod.rs
+++ b/counter/src/server/mod.rs
@@ -29,7 +29,7 @@
     ClientCall { add: Add, response: ResponseSlot },
     /// A peer has sent a message.
     PeerMessage { from: NodeId, message: PeerMessage },
-    /// The server is to end.
+    /// The server has to shut down.
     Shutdown,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Server {
-    /// Opens the log and serves. `seed` randomizes the election timeouts. Fails if the log is damaged or the disk fails.
+    /// Opens the log and starts serving. `seed` randomizes the election timeouts. Fails if the log is damaged or the disk fails.
     pub fn start<D: Disk + Send + 'static>(
         disk: D,
         config: ReplicaConfig,
@@ -58,7 +58,7 @@
     ) -> Result<Server> {
         let (log, recovered) = Log::open::<Totals, Add>(disk)?;
         if recovered.dropped_bytes > 0 {
-            eprintln!("quillramp-counter: {} bytes of an unfinished write dropped", recovered.dropped_bytes);
+            eprintln!("quillramp-counter: dropped {} bytes of an unfinished write", recovered.dropped_bytes);
         }
         let (events, received_events) = channel();
         let shutdown = ShutdownFlag::default();
@@ -79,31 +79,31 @@
         Ok(Server { client_address, peer_address, events, replica: Some(thread), shutdown, connections })
     }
 
-    /// Shuts the server down; what was committed is on the disk.
+    /// Shuts the server down; committed calls are on the disk.
     pub fn stop(mut self) -> Result<()> {
         self.shut_down()
     }
 
-    /// Waits until the server ends by itself, as it does after a fault of its disk, which is the error.
+    /// Waits until the server has stopped. Fails if its disk has failed, after which it stops by itself.
     pub fn wait(&mut self) -> Result<()> {
         let Some(replica) = self.replica.take() else { return Ok(()) };
         replica.join().unwrap_or(Ok(()))
     }
 
-    /// A function that shuts the server down from another thread.
+    /// Returns a function that shuts the server down from another thread.
     pub fn stopper(&self) -> impl FnOnce() + Send + 'static {
         let events = self.events.clone();
-        move || drop(events.send(Event::Shutdown)) // it may have ended
+        move || drop(events.send(Event::Shutdown)) // the replica may have stopped already
     }
 
     fn shut_down(&mut self) -> Result<()> {
         self.shutdown.store(true, Ordering::Relaxed);
-        let _ = self.events.send(Event::Shutdown); // it may have ended
+        let _ = self.events.send(Event::Shutdown); // the replica may have stopped already
         for address in [self.client_address, self.peer_address] {
-            let _ = TcpStream::connect(address); // wakes the thread that accepts
+            let _ = TcpStream::connect(address); // wakes the accepting thread
         }
         for stream in self.connections.take_all() {
-            let _ = stream.shutdown(Shutdown::Both); // it may have ended
+            let _ = stream.shutdown(Shutdown::Both); // the connection may be closed already
         }
         self.wait()
     }
@@ -111,6 +111,6 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        let _ = self.shut_down(); // its error was for whoever stopped it
+        let _ = self.shut_down(); // a drop can't return the error
     }
 }
--- a/counter/src/server/peer.rs
+++ b/counter/src/server/peer.rs
@@ -1,4 +1,4 @@
-//! Connections between the replicas: each sends on the connections that it opened and receives on those that its peers opened.
+//! Connections between replicas: each replica sends on the connections that it opened and receives on those that its peers opened.
 use super::{Event, ReplicaConfig, ShutdownFlag};
 use crate::frame;
 use crate::raft::{Message, NodeId};
@@ -11,9 +11,9 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// Timeout of a connection attempt, shorter than an election timeout; the next message makes another attempt.
+/// Timeout of a connection attempt, shorter than an election timeout; the next message triggers another attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// A connection on which a write blocks for longer is closed.
+/// Time after which a connection with a blocked write is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A message between replicas. The encoding follows the order of the variants, which must not change.
@@ -30,15 +30,15 @@
 /// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum CallOutcome {
-    /// It was committed; the total after it.
+    /// The call was committed; the total after it.
     Total(f64),
     /// Nothing was added.
     NotAdded,
-    /// Unknown: it may still be committed.
+    /// The outcome is unknown: the call may still be committed.
     Unknown,
 }
 
-/// Sends to the peers. Delivery is best effort: while a peer can't be reached its messages are lost, which Raft tolerates.
+/// Sends messages to the peers. Delivery is best effort: messages to an unreachable peer are lost, which Raft tolerates.
 pub(super) struct PeerLinks(BTreeMap<NodeId, Sender<PeerMessage>>);
 
 impl PeerLinks {
@@ -59,20 +59,20 @@
         PeerLinks(links)
     }
 
-    /// Whether there is such a peer.
+    /// Returns whether an id is that of a peer.
     pub(super) fn contains(&self, id: NodeId) -> bool {
         self.0.contains_key(&id)
     }
 
-    /// Sends a message; one to an unknown peer is dropped.
+    /// Sends a message; a message to an unknown peer is dropped.
     pub(super) fn send(&self, to: NodeId, message: PeerMessage) {
         if let Some(link) = self.0.get(&to) {
-            let _ = link.send(message); // its thread lasts as long as the replica
+            let _ = link.send(message); // the thread runs as long as the replica
         }
     }
 }
 
-/// Receives the messages of a peer until its connection ends; the first frame is the peer's id.
+/// Receives the messages of a peer until its connection closes; the first frame is the peer's id.
 pub(super) fn receive(stream: TcpStream, replica: &Sender<Event>) {
     let mut reader = BufReader::new(stream);
     let Ok(Some(from)) = frame::read::<NodeId>(&mut reader) else { return };
--- a/counter/src/server/pending.rs
+++ b/counter/src/server/pending.rs
@@ -7,17 +7,17 @@
 pub(super) enum ReplyTo {
     /// A client of this replica.
     Client(ResponseSlot),
-    /// A peer that forwarded it, with the id that the peer assigned.
+    /// A peer that forwarded the call, with the id that the peer assigned.
     Peer { id: NodeId, call_id: u64 },
 }
 
 /// A proposal that is not committed yet.
 pub(super) struct Proposal {
-    /// The term in which it was proposed.
+    /// The term of the proposal.
     pub term: u64,
     /// Time of the proposal, seconds since the start of the replica.
     pub since: f64,
-    /// The recipient of its outcome.
+    /// The recipient of the outcome.
     pub reply_to: ReplyTo,
 }
 
@@ -26,7 +26,7 @@
 pub(super) struct Proposals(BTreeMap<u64, Proposal>);
 
 impl Proposals {
-    /// Adds a proposal. Returns an earlier one with the same index: another leader has truncated its entry.
+    /// Adds a proposal. Returns an earlier proposal with the same index, whose entry another leader has truncated.
     pub(super) fn insert(&mut self, index: u64, proposal: Proposal) -> Option<Proposal> {
         self.0.insert(index, proposal)
     }
@@ -36,14 +36,14 @@
         self.0.remove(&index)
     }
 
-    /// Removes the first proposal if it was made before a time.
+    /// Removes and returns the first proposal if it was made before a time.
     pub(super) fn pop_before(&mut self, time: f64) -> Option<Proposal> {
         let first = self.0.first_entry()?;
         (first.get().since < time).then(|| first.remove())
     }
 }
 
-/// Calls that wait for the leader's response, by their id.
+/// Forwarded calls without a response from the leader, by id.
 #[derive(Default)]
 pub(super) struct ForwardedCalls {
     last_id: u64,
@@ -69,9 +69,9 @@
         self.by_id.remove(&id).map(|call| call.response)
     }
 
-    /// Ids of the calls that were forwarded before a time.
+    /// Returns the ids of the calls that were forwarded before a time.
     pub(super) fn before(&self, time: f64) -> Vec<u64> {
-        let is_late = |call: &ForwardedCall| call.since < time;
-        self.by_id.iter().filter(|(_, call)| is_late(call)).map(|(id, _)| *id).collect()
+        let is_before = |call: &ForwardedCall| call.since < time;
+        self.by_id.iter().filter(|(_, call)| is_before(call)).map(|(id, _)| *id).collect()
     }
 }
--- a/counter/src/server/replica/calls.rs
+++ b/counter/src/server/replica/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of clients: proposed on the leader or forwarded to it, and answered.
+//! Calls of clients, which are proposed on the leader or forwarded to it, and answered.
 use super::Replica;
 use crate::disk::Disk;
 use crate::http::Response;
@@ -8,7 +8,7 @@
 use crate::totals::Add;
 
 impl<D: Disk> Replica<D> {
-    /// Proposes a call on the leader, else forwards it to the leader; true if it was proposed.
+    /// Proposes a call if this node is the leader, otherwise forwards it to the leader; true if it was proposed.
     pub(super) fn propose_or_forward(
         &mut self,
         add: Add,
@@ -29,13 +29,13 @@
                 let call_id = self.forwarded.insert(now, response);
                 self.peers.send(leader, PeerMessage::ForwardedCall { call_id, add });
             }
-            // There is no known leader, or the replica that a call was forwarded to is not the leader any more.
+            // No leader is known, or a peer forwarded the call here and this replica is not the leader any more.
             (reply_to, _) => self.answer(reply_to, CallOutcome::NotAdded),
         }
         false
     }
 
-    /// Answers the client of a forwarded call; a call that was answered before is ignored.
+    /// Answers the client of a forwarded call; does nothing if the call was answered before.
     pub(super) fn answer_forwarded(&mut self, call_id: u64, outcome: CallOutcome) {
         if let Some(response) = self.forwarded.remove(call_id) {
             self.answer(ReplyTo::Client(response), outcome);
@@ -46,7 +46,7 @@
     pub(super) fn answer(&self, reply_to: ReplyTo, outcome: CallOutcome) {
         match reply_to {
             ReplyTo::Client(slot) => {
-                let _ = slot.respond(response(outcome)); // the client may have gone
+                let _ = slot.respond(response(outcome)); // the client may have disconnected
             }
             ReplyTo::Peer { id, call_id } => {
                 self.peers.send(id, PeerMessage::ForwardedOutcome { call_id, outcome });
--- a/counter/src/server/replica/clock.rs
+++ b/counter/src/server/replica/clock.rs
@@ -1,4 +1,4 @@
-//! What the replica does by time: elections, heartbeats, quorum checks, and calls that time out.
+//! Timed actions of the replica: elections, heartbeats, quorum checks, and timeouts of calls.
 use super::Replica;
 use crate::disk::Disk;
 use crate::raft::Effects;
@@ -6,22 +6,22 @@
 use crate::totals::Add;
 use rand::Rng;
 
-/// Interval between a leader's quorum checks, in election timeouts: a follower stands for election after at most two.
+/// Interval between a leader's quorum checks, in minimum election timeouts: a follower starts an election after at most two.
 const QUORUM_CHECK_TIMEOUTS: f64 = 2.0;
 
-/// When the next election, heartbeat and quorum check are due, seconds since the start.
+/// Times of the next election, heartbeat and quorum check, seconds since the start.
 #[derive(Default)]
 pub(super) struct Deadlines {
-    /// The next election, unless a leader is heard of before.
+    /// The next election, unless a message from a leader arrives before.
     pub election: f64,
-    /// The next heartbeat, as a leader.
+    /// The next heartbeat while this node is the leader.
     pub heartbeat: f64,
-    /// The next quorum check, as a leader.
+    /// The next quorum check while this node is the leader.
     pub quorum_check: f64,
 }
 
 impl<D: Disk> Replica<D> {
-    /// Does what is due by now.
+    /// Executes the timed actions that are due.
     pub(super) fn tick(&mut self, effects: &mut Effects<Add>) {
         let now = self.now();
         if self.node.is_leader() {
@@ -31,7 +31,7 @@
             self.node.election_timeout(effects);
             self.deadlines.quorum_check = now + QUORUM_CHECK_TIMEOUTS * self.timing.election_timeout;
         }
-        self.abandon_late_calls(now);
+        self.abandon_overdue_calls(now);
         self.log_leader_change();
     }
 
@@ -49,14 +49,15 @@
         }
     }
 
-    /// Draws a new election timeout that begins now.
+    /// Draws a new election timeout, which starts now.
     pub(super) fn reset_election_timeout(&mut self) {
         let timeout = self.timing.election_timeout * self.rng.gen_range(1.0..2.0);
         self.deadlines.election = self.now() + timeout;
     }
 
-    /// Abandons calls that were not committed in time; they may still be committed, so their outcome is unknown.
-    fn abandon_late_calls(&mut self, now: f64) {
+    /// Abandons calls that were not committed within the request timeout. Their outcome is unknown, because they may still be
+    /// committed.
+    fn abandon_overdue_calls(&mut self, now: f64) {
         let limit = now - self.timing.request_timeout;
         while let Some(proposal) = self.proposals.pop_before(limit) {
             self.answer(proposal.reply_to, CallOutcome::Unknown);
@@ -71,7 +72,7 @@
         if leader == self.logged_leader {
             return;
         }
-        let change = leader.map_or("nobody leads".into(), |id| format!("member {id} leads"));
+        let change = leader.map_or("no leader".into(), |id| format!("member {id} is the leader"));
         let term = self.node.hard_state.term;
         eprintln!("quillramp-counter: member {}, term {term}: {change}", self.config.id);
         self.logged_leader = leader;
--- a/counter/src/server/replica/effects.rs
+++ b/counter/src/server/replica/effects.rs
@@ -11,8 +11,8 @@
 const MAX_LOG_BYTES: u64 = 64 << 20;
 
 impl<D: Disk> Replica<D> {
-    /// Executes effects: persists, then sends, then applies committed entries and answers their calls. The order is what makes Raft
-    /// safe.
+    /// Executes effects: persists, then sends, then applies committed entries and answers their calls. The safety of Raft depends
+    /// on this order.
     pub(super) fn execute(&mut self, effects: Effects<Add>) -> Result<()> {
         if let Some(installed) = &effects.installed_snapshot {
             self.install(installed)?;
@@ -67,7 +67,7 @@
         self.applied_index = index;
         let total = command.map(|add| self.totals.add(&add));
         let Some(proposal) = self.proposals.remove(index) else { return };
-        // The entry of another leader has replaced the proposal: it may be committed at another index, or not at all.
+        // If an entry of another leader replaced the proposal, the call may be committed at another index or not at all.
         let outcome = match total {
             Some(total) if proposal.term == term => CallOutcome::Total(total),
             _ => CallOutcome::Unknown,
--- a/counter/src/server/replica/mod.rs
+++ b/counter/src/server/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The replica: turns events and time into steps of the node, and executes their effects on the log, the peers and the clients.
+//! The replica: advances the node by events and by time, and executes the effects on the log, the peers and the clients.
 mod calls;
 mod clock;
 mod effects;
@@ -18,14 +18,15 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// The most events of a batch, whose effects are persisted with one sync; bounds how long a client waits for that sync.
+/// Maximum number of events in a batch, whose effects are persisted with one sync; bounds the time that a client waits for the
+/// sync.
 const MAX_BATCH: usize = 4096;
-/// Ticks of the replica per heartbeat interval.
+/// Number of ticks of the replica per heartbeat interval.
 const TICKS_PER_HEARTBEAT: f64 = 4.0;
-/// The shortest tick, seconds.
+/// Minimum tick interval, seconds.
 const MIN_TICK: f64 = 0.001;
 
-/// A replica of the counter; it runs in a thread of its own.
+/// A replica of the counter, which runs in a separate thread.
 pub(super) struct Replica<D> {
     config: ReplicaConfig,
     timing: Timing,
@@ -34,20 +35,20 @@
     totals: Totals,
     /// Index of the last entry that the totals include.
     applied_index: u64,
-    /// Draws the election timeouts.
+    /// Random source of the election timeouts.
     rng: ChaCha8Rng,
-    /// Time zero of its clock.
+    /// Time zero of the replica's clock.
     started: Instant,
     deadlines: Deadlines,
     peers: PeerLinks,
     proposals: Proposals,
     forwarded: ForwardedCalls,
-    /// The leader in the latest log line about a change.
+    /// The leader in the latest log line about a change of leader.
     logged_leader: Option<NodeId>,
 }
 
 impl<D: Disk> Replica<D> {
-    /// A follower with the recovered state. `seed` randomizes the election timeouts.
+    /// Creates a follower with the recovered state. `seed` randomizes the election timeouts.
     pub(super) fn new(
         config: ReplicaConfig,
         timing: Timing,
@@ -78,7 +79,7 @@
         replica
     }
 
-    /// Handles events until shutdown, or until the disk fails, which is the error.
+    /// Handles events until shutdown. Fails when the disk fails.
     pub(super) fn run(mut self, events: &Receiver<Event>) -> Result<()> {
         let tick =
             Duration::from_secs_f64((self.timing.heartbeat_interval / TICKS_PER_HEARTBEAT).max(MIN_TICK));
@@ -93,7 +94,7 @@
         Ok(())
     }
 
-    /// Handles events; all commands that they propose are replicated together. Breaks at a shutdown.
+    /// Handles events and replicates all commands that they propose together. Breaks at a shutdown.
     fn handle_batch(&mut self, batch: Vec<Event>, effects: &mut Effects<Add>) -> Result<ControlFlow<()>> {
         let mut has_proposed = false;
         for event in batch {
@@ -146,13 +147,13 @@
         }
     }
 
-    /// Seconds since the start.
+    /// Returns the time since the start, seconds.
     fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 }
 
-/// The events that have arrived by the end of a tick, or as soon as there is one; none once there can be no more.
+/// Waits for an event, at most for a tick, and returns all events that have arrived; `None` once all senders are gone.
 fn next_batch(events: &Receiver<Event>, tick: Duration) -> Option<Vec<Event>> {
     let mut batch = vec![];
     match events.recv_timeout(tick) {
--- a/counter/src/totals.rs
+++ b/counter/src/totals.rs
@@ -1,15 +1,15 @@
-//! The replicated state machine: totals by name, each with a lifetime. It is deterministic: only commands change it, and they carry
-//! the time, so that all nodes that apply the same commands in the same order have the same state.
+//! The replicated state machine: totals by name, each with a lifetime. It is deterministic: only commands change it, and each
+//! command carries its time, so nodes that apply the same commands in the same order have the same state.
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The default maximum lifetime of a name, seconds; that of the platform's counter.
+/// Default maximum lifetime of a name, seconds, as on the platform's counter.
 pub const DEFAULT_MAX_LIFETIME: f64 = 60.0;
-/// The longest name, bytes; that of the platform's counter.
+/// Maximum length of a name, bytes, as on the platform's counter.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The largest absolute value of an amount; that of the platform's counter.
+/// Maximum absolute value of an amount, as on the platform's counter.
 pub const MAX_AMOUNT: f64 = 1e9;
-/// The shortest lifetime, seconds: one millisecond, the unit of the platform's calls.
+/// Minimum lifetime, seconds: one millisecond, the unit of the platform's calls.
 const MIN_LIFETIME: f64 = 0.001;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -27,7 +27,7 @@
 }
 
 impl Add {
-    /// Whether name, amount, lifetime and time are within the limits of a counter.
+    /// Returns whether name, amount, lifetime and time are within the limits of a counter.
     pub fn is_valid(&self) -> bool {
         (1..=MAX_NAME_BYTES).contains(&self.name.len())
             && self.amount.is_finite()
@@ -44,10 +44,10 @@
     expires_at: u64,
 }
 
-/// When a total expires; ordered by time. The encoding follows the order of the fields, which must not change.
+/// Expiry of a total; ordered by time. The encoding follows the order of the fields, which must not change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Expiry {
-    /// Unix time, microseconds.
+    /// Unix time of the expiry, microseconds.
     at: u64,
     /// The name of the total.
     name: Vec<u8>,
@@ -57,16 +57,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
     by_name: BTreeMap<Vec<u8>, Total>,
-    /// The expiry of each total, in the order of time.
+    /// Expiries of all totals, ordered by time.
     by_expiry: BTreeSet<Expiry>,
-    /// The latest time of any command, Unix time in microseconds; monotonic.
+    /// The latest time of any applied command, Unix time in microseconds; monotonic.
     now: u64,
 }
 
 impl Totals {
     /// Applies a command and returns the total after it.
     pub fn add(&mut self, add: &Add) -> f64 {
-        // Monotonic: clocks that step back, or that differ between nodes, neither hasten nor delay an expiry.
+        // Monotonic: a clock that steps back, or that differs between nodes, neither hastens nor delays an expiry.
         self.now = self.now.max(microseconds(add.time.max(0.0)));
         self.expire();
         let expires_at = self.now + microseconds(add.lifetime);
@@ -78,17 +78,17 @@
         total.value
     }
 
-    /// Number of names.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there are no names.
+    /// Returns whether no name has a total.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// Names and their totals, by name.
+    /// Returns the names and their totals, by name.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], f64)> {
         self.by_name.iter().map(|(name, total)| (name.as_slice(), total.value))
     }
--- a/counter/tests/service.rs
+++ b/counter/tests/service.rs
@@ -154,7 +154,7 @@
     let directory = cluster.directory(1).to_string_lossy().into_owned();
     let Ended { code, text } = run(&["verify", &directory]);
     assert_eq!(code, Some(0), "{text}");
-    assert!(text.contains("all checksums fit") && text.contains("21 names"), "{text}");
+    assert!(text.contains("all checksums match") && text.contains("21 names"), "{text}");
     let Ended { text, .. } = run(&["show", &directory, "--names"]);
     assert!(text.contains("\nn7 7\n"), "{text}");
 }
@@ -179,5 +179,5 @@
     let directory = cluster.directory(1).to_string_lossy().into_owned();
     let options = ["--listen", "127.0.0.1:0", "--data", &directory, "--id", "4", "--member", "1=127.0.0.1:1"];
     let Ended { code, text } = run(&[&["serve"], &options[..]].concat());
-    assert!(code == Some(1) && text.contains("no --member has it"), "{text}");
+    assert!(code == Some(1) && text.contains("--id: expected the id of a --member, found 4"), "{text}");
 }
