--- a/broker/tests/fair_share.rs
+++ b/broker/tests/fair_share.rs
@@ -35,7 +35,7 @@
     /// The index of the team, modulo the number of teams.
     team: usize,
     units: f64,
-    /// Seconds since the request before.
+    /// Seconds since the previous request.
     pause: f64,
 }
 
--- a/identity/tests/help/mod.rs
+++ b/identity/tests/help/mod.rs
@@ -1,4 +1,4 @@
-//! An issuer of tokens, for the tests of this crate and of the gateway. Each uses a part of it.
+//! An issuer of tokens, for the tests of this package and of the gateway.
 #![allow(dead_code)]
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -26,7 +26,7 @@
 }
 
 impl Signer {
-    /// A signer with an Ed25519 key, which the seed determines.
+    /// A signer with an Ed25519 key that is derived from a seed.
     pub fn ed(id: &str, seed: u8) -> Signer {
         Signer {
             id: id.into(),
@@ -62,7 +62,7 @@
         Key { id: self.id.clone(), algorithm, x, y, valid_from: 0.0, valid_until: f64::INFINITY }
     }
 
-    /// A token with this header, whether or not it fits the key.
+    /// A token with a given header, which may not match the key.
     pub fn sign(&self, header: Value, claims: &Value) -> String {
         let header = base64url(header.to_string());
         let claims = base64url(claims.to_string());
@@ -76,7 +76,7 @@
         format!("{text}.{}", base64url(signature))
     }
 
-    /// A token with the header that fits the key.
+    /// A token with the header that matches the key.
     pub fn token(&self, claims: &Value) -> String {
         let algorithm = match self.pair {
             KeyPair::Ed25519(_) => "EdDSA",
--- a/identity/tests/tokens.rs
+++ b/identity/tests/tokens.rs
@@ -111,7 +111,7 @@
     assert!(authenticator.authenticate(NOW, &[0xff, 0xfe]).is_err());
 }
 
-/// Other algorithms: none, a shared secret derived from the public key, and that of another key.
+/// The header names `none`, a shared-secret algorithm that would use the public key as the secret, or the algorithm of another key.
 #[test]
 fn tokens_whose_header_names_another_algorithm_or_no_key_are_rejected() {
     let signer = trusted_signer();
@@ -153,7 +153,7 @@
 }
 
 /// Keys overlap: the next key is trusted before the last one expires, and tokens of both are accepted. Over several rotations no
-/// valid caller is rejected and no team is mistaken for another.
+/// valid caller is rejected, and each caller is authenticated as its own team.
 #[test]
 fn keys_are_rotated_in_service() {
     const ROUND: f64 = 60.0;
@@ -259,7 +259,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// For arbitrary bytes: nobody is authenticated by bytes that no trusted key has signed, and nothing panics.
+    /// For arbitrary bytes: bytes that no trusted key has signed authenticate no caller and cause no panic.
     #[test]
     fn unsigned_bytes_authenticate_nobody(
         bytes in proptest::collection::vec(any::<u8>(), 0..300),
--- a/membership/tests/membership.rs
+++ b/membership/tests/membership.rs
@@ -83,7 +83,7 @@
         viewers.into_iter().flat_map(|instance| self.absent(instance)).collect()
     }
 
-    /// The fraction of the range's instances that are present as this one sees it.
+    /// The fraction of the range's instances that are present in the view of this one.
     fn present_fraction(&self, instance: usize, range: InstanceRange) -> f64 {
         self.memberships[instance].present_fraction(self.now, range.first, range.count)
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Carries out a call on a counter; returns the new total.
+/// Applies a call to a counter; returns the new total.
 fn add(totals: &mut BTreeMap<Count, f64>, call: &CounterCall) -> f64 {
     let total = totals.entry(call.count).or_default();
     *total += call.amount;
@@ -203,9 +203,9 @@
 /// A change of the counters that the instances reach.
 #[derive(Clone, Debug)]
 struct ReachChange {
-    /// Seconds since the change before.
+    /// Seconds since the previous change.
     after: f64,
-    /// What each instance reaches from then on; a fleet of fewer instances uses the first ones.
+    /// The counter that each instance reaches after the change; a fleet of fewer instances uses the first entries.
     reached: Vec<Option<Counter>>,
 }
 
--- a/operator/tests/common/mod.rs
+++ b/operator/tests/common/mod.rs
@@ -47,7 +47,7 @@
 class = "one try"
 "#;
 
-/// Three idempotency forms in five operations, and two plans.
+/// A platform with five operations, which cover the three forms of idempotency, and two plans.
 pub fn platform() -> Platform {
     let keyed = |scope| Idempotency::Keyed { scope, window: 1.5 };
     let operation = |name: &str, idempotency, latency_objective, timeout| Operation {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The settings of a file on this platform, or its diagnostics, a line each.
+/// The settings of a file on this platform, or its diagnostics, one per line.
 pub fn read_file(text: &str) -> Result<OperatorSettings, String> {
     let lines = |diagnostics: Vec<Diagnostic>| {
         diagnostics.iter().map(|diagnostic| format!("{diagnostic}\n")).collect()
--- a/operator/tests/files.rs
+++ b/operator/tests/files.rs
@@ -173,7 +173,7 @@
     assert!(table.lookup(LOOK, LARGE, CUSTOMERS).is_none());
 }
 
-/// A file with a route for each of this number of customers.
+/// A file with this number of customers, each with a route.
 fn file_with_customers(customers: u64) -> String {
     let mut text = String::from("[[class]]\nname = \"c\"\nattempts = 1\n");
     for customer in 0..customers {
@@ -251,7 +251,7 @@
     text
 }
 
-/// Whether a declared limit is left open or at most this one.
+/// Returns whether a declared limit is open (infinite) or does not exceed this limit.
 fn is_open_or_at_most(declared: f64, limit: f64) -> bool {
     declared.is_infinite() || declared <= limit
 }
--- a/operator/tests/shown_settings.rs
+++ b/operator/tests/shown_settings.rs
@@ -1,4 +1,4 @@
-//! The text in which the settings of a file are shown: its sections, then the limits of each operation with their sources.
+//! The text of the `show` command: the sections of a file, then the limits of each operation with their sources.
 use expect_test::expect;
 use quillramp_operator::show;
 
@@ -11,13 +11,13 @@
     show(&operator, Some(&platform()))
 }
 
-/// The part of the shown text that is about an operation.
+/// The part of the shown text for an operation.
 fn shown_limits(operation: &str) -> String {
     let text = shown_settings();
     let heading = format!("{operation},");
     let parts: Vec<&str> = text.split("\n\n").filter(|part| part.starts_with(&heading)).collect();
     assert_eq!(parts.len(), 1, "{operation} is shown once in {text}");
-    // The last part ends with the text, and the others where an empty line follows.
+    // Only the last part still has its line end, because an empty line separates the others.
     format!("{}\n", parts[0].strip_suffix('\n').unwrap_or(parts[0]))
 }
 
