--- a/operator/src/routes/table.rs
+++ b/operator/src/routes/table.rs
@@ -42,7 +42,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let classes = self.routes.values().flat_map(|routes| routes.named.values().chain(&routes.others));
         let reached: HashSet<usize> = classes.copied().collect();
-        write!(f, "{} classes for {} pairs of operation and plan", reached.len(), self.routes.len())
+        write!(f, "{} classes, for {} pairs of operation and plan", reached.len(), self.routes.len())
     }
 }
 
