--- a/admission/src/network.rs
+++ b/admission/src/network.rs
@@ -12,40 +12,40 @@
     prefix_bits: u8,
 }
 
-/// Why a text is not a network.
+/// The reason why a string is not a network.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum NetworkError {
     /// The address or the prefix length can't be parsed.
-    #[error("'{0}': expected an address, or one and its bits: 10.2.0.0/16")]
+    #[error("expected an IP address or a network such as 10.2.0.0/16, found '{0}'")]
     Malformed(String),
-    /// The prefix is longer than an address.
-    #[error("'{text}': {max_bits} bits at the most")]
-    TooManyBits {
-        /// The text.
+    /// The prefix length exceeds the length of the address.
+    #[error("expected a prefix length of at most {max_bits} bits, found '{text}'")]
+    PrefixTooLong {
+        /// The string that was parsed.
         text: String,
-        /// The length of such an address, bits.
+        /// Length of the address, bits.
         max_bits: u8,
     },
-    /// Bits of the address are set after the prefix.
-    #[error("'{text}': bits are set behind the first {prefix_bits}")]
-    BitsBehindPrefix {
-        /// The text.
+    /// The address has bits set after the prefix.
+    #[error("expected zeros after the first {prefix_bits} bits, found '{text}'")]
+    HostBitsSet {
+        /// The string that was parsed.
         text: String,
-        /// The length of the prefix, bits.
+        /// Length of the prefix, bits.
         prefix_bits: u8,
     },
 }
 
 impl Network {
-    /// Whether an address lies in the network; an IPv4-mapped IPv6 address counts as IPv4.
-    pub fn holds(&self, address: IpAddr) -> bool {
+    /// Returns whether an address lies in the network; an IPv4-mapped IPv6 address counts as IPv4.
+    pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         let differing = left_aligned(self.address) ^ left_aligned(address);
         self.address.is_ipv4() == address.is_ipv4() && leading_bits(differing, self.prefix_bits) == 0
     }
 }
 
-/// The bits of an address, aligned to the most significant bit.
+/// Returns the bits of an address, aligned to the most significant bit.
 fn left_aligned(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(address) => u128::from(address.to_bits()) << (IPV6_BITS - IPV4_BITS),
@@ -74,10 +74,10 @@
         let max_bits = if address.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
         let prefix_bits: u8 = bits.map_or(Ok(max_bits), str::parse).map_err(|_| malformed())?;
         if prefix_bits > max_bits {
-            return Err(NetworkError::TooManyBits { text: text.to_owned(), max_bits });
+            return Err(NetworkError::PrefixTooLong { text: text.to_owned(), max_bits });
         }
         if bits_after(left_aligned(address), prefix_bits) != 0 {
-            return Err(NetworkError::BitsBehindPrefix { text: text.to_owned(), prefix_bits });
+            return Err(NetworkError::HostBitsSet { text: text.to_owned(), prefix_bits });
         }
         Ok(Network { address, prefix_bits })
     }
--- a/counter/src/raft/fault.rs
+++ b/counter/src/raft/fault.rs
@@ -1,4 +1,4 @@
-//! Fault injection: deliberate faults with which tests show that their checks detect them.
+//! Fault injection: deliberate faults, which tests use to show that their checks detect them.
 
 /// A deliberate fault of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -7,9 +7,9 @@
     #[default]
     None,
     /// Votes for every candidate, even if its log is not up to date.
-    VotesBlindly,
+    VotesForStaleLog,
     /// Commits entries without a quorum.
-    CommitsAlone,
+    CommitsWithoutQuorum,
     /// Loses its vote in a restart.
-    ForgetsVote,
+    LosesVote,
 }
--- a/counter/tests/agreement.rs
+++ b/counter/tests/agreement.rs
@@ -256,11 +256,11 @@
 /// Guards against checks that pass whatever the implementation does.
 #[test]
 fn injected_faults_are_detected() {
-    let votes_blindly = ClusterModel { fault: Fault::VotesBlindly, commands: 0, ..THREE_MEMBERS };
+    let votes_blindly = ClusterModel { fault: Fault::VotesForStaleLog, commands: 0, ..THREE_MEMBERS };
     let (_, _, violations) = check(votes_blindly, 400_000);
     assert!(!violations.is_empty(), "votes for candidates whose log is not up to date were not detected");
     let forgets = ClusterModel {
-        fault: Fault::ForgetsVote,
+        fault: Fault::LosesVote,
         crashes: 1,
         terms: 1,
         entries: 1,
@@ -322,7 +322,7 @@
 
 #[test]
 fn injected_faults_are_detected_in_long_random_walks() {
-    for fault in [Fault::CommitsAlone, Fault::VotesBlindly] {
+    for fault in [Fault::CommitsWithoutQuorum, Fault::VotesForStaleLog] {
         assert!((0..200).any(|seed| random_walk(fault, seed).violation.is_some()), "{fault:?}");
     }
 }
--- a/gateway/src/state/identity.rs
+++ b/gateway/src/state/identity.rs
@@ -64,7 +64,9 @@
         }
         // Either the token or a contract must limit the customers that the caller may act for.
         let limits_customers = caller.customers.is_some() || self.broker.is_some();
-        if !limits_customers || !caller.may(&self.instance.operations[operation].name, command.customer) {
+        if !limits_customers
+            || !caller.is_allowed(&self.instance.operations[operation].name, command.customer)
+        {
             return Err(ClientReply::Denied("NOPERM not this operation, or not for this customer".into()));
         }
         Ok(Some(caller.team.clone()))
--- a/identity/tests/tokens.rs
+++ b/identity/tests/tokens.rs
@@ -70,9 +70,9 @@
         let caller = caller(&mut authenticator, NOW, &signer.token(&claims));
         assert_eq!(caller.team, TEAM);
         assert_eq!(caller.key_id, signer.id);
-        assert!(caller.may("look", 0xb4d65521));
-        assert!(!caller.may("order", 0xb4d65521), "another operation");
-        assert!(!caller.may("look", 1), "another customer");
+        assert!(caller.is_allowed("look", 0xb4d65521));
+        assert!(!caller.is_allowed("order", 0xb4d65521), "another operation");
+        assert!(!caller.is_allowed("look", 1), "another customer");
     }
 }
 
@@ -111,7 +111,7 @@
     assert!(authenticator.authenticate(NOW, &[0xff, 0xfe]).is_err());
 }
 
-/// Other algorithms: none, a shared secret derived from the public key, and that of another key.
+/// The header names `none`, a shared-secret algorithm that would use the public key as the secret, or the algorithm of another key.
 #[test]
 fn tokens_whose_header_names_another_algorithm_or_no_key_are_rejected() {
     let signer = trusted_signer();
@@ -153,7 +153,7 @@
 }
 
 /// Keys overlap: the next key is trusted before the last one expires, and tokens of both are accepted. Over several rotations no
-/// valid caller is rejected and no team is mistaken for another.
+/// valid caller is rejected, and each caller is authenticated as its own team.
 #[test]
 fn keys_are_rotated_in_service() {
     const ROUND: f64 = 60.0;
@@ -251,7 +251,7 @@
     let too_short = error(Key { x: "AAAA".into(), ..valid.clone() });
     assert!(too_short.contains("32 bytes, found 3"), "{too_short}");
     let with_y = error(Key { y: valid.x.clone(), ..valid.clone() });
-    assert!(with_y.contains("has none"), "{with_y}");
+    assert!(with_y.contains("has no such coordinate"), "{with_y}");
     let without_y = error(Key { algorithm: SignatureAlgorithm::Es256, ..valid });
     assert!(without_y.starts_with("y: "), "{without_y}");
 }
@@ -259,7 +259,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// For arbitrary bytes: nobody is authenticated by bytes that no trusted key has signed, and nothing panics.
+    /// For arbitrary bytes: bytes that no trusted key has signed authenticate no caller and cause no panic.
     #[test]
     fn unsigned_bytes_authenticate_nobody(
         bytes in proptest::collection::vec(any::<u8>(), 0..300),
