--- a/gateway/src/process/check.rs
+++ b/gateway/src/process/check.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Reads the platform of the configuration file at this path, or else of the one that the environment
-/// variable names, if any.
+/// Returns the platform of the configuration file at this path, or else of the one that the environment
+/// variable names; `None` if neither is given.
 fn platform(configuration_path: Option<&str>) -> Result<Option<Platform>, CheckError> {
     let path = configuration_path.map(str::to_owned).or(std::env::var(configuration::PATH_VARIABLE).ok());
     let Some(path) = path else { return Ok(None) };
--- a/gateway/src/process/operator.rs
+++ b/gateway/src/process/operator.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the configured platform, which operator files are checked against. `sockets` is the configured
-/// number of file descriptors.
+/// Returns the platform that operators' files are checked against: the configured operations, plans and
+/// limits. `sockets` is the configured number of file descriptors.
 pub fn platform(settings: &InstanceSettings, sockets: usize) -> Platform {
     let operation = |offered: &OfferedOperation| Operation {
         name: offered.name.clone(),
--- a/gateway/src/process/signals.rs
+++ b/gateway/src/process/signals.rs
@@ -38,7 +38,7 @@
     pub events: Arc<EventQueue>,
     /// The state that the processes of this instance share; `None` if it is not saved.
     pub shared: Option<SharedStateFile>,
-    /// The configured platform that operator files are checked against.
+    /// The platform that operators' files are checked against.
     pub platform: Platform,
 }
 
--- a/gateway/src/sockets/acceptor.rs
+++ b/gateway/src/sockets/acceptor.rs
@@ -42,7 +42,7 @@
     Register(std::io::Error),
 }
 
-/// The peers that connect to a listening socket.
+/// The parties that connect to a listening socket.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ListenerKind {
     /// Clients.
@@ -93,7 +93,7 @@
 
     fn serve(mut self) {
         loop {
-            // After the stop, the connections that are already in the kernel's queue are accepted once more,
+            // After the stop, the connections that are already in the kernel's queue are still accepted,
             // unless another process listens on the same socket and accepts them.
             let stopping =
                 self.kind != ListenerKind::Operators && self.shared.stop_accepting.load(Ordering::Relaxed);
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Accepts all queued connections, of clients up to their limit unless `stopping`.
+    /// Accepts all queued connections. Clients are accepted up to their limit, or without a limit if
+    /// `stopping`.
     fn accept_all(&mut self, stopping: bool) {
         loop {
             // A burst of clients is accepted before the reducer handles the first of them, so the descriptors
--- a/gateway/src/sockets/connection/context.rs
+++ b/gateway/src/sockets/connection/context.rs
@@ -8,12 +8,13 @@
 
 /// Maximum amount of unwritten output of one connection, in bytes; with more, the connection is not read.
 const MAX_UNWRITTEN_BYTES: usize = 1024 * 1024;
-/// Divisor of the memory for clients' incomplete commands, and of the memory for their long commands.
+/// The memory of the instance divided by this is the limit for clients' incomplete commands, and again the
+/// limit for their long commands.
 const COMMAND_MEMORY_DIVISOR: usize = 8;
-/// Divisor of the memory for streamed values that wait for clients.
+/// The memory of the instance divided by this is the threshold for streamed values that wait for clients.
 const STREAM_MEMORY_DIVISOR: usize = 8;
-/// Divisor of the command memory for the unwritten output of one connection: this many connections at their
-/// limit have as much unwritten output as commands may take.
+/// The command memory divided by this limits the unwritten output of one connection, so that this many
+/// connections at the limit have as much unwritten output as commands may take.
 const UNWRITTEN_DIVISOR: usize = 16;
 
 /// State that all connections share.
--- a/gateway/src/sockets/connection/streaming.rs
+++ b/gateway/src/sockets/connection/streaming.rs
@@ -17,7 +17,7 @@
     target: AtomicRefCell<Option<Arc<Connection>>>,
     /// Set when input that was held back until the stream had a target may be decoded.
     pub resumed: AtomicBool,
-    /// Time at which a part of the value was last forwarded.
+    /// Time of the last progress: the start of the stream, or a part of the value that was forwarded.
     last_progress: AtomicRefCell<Instant>,
     /// Set while reading is paused because the client has to read first.
     pub waits_for_client: AtomicBool,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Records that a part of the value was forwarded now.
+    /// Records that the stream made progress now.
     pub fn record_progress(&self) {
         *self.last_progress.borrow_mut() = Instant::now();
     }
@@ -65,7 +65,7 @@
         self.waker.wakeup();
     }
 
-    /// Returns the seconds since a part of the value was last forwarded.
+    /// Returns the seconds since the stream last made progress.
     pub fn stream_idle_seconds(&self) -> f64 {
         self.stream_source.last_progress.borrow().elapsed().as_secs_f64()
     }
@@ -106,20 +106,20 @@
         }
     }
 
-    /// Forwards a part of the value, or discards it if its client has gone. After the last part, `end`, the
-    /// line terminator is written and the stream ends.
-    pub(super) fn forward_chunk(&self, bytes: &[u8], end: bool) {
+    /// Forwards a part of the value, or discards it if there is no client or its connection is closed. After
+    /// the last part, the line terminator is written and the stream ends.
+    pub(super) fn forward_chunk(&self, bytes: &[u8], is_last: bool) {
         self.stream_source.record_progress();
         let target = self.stream_source.target.borrow().clone();
         let open_target = target.as_ref().filter(|target| !target.closed.load(Ordering::Relaxed));
         if let Some(target) = open_target {
             let mut write_buffer = target.write_buffer.borrow_mut();
             write_buffer.buffer().extend_from_slice(bytes);
-            write_buffer.buffer().extend_from_slice(if end { b"\r\n" } else { b"" });
+            write_buffer.buffer().extend_from_slice(if is_last { b"\r\n" } else { b"" });
             drop(write_buffer);
             target.flush();
         }
-        if let Some(target) = target.filter(|_| end) {
+        if let Some(target) = target.filter(|_| is_last) {
             target.detach_stream_source();
             *self.stream_source.target.borrow_mut() = None;
         }
--- a/gateway/src/sockets/connection/writing.rs
+++ b/gateway/src/sockets/connection/writing.rs
@@ -21,7 +21,8 @@
         let attempts = write_buffer.consume(written);
         self.context.written_attempts.fetch_add(attempts, Ordering::Relaxed);
         if self.is_answered_operator() && write_buffer.is_empty() {
-            let _ = self.stream.inner().shutdown(Shutdown::Write); // fails if the operator has closed the connection
+            // Fails if the operator has closed the connection.
+            let _ = self.stream.inner().shutdown(Shutdown::Write);
         }
         write_buffer.shrink(MAX_RETAINED_BUFFER_BYTES);
         let unwritten = write_buffer.len();
--- a/gateway/src/sockets/driver.rs
+++ b/gateway/src/sockets/driver.rs
@@ -35,9 +35,9 @@
 
 /// Interval at which a process that is shutting down checks whether all output has been written, in seconds.
 const EXIT_CHECK_INTERVAL: f64 = 0.005;
-/// Pause between two reads from a client whose commands are dropped, in seconds. A client that has left may
-/// leave about 10 MiB in the socket buffers of both machines (the maxima of `tcp_wmem` and `tcp_rmem`), all
-/// of which must be read well within 0.1 s.
+/// Pause between two turns of reading from a client whose input is dropped or discarded, in seconds. A client
+/// that has left may leave about 10 MiB in the socket buffers of both machines (the maxima of `tcp_wmem` and
+/// `tcp_rmem`), all of which must be read well within 0.1 s.
 const READ_PAUSE: f64 = 0.002;
 
 /// The work that is left after the effects of a batch.
--- a/gateway/src/state/admission.rs
+++ b/gateway/src/state/admission.rs
@@ -74,8 +74,8 @@
     /// Returns the clients that sent no command within the time that the admission limits allow for the first one.
     pub(super) fn overdue_clients(&self, now: f64) -> Vec<u64> {
         let Some(admission) = &self.admission else { return vec![] };
-        let has_sent_nothing = |client: &Client| client.is_answered() && !client.has_sent_command;
+        let has_sent_no_command = |client: &Client| client.is_answered() && !client.has_sent_command;
         let overdue = admission.overdue(now).into_iter();
-        overdue.filter(|id| self.clients.connections.get(id).is_some_and(has_sent_nothing)).collect()
+        overdue.filter(|id| self.clients.connections.get(id).is_some_and(has_sent_no_command)).collect()
     }
 }
--- a/gateway/src/state/attempts.rs
+++ b/gateway/src/state/attempts.rs
@@ -50,8 +50,8 @@
         self.timers.schedule(timeout, TimerKind::ConnectTimeout(connection_id));
     }
 
-    /// Sends an attempt behind others on the backend's connection with the fewest, as no file descriptor is free for a
-    /// new connection.
+    /// Sends an attempt after others on the backend's connection with the fewest attempts, as no file
+    /// descriptor is free for a new connection.
     fn share_connection(&mut self, now: f64, id: AttemptId, backend: BackendIndex) {
         let max_attempts = self.instance.max_streams_per_connection;
         let usable = self.backends.connections.iter_mut().filter(|(_, connection)| {
--- a/gateway/src/state/backends.rs
+++ b/gateway/src/state/backends.rs
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Marks connections whose end the batch reports that is about to be handled, so that no attempt is sent on them.
+    /// Marks the connections whose end is reported in the batch about to be handled, so that no attempt is
+    /// sent on them.
     pub(super) fn mark_connections_ending_in_batch(&mut self, connections: &HashSet<ConnectionId>) {
         for connection in connections {
             let ConnectionId::Backend(id) = connection else { continue };
--- a/gateway/src/state/client_table.rs
+++ b/gateway/src/state/client_table.rs
@@ -18,7 +18,7 @@
 pub struct Client {
     /// The client's address.
     pub address: Option<IpAddr>,
-    /// The authenticated caller; `None` before a valid token.
+    /// The authenticated caller; `None` without a valid token.
     pub caller: Option<Caller>,
     /// The number of the first command without a reply.
     pub first_unanswered_number: u64,
--- a/gateway/src/state/connection.rs
+++ b/gateway/src/state/connection.rs
@@ -33,7 +33,8 @@
     Idle,
     /// All attempts on it were cancelled.
     Abandoned,
-    /// Its backend is draining or was removed from the endpoint list.
+    /// Its backend accepts no new attempts (draining, removed from the endpoint list or ejected by an
+    /// operator), or this process hands over to the next one.
     Delisted,
     /// No response arrived on it in time.
     Unresponsive,
--- a/gateway/src/state/descriptors.rs
+++ b/gateway/src/state/descriptors.rs
@@ -11,8 +11,8 @@
 /// Number of file descriptors that a process that is shutting down keeps beyond those it holds, for attempts of its
 /// pending requests.
 const SHUTDOWN_SPARE_DESCRIPTORS: usize = 8;
-/// Time that a new client gets to send its first command before its connection may be closed to free a file
-/// descriptor, in seconds.
+/// Time after which a client that has sent nothing yet counts as inactive, in seconds. A client that has just
+/// connected may need that long to send something.
 const FIRST_COMMAND_TIMEOUT: f64 = 0.05;
 /// Number of file descriptors that clients never get: those for the list service, the counter, some backends,
 /// operators and the process itself. An operator's file may assign all others to clients (`admission.connections`).
--- a/gateway/src/state/framing.rs
+++ b/gateway/src/state/framing.rs
@@ -22,7 +22,8 @@
     /// Takes an event. `long_command_bytes`: the length of a long command, which counts against the memory for long
     /// commands until its reply; 0 for other events.
     fn event(&mut self, event: Event, long_command_bytes: usize);
-    /// Takes a chunk of a value that is being forwarded. `is_last`: whether the line end follows the chunk.
+    /// Takes a chunk of a value that is being forwarded. `is_last`: whether the value and the line end after
+    /// it have now been received; the chunk may be empty then.
     fn body_chunk(&mut self, bytes: &[u8], is_last: bool);
     /// Returns whether to stop decoding for now and leave the remaining bytes for later.
     fn is_full(&self) -> bool {
--- a/gateway/src/state/log_message.rs
+++ b/gateway/src/state/log_message.rs
@@ -93,7 +93,7 @@
     MembershipDisabled,
     /// The other process of this instance has ended.
     PeerProcessEnded,
-    /// Another process of this instance has started.
+    /// Another process of this instance is running.
     PeerProcessStarted,
     /// The operator's file declares other limits of requests.
     RequestLimits {
--- a/gateway/src/state/reducer.rs
+++ b/gateway/src/state/reducer.rs
@@ -47,7 +47,7 @@
 
 /// The reducer's response to a batch of events.
 pub struct ReducerOutput {
-    /// Time of the next poll if no event arrives before, in seconds; `None` if no timer is pending.
+    /// Time of the next poll if no event arrives before, in seconds; `None` if only an event can cause one.
     pub next_poll_at: Option<f64>,
     /// Effects to carry out now, in this order.
     pub effects: Vec<Effect>,
--- a/gateway/src/state/timers.rs
+++ b/gateway/src/state/timers.rs
@@ -38,7 +38,7 @@
 /// Identifies a timer. Keys are ordered by due time, then by the order of scheduling.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
-    /// The bits of the due time in seconds. For positive times they have the same order as the times.
+    /// The bits of the due time in seconds. Times are positive, so the bits have the same order as the times.
     time_bits: u64,
     number: u64,
 }
--- a/gateway/src/state/validation.rs
+++ b/gateway/src/state/validation.rs
@@ -14,7 +14,7 @@
     /// The verb does not fit the idempotency of the operation.
     #[error("not by this command: CALL.GET is for what may be repeated, CALL.POST for all else")]
     WrongVerb,
-    /// The range of instances is empty, too long, or starts behind the last instance.
+    /// The range of instances is empty, too long, or starts after the last instance.
     #[error("first and spread: no such front doors")]
     UnknownInstances,
     /// The units are outside the range that the settings allow.
--- a/gateway/src/wire/endpoints.rs
+++ b/gateway/src/wire/endpoints.rs
@@ -1,4 +1,4 @@
-//! Codec of the endpoint list, which the list service sends as JSON.
+//! Decoding of the endpoint list, which the list service sends as JSON.
 use quillramp::types::EndpointStatus;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     pub address: SocketAddr,
     /// Zone that the backend runs in.
     pub zone: String,
-    /// Index of the group that the backend belongs to.
+    /// Index of the cell that the backend belongs to.
     pub group: usize,
     /// Whether the backend is serving, draining or removed.
     #[serde(with = "status")]
--- a/gateway/src/wire/http.rs
+++ b/gateway/src/wire/http.rs
@@ -33,14 +33,14 @@
         /// Time until the total expires, in milliseconds.
         expire_ms: u64,
     },
-    /// Returns the changes to the endpoint list as soon as there are any (long polling).
+    /// Asks for the changes to the endpoint list, which are returned as soon as there are any (long polling).
     WatchEndpoints {
         /// Version of the list that this instance has.
         since: u64,
         /// Maximum time that the service waits for a change, in milliseconds.
         wait_ms: u64,
     },
-    /// Returns the complete endpoint list at once.
+    /// Asks for the complete endpoint list, which is returned at once.
     FetchEndpoints,
 }
 
@@ -147,7 +147,7 @@
 struct ChunkedBody {
     /// The concatenated chunks.
     body: Vec<u8>,
-    /// Offset behind the last chunk, from the start of the buffer.
+    /// Offset of the first byte after the last chunk, from the start of the buffer.
     end: usize,
 }
 
--- a/gateway/src/wire/resp/command.rs
+++ b/gateway/src/wire/resp/command.rs
@@ -102,7 +102,7 @@
     bytes: &'a [u8],
     items: [Item; MAX_ARRAY_ITEMS],
     count: usize,
-    /// Offset behind the command.
+    /// Offset of the first byte after the command.
     end: usize,
 }
 
--- a/gateway/src/wire/resp/reply.rs
+++ b/gateway/src/wire/resp/reply.rs
@@ -38,7 +38,7 @@
     Streamed,
     /// The request was throttled.
     Busy {
-        /// Time after which the client may retry, in milliseconds; `None` if it is not known.
+        /// Time after which the client may retry, in milliseconds; `None` if the reply states none.
         retry_after_ms: Option<u64>,
     },
     /// An error; the text follows the code `ERR`.
@@ -96,7 +96,7 @@
     pub load_report: Option<Vec<u8>>,
 }
 
-/// Decodes the items that follow a value; the buffer starts behind the value's terminator.
+/// Decodes the items that follow a value; the buffer starts after the value's terminator.
 pub fn decode_trailer(bytes: &[u8]) -> Decoded<ReplyTrailer> {
     if bytes.is_empty() {
         return Ok(None);
@@ -109,7 +109,7 @@
     Ok(Some(DecodedMessage { value: trailer, length: report.next }))
 }
 
-/// Decodes the first reply of a backend whose value is short enough to be buffered.
+/// Decodes the first reply of a backend. A value in it must be short enough to be buffered.
 pub fn decode_reply(bytes: &[u8]) -> Decoded<BackendReply> {
     match bytes.first() {
         None => Ok(None),
@@ -148,7 +148,7 @@
     Ok(Some(DecodedMessage { value: reply, length: next }))
 }
 
-/// Decodes an optional item behind a value. An item of another type than a bulk string counts as absent, so
+/// Decodes an optional item after a value. An item of another type than a bulk string counts as absent, so
 /// that the value stays usable.
 fn optional_item(bytes: &[u8], start: usize) -> DecodedElement<Option<Range<usize>>> {
     match bytes.get(start) {
