--- a/gateway/src/process/handover.rs
+++ b/gateway/src/process/handover.rs
@@ -1,5 +1,5 @@
 //! The state that the processes of one gateway instance share through a file, for the handover from one to
-//! the next. Only threads other than the worker thread access the file, so that the worker never blocks on it.
+//! the next. Other threads than the worker thread access the file, so that the worker never blocks on it.
 use super::process_identity::ProcessIdentity;
 use super::shared_file::{SharedFile, SharedFileError, SharedRecord};
 use crate::sockets::event_queue::EventQueue;
--- a/gateway/src/state/discovery.rs
+++ b/gateway/src/state/discovery.rs
@@ -9,12 +9,12 @@
 use quillramp::types::*;
 
 /// Maximum time that a watch waits for a change, in seconds. The response is due then even without changes,
-/// which limits how long changes are missed on an unresponsive connection: the instance is expected to have
-/// them 6 s after the connection became unresponsive.
+/// which limits how long changes are missed on an unresponsive connection: a missed change counts as reported
+/// to the instance 6 s after the connection became unresponsive.
 const MAX_WATCH_SECONDS: f64 = 5.0;
 /// Time beyond the wait after which a response is overdue, in seconds. The list service is then polled
-/// without a wait on a new connection. A request is always pending, because the instance is expected to have
-/// all changes as soon as an unresponsive list service is back.
+/// without a wait on a new connection. A request is always pending, because changes count as reported to the
+/// instance as soon as an unresponsive list service responds again.
 const RESPONSE_GRACE_SECONDS: f64 = 0.4;
 /// Delay before another poll after one that was refused or ended without a response, in seconds.
 const POLL_RETRY_SECONDS: f64 = 0.2;
--- a/gateway/tests/streams.rs
+++ b/gateway/tests/streams.rs
@@ -12,7 +12,7 @@
 };
 
 const VALUE_LENGTH: usize = 4 * 1024 * 1024;
-/// Memory limit of an instance through which far more data passes at once, in MB.
+/// Memory limit of an instance through which far more data passes at once, in MiB.
 const LITTLE_MEMORY_MB: usize = 32;
 
 /// Returns the byte of the long value at this index.
@@ -55,7 +55,7 @@
     format!("{} {sum}", body.len())
 }
 
-/// Starts an instance with this memory limit, in MB.
+/// Starts an instance with this memory limit, in MiB.
 fn start_with_memory(name: &str, memory_mb: usize) -> (GatewayProcess, SocketAddr) {
     let (backend, backend_address) = free_listener();
     start_backend(backend);
@@ -91,7 +91,7 @@
     let peak = peak_memory(process);
     assert!(
         peak < LITTLE_MEMORY_MB * 1024,
-        "peak memory of {peak} kB, expected less than {LITTLE_MEMORY_MB} MB"
+        "peak memory of {peak} kB, expected less than {LITTLE_MEMORY_MB} MiB"
     );
 }
 
--- a/gateway/tests/wire.rs
+++ b/gateway/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The codecs of the wire formats. Each message is decoded at every truncation: no proper prefix is a
-//! complete message, and bytes behind the message don't change the result.
+//! complete message, and bytes after the message don't change the result.
 use expect_test::expect;
 use quillramp::gossip::{self, WireMessage};
 use quillramp::types::InstanceRange;
@@ -26,7 +26,7 @@
         }
     }
     let complete = decode(bytes);
-    assert_eq!(complete, decode(&[bytes, b"*1\r\n"].concat()), "bytes behind the message change nothing");
+    assert_eq!(complete, decode(&[bytes, b"*1\r\n"].concat()), "bytes after the message change nothing");
     match complete {
         Ok(Some(DecodedMessage { value, length })) => {
             format!("{} in {length} of {} bytes\n", show(&value), bytes.len())
