--- a/counter/src/server/replica/clock.rs
+++ b/counter/src/server/replica/clock.rs
@@ -72,7 +72,7 @@
         if leader == self.logged_leader {
             return;
         }
-        let change = leader.map_or("no leader".into(), |id| format!("member {id} is the leader"));
+        let change = leader.map_or("nobody leads".into(), |id| format!("member {id} leads"));
         let term = self.node.hard_state.term;
         eprintln!("quillramp-counter: member {}, term {term}: {change}", self.config.id);
         self.logged_leader = leader;
