--- a/emulator/src/backend/mod.rs
+++ b/emulator/src/backend/mod.rs
@@ -19,7 +19,8 @@
 const ORPHAN_DROP_PROBABILITY: f64 = 0.5;
 /// Range of the random factor on the execution time of a job.
 const EXECUTION_TIME_JITTER: std::ops::Range<f64> = 0.6..1.6;
-/// Bytes to send of more than this length that lack the end of a reply contain a truncated long value.
+/// Number of bytes above which bytes to send that do not end with a line end contain a truncated long
+/// value.
 const LONG_REPLY_BYTES: usize = 64_000;
 
 /// Whether a backend runs, and how it failed if it does not.
--- a/emulator/src/clients/mod.rs
+++ b/emulator/src/clients/mod.rs
@@ -126,8 +126,8 @@
         index.unwrap_or(0)
     }
 
-    /// Sends the request with this index to a random one of its customer's gateway instances. Nothing is sent if the instance has no
-    /// running process.
+    /// Sends the request with this index to a random one of its customer's gateway instances. Nothing is
+    /// sent if no connection to the instance can be used and none of its processes accepts a new one.
     pub fn send_request(&mut self, ctx: &mut Context, serving: &[Option<usize>], index: usize) {
         let request = self.requests[index].clone();
         let instances = InstanceRange::for_customer(request.customer, serving.len());
--- a/emulator/src/context.rs
+++ b/emulator/src/context.rs
@@ -33,7 +33,7 @@
     pub partitions: Vec<Partition>,
     /// Factor on network delays; 1 without a fault.
     pub delay_factor: f64,
-    /// Fraction of the datagrams between gateway instances that are lost.
+    /// Fraction of the datagrams between gateway instances that is lost.
     pub datagram_loss: f64,
     /// Zone of each backend, by the backend's index.
     pub backend_zones: Vec<usize>,
--- a/emulator/src/deployment.rs
+++ b/emulator/src/deployment.rs
@@ -8,7 +8,7 @@
 use quillramp_admission::Limits;
 use serde_json::{json, Value};
 
-/// Seconds for which backends remember an idempotency key.
+/// Seconds within which a request with an idempotency key may be repeated.
 const KEY_WINDOW: f64 = 1.5;
 /// Maximum number of attempts per request.
 const MAX_ATTEMPTS: usize = 5;
--- a/emulator/src/fleet_study.rs
+++ b/emulator/src/fleet_study.rs
@@ -48,7 +48,7 @@
 struct FaultGenerator {
     rng: ChaCha8Rng,
     instances: usize,
-    /// Indices of all backends, in random order.
+    /// Indexes of all backends, in random order.
     shuffled_backends: Vec<usize>,
     faults: Vec<Fault>,
 }
@@ -152,7 +152,8 @@
         let count = self.shuffled_backends.len() / 8;
         let chosen: Vec<usize> = candidates.choose_multiple(&mut self.rng, count).copied().collect();
         for backend in chosen {
-            let (kind, severity) = *degradations.choose(&mut self.rng).expect("three");
+            let (kind, severity) =
+                *degradations.choose(&mut self.rng).expect("there is at least one degradation");
             let at = earliest + self.rng.gen_range(0.0..1.0);
             self.faults.push(Fault {
                 backend: Some(backend),
--- a/emulator/src/shrinker.rs
+++ b/emulator/src/shrinker.rs
@@ -6,9 +6,9 @@
 
 /// Maximum number of times that a fault's duration, and its severity, are halved.
 const MAX_HALVINGS: usize = 3;
-/// Durations of faults are not halved further once they are this short, in seconds.
+/// Durations of faults are only halved if they stay above this number of seconds.
 const MIN_DURATION: f64 = 0.02;
-/// Severities of faults are not halved further once they are this low.
+/// Severities of faults are only halved if they stay above this value.
 const MIN_SEVERITY: f64 = 0.05;
 /// Seconds for which clients continue to send requests after the violation.
 const VIOLATION_MARGIN: f64 = 0.01;
--- a/lease/src/regional_quota/mod.rs
+++ b/lease/src/regional_quota/mod.rs
@@ -1,6 +1,6 @@
 //! The split of a tenant's quota between its owners in two regions, and the transfers between the owners.
 //!
-//! The sum of both fractions and of the transfer in transit never exceeds the full quota. Three rules ensure
+//! The sum of both fractions and of the transfers in transit never exceeds the full quota. Three rules ensure
 //! this:
 //! - The sender of a transfer deducts it before sending it.
 //! - The receiver adds each transfer only once.
--- a/lease/src/shard/ownership.rs
+++ b/lease/src/shard/ownership.rs
@@ -75,8 +75,8 @@
         self.maps.next_activation()
     }
 
-    /// Removes former maps that were replaced long enough ago for every bucket to have refilled since, and
-    /// for at least [`IDLE_BUCKET_LIFETIME`].
+    /// Removes former maps that no longer matter: every bucket has had time to refill since they were
+    /// replaced, and at least [`IDLE_BUCKET_LIFETIME`] has passed.
     pub(super) fn remove_expired(&mut self, now: f64) {
         let lifetime = self.map().longest_refill_time().max(IDLE_BUCKET_LIFETIME);
         self.former_maps.retain(|former| now - former.replaced_at < lifetime);
--- a/load/src/generator/mod.rs
+++ b/load/src/generator/mod.rs
@@ -34,7 +34,7 @@
     Errored,
     /// Not answered: the connection ended, or the read timed out.
     NoAnswer,
-    /// Not sent: none of the customer's instances accepted it.
+    /// Not accepted: each of the customer's instances that was tried was draining or could not be reached.
     NotConnected,
 }
 
--- a/load/src/scale/embedded/mod.rs
+++ b/load/src/scale/embedded/mod.rs
@@ -25,7 +25,7 @@
 const CLIENT_CONNECTIONS: u64 = 64;
 /// File descriptors in the instance's limits, enough for a connection to each backend.
 pub const MAX_DESCRIPTORS: usize = 8_192;
-/// Empty read buffers with a larger capacity are released, as the gateway's connections do.
+/// Empty read buffers with a larger capacity are released, as in the gateway's connections.
 const MAX_RETAINED_BUFFER_BYTES: usize = 16 * 1024;
 /// Multiplier of the operating point's seed. The index of the instance is added, so that each instance has its own
 /// seed.
--- a/load/src/scale/rows.rs
+++ b/load/src/scale/rows.rs
@@ -15,7 +15,7 @@
     Socket,
     /// Embedded instances, with the stand-ins in the same process.
     InProcess,
-    /// The emulator's clock.
+    /// The emulator, on its virtual clock.
     VirtualClock,
 }
 
--- a/load/src/scale/slope_report.rs
+++ b/load/src/scale/slope_report.rs
@@ -10,7 +10,7 @@
 const WIDTH: u32 = 640;
 /// Height of a chart in pixels.
 const HEIGHT: u32 = 360;
-/// Minimum maximum of an axis, so that an axis is not empty if all values are 0.
+/// Minimum length of an axis before the headroom, so that an axis is not empty if all values are 0.
 const MIN_AXIS_LENGTH: f64 = 1e-9;
 /// Length of an axis as a multiple of the largest value.
 const AXIS_HEADROOM: f64 = 1.1;
--- a/load/src/test_bed/loopback.rs
+++ b/load/src/test_bed/loopback.rs
@@ -18,8 +18,8 @@
     let _ = thread.spawn(move || serve(stream)); // if no thread can be started, the connection is closed
 }
 
-/// Returns a loopback address that is derived from the process id, so that parallel test processes use different ones. Outgoing
-/// connections, which use 127.0.0.1, take no port on it either.
+/// Returns a loopback address that is derived from the process id, so that parallel processes use different
+/// ones. Outgoing connections, which use 127.0.0.1, take no port on it either.
 pub fn process_loopback() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, high.wrapping_add(1), middle, low)
