--- a/emulator/src/fleet_study.rs
+++ b/emulator/src/fleet_study.rs
@@ -152,8 +152,7 @@
         let count = self.shuffled_backends.len() / 8;
         let chosen: Vec<usize> = candidates.choose_multiple(&mut self.rng, count).copied().collect();
         for backend in chosen {
-            let (kind, severity) =
-                *degradations.choose(&mut self.rng).expect("there is at least one degradation");
+            let (kind, severity) = *degradations.choose(&mut self.rng).expect("three");
             let at = earliest + self.rng.gen_range(0.0..1.0);
             self.faults.push(Fault {
                 backend: Some(backend),
--- a/load/src/scale/stand_ins/mod.rs
+++ b/load/src/scale/stand_ins/mod.rs
@@ -107,7 +107,8 @@
         ServiceAddresses { counter: self.counter, discovery: self.discovery }
     }
 
-    /// Requests one change of the endpoint list; the event loop writes it in its next iteration.
+    /// Requests one change of the endpoint list; the event loop writes it in its next iteration, usually
+    /// within 50 ms.
     pub fn request_change(&self) {
         self.changes.requested_count.fetch_add(1, Ordering::Relaxed);
     }
