--- a/emulator/src/fleet_study.rs
+++ b/emulator/src/fleet_study.rs
@@ -48,7 +48,7 @@
 struct FaultGenerator {
     rng: ChaCha8Rng,
     instances: usize,
-    /// Indices of all backends, in random order.
+    /// Indexes of all backends, in random order.
     shuffled_backends: Vec<usize>,
     faults: Vec<Fault>,
 }
