--- a/broker/src/fair_share.rs
+++ b/broker/src/fair_share.rs
@@ -2,7 +2,7 @@
 //! divided among the teams that need more than their own rate, by weighted max-min fairness: units that one borrower does not need
 //! go to the others.
 //!
-//! Only units that overflow their owner's bucket are lent, so the units of a contract are always available to its team.
+//! Only units that overflow their owner's bucket are lent, so the units of a contract are always available to its team at once.
 use crate::TeamId;
 use std::collections::BTreeSet;
 
@@ -49,7 +49,7 @@
 
 /// The error of a request for which no units are available now.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-#[error("the requested units are available in {retry_after} s")]
+#[error("no units are available for {retry_after} s")]
 pub struct NoUnits {
     /// Time until the team's own bucket has the units, seconds; infinite if it never has them.
     pub retry_after: f64,
--- a/operator/src/admission.rs
+++ b/operator/src/admission.rs
@@ -5,9 +5,10 @@
 /// File descriptors that clients cannot use: those for backends, the counter, discovery, the admin interface and the process
 /// itself.
 const OTHER_DESCRIPTORS: usize = 64;
-/// Connections of an address for each that may be open before its first command, which gives the default of `strangers`.
+/// Divisor of `per_address` in the default of `strangers`: a quarter of an address's connections may be open before their first
+/// command.
 const CONNECTIONS_PER_UNIDENTIFIED: usize = 4;
-/// Pending commands of an address for each of its connections, which gives the default of `unfinished`.
+/// Factor on `per_address` in the default of `unfinished`: pending commands for each connection of an address.
 const PENDING_COMMANDS_PER_CONNECTION: usize = 4;
 
 /// The minimum and the default of a number.
